--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -44,7 +44,7 @@
 from petrelwood.decide.cluster import link_state, membership, settings_change
 from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announced, Rollout, dwell_for
 from petrelwood.decide.overload.sliding_window import SlidingWindowCounter
-from petrelwood.dispatch.health import Health
+from petrelwood.dispatch.health import HeartbeatReporter
 from petrelwood.links import rpc, sse
 from petrelwood.links.roster import READ, RosterLink
 from petrelwood.links.worker import WorkerLink
@@ -384,7 +384,7 @@
 
 # What it says of itself to the speaker beside it, twenty times a second.
 class Counted:
-    """Stands in for the core, as `dispatch.health.Health` asks of it."""
+    """Stands in for the core, as `dispatch.health.HeartbeatReporter` asks of it."""
 
     def __init__(self, workers):
         self.membership = membership.Membership(PERIOD, SECOND, random.Random(1).random)
@@ -407,9 +407,9 @@
     sizes = (100, 1_000, 4_000, 20_000)
     points = []
     for _ in range(runs):
-        made = {size: Health("/nowhere", Counted(size)) for size in sizes}
-        points.append([(size, 1e3 * cost(made[size].facts)) for size in sizes])
-    said = len(msgpack.packb([1, *made[4_000].facts()]))
+        made = {size: HeartbeatReporter("/nowhere", Counted(size)) for size in sizes}
+        points.append([(size, 1e3 * cost(made[size].report)) for size in sizes])
+    said = len(msgpack.packb([1, *made[4_000].report()]))
     return [
         f"| Health: bytes of one message to the speaker beside it, 1 / {EVERY:g} a second | {said} bytes |",
         Figure("Health: the facts of one message", "workers", "ms", points),
--- a/petrelwood/dispatch/health.py
+++ b/petrelwood/dispatch/health.py
@@ -1,63 +1,75 @@
-"""What this dispatcher says of itself to the speaker beside it, from its own loop: one that hangs falls
-silent.
+"""Heartbeats of this dispatcher to the BGP speaker beside it.
 
-While another process owns what is new (`retired`), it says nothing: the one that owns does.
+They are sent from the dispatcher's own event loop, so that a dispatcher that hangs falls silent. While
+another process owns new activations (`retired`, during a hand-over), this one sends nothing: the owner does.
 """
 
 import asyncio
+from typing import TYPE_CHECKING
 
 from petrelwood.bgp.heartbeats import EVERY, HeartbeatSender
 from petrelwood.decide.overload.sliding_window import SlidingWindowCounter
 from petrelwood.decide.routing.serving import HealthReport
 
+if TYPE_CHECKING:
+    from petrelwood.dispatch.dispatcher import Dispatcher
+
 SECOND = 1_000_000_000
-LATELY = SECOND // 2, 5  # buckets in which a stall is remembered
+HEARTBEAT_INTERVAL = int(EVERY * SECOND)  # ns
+STALL_BUCKET = SECOND // 2  # ns
+STALL_BUCKETS = 5  # a stall is reported for two seconds at least
 
 
-class Health:
-    def __init__(self, path, core):
-        self.sender, self.core, self.task, self.last, self.stalls = (
-            HeartbeatSender(path),
-            core,
-            None,
-            core.now(),
-            SlidingWindowCounter(*LATELY),
-        )
+class HeartbeatReporter:
+    """Reports the health of a dispatcher at a fixed interval. `path`: the speaker's datagram socket."""
 
-    def open(self):
-        self.task = self.core.loop.create_task(self._heartbeats())
+    def __init__(self, path: str, core: "Dispatcher") -> None:
+        self.core = core
+        self.sender = HeartbeatSender(path)
+        self.task: asyncio.Task[None] | None = None
+        self.last_report = core.now()
+        self.stalls = SlidingWindowCounter(STALL_BUCKET, STALL_BUCKETS)
 
-    def facts(self):
-        core, now = self.core, self.core.now()
-        # What it stood still for counts for two seconds: the sum over the window is at least the longest of
-        # them.
-        stalled = max(0, now - self.last - int(EVERY * SECOND))
-        if stalled > EVERY * SECOND:
-            self.stalls.add(now, stalled)
-        self.last = now
-        listed = now - core.membership.heard if core.membership.lost else 0
-        usable = sum(1 for worker in core.membership.members if core.membership.usable(worker))
+    def open(self) -> None:
+        """Begins to send heartbeats."""
+        self.task = self.core.loop.create_task(self._send_heartbeats())
+
+    def report(self) -> HealthReport:
+        """The health of the dispatcher at this moment."""
+        core = self.core
+        now = core.now()
+        self._note_stall(now)
+        membership = core.membership
         return HealthReport(
-            core.intake.closing,
-            listed,
-            usable,
-            core.goods.sum(now),
-            core.bads.sum(now),
-            self.stalls.sum(now),
-            core.state is None or core.state.stopped is None,
+            closing=core.intake.closing,
+            listed=now - membership.heard if membership.lost else 0,
+            usable=sum(1 for worker in membership.members if membership.usable(worker)),
+            good=core.goods.sum(now),
+            bad=core.bads.sum(now),
+            stalled=self.stalls.sum(now),
+            keeps=core.state is None or core.state.stopped is None,
         )
 
-    async def _heartbeats(self):
+    def _note_stall(self, now: int) -> None:
+        """Adds the time by which this report is late. The sum over the window is at least the longest stall
+        in it."""
+        stalled = max(0, now - self.last_report - HEARTBEAT_INTERVAL)
+        if stalled > HEARTBEAT_INTERVAL:
+            self.stalls.add(now, stalled)
+        self.last_report = now
+
+    async def _send_heartbeats(self) -> None:
         while True:
-            self.heartbeat()
+            self.send_now()
             await asyncio.sleep(EVERY)
 
-    def heartbeat(self):
-        """Now: at the beginning of a drain without waiting for the next."""
+    def send_now(self) -> None:
+        """Sends a heartbeat out of turn, as at the beginning of a graceful shutdown."""
         if not self.core.retired:
-            self.sender.send(self.facts())
+            self.sender.send(self.report())
 
-    def close(self):
+    def close(self) -> None:
+        """Ends the heartbeats."""
         if self.task is not None:
             self.task.cancel()
         self.sender.close()
--- a/petrelwood/dispatch/serve.py
+++ b/petrelwood/dispatch/serve.py
@@ -13,8 +13,8 @@
 from petrelwood.dispatch import handover
 from petrelwood.dispatch.configuration import ConfigurationFollower
 from petrelwood.dispatch.dispatcher import Dispatcher
-from petrelwood.dispatch.health import Health
-from petrelwood.dispatch.stall import StallWatch
+from petrelwood.dispatch.health import HeartbeatReporter
+from petrelwood.dispatch.stall import StallDetector
 from petrelwood.fronts.mqtt import Mqtt
 from petrelwood.fronts.webhook import Webhooks
 from petrelwood.settings.document import BadFile, read_whole
@@ -53,12 +53,12 @@
         )
         self.ends, self.health = (
             asyncio.Event(),
-            Health(gateway.health, self.core) if gateway.health else None,
+            HeartbeatReporter(gateway.health, self.core) if gateway.health else None,
         )
 
     async def run(self):
         core, log = self.core, self.log
-        watch = StallWatch(core.loop, self.gateway.terms.tick, log)
+        watch = StallDetector(core.loop, self.gateway.terms.tick, log)
         for name in (signal.SIGTERM, signal.SIGINT):
             core.loop.add_signal_handler(name, self.ends.set)
         if self.again is not None:
@@ -81,7 +81,7 @@
                 self.successor.channel.close()
         core.intake.closing = True
         if self.health is not None:  # before anything else: traffic has to go elsewhere
-            self.health.heartbeat()
+            self.health.send_now()
         log.info("closing", owed=len(core.pending.acts), why=self.failed)
         if self.predecessor is not None:
             self.predecessor.close()
--- a/petrelwood/dispatch/stall.py
+++ b/petrelwood/dispatch/stall.py
@@ -1,45 +1,71 @@
-"""Sees when the loop stands still for longer than a tick, and tells what it was doing."""
+"""Detects that the event loop stands still, and logs the code that held it."""
 
+import asyncio
 import sys
 import threading
 import time
+from types import FrameType
 
+from petrelwood.dispatch.interfaces import Logger
 
-class StallWatch:
-    """The loop beats; a thread looks. One line a stall, with where the loop's thread stood when it was
-    noticed."""
+LEAST_INTERVAL = 20_000_000  # ns between two signs of life of the loop
+MISSED_SIGNS = 4  # after so many intervals without one the loop is stalled
+STACK_DEPTH = 6  # frames that are logged of a stalled loop
+MOST_LINES = 100
 
-    def __init__(self, loop, tick, log, most_lines=100):
-        self.loop, self.beat, self.log, self.left = loop, max(tick, 20_000_000) / 1e9, log, most_lines
-        self.last, self.stalled, self.ident, self.ends = time.monotonic(), 0, threading.get_ident(), False
-        self.seen = None
 
-    def open(self):
-        self._beats()
-        threading.Thread(target=self._look, daemon=True, name="stall-watch").start()
+class StallDetector:
+    """A timer on the loop shows that it runs; a thread of its own checks that. Each stall is logged once it
+    is over, with the stack that the loop's thread had when it was detected."""
 
-    def _beats(self):
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, tick: int, log: Logger, most_lines: int = MOST_LINES
+    ) -> None:
+        self.loop = loop
+        self.log = log
+        self.interval = max(tick, LEAST_INTERVAL) / 1e9  # seconds
+        self.lines_left = most_lines
+        self.last_sign = time.monotonic()
+        self.loop_thread = threading.get_ident()
+        self.stalls = 0
+        self.stack: str | None = None
+        self.closed = False
+
+    def open(self) -> None:
+        """Begins to watch the loop of the calling thread."""
+        self._show_life()
+        threading.Thread(target=self._watch, daemon=True, name="stall-detector").start()
+
+    def _show_life(self) -> None:
         now = time.monotonic()
-        if self.seen is not None and self.left > 0:
-            self.left -= 1
-            self.log.warning("the loop stood still", ms=round((now - self.last) * 1000), at=self.seen)
-        self.seen, self.last = None, now
-        if not self.ends:
-            self.loop.call_later(self.beat, self._beats)
-
-    def _look(self):
-        while not self.ends:
-            time.sleep(self.beat)
-            if time.monotonic() - self.last > 4 * self.beat and self.seen is None:
-                frame, places = sys._current_frames().get(self.ident), []
-                while frame is not None and len(places) < 6:
-                    places.append(
-                        f"{frame.f_code.co_filename.rsplit('/', 1)[-1]}:{frame.f_lineno} "
-                        f"{frame.f_code.co_name}"
-                    )
-                    frame = frame.f_back
-                self.stalled += 1
-                self.seen = " < ".join(places)
-
-    def close(self):
-        self.ends = True
+        if self.stack is not None and self.lines_left > 0:
+            self.lines_left -= 1
+            stalled = round((now - self.last_sign) * 1000)
+            self.log.warning("event loop stalled", ms=stalled, at=self.stack)
+        self.stack = None
+        self.last_sign = now
+        if not self.closed:
+            self.loop.call_later(self.interval, self._show_life)
+
+    def _watch(self) -> None:
+        while not self.closed:
+            time.sleep(self.interval)
+            silent = time.monotonic() - self.last_sign
+            if silent > MISSED_SIGNS * self.interval and self.stack is None:
+                self.stalls += 1
+                self.stack = _stack_of(self.loop_thread)
+
+    def close(self) -> None:
+        """Ends the thread and the timer, each at its next turn."""
+        self.closed = True
+
+
+def _stack_of(thread: int) -> str:
+    """The innermost frames of a thread, in one line."""
+    frame: FrameType | None = sys._current_frames().get(thread)
+    places: list[str] = []
+    while frame is not None and len(places) < STACK_DEPTH:
+        file = frame.f_code.co_filename.rsplit("/", 1)[-1]
+        places.append(f"{file}:{frame.f_lineno} {frame.f_code.co_name}")
+        frame = frame.f_back
+    return " < ".join(places)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -406,10 +406,10 @@
 
 class Stalls(Case):
     async def test_a_loop_that_stands_still_is_seen_and_its_place_is_logged(self):
-        from petrelwood.dispatch.stall import StallWatch
+        from petrelwood.dispatch.stall import StallDetector
 
         log = Quiet()
-        watch = StallWatch(asyncio.get_running_loop(), 20_000_000, log)
+        watch = StallDetector(asyncio.get_running_loop(), 20_000_000, log)
         watch.open()
         await asyncio.sleep(0.1)
 
@@ -419,9 +419,9 @@
                 pass
 
         stands_still()
-        await self.until(lambda: log.said("the loop stood still"))
+        await self.until(lambda: log.said("event loop stalled"))
         watch.close()
-        said = log.said("the loop stood still")[0]
+        said = log.said("event loop stalled")[0]
         self.assertTrue(said["ms"] > 300 and "stands_still" in said["at"], said)
 
 
