--- a/petrelwood/dispatch/configuration.py
+++ b/petrelwood/dispatch/configuration.py
@@ -1,45 +1,61 @@
-"""Keeps a dispatcher's folder of versions as the configuration servers have them, and tells them what it
-calls off.
+"""Follows the configuration servers: stores the versions they have decided, and reports call-offs to them.
 
-Whom it asks and what follows is decided in `decide.cluster.version_watch`. The folder outlives the servers: a
-dispatcher that restarts while none of them answers has the versions that it had."""
+Which servers are polled, and what follows from an answer, is decided in `decide.cluster.version_watch`. The
+folder of versions outlives the servers: a dispatcher that restarts while none of them answers still has the
+versions that it had."""
 
 import asyncio
+from collections.abc import Coroutine
 
 from petrelwood.control import messages
-from petrelwood.decide.cluster import replicated_log as log
+from petrelwood.decide.cluster import replicated_log
 from petrelwood.decide.cluster.rollout import STAGES, dwell_for
 from petrelwood.decide.cluster.version_watch import (
     ANSWER_WITHIN,
     SECOND,
     CallOff,
+    Version,
     VersionWatch,
 )
+from petrelwood.dispatch.interfaces import Clock, Logger, RandomFraction
 from petrelwood.links.rpc_client import CallFailed, RpcClient
+from petrelwood.settings.gateway import ConfigurationTerms
 from petrelwood.store import versions
 
-APPEND_WITHIN = 5.0  # seconds; over `replicated_log.PATIENCE`
-APPEND_AGAIN = 1.0  # seconds between two tries to tell that a version was called off
-UNSENT = 64  # of them at most that wait
+APPEND_TIMEOUT = 5.0  # seconds; over `replicated_log.PATIENCE`
+APPEND_RETRY_INTERVAL = 1.0  # seconds between two rounds of attempts to report a call-off
+MOST_UNSENT_CALL_OFFS = 64
 
 
 class ConfigurationFollower:
-    """`terms`: `settings.gateway.ConfigurationTerms`; `chance()`: in [0, 1)."""
+    """Keeps one dispatcher's folder of versions up to date with the configuration servers."""
 
-    def __init__(self, name, terms, folder, clock, chance, logger):
-        self.name, self.folder, self.clock, self.log = name, folder, clock, logger
+    def __init__(
+        self,
+        name: str,
+        terms: ConfigurationTerms,
+        folder: str,
+        clock: Clock,
+        chance: RandomFraction,
+        logger: Logger,
+    ) -> None:
+        self.name = name
+        self.folder = folder
+        self.clock = clock
+        self.log = logger
         addresses = {f"{host}:{port}": (host, port) for host, port in terms.servers}
-        self.clients = {server: RpcClient(at, messages.MOST) for server, at in addresses.items()}
-        staged = dwell_for(terms.within) * (len(STAGES) - 1)
-        self.watch = VersionWatch(name, addresses, versions.position(folder), staged, chance)
-        self.unsent, self.tasks = {}, set()
+        self.clients = {server: RpcClient(address, messages.MOST) for server, address in addresses.items()}
+        rollout_time = dwell_for(terms.within) * (len(STAGES) - 1)
+        self.watch = VersionWatch(name, addresses, versions.position(folder), rollout_time, chance)
+        self.unsent_call_offs: dict[int, str] = {}  # version -> reason
+        self.tasks: set[asyncio.Task[None]] = set()
 
-    async def run(self):
-        """Asks, round after round, until it is cancelled."""
+    async def run(self) -> None:
+        """Polls the servers, round after round, until it is cancelled; then closes its connections."""
         try:
             while True:
                 for server in self.watch.due(self.clock.now()):
-                    self._spawn(self._ask(server))
+                    self._start(self._poll(server))
                 await asyncio.sleep(max(0, self.watch.next - self.clock.now()) / SECOND)
         finally:
             for task in list(self.tasks):
@@ -47,72 +63,74 @@
             for client in self.clients.values():
                 client.close()
 
-    async def _ask(self, server):
+    async def _poll(self, server: str) -> None:
         try:
             answer = await self.clients[server].call("read", [self.watch.known], ANSWER_WITHIN / SECOND)
-            found = messages.extract(answer)
+            extract = messages.extract(answer)
         except (CallFailed, messages.Malformed) as fault:
             self.watch.failed(server, self.clock.now())
-            self.log.debug("a configuration server has not answered", server=server, why=str(fault))
+            self.log.debug("configuration server poll failed", server=server, why=str(fault))
             return
-        self._take(server, found)
+        self._apply(server, extract)
 
-    def _take(self, server, found):
-        """All of an answer is in the folder before the position is: what a kill cuts off is read again."""
-        known = self.watch.known
+    def _apply(self, server: str, extract: replicated_log.Extract) -> None:
+        """Stores an answer. The position is stored last: what a kill cuts off is read again."""
+        position = self.watch.known
         try:
-            for news in self.watch.answered(server, found, self.clock.now(), self.clock.wall()):
-                self._keep(news)
-            if self.watch.known != known:
+            for event in self.watch.answered(server, extract, self.clock.now(), self.clock.wall()):
+                self._store(event)
+            if self.watch.known != position:
                 versions.note_position(self.folder, self.watch.known)
         except OSError as fault:
-            self.watch.known = known
-            self.log.error("a version can't be kept; it is asked for again", why=str(fault))
+            self.watch.known = position
+            self.log.error("storing a version failed; it will be read again", why=str(fault))
 
-    def _keep(self, news):
-        """Puts one piece of news into the folder. Raises OSError."""
-        if isinstance(news, CallOff):
-            versions.call_off(self.folder, news.number, news.why)
+    def _store(self, event: Version | CallOff) -> None:
+        """Puts one decided record into the folder. Raises OSError."""
+        if isinstance(event, CallOff):
+            versions.call_off(self.folder, event.number, event.why)
         else:
             try:
-                text = log.unpacked(news.body)
-            except log.Damaged as fault:
-                self.log.error(
-                    "a version can't be read; it is passed over", number=news.number, why=str(fault)
-                )
+                text = replicated_log.unpacked(event.body)
+            except replicated_log.Damaged as fault:
+                self.log.error("version unreadable; skipped", number=event.number, why=str(fault))
                 return
-            versions.receive(self.folder, news.number, text, news.begun)
-        self.log.info("heard of a version", number=news.number, off=isinstance(news, CallOff))
+            versions.receive(self.folder, event.number, text, event.begun)
+        self.log.info("version received", number=event.number, off=isinstance(event, CallOff))
 
-    def call_off(self, number, why):
-        """Tells the servers that this dispatcher has found a version bad, until one has it decided."""
-        if number in self.unsent or len(self.unsent) >= UNSENT:
+    def call_off(self, number: int, why: str) -> None:
+        """Reports to the servers that this dispatcher has found a version bad, and retries until one of them
+        has it decided."""
+        if number in self.unsent_call_offs or len(self.unsent_call_offs) >= MOST_UNSENT_CALL_OFFS:
             return
-        self.unsent[number] = why
-        self._spawn(self._append(number, f"{self.name}: {why}"))
+        self.unsent_call_offs[number] = why
+        self._start(self._report_call_off(number, f"{self.name}: {why}"))
 
-    async def _append(self, number, why):
-        record = [
+    async def _report_call_off(self, number: int, why: str) -> None:
+        record = replicated_log.Record(
             f"off-{number}-{self.name}"[: messages.ID],
-            log.CALL_OFF,
+            replicated_log.CALL_OFF,
             number,
             self.clock.wall(),
             why.encode(),
-        ]
-        while number in self.unsent:
+        )
+        while number in self.unsent_call_offs:
             for server in self.watch.order:
                 try:
-                    await self.clients[server].call("append", [record], APPEND_WITHIN)
+                    await self.clients[server].call("append", [list(record)], APPEND_TIMEOUT)
                 except CallFailed as fault:
                     self.log.warning(
-                        "a call-off is not decided", number=number, server=server, why=str(fault)
+                        "reporting a call-off failed; will be retried",
+                        number=number,
+                        server=server,
+                        why=str(fault),
                     )
                     continue
-                del self.unsent[number]
+                del self.unsent_call_offs[number]
                 return
-            await asyncio.sleep(APPEND_AGAIN)
+            await asyncio.sleep(APPEND_RETRY_INTERVAL)
 
-    def _spawn(self, work):
+    def _start(self, work: Coroutine[object, object, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
--- a/tests/test_configuration_servers.py
+++ b/tests/test_configuration_servers.py
@@ -181,7 +181,7 @@
         await self.until(lambda: other.watch.known == 2)
         self.assertTrue(versions.announced(self.folder / "other")[0].off)
         self.assertEqual((self.folder / "other" / "1.off").read_text(), "d1: it did worse")
-        await self.until(lambda: not one.unsent)
+        await self.until(lambda: not one.unsent_call_offs)
         with self.assertRaisesRegex(CallFailed, "no version 9"):
             await self.group.append("c1", log.Record("x", log.CALL_OFF, 9, 0, b"?"))
 
--- a/tests/test_version_watch.py
+++ b/tests/test_version_watch.py
@@ -172,10 +172,10 @@
                     snapshot.put(path, data, mode, durable)
 
                 with patch.object(versions, "put", put):
-                    follower._take("127.0.0.1:1", answer)
+                    follower._apply("127.0.0.1:1", answer)
                 self.assertEqual((follower.watch.known, versions.position(folder)), (0, 0), fails_at)
                 self.assertEqual(len(versions.announced(folder)), int(fails_at >= 2))
-            follower._take("127.0.0.1:1", answer)
+            follower._apply("127.0.0.1:1", answer)
             self.assertEqual((follower.watch.known, versions.position(folder)), (2, 2))
             self.assertEqual([(a.number, a.off) for a in versions.announced(folder)], [(1, True)])
             self.assertEqual(versions.path_of(folder, 1).read_text(), "settings")
@@ -186,10 +186,10 @@
             follower = ConfigurationFollower("d1", terms, folder, VirtualClock(), random.random, Mock())
             good = Record("r2", VERSION, 0, WALL, packed("settings"))
             answer = extract(0, (1, Record("r1", VERSION, 0, WALL, b"damaged")), (2, good))
-            follower._take("127.0.0.1:1", answer)
+            follower._apply("127.0.0.1:1", answer)
             self.assertEqual((follower.watch.known, versions.position(folder)), (2, 2))
             self.assertEqual([a.number for a in versions.announced(folder)], [2])
-            self.assertEqual(follower.unsent, {})
+            self.assertEqual(follower.unsent_call_offs, {})
 
 
 class Stages(unittest.TestCase):
