--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -41,7 +41,7 @@
     DISPATCHERS,
 )
 from petrelwood.bgp.heartbeats import EVERY
-from petrelwood.decide.cluster import link_state, membership, settings_change
+from petrelwood.decide.cluster import link_state, membership
 from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announced, Rollout, dwell_for
 from petrelwood.decide.overload.sliding_window import SlidingWindowCounter
 from petrelwood.dispatch.health import HeartbeatReporter
@@ -49,6 +49,7 @@
 from petrelwood.links.roster import READ, RosterLink
 from petrelwood.links.worker import WorkerLink
 from petrelwood.node import roster as dns_roster
+from petrelwood.settings import comparison
 from petrelwood.settings import gateway as settings
 from petrelwood.store import state, versions
 
@@ -367,7 +368,7 @@
             old, new = (settings.read("g.kdl", texts[size]) for _ in range(2))
             names = random.Random(size).sample([rule.pattern for rule in old.functions], 40)
             rows[0].append((size, 1e3 * cost(settings.read, "g.kdl", texts[size])))
-            rows[1].append((size, 1e3 * cost(settings_change.changes, old, new)))
+            rows[1].append((size, 1e3 * cost(comparison.changes, old, new)))
             rows[2].append((size, 1e3 / len(names) * cost(look_up, old, names)))
         for kept, points in zip((read, compared, looked_up), rows, strict=True):
             kept.append(points)
--- a/petrelwood/cli/configs.py
+++ b/petrelwood/cli/configs.py
@@ -126,9 +126,9 @@
     )
     def diff(old, new, as_json, name, seeds):
         """What behaves otherwise under NEW than under OLD, when it acts, and what is risky under load."""
-        from petrelwood.decide.cluster import settings_change
+        from petrelwood.settings import comparison
 
-        found = settings_change.changes(_described(old), _described(new))
+        found = comparison.changes(_described(old), _described(new))
         for one in found:
             if as_json:
                 click.echo(json.dumps(one._asdict()))
@@ -136,7 +136,7 @@
                 click.echo(f"- {one.what} ({one.when})" + (f"; risky: {one.risk}" if one.risk else ""))
         if not as_json:
             click.echo(
-                f"{len(found)} changes; the version as a whole acts {settings_change.plan(found)}"
+                f"{len(found)} changes; the version as a whole acts {comparison.plan(found)}"
                 if found
                 else "nothing behaves otherwise"
             )
--- a/petrelwood/dispatch/serve.py
+++ b/petrelwood/dispatch/serve.py
@@ -8,7 +8,6 @@
 import sys
 
 from petrelwood.brain import Brain
-from petrelwood.decide.cluster import settings_change
 from petrelwood.decide.cluster.rollout import DWELL, Rollout, dwell_for
 from petrelwood.dispatch import handover
 from petrelwood.dispatch.configuration import ConfigurationFollower
@@ -17,6 +16,7 @@
 from petrelwood.dispatch.stall import StallDetector
 from petrelwood.fronts.mqtt import Mqtt
 from petrelwood.fronts.webhook import Webhooks
+from petrelwood.settings import comparison
 from petrelwood.settings.document import BadFile, read_whole
 from petrelwood.store import state, versions
 
@@ -107,18 +107,18 @@
     def _take(self, new, rolls=False):
         """Takes new settings if all of them can act at once; whether it did, or there was nothing to do.
         `BY_UPGRADE` where a roll-out asks for it and it can be done by one."""
-        found = settings_change.changes(self.gateway, new)
-        when = settings_change.plan(found)
+        found = comparison.changes(self.gateway, new)
+        when = comparison.plan(found)
         if (
-            when == settings_change.BY_UPGRADE
+            when == comparison.BY_UPGRADE
             and rolls
             and self.spawns is not None
             and self.predecessor is not None
         ):
             self.log.info("a version is taken by an upgrade", changes=[one.what for one in found])
-            return settings_change.BY_UPGRADE
+            return comparison.BY_UPGRADE
         told = [f"{one.what}{'; risky: ' + one.risk if one.risk else ''}" for one in found]
-        if when == settings_change.AT_ONCE:
+        if when == comparison.AT_ONCE:
             self.gateway, self.version = new, self.version + 1
             self.core.apply(new)
             self.front.apply(new)
@@ -128,7 +128,7 @@
         else:
             self.log.warning(
                 f"the new settings can act {when} only; nothing changes",
-                changes=[one.what for one in found if one.when != settings_change.AT_ONCE],
+                changes=[one.what for one in found if one.when != comparison.AT_ONCE],
             )
             return False
         return True
@@ -173,7 +173,7 @@
                 self.log.error("the version is wrong", why=str(fault))
                 taken, why = False, f"it is wrong: {fault}"
             # where it succeeds, this process ends
-            while taken == settings_change.BY_UPGRADE:
+            while taken == comparison.BY_UPGRADE:
                 taken = await self._upgraded()
                 if what == "back":  # what is bad is left in any case
                     await asyncio.sleep(AGAIN)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -14,8 +14,7 @@
 from rig import KEY
 from test_settings import GOOD
 
-from petrelwood.decide.cluster import settings_change
-from petrelwood.settings import document, gateway, layout, sense
+from petrelwood.settings import comparison, document, gateway, layout, sense
 
 # What is replaced in a file that is right, by what; or whole files, by name.
 BROKEN = (
@@ -345,12 +344,12 @@
             ("sends 3", "sends 3 // a comment"),
         ):
             new = gateway.read("g", GOOD.replace(was, becomes, 1))
-            found = settings_change.changes(old, new)
+            found = comparison.changes(old, new)
             lines.append(f"{was} -> {becomes}".replace("\n", "; ").replace(KEY, "KEY"))
             lines += [
                 f"    {c.what} ({c.when})" + (f"; risky: {c.risk}" if c.risk else "") for c in found
             ] or ["    nothing"]
-            lines.append(f"    the whole: {settings_change.plan(found)}")
+            lines.append(f"    the whole: {comparison.plan(found)}")
         compare(self, "config_changes", lines)
 
     def test_the_commands(self):
