--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# `make demo` plays the bad day, `make test` runs ruff and all tests; each does its own set-up.
+# `make demo` plays the bad day, `make test` runs ruff, mypy and all tests; each does its own set-up.
 PY = .venv/bin/python
 .PHONY: demo test setup
 
@@ -17,4 +17,5 @@
 test: .venv/ready
 	$(PY) -m ruff check .
 	$(PY) -m ruff format --check .
+	$(PY) tests/finished.py
 	$(PY) -m unittest discover -s tests -v
--- a/petrelwood/clocks.py
+++ b/petrelwood/clocks.py
@@ -1,56 +1,78 @@
-"""Clocks: `now()` in ns, `wall()` in ns of the epoch, `at(when, call, *args)` with a handle that can be
-cancelled."""
+"""Clocks: the time, the time of day, and calls at a time to come.
+
+Each has `now()` in ns, which never goes back, `wall()` in ns of the epoch, and `at(when, call, *args)`, whose
+result can be cancelled.
+"""
 
 import asyncio
 import heapq
 import time
+from collections.abc import Callable
+from typing import Any, Protocol
 
 WALL = 1_700_000_000 * 10**9  # where virtual time begins on the wall
 
 
+class Timer(Protocol):
+    """A call at a time to come."""
+
+    def cancel(self) -> None:
+        """The call is not made; without effect once it was."""
+
+
 class LoopClock:
     """The real clock, on a running asyncio loop."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
 
     now = staticmethod(time.monotonic_ns)
     wall = staticmethod(time.time_ns)
 
-    def at(self, when, call, *args):
+    def at(self, when: int, call: Callable[..., object], *args: Any) -> Timer:
+        """Calls `call(*args)` at the time `when`, or soon if that is past."""
         return self.loop.call_later(max(0, when - time.monotonic_ns()) / 1e9, call, *args)
 
 
 class _Entry:
-    __slots__ = ("call", "args")
+    __slots__ = ("args", "call")
 
-    def __init__(self, call, args):
-        self.call, self.args = call, args
+    def __init__(self, call: Callable[..., object], args: tuple[Any, ...]) -> None:
+        self.call: Callable[..., object] | None = call
+        self.args = args
 
-    def cancel(self):
+    def cancel(self) -> None:
+        """The call is not made."""
         self.call = None
 
 
 class VirtualClock:
-    """Time that passes as fast as it can. What is due at one time happens in the order in which it was
-    asked."""
+    """Time that passes as fast as it can.
+
+    What is due at one time happens in the order in which it was asked.
+    """
 
-    def __init__(self, start=0):
-        self.time, self.heap, self.asked = start, [], 0
+    def __init__(self, start: int = 0) -> None:
+        self.time = start
+        self.heap: list[tuple[int, int, _Entry]] = []
+        self.asked = 0
 
-    def now(self):
+    def now(self) -> int:
+        """The virtual time in ns."""
         return self.time
 
-    def wall(self):
+    def wall(self) -> int:
+        """The virtual time of day in ns of the epoch."""
         return WALL + self.time
 
-    def at(self, when, call, *args):
+    def at(self, when: int, call: Callable[..., object], *args: Any) -> Timer:
+        """Calls `call(*args)` at the time `when`, or now if that is past."""
         entry = _Entry(call, args)
         self.asked += 1
         heapq.heappush(self.heap, (max(when, self.time), self.asked, entry))
         return entry
 
-    def run(self, until):
+    def run(self, until: int) -> int:
         """Lets time pass up to `until`; how many things happened."""
         happened = 0
         while self.heap and self.heap[0][0] <= until:
