--- a/petrelwood/cli/configs.py
+++ b/petrelwood/cli/configs.py
@@ -131,12 +131,14 @@
         found = comparison.changes(_described(old), _described(new))
         for one in found:
             if as_json:
-                click.echo(json.dumps(one._asdict()))
+                click.echo(json.dumps(one.as_json_object()))
             else:
-                click.echo(f"- {one.what} ({one.when})" + (f"; risky: {one.risk}" if one.risk else ""))
+                click.echo(
+                    f"- {one.description} ({one.takes_effect})" + (f"; risky: {one.risk}" if one.risk else "")
+                )
         if not as_json:
             click.echo(
-                f"{len(found)} changes; the version as a whole acts {comparison.plan(found)}"
+                f"{len(found)} changes; the version as a whole acts {comparison.takes_effect(found)}"
                 if found
                 else "nothing behaves otherwise"
             )
--- a/petrelwood/dispatch/serve.py
+++ b/petrelwood/dispatch/serve.py
@@ -17,6 +17,7 @@
 from petrelwood.fronts.mqtt import Mqtt
 from petrelwood.fronts.webhook import Webhooks
 from petrelwood.settings import comparison
+from petrelwood.settings.comparison import TakesEffect
 from petrelwood.settings.document import BadFile, read_whole
 from petrelwood.store import state, versions
 
@@ -108,17 +109,17 @@
         """Takes new settings if all of them can act at once; whether it did, or there was nothing to do.
         `BY_UPGRADE` where a roll-out asks for it and it can be done by one."""
         found = comparison.changes(self.gateway, new)
-        when = comparison.plan(found)
+        when = comparison.takes_effect(found)
         if (
-            when == comparison.BY_UPGRADE
+            when == TakesEffect.BY_UPGRADE
             and rolls
             and self.spawns is not None
             and self.predecessor is not None
         ):
-            self.log.info("a version is taken by an upgrade", changes=[one.what for one in found])
-            return comparison.BY_UPGRADE
-        told = [f"{one.what}{'; risky: ' + one.risk if one.risk else ''}" for one in found]
-        if when == comparison.AT_ONCE:
+            self.log.info("a version is taken by an upgrade", changes=[one.description for one in found])
+            return TakesEffect.BY_UPGRADE
+        told = [one.summary() for one in found]
+        if when == TakesEffect.AT_ONCE:
             self.gateway, self.version = new, self.version + 1
             self.core.apply(new)
             self.front.apply(new)
@@ -128,7 +129,7 @@
         else:
             self.log.warning(
                 f"the new settings can act {when} only; nothing changes",
-                changes=[one.what for one in found if one.when != comparison.AT_ONCE],
+                changes=[one.description for one in found if one.takes_effect != TakesEffect.AT_ONCE],
             )
             return False
         return True
@@ -173,7 +174,7 @@
                 self.log.error("the version is wrong", why=str(fault))
                 taken, why = False, f"it is wrong: {fault}"
             # where it succeeds, this process ends
-            while taken == comparison.BY_UPGRADE:
+            while taken == TakesEffect.BY_UPGRADE:
                 taken = await self._upgraded()
                 if what == "back":  # what is bad is left in any case
                     await asyncio.sleep(AGAIN)
--- a/petrelwood/settings/comparison.py
+++ b/petrelwood/settings/comparison.py
@@ -1,248 +1,347 @@
-"""What two versions of a gateway's settings differ in, by behaviour: what changes for whom, when it acts, and
-whether it is risky.
+"""Compares two versions of a gateway's settings by behaviour: what changes for whom, when it takes effect,
+and whether it is risky.
 
-A version is taken as a whole: at once only where each of its changes can be, else all of it by an upgrade,
-which loses nothing (`docs/state.md`). Activations on hand keep the times that they came in with."""
+A version is applied as a whole: at once only where each of its changes can be, else all of it by an upgrade,
+which loses nothing (`docs/state.md`). Activations in flight keep the times that they came in with."""
 
-from typing import NamedTuple
+from collections.abc import Callable, Iterable, Iterator
+from enum import StrEnum
+from typing import Any, NamedTuple
 
+from petrelwood import ports
+from petrelwood.settings.gateway import Customer, FunctionRule, Gateway
+
+MILLISECOND = 1_000_000
 SECOND = 1_000_000_000
-AT_ONCE, BY_UPGRADE, AT_RESTART = "at once", "by an upgrade", "at a restart"
-LESS = 0.5  # a bound that falls under this part of what it was is risky under load
+RISKY_RATIO = 0.5  # a bound that falls under this part of what it was is risky under load
+LEAST_DURATION = 1_000_000  # a whole number of the module's terms that is larger than this is a time in ns
+
+LIMITS_IN_BYTES = frozenset(("header", "body", "results", "bytes"))
+LIMITS_AT_START = frozenset(("connections", "handshakes", "bytes", "ledger", "results"))
+WORKER_TERMS_IN_BYTES = frozenset(("queue", "frame"))
+TERMS_COMPARED_APART = frozenset(("types", "quotas"))
+
+
+class TakesEffect(StrEnum):
+    """When a change of settings takes effect; shown by `petrelwood diff` and in logs."""
+
+    AT_ONCE = "at once"
+    BY_UPGRADE = "by an upgrade"
+    AT_RESTART = "at a restart"
 
 
 class Change(NamedTuple):
-    what: str  # a sentence
-    when: str
-    risk: str  # "" or why it is risky
+    """One difference in behaviour between two versions of the settings."""
+
+    description: str  # a sentence
+    takes_effect: TakesEffect
+    risk: str = ""  # why it is risky under load; empty where it is not
 
+    def as_json_object(self) -> dict[str, str]:
+        """The form that `petrelwood diff --json` prints."""
+        return {"what": self.description, "when": self.takes_effect.value, "risk": self.risk}
 
-def _time(ns):
-    return f"{ns / SECOND:g} s" if ns >= SECOND else f"{ns / 1_000_000:g} ms"
+    def summary(self) -> str:
+        """The sentence, with its risk where there is one."""
+        return f"{self.description}; risky: {self.risk}" if self.risk else self.description
 
 
-def _bytes(value):
+def _format_duration(duration: int) -> str:
+    return f"{duration / SECOND:g} s" if duration >= SECOND else f"{duration / MILLISECOND:g} ms"
+
+
+def _format_bytes(value: int) -> str:
     for unit, size in (("GB", 10**9), ("MB", 10**6), ("KB", 10**3)):
         if value >= size:
             return f"{value / size:g} {unit}"
     return f"{value} bytes"
 
 
-def _customers(old, new):
+def _format_share(share: float) -> str:
+    return f"{share:g} activations a second" if share else "no share"
+
+
+def _format_term(value: object) -> str:
+    if isinstance(value, int) and not isinstance(value, bool) and value > LEAST_DURATION:
+        return _format_duration(value)
+    return str(value)
+
+
+def _compare_customers(old: Gateway, new: Gateway) -> Iterator[Change]:
     for name in sorted(set(old.customers) - set(new.customers)):
         yield Change(
             f"customer '{name}' is gone: its activations are answered 401; those on hand finish",
-            AT_ONCE,
+            TakesEffect.AT_ONCE,
             "its clients fail from then on",
         )
     for name in sorted(set(new.customers) - set(old.customers)):
-        yield Change(f"customer '{name}' may call", BY_UPGRADE if new.mqtt else AT_ONCE, "")
+        yield Change(
+            f"customer '{name}' may call", TakesEffect.BY_UPGRADE if new.mqtt else TakesEffect.AT_ONCE
+        )
     for name in sorted(set(old.customers) & set(new.customers)):
-        a, b = old.customers[name], new.customers[name]
-        if a.share != b.share:
-            words = [f"{s:g} activations a second" if s else "no share" for s in (a.share, b.share)]
-            yield Change(
-                f"customer '{name}' is entitled to {words[1]} instead of {words[0]}",
-                BY_UPGRADE,
-                "what is beyond it goes last"
-                if b.share and (not a.share or b.share < a.share * LESS)
-                else "",
-            )
-        gone, more = len(set(a.keys) - set(b.keys)), len(set(b.keys) - set(a.keys))
-        if gone:
-            yield Change(
-                f"{gone} key{'s' * (gone > 1)} of customer '{name}' no longer hold{'s' * (gone == 1)}",
-                AT_ONCE,
-                "" if more or set(a.keys) & set(b.keys) else "its clients fail until they sign anew",
-            )
-        if more:
-            yield Change(f"customer '{name}' may sign with {more} more key{'s' * (more > 1)}", AT_ONCE, "")
+        yield from _compare_customer(name, old.customers[name], new.customers[name])
 
 
-def _types(old, new):
-    a_types, b_types = old.terms.types, new.terms.types
-    for name in sorted(set(a_types) - set(b_types)):
+def _compare_customer(name: str, old: Customer, new: Customer) -> Iterator[Change]:
+    if old.share != new.share:
+        is_less = new.share and (not old.share or new.share < old.share * RISKY_RATIO)
         yield Change(
-            f"namespace type '{name}' is gone", BY_UPGRADE, "ids of it that are remembered are forgotten"
+            f"customer '{name}' is entitled to {_format_share(new.share)} instead of "
+            f"{_format_share(old.share)}",
+            TakesEffect.BY_UPGRADE,
+            "what is beyond it goes last" if is_less else "",
         )
-    for name in sorted(set(b_types) - set(a_types)):
-        yield Change(f"there is a namespace type '{name}': {b_types[name].effect}", BY_UPGRADE, "")
-    for name in sorted(set(a_types) & set(b_types)):
-        a, b = a_types[name], b_types[name]
-        if a.effect != b.effect:
-            yield Change(
-                f"activations of type '{name}' are {b.effect} instead of {a.effect}",
-                BY_UPGRADE,
-                "what may have run is then sent again" if b.effect == "repeatable" else "",
-            )
-        if a.target_latency != b.target_latency:
-            yield Change(
-                f"'{name}' is to be answered within {_time(b.target_latency)} instead of "
-                f"{_time(a.target_latency)}",
-                BY_UPGRADE,
-                "more is turned away" if b.target_latency < a.target_latency * LESS else "",
-            )
-        if old.timeouts[name] != new.timeouts[name]:
-            yield Change(
-                f"calls of '{name}' wait up to {_time(new.timeouts[name])} instead of "
-                f"{_time(old.timeouts[name])}",
-                BY_UPGRADE,
-                "loads that take longer are never waited for"
-                if new.timeouts[name] < old.timeouts[name] * LESS
-                else "",
-            )
-        if (a.scope, a.window) != (b.scope, b.window):
-            yield Change(
-                f"repeats of '{name}' are dropped by workers of the same {b.scope} for {_time(b.window)}, "
-                f"where it was {a.scope} for {_time(a.window)}",
-                BY_UPGRADE,
-                "repeats that workers no longer drop would run twice" if b.window > a.window else "",
-            )
+    removed = len(set(old.keys) - set(new.keys))
+    added = len(set(new.keys) - set(old.keys))
+    if removed:
+        still_signs = added or set(old.keys) & set(new.keys)
+        yield Change(
+            f"{removed} key{'s' * (removed > 1)} of customer '{name}' no longer hold{'s' * (removed == 1)}",
+            TakesEffect.AT_ONCE,
+            "" if still_signs else "its clients fail until they sign anew",
+        )
+    if added:
+        yield Change(
+            f"customer '{name}' may sign with {added} more key{'s' * (added > 1)}", TakesEffect.AT_ONCE
+        )
+
+
+def _compare_types(old: Gateway, new: Gateway) -> Iterator[Change]:
+    old_types = old.terms.types
+    new_types = new.terms.types
+    for name in sorted(set(old_types) - set(new_types)):
+        yield Change(
+            f"namespace type '{name}' is gone",
+            TakesEffect.BY_UPGRADE,
+            "ids of it that are remembered are forgotten",
+        )
+    for name in sorted(set(new_types) - set(old_types)):
+        yield Change(f"there is a namespace type '{name}': {new_types[name].effect}", TakesEffect.BY_UPGRADE)
+    for name in sorted(set(old_types) & set(new_types)):
+        yield from _compare_effect(name, old_types[name], new_types[name])
+        yield from _compare_times(name, old, new)
+        yield from _compare_deduplication(name, old_types[name], new_types[name])
         if old.remember[name] != new.remember[name]:
             yield Change(
-                f"ids of '{name}' are remembered for {_time(new.remember[name])} instead of "
-                f"{_time(old.remember[name])}",
-                BY_UPGRADE,
-                "",
+                f"ids of '{name}' are remembered for {_format_duration(new.remember[name])} instead of "
+                f"{_format_duration(old.remember[name])}",
+                TakesEffect.BY_UPGRADE,
             )
 
 
-def _functions(old, new):
-    a_rules, b_rules = ({r.pattern: r for r in g.functions} for g in (old, new))
-    for pattern in sorted(set(a_rules) - set(b_rules)):
-        under = new.rule(pattern.rstrip("*") or "x")
+def _compare_effect(name: str, old: ports.NamespaceType, new: ports.NamespaceType) -> Iterator[Change]:
+    if old.effect != new.effect:
+        yield Change(
+            f"activations of type '{name}' are {new.effect} instead of {old.effect}",
+            TakesEffect.BY_UPGRADE,
+            "what may have run is then sent again" if new.effect == ports.REPEATABLE else "",
+        )
+
+
+def _compare_times(name: str, old: Gateway, new: Gateway) -> Iterator[Change]:
+    old_target = old.terms.types[name].target_latency
+    new_target = new.terms.types[name].target_latency
+    if old_target != new_target:
+        yield Change(
+            f"'{name}' is to be answered within {_format_duration(new_target)} instead of "
+            f"{_format_duration(old_target)}",
+            TakesEffect.BY_UPGRADE,
+            "more is turned away" if new_target < old_target * RISKY_RATIO else "",
+        )
+    old_timeout = old.timeouts[name]
+    new_timeout = new.timeouts[name]
+    if old_timeout != new_timeout:
+        yield Change(
+            f"calls of '{name}' wait up to {_format_duration(new_timeout)} instead of "
+            f"{_format_duration(old_timeout)}",
+            TakesEffect.BY_UPGRADE,
+            "loads that take longer are never waited for" if new_timeout < old_timeout * RISKY_RATIO else "",
+        )
+
+
+def _compare_deduplication(name: str, old: ports.NamespaceType, new: ports.NamespaceType) -> Iterator[Change]:
+    if (old.scope, old.window) != (new.scope, new.window):
+        yield Change(
+            f"repeats of '{name}' are dropped by workers of the same {new.scope} for "
+            f"{_format_duration(new.window)}, where it was {old.scope} for {_format_duration(old.window)}",
+            TakesEffect.BY_UPGRADE,
+            "repeats that workers no longer drop would run twice" if new.window > old.window else "",
+        )
+
+
+def _compare_functions(old: Gateway, new: Gateway) -> Iterator[Change]:
+    old_rules = {rule.pattern: rule for rule in old.functions}
+    new_rules = {rule.pattern: rule for rule in new.functions}
+    for pattern in sorted(set(old_rules) - set(new_rules)):
+        other = new.rule(pattern.rstrip("*") or "x")
         yield Change(
             f"'{pattern}' is gone: its activations are "
-            + (f"those of '{under.pattern}'" if under else "answered 404"),
-            AT_ONCE,
-            "" if under else "its clients fail from then on",
+            + (f"those of '{other.pattern}'" if other else "answered 404"),
+            TakesEffect.AT_ONCE,
+            "" if other else "its clients fail from then on",
         )
-    for pattern in sorted(set(b_rules) - set(a_rules)):
-        rule = b_rules[pattern]
+    for pattern in sorted(set(new_rules) - set(old_rules)):
+        rule = new_rules[pattern]
+        yield Change(f"'{pattern}' may be called, as '{rule.type}'", _type_takes_effect(old, rule))
+    for pattern in sorted(set(old_rules) & set(new_rules)):
+        yield from _compare_function(old, old_rules[pattern], new_rules[pattern])
+
+
+def _type_takes_effect(old: Gateway, rule: FunctionRule) -> TakesEffect:
+    """When a function may be of the type that `rule` gives it: the module learns of types at its start."""
+    return TakesEffect.AT_ONCE if rule.type in old.terms.types else TakesEffect.BY_UPGRADE
+
+
+def _compare_function(gateway: Gateway, old: FunctionRule, new: FunctionRule) -> Iterator[Change]:
+    pattern = new.pattern
+    if old.type != new.type:
         yield Change(
-            f"'{pattern}' may be called, as '{rule.type}'",
-            BY_UPGRADE if rule.type not in old.terms.types else AT_ONCE,
-            "",
+            f"'{pattern}' is of type '{new.type}' instead of '{old.type}'",
+            _type_takes_effect(gateway, new),
+            "ids on hand keep their old type",
+        )
+    if old.lanes != new.lanes:
+        yield Change(
+            f"a copy of '{pattern}' runs {new.lanes} activations at a time instead of {old.lanes}",
+            TakesEffect.AT_ONCE,
+            "fewer lanes: more copies are loaded" if new.lanes < old.lanes else "",
+        )
+    if old.load_time != new.load_time:
+        yield Change(
+            f"a load of '{pattern}' is expected to take {_format_duration(new.load_time)} instead of "
+            f"{_format_duration(old.load_time)}",
+            TakesEffect.AT_ONCE,
         )
-    for pattern in sorted(set(a_rules) & set(b_rules)):
-        a, b = a_rules[pattern], b_rules[pattern]
-        if a.type != b.type:
-            yield Change(
-                f"'{pattern}' is of type '{b.type}' instead of '{a.type}'",
-                BY_UPGRADE if b.type not in old.terms.types else AT_ONCE,
-                "ids on hand keep their old type",
-            )
-        if a.lanes != b.lanes:
-            yield Change(
-                f"a copy of '{pattern}' runs {b.lanes} activations at a time instead of {a.lanes}",
-                AT_ONCE,
-                "fewer lanes: more copies are loaded" if b.lanes < a.lanes else "",
-            )
-        if a.load_time != b.load_time:
-            yield Change(
-                f"a load of '{pattern}' is expected to take {_time(b.load_time)} instead of "
-                f"{_time(a.load_time)}",
-                AT_ONCE,
-                "",
-            )
 
 
-def _bounds(old, new):
-    sizes = {"header", "body", "results", "bytes"}
-    for name, a, b in zip(old.limits._fields, old.limits, new.limits, strict=True):
-        if a != b:
-            show = _time if name.endswith(("within", "idle")) else _bytes if name in sizes else str
-            yield Change(
-                f"limit '{name.replace('_', '-')}' is {show(b)} instead of {show(a)}",
-                BY_UPGRADE
-                if name in ("connections", "handshakes", "bytes", "ledger", "results")
-                else AT_ONCE,
-                "what is over it is refused at once" if b < a * LESS else "",
-            )
+def _compare_limits(old: Gateway, new: Gateway) -> Iterator[Change]:
+    for name, before, after in zip(old.limits._fields, old.limits, new.limits, strict=True):
+        if before == after:
+            continue
+        show = _limit_format(name)
+        yield Change(
+            f"limit '{name.replace('_', '-')}' is {show(after)} instead of {show(before)}",
+            TakesEffect.BY_UPGRADE if name in LIMITS_AT_START else TakesEffect.AT_ONCE,
+            "what is over it is refused at once" if after < before * RISKY_RATIO else "",
+        )
     if old.tolerance != new.tolerance:
         yield Change(
-            f"a webhook's time may be off by {_time(new.tolerance)} instead of {_time(old.tolerance)}",
-            BY_UPGRADE,
-            "",
+            f"a webhook's time may be off by {_format_duration(new.tolerance)} instead of "
+            f"{_format_duration(old.tolerance)}",
+            TakesEffect.BY_UPGRADE,
         )
 
 
-def _rest(old, new):
-    for word, a, b in (("listens on", old.listen, new.listen), ("is called", old.name, new.name)):
-        if a != b:
-            shown = [v if isinstance(v, str) else f"{v[0]}:{v[1]}" for v in (a, b)]
-            yield Change(
-                f"the gateway {word} {shown[1]} instead of {shown[0]}", AT_RESTART, "it can't be handed over"
-            )
-    for word, a, b in (
-        ("the roster", old.roster, new.roster),
-        ("the control socket", old.control, new.control),
-        ("the speaker's socket", old.health, new.health),
-        ("the configuration servers", old.configuration, new.configuration),
-        ("where state is kept, and how", old.state, new.state),
-        ("the broker's terms", old.mqtt, new.mqtt),
-        ("early loads", old.early, new.early),
-        ("the history", old.history, new.history),
-        ("TLS of the front", old.tls, new.tls),
-        ("TLS to workers", old.worker_tls, new.worker_tls),
+def _limit_format(name: str) -> Callable[[Any], str]:
+    if name.endswith(("within", "idle")):
+        return _format_duration
+    return _format_bytes if name in LIMITS_IN_BYTES else str
+
+
+def _compare_identity(old: Gateway, new: Gateway) -> Iterator[Change]:
+    if old.listen != new.listen:
+        addresses = [f"{host}:{port}" for host, port in (new.listen, old.listen)]
+        yield Change(
+            f"the gateway listens on {addresses[0]} instead of {addresses[1]}",
+            TakesEffect.AT_RESTART,
+            "it can't be handed over",
+        )
+    if old.name != new.name:
+        yield Change(
+            f"the gateway is called {new.name} instead of {old.name}",
+            TakesEffect.AT_RESTART,
+            "it can't be handed over",
+        )
+
+
+def _compare_parts(old: Gateway, new: Gateway) -> Iterator[Change]:
+    """Parts of the settings of which it is only said that they are other than before."""
+    for subject, before, after in (
+        ("the roster is", old.roster, new.roster),
+        ("the control socket is", old.control, new.control),
+        ("the speaker's socket is", old.health, new.health),
+        ("the configuration servers are", old.configuration, new.configuration),
+        ("where state is kept, and how is", old.state, new.state),
+        ("the broker's terms are", old.mqtt, new.mqtt),
+        ("early loads are", old.early, new.early),
+        ("the history is", old.history, new.history),
+        ("TLS of the front is", old.tls, new.tls),
+        ("TLS to workers is", old.worker_tls, new.worker_tls),
     ):
-        if _plain(a) != _plain(b):
-            verb = "are" if word.endswith("s") and not word.startswith("TLS") else "is"
-            now = "set" if a is None else "gone" if b is None else "other than before"
+        if _comparable(before) != _comparable(after):
+            verdict = "set" if before is None else "gone" if after is None else "other than before"
+            leaves_state = subject.startswith("where") and before
             yield Change(
-                f"{word} {verb} {now}",
-                BY_UPGRADE,
-                "state that was kept elsewhere is not read" if word.startswith("where") and a else "",
+                f"{subject} {verdict}",
+                TakesEffect.BY_UPGRADE,
+                "state that was kept elsewhere is not read" if leaves_state else "",
             )
     if old.damps != new.damps:
         yield Change(
             f"storms are {'damped' if new.damps else 'no longer damped'}",
-            BY_UPGRADE,
+            TakesEffect.BY_UPGRADE,
             "" if new.damps else "do not do it in one",
         )
-    for name, a, b in zip(old.terms._fields, old.terms, new.terms, strict=True):
-        if a != b and name not in ("types", "quotas"):
-            parts = zip(a._fields, a, b, strict=True) if hasattr(a, "_fields") else [("", a, b)]
-            for part, x, y in parts:
-                if x != y:
-                    shown = [
-                        _time(v) if isinstance(v, int) and not isinstance(v, bool) and v > 10**6 else str(v)
-                        for v in (x, y)
-                    ]
-                    yield Change(
-                        f"{' '.join(filter(None, (name, part))).replace('_', ' ')}: {shown[1]} instead of "
-                        f"{shown[0]}",
-                        BY_UPGRADE,
-                        "loads are held back"
-                        if name == "orders" and isinstance(x, (int, float)) and y < x * LESS
-                        else "",
-                    )
-    for name, a, b in zip(old.workers._fields, old.workers, new.workers, strict=True):
-        if a != b:
-            show = _bytes if name in ("queue", "frame") else _time
+
+
+def _compare_terms(old: Gateway, new: Gateway) -> Iterator[Change]:
+    for name, before, after in zip(old.terms._fields, old.terms, new.terms, strict=True):
+        if before == after or name in TERMS_COMPARED_APART:
+            continue
+        parts = getattr(before, "_fields", None)
+        if parts is None:
+            yield from _compare_term(name, "", before, after)
+        else:
+            for part in parts:
+                yield from _compare_term(name, part, getattr(before, part), getattr(after, part))
+
+
+def _compare_term(name: str, part: str, before: Any, after: Any) -> Iterator[Change]:
+    if before == after:
+        return
+    label = " ".join(filter(None, (name, part))).replace("_", " ")
+    fewer_loads = name == "orders" and isinstance(before, (int, float)) and after < before * RISKY_RATIO
+    yield Change(
+        f"{label}: {_format_term(after)} instead of {_format_term(before)}",
+        TakesEffect.BY_UPGRADE,
+        "loads are held back" if fewer_loads else "",
+    )
+
+
+def _compare_worker_terms(old: Gateway, new: Gateway) -> Iterator[Change]:
+    for name, before, after in zip(old.workers._fields, old.workers, new.workers, strict=True):
+        if before != after:
+            show = _format_bytes if name in WORKER_TERMS_IN_BYTES else _format_duration
             yield Change(
-                f"links to workers: {name.replace('_', ' ')} {show(b)} instead of {show(a)}", BY_UPGRADE, ""
+                f"links to workers: {name.replace('_', ' ')} {show(after)} instead of {show(before)}",
+                TakesEffect.BY_UPGRADE,
             )
 
 
-def _plain(value):
-    """Something that can be compared: identities by what they were made of."""
-    return getattr(value, "paths", value) if not isinstance(value, tuple) else tuple(map(_plain, value))
+def _comparable(value: Any) -> Any:
+    """Something that can be compared: identities by the paths that they were made of."""
+    if isinstance(value, tuple):
+        return tuple(map(_comparable, value))
+    return getattr(value, "paths", value)
 
 
-def changes(old, new):
+def changes(old: Gateway, new: Gateway) -> list[Change]:
     """All changes, in the order customers, types, functions, limits, the rest."""
     return [
-        *_customers(old, new),
-        *_types(old, new),
-        *_functions(old, new),
-        *_bounds(old, new),
-        *_rest(old, new),
+        *_compare_customers(old, new),
+        *_compare_types(old, new),
+        *_compare_functions(old, new),
+        *_compare_limits(old, new),
+        *_compare_identity(old, new),
+        *_compare_parts(old, new),
+        *_compare_terms(old, new),
+        *_compare_worker_terms(old, new),
     ]
 
 
-def plan(found):
-    """When a whole version can act: at the latest that any of its changes asks for; None where nothing
-    changes."""
-    whens = {change.when for change in found}
-    return next((when for when in (AT_RESTART, BY_UPGRADE, AT_ONCE) if when in whens), None)
+def takes_effect(found: Iterable[Change]) -> TakesEffect | None:
+    """When a whole version can take effect: at the latest that any of its changes asks for; None where
+    nothing changes."""
+    asked = {change.takes_effect for change in found}
+    latest_first = (TakesEffect.AT_RESTART, TakesEffect.BY_UPGRADE, TakesEffect.AT_ONCE)
+    return next((when for when in latest_first if when in asked), None)
--- a/petrelwood/settings/gateway.py
+++ b/petrelwood/settings/gateway.py
@@ -142,7 +142,7 @@
             terms=self.terms._replace(zone=own.terms.zone),
         )
 
-    def rule(self, function):
+    def rule(self, function: str) -> FunctionRule | None:
         """The rule of a function: its own name first, then the longest beginning; None if there is none."""
         best = None
         for rule in self.functions:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -347,9 +347,10 @@
             found = comparison.changes(old, new)
             lines.append(f"{was} -> {becomes}".replace("\n", "; ").replace(KEY, "KEY"))
             lines += [
-                f"    {c.what} ({c.when})" + (f"; risky: {c.risk}" if c.risk else "") for c in found
+                f"    {c.description} ({c.takes_effect})" + (f"; risky: {c.risk}" if c.risk else "")
+                for c in found
             ] or ["    nothing"]
-            lines.append(f"    the whole: {comparison.plan(found)}")
+            lines.append(f"    the whole: {comparison.takes_effect(found)}")
         compare(self, "config_changes", lines)
 
     def test_the_commands(self):
