--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -80,7 +80,10 @@
         gc.disable()
         try:
             self.adopt(
-                StateLog(terms.folder, self.clock.wall(), boot(), longest, terms.durability), elsewhere
+                StateLog(
+                    terms.folder, self.clock.wall(), boot(), longest, terms.durability, now=self.clock.now
+                ),
+                elsewhere,
             )
         finally:
             gc.enable()
--- a/petrelwood/store/state.py
+++ b/petrelwood/store/state.py
@@ -3,7 +3,9 @@
 Segments follow each other; each is a `store.tail` log, which opens again after a kill at any byte. A segment
 begins with the life that wrote it. What is remembered for a time is forgotten with its segment: one is
 removed once all in it is older than that, so nothing is ever rewritten, and what a start has to read is
-bounded by what one memory's time wrote.
+bounded by what one memory's time wrote. The age of a segment is a span of the monotonic clock: one that this
+life wrote counts from when it was sealed, one that was found from its age at the start, by the wall clock of
+then, so no later step of the wall clock removes anything early.
 
     folder/state-EPOCH-NUMBER.log      records in msgpack:
       ["life", wall, boot, epoch, format]            the first of a segment
@@ -17,6 +19,7 @@
 still do (`decide.delivery.recovery`)."""
 
 import pathlib
+import time
 
 import msgpack
 
@@ -79,9 +82,20 @@
 
 class StateLog:
     """The writer of one life. `keep`: ns after which a segment's records are of no use; `boot` names the
-    machine's start."""
-
-    def __init__(self, folder, wall, boot, keep, durability="process", files=None, segment=MOST):
+    machine's start; `now` is the monotonic clock, by which segments age."""
+
+    def __init__(
+        self,
+        folder,
+        wall,
+        boot,
+        keep,
+        durability="process",
+        files=None,
+        segment=MOST,
+        now=time.monotonic_ns,
+    ):
+        self.now = now
         self.folder, self.files, self.keep, self.durability = (
             pathlib.Path(folder),
             files or tail.Files(),
@@ -90,14 +104,20 @@
         )
         self.boot, self.segment, self.stopped, self.log = boot, segment, None, None
         self.folder.mkdir(parents=True, exist_ok=True)
+        # `lasts`: by segment that is written no more, when its last record was, on the monotonic clock
         self.found, self.lasts, self.epoch = [], {}, 0
         for epoch, _, path in segments(self.folder):
             self.epoch, records = epoch, scan(path)[0]
             self.found += records
-            self.lasts[path] = _last(records)
+            self.lasts[path] = self._written(records, wall)
         self.epoch, self.number = self.epoch + 1, 0
         self._begin(wall)
 
+    def _written(self, records, wall):
+        """When a segment that was found had its last record, on the monotonic clock. One from ahead of the
+        wall clock is no older than this start."""
+        return self.now() - max(0, wall - _last(records))
+
     def _stop(self, fault):
         if self.stopped is None:
             self.stopped = str(fault)
@@ -109,7 +129,7 @@
             self.log = tail.Log(path, self.files, self.segment)
             self.log.append(msgpack.packb([LIFE, wall, self.boot, self.epoch, FORMAT]))
             self.log.flush()
-            self.began, self.last = wall, wall
+            self.began = self.now()
         except (tail.Failed, tail.Refused, OSError) as fault:
             self._stop(fault)
 
@@ -124,7 +144,6 @@
             if self.stopped is not None or not self.log.append(data):
                 self._stop(f"{self.log.path}: a record does not fit")
                 return False
-        self.last = max(self.last, record[1])
         return True
 
     def flush(self):
@@ -150,7 +169,7 @@
     def _seal(self):
         """Nothing more goes into the present segment; whether it is whole."""
         try:
-            self.lasts[self.log.path] = self.last
+            self.lasts[self.log.path] = self.now()
             self.log.close()
         except (tail.Failed, OSError) as fault:
             self._stop(fault)
@@ -163,7 +182,7 @@
             return
         self._begin(wall)
         for path, last in list(self.lasts.items()):
-            if last < wall - self.keep:
+            if last < self.now() - self.keep:
                 try:
                     self.files.remove(str(path))
                     del self.lasts[path]
@@ -175,14 +194,19 @@
         """A new epoch: this life goes on after another one had taken over. What that one wrote is then in
         `found`."""
         there = segments(self.folder)
-        self.found = [r for epoch, _, path in there if epoch > self.epoch for r in scan(path)[0]]
+        self.found = []
+        for epoch, _, path in there:
+            if epoch > self.epoch:
+                records = scan(path)[0]
+                self.found += records
+                self.lasts[path] = self._written(records, wall)
         if self._seal():
             self.epoch, self.number = there[-1][0] + 1, 0
             self._begin(wall)
 
     def tend(self, wall):
         """Asked now and then: rolls a segment that is a quarter of a memory's time old."""
-        if self.stopped is None and wall - self.began >= self.keep // 4:
+        if self.stopped is None and self.now() - self.began >= self.keep // 4:
             self.roll(wall)
 
     def close(self, wall):
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -28,6 +28,16 @@
 REMEMBER = {name: 600 * S for name in TYPES}
 
 
+class Monotonic:
+    """The monotonic clock, set by hand."""
+
+    def __init__(self, time=0):
+        self.time = time
+
+    def __call__(self):
+        return self.time
+
+
 class Files(tail.Files):
     """Fails at the n-th call that could: `full` writes nothing, `torn` a part, `sync` fails to make
     durable."""
@@ -96,9 +106,10 @@
         self.assertEqual([r[0] for r in third.found[21:]], [state.LIFE, state.END])
 
     def test_old_segments_go_and_what_is_remembered_stays(self):
-        log = self.log()
+        now = Monotonic()
+        log = self.log(now=now)
         for minute in range(60):
-            wall = WALL + minute * 60 * S
+            now.time, wall = minute * 60 * S, WALL + minute * 60 * S
             log.tend(wall)
             log.add(state.TAKE, wall, "x", f"m{minute}", wall, "once")
             log.flush()
@@ -108,6 +119,27 @@
         self.assertLess(len(kept), 20)
         self.assertLess(len(state.segments(self.folder)), 8)
 
+    def test_a_step_of_the_wall_clock_removes_nothing_early(self):
+        """Segments written in this life, and found ones, under steps in both directions."""
+        for step in (3600 * S, -3600 * S, 5 * S, -5 * S):
+            with self.subTest(step=step), tempfile.TemporaryDirectory() as folder:
+                now = Monotonic(1000 * S)
+                first = state.StateLog(folder, WALL, "b1", 600 * S, now=now)
+                first.add(state.TAKE, WALL, "x", "found", WALL, "once")
+                first.close(WALL)
+                log = state.StateLog(folder, WALL + S, "b1", 600 * S, now=now)
+                log.add(state.TAKE, WALL + S, "x", "own", WALL, "once")
+                for now.time in (1001 * S, 1400 * S):
+                    log.tend(WALL + now.time - 1000 * S + step)
+                    log.roll(WALL + now.time - 1000 * S + step)
+                    taken = {r[3] for r in state.read(folder)[0] if r[0] == state.TAKE}
+                    self.assertEqual(taken, {"found", "own"})
+                # what was sealed last has its age from then on
+                now.time = 2001 * S
+                log.roll(WALL + now.time - 1000 * S + step)
+                self.assertEqual([r for r in state.read(folder)[0] if r[0] == state.TAKE], [])
+                log.close(WALL)
+
     def test_a_failing_disk_is_told_once_and_nothing_is_said_to_be_kept_after(self):
         for how in ("full", "torn", "sync"):
             for at in range(1, 8):
