--- a/petrelwood/dispatch/handover.py
+++ b/petrelwood/dispatch/handover.py
@@ -21,6 +21,7 @@
 import msgpack
 
 from petrelwood.decide.cluster import handover
+from petrelwood.decide.cluster.completion import CompletionRate
 from petrelwood.links.local import Bound
 from petrelwood.store import state as store
 
@@ -143,14 +144,15 @@
             await asyncio.sleep(CHECK)
             self._do(self.machine.check(self.core.now()))
             if (
-                self.machine.state == handover.WATCHING
-                and not self.machine.drained
+                self.machine.phase == handover.PredecessorPhase.WATCHING
+                and not self.machine.has_drained
                 and not self.core.pending.acts
                 and all(front.quiet() for front in self.core.fronts)
             ):
-                self.machine.is_drained(self.core.now())
+                self.machine.on_drained()
                 await self._tell("drained")
-                self._do("end" if self.machine.state == handover.OVER else None)
+                if self.machine.phase == handover.PredecessorPhase.OVER:
+                    self._do(handover.PredecessorAction.END)
 
     async def _tell(self, *message):
         try:
@@ -163,33 +165,34 @@
         now = self.core.now
         try:
             kind, facts = (await asyncio.wait_for(channel.receive(), 5))[:2]
-            why = (
-                "it did not greet"
-                if kind != "hello" or not isinstance(facts, dict)
-                else handover.refuses(facts, self.core.name, store.FORMAT, self.machine.busy())
-            )
+            if kind != "hello" or not isinstance(facts, dict):
+                why = "it did not greet"
+            else:
+                request = handover.TakeoverRequest.from_message(facts)
+                busy = self.machine.is_busy()
+                why = handover.rejection_reason(request, self.core.name, store.FORMAT, busy)
             if why:
                 self.log.warning("an upgrade was turned away", why=why)
                 await channel.send("no", why)
                 channel.close()
                 return
             self.channel = channel
-            self.machine.asked(now())
-            self.log.info("an upgrade begins", by=facts.get("pid"))
-            await channel.send("offer", handover.WATCH, fds=self.webhooks.descriptors())
+            self.machine.on_request(now())
+            self.log.info("an upgrade begins", by=request.pid)
+            await channel.send("offer", handover.PROBATION, fds=self.webhooks.descriptors())
             while True:
                 message = await channel.receive()
                 if message[0] == "ready":
-                    if self.machine.ready(now()) == "go":
+                    if self.machine.on_ready(now()) == handover.PredecessorAction.GO:
                         self._give()
                         await channel.send("go", *self.core.well())
                 elif message[0] == "owns":
-                    self.machine.owns(now())
+                    self.machine.on_accepting(now())
                     self.log.info("handed over; finishing what is owed", owed=len(self.core.pending.acts))
                 elif message[0] == "alive":
-                    self.machine.hears(now())
+                    self.machine.on_heartbeat(now())
                 elif message[0] == "proven":
-                    self._do(self.machine.is_proven(now()))
+                    self._do(self.machine.on_proven())
                 elif message[0] == "back":
                     raise Lost(f"it gives back: {message[1]}")
         except (TimeoutError, Lost, ValueError, TypeError, IndexError) as fault:
@@ -201,7 +204,7 @@
         channel, self.channel = self.channel, None
         if channel is not None:
             channel.close()
-            self._do(self.machine.lost(self.core.now(), why))
+            self._do(self.machine.on_successor_lost(why))
 
     def _give(self):
         """The one moment: nothing new is taken here from now on, and all that was taken is in the log."""
@@ -220,8 +223,8 @@
         channel.close()
 
     def _do(self, what):
-        if what == "resume":
-            self.log.error("the upgrade failed; this process serves again", why=self.machine.why)
+        if what == handover.PredecessorAction.RESUME:
+            self.log.error("the upgrade failed; this process serves again", why=self.machine.reason)
             self.core.take_back()
             self.webhooks.resume()
             self.takes_back()
@@ -229,7 +232,7 @@
             if self.channel is not None:
                 channel, self.channel = self.channel, None
                 self._task(self._dismiss(channel))
-        elif what == "end":
+        elif what == handover.PredecessorAction.END:
             self.log.info("the new process has proven itself")
             self.over()
 
@@ -250,15 +253,10 @@
             sock.close()
             raise Lost(f"nobody serves at {self.path}: {fault.strerror}") from None
         self.channel = Channel(sock, self.loop)
-        await self.channel.send(
-            "hello",
-            {
-                "name": self.name,
-                "pid": os.getpid(),
-                "protocol": handover.FORMAT,
-                "reads": (store.OLDEST, store.FORMAT),
-            },
+        request = handover.TakeoverRequest(
+            self.name, handover.PROTOCOL_VERSION, (store.OLDEST, store.FORMAT), os.getpid()
         )
+        await self.channel.send("hello", request.as_message())
         try:
             kind, fact = (await asyncio.wait_for(self.channel.receive(), 10))[:2]
         except TimeoutError:
@@ -272,13 +270,17 @@
 
     async def take(self, now):
         """Says ready, waits for go. Raises `Lost`."""
-        self.machine.can_serve(now())
+        self.machine.on_ready_to_serve(now())
         await self.channel.send("ready")
         try:
-            message = await asyncio.wait_for(self.channel.receive(), handover.READY_WITHIN / 1e9)
+            message = await asyncio.wait_for(self.channel.receive(), handover.READY_TIMEOUT / 1e9)
         except TimeoutError:
             raise Lost("the old process did not give way in time") from None
-        if message[0] != "go" or self.machine.go(now(), (message[1], message[2])) != "accept":
+        if (
+            message[0] != "go"
+            or self.machine.on_go(now(), CompletionRate(message[1], message[2]))
+            != handover.SuccessorAction.ACCEPT
+        ):
             raise Lost("the old process did not give way")
 
     async def follow(self, core, log, fails):
@@ -294,31 +296,33 @@
                 if core.now() - self.looked > STILL:
                     await asyncio.sleep(4 * CHECK)
                 self.looked, beat = core.now(), beat + 1
-                if not beat % BEAT and self.machine.state == handover.OWNING:
+                if not beat % BEAT and self.machine.phase == handover.SuccessorPhase.OWNING:
                     await self.channel.send("alive")
-                if self.machine.state == handover.FAILED:
+                if self.machine.phase == handover.SuccessorPhase.FAILED:
                     return
                 verdict = self.machine.check(core.now())
-                if verdict == "proven":
+                if verdict == handover.SuccessorAction.PROVEN:
                     log.info("the upgrade has proven itself")
                     await self.channel.send("proven")
-                elif verdict == "back":
-                    log.error("the upgrade gives back", why=self.machine.why)
+                elif verdict == handover.SuccessorAction.HAND_BACK:
+                    log.error("the upgrade gives back", why=self.machine.reason)
                     fails()
                     return
                 if hears.done():
                     return
         except Lost:
-            self.machine.lost(core.now())
+            self.machine.on_predecessor_lost()
         finally:
-            await asyncio.wait([hears], timeout=None if self.machine.state == handover.PROVEN else 0)
+            await asyncio.wait(
+                [hears], timeout=None if self.machine.phase == handover.SuccessorPhase.PROVEN else 0
+            )
 
     def _unsure(self, now):
         """Whether this process may have been given up without knowing: it stood still, or the old one serves
         again."""
         return (
-            self.machine.state == handover.FAILED
-            or self.machine.state == handover.OWNING
+            self.machine.phase == handover.SuccessorPhase.FAILED
+            or self.machine.phase == handover.SuccessorPhase.OWNING
             and now - self.looked > STILL
         )
 
@@ -327,7 +331,7 @@
             while True:
                 message = await self.channel.receive()
                 if message[0] == "taken":
-                    self.machine.state, self.machine.why = handover.FAILED, "the old process serves again"
+                    self.machine.fail("the old process serves again")
                     log.error("the upgrade was taken back")
                     self.fails()
                     return
@@ -338,7 +342,7 @@
         except Lost:
             if not self.drained.is_set():
                 log.warning("the old process went before it had finished")
-        self.machine.lost(core.now())
+        self.machine.on_predecessor_lost()
         core.old_is_gone()
         self.drained.set()
 
--- a/petrelwood/dispatch/serve.py
+++ b/petrelwood/dispatch/serve.py
@@ -147,7 +147,7 @@
             for _ in range(bad - self.rolled[1]):
                 rollout.ended(False)
             self.rolled = (good, bad)
-            if self.predecessor is not None and self.predecessor.machine.busy():
+            if self.predecessor is not None and self.predecessor.machine.is_busy():
                 # a hand-over is under way: the process that follows goes on with this
                 continue
             verdict = rollout.look(self.core.clock.wall(), told)
@@ -203,7 +203,7 @@
             return False
         while (code := child.poll()) is None:
             await asyncio.sleep(0.1)
-        while self.predecessor.machine.busy():  # it is gone, and its end is still being seen to
+        while self.predecessor.machine.is_busy():  # it is gone, and its end is still being seen to
             await asyncio.sleep(0.05)
         self.log.error("the upgrade to a version failed", code=code)
         return False
@@ -221,7 +221,7 @@
             await self.successor.take(core.now)
             core.open_state(elsewhere=True)
             host, port = front.follow(self.successor.listeners)
-            core.tells_end = self.successor.machine.ended
+            core.tells_end = self.successor.machine.record_answer
             self.tasks.append(core.loop.create_task(self._follow()))
         else:
             host, port = front.open(self.gateway.listen)
@@ -287,7 +287,7 @@
             self._open_rest()
 
     def _gives_back(self):
-        self.failed = self.successor.machine.why
+        self.failed = self.successor.machine.reason
         self.front.pause()
         if self.core.state is not None:
             self.core.state.flush()
--- a/petrelwood/settings/comparison.py
+++ b/petrelwood/settings/comparison.py
@@ -1,8 +1,9 @@
-"""Compares two versions of a gateway's settings by behaviour: what changes for whom, when it takes effect,
-and whether it is risky.
+"""Compares two versions of a gateway's settings by behaviour.
 
-A version is applied as a whole: at once only where each of its changes can be, else all of it by an upgrade,
-which loses nothing (`docs/state.md`). Activations in flight keep the times that they came in with."""
+Of each change it says what it is for whom, when it takes effect, and whether it is risky. A version applies
+as a whole: at once only where each of its changes can, else all of it by an upgrade, which loses nothing
+(`docs/state.md`). Activations in flight keep the times that they came in with.
+"""
 
 from collections.abc import Callable, Iterable, Iterator
 from enum import StrEnum
@@ -296,11 +297,11 @@
                 yield from _compare_term(name, part, getattr(before, part), getattr(after, part))
 
 
-def _compare_term(name: str, part: str, before: Any, after: Any) -> Iterator[Change]:
+def _compare_term(name: str, part: str, before: object, after: object) -> Iterator[Change]:
     if before == after:
         return
     label = " ".join(filter(None, (name, part))).replace("_", " ")
-    fewer_loads = name == "orders" and isinstance(before, (int, float)) and after < before * RISKY_RATIO
+    fewer_loads = name == "orders" and _is_risky_fall(before, after)
     yield Change(
         f"{label}: {_format_term(after)} instead of {_format_term(before)}",
         TakesEffect.BY_UPGRADE,
@@ -308,6 +309,12 @@
     )
 
 
+def _is_risky_fall(before: object, after: object) -> bool:
+    if not isinstance(before, (int, float)) or not isinstance(after, (int, float)):
+        return False
+    return after < before * RISKY_RATIO
+
+
 def _compare_worker_terms(old: Gateway, new: Gateway) -> Iterator[Change]:
     for name, before, after in zip(old.workers._fields, old.workers, new.workers, strict=True):
         if before != after:
@@ -318,7 +325,7 @@
             )
 
 
-def _comparable(value: Any) -> Any:
+def _comparable(value: object) -> object:
     """Something that can be compared: identities by the paths that they were made of."""
     if isinstance(value, tuple):
         return tuple(map(_comparable, value))
@@ -340,8 +347,7 @@
 
 
 def takes_effect(found: Iterable[Change]) -> TakesEffect | None:
-    """When a whole version can take effect: at the latest that any of its changes asks for; None where
-    nothing changes."""
+    """The latest time that any of the changes asks for; None where nothing changes."""
     asked = {change.takes_effect for change in found}
     latest_first = (TakesEffect.AT_RESTART, TakesEffect.BY_UPGRADE, TakesEffect.AT_ONCE)
     return next((when for when in latest_first if when in asked), None)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -18,6 +18,7 @@
 from rig import KEY, Roster, Worker, answer
 
 from petrelwood.decide.cluster import handover
+from petrelwood.decide.cluster.completion import CompletionRate
 from petrelwood.dispatch.handover import Channel
 from petrelwood.standins.caller import Broken, Caller
 from petrelwood.store import versions
@@ -49,19 +50,18 @@
                     now += int(step[1:]) * S
                     what = predecessor.check(now)
                 elif step == "lost":
-                    what = predecessor.lost(now, "it died")
-                elif step == "owns":
-                    what = predecessor.owns(now)
+                    what = predecessor.on_successor_lost("it died")
+                elif step in ("proven", "drained"):
+                    what = {"proven": predecessor.on_proven, "drained": predecessor.on_drained}[step]()
                 else:
                     what = {
-                        "asked": predecessor.asked,
-                        "ready": predecessor.ready,
-                        "proven": predecessor.is_proven,
-                        "drained": predecessor.is_drained,
+                        "asked": predecessor.on_request,
+                        "ready": predecessor.on_ready,
+                        "owns": predecessor.on_accepting,
                     }[step](now)
                 said.append(f"{step}{' -> ' + what if what else ''}")
-            why = f", {predecessor.why}" if predecessor.why else ""
-            lines.append(f"{name}: {', '.join(said)}; {predecessor.state}{why}")
+            why = f", {predecessor.reason}" if predecessor.reason else ""
+            lines.append(f"{name}: {', '.join(said)}; {predecessor.phase}{why}")
         for name, good, bad, before, end in (
             ("as good as before", 90, 10, (0.95, 200), 6),
             ("worse", 60, 40, (0.95, 200), 1),
@@ -69,34 +69,39 @@
             ("as bad as before", 10, 90, (0.2, 200), 6),
         ):
             successor = handover.Successor(0)
-            said = [successor.can_serve(0), successor.go(S, before)]
+            said = [successor.on_ready_to_serve(0), successor.on_go(S, CompletionRate(*before))]
             for _ in range(good):
-                successor.ended(True)
+                successor.record_answer(True)
             for _ in range(bad):
-                successor.ended(False)
+                successor.record_answer(False)
             said.append(successor.check(S + end * S))
             lines.append(
                 f"new one, {name}: {', '.join(map(str, said))}; "
-                f"{successor.state}{', ' + successor.why if successor.why else ''}"
+                f"{successor.phase}{', ' + successor.reason if successor.reason else ''}"
             )
         successor = handover.Successor(0)
+        said = [successor.on_ready_to_serve(0), successor.check(20 * S), successor.reason]
+        lines.append(f"new one, no word to go: {', '.join(said)}")
+        successor = handover.Successor(0)
         lines.append(
-            f"new one, no word to go: {successor.can_serve(0)}, {successor.check(20 * S)}, {successor.why}"
+            f"new one, the old one dies first: {successor.on_predecessor_lost()}, {successor.reason}"
         )
-        successor = handover.Successor(0)
-        lines.append(f"new one, the old one dies first: {successor.lost(S)}, {successor.why}")
         compare(self, "handover", lines)
 
     def test_who_may_take_over(self):
+        def reason(facts, busy):
+            request = handover.TakeoverRequest.from_message(facts)
+            return handover.rejection_reason(request, "d", 1, busy)
+
         good = {"name": "d", "reads": (1, 2), "protocol": 1}
-        self.assertIsNone(handover.refuses(good, "d", 1, False))
+        self.assertIsNone(reason(good, False))
         for more, busy, words in (
             ({"name": "e"}, False, "for gateway 'e'"),
             ({"reads": (2, 3)}, False, "reads state of format 2 to 3"),
             ({"protocol": 7}, False, "speaks hand-over 7"),
             ({}, True, "under way"),
         ):
-            self.assertIn(words, handover.refuses({**good, **more}, "d", 1, busy))
+            self.assertIn(words, reason({**good, **more}, busy))
 
 
 class Channels(unittest.IsolatedAsyncioTestCase):
