--- a/petrelwood/decide/cluster/membership.py
+++ b/petrelwood/decide/cluster/membership.py
@@ -1,14 +1,25 @@
 """What this dispatcher has been told of workers: the list, its gaps, and each worker's lives.
 
 The roster sends a whole list or changes, each with an id that grows. A change that does not follow the one
-before means that something was missed: the list is then asked for anew. A worker's start is told as
-wall-clock time and turned into this dispatcher's own clock once a life, so that a stepped clock makes no new
-life of it."""
+before means that something was missed: the list is then asked for anew.
 
+A worker's start is told as wall-clock time of the platform and turned into this dispatcher's own clock once
+an incarnation. Two things bound what is believed of its age. Our wall clock is read without its steps, so
+that the offset between the two clocks is the one of before a step. And an incarnation that was not on the
+list when that was last heard has started since: it is no older than that, whatever the clocks say, but for
+the time that news of it may take. An incarnation that left the list and comes back is as old as it was."""
+
+from collections import OrderedDict
 from typing import NamedTuple
 
 from petrelwood import ports
 from petrelwood.decide.overload.backoff import Backoff
+from petrelwood.decide.wall_clock import UnsteppedWallClock
+
+# A list heard now may lack a worker that started up to this much earlier (ns): an age beyond it is an error
+# of the clocks, one within it is news that came late.
+NEWS_DELAY = 1_500_000_000
+DEPARTED = 4_096  # incarnations that have left the list and whose start is remembered
 
 USABLE, DRAINING, GONE = "usable", "draining", "gone"
 
@@ -37,6 +48,9 @@
         self.members, self.epoch, self.number = {}, None, 0
         self.lost_after, self.heard, self.lost = lost_after, 0, False
         self.backoff = Backoff(first_wait, 64 * first_wait, chance)
+        self.platform_clock = UnsteppedWallClock()
+        self.complete_at = None  # when the list was last known to be complete; None: never yet
+        self.departed = OrderedDict()  # (worker, its start as told) -> its start on our clock
 
     @property
     def resume(self):
@@ -64,6 +78,12 @@
         self.backoff.succeeded()
         return was
 
+    def confirmed(self, now):
+        """What the roster has said so far is all that there was to say at `now`: the list that we have is
+        complete as of then."""
+        if self.complete_at is not None:
+            self.complete_at = now
+
     def silent(self, now):
         """Whether the list has just been lost: said once for each time."""
         if self.lost or now - self.heard < self.lost_after:
@@ -78,7 +98,7 @@
         named = {e.worker for e in entries}
         leaving = [w for w, m in self.members.items() if w not in named and m.entry.state == USABLE]
         for worker in [w for w in self.members if w not in named]:
-            del self.members[worker]
+            self._remove(worker)
         listed, more = self._take(entries, now, wall)
         return listed, leaving + more
 
@@ -89,12 +109,12 @@
 
     def _take(self, entries, now, wall):
         listed, leaving = [], []
+        platform_wall = self.platform_clock.read(now, wall)
         for entry in entries:
             member = self.members.get(entry.worker)
             if member is None or member.entry.booted != entry.booted:
-                age = max(0, wall - entry.booted)
                 was = member
-                member = self.members[entry.worker] = Member(entry, max(1, now - age) if entry.booted else 0)
+                member = self.members[entry.worker] = Member(entry, self._start(entry, now, platform_wall))
                 if was is not None and was.entry.state == USABLE and entry.state == USABLE:
                     member.told = 0
             if entry.state == USABLE:
@@ -107,9 +127,32 @@
                 ports.Listed(entry.worker, entry.zone, entry.cell, member.booted, entry.state == USABLE)
             )
             if entry.state == GONE:
-                del self.members[entry.worker]
+                self._remove(entry.worker)
+        self.complete_at = now
         return listed, leaving
 
+    def _start(self, entry, now, platform_wall):
+        """When this incarnation, heard of for the first time, has started on our clock; 0: long ago."""
+        if not entry.booted:
+            return 0
+        known = self.departed.pop((entry.worker, entry.booted), None)
+        if known is not None:
+            return known
+        age = max(0, platform_wall - entry.booted)
+        if self.complete_at is not None:
+            most = now - self.complete_at
+            if age > most + NEWS_DELAY:
+                age = most
+        return now - age or 1
+
+    def _remove(self, worker):
+        member = self.members.pop(worker)
+        if not member.booted:
+            return
+        self.departed[worker, member.entry.booted] = member.booted
+        if len(self.departed) > DEPARTED:
+            self.departed.popitem(last=False)
+
     def usable(self, worker):
         member = self.members.get(worker)
         return member is not None and member.entry.state == USABLE
--- a/petrelwood/decide/cluster/rollout.py
+++ b/petrelwood/decide/cluster/rollout.py
@@ -7,7 +7,12 @@
 compares its answers with those before; where a smaller part completes it goes back by itself and says so,
 after which those whose turn has not come do not take it, and those that have it go back too. Of two versions
 at once the newer number counts for everyone, whatever came first; one that missed some goes to the newest at
-its turn. Times are wall-clock ns, since all have to mean the same by them; a version from the future waits.
+its turn.
+
+Times are wall-clock ns, since all have to mean the same by them, but without the steps of this machine's
+clock (`decide.wall_clock`): a step neither skips a stage nor holds one. A version was announced before it is
+known of: one that is dated ahead of this clock shows that the clocks differ, and begins when it is first
+seen.
 """
 
 import hashlib
@@ -56,10 +61,13 @@
         self.name, self.version, self.before, self.stages, self.dwell = name, version, None, stages, dwell
         self.good = self.bad = 0
         self.base, self.took_at, self.calls_off, self.refused = (1.0, 0), None, None, set()
+        self.seen_at = {}  # number of an announced version -> when it was first seen here
 
-    def handed(self):
-        """What the process that follows must know to go on as this one, as plain values; see `resumed`."""
-        return [self.version, self.before, list(self.base), self.took_at, sorted(self.refused)]
+    def handed(self, ahead=0):
+        """What the process that follows must know to go on as this one, as plain values; see `resumed`.
+        `ahead`: what the system's wall clock, from which that process begins, is ahead of `look`'s."""
+        took_at = None if self.took_at is None else self.took_at + ahead
+        return [self.version, self.before, list(self.base), took_at, sorted(self.refused)]
 
     @classmethod
     def resumed(cls, name, handed, stages=STAGES, dwell=DWELL):
@@ -97,8 +105,10 @@
         return (self.good / seen if seen else 1.0), seen
 
     def look(self, wall, announced):
-        """`announced`: all `Announced` versions that it knows of, in any order."""
+        """`wall`: the time, without steps. `announced`: all `Announced` versions that it knows of, in any
+        order."""
         known = {a.number: a for a in announced}
+        self.seen_at = {number: self.seen_at.get(number, wall) for number in known}
         mine = known.get(self.version)
         if self.before is not None and mine is not None and mine.off:
             return self._back()
@@ -121,7 +131,8 @@
         if any(a.number > newest.number and not a.off for a in announced):
             # a newer one that was refused here still counts for the others
             return None
-        if wall < newest.begun + turn(self.name, newest.number, self.stages, self.dwell):
+        begun = min(newest.begun, self.seen_at[newest.number])
+        if wall < begun + turn(self.name, newest.number, self.stages, self.dwell):
             return None
         if self.took_at is None:  # else it goes on from the one before that
             self.before, self.base = self.version, self._share()
--- a/petrelwood/decide/cluster/version_watch.py
+++ b/petrelwood/decide/cluster/version_watch.py
@@ -5,7 +5,8 @@
 the first that works in its own order of preference, by rendezvous hashing of its name (Thaler and
 Ravishankar,
 1998), so that dispatchers spread evenly and a lost server's share spreads too; and one more in turn, so that
-a server that is cut off from the others is not the only one heard. Times in ns; `wall` is wall-clock time.
+a server that is cut off from the others is not the only one heard. Times in ns; `wall` is wall-clock time
+without the steps of this machine's clock (`decide.wall_clock`).
 """
 
 import hashlib
@@ -93,5 +94,6 @@
 
     def _begins(self, begun, wall):
         """A record may be decided long after it was proposed, or be heard of late. Its stages are over then,
-        and all who hear of it would take it together: so they begin when it is heard of."""
-        return begun if wall - begun <= self.staged else wall
+        and all who hear of it would take it together: so they begin when it is heard of. So they do where it
+        is dated ahead of this clock: it was proposed before it is heard of, and the clocks differ."""
+        return begun if 0 <= wall - begun <= self.staged else wall
--- a/petrelwood/dispatch/configuration.py
+++ b/petrelwood/dispatch/configuration.py
@@ -77,7 +77,7 @@
         """Stores an answer. The position is stored last: what a kill cuts off is read again."""
         position = self.watch.known
         try:
-            for event in self.watch.answered(server, extract, self.clock.now(), self.clock.wall()):
+            for event in self.watch.answered(server, extract, self.clock.now(), self.clock.steady_wall()):
                 self._store(event)
             if self.watch.known != position:
                 versions.note_position(self.folder, self.watch.known)
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -524,10 +524,8 @@
     def _warm_enough(self, worker, now):
         if self.returning is None or now >= self.returning.cold_from:
             return True
-        booted = self.membership.members[worker].entry.booted
-        return self.returning.may_send(
-            now, bool(booted) and self.clock.wall() - booted < self.terms.guarantees.cold
-        )
+        booted = self.membership.members[worker].booted
+        return self.returning.may_send(now, bool(booted) and now - booted < self.terms.guarantees.cold)
 
     def reject(self, act, retry_after):
         self.touched.add(act)
--- a/petrelwood/dispatch/interfaces.py
+++ b/petrelwood/dispatch/interfaces.py
@@ -36,6 +36,9 @@
     def wall(self) -> int:
         """The time since the epoch. It may be stepped in both directions."""
 
+    def steady_wall(self) -> int:
+        """The same without its steps, for spans of time."""
+
     def at(self, when: int, call: Callable[..., object], *args: object) -> Timer:
         """Calls `call(*args)` at the monotonic time `when`."""
 
--- a/petrelwood/dispatch/serve.py
+++ b/petrelwood/dispatch/serve.py
@@ -149,7 +149,7 @@
             if self.predecessor is not None and self.predecessor.machine.busy():
                 # a hand-over is under way: the process that follows goes on with this
                 continue
-            verdict = rollout.look(self.core.clock.wall(), told)
+            verdict = rollout.look(self.core.clock.steady_wall(), told)
             if verdict is None:
                 continue
             what, number = verdict
@@ -192,7 +192,8 @@
         """Begins a process that takes over with the version that the roll-out has come to, and waits. False
         if this process serves on; where it does not, this never returns. The other lives on when this one
         ends, so no asyncio transport may own it."""
-        command = self.spawns(json.dumps(self.rollout.handed()))
+        ahead = self.core.clock.wall() - self.core.clock.steady_wall()
+        command = self.spawns(json.dumps(self.rollout.handed(ahead)))
         try:
             child = await self.core.loop.run_in_executor(
                 None, lambda: subprocess.Popen(command, stdin=subprocess.DEVNULL, stdout=subprocess.DEVNULL)
--- a/petrelwood/emulate/platform.py
+++ b/petrelwood/emulate/platform.py
@@ -10,6 +10,7 @@
 from petrelwood.brain import Brain
 from petrelwood.clocks import VirtualClock
 from petrelwood.decide.cluster import membership
+from petrelwood.decide.wall_clock import UnsteppedWallClock
 from petrelwood.dispatch.core import Core
 from petrelwood.emulate import script
 from petrelwood.emulate.disk import Disk
@@ -43,10 +44,15 @@
 
     def __init__(self, clock):
         self.clock, self.alive, self.now, self.step = clock, True, clock.now, 0
+        self.unstepped = UnsteppedWallClock()
+        self.steady_wall()
 
     def wall(self):
         return self.clock.wall() + self.step
 
+    def steady_wall(self):
+        return self.unstepped.read(self.now(), self.wall())
+
     def at(self, when, call, *args):
         return self.clock.at(when, self._run, call, args)
 
--- a/petrelwood/links/roster.py
+++ b/petrelwood/links/roster.py
@@ -30,6 +30,7 @@
             None,
             0,
         )
+        self.current = False  # whether this connection has brought a list or a change
 
     def open(self):
         self.task = self.core.loop.create_task(self._keep())
@@ -59,6 +60,7 @@
     async def _follow(self):
         host, port = self.address
         self.stream, self.events = IOStream(sockets.fresh(host)), Events()
+        self.current = False
         parser, resume = httptools.HttpResponseParser(self), self.membership.resume
         await asyncio.wait_for(self.stream.connect(self.address), self.within)
         await self.stream.write(
@@ -83,6 +85,9 @@
         for kind, data, id_ in self.events.feed(chunk):
             if kind in ("list", "change"):
                 self._event(kind, [entry(raw) for raw in orjson.loads(data)], id_, now)
+                self.current = True
+        if self.current:  # also by a comment: what would have changed would have come before it
+            self.membership.confirmed(now)
 
     def on_message_complete(self):
         self.drop()
--- a/petrelwood/node/roster.py
+++ b/petrelwood/node/roster.py
@@ -174,11 +174,13 @@
 
     def take(self, data):
         """One datagram."""
-        now = self.core.now()
-        if len(data) < 12 or not self.asking.answered(now, int.from_bytes(data[:2], "big")):
+        now, id_ = self.core.now(), int.from_bytes(data[:2], "big")
+        asked_at = self.asking.ids.get(id_, now)
+        if len(data) < 12 or not self.asking.answered(now, id_):
             self.counts["unusable"] += 1
             return
         if data[2:] == self.last:  # nothing has changed: nothing is read
+            self.membership.confirmed(asked_at)
             self._good(now)
             return
         try:
@@ -197,6 +199,8 @@
             self.core.listed(
                 *self.membership.whole(f"dns-{serial}", entries, now, self.core.clock.wall()), True
             )
+        # an answer may come long after it was written, but not before it was asked for
+        self.membership.confirmed(asked_at)
 
     def _good(self, now):
         self.counts["good"] += 1
