--- a/petrelwood/decide/cluster/handover.py
+++ b/petrelwood/decide/cluster/handover.py
@@ -165,7 +165,8 @@
 
     def on_successor_lost(self, reason: str) -> PredecessorAction | None:
         """The successor is gone, or hands back."""
-        if self.phase == PredecessorPhase.WATCHING and self.has_proven_successor:
+        is_proven = self.phase == PredecessorPhase.WATCHING and self.has_proven_successor
+        if is_proven or self.phase == PredecessorPhase.OVER:
             # it has proven itself: what becomes of it now is not ours
             return None
         return self._resume(reason)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -38,6 +38,7 @@
             "it gives back after the old had drained": "asked ready owns drained lost",
             "it hangs while it is watched": "asked ready owns +16 proven",
             "it dies once it is proven": "asked ready owns proven lost drained",
+            "it dies once all is over": "asked ready owns proven drained lost",
             "ready twice": "asked ready ready owns proven drained",
             "owns before go": "asked owns ready owns drained proven",
             "a second upgrade after a failed one": "asked lost asked ready owns proven drained",
