--- a/petrelwood/bgp/speaker.py
+++ b/petrelwood/bgp/speaker.py
@@ -11,10 +11,10 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 from tornado.netutil import bind_sockets
-from tornado.tcpserver import TCPServer
 
 from petrelwood.bgp.heartbeats import HeartbeatReceiver
 from petrelwood.decide.routing import announce, neighbor, serving
+from petrelwood.links.listener import Listener
 from petrelwood.wire import bgp
 
 SECOND = 1_000_000_000
@@ -272,7 +272,7 @@
                 peer.task.cancel()
 
 
-class _Listener(TCPServer):
+class _Listener(Listener):
     """Takes connections of peers by their address."""
 
     def __init__(self, speaker):
--- a/petrelwood/control/server.py
+++ b/petrelwood/control/server.py
@@ -12,11 +12,11 @@
 
 from tornado.iostream import StreamBufferFullError, StreamClosedError
 from tornado.netutil import bind_sockets
-from tornado.tcpserver import TCPServer
 
 from petrelwood.control import messages
 from petrelwood.decide.cluster import replicated_log as log
 from petrelwood.links import rpc
+from petrelwood.links.listener import Listener
 from petrelwood.links.rpc_client import CallFailed, RpcClient
 from petrelwood.store import snapshot
 
@@ -55,7 +55,7 @@
     return replica
 
 
-class ConfigurationServer(TCPServer):
+class ConfigurationServer(Listener):
     """`peers`: addresses of the other servers by name. `write(value)` makes the log's value durable."""
 
     def __init__(self, name, peers, replica, write, logger):
@@ -74,6 +74,10 @@
             self.write_log(self.replica.durable())
             self.replica.changed = False
 
+    def accept_failed(self, error, pause):
+        """Says that no connection is taken for a moment."""
+        self.log.warning("accept failed", error=error.strerror, pause_ms=pause // 1_000_000)
+
     # Who asks.
     async def handle_stream(self, stream, address):
         stream.set_nodelay(True)
--- a/petrelwood/fronts/webhook.py
+++ b/petrelwood/fronts/webhook.py
@@ -14,11 +14,11 @@
 from tornado.concurrent import Future
 from tornado.iostream import IOStream, StreamClosedError
 from tornado.netutil import bind_sockets
-from tornado.tcpserver import TCPServer
 
 from petrelwood.decide.overload import admission, intake
 from petrelwood.fronts import problem
 from petrelwood.fronts.signing import Verifier
+from petrelwood.links.listener import Listener
 
 SECOND = 1_000_000_000
 READ = 65_536
@@ -322,7 +322,7 @@
                 self.front.core.left(exchange.act, exchange)
 
 
-class Webhooks(TCPServer):
+class Webhooks(Listener):
     """The listener. `core` takes what is signed rightly: `dispatch.core.Core`."""
 
     def __init__(self, gateway, core, log):
--- /dev/null
+++ b/petrelwood/links/listener.py
@@ -0,0 +1,109 @@
+"""A TCP server whose listeners outlast every error of `accept`.
+
+Tornado's own listener stays readable while the process has no descriptor left, so that its loop comes back
+at once, over and over. Here a listener pauses after an error that is the machine's, and tries again with
+backoff. An error that belongs to one new connection (accept(2), "Error handling") costs that one alone.
+"""
+
+import asyncio
+import errno
+import random
+import socket
+from collections.abc import Iterable
+
+from tornado.tcpserver import TCPServer
+
+from petrelwood.decide.overload.backoff import Backoff
+
+ACCEPTS_PER_TURN = 128  # connections taken before others on the loop have their turn
+CONNECTION_FAULTS_IN_A_ROW = 16  # of new connections, after which a listener pauses all the same
+MILLISECOND = 1_000_000
+FIRST_PAUSE = 50 * MILLISECOND
+LONGEST_PAUSE = 1_000 * MILLISECOND
+NOTHING_TO_ACCEPT = frozenset((errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR))
+# Errors of the new connection, which is gone: what was pending on it, or a firewall forbids it.
+CONNECTION_FAULTS = frozenset(
+    (
+        errno.ECONNABORTED,
+        errno.ECONNRESET,
+        errno.EHOSTDOWN,
+        errno.EHOSTUNREACH,
+        errno.ENETDOWN,
+        errno.ENETUNREACH,
+        errno.ENONET,
+        errno.ENOPROTOOPT,
+        errno.EOPNOTSUPP,
+        errno.EPERM,
+        errno.EPROTO,
+        errno.ETIMEDOUT,
+    )
+)
+
+
+class _ListeningSocket:
+    """One listening socket on the running loop."""
+
+    def __init__(self, server: "Listener", sock: socket.socket) -> None:
+        self.server = server
+        self.sock = sock
+        self.loop = asyncio.get_running_loop()
+        self.backoff = Backoff(FIRST_PAUSE, LONGEST_PAUSE, random.random)
+        self.connection_faults = 0
+        self.resumption: asyncio.TimerHandle | None = None
+        self.listen()
+
+    def listen(self) -> None:
+        """Accepts from now on."""
+        self.resumption = None
+        self.loop.add_reader(self.sock, self._accept)
+
+    def close(self) -> None:
+        """Accepts nothing more; the socket stays open."""
+        self.loop.remove_reader(self.sock)
+        if self.resumption is not None:
+            self.resumption.cancel()
+
+    def _accept(self) -> None:
+        for _ in range(ACCEPTS_PER_TURN):
+            try:
+                connection, address = self.sock.accept()
+            except OSError as error:
+                if error.errno not in NOTHING_TO_ACCEPT:
+                    self._failed(error)
+                if error.errno not in CONNECTION_FAULTS:
+                    return
+            else:
+                self.connection_faults = 0
+                self.backoff.succeeded()
+                self.server.take_connection(connection, address)
+            if self.resumption is not None or self.sock.fileno() < 0:
+                return
+
+    def _failed(self, error: OSError) -> None:
+        self.connection_faults += 1
+        if error.errno in CONNECTION_FAULTS and self.connection_faults < CONNECTION_FAULTS_IN_A_ROW:
+            return
+        self.connection_faults = 0
+        now = int(self.loop.time() * 1_000 * MILLISECOND)
+        pause = self.backoff.failed(now) - now
+        self.loop.remove_reader(self.sock)
+        self.resumption = self.loop.call_later(pause / (1_000 * MILLISECOND), self.listen)
+        self.server.accept_failed(error, pause)
+
+
+class Listener(TCPServer):
+    """A `TCPServer` whose listening sockets pause after errors and resume; see `accept_failed`."""
+
+    def add_sockets(self, sockets: Iterable[socket.socket]) -> None:
+        """Accepts connections on these listening sockets, on the running loop."""
+        for sock in sockets:
+            listening = _ListeningSocket(self, sock)
+            self._sockets[sock.fileno()] = sock
+            self._handlers[sock.fileno()] = listening.close
+
+    def take_connection(self, connection: socket.socket, address: object) -> None:
+        """Hands an accepted connection to `handle_stream`."""
+        self._handle_connection(connection, address)
+
+    def accept_failed(self, error: OSError, pause: int) -> None:
+        """Told that a listening socket pauses for `pause` ns after an error."""
--- a/tests/test_finished.py
+++ b/tests/test_finished.py
@@ -15,6 +15,7 @@
 FINISHED_BEFORE = {
     "petrelwood/clocks.py",
     "petrelwood/errors.py",
+    "petrelwood/links/listener.py",
 }
 EXCUSE = re.compile(r"#\s*(noqa|fmt:|ruff:|type:\s*ignore|mypy:|pylint:)")
 READABLE = '''"""A module."""
