--- a/petrelwood/cli/configuration.py
+++ b/petrelwood/cli/configuration.py
@@ -39,6 +39,7 @@
         """Runs one configuration server until SIGTERM."""
         from petrelwood.cli.logs import open_log
         from petrelwood.control import server
+        from petrelwood.control.log_storage import LogStorageError
 
         found = {}
         for one in peers:
@@ -58,7 +59,7 @@
                     name, listen, found, folder, new_log_after, open_log("json", level, server=name), _ready
                 )
             )
-        except server.Unusable as fault:
+        except LogStorageError as fault:
             _end(str(fault))
         except OSError as fault:
             _end(f"can't listen on {listen[0]}:{listen[1]}: {fault.strerror}")
--- a/petrelwood/control/server.py
+++ b/petrelwood/control/server.py
@@ -1,11 +1,12 @@
 """One configuration server: its replica of the log on disk, its peers, and who asks it.
 
 What is decided is in `decide.cluster.replicated_log`. A reply leaves only once what it depends on is on the
-disk. A server that finds no log where it should be, and was not told to begin a new one, has lost its disk:
+disk; a server whose disk fails does not vote until a write has succeeded (`decide.cluster.durable_replica`).
+A server that finds no log where it should be, and was not told to begin a new one, has lost its disk:
 it learns from the others and votes again when `Replica.rejoin` allows it."""
 
 import asyncio
-import pathlib
+import secrets
 import signal
 import time
 from random import Random
@@ -14,45 +15,29 @@
 from tornado.netutil import bind_sockets
 
 from petrelwood.control import messages
+from petrelwood.control.log_storage import LogStorage, LogStorageError
 from petrelwood.decide.cluster import replicated_log as log
+from petrelwood.decide.cluster.durable_replica import DiskFailedError, DurableReplica
 from petrelwood.links import rpc
 from petrelwood.links.listener import Listener
 from petrelwood.links.rpc_client import CallFailed, RpcClient
-from petrelwood.store import snapshot
 
-KIND, VERSION = "config-log", 1  # of the file
-FILE = "log.snapshot"
+IDENTITY_NAME = 24  # bytes of a server's name that its proposer's identity begins with
 READ = 65_536
 CALL_WITHIN = 1.0  # seconds for a peer's answer
 CHECK = 0.01  # seconds between two looks at a record that is being decided
+RETRY = 0.05  # seconds between two looks whether a disk that failed is to be written to again
 CATCH_UP = 1.0  # seconds between two questions to a peer for what this server lacks
 WAITING = 32  # records that wait for their turn; further ones are refused at once
 QUIET = 300.0  # seconds without a call after which a connection is closed
 
 
-class Unusable(Exception):
-    """The log can't be opened; `str()` is one line."""
+def new_identity(name):
+    """A proposer's identity that no other process ever has.
 
-
-def opened(folder, new_after):
-    """The replica that a folder holds. `new_after`: None, or the slot after which a new log begins."""
-    path = pathlib.Path(folder) / FILE
-    try:
-        path.parent.mkdir(parents=True, exist_ok=True)
-        found = snapshot.read(path, KIND, VERSION)
-        if found is not None and new_after is not None:
-            raise Unusable(f"{path} holds a log; a new one can't begin there")
-        if found is not None:
-            return log.Replica.restored(found[1])
-    except (snapshot.Unreadable, ValueError, TypeError) as fault:
-        raise Unusable(f"{path} can't be used: {fault}") from None
-    except OSError as fault:
-        raise Unusable(f"{path} can't be read: {fault.strerror}") from None
-    if new_after is None:
-        return log.Replica(votes_from=None)
-    replica = log.Replica(votes_from=new_after + 1)
-    replica.chosen, replica.changed = new_after, True
-    return replica
+    It is not made of the wall clock, which may be stepped back to the moment of an earlier start."""
+    begin = name.encode()[:IDENTITY_NAME].decode(errors="ignore")
+    return f"{begin}.{secrets.token_hex(8)}"
 
 
 class ConfigurationServer(Listener):
@@ -60,19 +45,31 @@
 
     def __init__(self, name, peers, replica, write, logger):
         super().__init__()
-        self.name, self.replica, self.write_log, self.log = name, replica, write, logger
+        self.name, self.replica, self.log = name, replica, logger
         self.chance = Random(name).random
+        self.durable = DurableReplica(replica, write, self.chance, self)
         self.peers = {peer: RpcClient(address, messages.MOST) for peer, address in peers.items()}
         self.servers = (name, *peers)
-        self.proposer = log.Proposer(f"{name}.{time.time_ns():x}")
+        self.proposer = log.Proposer(new_identity(name))
         self.lock, self.waiting, self.streams, self.tasks = asyncio.Lock(), 0, set(), set()
-        self.keep()
+        if not self.durable.save_changes(time.monotonic_ns()):
+            self.durable.require_disk()
+
+    def disk_failed(self, error, retry_in):
+        """Says that the disk failed; see `DiskObserver`."""
+        self.log.error(
+            "log write failed; not voting", error=error.strerror or str(error), retry_ms=retry_in // log.MS
+        )
 
-    def keep(self):
-        """Before anything leaves that depends on it."""
-        if self.replica.changed:
-            self.write_log(self.replica.durable())
-            self.replica.changed = False
+    def disk_recovered(self, outage):
+        """Says that the disk is well again; see `DiskObserver`."""
+        self.log.info("log written again; voting", outage_ms=outage // log.MS, chosen=self.replica.chosen)
+
+    async def watch_disk(self):
+        """Writes the log again once it could not be written, with backoff."""
+        while True:
+            await asyncio.sleep(RETRY)
+            self.durable.retry(time.monotonic_ns())
 
     def accept_failed(self, error, pause):
         """Says that no connection is taken for a moment."""
@@ -98,7 +95,7 @@
     async def _serve(self, stream, msgid, method, params):
         try:
             answer = rpc.response(msgid, None, await self.answer(method, params))
-        except (messages.Malformed, CallFailed) as fault:
+        except (messages.Malformed, CallFailed, DiskFailedError) as fault:
             answer = rpc.response(msgid, str(fault), None)
         try:
             await stream.write(answer)
@@ -106,7 +103,8 @@
             pass
 
     async def answer(self, method, params):
-        """The result of one call. Raises `Malformed`, and `CallFailed` for what can't be done now."""
+        """The result of one call. Raises `Malformed`, and `CallFailed` or `DiskFailedError` for what can't be
+        done now."""
         if method == "read":
             return messages.plain(self.replica.extract(messages.since(params), compact=True))
         if method == "catch-up":
@@ -120,13 +118,12 @@
         message = messages.message(method, params)
         if message is None:
             raise messages.Malformed("no such method")
-        reply = self.replica.answer(message)
-        self.keep()
-        return messages.result(reply)
+        return messages.result(self.durable.answer(message, time.monotonic_ns()))
 
     # Appending.
     async def append(self, record):
-        """The slot of a record once it is decided. Raises `CallFailed`."""
+        """The slot of a record once it is decided. Raises `CallFailed` and `DiskFailedError`."""
+        self.durable.require_disk()
         if self.waiting >= WAITING:
             raise CallFailed("too many records wait")
         self.waiting += 1
@@ -161,16 +158,14 @@
         """One message to one server, this one among them, and its reply to the record that is on its way."""
         try:
             if server == self.name:
-                reply = self.replica.answer(message)
+                reply = self.durable.answer(message, time.monotonic_ns())
             else:
-                self.keep()
                 reply = messages.reply(await self.peers[server].call(*messages.call(message), CALL_WITHIN))
-        except (CallFailed, messages.Malformed) as fault:
+        except (CallFailed, messages.Malformed, DiskFailedError) as fault:
             self.log.debug("no reply", server=server, why=str(fault))
             return
-        self.keep()
         self.current.reply(server, message, reply, time.monotonic_ns())
-        self.keep()
+        self.durable.save_changes(time.monotonic_ns())
 
     # Catching up.
     async def follow(self):
@@ -184,12 +179,11 @@
                     await self._rejoin()
                 peer = list(self.peers)[int(self.chance() * len(self.peers))]
                 answer = await self.peers[peer].call("catch-up", [self.replica.chosen], CALL_WITHIN)
-                self.replica.learn(messages.extract(answer))
-                self.keep()
+                self.durable.learn(messages.extract(answer), time.monotonic_ns())
                 if self.replica.lacks_slots():
                     identity = f"{self.proposer.identity}.{self.replica.chosen}"
                     await self.append(log.Record(identity, log.NO_OPERATION, 0, 0, b""))
-            except (CallFailed, messages.Malformed) as fault:
+            except (CallFailed, messages.Malformed, DiskFailedError) as fault:
                 self.log.debug("not caught up", why=str(fault))
 
     async def _rejoin(self):
@@ -201,10 +195,9 @@
                 continue
             if isinstance(slot, int):
                 voted_in[peer] = slot
-        if self.replica.rejoin(voted_in, len(self.servers)):
-            self.keep()
+        if self.durable.rejoin(voted_in, len(self.servers), time.monotonic_ns()):
             self.log.info("rejoined", votes_from=self.replica.votes_from)
-        else:
+        elif self.replica.votes_from is None:
             self.log.warning("no majority of the others votes; this server can't rejoin", heard=len(voted_in))
 
     def _spawn(self, work):
@@ -224,23 +217,25 @@
 
 
 async def serve(name, listen, peers, folder, new_after, logger, ready):
-    """Until SIGTERM. `ready(address)` is called once it listens. Raises `Unusable` and OSError."""
+    """Until SIGTERM. `ready(address)` is called once it listens. Raises `LogStorageError` and OSError."""
     loop, ends = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, ends.set)
-    replica = opened(folder, new_after)
-    path = pathlib.Path(folder) / FILE
-    server = ConfigurationServer(
-        name, peers, replica, lambda value: snapshot.write(path, KIND, VERSION, value), logger
-    )
+    storage = LogStorage(folder)
+    replica = storage.open(new_after)
+    try:
+        server = ConfigurationServer(name, peers, replica, storage.save, logger)
+    except DiskFailedError as error:
+        raise LogStorageError(f"{storage.path}: {error}") from error
     sockets = bind_sockets(listen[1], listen[0])
     server.add_sockets(sockets)
-    following = loop.create_task(server.follow())
+    following = [loop.create_task(server.follow()), loop.create_task(server.watch_disk())]
     ready(sockets[0].getsockname()[:2])
     logger.info(
         "listening", votes_from=replica.votes_from, chosen=replica.chosen, servers=len(server.servers)
     )
     await ends.wait()
-    following.cancel()
+    for task in following:
+        task.cancel()
     server.end()
     logger.info("closed", chosen=replica.chosen)
--- /dev/null
+++ b/petrelwood/decide/cluster/durable_replica.py
@@ -0,0 +1,122 @@
+"""A replica whose replies leave only once what they depend on is on its disk, also when the disk fails.
+
+After a failed write the replica in memory is ahead of the disk: it may have promised or accepted what a
+restart would forget. None of that has left, as each reply is given only after a write. Until a later write of
+the whole state has succeeded the replica does not vote, and says so (`NotVoting`); it goes on learning what
+others have decided, which is a fact whoever holds it. Writes are tried again with backoff.
+
+Free of I/O but for `save`, which is handed in, as the clock is. Times in ns.
+"""
+
+from collections.abc import Callable, Mapping
+from typing import Protocol
+
+from petrelwood.decide.cluster import replicated_log as log
+from petrelwood.decide.overload.backoff import Backoff
+from petrelwood.errors import UnavailableError
+
+FIRST_RETRY = 100 * log.MS
+LONGEST_RETRY = 5_000 * log.MS
+Save = Callable[[object], None]
+
+
+class DiskFailedError(UnavailableError):
+    """The log can't be written at present; another server may do what was asked."""
+
+
+class DiskObserver(Protocol):
+    """What is told of a replica's disk."""
+
+    def disk_failed(self, error: OSError, retry_in: int) -> None:
+        """A write failed; from the first of them on the replica does not vote."""
+
+    def disk_recovered(self, outage: int) -> None:
+        """A write succeeded `outage` ns after the first one that failed; the replica votes again."""
+
+
+class DurableReplica:
+    """A replica and its disk. `save(value)` makes `Replica.durable()` outlive a crash, or raises OSError."""
+
+    def __init__(
+        self,
+        replica: log.Replica,
+        save: Save,
+        chance: Callable[[], float],
+        observer: DiskObserver,
+    ) -> None:
+        self.replica = replica
+        self.failed_since: int | None = None
+        self._error: OSError | None = None
+        self._save = save
+        self._observer = observer
+        self._backoff = Backoff(FIRST_RETRY, LONGEST_RETRY, chance)
+
+    @property
+    def failed(self) -> bool:
+        """Whether the disk has failed, so that the replica in memory may be ahead of it."""
+        return self.failed_since is not None
+
+    def require_disk(self) -> None:
+        """Raises `DiskFailedError` while the disk has failed."""
+        if self._error is not None:
+            raise DiskFailedError(
+                f"this server does not vote: its log can't be written: {_reason(self._error)}"
+            ) from self._error
+
+    def answer(self, message: log.Message, now: int) -> log.Reply:
+        """The reply to a message, once it is durable. Raises `DiskFailedError` for a `Learn` that is not."""
+        if isinstance(message, log.Learn):
+            reply = self.replica.answer(message)
+            self.save_changes(now)
+            self.require_disk()
+            return reply
+        if self.failed:
+            return log.NotVoting()
+        reply = self.replica.answer(message)
+        return reply if self.save_changes(now) else log.NotVoting()
+
+    def learn(self, extract: log.Extract, now: int) -> None:
+        """Takes in what was decided."""
+        self.replica.learn(extract)
+        self.save_changes(now)
+
+    def rejoin(self, voted_in: Mapping[str, int], servers: int, now: int) -> bool:
+        """`Replica.rejoin`; whether the replica votes from now on."""
+        return self.replica.rejoin(voted_in, servers) and self.save_changes(now)
+
+    def save_changes(self, now: int) -> bool:
+        """Whether all that is in memory is on the disk. After a failure only `retry` writes."""
+        if self.replica.changed and not self.failed:
+            self._write(now)
+        return not self.failed
+
+    def retry(self, now: int) -> None:
+        """Writes the whole state anew if the disk has failed and the backoff is over; to be called often."""
+        if self.failed and self._backoff.may(now):
+            self._write(now)
+
+    def _write(self, now: int) -> None:
+        try:
+            self._save(self.replica.durable())
+        except OSError as error:
+            self._failed(error, now)
+            return
+        self.replica.changed = False
+        if self.failed_since is None:
+            return
+        outage = now - self.failed_since
+        self.failed_since = None
+        self._error = None
+        self._backoff.succeeded()
+        self._observer.disk_recovered(outage)
+
+    def _failed(self, error: OSError, now: int) -> None:
+        if self.failed_since is None:
+            self.failed_since = now
+        self._error = error
+        retry_at = self._backoff.failed(now)
+        self._observer.disk_failed(error, retry_at - now)
+
+
+def _reason(error: OSError) -> str:
+    return error.strerror or str(error)
--- a/petrelwood/decide/cluster/replicated_log.py
+++ b/petrelwood/decide/cluster/replicated_log.py
@@ -99,13 +99,17 @@
 
 
 class NotVoting(NamedTuple):
-    """The replica has lost its disk and may have voted in this slot before."""
+    """The replica has lost its disk and may have voted in this slot before, or its disk fails at present."""
 
 
 class Learned(NamedTuple):
     chosen: int
 
 
+Message = Prepare | Accept | Learn
+Reply = Promise | Accepted | Refused | Behind | Ahead | NotVoting | Learned
+
+
 class Damaged(Exception):
     """A body that is none that `packed` has made."""
 
--- a/petrelwood/emulate/configuration_servers.py
+++ b/petrelwood/emulate/configuration_servers.py
@@ -1,18 +1,24 @@
-"""Configuration servers in virtual time, on a network that loses, doubles, delays and reorders; servers crash
-and lose their disks.
+"""Configuration servers in virtual time, on a network that loses, doubles, delays and reorders.
 
-The replicas and proposers are those that serve. One seeded generator draws all troubles. The book that judges
-is kept apart from the replicas: what each one ever held as decided in a slot, and what each author was told.
+Servers crash, lose their disks, and can't write to them for a while. The replicas, what makes them durable,
+and the proposers are those that serve. One seeded generator draws all troubles. The book that judges is kept
+apart from the replicas: what each one ever held as decided in a slot, what each author was told, and whether
+what a server promised or accepted was on its disk.
 """
 
+import errno
 import heapq
+import os
 from random import Random
 
+from petrelwood.decide.cluster.durable_replica import DiskFailedError, DurableReplica
 from petrelwood.decide.cluster.replicated_log import (
     MS,
     NO_OPERATION,
     VERSION,
+    Accepted,
     Append,
+    Promise,
     Proposer,
     Record,
     Replica,
@@ -24,19 +30,48 @@
 
 
 class Server:
-    """One server: what is on its disk, and what only its process knows."""
+    """One server: what is on its disk, and what only its process knows.
+
+    `fault`: what its disk does at present. None: it writes; "before": it fails and the old value stands;
+    "after": it fails, and yet the new value stands, as when the folder is not made durable.
+    """
 
     def __init__(self, name):
         self.name, self.disk, self.up, self.life = name, Replica().durable(), False, 0
-        self.replica = self.proposer = self.append = None
+        self.durable = self.replica = self.proposer = self.append = self.fault = None
+        self.failures = self.recoveries = 0
 
+    def save(self, value):
+        if self.fault != "before":
+            self.disk = value
+        if self.fault is not None:
+            raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
-class World:
-    """`replica`: the class that is judged; tests hand in broken ones."""
+    def disk_failed(self, error, retry_in):
+        self.failures += 1
+
+    def disk_recovered(self, outage):
+        self.recoveries += 1
 
-    def __init__(self, seed, servers=5, loss=0.1, twice=0.1, most_delay=80 * MS, replica=Replica):
+
+class World:
+    """`replica` and `durable`: the classes that are judged; tests hand in broken ones. `disk_faults`: the
+    part of the troubles that makes a disk fail or mends it."""
+
+    def __init__(
+        self,
+        seed,
+        servers=5,
+        loss=0.1,
+        twice=0.1,
+        most_delay=80 * MS,
+        replica=Replica,
+        durable=DurableReplica,
+        disk_faults=0,
+    ):
         self.chance, self.loss, self.twice = Random(seed), loss, twice
-        self.most_delay, self.replica = most_delay, replica
+        self.most_delay, self.replica, self.durable = most_delay, replica, durable
+        self.disk_faults = disk_faults
         self.names = [f"c{n}" for n in range(1, servers + 1)]
         self.servers = {name: Server(name) for name in self.names}
         self.now, self.events, self.count, self.sides = 0, [], 0, {}
@@ -74,6 +109,7 @@
         server = self.servers[name]
         server.life += 1
         server.up, server.replica = True, self.replica.restored(server.disk)
+        server.durable = self.durable(server.replica, server.save, self.chance.random, server)
         server.proposer, server.append = Proposer(f"{name}.{server.life}"), None
 
     def crash(self, name):
@@ -83,9 +119,8 @@
         self.servers[name].disk = Replica(votes_from=None).durable()
 
     def keep(self, server):
-        """What its replies depend on is on the disk before any leaves."""
-        if server.replica.changed:
-            server.disk, server.replica.changed = server.replica.durable(), False
+        """What has changed goes to the disk, and into the book."""
+        server.durable.save_changes(self.now)
         self.note(server.replica)
 
     def note(self, replica):
@@ -104,7 +139,7 @@
                 voted_in = self.servers[other].replica.voted_in()
                 if voted_in is not None:
                     answers[other] = voted_in
-        server.replica.rejoin(answers, len(self.names))
+        server.durable.rejoin(answers, len(self.names), self.now)
         self.keep(server)
         if server.replica.lacks_slots():
             self.propose(name, self.record(NO_OPERATION))
@@ -113,8 +148,8 @@
         """Anti-entropy: what the one lacks is read from the other."""
         one, other_one = self.servers[name], self.servers[other]
         if one.up and other_one.up and self.hears(name, other):
-            one.replica.learn(other_one.replica.extract(one.replica.chosen))
-            self.keep(one)
+            one.durable.learn(other_one.replica.extract(one.replica.chosen), self.now)
+            self.note(one.replica)
 
     # Proposals.
     def record(self, kind=VERSION):
@@ -142,10 +177,25 @@
         server = self.servers[to]
         if not server.up:
             return
-        reply = server.replica.answer(message)
-        self.keep(server)
+        try:
+            reply = server.durable.answer(message, self.now)
+        except DiskFailedError:
+            return
+        self.note(server.replica)
+        self.judge_reply(server, message, reply)
         self.pass_on(to, name, self.replied, name, life, to, message, reply, box)
 
+    def judge_reply(self, server, message, reply):
+        """What leaves is what a restart at this moment would remember."""
+        if not isinstance(reply, Promise | Accepted):
+            return
+        disk = Replica.restored(server.disk)
+        kept = disk.chosen >= message.slot or disk.promised >= message.ballot
+        if isinstance(reply, Accepted) and disk.chosen < message.slot:
+            kept = kept and (disk.accepted, disk.record) == (message.ballot, message.record)
+        if not kept:
+            self.faults.append(f"{server.name} replied {reply} and does not have it on its disk")
+
     def replied(self, name, life, to, message, reply, box):
         server = self.servers[name]
         if server.up and server.life == life and box:
@@ -158,6 +208,7 @@
         if not server.up or server.life != life or server.append is not append:
             return
         append.check(self.now)
+        server.durable.retry(self.now)
         self.ended(server, append)
         self.later(20 * MS, self.tick, name, life, append)
 
@@ -186,6 +237,8 @@
         """One thing goes wrong or is mended; never more than a minority of disks is lost at a time."""
         name, what = self.chance.choice(self.names), self.chance.random()
         server = self.servers[name]
+        if self.disk_faults and self.chance.random() < self.disk_faults:
+            server.fault = self.chance.choice(("before", "after", None, None))
         down = sum(not s.up for s in self.servers.values())
         if what < 0.3:  # restarted at once: what only its memory held is gone
             self.start(name)
@@ -218,11 +271,13 @@
         """All is up and hears all, for long enough to settle."""
         self.sides, self.loss = {}, 0
         for name in self.names:
+            self.servers[name].fault = None
             if not self.servers[name].up:
                 self.start(name)
         for _ in range(seconds):
             for name in self.names:
                 server = self.servers[name]
+                server.durable.retry(self.now)
                 if server.replica.votes_from is None or server.replica.lacks_slots():
                     self.rejoin(name)
                 self.catch_up(name, self.chance.choice(self.names))
--- /dev/null
+++ b/tests/test_configuration_disk.py
@@ -0,0 +1,345 @@
+"""A configuration server whose disk fails: it says so, does not vote, promises nothing, and rejoins."""
+
+import asyncio
+import errno
+import os
+import pathlib
+import tempfile
+import unittest
+from random import Random
+from unittest import mock
+
+import structlog
+from test_configuration_servers import run
+from test_replicated_log import troubled, version
+
+from petrelwood.control import log_storage, messages, server
+from petrelwood.control.log_storage import LogStorage, LogStorageError
+from petrelwood.decide.cluster import durable_replica
+from petrelwood.decide.cluster import replicated_log as log
+from petrelwood.decide.cluster.durable_replica import DiskFailedError, DurableReplica
+from petrelwood.emulate.configuration_servers import SECOND, World
+from petrelwood.links.rpc_client import CallFailed, RpcClient
+from petrelwood.store import snapshot
+
+SEEDS = 24
+CALLS = ("open", "write", "sync", "close", "replace", "sync_folder")
+PATIENT = 30  # seconds; far over what a busy machine needs
+
+
+class Killed(BaseException):
+    """The process ends here."""
+
+
+class FailingFiles(snapshot.Files):
+    """Files of which one call fails, so many times; None: until `failing` is None. Writes are short.
+
+    `kill_after`: bytes after which the process is killed in the midst of a write.
+    """
+
+    def __init__(self, failing=None, times=None, number=errno.EIO, kill_after=None):
+        self.failing, self.times, self.number, self.kill_after = failing, times, number, kill_after
+        self.failed = 0
+        self.part = 1 << 20
+
+    def _call(self, name):
+        if self.failing == name and (self.times is None or self.failed < self.times):
+            self.failed += 1
+            raise OSError(self.number, os.strerror(self.number))
+
+    def open(self, path):
+        self._call("open")
+        return super().open(path)
+
+    def write(self, handle, data):
+        if self.kill_after is not None:
+            if self.kill_after == 0:
+                raise Killed
+            data = data[: min(self.kill_after, 7)]
+            self.kill_after -= len(data)
+        elif self.failing == "write" and len(data) > 8:
+            return super().write(handle, data[:8])  # a part of it gets through
+        else:
+            self._call("write")
+        return super().write(handle, data[: self.part])
+
+    def sync(self, handle):
+        self._call("sync")
+        super().sync(handle)
+
+    def close(self, handle):
+        super().close(handle)
+        self._call("close")
+
+    def replace(self, source, target):
+        self._call("replace")
+        super().replace(source, target)
+
+    def sync_folder(self, path):
+        self._call("sync_folder")
+        super().sync_folder(path)
+
+
+class Observer:
+    """Notes what is said of the disk."""
+
+    def __init__(self):
+        self.said = []
+
+    def disk_failed(self, error, retry_in):
+        self.said.append(("failed", error.errno, retry_in))
+
+    def disk_recovered(self, outage):
+        self.said.append(("recovered", outage))
+
+
+class Eager(DurableReplica):
+    """Broken on purpose: it replies also when the write has failed."""
+
+    def answer(self, message, now):
+        reply = self.replica.answer(message)
+        self.save_changes(now)
+        return reply
+
+
+class Folder(unittest.TestCase):
+    def setUp(self):
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        self.folder = pathlib.Path(folder.name)
+
+    def durable(self, files, new_after=None):
+        """A durable replica on the folder's log."""
+        storage = LogStorage(self.folder, files)
+        replica = storage.open(new_after)
+        return DurableReplica(replica, storage.save, Random(1).random, Observer())
+
+    def begun(self):
+        """A log in which slot 1 is promised and accepted and which a restart finds."""
+        durable = self.durable(snapshot.Files(), 0)
+        self.assertEqual(durable.answer(log.Accept(1, log.Ballot(1, "a"), version(1)), 0), log.Accepted())
+        return durable
+
+    def on_disk(self):
+        """What a restart finds."""
+        return LogStorage(self.folder).open(None).durable()
+
+
+class Failures(Folder):
+    def test_each_call_once_for_a_while_and_for_good(self):
+        for call in CALLS:
+            for times in (1, 3, None):
+                with self.subTest(call, times=times), tempfile.TemporaryDirectory() as folder:
+                    self.folder = pathlib.Path(folder)
+                    self.check_outage(call, times)
+
+    def check_outage(self, call, times):
+        self.begun()
+        files = FailingFiles(call, times, errno.ENOSPC)
+        durable, now = self.durable(files), 0
+        high = log.Ballot(9, "b")
+        self.assertEqual(durable.answer(log.Prepare(1, high), now), log.NotVoting())
+        failed = durable.replica.durable()
+        # nothing more is promised, and nothing more is tried before the backoff is over
+        self.assertEqual(durable.answer(log.Prepare(1, log.Ballot(10, "c")), now), log.NotVoting())
+        self.assertEqual(durable.answer(log.Accept(1, high, version(2)), now), log.NotVoting())
+        self.assertEqual((durable.replica.durable(), files.failed), (failed, 1))
+        with self.assertRaisesRegex(DiskFailedError, os.strerror(errno.ENOSPC)):
+            durable.require_disk()
+        # a restart at any moment of it finds what was there before, or more than was promised
+        found = LogStorage(self.folder).open(None)
+        self.assertGreaterEqual(found.promised, log.Ballot(1, "a"))
+        self.assertEqual(found.accepted, log.Ballot(1, "a"))
+        for _ in range(400):  # twenty seconds
+            now += durable_replica.FIRST_RETRY // 2
+            durable.retry(now)
+        if times is None:
+            self.assertLess(files.failed, 20)
+            self.assertEqual(durable.answer(log.Prepare(1, high), now), log.NotVoting())
+            files.failing = None
+            now += durable_replica.LONGEST_RETRY
+            durable.retry(now)
+        self.assertFalse(durable.failed)
+        self.assertEqual([word for word, *_ in durable._observer.said].count("recovered"), 1)
+        self.assertEqual(
+            durable.answer(log.Prepare(1, high), now), log.Promise(log.Ballot(1, "a"), version(1))
+        )
+        self.assertEqual(self.on_disk(), durable.replica.durable())
+
+    def test_what_was_decided_is_learned_while_the_disk_fails_and_is_there_after_it(self):
+        self.begun()
+        files = FailingFiles("sync")
+        durable = self.durable(files)
+        extract = log.Extract(0, 1, ((1, version(1)),))
+        with self.assertRaises(DiskFailedError):
+            durable.answer(log.Learn(extract), 0)
+        durable.learn(log.Extract(1, 2, ((2, version(2)),)), 0)
+        self.assertEqual(durable.replica.chosen, 2)
+        files.failing = None
+        durable.retry(SECOND)
+        self.assertEqual(LogStorage(self.folder).open(None).chosen, 2)
+
+    def test_a_server_that_rejoins_on_a_disk_that_fails_votes_only_once_that_is_durable(self):
+        files = FailingFiles("replace")
+        durable = self.durable(files)
+        self.assertFalse(durable.rejoin({"b": 0, "c": 0}, 3, 0))
+        durable.learn(log.Extract(0, 1, ((1, version(1)),)), 0)
+        prepare = log.Prepare(2, log.Ballot(1, "a"))
+        self.assertEqual(durable.answer(prepare, 0), log.NotVoting())
+        self.assertIsNone(LogStorage(self.folder).open(None).votes_from)
+        files.failing = None
+        durable.retry(SECOND)
+        self.assertIsInstance(durable.answer(prepare, SECOND), log.Promise)
+        self.assertEqual(LogStorage(self.folder).open(None).votes_from, 2)
+
+    def test_a_kill_at_each_byte_of_a_write_leaves_the_log_before_it(self):
+        self.begun()
+        before = self.on_disk()
+        size = len(snapshot.pack(log_storage.KIND, log_storage.VERSION, before))
+        for after in range(size):
+            durable = self.durable(FailingFiles(kill_after=after))
+            with self.assertRaises(Killed):
+                durable.answer(log.Prepare(1, log.Ballot(2, "b")), 0)
+            self.assertEqual(self.on_disk(), before, after)
+        self.assertIsInstance(self.durable(None).answer(log.Prepare(1, log.Ballot(2, "b")), 0), log.Promise)
+
+    def test_a_file_that_failed_is_not_written_to_again(self):
+        self.begun()
+        files = FailingFiles("sync", 1)
+        self.durable(files).answer(log.Prepare(1, log.Ballot(2, "b")), 0)
+        self.assertEqual([path.name for path in self.folder.iterdir()], [log_storage.FILE])
+
+    def test_a_disk_that_can_not_be_read_does_not_pass_for_a_lost_one(self):
+        self.begun()
+        fault = OSError(errno.EIO, os.strerror(errno.EIO))
+        for new_after in (None, 0):
+            with mock.patch.object(pathlib.Path, "stat", side_effect=fault):
+                with self.assertRaisesRegex(LogStorageError, "can't be read"):
+                    LogStorage(self.folder).open(new_after)
+
+    def test_a_new_log_that_can_not_be_written_ends_the_start_with_one_line(self):
+        (self.folder / (log_storage.FILE + ".part")).mkdir()
+        words = ("--name", "c1", "--listen", "127.0.0.1:0", "--folder", str(self.folder))
+        ended = run("configuration", "serve", *words, "--new-log-after", "0")
+        self.assertEqual((ended.returncode, ended.stderr.count("\n")), (2, 2), ended.stderr)
+        self.assertIn("log write failed", ended.stderr)
+        self.assertRegex(ended.stderr, r"petrelwood: .*can't be written: Is a directory\n$")
+
+
+class InVirtualTime(unittest.TestCase):
+    """Five servers whose disks fail one after the other, some of them at a time."""
+
+    def test_no_slot_is_decided_twice_and_no_promise_leaves_before_it_is_durable(self):
+        failures = recoveries = decided = 0
+        for seed in range(SEEDS):
+            world = troubled(seed, disks=seed % 2 == 1, disk_faults=0.5)
+            self.assertEqual(world.judge(), [], seed)
+            failures += sum(one.failures for one in world.servers.values())
+            recoveries += sum(one.recoveries for one in world.servers.values())
+            decided += len(world.told)
+        self.assertGreater(min(failures, recoveries, decided), SEEDS)
+
+    def test_afterwards_all_of_them_vote_again(self):
+        for seed in range(SEEDS // 3):
+            world = troubled(seed, disks=False, disk_faults=0.5)
+            self.assertFalse(any(one.durable.failed for one in world.servers.values()))
+            record = world.record()
+            world.propose("c1", record)
+            world.heal(5)
+            self.assertNotIn(None, {one.replica.slot_of(record.id) for one in world.servers.values()}, seed)
+
+    def test_the_judge_finds_one_that_replies_before_it_is_durable(self):
+        world = troubled(1, disks=False, disk_faults=0.5, durable=Eager)
+        self.assertTrue(any("not have it on its disk" in fault for fault in world.judge()))
+
+    def test_with_two_of_five_disks_failing_records_are_decided_and_with_three_none(self):
+        for failing, slot in ((2, 1), (3, None)):
+            world = World(1, loss=0, twice=0)
+            for name in world.names[5 - failing :]:
+                world.servers[name].fault = "before"
+            record = world.record()
+            world.propose("c1", record)
+            world.run(6 * SECOND)
+            self.assertEqual(world.told.get(record.id), slot)
+            self.assertEqual(world.judge(), [])
+
+
+class Process(unittest.IsolatedAsyncioTestCase):
+    """Three real servers on one loop; the disk of one of them fails."""
+
+    async def asyncSetUp(self):
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        self.files = FailingFiles()
+        self.enterContext(mock.patch.object(server, "CATCH_UP", 0.05))
+        self.enterContext(mock.patch.object(durable_replica, "LONGEST_RETRY", SECOND // 4))
+        addresses, self.servers, sockets = {}, {}, {}
+        for name in ("c1", "c2", "c3"):
+            sockets[name] = server.bind_sockets(0, "127.0.0.1")
+            addresses[name] = sockets[name][0].getsockname()
+        self.log = structlog.testing.CapturingLogger()
+        logger = structlog.wrap_logger(
+            self.log, processors=[lambda _, __, event: ((event.pop("event"),), event)]
+        )
+        for name in addresses:
+            storage = LogStorage(pathlib.Path(folder.name) / name, self.files if name == "c1" else None)
+            peers = {other: address for other, address in addresses.items() if other != name}
+            self.servers[name] = server.ConfigurationServer(
+                name, peers, storage.open(0), storage.save, logger if name == "c1" else structlog.get_logger()
+            )
+            self.servers[name].add_sockets(sockets[name])
+            self.addCleanup(self.servers[name].end)
+        self.tasks = [
+            asyncio.create_task(work)
+            for one in self.servers.values()
+            for work in (one.follow(), one.watch_disk())
+        ]
+        self.addCleanup(lambda: [task.cancel() for task in self.tasks])
+        self.clients = {name: RpcClient(address, messages.MOST) for name, address in addresses.items()}
+        for client in self.clients.values():
+            self.addCleanup(client.close)
+
+    async def call(self, name, method, params):
+        return await self.clients[name].call(method, params, PATIENT)
+
+    async def append(self, name, n):
+        (slot,) = await self.call(name, "append", [list(version(n))])
+        return slot
+
+    async def test_it_says_so_does_not_vote_and_rejoins(self):
+        self.assertEqual(await self.append("c1", 1), 1)
+        self.files.failing, self.files.number = "write", errno.ENOSPC
+        # c2 has a quorum without it; c1 fails at the first message of this and learns what is decided
+        self.assertEqual(await self.append("c2", 2), 2)
+        self.assertEqual(await self.call("c1", "prepare", [3, 9, "x"]), ["not voting"])
+        with self.assertRaisesRegex(CallFailed, "No space left on device"):
+            await self.append("c1", 3)
+        async with asyncio.timeout(PATIENT):
+            while self.servers["c1"].replica.chosen < 2:
+                await asyncio.sleep(0.01)
+        self.assertEqual((await self.call("c1", "read", [0]))[1], 2)
+        self.assertIn("log write failed; not voting", [call.args[0] for call in self.log.calls])
+        self.servers["c3"].end()  # without it there is no quorum until c1 votes again
+        self.files.failing = None
+        async with asyncio.timeout(PATIENT):
+            while self.servers["c1"].durable.failed:
+                await asyncio.sleep(0.01)
+        self.assertIn("log written again; voting", [call.args[0] for call in self.log.calls])
+        self.assertEqual(await self.append("c1", 3), 3)
+        self.assertEqual([task for task in self.tasks if task.done()], [])
+
+
+class Identities(unittest.TestCase):
+    def test_a_wall_clock_stepped_back_to_an_earlier_start_makes_no_ballot_twice(self):
+        with mock.patch("time.time_ns", return_value=1):
+            self.assertEqual(len({server.new_identity("c1") for _ in range(100)}), 100)
+
+    def test_whatever_the_name_is_peers_accept_the_identity_and_ids_made_of_it(self):
+        for name in ("c1", "a" * 200, "\u20ac" * 64):
+            identity = server.new_identity(name)
+            messages.message("prepare", [1, 1, identity])
+            messages.record([f"{identity}.{1 << 62}", log.NO_OPERATION, 0, 0, b""])
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/test_configuration_servers.py
+++ b/tests/test_configuration_servers.py
@@ -15,7 +15,7 @@
 from test_handover import DispatcherCase
 
 from petrelwood.clocks import LoopClock
-from petrelwood.control import messages, server
+from petrelwood.control import log_storage, messages
 from petrelwood.decide.cluster import replicated_log as log
 from petrelwood.dispatch.configuration import ConfigurationFollower
 from petrelwood.links.rpc_client import CallFailed, RpcClient
@@ -146,7 +146,7 @@
         for n in (1, 2, 3):
             await self.group.append("c1", version(n))
         await self.group.kill("c5")
-        (self.folder / "c5" / server.FILE).unlink()
+        (self.folder / "c5" / log_storage.FILE).unlink()
         await self.group.start("c5")
         await self.until(lambda: "rejoined" in self.group.said("c5"))
         await self.group.kill("c3")
@@ -230,9 +230,11 @@
         )
 
     def test_a_log_that_can_not_be_used_ends_the_start_with_one_line_and_status_2(self):
-        snapshot.write(self.folder / server.FILE, server.KIND, server.VERSION, log.Replica().durable())
+        snapshot.write(
+            self.folder / log_storage.FILE, log_storage.KIND, log_storage.VERSION, log.Replica().durable()
+        )
         held = self.serve("--new-log-after", "0")
-        (self.folder / server.FILE).write_bytes(b"half of a")
+        (self.folder / log_storage.FILE).write_bytes(b"half of a")
         broken = self.serve()
         for ended, words in ((held, "holds a log"), (broken, "can't be used")):
             self.assertEqual((ended.returncode, ended.stderr.count("\n")), (2, 1), ended.stderr)
--- a/tests/test_replicated_log.py
+++ b/tests/test_replicated_log.py
@@ -42,9 +42,9 @@
     return replica
 
 
-def troubled(seed, disks, replica=Replica, steps=100):
+def troubled(seed, disks, replica=Replica, steps=100, **more):
     """A world after many troubles and proposals, all mended at the end."""
-    world = World(seed, replica=replica)
+    world = World(seed, replica=replica, **more)
     for _ in range(steps):
         for _ in range(2):
             world.propose(world.chance.choice(world.names), world.record())
