--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -41,14 +41,15 @@
     DISPATCHERS,
 )
 from petrelwood.bgp.heartbeats import EVERY
-from petrelwood.decide.cluster import link_state, membership, settings_change
+from petrelwood.decide.cluster import link_state, membership
 from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announced, Rollout, dwell_for
 from petrelwood.decide.overload.sliding_window import SlidingWindowCounter
-from petrelwood.dispatch.health import Health
+from petrelwood.dispatch.health import HeartbeatReporter
 from petrelwood.links import rpc, sse
 from petrelwood.links.roster import READ, RosterLink
 from petrelwood.links.worker import WorkerLink
 from petrelwood.node import roster as dns_roster
+from petrelwood.settings import comparison
 from petrelwood.settings import gateway as settings
 from petrelwood.store import state, versions
 
@@ -367,7 +368,7 @@
             old, new = (settings.read("g.kdl", texts[size]) for _ in range(2))
             names = random.Random(size).sample([rule.pattern for rule in old.functions], 40)
             rows[0].append((size, 1e3 * cost(settings.read, "g.kdl", texts[size])))
-            rows[1].append((size, 1e3 * cost(settings_change.changes, old, new)))
+            rows[1].append((size, 1e3 * cost(comparison.changes, old, new)))
             rows[2].append((size, 1e3 / len(names) * cost(look_up, old, names)))
         for kept, points in zip((read, compared, looked_up), rows, strict=True):
             kept.append(points)
@@ -384,7 +385,7 @@
 
 # What it says of itself to the speaker beside it, twenty times a second.
 class Counted:
-    """Stands in for the core, as `dispatch.health.Health` asks of it."""
+    """Stands in for the core, as `dispatch.health.HeartbeatReporter` asks of it."""
 
     def __init__(self, workers):
         self.membership = membership.Membership(PERIOD, SECOND, random.Random(1).random)
@@ -407,9 +408,9 @@
     sizes = (100, 1_000, 4_000, 20_000)
     points = []
     for _ in range(runs):
-        made = {size: Health("/nowhere", Counted(size)) for size in sizes}
-        points.append([(size, 1e3 * cost(made[size].facts)) for size in sizes])
-    said = len(msgpack.packb([1, *made[4_000].facts()]))
+        made = {size: HeartbeatReporter("/nowhere", Counted(size)) for size in sizes}
+        points.append([(size, 1e3 * cost(made[size].report)) for size in sizes])
+    said = len(msgpack.packb([1, *made[4_000].report()]))
     return [
         f"| Health: bytes of one message to the speaker beside it, 1 / {EVERY:g} a second | {said} bytes |",
         Figure("Health: the facts of one message", "workers", "ms", points),
--- a/petrelwood/dispatch/serve.py
+++ b/petrelwood/dispatch/serve.py
@@ -8,15 +8,16 @@
 import sys
 
 from petrelwood.brain import Brain
-from petrelwood.decide.cluster import settings_change
 from petrelwood.decide.cluster.rollout import DWELL, Rollout, dwell_for
 from petrelwood.dispatch import handover
 from petrelwood.dispatch.configuration import ConfigurationFollower
 from petrelwood.dispatch.dispatcher import Dispatcher
-from petrelwood.dispatch.health import Health
-from petrelwood.dispatch.stall import StallWatch
+from petrelwood.dispatch.health import HeartbeatReporter
+from petrelwood.dispatch.stall import StallDetector
 from petrelwood.fronts.mqtt import Mqtt
 from petrelwood.fronts.webhook import Webhooks
+from petrelwood.settings import comparison
+from petrelwood.settings.comparison import TakesEffect
 from petrelwood.settings.document import BadFile, read_whole
 from petrelwood.store import state, versions
 
@@ -53,12 +54,12 @@
         )
         self.ends, self.health = (
             asyncio.Event(),
-            Health(gateway.health, self.core) if gateway.health else None,
+            HeartbeatReporter(gateway.health, self.core) if gateway.health else None,
         )
 
     async def run(self):
         core, log = self.core, self.log
-        watch = StallWatch(core.loop, self.gateway.terms.tick, log)
+        watch = StallDetector(core.loop, self.gateway.terms.tick, log)
         for name in (signal.SIGTERM, signal.SIGINT):
             core.loop.add_signal_handler(name, self.ends.set)
         if self.again is not None:
@@ -81,7 +82,7 @@
                 self.successor.channel.close()
         core.intake.closing = True
         if self.health is not None:  # before anything else: traffic has to go elsewhere
-            self.health.heartbeat()
+            self.health.send_now()
         log.info("closing", owed=len(core.pending.acts), why=self.failed)
         if self.predecessor is not None:
             self.predecessor.close()
@@ -107,18 +108,18 @@
     def _take(self, new, rolls=False):
         """Takes new settings if all of them can act at once; whether it did, or there was nothing to do.
         `BY_UPGRADE` where a roll-out asks for it and it can be done by one."""
-        found = settings_change.changes(self.gateway, new)
-        when = settings_change.plan(found)
+        found = comparison.changes(self.gateway, new)
+        when = comparison.takes_effect(found)
         if (
-            when == settings_change.BY_UPGRADE
+            when == TakesEffect.BY_UPGRADE
             and rolls
             and self.spawns is not None
             and self.predecessor is not None
         ):
-            self.log.info("a version is taken by an upgrade", changes=[one.what for one in found])
-            return settings_change.BY_UPGRADE
-        told = [f"{one.what}{'; risky: ' + one.risk if one.risk else ''}" for one in found]
-        if when == settings_change.AT_ONCE:
+            self.log.info("a version is taken by an upgrade", changes=[one.description for one in found])
+            return TakesEffect.BY_UPGRADE
+        told = [one.summary() for one in found]
+        if when == TakesEffect.AT_ONCE:
             self.gateway, self.version = new, self.version + 1
             self.core.apply(new)
             self.front.apply(new)
@@ -128,7 +129,7 @@
         else:
             self.log.warning(
                 f"the new settings can act {when} only; nothing changes",
-                changes=[one.what for one in found if one.when != settings_change.AT_ONCE],
+                changes=[one.description for one in found if one.takes_effect != TakesEffect.AT_ONCE],
             )
             return False
         return True
@@ -146,10 +147,10 @@
             for _ in range(bad - self.rolled[1]):
                 rollout.ended(False)
             self.rolled = (good, bad)
-            if self.predecessor is not None and self.predecessor.machine.busy():
+            if self.predecessor is not None and self.predecessor.machine.is_busy():
                 # a hand-over is under way: the process that follows goes on with this
                 continue
-            verdict = rollout.look(self.core.clock.wall(), told)
+            verdict = rollout.look(self.core.clock.steady_wall(), told)
             if verdict is None:
                 continue
             what, number = verdict
@@ -173,7 +174,7 @@
                 self.log.error("the version is wrong", why=str(fault))
                 taken, why = False, f"it is wrong: {fault}"
             # where it succeeds, this process ends
-            while taken == settings_change.BY_UPGRADE:
+            while taken == TakesEffect.BY_UPGRADE:
                 taken = await self._upgraded()
                 if what == "back":  # what is bad is left in any case
                     await asyncio.sleep(AGAIN)
@@ -192,7 +193,8 @@
         """Begins a process that takes over with the version that the roll-out has come to, and waits. False
         if this process serves on; where it does not, this never returns. The other lives on when this one
         ends, so no asyncio transport may own it."""
-        command = self.spawns(json.dumps(self.rollout.handed()))
+        ahead = self.core.clock.wall() - self.core.clock.steady_wall()
+        command = self.spawns(json.dumps(self.rollout.handed(ahead)))
         try:
             child = await self.core.loop.run_in_executor(
                 None, lambda: subprocess.Popen(command, stdin=subprocess.DEVNULL, stdout=subprocess.DEVNULL)
@@ -202,7 +204,7 @@
             return False
         while (code := child.poll()) is None:
             await asyncio.sleep(0.1)
-        while self.predecessor.machine.busy():  # it is gone, and its end is still being seen to
+        while self.predecessor.machine.is_busy():  # it is gone, and its end is still being seen to
             await asyncio.sleep(0.05)
         self.log.error("the upgrade to a version failed", code=code)
         return False
@@ -220,7 +222,7 @@
             await self.successor.take(core.now)
             core.open_state(elsewhere=True)
             host, port = front.follow(self.successor.listeners)
-            core.tells_end = self.successor.machine.ended
+            core.tells_end = self.successor.machine.record_answer
             self.tasks.append(core.loop.create_task(self._follow()))
         else:
             host, port = front.open(self.gateway.listen)
@@ -286,7 +288,7 @@
             self._open_rest()
 
     def _gives_back(self):
-        self.failed = self.successor.machine.why
+        self.failed = self.successor.machine.reason
         self.front.pause()
         if self.core.state is not None:
             self.core.state.flush()
