--- a/benchmarks/scale/configuration_fleet.py
+++ b/benchmarks/scale/configuration_fleet.py
@@ -12,7 +12,7 @@
 
 from benchmarks.scale import size
 from petrelwood.control import messages
-from petrelwood.decide.cluster.replicated_log import CALL_OFF, VERSION, Record, packed
+from petrelwood.decide.cluster.log_records import Record, RecordKind, compress_text
 from petrelwood.decide.cluster.rollout import DWELL, Announced, Rollout, dwell_for
 from petrelwood.decide.cluster.version_watch import SECOND, CallOff, VersionWatch
 from petrelwood.emulate.configuration_servers import World
@@ -69,7 +69,7 @@
         self.chance, self.drawn = Random(seed + 1).random, Random(seed + 2)
         self.dwell = dwell_for(WITHIN) if staged else DWELL
         self.shared = None if staged else {}  # number -> Announced, of the folder that all read
-        self.body = packed(settings_text(functions))
+        self.body = compress_text(settings_text(functions))
         self.calls = calls  # answers a second of each dispatcher
         self.split, self.bad, self.sizes, self.by_server = False, set(), {}, {}
         self.published, self.decided = {}, {}  # record id -> when; version -> when
@@ -141,8 +141,10 @@
             self.shared[number] = self.shared[number]._replace(off=True)
             return
         up = [server for server in one.watch.order if self._reaches(one, server)]
-        if up and not self.world.servers[up[0]].replica.is_off(number):
-            record = Record(f"off-{number}-{one.name}", CALL_OFF, number, self.world.now, one.name.encode())
+        if up and not self.world.servers[up[0]].replica.is_revoked(number):
+            record = Record(
+                f"off-{number}-{one.name}", RecordKind.REVOCATION, number, self.world.now, one.name.encode()
+            )
             self.world.propose(up[0], record)
 
     def _catch_up(self, name):
@@ -157,7 +159,7 @@
             number = len(self.shared) + 1
             self.shared[number] = Announced(number, now, False)
         else:
-            record = Record(f"v{now}", VERSION, 0, now, self.body)
+            record = Record(f"v{now}", RecordKind.VERSION, 0, now, self.body)
             self.world.propose(server, record)
             while record.id not in self.world.told and self.world.now < now + 5 * SECOND:
                 self.world.run(SECOND // 100)
--- a/benchmarks/scale/configuration_real.py
+++ b/benchmarks/scale/configuration_real.py
@@ -23,7 +23,7 @@
 from benchmarks.scale import size
 from petrelwood.clocks import LoopClock
 from petrelwood.control import messages
-from petrelwood.decide.cluster.replicated_log import VERSION, packed
+from petrelwood.decide.cluster.log_records import RecordKind, compress_text
 from petrelwood.dispatch.configuration import ConfigurationFollower
 from petrelwood.links.rpc_client import RpcClient
 from petrelwood.settings.gateway import ConfigurationTerms
@@ -81,9 +81,9 @@
             await asyncio.sleep(seconds / 2)
             idle = time.process_time() - own
             client = RpcClient(addresses["c1"], messages.MOST)
-            body = packed(hollow.settings_text(hollow.ALL_FUNCTIONS))
+            body = compress_text(hollow.settings_text(hollow.ALL_FUNCTIONS))
             begun = time.monotonic()
-            await client.call("append", [["v1", VERSION, 0, time.time_ns(), body]], 10)
+            await client.call("append", [["v1", RecordKind.VERSION, 0, time.time_ns(), body]], 10)
             decided = time.monotonic() - begun
             client.close()
             while min(f.watch.known for f in followers) < 1:
--- a/petrelwood/cli/configuration.py
+++ b/petrelwood/cli/configuration.py
@@ -13,7 +13,7 @@
 
 from petrelwood.settings.document import BadFile
 
-APPEND_WITHIN = 5.0  # seconds for one server's answer; over `replicated_log.PATIENCE`
+APPEND_WITHIN = 5.0  # seconds for one server's answer; over `log_proposal.QUORUM_TIMEOUT`
 
 
 def add(cli, command, address):
@@ -80,14 +80,20 @@
     @told
     def publish(file, servers, id_):
         """Publishes FILE as the next version for all dispatchers."""
-        from petrelwood.decide.cluster import replicated_log as log
+        from petrelwood.decide.cluster.log_records import MAX_TEXT_SIZE, RecordKind, compress_text
         from petrelwood.settings import document, gateway
 
         gateway.read(file)
         text = document.read_whole(pathlib.Path(file))
-        if len(text.encode("utf-8")) > log.DOCUMENT:
-            raise BadFile(file, 0, f"a version has {log.DOCUMENT} bytes at most")
-        record = [id_ or secrets.token_hex(8), log.VERSION, 0, time.time_ns(), log.packed(text)]
+        if len(text.encode("utf-8")) > MAX_TEXT_SIZE:
+            raise BadFile(file, 0, f"a version has {MAX_TEXT_SIZE} bytes at most")
+        record = [
+            id_ or secrets.token_hex(8),
+            RecordKind.VERSION,
+            0,
+            time.time_ns(),
+            compress_text(text),
+        ]
         click.echo(f"version {_appended(servers, record)} is published")
 
     @command(configuration, "revoke")
@@ -95,9 +101,15 @@
     @told
     def revoke(number, servers, id_):
         """Calls version NUMBER off: who has it goes back, nobody else takes it."""
-        from petrelwood.decide.cluster import replicated_log as log
-
-        record = [id_ or f"off-{number}", log.CALL_OFF, number, time.time_ns(), b"called off by hand"]
+        from petrelwood.decide.cluster.log_records import RecordKind
+
+        record = [
+            id_ or f"off-{number}",
+            RecordKind.REVOCATION,
+            number,
+            time.time_ns(),
+            b"called off by hand",
+        ]
         _appended(servers, record)
         click.echo(f"version {number} is called off")
 
--- a/petrelwood/control/log_storage.py
+++ b/petrelwood/control/log_storage.py
@@ -3,7 +3,7 @@
 import contextlib
 import pathlib
 
-from petrelwood.decide.cluster import replicated_log as log
+from petrelwood.decide.cluster.replicated_log import Replica
 from petrelwood.errors import StorageError
 from petrelwood.store import snapshot
 
@@ -23,7 +23,7 @@
         self.path = pathlib.Path(folder) / FILE
         self._files = files or snapshot.Files()
 
-    def open(self, new_after: int | None) -> log.Replica:
+    def open(self, new_after: int | None) -> Replica:
         """The replica that the folder holds; it does not vote if there is none, as the disk was lost.
 
         `new_after`: None, or the slot after which a new log begins. Raises `LogStorageError`.
@@ -35,22 +35,22 @@
         except (snapshot.Unreadable, ValueError, TypeError) as error:
             raise LogStorageError(f"{self.path} can't be used: {error}") from error
         if new_after is None:
-            return replica or log.Replica(votes_from=None)
+            return replica or Replica(votes_from=None)
         if replica is not None:
             raise LogStorageError(f"{self.path} holds a log; a new one can't begin there")
-        replica = log.Replica(votes_from=new_after + 1)
+        replica = Replica(votes_from=new_after + 1)
         replica.chosen = new_after
         replica.changed = True
         return replica
 
-    def _read(self) -> log.Replica | None:
+    def _read(self) -> Replica | None:
         self.path.parent.mkdir(parents=True, exist_ok=True)
         try:
             self.path.stat()  # a disk that fails must not pass for one without a log
         except FileNotFoundError:
             return None
         found = snapshot.read(self.path, KIND, VERSION)
-        return None if found is None else log.Replica.restored(found[1])
+        return None if found is None else Replica.from_durable_state(found[1])
 
     def save(self, value: object) -> None:
         """Puts the log in place of the one before. Raises OSError; a restart then finds either of them."""
--- a/petrelwood/control/messages.py
+++ b/petrelwood/control/messages.py
@@ -8,19 +8,37 @@
 A record is [id, kind, number, begun, body]. The replies to the first three are [word, ...]; see `WORDS`.
 """
 
-from petrelwood.decide.cluster import replicated_log as log
-
-MOST = log.DOCUMENT * (log.TEXTS + 1)  # bytes of one message: the versions that a replica keeps, and all else
+from petrelwood.decide.cluster.log_records import (
+    MAX_TEXT_SIZE,
+    Accept,
+    Accepted,
+    Ahead,
+    Ballot,
+    Behind,
+    Extract,
+    Learn,
+    Learned,
+    NotVoting,
+    Prepare,
+    Promise,
+    Record,
+    Rejected,
+)
+from petrelwood.decide.cluster.replicated_log import RETAINED_TEXTS
+
+MOST = MAX_TEXT_SIZE * (
+    RETAINED_TEXTS + 1
+)  # bytes of one message: the versions that a replica keeps, and all else
 ID, KIND = 64, 16  # bytes of a record's id and kind at most
 LARGEST = 1 << 62  # of any number
 WORDS = {
-    "promise": log.Promise,
-    "accepted": log.Accepted,
-    "refused": log.Refused,
-    "behind": log.Behind,
-    "ahead": log.Ahead,
-    "not voting": log.NotVoting,
-    "learned": log.Learned,
+    "promise": Promise,
+    "accepted": Accepted,
+    "refused": Rejected,
+    "behind": Behind,
+    "ahead": Ahead,
+    "not voting": NotVoting,
+    "learned": Learned,
 }
 
 
@@ -51,9 +69,9 @@
     id_, kind, number, begun, body = _list(value, 5, "a record")
     if not id_:
         raise Malformed("a record needs an id")
-    if not isinstance(body, bytes) or len(body) > log.DOCUMENT:
-        raise Malformed(f"a record's body must be {log.DOCUMENT} bytes at most")
-    return log.Record(
+    if not isinstance(body, bytes) or len(body) > MAX_TEXT_SIZE:
+        raise Malformed(f"a record's body must be {MAX_TEXT_SIZE} bytes at most")
+    return Record(
         _text(id_, ID, "a record's id"),
         _text(kind, KIND, "a record's kind"),
         _number(number, "a record's number"),
@@ -63,7 +81,7 @@
 
 
 def _ballot(round_, proposer):
-    return log.Ballot(_number(round_, "a ballot's round"), _text(proposer, ID, "a ballot's proposer"))
+    return Ballot(_number(round_, "a ballot's round"), _text(proposer, ID, "a ballot's proposer"))
 
 
 def extract(value):
@@ -73,7 +91,7 @@
     for entry in _list(entries, None, "an extract's entries"):
         slot, one = _list(entry, 2, "an extract's entry")
         found.append((_number(slot, "a slot"), record(one)))
-    return log.Extract(_number(since, "a slot"), _number(chosen, "a slot"), tuple(found))
+    return Extract(_number(since, "a slot"), _number(chosen, "a slot"), tuple(found))
 
 
 def since(params):
@@ -85,20 +103,20 @@
     """The message that a call carries; None for a method that is none of the log's."""
     if method == "prepare":
         slot, round_, proposer = _list(params, 3, "a prepare")
-        return log.Prepare(_number(slot, "a slot"), _ballot(round_, proposer))
+        return Prepare(_number(slot, "a slot"), _ballot(round_, proposer))
     if method == "accept":
         slot, round_, proposer, one = _list(params, 4, "an accept")
-        return log.Accept(_number(slot, "a slot"), _ballot(round_, proposer), record(one))
+        return Accept(_number(slot, "a slot"), _ballot(round_, proposer), record(one))
     if method == "learn":
-        return log.Learn(extract(params))
+        return Learn(extract(params))
     return None
 
 
 def call(sent):
     """(method, params) of a message."""
-    if isinstance(sent, log.Prepare):
+    if isinstance(sent, Prepare):
         return "prepare", [sent.slot, *sent.ballot]
-    if isinstance(sent, log.Accept):
+    if isinstance(sent, Accept):
         return "accept", [sent.slot, *sent.ballot, list(sent.record)]
     return "learn", plain(sent.extract)
 
@@ -111,11 +129,11 @@
 def result(reply):
     """A reply as plain values."""
     word = next(word for word, kind in WORDS.items() if isinstance(reply, kind))
-    if isinstance(reply, log.Promise):
+    if isinstance(reply, Promise):
         return [word, *reply.accepted, None if reply.record is None else list(reply.record)]
-    if isinstance(reply, log.Refused):
+    if isinstance(reply, Rejected):
         return [word, *reply.promised]
-    if isinstance(reply, log.Ahead):
+    if isinstance(reply, Ahead):
         return [word, plain(reply.extract)]
     return [word, *reply]
 
@@ -124,14 +142,14 @@
     """The reply that a result carries."""
     word, *rest = value if isinstance(value, list) and value else [None]
     kind = WORDS.get(word) if isinstance(word, str) else None
-    if kind is log.Promise:
+    if kind is Promise:
         round_, proposer, one = _list(rest, 3, "a promise")
-        return log.Promise(_ballot(round_, proposer), None if one is None else record(one))
-    if kind is log.Refused:
-        return log.Refused(_ballot(*_list(rest, 2, "a refusal")))
-    if kind is log.Ahead:
-        return log.Ahead(extract(_list(rest, 1, "an extract's reply")[0]))
-    if kind in (log.Behind, log.Learned):
+        return Promise(_ballot(round_, proposer), None if one is None else record(one))
+    if kind is Rejected:
+        return Rejected(_ballot(*_list(rest, 2, "a refusal")))
+    if kind is Ahead:
+        return Ahead(extract(_list(rest, 1, "an extract's reply")[0]))
+    if kind in (Behind, Learned):
         return kind(_number(_list(rest, 1, "a position")[0], "a slot"))
     if kind is None:
         raise Malformed("a reply that is not known")
--- a/petrelwood/control/server.py
+++ b/petrelwood/control/server.py
@@ -16,8 +16,9 @@
 
 from petrelwood.control import messages
 from petrelwood.control.log_storage import LogStorage, LogStorageError
-from petrelwood.decide.cluster import replicated_log as log
 from petrelwood.decide.cluster.durable_replica import DiskFailedError, DurableReplica
+from petrelwood.decide.cluster.log_proposal import MS, Proposal, Proposer
+from petrelwood.decide.cluster.log_records import Record, RecordKind
 from petrelwood.links import rpc
 from petrelwood.links.listener import Listener
 from petrelwood.links.rpc_client import CallFailed, RpcClient
@@ -50,7 +51,7 @@
         self.durable = DurableReplica(replica, write, self.chance, self)
         self.peers = {peer: RpcClient(address, messages.MOST) for peer, address in peers.items()}
         self.servers = (name, *peers)
-        self.proposer = log.Proposer(new_identity(name))
+        self.proposer = Proposer(new_identity(name))
         self.lock, self.waiting, self.streams, self.tasks = asyncio.Lock(), 0, set(), set()
         if not self.durable.save_changes(time.monotonic_ns()):
             self.durable.require_disk()
@@ -58,12 +59,14 @@
     def disk_failed(self, error, retry_in):
         """Says that the disk failed; see `DiskObserver`."""
         self.log.error(
-            "log write failed; not voting", error=error.strerror or str(error), retry_ms=retry_in // log.MS
+            "log write failed; not voting",
+            error=error.strerror or str(error),
+            retry_ms=retry_in // MS,
         )
 
     def disk_recovered(self, outage):
         """Says that the disk is well again; see `DiskObserver`."""
-        self.log.info("log written again; voting", outage_ms=outage // log.MS, chosen=self.replica.chosen)
+        self.log.info("log written again; voting", outage_ms=outage // MS, chosen=self.replica.chosen)
 
     async def watch_disk(self):
         """Writes the log again once it could not be written, with backoff."""
@@ -134,22 +137,22 @@
             self.waiting -= 1
 
     async def _decide(self, record):
-        if record.kind == log.CALL_OFF:
+        if record.kind == RecordKind.REVOCATION:
             if record.number not in self.replica.records:
                 raise CallFailed(f"there is no version {record.number}")
-            if self.replica.is_off(record.number):
+            if self.replica.is_revoked(record.number):
                 return self.replica.chosen
-        append = log.Append(
+        append = Proposal(
             self.replica, self.proposer, self.servers, record, time.monotonic_ns(), self.chance, self._send
         )
         self.current = append
-        while append.done is None and not append.failed:
+        while append.decided_slot is None and not append.failed:
             append.check(time.monotonic_ns())
             await asyncio.sleep(CHECK)
         if append.failed:
             raise CallFailed("there is no quorum; the record may come into force later")
-        self.log.info("decided", slot=append.done, kind=record.kind, id=record.id)
-        return append.done
+        self.log.info("decided", slot=append.decided_slot, kind=record.kind, id=record.id)
+        return append.decided_slot
 
     def _send(self, server, message):
         self._spawn(self._ask(server, message))
@@ -164,7 +167,7 @@
         except (CallFailed, messages.Malformed, DiskFailedError) as fault:
             self.log.debug("no reply", server=server, why=str(fault))
             return
-        self.current.reply(server, message, reply, time.monotonic_ns())
+        self.current.handle_reply(server, message, reply, time.monotonic_ns())
         self.durable.save_changes(time.monotonic_ns())
 
     # Catching up.
@@ -182,7 +185,7 @@
                 self.durable.learn(messages.extract(answer), time.monotonic_ns())
                 if self.replica.lacks_slots():
                     identity = f"{self.proposer.identity}.{self.replica.chosen}"
-                    await self.append(log.Record(identity, log.NO_OPERATION, 0, 0, b""))
+                    await self.append(Record(identity, RecordKind.NO_OPERATION, 0, 0, b""))
             except (CallFailed, messages.Malformed, DiskFailedError) as fault:
                 self.log.debug("not caught up", why=str(fault))
 
--- a/petrelwood/decide/cluster/durable_replica.py
+++ b/petrelwood/decide/cluster/durable_replica.py
@@ -11,12 +11,14 @@
 from collections.abc import Callable, Mapping
 from typing import Protocol
 
-from petrelwood.decide.cluster import replicated_log as log
+from petrelwood.decide.cluster.log_proposal import MS
+from petrelwood.decide.cluster.log_records import Extract, Learn, Message, NotVoting, Reply
+from petrelwood.decide.cluster.replicated_log import Replica
 from petrelwood.decide.overload.backoff import Backoff
 from petrelwood.errors import UnavailableError
 
-FIRST_RETRY = 100 * log.MS
-LONGEST_RETRY = 5_000 * log.MS
+FIRST_RETRY = 100 * MS
+LONGEST_RETRY = 5_000 * MS
 Save = Callable[[object], None]
 
 
@@ -39,7 +41,7 @@
 
     def __init__(
         self,
-        replica: log.Replica,
+        replica: Replica,
         save: Save,
         chance: Callable[[], float],
         observer: DiskObserver,
@@ -63,19 +65,19 @@
                 f"this server does not vote: its log can't be written: {_reason(self._error)}"
             ) from self._error
 
-    def answer(self, message: log.Message, now: int) -> log.Reply:
+    def answer(self, message: Message, now: int) -> Reply:
         """The reply to a message, once it is durable. Raises `DiskFailedError` for a `Learn` that is not."""
-        if isinstance(message, log.Learn):
+        if isinstance(message, Learn):
             reply = self.replica.answer(message)
             self.save_changes(now)
             self.require_disk()
             return reply
         if self.failed:
-            return log.NotVoting()
+            return NotVoting()
         reply = self.replica.answer(message)
-        return reply if self.save_changes(now) else log.NotVoting()
+        return reply if self.save_changes(now) else NotVoting()
 
-    def learn(self, extract: log.Extract, now: int) -> None:
+    def learn(self, extract: Extract, now: int) -> None:
         """Takes in what was decided."""
         self.replica.learn(extract)
         self.save_changes(now)
@@ -97,7 +99,7 @@
 
     def _write(self, now: int) -> None:
         try:
-            self._save(self.replica.durable())
+            self._save(self.replica.durable_state())
         except OSError as error:
             self._failed(error, now)
             return
--- /dev/null
+++ b/petrelwood/decide/cluster/log_proposal.py
@@ -0,0 +1,157 @@
+"""Having a record decided in the replicated log: the proposer's side of single-decree Paxos.
+
+Free of I/O. Times in ns of any clock that does not go back.
+"""
+
+from collections.abc import Callable, Sequence
+
+from petrelwood.decide.cluster.log_records import (
+    Accept,
+    Accepted,
+    Ahead,
+    Ballot,
+    Behind,
+    Entry,
+    Extract,
+    Learn,
+    Message,
+    Prepare,
+    Promise,
+    Record,
+    Rejected,
+    Reply,
+)
+from petrelwood.decide.cluster.replicated_log import Replica, majority
+
+MS = 1_000_000
+PHASE_TIMEOUT = 1_000 * MS  # for each phase of a ballot to find a majority, before a higher one is tried
+QUORUM_TIMEOUT = 4_000 * MS  # for a record to be decided, before its author is told that there is no quorum
+FIRST_RETRY = 20 * MS  # the first wait after a rejected ballot; doubled each time and drawn from all of it
+LONGEST_RETRY = 500 * MS
+MOST_DOUBLINGS = 8
+
+
+class Proposer:
+    """Makes the ballots of one process.
+
+    `identity`: unique to the process, so that no ballot is used twice for two records, also not after a
+    restart or the loss of a disk.
+    """
+
+    def __init__(self, identity: str) -> None:
+        self.identity = identity
+        self.round = 0
+
+    def ballot(self, above: int) -> Ballot:
+        """A new ballot whose round is over `above` and over all before it."""
+        self.round = max(self.round, above) + 1
+        return Ballot(self.round, self.identity)
+
+
+class Proposal:
+    """Has one record decided, in whichever slot is free.
+
+    `send(server, message)` is called for each message that goes out, this server's own among them; its reply
+    comes back through `handle_reply`, late or never. `decided_slot`: the record's slot once it is decided;
+    `failed`: there was no quorum in time, and the record may still be decided later: appended again under its
+    id it is found.
+    """
+
+    def __init__(
+        self,
+        replica: Replica,
+        proposer: Proposer,
+        servers: Sequence[str],
+        record: Record,
+        now: int,
+        random_fraction: Callable[[], float],
+        send: Callable[[str, Message], None],
+    ) -> None:
+        self.record = record
+        self.decided_slot: int | None = None
+        self.failed = False
+        self._replica = replica
+        self._proposer = proposer
+        self._servers = tuple(servers)
+        self._random_fraction = random_fraction
+        self._send = send
+        self._deadline = now + QUORUM_TIMEOUT
+        self._rejections = 0
+        self._start_ballot(now)
+
+    def _start_ballot(self, now: int) -> None:
+        """A new ballot in the first undecided slot."""
+        self.decided_slot = self._replica.slot_of(self.record.id)
+        if self.decided_slot is not None:
+            return
+        self._slot = self._replica.chosen + 1
+        self._ballot = self._proposer.ballot(self._replica.promised.round)
+        self._value: Record | None = None  # what this ballot proposes, once it is known
+        self._promises: dict[str, Promise] = {}
+        self._acceptors: set[str] = set()
+        self._retry_at = now + PHASE_TIMEOUT
+        self._broadcast(Prepare(self._slot, self._ballot))
+
+    def _broadcast(self, message: Message) -> None:
+        for server in self._servers:
+            self._send(server, message)
+
+    @property
+    def ended(self) -> bool:
+        """Whether the record is decided or there was no quorum in time."""
+        return self.decided_slot is not None or self.failed
+
+    def check(self, now: int) -> None:
+        """Tries a higher ballot after one that found no majority; to be called often."""
+        if self.ended:
+            return
+        if now >= self._deadline:
+            self.failed = True
+        elif now >= self._retry_at:
+            self._start_ballot(now)
+
+    def handle_reply(self, server: str, message: Message, reply: Reply, now: int) -> None:
+        """Takes in a server's reply to `message`."""
+        if self.ended or isinstance(message, Learn):
+            return
+        if isinstance(reply, Behind):
+            self._send(server, Learn(self._replica.extract(reply.chosen)))
+            self._send(server, message)
+        if message.ballot != self._ballot or message.slot != self._slot:
+            return
+        if isinstance(reply, Ahead):
+            self._replica.learn(reply.extract)
+            self._start_ballot(now)
+        elif isinstance(reply, Rejected):
+            self._handle_rejection(reply.promised, now)
+        elif isinstance(reply, Promise):
+            self._handle_promise(server, reply, now)
+        elif isinstance(reply, Accepted):
+            self._handle_acceptance(server, now)
+
+    def _handle_rejection(self, promised: Ballot, now: int) -> None:
+        """Another proposer is ahead: a wait that is drawn anew each time lets one of them finish."""
+        if promised <= self._ballot:
+            return
+        self._proposer.round = max(self._proposer.round, promised.round)
+        wait = min(FIRST_RETRY << min(self._rejections, MOST_DOUBLINGS), LONGEST_RETRY)
+        self._rejections += 1
+        self._retry_at = now + 1 + int(self._random_fraction() * wait)
+
+    def _handle_promise(self, server: str, promise: Promise, now: int) -> None:
+        self._promises[server] = promise
+        if self._value is not None or len(self._promises) < majority(len(self._servers)):
+            return
+        highest = max(self._promises.values(), key=lambda one: one.accepted)
+        self._value = self.record if highest.record is None else highest.record
+        self._retry_at = now + PHASE_TIMEOUT
+        self._broadcast(Accept(self._slot, self._ballot, self._value))
+
+    def _handle_acceptance(self, server: str, now: int) -> None:
+        self._acceptors.add(server)
+        if self._value is None or len(self._acceptors) < majority(len(self._servers)):
+            return
+        decided = Extract(self._slot - 1, self._slot, (Entry(self._slot, self._value),))
+        self._replica.learn(decided)
+        self._broadcast(Learn(decided))
+        self._start_ballot(now)
--- a/petrelwood/decide/cluster/version_watch.py
+++ b/petrelwood/decide/cluster/version_watch.py
@@ -12,7 +12,7 @@
 import hashlib
 from typing import NamedTuple
 
-from petrelwood.decide.cluster.replicated_log import CALL_OFF, VERSION
+from petrelwood.decide.cluster.log_records import RecordKind
 from petrelwood.decide.overload.backoff import Backoff
 
 SECOND = 1_000_000_000
@@ -29,7 +29,7 @@
 
     number: int
     begun: int  # wall-clock ns at which its roll-out begins, for this dispatcher
-    body: bytes  # see `replicated_log.unpacked`
+    body: bytes  # see `log_records.decompress_text`
 
 
 class CallOff(NamedTuple):
@@ -86,9 +86,9 @@
         return [one for one in fresh if one is not None]
 
     def _news(self, slot, record, wall):
-        if record.kind == CALL_OFF:
+        if record.kind == RecordKind.REVOCATION:
             return CallOff(record.number, record.body.decode("utf-8", "replace"))
-        if record.kind == VERSION:
+        if record.kind == RecordKind.VERSION:
             return Version(slot, self._begins(record.begun, wall), record.body)
         return None  # of a later build: not ours to act on
 
--- a/petrelwood/dispatch/configuration.py
+++ b/petrelwood/dispatch/configuration.py
@@ -8,7 +8,13 @@
 from collections.abc import Coroutine
 
 from petrelwood.control import messages
-from petrelwood.decide.cluster import replicated_log
+from petrelwood.decide.cluster.log_records import (
+    CorruptVersionError,
+    Extract,
+    Record,
+    RecordKind,
+    decompress_text,
+)
 from petrelwood.decide.cluster.rollout import STAGES, dwell_for
 from petrelwood.decide.cluster.version_watch import (
     ANSWER_WITHIN,
@@ -22,7 +28,7 @@
 from petrelwood.settings.gateway import ConfigurationTerms
 from petrelwood.store import versions
 
-APPEND_TIMEOUT = 5.0  # seconds; over `replicated_log.PATIENCE`
+APPEND_TIMEOUT = 5.0  # seconds; over `QUORUM_TIMEOUT`
 APPEND_RETRY_INTERVAL = 1.0  # seconds between two rounds of attempts to report a call-off
 MOST_UNSENT_CALL_OFFS = 64
 
@@ -73,7 +79,7 @@
             return
         self._apply(server, extract)
 
-    def _apply(self, server: str, extract: replicated_log.Extract) -> None:
+    def _apply(self, server: str, extract: Extract) -> None:
         """Stores an answer. The position is stored last: what a kill cuts off is read again."""
         position = self.watch.known
         try:
@@ -91,8 +97,8 @@
             versions.call_off(self.folder, event.number, event.why)
         else:
             try:
-                text = replicated_log.unpacked(event.body)
-            except replicated_log.Damaged as fault:
+                text = decompress_text(event.body)
+            except CorruptVersionError as fault:
                 self.log.error("version unreadable; skipped", number=event.number, why=str(fault))
                 return
             versions.receive(self.folder, event.number, text, event.begun)
@@ -107,9 +113,9 @@
         self._start(self._report_call_off(number, f"{self.name}: {why}"))
 
     async def _report_call_off(self, number: int, why: str) -> None:
-        record = replicated_log.Record(
+        record = Record(
             f"off-{number}-{self.name}"[: messages.ID],
-            replicated_log.CALL_OFF,
+            RecordKind.REVOCATION,
             number,
             self.clock.wall(),
             why.encode(),
--- a/petrelwood/emulate/configuration_servers.py
+++ b/petrelwood/emulate/configuration_servers.py
@@ -12,19 +12,9 @@
 from random import Random
 
 from petrelwood.decide.cluster.durable_replica import DiskFailedError, DurableReplica
-from petrelwood.decide.cluster.replicated_log import (
-    MS,
-    NO_OPERATION,
-    VERSION,
-    Accepted,
-    Append,
-    Promise,
-    Proposer,
-    Record,
-    Replica,
-    majority,
-    packed,
-)
+from petrelwood.decide.cluster.log_proposal import MS, Proposal, Proposer
+from petrelwood.decide.cluster.log_records import Accepted, Promise, Record, RecordKind, compress_text
+from petrelwood.decide.cluster.replicated_log import Replica, majority
 
 SECOND = 1000 * MS
 
@@ -37,7 +27,7 @@
     """
 
     def __init__(self, name):
-        self.name, self.disk, self.up, self.life = name, Replica().durable(), False, 0
+        self.name, self.disk, self.up, self.life = name, Replica().durable_state(), False, 0
         self.durable = self.replica = self.proposer = self.append = self.fault = None
         self.failures = self.recoveries = 0
 
@@ -108,7 +98,7 @@
     def start(self, name):
         server = self.servers[name]
         server.life += 1
-        server.up, server.replica = True, self.replica.restored(server.disk)
+        server.up, server.replica = True, self.replica.from_durable_state(server.disk)
         server.durable = self.durable(server.replica, server.save, self.chance.random, server)
         server.proposer, server.append = Proposer(f"{name}.{server.life}"), None
 
@@ -116,7 +106,7 @@
         self.servers[name].up = False
 
     def lose_disk(self, name):
-        self.servers[name].disk = Replica(votes_from=None).durable()
+        self.servers[name].disk = Replica(votes_from=None).durable_state()
 
     def keep(self, server):
         """What has changed goes to the disk, and into the book."""
@@ -142,7 +132,7 @@
         server.durable.rejoin(answers, len(self.names), self.now)
         self.keep(server)
         if server.replica.lacks_slots():
-            self.propose(name, self.record(NO_OPERATION))
+            self.propose(name, self.record(RecordKind.NO_OPERATION))
 
     def catch_up(self, name, other):
         """Anti-entropy: what the one lacks is read from the other."""
@@ -152,9 +142,9 @@
             self.note(one.replica)
 
     # Proposals.
-    def record(self, kind=VERSION):
+    def record(self, kind=RecordKind.VERSION):
         self.records += 1
-        return Record(f"r{self.records}", kind, 0, self.now, packed(f"text {self.records}"))
+        return Record(f"r{self.records}", kind, 0, self.now, compress_text(f"text {self.records}"))
 
     def propose(self, name, record):
         server = self.servers[name]
@@ -165,7 +155,7 @@
         def send(to, message):
             self.pass_on(name, to, self.arrive, name, life, to, message, box)
 
-        append = Append(
+        append = Proposal(
             server.replica, server.proposer, self.names, record, self.now, self.chance.random, send
         )
         box.append(append)
@@ -189,7 +179,7 @@
         """What leaves is what a restart at this moment would remember."""
         if not isinstance(reply, Promise | Accepted):
             return
-        disk = Replica.restored(server.disk)
+        disk = Replica.from_durable_state(server.disk)
         kept = disk.chosen >= message.slot or disk.promised >= message.ballot
         if isinstance(reply, Accepted) and disk.chosen < message.slot:
             kept = kept and (disk.accepted, disk.record) == (message.ballot, message.record)
@@ -199,7 +189,7 @@
     def replied(self, name, life, to, message, reply, box):
         server = self.servers[name]
         if server.up and server.life == life and box:
-            box[0].reply(to, message, reply, self.now)
+            box[0].handle_reply(to, message, reply, self.now)
             self.keep(server)
             self.ended(server, box[0])
 
@@ -213,11 +203,11 @@
         self.later(20 * MS, self.tick, name, life, append)
 
     def ended(self, server, append):
-        if append.done is not None:
-            known = self.told.setdefault(append.own.id, append.done)
-            if known != append.done:
-                self.faults.append(f"{append.own.id} was told {known} and {append.done}")
-        if (append.done is not None or append.failed) and server.append is append:
+        if append.decided_slot is not None:
+            known = self.told.setdefault(append.record.id, append.decided_slot)
+            if known != append.decided_slot:
+                self.faults.append(f"{append.record.id} was told {known} and {append.decided_slot}")
+        if append.ended and server.append is append:
             server.append = None
 
     # Judging.
--- a/tests/test_configuration_disk.py
+++ b/tests/test_configuration_disk.py
@@ -16,8 +16,18 @@
 from petrelwood.control import log_storage, messages, server
 from petrelwood.control.log_storage import LogStorage, LogStorageError
 from petrelwood.decide.cluster import durable_replica
-from petrelwood.decide.cluster import replicated_log as log
 from petrelwood.decide.cluster.durable_replica import DiskFailedError, DurableReplica
+from petrelwood.decide.cluster.log_records import (
+    Accept,
+    Accepted,
+    Ballot,
+    Extract,
+    Learn,
+    NotVoting,
+    Prepare,
+    Promise,
+    RecordKind,
+)
 from petrelwood.emulate.configuration_servers import SECOND, World
 from petrelwood.links.rpc_client import CallFailed, RpcClient
 from petrelwood.store import snapshot
@@ -117,12 +127,15 @@
     def begun(self):
         """A log in which slot 1 is promised and accepted and which a restart finds."""
         durable = self.durable(snapshot.Files(), 0)
-        self.assertEqual(durable.answer(log.Accept(1, log.Ballot(1, "a"), version(1)), 0), log.Accepted())
+        self.assertEqual(
+            durable.answer(Accept(1, Ballot(1, "a"), version(1)), 0),
+            Accepted(),
+        )
         return durable
 
     def on_disk(self):
         """What a restart finds."""
-        return LogStorage(self.folder).open(None).durable()
+        return LogStorage(self.folder).open(None).durable_state()
 
 
 class Failures(Folder):
@@ -137,43 +150,44 @@
         self.begun()
         files = FailingFiles(call, times, errno.ENOSPC)
         durable, now = self.durable(files), 0
-        high = log.Ballot(9, "b")
-        self.assertEqual(durable.answer(log.Prepare(1, high), now), log.NotVoting())
-        failed = durable.replica.durable()
+        high = Ballot(9, "b")
+        self.assertEqual(durable.answer(Prepare(1, high), now), NotVoting())
+        failed = durable.replica.durable_state()
         # nothing more is promised, and nothing more is tried before the backoff is over
-        self.assertEqual(durable.answer(log.Prepare(1, log.Ballot(10, "c")), now), log.NotVoting())
-        self.assertEqual(durable.answer(log.Accept(1, high, version(2)), now), log.NotVoting())
-        self.assertEqual((durable.replica.durable(), files.failed), (failed, 1))
+        self.assertEqual(durable.answer(Prepare(1, Ballot(10, "c")), now), NotVoting())
+        self.assertEqual(durable.answer(Accept(1, high, version(2)), now), NotVoting())
+        self.assertEqual((durable.replica.durable_state(), files.failed), (failed, 1))
         with self.assertRaisesRegex(DiskFailedError, os.strerror(errno.ENOSPC)):
             durable.require_disk()
         # a restart at any moment of it finds what was there before, or more than was promised
         found = LogStorage(self.folder).open(None)
-        self.assertGreaterEqual(found.promised, log.Ballot(1, "a"))
-        self.assertEqual(found.accepted, log.Ballot(1, "a"))
+        self.assertGreaterEqual(found.promised, Ballot(1, "a"))
+        self.assertEqual(found.accepted, Ballot(1, "a"))
         for _ in range(400):  # twenty seconds
             now += durable_replica.FIRST_RETRY // 2
             durable.retry(now)
         if times is None:
             self.assertLess(files.failed, 20)
-            self.assertEqual(durable.answer(log.Prepare(1, high), now), log.NotVoting())
+            self.assertEqual(durable.answer(Prepare(1, high), now), NotVoting())
             files.failing = None
             now += durable_replica.LONGEST_RETRY
             durable.retry(now)
         self.assertFalse(durable.failed)
         self.assertEqual([word for word, *_ in durable._observer.said].count("recovered"), 1)
         self.assertEqual(
-            durable.answer(log.Prepare(1, high), now), log.Promise(log.Ballot(1, "a"), version(1))
+            durable.answer(Prepare(1, high), now),
+            Promise(Ballot(1, "a"), version(1)),
         )
-        self.assertEqual(self.on_disk(), durable.replica.durable())
+        self.assertEqual(self.on_disk(), durable.replica.durable_state())
 
     def test_what_was_decided_is_learned_while_the_disk_fails_and_is_there_after_it(self):
         self.begun()
         files = FailingFiles("sync")
         durable = self.durable(files)
-        extract = log.Extract(0, 1, ((1, version(1)),))
+        extract = Extract(0, 1, ((1, version(1)),))
         with self.assertRaises(DiskFailedError):
-            durable.answer(log.Learn(extract), 0)
-        durable.learn(log.Extract(1, 2, ((2, version(2)),)), 0)
+            durable.answer(Learn(extract), 0)
+        durable.learn(Extract(1, 2, ((2, version(2)),)), 0)
         self.assertEqual(durable.replica.chosen, 2)
         files.failing = None
         durable.retry(SECOND)
@@ -183,13 +197,13 @@
         files = FailingFiles("replace")
         durable = self.durable(files)
         self.assertFalse(durable.rejoin({"b": 0, "c": 0}, 3, 0))
-        durable.learn(log.Extract(0, 1, ((1, version(1)),)), 0)
-        prepare = log.Prepare(2, log.Ballot(1, "a"))
-        self.assertEqual(durable.answer(prepare, 0), log.NotVoting())
+        durable.learn(Extract(0, 1, ((1, version(1)),)), 0)
+        prepare = Prepare(2, Ballot(1, "a"))
+        self.assertEqual(durable.answer(prepare, 0), NotVoting())
         self.assertIsNone(LogStorage(self.folder).open(None).votes_from)
         files.failing = None
         durable.retry(SECOND)
-        self.assertIsInstance(durable.answer(prepare, SECOND), log.Promise)
+        self.assertIsInstance(durable.answer(prepare, SECOND), Promise)
         self.assertEqual(LogStorage(self.folder).open(None).votes_from, 2)
 
     def test_a_kill_at_each_byte_of_a_write_leaves_the_log_before_it(self):
@@ -199,14 +213,17 @@
         for after in range(size):
             durable = self.durable(FailingFiles(kill_after=after))
             with self.assertRaises(Killed):
-                durable.answer(log.Prepare(1, log.Ballot(2, "b")), 0)
+                durable.answer(Prepare(1, Ballot(2, "b")), 0)
             self.assertEqual(self.on_disk(), before, after)
-        self.assertIsInstance(self.durable(None).answer(log.Prepare(1, log.Ballot(2, "b")), 0), log.Promise)
+        self.assertIsInstance(
+            self.durable(None).answer(Prepare(1, Ballot(2, "b")), 0),
+            Promise,
+        )
 
     def test_a_file_that_failed_is_not_written_to_again(self):
         self.begun()
         files = FailingFiles("sync", 1)
-        self.durable(files).answer(log.Prepare(1, log.Ballot(2, "b")), 0)
+        self.durable(files).answer(Prepare(1, Ballot(2, "b")), 0)
         self.assertEqual([path.name for path in self.folder.iterdir()], [log_storage.FILE])
 
     def test_a_disk_that_can_not_be_read_does_not_pass_for_a_lost_one(self):
@@ -338,7 +355,7 @@
         for name in ("c1", "a" * 200, "\u20ac" * 64):
             identity = server.new_identity(name)
             messages.message("prepare", [1, 1, identity])
-            messages.record([f"{identity}.{1 << 62}", log.NO_OPERATION, 0, 0, b""])
+            messages.record([f"{identity}.{1 << 62}", RecordKind.NO_OPERATION, 0, 0, b""])
 
 
 if __name__ == "__main__":
--- a/tests/test_configuration_servers.py
+++ b/tests/test_configuration_servers.py
@@ -16,7 +16,8 @@
 
 from petrelwood.clocks import LoopClock
 from petrelwood.control import log_storage, messages
-from petrelwood.decide.cluster import replicated_log as log
+from petrelwood.decide.cluster.log_records import MAX_TEXT_SIZE, Record, RecordKind, compress_text
+from petrelwood.decide.cluster.replicated_log import Replica
 from petrelwood.dispatch.configuration import ConfigurationFollower
 from petrelwood.links.rpc_client import CallFailed, RpcClient
 from petrelwood.settings.gateway import ConfigurationTerms
@@ -87,7 +88,7 @@
 
 
 def version(n):
-    return log.Record(f"r{n}", log.VERSION, 0, 0, log.packed(f"text {n}"))
+    return Record(f"r{n}", RecordKind.VERSION, 0, 0, compress_text(f"text {n}"))
 
 
 class Servers(unittest.IsolatedAsyncioTestCase):
@@ -183,7 +184,7 @@
         self.assertEqual((self.folder / "other" / "1.off").read_text(), "d1: it did worse")
         await self.until(lambda: not one.unsent_call_offs)
         with self.assertRaisesRegex(CallFailed, "no version 9"):
-            await self.group.append("c1", log.Record("x", log.CALL_OFF, 9, 0, b"?"))
+            await self.group.append("c1", Record("x", RecordKind.REVOCATION, 9, 0, b"?"))
 
     async def test_what_can_not_be_read_is_an_error_and_the_server_goes_on(self):
         client = RpcClient(self.group.addresses["c1"], messages.MOST)
@@ -196,7 +197,7 @@
             ("append", [["id", "version", 0, 0]]),
             ("append", [["", "version", 0, 0, b""]]),
             ("append", [["id", "version", -1, 0, b""]]),
-            ("append", [["id", "version", 0, 0, b"x" * (log.DOCUMENT + 1)]]),
+            ("append", [["id", "version", 0, 0, b"x" * (MAX_TEXT_SIZE + 1)]]),
             ("prepare", [1, 1 << 63, "c1"]),
             ("accept", [1, 1, "c1", None]),
             ("learn", [0, 1, [[1]]]),
@@ -231,7 +232,10 @@
 
     def test_a_log_that_can_not_be_used_ends_the_start_with_one_line_and_status_2(self):
         snapshot.write(
-            self.folder / log_storage.FILE, log_storage.KIND, log_storage.VERSION, log.Replica().durable()
+            self.folder / log_storage.FILE,
+            log_storage.KIND,
+            log_storage.VERSION,
+            Replica().durable_state(),
         )
         held = self.serve("--new-log-after", "0")
         (self.folder / log_storage.FILE).write_bytes(b"half of a")
--- a/tests/test_finished.py
+++ b/tests/test_finished.py
@@ -14,6 +14,10 @@
 # finished, take nothing away.
 FINISHED_BEFORE = {
     "petrelwood/clocks.py",
+    "petrelwood/decide/cluster/durable_replica.py",
+    "petrelwood/decide/cluster/log_proposal.py",
+    "petrelwood/decide/cluster/log_records.py",
+    "petrelwood/decide/cluster/replicated_log.py",
     "petrelwood/errors.py",
     "petrelwood/links/listener.py",
 }
--- a/tests/test_replicated_log.py
+++ b/tests/test_replicated_log.py
@@ -2,36 +2,33 @@
 
 import unittest
 
-from petrelwood.decide.cluster.replicated_log import (
-    CALL_OFF,
-    DOCUMENT,
-    KEPT,
-    MS,
-    TEXTS,
-    VERSION,
+from petrelwood.decide.cluster.log_proposal import MS
+from petrelwood.decide.cluster.log_records import (
+    MAX_TEXT_SIZE,
     Accept,
     Accepted,
     Ahead,
     Ballot,
     Behind,
-    Damaged,
+    CorruptVersionError,
     Extract,
     Learn,
     NotVoting,
     Prepare,
     Promise,
     Record,
-    Refused,
-    Replica,
-    packed,
-    unpacked,
+    RecordKind,
+    Rejected,
+    compress_text,
+    decompress_text,
 )
+from petrelwood.decide.cluster.replicated_log import RETAINED_RECORDS, RETAINED_TEXTS, Replica
 from petrelwood.emulate.configuration_servers import SECOND, World
 
 SEEDS = 24
 
 
-def version(n, kind=VERSION, number=0):
+def version(n, kind=RecordKind.VERSION, number=0):
     return Record(f"r{n}", kind, number, n, f"text {n}".encode())
 
 
@@ -58,8 +55,8 @@
 class Forgetful(Replica):
     """Broken on purpose: it does not keep its promises over a restart."""
 
-    def durable(self):
-        value = super().durable()
+    def durable_state(self):
+        value = super().durable_state()
         value[3:] = [[0, ""], [0, ""], None]
         return value
 
@@ -68,8 +65,8 @@
     """Broken on purpose: with its disk it loses the memory that it has lost it, and votes at once."""
 
     @classmethod
-    def restored(cls, value):
-        replica = super().restored(value)
+    def from_durable_state(cls, value):
+        replica = super().from_durable_state(value)
         replica.votes_from = replica.votes_from or 1
         return replica
 
@@ -187,7 +184,7 @@
         replica, old, new = Replica(), Ballot(1, "a"), Ballot(2, "b")
         self.assertIsInstance(replica.answer(Prepare(1, old)), Promise)
         self.assertIsInstance(replica.answer(Prepare(1, new)), Promise)
-        self.assertEqual(replica.answer(Accept(1, old, version(1))), Refused(new))
+        self.assertEqual(replica.answer(Accept(1, old, version(1))), Rejected(new))
         self.assertEqual(replica.answer(Accept(1, new, version(2))), Accepted())
         self.assertEqual(replica.answer(Prepare(1, Ballot(3, "c"))), Promise(new, version(2)))
 
@@ -208,11 +205,11 @@
         self.assertIsInstance(replica.answer(Prepare(9, Ballot(1, "a"))), Promise)
 
     def test_what_is_kept_over_a_restart_is_all_of_it(self):
-        replica = filled([version(1), version(2, CALL_OFF, 1)])
+        replica = filled([version(1), version(2, RecordKind.REVOCATION, 1)])
         replica.answer(Accept(3, Ballot(4, "a"), version(3)))
-        again = Replica.restored(replica.durable())
-        self.assertEqual(again.durable(), replica.durable())
-        self.assertEqual(again.answer(Prepare(3, Ballot(3, "z"))), Refused(Ballot(4, "a")))
+        again = Replica.from_durable_state(replica.durable_state())
+        self.assertEqual(again.durable_state(), replica.durable_state())
+        self.assertEqual(again.answer(Prepare(3, Ballot(3, "z"))), Rejected(Ballot(4, "a")))
 
 
 class Log(unittest.TestCase):
@@ -225,32 +222,34 @@
         self.assertEqual(replica.chosen, 2)
 
     def test_who_follows_gets_the_newest_version_that_stands_and_all_that_was_called_off(self):
-        replica = filled([version(1), version(2), version(3), version(4, CALL_OFF, 3)])
+        replica = filled([version(1), version(2), version(3), version(4, RecordKind.REVOCATION, 3)])
         self.assertEqual([slot for slot, _ in replica.extract(0, compact=True).entries], [2, 4])
         self.assertEqual([slot for slot, _ in replica.extract(2, compact=True).entries], [4])
         self.assertEqual(replica.extract(0, compact=True).chosen, 4)
 
     def test_what_is_kept_is_bounded_and_the_version_that_stands_is_never_dropped(self):
-        replica = filled([version(1)] + [version(n, CALL_OFF, 999) for n in range(2, 3 * KEPT)])
-        self.assertEqual(len(replica.records), KEPT + 1)
+        replica = filled(
+            [version(1)] + [version(n, RecordKind.REVOCATION, 999) for n in range(2, 3 * RETAINED_RECORDS)]
+        )
+        self.assertEqual(len(replica.records), RETAINED_RECORDS + 1)
         self.assertEqual(replica.records[1].body, b"text 1")
-        replica = filled([version(n) for n in range(1, 3 * KEPT)])
-        self.assertEqual(len(replica.records), KEPT)
-        self.assertEqual(len([r for r in replica.records.values() if r.body]), TEXTS)
+        replica = filled([version(n) for n in range(1, 3 * RETAINED_RECORDS)])
+        self.assertEqual(len(replica.records), RETAINED_RECORDS)
+        self.assertEqual(len([r for r in replica.records.values() if r.body]), RETAINED_TEXTS)
 
     def test_the_version_before_many_that_were_called_off_still_has_its_text(self):
         records = [version(1)]
-        for n in range(2, 2 * KEPT, 2):
-            records += [version(n), version(n + 1, CALL_OFF, n)]
+        for n in range(2, 2 * RETAINED_RECORDS, 2):
+            records += [version(n), version(n + 1, RecordKind.REVOCATION, n)]
         replica = filled(records)
         self.assertEqual(replica.extract(0, compact=True).entries[0], (1, version(1)))
 
     def test_the_settings_of_a_version_come_out_as_they_went_in_and_never_larger_than_they_may_be(self):
         for text in ("", "a", 'function "f-*" type="t"\n' * 13_000):
-            self.assertEqual(unpacked(packed(text)), text)
-        for body in (b"", b"no", packed("a" * (DOCUMENT + 1)), packed("a" * 99)[:-5]):
-            with self.assertRaises(Damaged):
-                unpacked(body)
+            self.assertEqual(decompress_text(compress_text(text)), text)
+        for body in (b"", b"no", compress_text("a" * (MAX_TEXT_SIZE + 1)), compress_text("a" * 99)[:-5]):
+            with self.assertRaises(CorruptVersionError):
+                decompress_text(body)
 
 
 if __name__ == "__main__":
--- a/tests/test_version_watch.py
+++ b/tests/test_version_watch.py
@@ -7,14 +7,7 @@
 from unittest.mock import Mock, patch
 
 from petrelwood.clocks import VirtualClock
-from petrelwood.decide.cluster.replicated_log import (
-    CALL_OFF,
-    NO_OPERATION,
-    VERSION,
-    Extract,
-    Record,
-    packed,
-)
+from petrelwood.decide.cluster.log_records import Extract, Record, RecordKind, compress_text
 from petrelwood.decide.cluster.rollout import STAGES, dwell_for
 from petrelwood.decide.cluster.version_watch import (
     AGAIN_MOST,
@@ -40,7 +33,7 @@
 
 
 def version(slot, begun=WALL):
-    return slot, Record(f"r{slot}", VERSION, 0, begun, b"%d" % slot)
+    return slot, Record(f"r{slot}", RecordKind.VERSION, 0, begun, b"%d" % slot)
 
 
 def extract(since, *entries):
@@ -50,7 +43,7 @@
 class Answers(unittest.TestCase):
     def test_what_is_new_comes_once_and_in_order(self):
         one = watch()
-        off = (3, Record("r3", CALL_OFF, 2, WALL, b"d9: it did worse"))
+        off = (3, Record("r3", RecordKind.REVOCATION, 2, WALL, b"d9: it did worse"))
         found = one.answered("c1", extract(0, version(2), off), 0, WALL)
         self.assertEqual(found, [Version(2, WALL, b"2"), CallOff(2, "d9: it did worse")])
         self.assertEqual(one.answered("c2", extract(0, version(2), off), 0, WALL), [])
@@ -70,7 +63,7 @@
 
     def test_records_of_other_kinds_are_passed_over(self):
         one = watch()
-        for kind in (NO_OPERATION, "of a later build"):
+        for kind in (RecordKind.NO_OPERATION, "of a later build"):
             slot = one.known + 1
             self.assertEqual(
                 one.answered("c1", extract(one.known, (slot, Record("x", kind, 0, 0, b""))), 0, WALL), []
@@ -159,9 +152,9 @@
         with tempfile.TemporaryDirectory() as folder:
             terms = ConfigurationTerms((("127.0.0.1", 1),), 13 * SECOND)
             follower = ConfigurationFollower("d1", terms, folder, VirtualClock(), random.random, Mock())
-            body = packed("settings")
-            off = (2, Record("r2", CALL_OFF, 1, WALL, b"d9: it did worse"))
-            answer = extract(0, (1, Record("r1", VERSION, 0, WALL, body)), off)
+            body = compress_text("settings")
+            off = (2, Record("r2", RecordKind.REVOCATION, 1, WALL, b"d9: it did worse"))
+            answer = extract(0, (1, Record("r1", RecordKind.VERSION, 0, WALL, body)), off)
             for fails_at in range(4):  # each file of it in turn can't be written
                 calls = [0]
 
@@ -184,8 +177,8 @@
         with tempfile.TemporaryDirectory() as folder:
             terms = ConfigurationTerms((("127.0.0.1", 1),), 13 * SECOND)
             follower = ConfigurationFollower("d1", terms, folder, VirtualClock(), random.random, Mock())
-            good = Record("r2", VERSION, 0, WALL, packed("settings"))
-            answer = extract(0, (1, Record("r1", VERSION, 0, WALL, b"damaged")), (2, good))
+            good = Record("r2", RecordKind.VERSION, 0, WALL, compress_text("settings"))
+            answer = extract(0, (1, Record("r1", RecordKind.VERSION, 0, WALL, b"damaged")), (2, good))
             follower._apply("127.0.0.1:1", answer)
             self.assertEqual((follower.watch.known, versions.position(folder)), (2, 2))
             self.assertEqual([a.number for a in versions.announced(folder)], [2])
