--- a/petrelwood/emulate/link.py
+++ b/petrelwood/emulate/link.py
@@ -89,7 +89,7 @@
 
     # What the core asks.
     def run(self, act, n, fn, mark, left, lanes, body):
-        call = Call("run", act, n, fn, self.core.now(), (mark, left, body))
+        call = Call("run", act, n, fn, self.core.now(), (mark, self.core.now() + left, body))
         self.runs[act, n] = call
         self._call(call)
 
@@ -164,11 +164,16 @@
             call = self.waiting[0]
             if call.kind == "hold" and not self.core.leaves(call.at):
                 self._end(call, send_outcome.of_recall(call.stage))
+            elif call.kind == "run" and call.args[1] <= self.core.now():
+                self._end(call, send_outcome.of_time(call.stage))
             else:
                 self._hand(self.waiting.popleft())
 
     def _hand(self, call):
         call.stage = send_outcome.HANDED
+        if call.kind == "run":  # the time that is left is told as it leaves
+            mark, until, body = call.args
+            call.args = (mark, until - self.core.now(), body)
         self.out[id(call)] = call
         if not self.platform.is_cut(self.core.name, self.node.hall):
             self.platform.after(self.way(), self._arrives, call, self.life)
--- a/petrelwood/links/calls.py
+++ b/petrelwood/links/calls.py
@@ -1,6 +1,7 @@
 """What a link to a worker has been asked and has not ended yet: the queue, the stages and how each call ends.
 
-Shared by the links of all protocols. What an end proves is decided in `decide.delivery.send_outcome`. `core`
+Shared by the links of all protocols. A frame is encoded as it leaves, since a send's time left is part of it.
+What an end proves is decided in `decide.delivery.send_outcome`. `core`
 hears of each end, through `soon`: `returned`, `held`, `probed`; never from within a method that it has called
 itself."""
 
@@ -12,18 +13,30 @@
 class Call:
     """One send, order or probe. `tag` names it among those that are out; `line` is the connection that has
     it, where there are several; `until` (ns) is when a send's time is up, whether its activation still lives
-    or not."""
+    or not. `content` is what its frame is made of when it leaves, `size` the bytes that it counts for while
+    it waits."""
 
-    __slots__ = ("kind", "act", "n", "fn", "at", "frame", "stage", "tag", "line", "until")
+    __slots__ = ("kind", "act", "n", "fn", "at", "content", "size", "stage", "tag", "line", "until")
 
-    def __init__(self, kind, act, n, fn, at, frame, tag, until=None):
-        self.kind, self.act, self.n, self.fn, self.at, self.until = kind, act, n, fn, at, until
-        self.frame, self.stage, self.tag, self.line = frame, send_outcome.WAITING, tag, None
+    def __init__(self, kind, act, n, fn, at, content, size, tag, until=None):
+        self.kind = kind
+        self.act = act
+        self.n = n
+        self.fn = fn
+        self.at = at
+        self.content = content
+        self.size = size
+        self.stage = send_outcome.WAITING
+        self.tag = tag
+        self.line = None
+        self.until = until
 
 
 class Calls:
-    """The calls of one link. Subclasses move them: `_wait` in, `_hand` out, `_notice_end` for what a worker
-    should give up."""
+    """The calls of one link. Subclasses move them: `_wait` in, `_hand` out, `_encode` for the bytes of one,
+    `_notice_end` for what a worker should give up."""
+
+    LEAST_LEFT = 1  # ns that a send must have left to leave: the unit in which its worker is told
 
     def __init__(self, worker, address, core):
         self.worker, self.address, self.core = worker, address, core
@@ -65,19 +78,30 @@
 
     def _wait(self, call):
         self.waiting.append(call)
-        self.waiting_bytes += len(call.frame)
+        self.waiting_bytes += call.size
 
     def _hand(self, call):
-        """It leaves our queue for the socket; its bytes."""
-        frame, call.frame, call.stage = call.frame, None, send_outcome.HANDED
+        """It leaves our queue for the socket; its bytes. A send tells its worker the time that is left now:
+        it may have waited for as long as a connection takes to come up."""
+        frame = self._encode(call)
+        call.content = None
+        call.stage = send_outcome.HANDED
         self.out[call.tag] = call
-        self.waiting_bytes -= len(frame)
+        self.waiting_bytes -= call.size
         self.counts["sent"] += 1
         return frame
 
+    def _encode(self, call):
+        """The bytes of a call."""
+        raise NotImplementedError
+
     def _may_leave(self, call):
         """Whether the first that waits may still be handed over; what may not is ended. An order that has
-        waited is held against the ration as it is now: it counts when it arrives, not when it was given."""
+        waited is held against the ration as it is now: it counts when it arrives, not when it was given. A
+        send whose time is up never leaves, which proves that it never ran."""
+        if call.kind == "run" and call.until - self.core.now() < self.LEAST_LEFT:
+            self._end(call, send_outcome.of_time(call.stage))
+            return False
         if call.kind != "hold" or self.core.leaves(call.at):
             return True
         self.counts["recalled"] += 1
@@ -100,7 +124,7 @@
         if call.stage == send_outcome.WAITING:
             try:
                 self.waiting.remove(call)
-                self.waiting_bytes -= len(call.frame)
+                self.waiting_bytes -= call.size
             except ValueError:
                 return
         elif self.out.pop(call.tag, None) is None:
--- a/petrelwood/links/worker.py
+++ b/petrelwood/links/worker.py
@@ -19,6 +19,8 @@
 from petrelwood.links.calls import Call, Calls
 
 BATCH = 65_536  # bytes handed to the socket at a time; the rest waits here and can be taken back
+# bytes of a run beside its mark and its body, and of another call, with which they count while they wait
+RUN_FIELDS, FIELDS = 160, 64
 GAUGES = ("running", "waiting", "cores", "pinned", "loads")
 
 
@@ -33,24 +35,25 @@
 
     # What the dispatcher asks.
     def run(self, act, n, fn, mark, left, lanes, body):
-        self._call("run", act, n, fn, [act, n, fn, mark, left, lanes, body], self.core.now() + left)
+        size = RUN_FIELDS + len(mark) + len(body)
+        self._call("run", act, n, fn, (mark, lanes, body), size, self.core.now() + left)
 
     def hold(self, fn, lanes, copies):
-        self._call("hold", None, copies, fn, [fn, lanes, copies])
+        self._call("hold", None, copies, fn, [fn, lanes, copies], FIELDS)
 
     def probe(self):
-        self._call("probe", None, 0, None, [])
+        self._call("probe", None, 0, None, [], FIELDS)
 
-    def _call(self, kind, act, n, fn, params, until=None):
+    def _call(self, kind, act, n, fn, content, size, until=None):
         now = self.core.now()
         self.last = (self.last + 1) & 0xFFFFFFFF
-        call = Call(kind, act, n, fn, now, rpc.request(self.last, kind, params), self.last, until)
+        call = Call(kind, act, n, fn, now, content, size, self.last, until)
         if kind == "run":
             self.runs[act, n] = call
         wish = self.state.wants(now)
         if wish == "refuse":
             self._tell(call, send_outcome.of_loss(send_outcome.WAITING))
-        elif self.waiting_bytes + len(call.frame) > self.terms.queue:
+        elif self.waiting_bytes + call.size > self.terms.queue:
             self._tell(call, send_outcome.of_crowding())
         else:
             self._wait(call)
@@ -76,6 +79,13 @@
             if chunk:
                 self._write(b"".join(chunk))
 
+    def _encode(self, call):
+        params = call.content
+        if call.kind == "run":
+            mark, lanes, body = params
+            params = [call.act, call.n, call.fn, mark, call.until - self.core.now(), lanes, body]
+        return rpc.request(call.tag, call.kind, params)
+
     def _write(self, data):
         try:
             done = self.stream.write(data)
@@ -171,7 +181,7 @@
         if verdict == "give up":
             self.give_up("nothing was heard in time")
         elif verdict == "ping":
-            self._call("probe", None, 0, None, [])
+            self.probe()
         for call in self._overdue_calls(now, self.terms.order_within):
             self._end(call, send_outcome.of_time(call.stage))
         for call in self._expired(now):
--- a/petrelwood/node/front.py
+++ b/petrelwood/node/front.py
@@ -306,7 +306,10 @@
         try:
             if len(params) != 2:
                 raise Wrong("a call has a map and a body")
-            ask, function, figures = asked(type_, *params, now, core.gateway.customers, core.gateway.timeouts)
+            came = core.arrived(now)
+            ask, function, figures = asked(
+                type_, *params, came, core.gateway.customers, core.gateway.timeouts
+            )
             if core.is_open(ask.id):
                 raise Wrong("an id that is open")
         except Wrong as fault:
--- a/petrelwood/node/lines.py
+++ b/petrelwood/node/lines.py
@@ -29,6 +29,9 @@
 }
 
 
+RUN_FIELDS = 192  # bytes of a run beside its body
+
+
 class Garbage(Exception):
     """The peer does not speak the protocol any more."""
 
@@ -55,6 +58,11 @@
     )
 
 
+def run_size(body):
+    """About the bytes of a `run`."""
+    return RUN_FIELDS + (len(body) + 2) // 3 * 4
+
+
 def kill(tag):
     return orjson.dumps({"type": "KILL", "req": tag}) + b"\n"
 
--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -91,6 +91,11 @@
             self.loop.call_soon(self._turn)
         return self.turns > 0
 
+    def arrived(self, now):
+        """When what is read now came, at the earliest: its client's time runs from then. Where the loop was
+        held up, it may have lain there as long."""
+        return now if now - self.beat <= BEHIND else self.beat
+
     def _turn(self):
         self.turns -= 1
         self.still = self.still - 1 if self.read == self.front.reads else QUIET
--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -17,22 +17,32 @@
 from petrelwood.node.told import MS
 
 READ = 16_384
+# ns that a frame may take to leave: what a worker reads later is told more time than its client has left
+UNSENT = 100_000_000
 
 
 class Line:
     """One connection: `open` are its calls by the id that they go under, `carried` the last ids that it has
-    carried."""
+    carried; `last` is the call that was written last, at `written` (ns)."""
 
-    __slots__ = ("stream", "up", "open", "carried", "heard", "timer")
+    __slots__ = ("stream", "up", "open", "carried", "heard", "timer", "last", "written")
 
     def __init__(self, stream, now):
         self.stream, self.up, self.open, self.carried = stream, False, {}, {}
         self.heard, self.timer = now, None
+        self.last = None
+        self.written = now
+
+    def unsent(self, call):
+        """Whether a part of this call's frame is still here."""
+        return self.last is call and self.stream.writing()
 
 
 class NodeLink(Calls):
     """`terms` as `told.WorkerTerms`; `core` hears of each end through `soon`."""
 
+    LEAST_LEFT = MS
+
     def __init__(self, worker, address, terms, core, log):
         super().__init__(worker, address, core)
         # answers other than completed, by code, since they were last told
@@ -41,19 +51,22 @@
 
     # What the dispatcher asks.
     def run(self, owed, n, left):
-        frame = lines.run(owed.id, owed.type, owed.fn, max(1, left // MS), owed.mark, owed.body)
         now = self.core.now()
-        call = Call("run", owed.id, n, owed.fn, now, frame, (owed.id, n), now + left)
-        self.runs[owed.id, n] = call
+        content = (owed.type, owed.mark, owed.body)
+        tag = (owed.id, n)
+        call = Call("run", owed.id, n, owed.fn, now, content, lines.run_size(owed.body), tag, now + left)
+        self.runs[tag] = call
         self._call(call)
 
     def hold(self, fn, lanes, copies):
         tag = self.core.next_tag()
-        self._call(Call("hold", tag, copies, fn, self.core.now(), lines.hold(tag, fn, copies), tag))
+        frame = lines.hold(tag, fn, copies)
+        self._call(Call("hold", tag, copies, fn, self.core.now(), frame, len(frame), tag))
 
     def probe(self):
         tag = self.core.next_tag()
-        self._call(Call("probe", tag, 0, None, self.core.now(), lines.probe(tag), tag))
+        frame = lines.probe(tag)
+        self._call(Call("probe", tag, 0, None, self.core.now(), frame, len(frame), tag))
 
     def _call(self, call):
         self._wait(call)
@@ -62,9 +75,14 @@
 
     def withdraw(self, act, n):
         super().withdraw(act, n)
+        self._drop_unsent(act, n, "its activation ended before all of it had left")
+
+    def _drop_unsent(self, act, n, why):
+        """A worker that reads on would begin what is over: the rest must not follow, whatever else is open on
+        that connection."""
         call = self.runs.get((act, n))
-        if call is not None and call.line.stream.writing() and len(call.line.open) == 1:
-            self._lost(call.line, "its activation ended before all of it had left")
+        if call is not None and call.line is not None and call.line.unsent(call):
+            self._lost(call.line, why)
 
     # The way out. A call's `act` is the id that it goes under.
     def pump(self):
@@ -101,10 +119,19 @@
         finally:
             self.pumping = False
 
+    def _encode(self, call):
+        if call.kind != "run":
+            return call.content
+        type_, mark, body = call.content
+        left = (call.until - self.core.now()) // MS
+        return lines.run(call.act, type_, call.fn, max(1, left), mark, body)
+
     def _put(self, line, call):
         frame = self._hand(call)
         call.line, line.open[call.act] = line, call
         connection_pool.remembers(line, call.act)
+        line.last = call
+        line.written = self.core.now()
         self.lines.remove(line)  # the last used stands at the end
         self.lines.append(line)
         try:
@@ -196,6 +223,9 @@
 
     def check(self, now):
         """Asked often while something is owed; whether it still has to be."""
+        for line in [each for each in self.lines if each.stream.writing() and now - each.written > UNSENT]:
+            if not self.core.behind():  # else it may be us who did not write
+                self._lost(line, "it does not read")
         for call in self._expired(now):
             self.late(call.act, call.n)
         for call in self._overdue_calls(now, self.terms.connect_within):
@@ -205,6 +235,7 @@
         return self.owes()
 
     def late(self, act, n):
+        self._drop_unsent(act, n, "its time was up before all of it had left")
         call = self.runs.get((act, n))
         super().late(act, n)
         if call is not None:
