--- a/petrelwood/cli/main.py
+++ b/petrelwood/cli/main.py
@@ -87,13 +87,13 @@
 
 def _run(described, file, log, level, follows, handed=None):
     from petrelwood.cli.logs import open_log
-    from petrelwood.dispatch import serve as server
+    from petrelwood.dispatch import rollout, serve
     from petrelwood.settings import gateway
 
-    def again(text=None):
+    def read_settings(text=None):
         return gateway.read(file, text)
 
-    def spawns(words):
+    def upgrade_command(rollout_state):
         return [
             sys.executable,
             "-m",
@@ -105,23 +105,20 @@
             "--level",
             level,
             "--rolled",
-            words,
+            rollout_state,
         ]
 
     own = described
     if handed and handed[0]:
-        described = server.versioned(again, own, own.versions, handed[0])
-    sys.exit(
-        server.run(
-            described,
-            open_log(log, level, dispatcher=described.name),
-            follows=follows,
-            again=again,
-            spawns=spawns,
-            own=own,
-            handed=handed,
-        )
+        described = rollout.read_version(read_settings, own, own.versions, handed[0])
+    options = serve.ServeOptions(
+        follows=follows,
+        read_settings=read_settings,
+        upgrade_command=upgrade_command,
+        own=own,
+        rollout_state=handed,
     )
+    sys.exit(serve.run(described, open_log(log, level, dispatcher=described.name), options))
 
 
 @_dispatcher("serve")
--- a/petrelwood/dispatch/configuration.py
+++ b/petrelwood/dispatch/configuration.py
@@ -2,7 +2,8 @@
 
 Which servers are polled, and what follows from an answer, is decided in `decide.cluster.version_watch`. The
 folder of versions outlives the servers: a dispatcher that restarts while none of them answers still has the
-versions that it had."""
+versions that it had.
+"""
 
 import asyncio
 from collections.abc import Coroutine
@@ -99,8 +100,10 @@
         self.log.info("version received", number=event.number, off=isinstance(event, CallOff))
 
     def call_off(self, number: int, why: str) -> None:
-        """Reports to the servers that this dispatcher has found a version bad, and retries until one of them
-        has it decided."""
+        """Reports to the servers that this dispatcher has found a version bad.
+
+        It is retried until one of them has it decided.
+        """
         if number in self.unsent_call_offs or len(self.unsent_call_offs) >= MOST_UNSENT_CALL_OFFS:
             return
         self.unsent_call_offs[number] = why
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -10,6 +10,7 @@
 
 import traceback
 from collections import deque
+from typing import NamedTuple
 
 from petrelwood import ports
 from petrelwood.brain import Brain
@@ -33,6 +34,13 @@
 RECONNECTS = 32.0  # connections tried again at once, over all links
 
 
+class Completion(NamedTuple):
+    """How activations ended in a span of time."""
+
+    share: float  # of answers that completed something; 1.0 where there was none
+    answers: int
+
+
 class Core:
     """One dispatcher. It is the module's `ports.Outlet`. `clock` as in `clocks`; `chance` a seeded
     `random.Random`; `link(worker, address, core)` makes a link: `run`, `hold`, `probe`, `cancel`, `late`,
@@ -61,7 +69,7 @@
         self.clock.at(start + LOOK, self._look)
         self.counts = {"sends": 0, "orders": 0, "probes": 0, "refused_by_guard": 0, "over_budget": 0}
         self.brain = brain(start, self.terms, gateway.seed, self)
-        self.state, self.returning, self.unkept, self.retired, self.hears_end, self.tells_end = (
+        self.state, self.returning, self.unkept, self.retired, self.on_activation_end, self.on_answer = (
             None,
             None,
             {},
@@ -69,8 +77,8 @@
             None,
             None,
         )
-        # `unsure(now)`: whether another process may own what comes
-        self.unsure = None
+        # `may_be_superseded(now)`: whether another process may own what comes
+        self.may_be_superseded = None
         self.goods, self.bads = SlidingWindowCounter(WELL, 11), SlidingWindowCounter(WELL, 11)
         if state is not None:
             self.adopt(state)
@@ -126,10 +134,10 @@
             )
 
     # A hand-over: see `decide.cluster.handover`.
-    def well(self):
-        """(share of the last ten seconds' answers that completed something, of how many)"""
+    def recent_completion(self):
+        """How the activations that were answered in the last ten seconds ended."""
         good, bad = self.goods.sum(self.now()), self.bads.sum(self.now())
-        return (good / (good + bad) if good + bad else 1.0), good + bad
+        return Completion(good / (good + bad) if good + bad else 1.0, good + bad)
 
     @property
     def answered(self):
@@ -137,26 +145,27 @@
         counts = self.pending.counts
         return counts[COMPLETED], counts[ABORTED] + counts[REJECTED]
 
-    def give_way(self, hears_end):
-        """From now on nothing new is taken or loaded here; `hears_end(customer, id, outcome, sent, body)` is
-        told how what is on hand ends."""
-        self.intake.closing, self.retired, self.hears_end = True, True, hears_end
+    def stop_admitting(self, on_end):
+        """From now on nothing new is admitted or loaded here; `on_end(customer, id, outcome, sent, body)` is
+        called for each activation that ends."""
+        self.intake.closing, self.retired, self.on_activation_end = True, True, on_end
         if self.state is not None:
             self.state.flush()
 
-    def take_back(self):
-        """The one that followed has failed: what it took is known from its log, and this one takes again."""
+    def resume_admitting(self):
+        """The successor has failed: what it admitted is read from its log, and this process admits again."""
         if self.state is not None:
             self.state.renew(self.clock.wall())
             self.adopt(self.state)
-        self.intake.closing, self.retired, self.hears_end = False, False, None
+        self.intake.closing, self.retired, self.on_activation_end = False, False, None
 
-    def heard_end(self, customer, id_, outcome, sent, body):
-        """The process before this one has finished an activation of its own."""
+    def note_predecessor_outcome(self, customer, id_, outcome, sent, body):
+        """The predecessor has finished an activation that it had in flight."""
         if self.ledger.heard((customer, id_), outcome, sent, body) and self.state is not None:
             self.state.add(recovery.END, self.clock.wall(), customer, id_, outcome, sent, body)
 
-    def old_is_gone(self):
+    def predecessor_gone(self):
+        """The predecessor has ended: the outcomes that it did not send are not known."""
         self.ledger.nobody_elsewhere()
 
     def _turn_away(self, act):
@@ -202,11 +211,11 @@
     def _ended(self, act, outcome, body):
         if outcome != LEFT:
             (self.goods if outcome == COMPLETED else self.bads).add(self.now())
-            if self.tells_end is not None:
-                self.tells_end(outcome == COMPLETED)
+            if self.on_answer is not None:
+                self.on_answer(outcome == COMPLETED)
         kept = body if outcome == COMPLETED and body is not None and len(body) <= KEPT_BODY else None
-        if self.hears_end is not None:
-            self.hears_end(*act.key, outcome, act.sends > 0, kept)
+        if self.on_activation_end is not None:
+            self.on_activation_end(*act.key, outcome, act.sends > 0, kept)
         if self.state is not None:
             self.state.add(recovery.END, self.clock.wall(), *act.key, outcome, act.sends > 0, kept)
 
@@ -325,7 +334,7 @@
 
     def _ask(self, ask, function, rule, body, exchange):
         now, key = self.now(), (ask.customer, ask.id)
-        if self.unsure is not None and self.unsure(now):
+        if self.may_be_superseded is not None and self.may_be_superseded(now):
             exchange.answer(stage.REFUSE, retry_after=self.intake.come_back(now, *key), why=stage.CLOSING)
             return
         verdict = self.intake.ask(now, self.clock.wall(), ask)
--- /dev/null
+++ b/petrelwood/dispatch/handover/channel.py
@@ -0,0 +1,105 @@
+"""One connection of a hand-over, over a Unix socket: messages behind a 4-byte length, and descriptors."""
+
+import asyncio
+import os
+import socket
+import struct
+from collections.abc import Sequence
+
+from petrelwood.dispatch.errors import MalformedMessageError, PeerLostError
+from petrelwood.dispatch.handover import messages
+from petrelwood.dispatch.handover.messages import Message
+
+LENGTH = struct.Struct("<I")
+LONGEST_MESSAGE = 1 << 20  # bytes
+READ_SIZE = 65_536  # bytes taken from the socket at a time
+MOST_DESCRIPTORS = 16  # in one read
+
+
+def _resolve(future: asyncio.Future[None]) -> None:
+    if not future.done():
+        future.set_result(None)
+
+
+class Channel:
+    """Sends and receives messages. `descriptors` are those that came with them, until somebody takes them."""
+
+    def __init__(self, sock: socket.socket, loop: asyncio.AbstractEventLoop) -> None:
+        sock.setblocking(False)
+        self.sock = sock
+        self.loop = loop
+        self.buffer = bytearray()
+        self.descriptors: list[int] = []
+        self.closed = False
+        # many tasks send at a time: one message after the other, in the order of their calls
+        self.sending = asyncio.Lock()
+
+    async def send(self, message: Message, descriptors: Sequence[int] = ()) -> None:
+        """Sends a message, and descriptors with it. Raises `PeerLostError`."""
+        body = messages.encode(message)
+        data = LENGTH.pack(len(body)) + body
+        try:
+            # descriptors ride on the first bytes; a message with some fits the socket's buffer
+            if descriptors:
+                socket.send_fds(self.sock, [data], list(descriptors))
+            else:
+                async with self.sending:
+                    await self.loop.sock_sendall(self.sock, data)
+        except OSError as fault:
+            raise PeerLostError(str(fault)) from fault
+
+    async def receive(self) -> Message:
+        """The next message. Raises `PeerLostError` and `MalformedMessageError`."""
+        while (body := self._next_body()) is None:
+            await self._read()
+        return messages.decode(body)
+
+    def _next_body(self) -> bytes | None:
+        """Takes the next message off the buffer; None where it is not complete."""
+        if len(self.buffer) < LENGTH.size:
+            return None
+        size = LENGTH.unpack_from(self.buffer)[0]
+        if size > LONGEST_MESSAGE:
+            raise MalformedMessageError("a message's length can't be")
+        end = LENGTH.size + size
+        if len(self.buffer) < end:
+            return None
+        body = bytes(self.buffer[LENGTH.size : end])
+        del self.buffer[:end]
+        return body
+
+    async def _wait_readable(self) -> None:
+        ready = self.loop.create_future()
+        self.loop.add_reader(self.sock.fileno(), _resolve, ready)
+        try:
+            await ready
+        finally:
+            self.loop.remove_reader(self.sock.fileno())
+
+    async def _read(self) -> None:
+        while True:
+            try:
+                data, descriptors, _, _ = socket.recv_fds(self.sock, READ_SIZE, MOST_DESCRIPTORS)
+                break
+            except BlockingIOError:
+                await self._wait_readable()
+            except OSError as fault:
+                raise PeerLostError(str(fault)) from fault
+        self.descriptors += descriptors
+        if not data:
+            raise PeerLostError("it closed the connection")
+        self.buffer += data
+
+    def take_descriptors(self) -> list[int]:
+        """The descriptors that came; from now on their closing is the caller's."""
+        taken = self.descriptors
+        self.descriptors = []
+        return taken
+
+    def close(self) -> None:
+        """Ends the connection, and closes the descriptors that nobody took."""
+        if not self.closed:
+            self.closed = True
+            for descriptor in self.take_descriptors():
+                os.close(descriptor)
+            self.sock.close()
--- /dev/null
+++ b/petrelwood/dispatch/handover/messages.py
@@ -0,0 +1,198 @@
+"""The messages of a hand-over, and their wire form: a msgpack list of a kind and its fields.
+
+    successor -> predecessor                            predecessor -> successor
+    ["hello", {name, pid, protocol, reads}]             ["no", reason], or ["offer", watch] with descriptors
+    ["ready"]                                           ["go", completed share, answers]
+    ["owns"], ["alive"] now and then, then              ["end", customer, id, outcome, sent, body], ...
+    ["proven"] or ["back", reason]                      ["drained"], or ["taken"]: it serves again
+
+A process of another version may send kinds or further fields that this one does not know: these are passed
+over.
+"""
+
+from collections.abc import Callable
+from dataclasses import astuple, dataclass
+from typing import Any
+
+import msgpack
+
+from petrelwood.dispatch.errors import MalformedMessageError
+
+
+@dataclass(frozen=True, slots=True)
+class Hello:
+    """What a successor says of itself. What it did not say is None."""
+
+    gateway: str | None
+    pid: int | None
+    protocol: int | None
+    reads: tuple[int, int]  # the oldest and the newest format of state that it can read
+
+
+@dataclass(frozen=True, slots=True)
+class Rejection:
+    """The predecessor does not hand over to this successor."""
+
+    reason: str
+
+
+@dataclass(frozen=True, slots=True)
+class Offer:
+    """The predecessor's listeners ride on it. `watch`: ns for which the successor has to prove itself."""
+
+    watch: int
+
+
+@dataclass(frozen=True, slots=True)
+class Ready:
+    """The successor can serve."""
+
+
+@dataclass(frozen=True, slots=True)
+class Go:
+    """From now on new activations are the successor's. How the predecessor did lately, to compare with."""
+
+    completed_share: float
+    answers: int
+
+
+@dataclass(frozen=True, slots=True)
+class Owns:
+    """The successor accepts."""
+
+
+@dataclass(frozen=True, slots=True)
+class Alive:
+    """A heartbeat of the successor."""
+
+
+@dataclass(frozen=True, slots=True)
+class Proven:
+    """The successor does as well as the predecessor did."""
+
+
+@dataclass(frozen=True, slots=True)
+class GiveBack:
+    """The successor does not do well: the predecessor is to serve again."""
+
+    reason: str
+
+
+@dataclass(frozen=True, slots=True)
+class ActivationEnded:
+    """The predecessor has finished an activation that it had in flight."""
+
+    customer: str
+    id: str
+    outcome: str
+    sent: bool  # whether it was ever sent to a worker
+    body: bytes | None  # the cached answer
+
+
+@dataclass(frozen=True, slots=True)
+class Drained:
+    """The predecessor has nothing in flight any more."""
+
+
+@dataclass(frozen=True, slots=True)
+class TakenBack:
+    """The predecessor serves again: the successor is superseded."""
+
+
+@dataclass(frozen=True, slots=True)
+class Unknown:
+    """A message of a kind that this version does not know."""
+
+    kind: str
+
+
+Message = (
+    Hello
+    | Rejection
+    | Offer
+    | Ready
+    | Go
+    | Owns
+    | Alive
+    | Proven
+    | GiveBack
+    | ActivationEnded
+    | Drained
+    | TakenBack
+    | Unknown
+)
+
+HELLO = "hello"
+UNREADABLE_FORMATS = (0, -1)  # of a successor that does not say which formats it reads
+KINDS: dict[str, Callable[..., Message]] = {
+    "no": Rejection,
+    "offer": Offer,
+    "ready": Ready,
+    "go": Go,
+    "owns": Owns,
+    "alive": Alive,
+    "proven": Proven,
+    "back": GiveBack,
+    "end": ActivationEnded,
+    "drained": Drained,
+    "taken": TakenBack,
+}
+KIND_OF = {message_type: kind for kind, message_type in KINDS.items()}
+FIELDS = {
+    "no": (str,),
+    "offer": (int,),
+    "go": ((int, float), int),
+    "back": (str,),
+    "end": (str, str, str, bool, (bytes, type(None))),
+}
+
+
+def encode(message: Message) -> bytes:
+    """The wire form of a message, without its length."""
+    if isinstance(message, Hello):
+        facts = {
+            "name": message.gateway,
+            "pid": message.pid,
+            "protocol": message.protocol,
+            "reads": message.reads,
+        }
+        return _pack([HELLO, facts])
+    return _pack([KIND_OF[type(message)], *astuple(message)])
+
+
+def _pack(fields: list[object]) -> bytes:
+    packed: bytes = msgpack.packb(fields, use_bin_type=True)
+    return packed
+
+
+def decode(data: bytes) -> Message:
+    """The message of a wire form. Raises `MalformedMessageError`."""
+    try:
+        fields = msgpack.unpackb(data, raw=False)
+    except ValueError as fault:
+        raise MalformedMessageError("a message can't be read") from fault
+    if not isinstance(fields, list) or not fields or not isinstance(fields[0], str):
+        raise MalformedMessageError("a message of another kind")
+    kind, *values = fields
+    if kind == HELLO:
+        return _hello(values)
+    if kind not in KINDS:
+        return Unknown(kind)
+    expected = FIELDS.get(kind, ())
+    values = values[: len(expected)]
+    if len(values) < len(expected) or not all(map(isinstance, values, expected)):
+        raise MalformedMessageError(f"'{kind}' without its fields")
+    return KINDS[kind](*values)
+
+
+def _hello(values: list[Any]) -> Hello | Unknown:
+    if not values or not isinstance(values[0], dict):
+        return Unknown(HELLO)
+    facts = values[0]
+    try:
+        oldest, newest = facts.get("reads", UNREADABLE_FORMATS)
+    except (TypeError, ValueError) as fault:
+        raise MalformedMessageError("a greeting without the formats that can be read") from fault
+    if not isinstance(oldest, int) or not isinstance(newest, int):
+        raise MalformedMessageError("formats that can be read must be numbers")
+    return Hello(facts.get("name"), facts.get("pid"), facts.get("protocol"), (oldest, newest))
--- /dev/null
+++ b/petrelwood/dispatch/handover/predecessor.py
@@ -0,0 +1,207 @@
+"""The side of a hand-over in the process that serves.
+
+It waits on the control socket for a successor, hands its listeners over, and finishes what it has in flight.
+Until the successor has proven itself it stands by, and serves again where that one fails. What is decided is
+in `decide.cluster.handover`.
+"""
+
+import asyncio
+import contextlib
+import pathlib
+import socket
+from collections.abc import Callable, Coroutine
+from typing import TYPE_CHECKING
+
+from petrelwood.decide.cluster import handover
+from petrelwood.dispatch.errors import HandoverError, HandoverRejectedError
+from petrelwood.dispatch.handover.channel import Channel
+from petrelwood.dispatch.handover.messages import (
+    ActivationEnded,
+    Alive,
+    Drained,
+    GiveBack,
+    Go,
+    Hello,
+    Message,
+    Offer,
+    Owns,
+    Proven,
+    Ready,
+    Rejection,
+    TakenBack,
+)
+from petrelwood.dispatch.interfaces import Logger
+from petrelwood.links.local import Bound
+from petrelwood.store import state as store
+
+if TYPE_CHECKING:
+    from petrelwood.dispatch.dispatcher import Dispatcher
+    from petrelwood.fronts.webhook import Webhooks
+
+CHECK_INTERVAL = 0.05  # seconds
+GREETING_TIMEOUT = 5.0  # seconds
+DISMISSAL_TIMEOUT = 5.0  # seconds
+
+
+class PredecessorProcess:
+    """Serves the control socket at `path`.
+
+    `on_hand_over` and `on_resume` are called beside the pause and the resumption of the webhooks,
+    `on_finished` when this process may end.
+    """
+
+    def __init__(
+        self,
+        path: str,
+        core: "Dispatcher",
+        webhooks: "Webhooks",
+        log: Logger,
+        *,
+        on_hand_over: Callable[[], object],
+        on_resume: Callable[[], object],
+        on_finished: Callable[[], object],
+    ) -> None:
+        self.path = pathlib.Path(path)
+        self.core = core
+        self.webhooks = webhooks
+        self.log = log
+        self.on_hand_over = on_hand_over
+        self.on_resume = on_resume
+        self.on_finished = on_finished
+        self.machine = handover.Predecessor()
+        self.channel: Channel | None = None
+        self.tasks: set[asyncio.Task[None]] = set()
+
+    def open(self) -> None:
+        """Takes the path over: a successor binds it anew, so the newest process is always found there."""
+        self.server = Bound(self.path, socket.SOCK_STREAM)
+        self._start(self._accept())
+        self._start(self._watch())
+
+    def _start(self, work: Coroutine[object, object, None]) -> None:
+        task = self.core.loop.create_task(work)
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
+
+    def close(self) -> None:
+        """Gives up the control socket and the successor."""
+        for task in list(self.tasks):
+            task.cancel()
+        self.server.close()
+        if self.channel is not None:
+            self.channel.close()
+
+    async def _accept(self) -> None:
+        while True:
+            sock, _ = await self.core.loop.sock_accept(self.server.sock)
+            self._start(self._serve(Channel(sock, self.core.loop)))
+
+    async def _watch(self) -> None:
+        while True:
+            await asyncio.sleep(CHECK_INTERVAL)
+            self._carry_out(self.machine.check(self.core.now()))
+            if self._just_drained():
+                self.machine.is_drained(self.core.now())
+                await self._send(Drained())
+                self._carry_out("end" if self.machine.state == handover.OVER else None)
+
+    def _just_drained(self) -> bool:
+        return (
+            self.machine.state == handover.WATCHING
+            and not self.machine.drained
+            and not self.core.pending.acts
+            and all(front.quiet() for front in self.core.fronts)
+        )
+
+    async def _send(self, message: Message) -> None:
+        try:
+            if self.channel is not None:
+                await self.channel.send(message)
+        except HandoverError as fault:
+            self._successor_lost(str(fault))
+
+    async def _serve(self, channel: Channel) -> None:
+        try:
+            hello = await asyncio.wait_for(channel.receive(), GREETING_TIMEOUT)
+            reason = self._reason_to_reject(hello)
+            if reason:
+                self.log.warning("upgrade rejected", why=reason)
+                await channel.send(Rejection(reason))
+                channel.close()
+                return
+            self.channel = channel
+            self.machine.asked(self.core.now())
+            self.log.info("upgrade started", by=hello.pid if isinstance(hello, Hello) else None)
+            await channel.send(Offer(handover.WATCH), self.webhooks.descriptors())
+            while True:
+                await self._handle(channel, await channel.receive())
+        except (TimeoutError, HandoverError) as fault:
+            channel.close()
+            if channel is self.channel:
+                self._successor_lost(str(fault) or "it said nothing")
+
+    def _reason_to_reject(self, hello: Message) -> str | None:
+        if not isinstance(hello, Hello):
+            return "it did not greet"
+        facts = {"name": hello.gateway, "protocol": hello.protocol, "reads": hello.reads}
+        reason: str | None = handover.refuses(facts, self.core.name, store.FORMAT, self.machine.busy())
+        return reason
+
+    async def _handle(self, channel: Channel, message: Message) -> None:
+        now = self.core.now()
+        match message:
+            case Ready():
+                if self.machine.ready(now) == "go":
+                    self._hand_over()
+                    completion = self.core.recent_completion()
+                    await channel.send(Go(completion.share, completion.answers))
+            case Owns():
+                self.machine.owns(now)
+                self.log.info("handed over; draining", in_flight=len(self.core.pending.acts))
+            case Alive():
+                self.machine.hears(now)
+            case Proven():
+                self._carry_out(self.machine.is_proven(now))
+            case GiveBack(reason):
+                raise HandoverRejectedError(f"it gives back: {reason}")
+
+    def _successor_lost(self, reason: str) -> None:
+        channel = self.channel
+        self.channel = None
+        if channel is not None:
+            channel.close()
+            self._carry_out(self.machine.lost(self.core.now(), reason))
+
+    def _hand_over(self) -> None:
+        """Nothing new is admitted here from now on, and all that was admitted is in the log of state."""
+        self.core.stop_admitting(self._activation_ended)
+        self.webhooks.pause()
+        self.on_hand_over()
+
+    def _activation_ended(
+        self, customer: str, id_: str, outcome: str, sent: bool, body: bytes | None
+    ) -> None:
+        self._start(self._send(ActivationEnded(customer, id_, outcome, sent, body)))
+
+    async def _dismiss(self, channel: Channel) -> None:
+        with contextlib.suppress(TimeoutError, HandoverError):
+            await asyncio.wait_for(channel.send(TakenBack()), DISMISSAL_TIMEOUT)
+        channel.close()
+
+    def _carry_out(self, action: str | None) -> None:
+        if action == "resume":
+            self._resume()
+        elif action == "end":
+            self.log.info("the new process has proven itself")
+            self.on_finished()
+
+    def _resume(self) -> None:
+        self.log.error("upgrade failed; this process serves again", why=self.machine.why)
+        self.core.resume_admitting()
+        self.webhooks.resume()
+        self.on_resume()
+        # a successor that only stood still must hear that it is superseded
+        if self.channel is not None:
+            channel = self.channel
+            self.channel = None
+            self._start(self._dismiss(channel))
--- /dev/null
+++ b/petrelwood/dispatch/handover/successor.py
@@ -0,0 +1,177 @@
+"""The side of a hand-over in the process that replaces a running one.
+
+It gets the listeners, serves on them, hears how what the predecessor has in flight ends, and gives back where
+it does worse than the predecessor did. What is decided is in `decide.cluster.handover`.
+"""
+
+import asyncio
+import contextlib
+import os
+import socket
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from petrelwood.decide.cluster import handover
+from petrelwood.dispatch.errors import HandoverError, HandoverRejectedError, PeerLostError, PeerTimeoutError
+from petrelwood.dispatch.handover.channel import Channel
+from petrelwood.dispatch.handover.messages import (
+    ActivationEnded,
+    Alive,
+    Drained,
+    GiveBack,
+    Go,
+    Hello,
+    Offer,
+    Owns,
+    Proven,
+    Ready,
+    Rejection,
+    TakenBack,
+)
+from petrelwood.dispatch.interfaces import Logger
+from petrelwood.store import state as store
+
+if TYPE_CHECKING:
+    from petrelwood.dispatch.dispatcher import Dispatcher
+
+CHECK_INTERVAL = 0.05  # seconds
+CHECKS_PER_HEARTBEAT = 5
+OFFER_TIMEOUT = 10.0  # seconds
+# ns without a check, after which this process asks itself whether it was superseded meanwhile
+STALL = 1_000_000_000
+CATCH_UP = 4 * CHECK_INTERVAL  # seconds in which is heard what came during a stall
+
+NowFunction = Callable[[], int]
+
+
+class SuccessorProcess:
+    """Takes over from the process at the control socket `path`, for the gateway `name`."""
+
+    def __init__(self, path: str, loop: asyncio.AbstractEventLoop, name: str) -> None:
+        self.path = path
+        self.loop = loop
+        self.name = name
+        self.listeners: list[socket.socket] = []
+        self.predecessor_drained = asyncio.Event()
+        self.connection: Channel | None = None
+
+    @property
+    def channel(self) -> Channel:
+        """The connection to the predecessor, once `request` has made it."""
+        if self.connection is None:
+            raise PeerLostError("there is no connection to the old process")
+        return self.connection
+
+    async def request(self, now: int) -> None:
+        """Greets the predecessor and takes its listeners. Raises `HandoverError`."""
+        self.connection = Channel(self._connect(), self.loop)
+        formats = (store.OLDEST, store.FORMAT)
+        await self.channel.send(Hello(self.name, os.getpid(), handover.FORMAT, formats))
+        try:
+            offer = await asyncio.wait_for(self.channel.receive(), OFFER_TIMEOUT)
+        except TimeoutError as fault:
+            raise PeerTimeoutError("the old process does not answer") from fault
+        if not isinstance(offer, Offer):
+            reason = offer.reason if isinstance(offer, Rejection) else offer
+            raise HandoverRejectedError(f"the old process says no: {reason}")
+        self.machine = handover.Successor(now, offer.watch)
+        self.listeners = [socket.socket(fileno=fd) for fd in self.channel.take_descriptors()]
+        if not self.listeners:
+            raise HandoverRejectedError("the old process passed no listener")
+
+    def _connect(self) -> socket.socket:
+        sock = socket.socket(socket.AF_UNIX)
+        try:
+            sock.connect(str(self.path))
+        except OSError as fault:
+            sock.close()
+            raise PeerLostError(f"nobody serves at {self.path}: {fault.strerror}") from fault
+        return sock
+
+    async def take_over(self, now: NowFunction) -> None:
+        """Says that this process can serve, and waits for the word to go. Raises `HandoverError`."""
+        self.machine.can_serve(now())
+        await self.channel.send(Ready())
+        try:
+            go = await asyncio.wait_for(self.channel.receive(), handover.READY_WITHIN / 1e9)
+        except TimeoutError as fault:
+            raise PeerTimeoutError("the old process did not give way in time") from fault
+        if not isinstance(go, Go) or self.machine.go(now(), (go.completed_share, go.answers)) != "accept":
+            raise HandoverRejectedError("the old process did not give way")
+
+    async def follow(self, core: "Dispatcher", log: Logger, on_failure: Callable[[], object]) -> None:
+        """Serves beside the predecessor until that one is gone.
+
+        Where this process fails before that, it calls `on_failure()` and returns.
+        """
+        await self.channel.send(Owns())
+        self.on_failure = on_failure
+        core.may_be_superseded = self._may_be_superseded
+        outcomes = self.loop.create_task(self._receive_outcomes(core, log))
+        self.last_check = core.now()
+        try:
+            await self._watch_itself(core, log, outcomes)
+        except HandoverError:
+            self.machine.lost(core.now())
+        finally:
+            await asyncio.wait([outcomes], timeout=None if self.machine.state == handover.PROVEN else 0)
+
+    async def _watch_itself(self, core: "Dispatcher", log: Logger, outcomes: asyncio.Task[None]) -> None:
+        checks = 0
+        while not outcomes.done():
+            await asyncio.sleep(CHECK_INTERVAL)
+            # this process stood still: what came meanwhile is heard first
+            if core.now() - self.last_check > STALL:
+                await asyncio.sleep(CATCH_UP)
+            self.last_check = core.now()
+            checks += 1
+            if checks % CHECKS_PER_HEARTBEAT == 0 and self.machine.state == handover.OWNING:
+                await self.channel.send(Alive())
+            if self.machine.state == handover.FAILED:
+                return
+            verdict = self.machine.check(core.now())
+            if verdict == "proven":
+                log.info("the upgrade has proven itself")
+                await self.channel.send(Proven())
+            elif verdict == "back":
+                log.error("upgrade failed; giving back", why=self.machine.why)
+                self.on_failure()
+                return
+
+    def _may_be_superseded(self, now: int) -> bool:
+        """Whether the predecessor may serve again: it does, or this process stood still and can't know."""
+        stalled = now - self.last_check > STALL
+        state: str = self.machine.state
+        return state == handover.FAILED or state == handover.OWNING and stalled
+
+    async def _receive_outcomes(self, core: "Dispatcher", log: Logger) -> None:
+        try:
+            while True:
+                match await self.channel.receive():
+                    case TakenBack():
+                        self.machine.state = handover.FAILED
+                        self.machine.why = "the old process serves again"
+                        log.error("upgrade taken back by the old process")
+                        self.on_failure()
+                        return
+                    case ActivationEnded(customer, id_, outcome, sent, body):
+                        core.note_predecessor_outcome(customer, id_, outcome, sent, body)
+                    case Drained():
+                        self.predecessor_drained.set()
+        except HandoverError:
+            if not self.predecessor_drained.is_set():
+                log.warning("the old process ended before it had drained")
+        self.machine.lost(core.now())
+        core.predecessor_gone()
+        self.predecessor_drained.set()
+
+    async def give_back(self, why: str) -> None:
+        """Tells the predecessor to serve again."""
+        with contextlib.suppress(HandoverError):
+            await self.channel.send(GiveBack(why))
+        self.close()
+
+    def close(self) -> None:
+        """Ends the connection, if there is one."""
+        if self.connection is not None:
+            self.connection.close()
--- a/petrelwood/dispatch/health.py
+++ b/petrelwood/dispatch/health.py
@@ -51,8 +51,10 @@
         )
 
     def _note_stall(self, now: int) -> None:
-        """Adds the time by which this report is late. The sum over the window is at least the longest stall
-        in it."""
+        """Adds the time by which this report is late.
+
+        The sum over the window is at least the longest stall in it.
+        """
         stalled = max(0, now - self.last_report - HEARTBEAT_INTERVAL)
         if stalled > HEARTBEAT_INTERVAL:
             self.stalls.add(now, stalled)
--- /dev/null
+++ b/petrelwood/dispatch/rollout.py
@@ -0,0 +1,137 @@
+"""Rolls out the versions of settings that are announced in a folder.
+
+When this dispatcher takes a version, and when it goes back, is decided in `decide.cluster.rollout`. A version
+that does worse, or can't be applied, is called off for all dispatchers.
+"""
+
+import asyncio
+import json
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from petrelwood.decide.cluster.rollout import Rollout
+from petrelwood.dispatch.interfaces import Logger
+from petrelwood.dispatch.settings_update import ReadSettings, SettingsUpdater, UpdateResult
+from petrelwood.dispatch.upgrade import Upgrader
+from petrelwood.settings.document import BadFile, read_whole
+from petrelwood.settings.gateway import Gateway
+from petrelwood.store import versions
+
+if TYPE_CHECKING:
+    from petrelwood.dispatch.dispatcher import Dispatcher
+
+POLL_INTERVAL = 1.0  # seconds between two looks at the folder
+ROLLBACK_RETRY_INTERVAL = 5.0  # seconds between two attempts to go back by an upgrade
+DID_WORSE = "it did worse"
+NOT_APPLICABLE = "it can not act without a restart, or its upgrade failed"
+
+
+@dataclass(frozen=True, slots=True)
+class VersionSource:
+    """Where the versions of one dispatcher come from."""
+
+    folder: str
+    own: Gateway  # what its own file says, which counts where no version does
+    read_settings: ReadSettings
+
+    def read(self, number: int) -> Gateway:
+        """The settings of a version; 0 for the dispatcher's own. Raises `settings.document.BadFile`."""
+        if not number:
+            return self.own
+        return read_version(self.read_settings, self.own, self.folder, number)
+
+
+def read_version(read_settings: ReadSettings, own: Gateway, folder: str, number: int) -> Gateway:
+    """The settings of a version for the dispatcher whose own file says `own`.
+
+    Raises `settings.document.BadFile`.
+    """
+    text = read_whole(versions.path_of(folder, number))
+    settings: Gateway = read_settings(text).as_of(own)
+    return settings
+
+
+class VersionRollout:
+    """Applies the versions of one folder.
+
+    `on_call_off(number, why)` reports a version that this dispatcher called off.
+    """
+
+    def __init__(
+        self,
+        rollout: Rollout,
+        source: VersionSource,
+        core: "Dispatcher",
+        log: Logger,
+        updater: SettingsUpdater,
+        upgrader: Upgrader,
+        on_call_off: Callable[[int, str], object],
+    ) -> None:
+        self.rollout = rollout
+        self.source = source
+        self.core = core
+        self.log = log
+        self.updater = updater
+        self.upgrader = upgrader
+        self.on_call_off = on_call_off
+
+    async def run(self, answers_counted: tuple[int, int]) -> None:
+        """Follows the folder until it is cancelled.
+
+        `answers_counted`: those that say nothing of a version, as `Dispatcher.answered`.
+        """
+        completed, failed = answers_counted
+        while True:
+            await asyncio.sleep(POLL_INTERVAL)
+            announced = await self.core.loop.run_in_executor(None, versions.announced, self.source.folder)
+            completed_now, failed_now = self.core.answered
+            for _ in range(completed_now - completed):
+                self.rollout.ended(True)
+            for _ in range(failed_now - failed):
+                self.rollout.ended(False)
+            completed, failed = completed_now, failed_now
+            if self.upgrader.handing_over:
+                # the successor goes on with this
+                continue
+            verdict = self.rollout.look(self.core.clock.wall(), announced)
+            if verdict is not None:
+                await self._carry_out(*verdict)
+
+    async def _carry_out(self, what: str, number: int) -> None:
+        """`what`: "take" a version, or go "back" to the one with this number."""
+        is_rollback = what != "take"
+        called_off: int | None = self.rollout.calls_off
+        event = "rolling back to a version" if is_rollback else "applying a version"
+        self.log.info(event, number=number, calls_off=called_off)
+        # at once: the other dispatchers must not wait for what is done here
+        if called_off is not None:
+            await self._call_off(called_off, DID_WORSE)
+        reason = NOT_APPLICABLE
+        try:
+            new = await self.core.loop.run_in_executor(None, self.source.read, number)
+            result = await self._apply(new, is_rollback)
+        except BadFile as fault:
+            self.log.error("version invalid", why=str(fault))
+            result = UpdateResult.NOT_APPLIED
+            reason = f"it is wrong: {fault}"
+        if result is UpdateResult.NOT_APPLIED and not is_rollback:
+            self.rollout.could_not()
+            await self._call_off(number, reason)
+
+    async def _apply(self, new: Gateway, is_rollback: bool) -> UpdateResult:
+        """Applies settings, by an upgrade where it must be: a version that is bad is left in any case."""
+        result = self.updater.update(new, self.upgrader.available)
+        while result is UpdateResult.NEEDS_UPGRADE:
+            await self.upgrader.run(json.dumps(self.rollout.handed()))
+            result = UpdateResult.NOT_APPLIED
+            if is_rollback:
+                await asyncio.sleep(ROLLBACK_RETRY_INTERVAL)
+                result = self.updater.update(new, self.upgrader.available)
+        return result
+
+    async def _call_off(self, number: int, why: str) -> None:
+        """For whoever reads the same folder, and by the configuration servers for all others."""
+        reason = f"{self.updater.gateway.name}: {why}"
+        await self.core.loop.run_in_executor(None, versions.call_off, self.source.folder, number, reason)
+        self.on_call_off(number, why)
--- /dev/null
+++ b/petrelwood/dispatch/settings_update.py
@@ -0,0 +1,74 @@
+"""Applies new settings to a running dispatcher: as a whole or not at all."""
+
+import enum
+from typing import TYPE_CHECKING, Protocol
+
+from petrelwood.dispatch.interfaces import Logger
+from petrelwood.settings import comparison
+from petrelwood.settings.comparison import Change, TakesEffect
+from petrelwood.settings.gateway import Gateway
+
+if TYPE_CHECKING:
+    from petrelwood.dispatch.dispatcher import Dispatcher
+    from petrelwood.fronts.webhook import Webhooks
+
+
+class ReadSettings(Protocol):
+    """Reads the settings anew, from the dispatcher's file or from `text`.
+
+    Raises `settings.document.BadFile`.
+    """
+
+    def __call__(self, text: str | None = None) -> Gateway:
+        """The settings."""
+
+
+class UpdateResult(enum.Enum):
+    """What became of new settings."""
+
+    APPLIED = enum.auto()  # or there was nothing to change
+    NOT_APPLIED = enum.auto()
+    NEEDS_UPGRADE = enum.auto()
+
+
+class SettingsUpdater:
+    """Holds the settings in force. Each update that is applied has a version of its own, for the log."""
+
+    def __init__(self, gateway: Gateway, core: "Dispatcher", front: "Webhooks", log: Logger) -> None:
+        self.gateway = gateway
+        self.core = core
+        self.front = front
+        self.log = log
+        self.version = 1
+
+    def update(self, new: Gateway, can_upgrade: bool = False) -> UpdateResult:
+        """Applies settings if all of their changes can act at once.
+
+        `can_upgrade`: whether an upgrade may follow where they can't.
+        """
+        changes = comparison.changes(self.gateway, new)
+        when = comparison.takes_effect(changes)
+        if when is None:
+            self.log.info("settings unchanged")
+            return UpdateResult.APPLIED
+        if when == TakesEffect.AT_ONCE:
+            self._apply(new, changes)
+            return UpdateResult.APPLIED
+        if when == TakesEffect.BY_UPGRADE and can_upgrade:
+            self.log.info("version needs an upgrade", changes=[change.description for change in changes])
+            return UpdateResult.NEEDS_UPGRADE
+        self.log.warning(
+            "new settings not applied",
+            applicable=when,
+            changes=[change.description for change in changes if change.takes_effect != TakesEffect.AT_ONCE],
+        )
+        return UpdateResult.NOT_APPLIED
+
+    def _apply(self, new: Gateway, changes: list[Change]) -> None:
+        self.gateway = new
+        self.version += 1
+        self.core.apply(new)
+        self.front.apply(new)
+        self.log.info(
+            "settings applied", version=self.version, changes=[change.summary() for change in changes]
+        )
--- a/petrelwood/dispatch/stall.py
+++ b/petrelwood/dispatch/stall.py
@@ -15,8 +15,10 @@
 
 
 class StallDetector:
-    """A timer on the loop shows that it runs; a thread of its own checks that. Each stall is logged once it
-    is over, with the stack that the loop's thread had when it was detected."""
+    """A timer on the loop shows that it runs; a thread of its own checks that.
+
+    Each stall is logged once it is over, with the stack that the loop's thread had when it was detected.
+    """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, tick: int, log: Logger, most_lines: int = MOST_LINES
--- /dev/null
+++ b/petrelwood/dispatch/upgrade.py
@@ -0,0 +1,65 @@
+"""Starts a process that takes over from this one, for a version that can't act without an upgrade."""
+
+import asyncio
+import subprocess
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from petrelwood.dispatch.handover.predecessor import PredecessorProcess
+from petrelwood.dispatch.interfaces import Logger
+
+if TYPE_CHECKING:
+    from petrelwood.dispatch.dispatcher import Dispatcher
+
+EXIT_CHECK_INTERVAL = 0.1  # seconds
+HANDOVER_CHECK_INTERVAL = 0.05  # seconds
+
+UpgradeCommand = Callable[[str], list[str]]
+"""The command line of the successor, from the state of the roll-out as JSON."""
+
+
+class Upgrader:
+    """`command`: None where no process can be started; `predecessor`: None without a control socket."""
+
+    def __init__(
+        self,
+        core: "Dispatcher",
+        log: Logger,
+        command: UpgradeCommand | None,
+        predecessor: PredecessorProcess | None,
+    ) -> None:
+        self.core = core
+        self.log = log
+        self.command = command
+        self.predecessor = predecessor
+
+    @property
+    def available(self) -> bool:
+        """Whether an upgrade can be started at all."""
+        return self.command is not None and self.predecessor is not None
+
+    @property
+    def handing_over(self) -> bool:
+        """Whether a hand-over is under way, whoever started it."""
+        return self.predecessor is not None and bool(self.predecessor.machine.busy())
+
+    async def run(self, rollout_state: str) -> None:
+        """Starts a successor and returns when it has failed: where it succeeds, this process ends.
+
+        The successor outlives this process, so no asyncio transport may own it.
+        """
+        if self.command is None:
+            return
+        command = self.command(rollout_state)
+        try:
+            child = await self.core.loop.run_in_executor(
+                None, lambda: subprocess.Popen(command, stdin=subprocess.DEVNULL, stdout=subprocess.DEVNULL)
+            )
+        except OSError as fault:
+            self.log.error("starting an upgrade failed", why=str(fault))
+            return
+        while (code := child.poll()) is None:
+            await asyncio.sleep(EXIT_CHECK_INTERVAL)
+        while self.handing_over:  # it is gone, and this process has not resumed yet
+            await asyncio.sleep(HANDOVER_CHECK_INTERVAL)
+        self.log.error("upgrade to a version failed", code=code)
--- a/petrelwood/settings/gateway.py
+++ b/petrelwood/settings/gateway.py
@@ -117,12 +117,12 @@
     terms: ports.Terms
     tls: object  # of the webhook front: links.tls.Identity, or None
     worker_tls: object
-    mqtt: object  # MqttTerms, or None
-    early: object  # EarlyTerms, or None: nothing is loaded ahead
-    history: object  # HistoryTerms, or None
-    state: object  # StateTerms, or None: nothing survives
+    mqtt: MqttTerms | None
+    early: EarlyTerms | None  # None: nothing is loaded ahead
+    history: HistoryTerms | None
+    state: StateTerms | None  # None: nothing survives
     versions: str  # folder of versions that are rolled out over all; "": there is none
-    configuration: object  # ConfigurationTerms, or None: others fill that folder
+    configuration: ConfigurationTerms | None  # None: others fill that folder
     control: str  # path of the socket for hand-overs; "": there are none
     health: str  # path of the socket of a speaker beside it, that hears its beats; "": there is none
     damps: bool  # whether storms are damped: on unless the file turns it off
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -82,4 +82,4 @@
 
 if __name__ == "__main__":
     brain = break_rule(sys.argv[1])
-    sys.exit(serve.run(gateway.read(sys.argv[2]), open_log("json"), brain))
+    sys.exit(serve.run(gateway.read(sys.argv[2]), open_log("json"), serve.ServeOptions(brain)))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -18,7 +18,8 @@
 from rig import KEY, Roster, Worker, answer
 
 from petrelwood.decide.cluster import handover
-from petrelwood.dispatch.handover import Channel
+from petrelwood.dispatch.handover import messages
+from petrelwood.dispatch.handover.channel import Channel
 from petrelwood.standins.caller import Broken, Caller
 from petrelwood.store import versions
 
@@ -103,12 +104,15 @@
     async def test_messages_of_many_tasks_stay_whole_and_in_their_order(self):
         loop, pair = asyncio.get_running_loop(), socket.socketpair(socket.AF_UNIX)
         ours, theirs = (Channel(sock, loop) for sock in pair)
-        told = [("end", "x", f"m{i}", "completed", True, bytes([i % 256]) * 4000) for i in range(400)]
-        tasks = [asyncio.ensure_future(ours.send(*message)) for message in told]
+        told = [
+            messages.ActivationEnded("x", f"m{i}", "completed", True, bytes([i % 256]) * 4000)
+            for i in range(400)
+        ]
+        tasks = [asyncio.ensure_future(ours.send(message)) for message in told]
         await asyncio.sleep(0)
         self.assertFalse(all(task.done() for task in tasks))  # more than the socket holds
         for message in told:
-            self.assertEqual(tuple(await asyncio.wait_for(theirs.receive(), 30)), message)
+            self.assertEqual(await asyncio.wait_for(theirs.receive(), 30), message)
         await asyncio.gather(*tasks)
         ours.close()
         theirs.close()
@@ -294,8 +298,8 @@
         hung.sock.setblocking(True)
         hung.sock.connect(str(self.folder / "d.sock"))
         hung.sock.setblocking(False)
-        await hung.send("hello", {"name": "d", "reads": (1, 1), "protocol": 1})
-        self.assertEqual((await asyncio.wait_for(hung.receive(), 30))[0], "offer")
+        await hung.send(messages.Hello("d", None, 1, (1, 1)))
+        self.assertIsInstance(await asyncio.wait_for(hung.receive(), 30), messages.Offer)
         # two at once: the second is told so
         second = await self.start("upgrade", ready=False)
         self.assertEqual(await asyncio.wait_for(second.wait(), 20), 1)
@@ -333,16 +337,16 @@
 
         self.assertEqual(await status("new-1"), 404)
         more = text + 'function "new-*" type="again" lanes=4\n'
-        await reload(more, '"event": "new settings"')
+        await reload(more, '"event": "settings applied"')
         self.assertEqual(await status("new-1"), 200)
         on_hand = asyncio.ensure_future(status("new-2"))
         await asyncio.sleep(0.01)
-        await reload(text, '"event": "new settings"')
+        await reload(text, '"event": "settings applied"')
         self.assertEqual((await on_hand, await status("new-1"), await status("again-1")), (200, 404, 200))
-        await reload(more.replace("lanes=4", 'lanes="x"'), "the new settings are wrong; nothing changes")
-        await reload(more.replace('"2s"', '"1s"'), "can act by an upgrade only; nothing changes")
+        await reload(more.replace("lanes=4", 'lanes="x"'), "new settings invalid; nothing changes")
+        await reload(more.replace('"2s"', '"1s"'), '"applicable": "by an upgrade"')
         self.assertEqual((await status("new-1"), await status("again-1")), (404, 200))
-        await reload(text, "the settings say what they said")
+        await reload(text, "settings unchanged")
         process.terminate()
         self.assertEqual(await asyncio.wait_for(process.wait(), 20), 0)
 
@@ -394,7 +398,7 @@
         versions.announce(
             folder, text.replace('action-timeout "2s"', 'action-timeout "1.9s"'), time.time_ns() - 600 * S
         )
-        await until(1, "a version is taken by an upgrade")
+        await until(1, "version needs an upgrade")
         await until(1, '"event": "the upgrade has proven itself"')
         self.assertEqual(await asyncio.wait_for(old.wait(), 30), 0)
         # The process that follows knows what it runs, and goes back as it came, while a worker drains.
@@ -407,7 +411,7 @@
         versions.call_off(folder, 1, "by hand")
         await asyncio.sleep(1)  # four times the grace
         had = len(self.worker.runs)
-        await until(2, "a version is taken by an upgrade")
+        await until(2, "version needs an upgrade")
         await until(2, '"event": "the upgrade has proven itself"')
         versions.announce(
             folder,
