--- a/petrelwood/dispatch/handover/channel.py
+++ b/petrelwood/dispatch/handover/channel.py
@@ -74,7 +74,8 @@
         try:
             await ready
         finally:
-            self.loop.remove_reader(self.sock.fileno())
+            if not self.closed:
+                self.loop.remove_reader(self.sock.fileno())
 
     async def _read(self) -> None:
         while True:
@@ -100,6 +101,8 @@
         """Ends the connection, and closes the descriptors that nobody took."""
         if not self.closed:
             self.closed = True
+            # before its descriptor may be another's
+            self.loop.remove_reader(self.sock.fileno())
             for descriptor in self.take_descriptors():
                 os.close(descriptor)
             self.sock.close()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -118,6 +118,21 @@
         theirs.close()
 
 
+    async def test_a_channel_that_is_closed_while_it_is_read_ends_without_an_error(self):
+        loop, pair = asyncio.get_running_loop(), socket.socketpair(socket.AF_UNIX)
+        faults = []
+        loop.set_exception_handler(lambda _, context: faults.append(context))
+        ours, theirs = (Channel(sock, loop) for sock in pair)
+        reading = asyncio.ensure_future(ours.receive())
+        await asyncio.sleep(0)
+        reading.cancel()
+        ours.close()
+        with self.assertRaises(asyncio.CancelledError):
+            await reading
+        theirs.close()
+        self.assertEqual(faults, [])
+
+
 class DispatcherCase(unittest.IsolatedAsyncioTestCase):
     """A real dispatcher process on loopback, with a worker and a roster on this test's loop."""
 
