--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -10,10 +10,10 @@
 
 import traceback
 from collections import deque
-from typing import NamedTuple
 
 from petrelwood import ports
 from petrelwood.brain import Brain
+from petrelwood.decide.cluster.completion import CompletionRate
 from petrelwood.decide.cluster.membership import Membership
 from petrelwood.decide.delivery import recovery
 from petrelwood.decide.delivery.ledger import ABORTED, COMPLETED, LEFT, REJECTED, Ledger
@@ -34,13 +34,6 @@
 RECONNECTS = 32.0  # connections tried again at once, over all links
 
 
-class Completion(NamedTuple):
-    """How activations ended in a span of time."""
-
-    share: float  # of answers that completed something; 1.0 where there was none
-    answers: int
-
-
 class Core:
     """One dispatcher. It is the module's `ports.Outlet`. `clock` as in `clocks`; `chance` a seeded
     `random.Random`; `link(worker, address, core)` makes a link: `run`, `hold`, `probe`, `cancel`, `late`,
@@ -137,7 +130,7 @@
     def recent_completion(self):
         """How the activations that were answered in the last ten seconds ended."""
         good, bad = self.goods.sum(self.now()), self.bads.sum(self.now())
-        return Completion(good / (good + bad) if good + bad else 1.0, good + bad)
+        return CompletionRate(good / (good + bad) if good + bad else 1.0, good + bad)
 
     @property
     def answered(self):
@@ -533,10 +526,8 @@
     def _warm_enough(self, worker, now):
         if self.returning is None or now >= self.returning.cold_from:
             return True
-        booted = self.membership.members[worker].entry.booted
-        return self.returning.may_send(
-            now, bool(booted) and self.clock.wall() - booted < self.terms.guarantees.cold
-        )
+        booted = self.membership.members[worker].booted
+        return self.returning.may_send(now, bool(booted) and now - booted < self.terms.guarantees.cold)
 
     def reject(self, act, retry_after):
         self.touched.add(act)
--- a/petrelwood/dispatch/handover/messages.py
+++ b/petrelwood/dispatch/handover/messages.py
@@ -16,17 +16,15 @@
 
 import msgpack
 
+from petrelwood.decide.cluster.handover import TakeoverRequest
 from petrelwood.dispatch.errors import MalformedMessageError
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """What a successor says of itself. What it did not say is None."""
+    """A successor asks to take over, and says what it is."""
 
-    gateway: str | None
-    pid: int | None
-    protocol: int | None
-    reads: tuple[int, int]  # the oldest and the newest format of state that it can read
+    request: TakeoverRequest
 
 
 @dataclass(frozen=True, slots=True)
@@ -123,7 +121,6 @@
 )
 
 HELLO = "hello"
-UNREADABLE_FORMATS = (0, -1)  # of a successor that does not say which formats it reads
 KINDS: dict[str, Callable[..., Message]] = {
     "no": Rejection,
     "offer": Offer,
@@ -150,13 +147,7 @@
 def encode(message: Message) -> bytes:
     """The wire form of a message, without its length."""
     if isinstance(message, Hello):
-        facts = {
-            "name": message.gateway,
-            "pid": message.pid,
-            "protocol": message.protocol,
-            "reads": message.reads,
-        }
-        return _pack([HELLO, facts])
+        return _pack([HELLO, message.request.as_message()])
     return _pack([KIND_OF[type(message)], *astuple(message)])
 
 
@@ -188,11 +179,11 @@
 def _hello(values: list[Any]) -> Hello | Unknown:
     if not values or not isinstance(values[0], dict):
         return Unknown(HELLO)
-    facts = values[0]
+    request = TakeoverRequest.from_message(values[0])
     try:
-        oldest, newest = facts.get("reads", UNREADABLE_FORMATS)
+        oldest, newest = request.state_formats
     except (TypeError, ValueError) as fault:
         raise MalformedMessageError("a greeting without the formats that can be read") from fault
     if not isinstance(oldest, int) or not isinstance(newest, int):
         raise MalformedMessageError("formats that can be read must be numbers")
-    return Hello(facts.get("name"), facts.get("pid"), facts.get("protocol"), (oldest, newest))
+    return Hello(request._replace(state_formats=(oldest, newest)))
--- a/petrelwood/dispatch/handover/predecessor.py
+++ b/petrelwood/dispatch/handover/predecessor.py
@@ -13,6 +13,7 @@
 from typing import TYPE_CHECKING
 
 from petrelwood.decide.cluster import handover
+from petrelwood.decide.cluster.handover import PredecessorAction, PredecessorPhase
 from petrelwood.dispatch.errors import HandoverError, HandoverRejectedError
 from petrelwood.dispatch.handover.channel import Channel
 from petrelwood.dispatch.handover.messages import (
@@ -101,14 +102,15 @@
             await asyncio.sleep(CHECK_INTERVAL)
             self._carry_out(self.machine.check(self.core.now()))
             if self._just_drained():
-                self.machine.is_drained(self.core.now())
+                self.machine.on_drained()
                 await self._send(Drained())
-                self._carry_out("end" if self.machine.state == handover.OVER else None)
+                if self.machine.phase == PredecessorPhase.OVER:
+                    self._carry_out(PredecessorAction.END)
 
     def _just_drained(self) -> bool:
         return (
-            self.machine.state == handover.WATCHING
-            and not self.machine.drained
+            self.machine.phase == PredecessorPhase.WATCHING
+            and not self.machine.has_drained
             and not self.core.pending.acts
             and all(front.quiet() for front in self.core.fronts)
         )
@@ -130,9 +132,9 @@
                 channel.close()
                 return
             self.channel = channel
-            self.machine.asked(self.core.now())
-            self.log.info("upgrade started", by=hello.pid if isinstance(hello, Hello) else None)
-            await channel.send(Offer(handover.WATCH), self.webhooks.descriptors())
+            self.machine.on_request(self.core.now())
+            self.log.info("upgrade started", by=hello.request.pid if isinstance(hello, Hello) else None)
+            await channel.send(Offer(handover.PROBATION), self.webhooks.descriptors())
             while True:
                 await self._handle(channel, await channel.receive())
         except (TimeoutError, HandoverError) as fault:
@@ -143,25 +145,24 @@
     def _reason_to_reject(self, hello: Message) -> str | None:
         if not isinstance(hello, Hello):
             return "it did not greet"
-        facts = {"name": hello.gateway, "protocol": hello.protocol, "reads": hello.reads}
-        reason: str | None = handover.refuses(facts, self.core.name, store.FORMAT, self.machine.busy())
-        return reason
+        is_busy = self.machine.is_busy()
+        return handover.rejection_reason(hello.request, self.core.name, store.FORMAT, is_busy)
 
     async def _handle(self, channel: Channel, message: Message) -> None:
         now = self.core.now()
         match message:
             case Ready():
-                if self.machine.ready(now) == "go":
+                if self.machine.on_ready(now) == PredecessorAction.GO:
                     self._hand_over()
                     completion = self.core.recent_completion()
                     await channel.send(Go(completion.share, completion.answers))
             case Owns():
-                self.machine.owns(now)
+                self.machine.on_accepting(now)
                 self.log.info("handed over; draining", in_flight=len(self.core.pending.acts))
             case Alive():
-                self.machine.hears(now)
+                self.machine.on_heartbeat(now)
             case Proven():
-                self._carry_out(self.machine.is_proven(now))
+                self._carry_out(self.machine.on_proven())
             case GiveBack(reason):
                 raise HandoverRejectedError(f"it gives back: {reason}")
 
@@ -170,7 +171,7 @@
         self.channel = None
         if channel is not None:
             channel.close()
-            self._carry_out(self.machine.lost(self.core.now(), reason))
+            self._carry_out(self.machine.on_successor_lost(reason))
 
     def _hand_over(self) -> None:
         """Nothing new is admitted here from now on, and all that was admitted is in the log of state."""
@@ -188,15 +189,15 @@
             await asyncio.wait_for(channel.send(TakenBack()), DISMISSAL_TIMEOUT)
         channel.close()
 
-    def _carry_out(self, action: str | None) -> None:
-        if action == "resume":
+    def _carry_out(self, action: PredecessorAction | None) -> None:
+        if action == PredecessorAction.RESUME:
             self._resume()
-        elif action == "end":
+        elif action == PredecessorAction.END:
             self.log.info("the new process has proven itself")
             self.on_finished()
 
     def _resume(self) -> None:
-        self.log.error("upgrade failed; this process serves again", why=self.machine.why)
+        self.log.error("upgrade failed; this process serves again", why=self.machine.reason)
         self.core.resume_admitting()
         self.webhooks.resume()
         self.on_resume()
--- a/petrelwood/dispatch/handover/successor.py
+++ b/petrelwood/dispatch/handover/successor.py
@@ -12,6 +12,8 @@
 from typing import TYPE_CHECKING
 
 from petrelwood.decide.cluster import handover
+from petrelwood.decide.cluster.completion import CompletionRate
+from petrelwood.decide.cluster.handover import SuccessorAction, SuccessorPhase, TakeoverRequest
 from petrelwood.dispatch.errors import HandoverError, HandoverRejectedError, PeerLostError, PeerTimeoutError
 from petrelwood.dispatch.handover.channel import Channel
 from petrelwood.dispatch.handover.messages import (
@@ -66,7 +68,8 @@
         """Greets the predecessor and takes its listeners. Raises `HandoverError`."""
         self.connection = Channel(self._connect(), self.loop)
         formats = (store.OLDEST, store.FORMAT)
-        await self.channel.send(Hello(self.name, os.getpid(), handover.FORMAT, formats))
+        request = TakeoverRequest(self.name, handover.PROTOCOL_VERSION, formats, os.getpid())
+        await self.channel.send(Hello(request))
         try:
             offer = await asyncio.wait_for(self.channel.receive(), OFFER_TIMEOUT)
         except TimeoutError as fault:
@@ -90,13 +93,16 @@
 
     async def take_over(self, now: NowFunction) -> None:
         """Says that this process can serve, and waits for the word to go. Raises `HandoverError`."""
-        self.machine.can_serve(now())
+        self.machine.on_ready_to_serve(now())
         await self.channel.send(Ready())
         try:
-            go = await asyncio.wait_for(self.channel.receive(), handover.READY_WITHIN / 1e9)
+            go = await asyncio.wait_for(self.channel.receive(), handover.READY_TIMEOUT / 1e9)
         except TimeoutError as fault:
             raise PeerTimeoutError("the old process did not give way in time") from fault
-        if not isinstance(go, Go) or self.machine.go(now(), (go.completed_share, go.answers)) != "accept":
+        if not isinstance(go, Go):
+            raise HandoverRejectedError("the old process did not give way")
+        before = CompletionRate(go.completed_share, go.answers)
+        if self.machine.on_go(now(), before) != SuccessorAction.ACCEPT:
             raise HandoverRejectedError("the old process did not give way")
 
     async def follow(self, core: "Dispatcher", log: Logger, on_failure: Callable[[], object]) -> None:
@@ -112,9 +118,9 @@
         try:
             await self._watch_itself(core, log, outcomes)
         except HandoverError:
-            self.machine.lost(core.now())
+            self.machine.on_predecessor_lost()
         finally:
-            await asyncio.wait([outcomes], timeout=None if self.machine.state == handover.PROVEN else 0)
+            await asyncio.wait([outcomes], timeout=None if self.machine.phase == SuccessorPhase.PROVEN else 0)
 
     async def _watch_itself(self, core: "Dispatcher", log: Logger, outcomes: asyncio.Task[None]) -> None:
         checks = 0
@@ -125,32 +131,31 @@
                 await asyncio.sleep(CATCH_UP)
             self.last_check = core.now()
             checks += 1
-            if checks % CHECKS_PER_HEARTBEAT == 0 and self.machine.state == handover.OWNING:
+            if checks % CHECKS_PER_HEARTBEAT == 0 and self.machine.phase == SuccessorPhase.OWNING:
                 await self.channel.send(Alive())
-            if self.machine.state == handover.FAILED:
+            if self.machine.phase == SuccessorPhase.FAILED:
                 return
             verdict = self.machine.check(core.now())
-            if verdict == "proven":
+            if verdict == SuccessorAction.PROVEN:
                 log.info("the upgrade has proven itself")
                 await self.channel.send(Proven())
-            elif verdict == "back":
-                log.error("upgrade failed; giving back", why=self.machine.why)
+            elif verdict == SuccessorAction.HAND_BACK:
+                log.error("upgrade failed; giving back", why=self.machine.reason)
                 self.on_failure()
                 return
 
     def _may_be_superseded(self, now: int) -> bool:
         """Whether the predecessor may serve again: it does, or this process stood still and can't know."""
         stalled = now - self.last_check > STALL
-        state: str = self.machine.state
-        return state == handover.FAILED or state == handover.OWNING and stalled
+        phase = self.machine.phase
+        return phase == SuccessorPhase.FAILED or phase == SuccessorPhase.OWNING and stalled
 
     async def _receive_outcomes(self, core: "Dispatcher", log: Logger) -> None:
         try:
             while True:
                 match await self.channel.receive():
                     case TakenBack():
-                        self.machine.state = handover.FAILED
-                        self.machine.why = "the old process serves again"
+                        self.machine.fail("the old process serves again")
                         log.error("upgrade taken back by the old process")
                         self.on_failure()
                         return
@@ -161,7 +166,7 @@
         except HandoverError:
             if not self.predecessor_drained.is_set():
                 log.warning("the old process ended before it had drained")
-        self.machine.lost(core.now())
+        self.machine.on_predecessor_lost()
         core.predecessor_gone()
         self.predecessor_drained.set()
 
--- a/petrelwood/dispatch/rollout.py
+++ b/petrelwood/dispatch/rollout.py
@@ -94,7 +94,7 @@
             if self.upgrader.handing_over:
                 # the successor goes on with this
                 continue
-            verdict = self.rollout.look(self.core.clock.wall(), announced)
+            verdict = self.rollout.look(self.core.clock.steady_wall(), announced)
             if verdict is not None:
                 await self._carry_out(*verdict)
 
@@ -123,7 +123,9 @@
         """Applies settings, by an upgrade where it must be: a version that is bad is left in any case."""
         result = self.updater.update(new, self.upgrader.available)
         while result is UpdateResult.NEEDS_UPGRADE:
-            await self.upgrader.run(json.dumps(self.rollout.handed()))
+            clock = self.core.clock
+            ahead = clock.wall() - clock.steady_wall()
+            await self.upgrader.run(json.dumps(self.rollout.handed(ahead)))
             result = UpdateResult.NOT_APPLIED
             if is_rollback:
                 await asyncio.sleep(ROLLBACK_RETRY_INTERVAL)
--- a/petrelwood/dispatch/serve.py
+++ b/petrelwood/dispatch/serve.py
@@ -149,7 +149,7 @@
             await self.successor.take_over(self.core.now)
             self.core.open_state(elsewhere=True)
             host, port = self.front.follow(self.successor.listeners)
-            self.core.on_answer = self.successor.machine.ended
+            self.core.on_answer = self.successor.machine.record_answer
             self._start(self._follow(self.successor))
         else:
             host, port = self.front.open(self.gateway.listen)
@@ -237,11 +237,11 @@
             self._open_exclusive()
 
     def _hand_back(self, successor: SuccessorProcess) -> None:
-        self.failed = successor.machine.why
+        self.failed = successor.machine.reason
         self.front.pause()
         if self.core.state is not None:
             self.core.state.flush()
-        self._start(self._give_back_and_end(successor, successor.machine.why))
+        self._start(self._give_back_and_end(successor, successor.machine.reason))
 
     async def _give_back_and_end(self, successor: SuccessorProcess, why: str) -> None:
         await successor.give_back(why)
--- a/petrelwood/dispatch/upgrade.py
+++ b/petrelwood/dispatch/upgrade.py
@@ -41,7 +41,7 @@
     @property
     def handing_over(self) -> bool:
         """Whether a hand-over is under way, whoever started it."""
-        return self.predecessor is not None and bool(self.predecessor.machine.busy())
+        return self.predecessor is not None and self.predecessor.machine.is_busy()
 
     async def run(self, rollout_state: str) -> None:
         """Starts a successor and returns when it has failed: where it succeeds, this process ends.
