--- a/petrelwood/dispatch/handover/successor.py
+++ b/petrelwood/dispatch/handover/successor.py
@@ -110,12 +110,12 @@
 
         Where this process fails before that, it calls `on_failure()` and returns.
         """
-        await self.channel.send(Owns())
         self.on_failure = on_failure
+        self.last_check = core.now()
         core.may_be_superseded = self._may_be_superseded
         outcomes = self.loop.create_task(self._receive_outcomes(core, log))
-        self.last_check = core.now()
         try:
+            await self.channel.send(Owns())
             await self._watch_itself(core, log, outcomes)
         except HandoverError:
             self.machine.on_predecessor_lost()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -12,14 +12,17 @@
 import tempfile
 import time
 import unittest
+from unittest.mock import Mock
 
 import rig
 from kept import compare
 from rig import KEY, Roster, Worker, answer
 
 from petrelwood.decide.cluster import handover
+from petrelwood.decide.cluster.completion import CompletionRate
 from petrelwood.dispatch.handover import messages
 from petrelwood.dispatch.handover.channel import Channel
+from petrelwood.dispatch.handover.successor import SuccessorProcess
 from petrelwood.standins.caller import Broken, Caller
 from petrelwood.store import versions
 
@@ -38,6 +41,7 @@
             "it gives back after the old had drained": "asked ready owns drained lost",
             "it hangs while it is watched": "asked ready owns +16 proven",
             "it dies once it is proven": "asked ready owns proven lost drained",
+            "it dies once all is over": "asked ready owns proven drained lost",
             "ready twice": "asked ready ready owns proven drained",
             "owns before go": "asked owns ready owns drained proven",
             "a second upgrade after a failed one": "asked lost asked ready owns proven drained",
@@ -50,19 +54,18 @@
                     now += int(step[1:]) * S
                     what = predecessor.check(now)
                 elif step == "lost":
-                    what = predecessor.lost(now, "it died")
-                elif step == "owns":
-                    what = predecessor.owns(now)
+                    what = predecessor.on_successor_lost("it died")
+                elif step in ("proven", "drained"):
+                    what = {"proven": predecessor.on_proven, "drained": predecessor.on_drained}[step]()
                 else:
                     what = {
-                        "asked": predecessor.asked,
-                        "ready": predecessor.ready,
-                        "proven": predecessor.is_proven,
-                        "drained": predecessor.is_drained,
+                        "asked": predecessor.on_request,
+                        "ready": predecessor.on_ready,
+                        "owns": predecessor.on_accepting,
                     }[step](now)
                 said.append(f"{step}{' -> ' + what if what else ''}")
-            why = f", {predecessor.why}" if predecessor.why else ""
-            lines.append(f"{name}: {', '.join(said)}; {predecessor.state}{why}")
+            why = f", {predecessor.reason}" if predecessor.reason else ""
+            lines.append(f"{name}: {', '.join(said)}; {predecessor.phase}{why}")
         for name, good, bad, before, end in (
             ("as good as before", 90, 10, (0.95, 200), 6),
             ("worse", 60, 40, (0.95, 200), 1),
@@ -70,34 +73,39 @@
             ("as bad as before", 10, 90, (0.2, 200), 6),
         ):
             successor = handover.Successor(0)
-            said = [successor.can_serve(0), successor.go(S, before)]
+            said = [successor.on_ready_to_serve(0), successor.on_go(S, CompletionRate(*before))]
             for _ in range(good):
-                successor.ended(True)
+                successor.record_answer(True)
             for _ in range(bad):
-                successor.ended(False)
+                successor.record_answer(False)
             said.append(successor.check(S + end * S))
             lines.append(
                 f"new one, {name}: {', '.join(map(str, said))}; "
-                f"{successor.state}{', ' + successor.why if successor.why else ''}"
+                f"{successor.phase}{', ' + successor.reason if successor.reason else ''}"
             )
         successor = handover.Successor(0)
+        said = [successor.on_ready_to_serve(0), successor.check(20 * S), successor.reason]
+        lines.append(f"new one, no word to go: {', '.join(said)}")
+        successor = handover.Successor(0)
         lines.append(
-            f"new one, no word to go: {successor.can_serve(0)}, {successor.check(20 * S)}, {successor.why}"
+            f"new one, the old one dies first: {successor.on_predecessor_lost()}, {successor.reason}"
         )
-        successor = handover.Successor(0)
-        lines.append(f"new one, the old one dies first: {successor.lost(S)}, {successor.why}")
         compare(self, "handover", lines)
 
     def test_who_may_take_over(self):
+        def reason(facts, busy):
+            request = handover.TakeoverRequest.from_message(facts)
+            return handover.rejection_reason(request, "d", 1, busy)
+
         good = {"name": "d", "reads": (1, 2), "protocol": 1}
-        self.assertIsNone(handover.refuses(good, "d", 1, False))
+        self.assertIsNone(reason(good, False))
         for more, busy, words in (
             ({"name": "e"}, False, "for gateway 'e'"),
             ({"reads": (2, 3)}, False, "reads state of format 2 to 3"),
             ({"protocol": 7}, False, "speaks hand-over 7"),
             ({}, True, "under way"),
         ):
-            self.assertIn(words, handover.refuses({**good, **more}, "d", 1, busy))
+            self.assertIn(words, reason({**good, **more}, busy))
 
 
 class Channels(unittest.IsolatedAsyncioTestCase):
@@ -117,7 +125,6 @@
         ours.close()
         theirs.close()
 
-
     async def test_a_channel_that_is_closed_while_it_is_read_ends_without_an_error(self):
         loop, pair = asyncio.get_running_loop(), socket.socketpair(socket.AF_UNIX)
         faults = []
@@ -133,6 +140,23 @@
         self.assertEqual(faults, [])
 
 
+class Followers(unittest.IsolatedAsyncioTestCase):
+    async def test_a_predecessor_that_dies_right_after_go_leaves_the_successor_alone_in_charge(self):
+        loop, pair = asyncio.get_running_loop(), socket.socketpair(socket.AF_UNIX)
+        successor, core, failures = SuccessorProcess("none", loop, "d"), Mock(), []
+        core.now = time.monotonic_ns
+        successor.connection = Channel(pair[0], loop)
+        successor.machine = handover.Successor(core.now())
+        successor.machine.on_ready_to_serve(core.now())
+        successor.machine.on_go(core.now(), CompletionRate(1.0, 0))
+        pair[1].close()
+        await asyncio.wait_for(successor.follow(core, Mock(), lambda: failures.append(1)), 30)
+        self.assertEqual(successor.machine.phase, handover.SuccessorPhase.PROVEN)
+        core.predecessor_gone.assert_called_once_with()
+        self.assertEqual(failures, [])
+        successor.close()
+
+
 class DispatcherCase(unittest.IsolatedAsyncioTestCase):
     """A real dispatcher process on loopback, with a worker and a roster on this test's loop."""
 
@@ -313,7 +337,7 @@
         hung.sock.setblocking(True)
         hung.sock.connect(str(self.folder / "d.sock"))
         hung.sock.setblocking(False)
-        await hung.send(messages.Hello("d", None, 1, (1, 1)))
+        await hung.send(messages.Hello(handover.TakeoverRequest("d", 1, (1, 1), None)))
         self.assertIsInstance(await asyncio.wait_for(hung.receive(), 30), messages.Offer)
         # two at once: the second is told so
         second = await self.start("upgrade", ready=False)
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -6,14 +6,16 @@
 
 import msgpack
 
+from petrelwood.decide.cluster.handover import TakeoverRequest
 from petrelwood.dispatch.errors import MalformedMessageError
 from petrelwood.dispatch.handover import messages
 from petrelwood.dispatch.handover.channel import Channel
 
 # As the text of commit 668305e sent them, length first: other builds take over from us, and we from them.
 WIRE = {
-    messages.Hello("d", 7, 1, (1, 2)): "2700000092a568656c6c6f84a46e616d65a164a370696407a870726f746f636f6c01"
-    "a57265616473920102",
+    messages.Hello(
+        TakeoverRequest("d", 1, (1, 2), 7)
+    ): "2700000092a568656c6c6f84a46e616d65a164a370696407a870726f746f636f6c01a57265616473920102",
     messages.Rejection("an upgrade is under way"): "1c00000092a26e6fb7616e207570677261646520697320756e646572"
     "20776179",
     messages.Offer(5_000_000_000): "1000000092a56f66666572cf000000012a05f200",
@@ -52,7 +54,7 @@
             (["next", 1], messages.Unknown("next")),
             (["ready", 1, 2], messages.Ready()),
             (["back", "why", {}], messages.GiveBack("why")),
-            (["hello", {"name": "d", "more": 1}], messages.Hello("d", None, None, (0, -1))),
+            (["hello", {"name": "d", "more": 1}], messages.Hello(TakeoverRequest("d", None, (0, -1), None))),
             (["hello", "d"], messages.Unknown("hello")),
         ):
             self.assertEqual(messages.decode(msgpack.packb(sent)), read)
