--- a/benchmarks/scale/configuration_fleet.py
+++ b/benchmarks/scale/configuration_fleet.py
@@ -107,7 +107,9 @@
         key = (extract.since, extract.chosen, len(extract.entries))
         if key not in self.sizes:
             request = rpc.request(1 << 16, "read", [extract.since])
-            self.sizes[key] = len(request) + len(rpc.response(1 << 16, None, messages.plain(extract)))
+            self.sizes[key] = len(request) + len(
+                rpc.response(1 << 16, None, messages.encode_extract(extract))
+            )
         return self.sizes[key]
 
     def _answered(self, one, server, extract):
--- a/benchmarks/scale/configuration_real.py
+++ b/benchmarks/scale/configuration_real.py
@@ -80,7 +80,7 @@
             tasks = [asyncio.ensure_future(follower.run()) for follower in followers]
             await asyncio.sleep(seconds / 2)
             idle = time.process_time() - own
-            client = RpcClient(addresses["c1"], messages.MOST)
+            client = RpcClient(addresses["c1"], messages.MAX_MESSAGE_SIZE)
             body = compress_text(hollow.settings_text(hollow.ALL_FUNCTIONS))
             begun = time.monotonic()
             await client.call("append", [["v1", RecordKind.VERSION, 0, time.time_ns(), body]], 10)
--- a/petrelwood/cli/configuration.py
+++ b/petrelwood/cli/configuration.py
@@ -38,8 +38,8 @@
     def serve(name, listen, peers, folder, new_log_after, level):
         """Runs one configuration server until SIGTERM."""
         from petrelwood.cli.logs import open_log
-        from petrelwood.control import server
-        from petrelwood.control.log_storage import LogStorageError
+        from petrelwood.control import service
+        from petrelwood.control.errors import LogStorageError
 
         found = {}
         for one in peers:
@@ -55,7 +55,7 @@
             )
         try:
             asyncio.run(
-                server.serve(
+                service.serve(
                     name, listen, found, folder, new_log_after, open_log("json", level, server=name), _ready
                 )
             )
@@ -134,7 +134,7 @@
 
     faults = []
     for address in servers:
-        client = RpcClient(address, messages.MOST)
+        client = RpcClient(address, messages.MAX_MESSAGE_SIZE)
         try:
             (slot,) = await client.call("append", [record], APPEND_WITHIN)
             return slot
--- a/petrelwood/control/__init__.py
+++ b/petrelwood/control/__init__.py
@@ -1,2 +1,1 @@
-"""The configuration servers: a replicated log of versions of the settings, on machines set aside for
-control."""
+"""The configuration servers: a replicated log of versions of the settings, on machines for control alone."""
--- a/petrelwood/control/log_storage.py
+++ b/petrelwood/control/log_storage.py
@@ -3,8 +3,8 @@
 import contextlib
 import pathlib
 
+from petrelwood.control.errors import LogStorageError
 from petrelwood.decide.cluster.replicated_log import Replica
-from petrelwood.errors import StorageError
 from petrelwood.store import snapshot
 
 KIND = "config-log"  # of the file
@@ -12,10 +12,6 @@
 FILE = "log.snapshot"
 
 
-class LogStorageError(StorageError):
-    """The log can't be opened; `str()` is one line."""
-
-
 class LogStorage:
     """The log's file in a folder. `files`: what is done with files, for tests that make it fail."""
 
--- a/petrelwood/control/messages.py
+++ b/petrelwood/control/messages.py
@@ -2,12 +2,16 @@
 
     prepare [slot, round, proposer]             accept [slot, round, proposer, record]
     learn [since, chosen, [[slot, record]]]     read [since]  ->  [since, chosen, [[slot, record]]]
-    catch-up [since]  ->  the same, whole       voted-in []  ->  [slot or nil]
+    catch-up [since]  ->  the same, complete    voted-in []  ->  [slot or nil]
     append [record]  ->  [slot]
 
-A record is [id, kind, number, begun, body]. The replies to the first three are [word, ...]; see `WORDS`.
+A record is [id, kind, number, begun, body]. The replies to the first three are [word, ...], see
+`REPLY_WORDS`.
 """
 
+from typing import Any
+
+from petrelwood.control.errors import MalformedMessageError
 from petrelwood.decide.cluster.log_records import (
     MAX_TEXT_SIZE,
     Accept,
@@ -15,142 +19,153 @@
     Ahead,
     Ballot,
     Behind,
+    Entry,
     Extract,
     Learn,
     Learned,
+    Message,
     NotVoting,
     Prepare,
     Promise,
     Record,
     Rejected,
+    Reply,
 )
 from petrelwood.decide.cluster.replicated_log import RETAINED_TEXTS
 
-MOST = MAX_TEXT_SIZE * (
-    RETAINED_TEXTS + 1
-)  # bytes of one message: the versions that a replica keeps, and all else
-ID, KIND = 64, 16  # bytes of a record's id and kind at most
-LARGEST = 1 << 62  # of any number
-WORDS = {
-    "promise": Promise,
-    "accepted": Accepted,
-    "refused": Rejected,
-    "behind": Behind,
-    "ahead": Ahead,
-    "not voting": NotVoting,
-    "learned": Learned,
+MAX_MESSAGE_SIZE = MAX_TEXT_SIZE * (RETAINED_TEXTS + 1)  # bytes: the texts that a replica keeps, and all else
+MAX_ID_SIZE = 64  # bytes
+MAX_KIND_SIZE = 16  # bytes
+LARGEST_NUMBER = 1 << 62
+REPLY_WORDS: dict[type[Reply], str] = {
+    Promise: "promise",
+    Accepted: "accepted",
+    Rejected: "refused",
+    Behind: "behind",
+    Ahead: "ahead",
+    NotVoting: "not voting",
+    Learned: "learned",
 }
+REPLY_TYPES = {word: kind for kind, word in REPLY_WORDS.items()}
 
 
-class Malformed(Exception):
-    """A message that can't be read; `str()` tells what of it."""
+def encode_call(message: Message) -> tuple[str, list[Any]]:
+    """The method and parameters of a message."""
+    if isinstance(message, Prepare):
+        return "prepare", [message.slot, *message.ballot]
+    if isinstance(message, Accept):
+        return "accept", [message.slot, *message.ballot, encode_record(message.record)]
+    return "learn", encode_extract(message.extract)
 
 
-def _number(value, what):
-    if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value <= LARGEST:
-        raise Malformed(f"{what} must be a number of 0 or more")
-    return value
+def encode_record(record: Record) -> list[Any]:
+    """A record as plain values."""
+    return list(record)
 
 
-def _text(value, most, what):
-    if not isinstance(value, str) or len(value.encode("utf-8", "replace")) > most:
-        raise Malformed(f"{what} must be a text of {most} bytes at most")
-    return value
+def encode_extract(extract: Extract) -> list[Any]:
+    """An extract as plain values."""
+    entries = [[entry.slot, encode_record(entry.record)] for entry in extract.entries]
+    return [extract.since, extract.chosen, entries]
 
 
-def _list(value, length, what):
-    if not isinstance(value, list) or length is not None and len(value) != length:
-        raise Malformed(f"{what} is malformed")
-    return value
+def encode_reply(reply: Reply) -> list[Any]:
+    """A reply as plain values."""
+    word = REPLY_WORDS[type(reply)]
+    if isinstance(reply, Promise):
+        return [word, *reply.accepted, None if reply.record is None else encode_record(reply.record)]
+    if isinstance(reply, Rejected):
+        return [word, *reply.promised]
+    if isinstance(reply, Ahead):
+        return [word, encode_extract(reply.extract)]
+    return [word, *reply]
+
+
+def decode_call(method: str, params: list[Any]) -> Message | None:
+    """The message that a call carries; None for a method that is none of the log's."""
+    if method == "prepare":
+        slot, round_, proposer = _list(params, 3, "a prepare")
+        return Prepare(_number(slot, "a slot"), _ballot(round_, proposer))
+    if method == "accept":
+        slot, round_, proposer, record = _list(params, 4, "an accept")
+        return Accept(_number(slot, "a slot"), _ballot(round_, proposer), decode_record(record))
+    if method == "learn":
+        return Learn(decode_extract(params))
+    return None
 
 
-def record(value):
-    """A `Record` of what was sent."""
+def decode_record(value: object) -> Record:
+    """The record of plain values."""
     id_, kind, number, begun, body = _list(value, 5, "a record")
     if not id_:
-        raise Malformed("a record needs an id")
+        raise MalformedMessageError("a record needs an id")
     if not isinstance(body, bytes) or len(body) > MAX_TEXT_SIZE:
-        raise Malformed(f"a record's body must be {MAX_TEXT_SIZE} bytes at most")
+        raise MalformedMessageError(f"a record's body must be {MAX_TEXT_SIZE} bytes at most")
     return Record(
-        _text(id_, ID, "a record's id"),
-        _text(kind, KIND, "a record's kind"),
+        _text(id_, MAX_ID_SIZE, "a record's id"),
+        _text(kind, MAX_KIND_SIZE, "a record's kind"),
         _number(number, "a record's number"),
         _number(begun, "a record's beginning"),
         body,
     )
 
 
-def _ballot(round_, proposer):
-    return Ballot(_number(round_, "a ballot's round"), _text(proposer, ID, "a ballot's proposer"))
-
-
-def extract(value):
-    """An `Extract` of what was sent."""
+def decode_extract(value: object) -> Extract:
+    """The extract of plain values."""
     since, chosen, entries = _list(value, 3, "an extract")
     found = []
     for entry in _list(entries, None, "an extract's entries"):
-        slot, one = _list(entry, 2, "an extract's entry")
-        found.append((_number(slot, "a slot"), record(one)))
+        slot, record = _list(entry, 2, "an extract's entry")
+        found.append(Entry(_number(slot, "a slot"), decode_record(record)))
     return Extract(_number(since, "a slot"), _number(chosen, "a slot"), tuple(found))
 
 
-def since(params):
-    """The slot that a `read` or a `catch-up` asks from."""
+def decode_position(params: object) -> int:
+    """The slot after which a `read` or a `catch-up` asks for what was decided."""
     return _number(_list(params, 1, "a question")[0], "a slot")
 
 
-def message(method, params):
-    """The message that a call carries; None for a method that is none of the log's."""
-    if method == "prepare":
-        slot, round_, proposer = _list(params, 3, "a prepare")
-        return Prepare(_number(slot, "a slot"), _ballot(round_, proposer))
-    if method == "accept":
-        slot, round_, proposer, one = _list(params, 4, "an accept")
-        return Accept(_number(slot, "a slot"), _ballot(round_, proposer), record(one))
-    if method == "learn":
-        return Learn(extract(params))
-    return None
+def decode_voted_in(result: object) -> int | None:
+    """The slot that a `voted-in` answers with."""
+    (slot,) = _list(result, 1, "a vote")
+    return None if slot is None else _number(slot, "a slot")
 
 
-def call(sent):
-    """(method, params) of a message."""
-    if isinstance(sent, Prepare):
-        return "prepare", [sent.slot, *sent.ballot]
-    if isinstance(sent, Accept):
-        return "accept", [sent.slot, *sent.ballot, list(sent.record)]
-    return "learn", plain(sent.extract)
+def decode_reply(value: object) -> Reply:
+    """The reply that a result carries."""
+    word, *fields = value if isinstance(value, list) and value else [None]
+    kind = REPLY_TYPES.get(word) if isinstance(word, str) else None
+    if kind is Promise:
+        round_, proposer, record = _list(fields, 3, "a promise")
+        return Promise(_ballot(round_, proposer), None if record is None else decode_record(record))
+    if kind is Rejected:
+        return Rejected(_ballot(*_list(fields, 2, "a rejection")))
+    if kind is Ahead:
+        return Ahead(decode_extract(_list(fields, 1, "an extract's reply")[0]))
+    if kind is Behind or kind is Learned:
+        return kind(_number(_list(fields, 1, "a position")[0], "a slot"))
+    if kind is Accepted or kind is NotVoting:
+        return kind()
+    raise MalformedMessageError("a reply that is not known")
 
 
-def plain(found):
-    """An `Extract` as plain values."""
-    return [found.since, found.chosen, [[slot, list(one)] for slot, one in found.entries]]
+def _number(value: object, what: str) -> int:
+    if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value <= LARGEST_NUMBER:
+        raise MalformedMessageError(f"{what} must be a number of 0 or more")
+    return value
 
 
-def result(reply):
-    """A reply as plain values."""
-    word = next(word for word, kind in WORDS.items() if isinstance(reply, kind))
-    if isinstance(reply, Promise):
-        return [word, *reply.accepted, None if reply.record is None else list(reply.record)]
-    if isinstance(reply, Rejected):
-        return [word, *reply.promised]
-    if isinstance(reply, Ahead):
-        return [word, plain(reply.extract)]
-    return [word, *reply]
+def _text(value: object, max_size: int, what: str) -> str:
+    if not isinstance(value, str) or len(value.encode("utf-8", "replace")) > max_size:
+        raise MalformedMessageError(f"{what} must be a text of {max_size} bytes at most")
+    return value
 
 
-def reply(value):
-    """The reply that a result carries."""
-    word, *rest = value if isinstance(value, list) and value else [None]
-    kind = WORDS.get(word) if isinstance(word, str) else None
-    if kind is Promise:
-        round_, proposer, one = _list(rest, 3, "a promise")
-        return Promise(_ballot(round_, proposer), None if one is None else record(one))
-    if kind is Rejected:
-        return Rejected(_ballot(*_list(rest, 2, "a refusal")))
-    if kind is Ahead:
-        return Ahead(extract(_list(rest, 1, "an extract's reply")[0]))
-    if kind in (Behind, Learned):
-        return kind(_number(_list(rest, 1, "a position")[0], "a slot"))
-    if kind is None:
-        raise Malformed("a reply that is not known")
-    return kind()
+def _list(value: object, length: int | None, what: str) -> list[Any]:
+    if not isinstance(value, list) or (length is not None and len(value) != length):
+        raise MalformedMessageError(f"{what} is malformed")
+    return value
+
+
+def _ballot(round_: object, proposer: object) -> Ballot:
+    return Ballot(_number(round_, "a ballot's round"), _text(proposer, MAX_ID_SIZE, "a ballot's proposer"))
--- /dev/null
+++ b/petrelwood/control/peers.py
@@ -0,0 +1,64 @@
+"""Calls to the other configuration servers."""
+
+from collections.abc import Iterator, Mapping
+from typing import Any
+
+from petrelwood.control import messages
+from petrelwood.control.errors import MalformedMessageError, PeerError
+from petrelwood.decide.cluster.log_records import Extract, Message, Reply
+from petrelwood.links.rpc_client import CallFailed, RpcClient
+
+Address = tuple[str, int]
+CALL_TIMEOUT = 1.0  # seconds for an answer
+
+
+class Peers:
+    """A connection to each other server, by name; each is made when it is needed."""
+
+    def __init__(self, addresses: Mapping[str, Address]) -> None:
+        self._clients = {
+            name: RpcClient(address, messages.MAX_MESSAGE_SIZE) for name, address in addresses.items()
+        }
+
+    def __len__(self) -> int:
+        return len(self._clients)
+
+    def __iter__(self) -> Iterator[str]:
+        return iter(self._clients)
+
+    async def send(self, peer: str, message: Message) -> Reply:
+        """A peer's reply to a message. Raises `PeerError`."""
+        method, params = messages.encode_call(message)
+        result = await self._call(peer, method, params)
+        try:
+            return messages.decode_reply(result)
+        except MalformedMessageError as error:
+            raise PeerError(f"{peer} answered {method} with {error}") from error
+
+    async def read_after(self, peer: str, slot: int) -> Extract:
+        """What a peer knows to be decided after a slot. Raises `PeerError`."""
+        result = await self._call(peer, "catch-up", [slot])
+        try:
+            return messages.decode_extract(result)
+        except MalformedMessageError as error:
+            raise PeerError(f"{peer} answered catch-up with what is no extract: {error}") from error
+
+    async def voted_in(self, peer: str) -> int | None:
+        """The highest slot that a peer may have voted in; None if it does not know. Raises `PeerError`."""
+        result = await self._call(peer, "voted-in", [])
+        try:
+            return messages.decode_voted_in(result)
+        except MalformedMessageError as error:
+            raise PeerError(f"{peer} answered voted-in with what is no slot: {error}") from error
+
+    async def _call(self, peer: str, method: str, params: list[Any]) -> object:
+        try:
+            result: object = await self._clients[peer].call(method, params, CALL_TIMEOUT)
+        except CallFailed as error:
+            raise PeerError(f"{peer} did not answer {method}: {error}") from error
+        return result
+
+    def close(self) -> None:
+        """Ends all connections; calls without an answer fail."""
+        for client in self._clients.values():
+            client.close()
--- a/petrelwood/dispatch/configuration.py
+++ b/petrelwood/dispatch/configuration.py
@@ -9,6 +9,7 @@
 from collections.abc import Coroutine
 
 from petrelwood.control import messages
+from petrelwood.control.errors import MalformedMessageError
 from petrelwood.decide.cluster.log_records import (
     CorruptVersionError,
     Extract,
@@ -51,7 +52,9 @@
         self.clock = clock
         self.log = logger
         addresses = {f"{host}:{port}": (host, port) for host, port in terms.servers}
-        self.clients = {server: RpcClient(address, messages.MOST) for server, address in addresses.items()}
+        self.clients = {
+            server: RpcClient(address, messages.MAX_MESSAGE_SIZE) for server, address in addresses.items()
+        }
         rollout_time = dwell_for(terms.within) * (len(STAGES) - 1)
         self.watch = VersionWatch(name, addresses, versions.position(folder), rollout_time, chance)
         self.unsent_call_offs: dict[int, str] = {}  # version -> reason
@@ -73,8 +76,8 @@
     async def _poll(self, server: str) -> None:
         try:
             answer = await self.clients[server].call("read", [self.watch.known], ANSWER_WITHIN / SECOND)
-            extract = messages.extract(answer)
-        except (CallFailed, messages.Malformed) as fault:
+            extract = messages.decode_extract(answer)
+        except (CallFailed, MalformedMessageError) as fault:
             self.watch.failed(server, self.clock.now())
             self.log.debug("configuration server poll failed", server=server, why=str(fault))
             return
@@ -117,16 +120,17 @@
 
     async def _report_call_off(self, number: int, why: str) -> None:
         record = Record(
-            f"off-{number}-{self.name}"[: messages.ID],
+            f"off-{number}-{self.name}"[: messages.MAX_ID_SIZE],
             RecordKind.REVOCATION,
             number,
             self.clock.wall(),
             why.encode(),
         )
+        params = [messages.encode_record(record)]
         while number in self.unsent_call_offs:
             for server in self.watch.order:
                 try:
-                    await self.clients[server].call("append", [list(record)], APPEND_TIMEOUT)
+                    await self.clients[server].call("append", params, APPEND_TIMEOUT)
                 except CallFailed as fault:
                     self.log.warning(
                         "reporting a call-off failed; will be retried",
--- a/tests/test_configuration_disk.py
+++ b/tests/test_configuration_disk.py
@@ -12,9 +12,12 @@
 import structlog
 from test_configuration_servers import run
 from test_replicated_log import troubled, version
+from tornado.netutil import bind_sockets
 
-from petrelwood.control import log_storage, messages, server
-from petrelwood.control.log_storage import LogStorage, LogStorageError
+from petrelwood.control import catching_up, log_storage, messages, server
+from petrelwood.control.appending import new_identity
+from petrelwood.control.errors import LogStorageError
+from petrelwood.control.log_storage import LogStorage
 from petrelwood.decide.cluster import durable_replica
 from petrelwood.decide.cluster.durable_replica import DiskFailedError, DurableReplica
 from petrelwood.decide.cluster.log_records import (
@@ -288,11 +291,11 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.files = FailingFiles()
-        self.enterContext(mock.patch.object(server, "CATCH_UP", 0.05))
+        self.enterContext(mock.patch.object(catching_up, "INTERVAL", 0.05))
         self.enterContext(mock.patch.object(durable_replica, "LONGEST_RETRY", SECOND // 4))
         addresses, self.servers, sockets = {}, {}, {}
         for name in ("c1", "c2", "c3"):
-            sockets[name] = server.bind_sockets(0, "127.0.0.1")
+            sockets[name] = bind_sockets(0, "127.0.0.1")
             addresses[name] = sockets[name][0].getsockname()
         self.log = structlog.testing.CapturingLogger()
         logger = structlog.wrap_logger(
@@ -305,14 +308,11 @@
                 name, peers, storage.open(0), storage.save, logger if name == "c1" else structlog.get_logger()
             )
             self.servers[name].add_sockets(sockets[name])
-            self.addCleanup(self.servers[name].end)
-        self.tasks = [
-            asyncio.create_task(work)
-            for one in self.servers.values()
-            for work in (one.follow(), one.watch_disk())
-        ]
-        self.addCleanup(lambda: [task.cancel() for task in self.tasks])
-        self.clients = {name: RpcClient(address, messages.MOST) for name, address in addresses.items()}
+            self.addCleanup(self.servers[name].close)
+        self.tasks = {name: one.start_background() for name, one in self.servers.items()}
+        self.clients = {
+            name: RpcClient(address, messages.MAX_MESSAGE_SIZE) for name, address in addresses.items()
+        }
         for client in self.clients.values():
             self.addCleanup(client.close)
 
@@ -336,26 +336,26 @@
                 await asyncio.sleep(0.01)
         self.assertEqual((await self.call("c1", "read", [0]))[1], 2)
         self.assertIn("log write failed; not voting", [call.args[0] for call in self.log.calls])
-        self.servers["c3"].end()  # without it there is no quorum until c1 votes again
+        self.servers["c3"].close()  # without it there is no quorum until c1 votes again
         self.files.failing = None
         async with asyncio.timeout(PATIENT):
             while self.servers["c1"].durable.failed:
                 await asyncio.sleep(0.01)
         self.assertIn("log written again; voting", [call.args[0] for call in self.log.calls])
         self.assertEqual(await self.append("c1", 3), 3)
-        self.assertEqual([task for task in self.tasks if task.done()], [])
+        self.assertEqual([task for task in self.tasks["c1"] if task.done()], [])
 
 
 class Identities(unittest.TestCase):
     def test_a_wall_clock_stepped_back_to_an_earlier_start_makes_no_ballot_twice(self):
         with mock.patch("time.time_ns", return_value=1):
-            self.assertEqual(len({server.new_identity("c1") for _ in range(100)}), 100)
+            self.assertEqual(len({new_identity("c1") for _ in range(100)}), 100)
 
     def test_whatever_the_name_is_peers_accept_the_identity_and_ids_made_of_it(self):
         for name in ("c1", "a" * 200, "\u20ac" * 64):
-            identity = server.new_identity(name)
-            messages.message("prepare", [1, 1, identity])
-            messages.record([f"{identity}.{1 << 62}", RecordKind.NO_OPERATION, 0, 0, b""])
+            identity = new_identity(name)
+            messages.decode_call("prepare", [1, 1, identity])
+            messages.decode_record([f"{identity}.{1 << 62}", RecordKind.NO_OPERATION, 0, 0, b""])
 
 
 if __name__ == "__main__":
--- a/tests/test_configuration_servers.py
+++ b/tests/test_configuration_servers.py
@@ -79,7 +79,7 @@
         return (self.folder / f"{name}.log").read_text()
 
     async def append(self, name, record):
-        client = RpcClient(self.addresses[name], messages.MOST)
+        client = RpcClient(self.addresses[name], messages.MAX_MESSAGE_SIZE)
         try:
             (slot,) = await client.call("append", [list(record)], 10)
             return slot
@@ -164,9 +164,9 @@
         slot = await decided(4)
         self.assertGreaterEqual(slot, 4)
         for name in ("c1", "c2", "c5"):  # all agree on each slot
-            client = RpcClient(self.group.addresses[name], messages.MOST)
+            client = RpcClient(self.group.addresses[name], messages.MAX_MESSAGE_SIZE)
             for _ in range(20 * PATIENT):
-                found = messages.extract(await client.call("catch-up", [0], 10))
+                found = messages.decode_extract(await client.call("catch-up", [0], 10))
                 if found.chosen >= slot:
                     break
                 await asyncio.sleep(0.05)
@@ -187,7 +187,7 @@
             await self.group.append("c1", Record("x", RecordKind.REVOCATION, 9, 0, b"?"))
 
     async def test_what_can_not_be_read_is_an_error_and_the_server_goes_on(self):
-        client = RpcClient(self.group.addresses["c1"], messages.MOST)
+        client = RpcClient(self.group.addresses["c1"], messages.MAX_MESSAGE_SIZE)
         self.addCleanup(client.close)
         for method, params in (
             ("nonsense", []),
@@ -204,7 +204,7 @@
         ):
             with self.assertRaises(CallFailed, msg=(method, params)):
                 await client.call(method, params, 10)
-        raw = RpcClient(self.group.addresses["c1"], messages.MOST)
+        raw = RpcClient(self.group.addresses["c1"], messages.MAX_MESSAGE_SIZE)
         self.addCleanup(raw.close)
         await raw.call("read", [0], 10)
         await raw.stream.write(b"\xc1 this is no message")
--- a/tests/test_finished.py
+++ b/tests/test_finished.py
@@ -14,6 +14,7 @@
 # finished, take nothing away.
 FINISHED_BEFORE = {
     "petrelwood/clocks.py",
+    "petrelwood/control",
     "petrelwood/decide/cluster/durable_replica.py",
     "petrelwood/decide/cluster/log_proposal.py",
     "petrelwood/decide/cluster/log_records.py",
--- a/tests/test_stored_configuration.py
+++ b/tests/test_stored_configuration.py
@@ -76,9 +76,9 @@
         extract = self.replica.extract(2)
         calls = (Prepare(5, BALLOT), Accept(5, BALLOT, REVOCATION), Learn(extract))
         for call, sent in zip(calls, WIRE["calls"], strict=True):
-            self.assert_sent(list(messages.call(call)), sent)
+            self.assert_sent(list(messages.encode_call(call)), sent)
             method, params = msgpack.unpackb(bytes.fromhex(sent))
-            self.assertEqual(messages.message(method, params), call)
+            self.assertEqual(messages.decode_call(method, params), call)
 
     def test_replies(self):
         extract = self.replica.extract(2)
@@ -93,13 +93,13 @@
             Learned(4),
         )
         for reply, sent in zip(replies, WIRE["replies"], strict=True):
-            self.assert_sent(messages.result(reply), sent)
-            self.assertEqual(messages.reply(msgpack.unpackb(bytes.fromhex(sent))), reply)
+            self.assert_sent(messages.encode_reply(reply), sent)
+            self.assertEqual(messages.decode_reply(msgpack.unpackb(bytes.fromhex(sent))), reply)
 
     def test_what_followers_read(self):
         extract = self.replica.extract(0, compact=True)
-        self.assert_sent(messages.plain(extract), WIRE["read"])
-        self.assertEqual(messages.extract(msgpack.unpackb(bytes.fromhex(WIRE["read"]))), extract)
+        self.assert_sent(messages.encode_extract(extract), WIRE["read"])
+        self.assertEqual(messages.decode_extract(msgpack.unpackb(bytes.fromhex(WIRE["read"]))), extract)
         self.assertEqual(decompress_text(bytes.fromhex(WIRE["body"])), 'function "a" type="t"\n')
 
 
