--- a/petrelwood/cli/configuration.py
+++ b/petrelwood/cli/configuration.py
@@ -130,7 +130,7 @@
 
 async def _append(servers, record):
     from petrelwood.control import messages
-    from petrelwood.links.rpc_client import CallFailed, RpcClient
+    from petrelwood.links.rpc_client import RpcClient, RpcError
 
     faults = []
     for address in servers:
@@ -138,7 +138,7 @@
         try:
             (slot,) = await client.call("append", [record], APPEND_WITHIN)
             return slot
-        except CallFailed as fault:
+        except RpcError as fault:
             faults.append(f"{address[0]}:{address[1]}: {fault}")
         finally:
             client.close()
--- a/petrelwood/control/peers.py
+++ b/petrelwood/control/peers.py
@@ -6,7 +6,7 @@
 from petrelwood.control import messages
 from petrelwood.control.errors import MalformedMessageError, PeerError
 from petrelwood.decide.cluster.log_records import Extract, Message, Reply
-from petrelwood.links.rpc_client import CallFailed, RpcClient
+from petrelwood.links.rpc_client import RpcClient, RpcError
 
 Address = tuple[str, int]
 CALL_TIMEOUT = 1.0  # seconds for an answer
@@ -54,7 +54,7 @@
     async def _call(self, peer: str, method: str, params: list[Any]) -> object:
         try:
             result: object = await self._clients[peer].call(method, params, CALL_TIMEOUT)
-        except CallFailed as error:
+        except RpcError as error:
             raise PeerError(f"{peer} did not answer {method}: {error}") from error
         return result
 
--- a/petrelwood/dispatch/configuration.py
+++ b/petrelwood/dispatch/configuration.py
@@ -26,7 +26,7 @@
     VersionWatch,
 )
 from petrelwood.dispatch.interfaces import Clock, Logger, RandomFraction
-from petrelwood.links.rpc_client import CallFailed, RpcClient
+from petrelwood.links.rpc_client import RpcClient, RpcError
 from petrelwood.settings.gateway import ConfigurationTerms
 from petrelwood.store import versions
 
@@ -77,7 +77,7 @@
         try:
             answer = await self.clients[server].call("read", [self.watch.known], ANSWER_WITHIN / SECOND)
             extract = messages.decode_extract(answer)
-        except (CallFailed, MalformedMessageError) as fault:
+        except (RpcError, MalformedMessageError) as fault:
             self.watch.failed(server, self.clock.now())
             self.log.debug("configuration server poll failed", server=server, why=str(fault))
             return
@@ -131,7 +131,7 @@
             for server in self.watch.order:
                 try:
                     await self.clients[server].call("append", params, APPEND_TIMEOUT)
-                except CallFailed as fault:
+                except RpcError as fault:
                     self.log.warning(
                         "reporting a call-off failed; will be retried",
                         number=number,
--- a/petrelwood/links/rpc_client.py
+++ b/petrelwood/links/rpc_client.py
@@ -1,96 +1,129 @@
 """Calls by MessagePack-RPC on one connection that is made when it is needed, and made anew after a loss."""
 
 import asyncio
+from typing import Any
 
-from tornado.iostream import IOStream, StreamBufferFullError, StreamClosedError
+from tornado.iostream import IOStream, StreamBufferFullError
 
+from petrelwood.errors import TransportError
 from petrelwood.links import rpc, sockets
 
-READ = 65_536  # bytes taken from the socket at a time
-OPEN_CALLS = 64  # calls without an answer at a time; further ones fail at once
+READ_SIZE = 65_536  # bytes taken from the socket at a time
+MAX_OPEN_CALLS = 64  # calls without an answer at a time; further ones fail at once
+MESSAGE_ID_MASK = 0xFFFFFFFF
+Answer = asyncio.Future[tuple[object, object]]  # the error and the result of a response
 
 
-class CallFailed(Exception):
-    """A call without a usable answer; `str()` tells why. Whether it was carried out is not known."""
+class RpcError(TransportError):
+    """A call without a usable answer; whether it was carried out is not known."""
 
 
 class RpcClient:
-    """`address`: (host, port). `most`: bytes of one message."""
-
-    def __init__(self, address, most):
-        self.address, self.most = address, most
-        self.stream, self.calls, self.last, self.lock = None, {}, 0, asyncio.Lock()
-        self.messages = self.bytes = 0  # sent and received
-
-    async def call(self, method, params, within):
-        """The result of a call that is answered `within` seconds. Raises `CallFailed`."""
+    """`address`: (host, port). `max_size`: bytes of one message."""
+
+    def __init__(self, address: tuple[str, int], max_size: int) -> None:
+        self.address = address
+        self.messages = 0  # sent and received
+        self.bytes = 0  # sent and received
+        self._max_size = max_size
+        self._stream: IOStream | None = None
+        self._connecting = asyncio.Lock()
+        self._open_calls: dict[int, Answer] = {}
+        self._last_id = 0
+        self._received = 0  # bytes
+        self._listening: asyncio.Task[None] | None = None
+
+    async def call(self, method: str, params: list[Any], within: float) -> object:
+        """The result of a call that is answered `within` seconds. Raises `RpcError`."""
+        received = self._received
         try:
             return await asyncio.wait_for(self._call(method, params), within)
-        except TimeoutError:
-            raise CallFailed("no answer in time") from None
-        except (StreamClosedError, StreamBufferFullError, OSError) as fault:
-            raise CallFailed(str(fault) or "the connection is lost") from None
-
-    async def _call(self, method, params):
-        if len(self.calls) >= OPEN_CALLS:
-            raise CallFailed("too many calls have no answer")
-        async with self.lock:
-            if self.stream is None or self.stream.closed():
-                await self._connect()
-        self.last = (self.last + 1) & 0xFFFFFFFF
-        msgid = self.last
-        answer = self.calls[msgid] = asyncio.get_running_loop().create_future()
+        except TimeoutError as error:
+            if received == self._received:
+                self._drop_silent_connection()
+            raise RpcError("no answer in time") from error
+        except (StreamBufferFullError, OSError) as error:
+            raise RpcError(str(error) or "the connection is lost") from error
+
+    async def _call(self, method: str, params: list[Any]) -> object:
+        if len(self._open_calls) >= MAX_OPEN_CALLS:
+            raise RpcError("too many calls have no answer")
+        stream = await self._connected()
+        self._last_id = (self._last_id + 1) & MESSAGE_ID_MASK
+        message_id = self._last_id
+        answer: Answer = asyncio.get_running_loop().create_future()
+        self._open_calls[message_id] = answer
         try:
-            frame = rpc.request(msgid, method, params)
-            self.messages, self.bytes = self.messages + 1, self.bytes + len(frame)
-            await self.stream.write(frame)
+            frame = rpc.request(message_id, method, params)
+            self.messages += 1
+            self.bytes += len(frame)
+            await stream.write(frame)
             error, result = await answer
         finally:
-            self.calls.pop(msgid, None)
+            self._open_calls.pop(message_id, None)
         if error is not None:
-            raise CallFailed(str(error))
+            raise RpcError(str(error))
         return result
 
-    async def _connect(self):
+    async def _connected(self) -> IOStream:
+        """The connection, made anew if there is none. Raises OSError."""
+        async with self._connecting:
+            if self._stream is None or self._stream.closed():
+                self._stream = await self._connect()
+                self._listening = asyncio.get_running_loop().create_task(self._listen(self._stream))
+            return self._stream
+
+    async def _connect(self) -> IOStream:
         stream = IOStream(
-            sockets.fresh(self.address[0]), max_buffer_size=self.most + READ, max_write_buffer_size=self.most
+            sockets.fresh(self.address[0]),
+            max_buffer_size=self._max_size + READ_SIZE,
+            max_write_buffer_size=self._max_size,
         )
         try:
             await stream.connect(self.address)
+            stream.set_nodelay(True)
         except BaseException:  # the caller's time is up, too
             stream.close()
             raise
-        stream.set_nodelay(True)
-        self.stream = stream
-        asyncio.get_running_loop().create_task(self._listen(stream))
+        return stream
 
-    async def _listen(self, stream):
-        reader = rpc.Reader(self.most)
+    async def _listen(self, stream: IOStream) -> None:
+        reader = rpc.Reader(self._max_size)
         try:
             while True:
-                data = await stream.read_bytes(READ, partial=True)
+                data = await stream.read_bytes(READ_SIZE, partial=True)
                 self.bytes += len(data)
+                self._received += len(data)
                 for message in reader.feed(data):
                     self.messages += 1
                     if message[0] == rpc.RESPONSE:
-                        self._answered(*message[1:])
-        except (StreamClosedError, rpc.Garbage) as fault:
+                        _, message_id, error, result = message
+                        self._answered(message_id, error, result)
+        except (OSError, rpc.Garbage) as error:  # tornado hands some errors of the socket on as they are
             stream.close()
-            if self.stream is stream:
-                self._lost(str(fault) or "the connection is lost")
+            if self._stream is stream:
+                self._fail_open_calls(str(error) or "the connection is lost")
 
-    def _answered(self, msgid, error, result):
-        answer = self.calls.get(msgid)
+    def _answered(self, message_id: int, error: object, result: object) -> None:
+        answer = self._open_calls.get(message_id)
         if answer is not None and not answer.done():
             answer.set_result((error, result))
 
-    def _lost(self, why):
-        for answer in list(self.calls.values()):
+    def _fail_open_calls(self, reason: str) -> None:
+        for answer in list(self._open_calls.values()):
             if not answer.done():
-                answer.set_exception(CallFailed(why))
+                answer.set_exception(RpcError(reason))
+
+    def _drop_silent_connection(self) -> None:
+        """Nothing came for as long as a call may take: the other end may be gone without a word.
+
+        TCP tells that only after minutes of its own retries, and finds a machine that is back no sooner.
+        """
+        if self._stream is not None:
+            self._stream.close()
 
-    def close(self):
+    def close(self) -> None:
         """Ends the connection; calls without an answer fail."""
-        if self.stream is not None:
-            self.stream.close()
-        self._lost("closed")
+        if self._stream is not None:
+            self._stream.close()
+        self._fail_open_calls("closed")
--- a/tests/test_configuration_disk.py
+++ b/tests/test_configuration_disk.py
@@ -32,7 +32,7 @@
     RecordKind,
 )
 from petrelwood.emulate.configuration_servers import SECOND, World
-from petrelwood.links.rpc_client import CallFailed, RpcClient
+from petrelwood.links.rpc_client import RpcClient, RpcError
 from petrelwood.store import snapshot
 
 SEEDS = 24
@@ -329,7 +329,7 @@
         # c2 has a quorum without it; c1 fails at the first message of this and learns what is decided
         self.assertEqual(await self.append("c2", 2), 2)
         self.assertEqual(await self.call("c1", "prepare", [3, 9, "x"]), ["not voting"])
-        with self.assertRaisesRegex(CallFailed, "No space left on device"):
+        with self.assertRaisesRegex(RpcError, "No space left on device"):
             await self.append("c1", 3)
         async with asyncio.timeout(PATIENT):
             while self.servers["c1"].replica.chosen < 2:
--- a/tests/test_configuration_servers.py
+++ b/tests/test_configuration_servers.py
@@ -19,7 +19,7 @@
 from petrelwood.decide.cluster.log_records import MAX_TEXT_SIZE, Record, RecordKind, compress_text
 from petrelwood.decide.cluster.replicated_log import Replica
 from petrelwood.dispatch.configuration import ConfigurationFollower
-from petrelwood.links.rpc_client import CallFailed, RpcClient
+from petrelwood.links.rpc_client import RpcClient, RpcError
 from petrelwood.settings.gateway import ConfigurationTerms
 from petrelwood.standins.caller import Broken
 from petrelwood.store import snapshot, versions
@@ -128,7 +128,7 @@
             await self.until(lambda number=number: follower.watch.known == number)
             self.assertEqual(versions.path_of(folder, number).read_text(), f"text {number}")
         await self.group.kill("c3")
-        with self.assertRaisesRegex(CallFailed, "no quorum"):
+        with self.assertRaisesRegex(RpcError, "no quorum"):
             await self.group.append("c1", version(4))
         late = self.follow(self.folder / "late")  # what was decided is still told
         await self.until(lambda: late.watch.known == 3)
@@ -157,7 +157,7 @@
             for _ in range(PATIENT):
                 try:
                     return await self.group.append("c1", version(n))
-                except CallFailed:
+                except RpcError:
                     await asyncio.sleep(0.1)
             self.fail(self.group.said("c5"))
 
@@ -183,7 +183,7 @@
         self.assertTrue(versions.announced(self.folder / "other")[0].off)
         self.assertEqual((self.folder / "other" / "1.off").read_text(), "d1: it did worse")
         await self.until(lambda: not one.unsent_call_offs)
-        with self.assertRaisesRegex(CallFailed, "no version 9"):
+        with self.assertRaisesRegex(RpcError, "no version 9"):
             await self.group.append("c1", Record("x", RecordKind.REVOCATION, 9, 0, b"?"))
 
     async def test_what_can_not_be_read_is_an_error_and_the_server_goes_on(self):
@@ -202,12 +202,12 @@
             ("accept", [1, 1, "c1", None]),
             ("learn", [0, 1, [[1]]]),
         ):
-            with self.assertRaises(CallFailed, msg=(method, params)):
+            with self.assertRaises(RpcError, msg=(method, params)):
                 await client.call(method, params, 10)
         raw = RpcClient(self.group.addresses["c1"], messages.MAX_MESSAGE_SIZE)
         self.addCleanup(raw.close)
         await raw.call("read", [0], 10)
-        await raw.stream.write(b"\xc1 this is no message")
+        await raw._stream.write(b"\xc1 this is no message")
         self.assertEqual(await self.group.append("c1", version(1)), 1)
 
 
--- a/tests/test_finished.py
+++ b/tests/test_finished.py
@@ -21,6 +21,7 @@
     "petrelwood/decide/cluster/replicated_log.py",
     "petrelwood/errors.py",
     "petrelwood/links/listener.py",
+    "petrelwood/links/rpc_client.py",
 }
 EXCUSE = re.compile(r"#\s*(noqa|fmt:|ruff:|type:\s*ignore|mypy:|pylint:)")
 READABLE = '''"""A module."""
--- /dev/null
+++ b/tests/test_rpc_client.py
@@ -0,0 +1,184 @@
+"""A client of MessagePack-RPC whose system calls fail: each call ends in time, and the next one works."""
+
+import asyncio
+import errno
+import gc
+import os
+import socket
+import time
+import unittest
+from unittest import mock
+
+from tornado.netutil import bind_sockets
+
+from petrelwood.links import rpc, rpc_client, sockets
+from petrelwood.links.listener import Listener
+from petrelwood.links.rpc_client import RpcClient, RpcError
+
+PATIENT = 30  # seconds; far over what a busy machine needs
+MOST = 1 << 16  # bytes of a message
+NO_SOCKET = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPERM)
+NO_CONNECTION = (
+    errno.ECONNREFUSED,
+    errno.ECONNABORTED,
+    errno.EADDRNOTAVAIL,
+    errno.ENETUNREACH,
+    errno.EHOSTUNREACH,
+    errno.ETIMEDOUT,
+    errno.ENOBUFS,
+    errno.EPERM,
+    errno.EAGAIN,
+)
+BROKEN = (
+    errno.ECONNRESET,
+    errno.EPIPE,
+    errno.ETIMEDOUT,
+    errno.EHOSTUNREACH,
+    errno.ENETUNREACH,
+    errno.ENOBUFS,
+)
+
+
+class Echo(Listener):
+    """Answers each call with its parameters, but for the method `silence`; `mute`: answers nothing."""
+
+    def __init__(self):
+        super().__init__()
+        self.mute, self.connections = False, 0
+
+    async def handle_stream(self, stream, address):
+        self.connections += 1
+        mute, reader = self.mute, rpc.Reader(MOST)
+        while True:
+            try:
+                data = await stream.read_bytes(MOST, partial=True)
+            except OSError:
+                return
+            for _, message_id, method, params in reader.feed(data):
+                if method == "garbage":
+                    await stream.write(b"\xc1")
+                elif method != "silence" and not mute:
+                    await stream.write(rpc.response(message_id, None, params))
+
+
+class Faults(unittest.IsolatedAsyncioTestCase):
+    async def asyncSetUp(self):
+        self.server = Echo()
+        listening = bind_sockets(0, "127.0.0.1")
+        self.server.add_sockets(listening)
+        self.addCleanup(self.server.stop)
+        self.client = RpcClient(listening[0].getsockname(), MOST)
+        self.addCleanup(self.client.close)
+
+    async def ask(self, method="echo", within=PATIENT):
+        return await self.client.call(method, [1], within)
+
+    async def fails_at_once(self, method="echo"):
+        began = time.monotonic()
+        with self.assertRaises(RpcError):
+            await self.ask(method)
+        self.assertLess(time.monotonic() - began, PATIENT / 2)
+
+    def fault(self, name, number, when=lambda sock, args: True):
+        """One failing call of a method of the client's socket; the server's are left alone."""
+        inner, done = getattr(socket.socket, name), []
+        port = self.client.address[1]
+
+        def outer(sock, *args):
+            if not done and _port_of(sock, args) == port and when(sock, args):
+                done.append(True)
+                if name == "getsockopt":
+                    return number
+                raise OSError(number, os.strerror(number))
+            return inner(sock, *args)
+
+        return mock.patch.object(socket.socket, name, outer)
+
+    async def test_no_socket_to_be_had(self):
+        for number in NO_SOCKET:
+            with self.subTest(errno.errorcode[number]):
+                self.client.close()
+                with mock.patch.object(sockets, "fresh", side_effect=OSError(number, "injected")):
+                    await self.fails_at_once()
+                self.assertEqual(await self.ask(), [1])
+
+    async def test_no_connection_to_be_had(self):
+        for name in ("connect", "getsockopt"):
+            for number in NO_CONNECTION:
+                if (name, number) == ("connect", errno.EAGAIN):
+                    continue  # it is how a connect that goes on is told
+                with self.subTest(name, number=errno.errorcode[number]):
+                    self.client.close()
+                    with self.fault(name, number):
+                        await self.fails_at_once()
+                    self.assertEqual(await self.ask(), [1])
+
+    async def test_an_option_that_can_not_be_set_leaves_no_socket_behind(self):
+        before = len(os.listdir("/proc/self/fd"))
+        for _ in range(8):
+            with self.fault("setsockopt", errno.ENOBUFS):
+                gc.disable()
+                try:
+                    await self.fails_at_once()
+                    await asyncio.sleep(0.01)
+                finally:
+                    gc.enable()
+        self.assertLess(len(os.listdir("/proc/self/fd")) - before, 8)
+        self.assertEqual(await self.ask(), [1])
+
+    async def test_a_connection_that_breaks_ends_all_calls_at_once(self):
+        for name in ("recv_into", "send"):
+            for number in BROKEN:
+                with self.subTest(name, number=errno.errorcode[number]):
+                    self.assertEqual(await self.ask(), [1])
+                    waiting = asyncio.create_task(self.fails_at_once("silence"))
+                    await asyncio.sleep(0.01)
+                    with self.fault(name, number):
+                        await self.fails_at_once()
+                    await waiting
+                    self.assertEqual(await self.ask(), [1])
+
+    async def test_what_is_no_message_ends_the_connection(self):
+        await self.fails_at_once("garbage")
+        self.assertEqual(await self.ask(), [1])
+
+    async def test_a_connection_that_is_silent_for_a_call_is_not_used_again(self):
+        """As to a machine that lost its power: nothing tells that the connection is gone."""
+        self.server.mute = True
+        with self.assertRaisesRegex(RpcError, "no answer in time"):
+            await self.ask(within=0.05)
+        self.server.mute = False
+        self.assertEqual(await self.ask(), [1])
+        self.assertEqual(self.server.connections, 2)
+
+    async def test_a_call_without_an_answer_leaves_a_connection_that_others_are_answered_on(self):
+        waiting = asyncio.create_task(self.ask("silence", 0.2))
+        while not waiting.done():
+            self.assertEqual(await self.ask(), [1])
+            await asyncio.sleep(0.01)
+        with self.assertRaises(RpcError):
+            await waiting
+        self.assertEqual(await self.ask(), [1])
+        self.assertEqual(self.server.connections, 1)
+
+    async def test_too_many_calls_without_an_answer_fail_at_once(self):
+        calls = [asyncio.create_task(self.ask("silence")) for _ in range(rpc_client.MAX_OPEN_CALLS)]
+        await asyncio.sleep(0.05)
+        await self.fails_at_once()
+        self.client.close()
+        ends = await asyncio.gather(*calls, return_exceptions=True)
+        self.assertEqual({type(end) for end in ends}, {RpcError})
+
+
+def _port_of(sock, args):
+    """The port that a socket is connected to, or is just being connected to."""
+    if args and isinstance(args[0], tuple):
+        return args[0][1]
+    try:
+        return sock.getpeername()[1]
+    except OSError:
+        return None
+
+
+if __name__ == "__main__":
+    unittest.main()
