--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -41,7 +41,8 @@
     DISPATCHERS,
 )
 from petrelwood.bgp.heartbeats import EVERY
-from petrelwood.decide.cluster import link_state, membership
+from petrelwood.decide.cluster import membership
+from petrelwood.decide.cluster.link_state import LinkPhase
 from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announced, Rollout, dwell_for
 from petrelwood.decide.overload.sliding_window import SlidingWindowCounter
 from petrelwood.dispatch.health import HeartbeatReporter
@@ -504,7 +505,7 @@
     for start in range(0, count, 50):
         for link in links[start : start + 50]:
             link._connect(core.now())
-        while any(link.state.state != link_state.UP for link in links[start : start + 50]):
+        while any(link.state.phase != LinkPhase.UP for link in links[start : start + 50]):
             await asyncio.sleep(0.01)
     return core, links
 
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -10,6 +10,7 @@
 from benchmarks.scale import site, size
 from benchmarks.scale import traffic as flows
 from petrelwood.brain import Brain
+from petrelwood.decide.cluster.link_state import LinkCheck
 from petrelwood.dispatch.core import Core
 from petrelwood.emulate.link import Link
 from petrelwood.emulate.platform import Platform
@@ -67,9 +68,9 @@
         super()._answered(call, word, note, body, gauge, life)
 
     def _connected(self, attempt):
-        waits = self.state.state
+        waits = self.state.phase
         super()._connected(attempt)
-        if waits != self.state.state and self.life == self.node.life:
+        if waits != self.state.phase and self.life == self.node.life:
             self._count(flows.GREETINGS, rpc.notice("hello", [self.core.name]))
             self._count(flows.GREETINGS, rpc.notice("hello", [self.worker, self.node.booted]))
 
@@ -84,9 +85,9 @@
     def check(self, now):
         """As `links.worker.WorkerLink.check` does for what is silent; whether it still has to be asked."""
         verdict = self.state.check(now, bool(self.out))
-        if verdict == "give up":
+        if verdict == LinkCheck.GIVE_UP:
             self.give_up("nothing was heard in time")
-        elif verdict == "ping":
+        elif verdict == LinkCheck.PING:
             self.probe()
         return self.owes()
 
--- a/petrelwood/decide/cluster/link_state.py
+++ b/petrelwood/decide/cluster/link_state.py
@@ -4,72 +4,162 @@
 
 A connection counts only once the worker has greeted with its id and start time: a peer that accepts and stays
 silent was never up, so what waited for it provably never ran. A greeting with another id is a wrong peer; one
-with another start time than before is a new life of the worker, which knows nothing of calls made to the old
-one."""
+with another start time than before is a new incarnation of the worker, which knows nothing of calls made to
+the one before.
+"""
 
-from petrelwood.decide.overload.backoff import Backoff
+from collections.abc import Callable
+from enum import StrEnum
+from typing import Protocol
 
-DOWN, CONNECTING, GREETING, UP = "down", "connecting", "greeting", "up"
-PINGS = 3  # a link that owes something is asked so often before it is given up
+from petrelwood.decide.overload.backoff import Backoff, Budget
+
+MOST_PINGS = 3  # unanswered pings of a link with calls in flight before it is given up
+LONGEST_BACKOFF = 16  # times the time to connect
+
+
+class LinkPhase(StrEnum):
+    """How far a link is connected."""
+
+    DOWN = "down"
+    CONNECTING = "connecting"
+    GREETING = "greeting"
+    UP = "up"
+
+
+class CallDecision(StrEnum):
+    """What becomes of a call that has just come."""
+
+    QUEUE = "wait"
+    CONNECT = "connect"  # begin to connect, and queue the call
+    REJECT = "refuse"
+
+
+# Each call asks for these, and Python 3.11 is slow to look a member up on its enum.
+DOWN = LinkPhase.DOWN
+UP = LinkPhase.UP
+QUEUE = CallDecision.QUEUE
+REJECT = CallDecision.REJECT
+CONNECT = CallDecision.CONNECT
+
+
+class LinkCheck(StrEnum):
+    """What a look at a link asks for."""
+
+    GIVE_UP = "give up"
+    PING = "ping"
+
+
+class LinkTerms(Protocol):
+    """What of the settings a link goes by; times in ns."""
+
+    @property
+    def connect_within(self) -> int:
+        """From the begin of a connection until it has greeted."""
+
+    @property
+    def quiet(self) -> int:
+        """How long a link with calls in flight may be silent."""
 
 
 class LinkState:
-    """Times in ns. `terms` is a `WorkerTerms`; `budget` a `backoff.Budget` that all links share for
-    connecting again."""
-
-    def __init__(self, worker, terms, chance, budget=None):
-        self.worker, self.terms, self.state, self.budget = worker, terms, DOWN, budget
-        self.backoff = Backoff(terms.connect_within, 16 * terms.connect_within, chance)
-        self.since, self.heard, self.asked, self.booted, self.lives = 0, 0, 0, None, 0
-
-    def wants(self, now):
-        """For a call that has just come: 'wait' (queue it), 'connect' (begin, and queue it) or 'refuse'."""
-        if self.state != DOWN:
-            return "wait"
-        if not self.backoff.may(now) or (
-            self.backoff.failures and self.budget is not None and not self.budget.spend(now)
-        ):
-            # it failed before, and so do many others: not all at once
-            return "refuse"
-        return "connect"
-
-    def connecting(self, now):
-        self.state, self.since = CONNECTING, now
-
-    def connected(self, now):
-        if self.state == CONNECTING:
-            self.state = GREETING
-
-    def greeted(self, now, worker, booted):
-        """Whether the peer is the worker that was meant."""
-        if self.state != GREETING or worker != self.worker:
+    """One link to a worker; times in ns.
+
+    `chance()` is drawn in [0, 1); `reconnect_budget` is shared by all links for connecting again.
+    """
+
+    __slots__ = (
+        "backoff",
+        "connecting_since",
+        "heard_at",
+        "incarnations",
+        "phase",
+        "pings",
+        "reconnect_budget",
+        "terms",
+        "worker",
+        "worker_started",
+    )
+
+    def __init__(
+        self,
+        worker: str,
+        terms: LinkTerms,
+        chance: Callable[[], float],
+        reconnect_budget: Budget | None = None,
+    ) -> None:
+        self.worker = worker
+        self.terms = terms
+        self.phase = LinkPhase.DOWN
+        self.reconnect_budget = reconnect_budget
+        self.backoff = Backoff(terms.connect_within, LONGEST_BACKOFF * terms.connect_within, chance)
+        self.connecting_since = 0
+        self.heard_at = 0
+        self.pings = 0  # since it was last heard
+        self.worker_started: int | None = None
+        self.incarnations = 0  # of the worker, that this link has met
+
+    def on_call(self, now: int) -> CallDecision:
+        """What to do with a call that has just come."""
+        if self.phase is not DOWN:
+            return QUEUE
+        if not self.backoff.may_retry(now):
+            return REJECT
+        if self.backoff.failures and not self._may_reconnect(now):
+            return REJECT
+        return CONNECT
+
+    def _may_reconnect(self, now: int) -> bool:
+        """It failed before, and so do many others: not all of them at once."""
+        return self.reconnect_budget is None or self.reconnect_budget.spend(now)
+
+    def on_connecting(self, now: int) -> None:
+        """A connection is being made."""
+        self.phase = LinkPhase.CONNECTING
+        self.connecting_since = now
+
+    def on_connected(self) -> None:
+        """The peer has accepted."""
+        if self.phase == LinkPhase.CONNECTING:
+            self.phase = LinkPhase.GREETING
+
+    def on_greeting(self, now: int, worker: object, started: int) -> bool:
+        """Whether the peer is the worker that was meant; `started`: its start time as it says it."""
+        if self.phase != LinkPhase.GREETING or worker != self.worker:
             return False
-        if booted != self.booted:
-            self.booted, self.lives = booted, self.lives + 1
-        self.state, self.heard, self.asked = UP, now, 0
+        if started != self.worker_started:
+            self.worker_started = started
+            self.incarnations += 1
+        self.phase = LinkPhase.UP
+        self.on_bytes(now)
         self.backoff.succeeded()
-        if self.budget is not None:
-            self.budget.first()
+        if self.reconnect_budget is not None:
+            self.reconnect_budget.earn()
         return True
 
-    def hears(self, now):
-        self.heard, self.asked = now, 0
+    def on_bytes(self, now: int) -> None:
+        """Something came from the peer."""
+        self.heard_at = now
+        self.pings = 0
+
+    def on_lost(self, now: int) -> int:
+        """The connection is lost, or was not made; returns when the next one may be tried.
 
-    def lost(self, now):
-        """Notes the loss; a connection that was up costs one short wait, each failure to connect a longer
-        one."""
-        self.state = DOWN
+        One that was up costs one short wait, each failure to connect a longer one.
+        """
+        self.phase = LinkPhase.DOWN
         return self.backoff.failed(now)
 
-    def check(self, now, owing):
-        """'give up', 'ping' or None, asked now and then while the link is not down."""
-        if self.state in (CONNECTING, GREETING):
-            return "give up" if now - self.since >= self.terms.connect_within else None
-        if self.state == UP and owing:
-            quiet = now - self.heard
-            if quiet >= self.terms.quiet:
-                return "give up"
-            if quiet >= self.terms.quiet * (self.asked + 1) // (PINGS + 1):
-                self.asked += 1
-                return "ping"
+    def check(self, now: int, has_calls_in_flight: bool) -> LinkCheck | None:
+        """Asked now and then while the link is not down."""
+        if self.phase in (LinkPhase.CONNECTING, LinkPhase.GREETING):
+            is_late = now - self.connecting_since >= self.terms.connect_within
+            return LinkCheck.GIVE_UP if is_late else None
+        if self.phase is UP and has_calls_in_flight:
+            silence = now - self.heard_at
+            if silence >= self.terms.quiet:
+                return LinkCheck.GIVE_UP
+            if silence >= self.terms.quiet * (self.pings + 1) // (MOST_PINGS + 1):
+                self.pings += 1
+                return LinkCheck.PING
         return None
--- a/petrelwood/decide/cluster/version_watch.py
+++ b/petrelwood/decide/cluster/version_watch.py
@@ -61,7 +61,7 @@
         if now < self.next:
             return ()
         self.next = now + int(ROUND * (1 - JITTER * self.chance()))
-        working = [server for server in self.order if self.backoff[server].may(now)]
+        working = [server for server in self.order if self.backoff[server].may_retry(now)]
         if len(working) < 2:
             return tuple(working)
         self.turn = self.turn % (len(working) - 1) + 1
--- a/petrelwood/decide/forecasting/account.py
+++ b/petrelwood/decide/forecasting/account.py
@@ -57,7 +57,7 @@
 
     def may(self, now):
         """Whether early loads may go on; a held one is tried again when its wait is over."""
-        if self.held and self.backoff.may(now):
+        if self.held and self.backoff.may_retry(now):
             self.held, self.seconds = False, -TRUST / 2  # one more trial, on short credit
         return not self.held
 
--- a/petrelwood/decide/overload/admission.py
+++ b/petrelwood/decide/overload/admission.py
@@ -79,7 +79,7 @@
         one.seen = now
         if self.open >= self.connections or self.handshakes and self.shaking >= self.handshakes:
             verdict = CROWDED
-        elif not one.backoff.may(now):
+        elif not one.backoff.may_retry(now):
             verdict = BAD
         elif (
             self._over_part(one, one.open, self.open, self.connections, "open")
@@ -130,7 +130,7 @@
 
     def may_check(self, now, address):
         """Whether a signature from there is worth checking; else it is refused unread."""
-        if self._address(now, address).backoff.may(now):
+        if self._address(now, address).backoff.may_retry(now):
             return True
         self.counts[BAD] += 1
         return False
--- a/petrelwood/decide/overload/backoff.py
+++ b/petrelwood/decide/overload/backoff.py
@@ -1,47 +1,74 @@
-"""When to try again: one piece for links, the roster and whatever else repeats.
+"""Backoff and a budget of retries, for links, the roster and whatever else is attempted again.
 
 Waits double from `first` to `most`, each drawn from its upper half, or with `full` from all of it, so that
-those that failed together do not come back together. A budget in `Budget` bounds repeats by firsts."""
+those that failed together do not come back together. A `Budget` bounds retries by first attempts.
+"""
+
+from collections.abc import Callable
+
+MOST_DOUBLINGS = 16
+ROUNDING = 1e-9  # tenths do not sum to one exactly
 
 
 class Backoff:
-    """The waits of one thing that is tried again. Times in ns."""
+    """The waits of one thing that is attempted again; times in ns, `chance()` is drawn in [0, 1)."""
+
+    __slots__ = ("chance", "failures", "first", "full", "most", "not_before")
 
-    def __init__(self, first, most, chance, full=False):
-        self.first, self.most, self.chance, self.full = first, most, chance, full
-        self.failures, self.not_before = 0, 0
+    def __init__(self, first: int, most: int, chance: Callable[[], float], full: bool = False) -> None:
+        self.first = first
+        self.most = most
+        self.chance = chance
+        self.full = full
+        self.failures = 0  # in a row
+        self.not_before = 0  # when the next attempt may be made
 
-    def failed(self, now):
-        """Notes a failure; the time before which nothing is tried again."""
-        wait = min(self.first << min(self.failures, 16), self.most)
+    def failed(self, now: int) -> int:
+        """Notes a failure; returns the time before which nothing is attempted again."""
+        wait = min(self.first << min(self.failures, MOST_DOUBLINGS), self.most)
         self.failures += 1
         least = 0 if self.full else wait // 2
         self.not_before = now + least + int(self.chance() * (wait - least))
         return self.not_before
 
-    def succeeded(self):
-        self.failures, self.not_before = 0, 0
+    def succeeded(self) -> None:
+        """Notes a success: the next failure costs the first wait again."""
+        self.failures = 0
+        self.not_before = 0
 
-    def may(self, now):
+    def may_retry(self, now: int) -> bool:
+        """Whether the wait is over."""
         return now >= self.not_before
 
 
 class Budget:
-    """So many repeats for so many firsts: each first earns a part of a repeat, up to a few kept. With `every`
-    (ns) time earns one too, so that what has had no firsts for long is tried all the same."""
+    """So many retries for so many first attempts.
+
+    Each first attempt earns `ratio` of a retry, up to `most` that are saved. With `every` (ns), time earns a
+    retry too, so that what has had no first attempt for long is attempted all the same.
+    """
+
+    __slots__ = ("every", "left", "most", "ratio", "rejected", "since")
 
-    def __init__(self, part, kept, every=0):
-        self.part, self.kept, self.left, self.every, self.since, self.refused = part, kept, kept, every, 0, 0
+    def __init__(self, ratio: float, most: float, every: int = 0) -> None:
+        self.ratio = ratio
+        self.most = most
+        self.left = most
+        self.every = every
+        self.since = 0  # until when time has earned
+        self.rejected = 0
 
-    def first(self):
-        self.left = min(self.kept, self.left + self.part)
+    def earn(self) -> None:
+        """Notes a first attempt."""
+        self.left = min(self.most, self.left + self.ratio)
 
-    def spend(self, now=0):
-        """Whether a repeat may go out; it is then paid for."""
+    def spend(self, now: int = 0) -> bool:
+        """Whether a retry may be made; it is then paid for."""
         if self.every and now > self.since:
-            self.left, self.since = min(self.kept, self.left + (now - self.since) / self.every), now
-        if self.left < 1 - 1e-9:  # tenths do not sum to one exactly
-            self.refused += 1
+            self.left = min(self.most, self.left + (now - self.since) / self.every)
+            self.since = now
+        if self.left < 1 - ROUNDING:
+            self.rejected += 1
             return False
         self.left -= 1
         return True
--- a/petrelwood/decide/overload/retry_budget.py
+++ b/petrelwood/decide/overload/retry_budget.py
@@ -44,7 +44,7 @@
         whom, told = self._customer(customer), self.told.get((customer, key))
         if told is None:
             how = FIRST
-            whom.budget.first()
+            whom.budget.earn()
         elif now + SLACK >= told[0]:
             how = LISTENED
             whom.deaf -= DEAF * whom.deaf
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -508,7 +508,7 @@
             return
         if self.repeats is not None:
             if not n:
-                self.repeats.first()
+                self.repeats.earn()
             # more are sent again than first: what fails is not helped by more
             elif not self.repeats.spend():
                 self.counts["over_budget"] += 1
--- a/petrelwood/emulate/link.py
+++ b/petrelwood/emulate/link.py
@@ -6,7 +6,7 @@
 
 from collections import deque
 
-from petrelwood.decide.cluster import link_state
+from petrelwood.decide.cluster.link_state import CONNECT, DOWN, REJECT, UP, LinkPhase, LinkState
 from petrelwood.decide.delivery import send_outcome
 
 HOP = 100_000  # ns that a connection takes beyond the way: the handshakes
@@ -79,7 +79,7 @@
 
     def __init__(self, platform, node, core, hall, terms, chance):
         self.platform, self.node, self.core, self.hall, self.terms = platform, node, core, hall, terms
-        self.state = link_state.LinkState(node.name, terms, chance, core.reconnects)
+        self.state = LinkState(node.name, terms, chance, core.reconnects)
         self.worker, self.address = node.name, (node.name, 0)
         self.waiting, self.out, self.runs, self.life, self.dead, self.attempt = deque(), {}, {}, 0, False, 0
         self.counts = {}
@@ -129,35 +129,38 @@
 
     def _call(self, call):
         now = self.core.now()
-        wish = self.state.wants(now)
-        if wish == "refuse":
+        decision = self.state.on_call(now)
+        if decision is REJECT:
             self._tell(call, send_outcome.of_loss(send_outcome.WAITING))
             return
-        if self.state.state == link_state.UP:
+        if self.state.phase is UP:
             self._hand(call)
             return
         self.waiting.append(call)
-        if wish == "connect":
-            self.state.connecting(now)
+        if decision is CONNECT:
+            self.state.on_connecting(now)
             self.attempt += 1
             self.platform.after(self.terms.connect_within, self._too_long, self.attempt)
             if not self.platform.is_cut(self.core.name, self.node.hall):
                 self.platform.after(3 * self.way() + HOP, self._connected, self.attempt)
 
     def _too_long(self, attempt):
-        if attempt == self.attempt and self.state.state in (link_state.CONNECTING, link_state.GREETING):
+        if attempt == self.attempt and self.state.phase in (
+            LinkPhase.CONNECTING,
+            LinkPhase.GREETING,
+        ):
             self._lost()
 
     def _connected(self, attempt):
-        if self.dead or attempt != self.attempt or self.state.state != link_state.CONNECTING:
+        if self.dead or attempt != self.attempt or self.state.phase != LinkPhase.CONNECTING:
             return
         if self.node.machine is None:
             self._lost()
             return
         if self.node.silent:
             return  # accepted, and nothing more: it never greets
-        self.state.connected(self.core.now())
-        self.state.greeted(self.core.now(), self.node.name, self.node.booted)
+        self.state.on_connected()
+        self.state.on_greeting(self.core.now(), self.node.name, self.node.booted)
         self.life = self.node.life
         self.node.links.append(self)
         while self.waiting:
@@ -236,7 +239,7 @@
     def _answered(self, call, word, note, body, gauge, life):
         if self.dead or life != self.life or call.over:
             return
-        self.state.hears(self.core.now())
+        self.state.on_bytes(self.core.now())
         self._end(
             call,
             "completed" if word in ("ok", "completed") else send_outcome.of_error(word),
@@ -265,9 +268,9 @@
                 machine.cancel(call.job, self.platform.day.stops_work)
 
     def _lost(self):
-        if self.dead or self.state.state == link_state.DOWN:
+        if self.dead or self.state.phase is DOWN:
             return
-        self.state.lost(self.core.now())
+        self.state.on_lost(self.core.now())
         self.life = -1
         if self in self.node.links:
             self.node.links.remove(self)
--- a/petrelwood/links/worker.py
+++ b/petrelwood/links/worker.py
@@ -13,7 +13,7 @@
 
 from tornado.iostream import IOStream, SSLIOStream, StreamClosedError
 
-from petrelwood.decide.cluster import link_state
+from petrelwood.decide.cluster.link_state import CONNECT, DOWN, REJECT, UP, LinkCheck, LinkPhase, LinkState
 from petrelwood.decide.delivery import send_outcome
 from petrelwood.links import rpc, sockets
 from petrelwood.links.calls import Call, Calls
@@ -28,7 +28,7 @@
     def __init__(self, worker, address, terms, chance, core, log, tls=None):
         super().__init__(worker, address, core)
         self.terms, self.log, self.tls = terms, log, tls
-        self.state = link_state.LinkState(worker, terms, chance, core.reconnects)
+        self.state = LinkState(worker, terms, chance, core.reconnects)
         self.stream, self.last, self.writing, self.soon = None, 0, False, False
 
     # What the dispatcher asks.
@@ -47,27 +47,27 @@
         call = Call(kind, act, n, fn, now, rpc.request(self.last, kind, params), self.last, until)
         if kind == "run":
             self.runs[act, n] = call
-        wish = self.state.wants(now)
-        if wish == "refuse":
+        decision = self.state.on_call(now)
+        if decision is REJECT:
             self._tell(call, send_outcome.of_loss(send_outcome.WAITING))
         elif self.waiting_bytes + len(call.frame) > self.terms.queue:
             self._tell(call, send_outcome.of_crowding())
         else:
             self._wait(call)
             self.core.active(self)
-            if wish == "connect":
+            if decision is CONNECT:
                 self._connect(now)
             self._flush_soon()
 
     # The way out.
     def _flush_soon(self):
-        if not self.soon and not self.writing and self.state.state == link_state.UP:
+        if not self.soon and not self.writing and self.state.phase is UP:
             self.soon = True
             self.core.loop.call_soon(self._flush)
 
     def _flush(self):
         self.soon = False
-        while self.waiting and not self.writing and self.state.state == link_state.UP:
+        while self.waiting and not self.writing and self.state.phase is UP:
             size, chunk = 0, []
             while self.waiting and size < BATCH:
                 if self._may_leave(self.waiting[0]):
@@ -94,7 +94,7 @@
         self._notice("cancel", [call.act, call.n])
 
     def _notice(self, method, params):
-        if self.state.state == link_state.UP and not self.stream.closed():
+        if self.state.phase is UP and not self.stream.closed():
             try:
                 self.stream.write(rpc.notice(method, params)).add_done_callback(lambda done: done.exception())
             except StreamClosedError:
@@ -102,7 +102,7 @@
 
     # The connection.
     def _connect(self, now):
-        self.state.connecting(now)
+        self.state.on_connecting(now)
         host, port = self.address
         self.writing = False
         most = self.terms.frame + BATCH
@@ -122,14 +122,14 @@
                 else stream.connect(address, server_hostname=self.tls.server_name(address[0]))
             )
             stream.set_nodelay(True)
-            self.state.connected(self.core.now())
+            self.state.on_connected()
             stream.write(rpc.notice("hello", [self.core.name])).add_done_callback(
                 lambda done: done.exception()
             )
             reader = rpc.Reader(self.terms.frame)
             while True:
                 data = await stream.read_bytes(BATCH, partial=True)
-                self.state.hears(self.core.now())
+                self.state.on_bytes(self.core.now())
                 for message in reader.feed(data):
                     self._message(message)
         except StreamClosedError as fault:
@@ -145,10 +145,10 @@
 
     def _lost(self, stream, why):
         stream.close()
-        if self.stream is not stream or self.state.state == link_state.DOWN:
+        if self.stream is not stream or self.state.phase is DOWN:
             return
-        was_up = self.state.state == link_state.UP
-        self.state.lost(self.core.now())
+        was_up = self.state.phase is UP
+        self.state.on_lost(self.core.now())
         self.counts["lost"] += 1
         self.log.info(
             "link lost",
@@ -168,27 +168,30 @@
     def check(self, now):
         """Asked often while the link is not at rest; whether it still has to be."""
         verdict = self.state.check(now, bool(self.out))
-        if verdict == "give up":
+        if verdict == LinkCheck.GIVE_UP:
             self.give_up("nothing was heard in time")
-        elif verdict == "ping":
+        elif verdict == LinkCheck.PING:
             self._call("probe", None, 0, None, [])
         for call in self._overdue_calls(now, self.terms.order_within):
             self._end(call, send_outcome.of_time(call.stage))
         for call in self._expired(now):
             self.late(call.act, call.n)
-        return self.owes() or self.state.state in (link_state.CONNECTING, link_state.GREETING)
+        return self.owes() or self.state.phase in (
+            LinkPhase.CONNECTING,
+            LinkPhase.GREETING,
+        )
 
     # The way back.
     def _message(self, message):
         if message[0] == rpc.RESPONSE:
             self._response(message[1], message[2], message[3])
-        elif message[0] == rpc.NOTICE and message[1] == "hello" and self.state.state == link_state.GREETING:
+        elif message[0] == rpc.NOTICE and message[1] == "hello" and self.state.phase == LinkPhase.GREETING:
             if len(message[2]) != 2 or not isinstance(message[2][1], int):
                 raise rpc.Garbage("a malformed greeting")
-            if not self.state.greeted(self.core.now(), *message[2]):
+            if not self.state.on_greeting(self.core.now(), *message[2]):
                 raise rpc.Garbage(f"the peer is {message[2][0]!r}")
             self._flush()
-        elif self.state.state != link_state.UP:
+        elif self.state.phase is not UP:
             raise rpc.Garbage("it did not greet first")
 
     def _response(self, msgid, error, result):
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -235,25 +235,25 @@
         lines, link = [], link_state.LinkState("w1", self.TERMS, half)
 
         def say(what):
-            lines.append(f"{what}: {link.state}, lives {link.lives}")
+            lines.append(f"{what}: {link.phase}, lives {link.incarnations}")
 
-        say(f"call {link.wants(0)}")
-        link.connecting(0)
-        link.connected(1)
-        say(f"call {link.wants(1)}")
+        say(f"call {link.on_call(0)}")
+        link.on_connecting(0)
+        link.on_connected()
+        say(f"call {link.on_call(1)}")
         say(f"silent accept, at 250 ms {link.check(250 * MS, False)}")
-        link.lost(250 * MS)
-        say(f"call at once {link.wants(260 * MS)}, later {link.wants(600 * MS)}")
-        link.connecting(S)
-        link.connected(S)
-        say(f"greets as another: {link.greeted(S, 'w2', 7)}")
-        say(f"greets: {link.greeted(S, 'w1', 7)}")
+        link.on_lost(250 * MS)
+        say(f"call at once {link.on_call(260 * MS)}, later {link.on_call(600 * MS)}")
+        link.on_connecting(S)
+        link.on_connected()
+        say(f"greets as another: {link.on_greeting(S, 'w2', 7)}")
+        say(f"greets: {link.on_greeting(S, 'w1', 7)}")
         for at in (2, 3, 5, 7, 9, 10):
             say(f"quiet until {at} s and owing: {link.check(at * S, True)}")
-        link.lost(10 * S)
-        link.connecting(11 * S)
-        link.connected(11 * S)
-        link.greeted(11 * S, "w1", 8)
+        link.on_lost(10 * S)
+        link.on_connecting(11 * S)
+        link.on_connected()
+        link.on_greeting(11 * S, "w1", 8)
         say("back with another start time")
         compare(self, "link", lines)
 
@@ -284,7 +284,7 @@
             whole = min(100 << n, 1000)
             self.assertTrue(whole // 2 <= wait <= whole, (n, wait))
         waits.succeeded()
-        self.assertTrue(waits.may(0))
+        self.assertTrue(waits.may_retry(0))
         full = [Backoff(1000, 1000, chance, full=True).failed(0) for _ in range(400)]
         self.assertTrue(min(full) < 100 and max(full) > 900)
 
@@ -292,7 +292,7 @@
         budget = Budget(0.25, 3)
         self.assertEqual([budget.spend() for _ in range(5)], [True, True, True, False, False])
         for _ in range(8):
-            budget.first()
+            budget.earn()
         self.assertEqual([budget.spend() for _ in range(3)], [True, True, False])
 
 
--- a/tests/test_ration.py
+++ b/tests/test_ration.py
@@ -8,6 +8,7 @@
 import virtual
 
 from petrelwood import brain, ports
+from petrelwood.decide.cluster.link_state import CallDecision
 from petrelwood.emulate import link as emulate_link
 from petrelwood.links import worker as links_worker
 from petrelwood.node import worker
@@ -221,10 +222,10 @@
     def test_the_link_of_the_webhook_dispatcher(self):
         core, written = self.Core(lambda at: at > 0), []
         link = links_worker.WorkerLink("w", ("h", 1), self.TERMS, lambda: 0.5, core, None)
-        link._connect = link.state.connecting
+        link._connect = link.state.on_connecting
         self.wait(link, core)
-        link.state.connected(90)
-        link.state.greeted(90, "w", 1)
+        link.state.on_connected()
+        link.state.on_greeting(90, "w", 1)
         link._write = written.append
         link._flush()
         self.told(core)
@@ -248,7 +249,7 @@
     def test_one_that_is_refused_at_once_never_left(self):
         core = self.Core(lambda at: True)
         link = links_worker.WorkerLink("w", ("h", 1), self.TERMS, lambda: 0.5, core, None)
-        link.state.wants = lambda now: "refuse"
+        link.state = types.SimpleNamespace(on_call=lambda now: CallDecision.REJECT)
         link.hold("one", 1, 1)
         self.assertEqual((core.kept_back, core.ends), ([0], [("one", ports.NO_CONNECTION)]))
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -334,7 +334,7 @@
         for _ in range(30):  # cold: its budget is small at first
             if await answered():
                 break
-        self.assertEqual(self.core.links["w1"].state.lives, 2)
+        self.assertEqual(self.core.links["w1"].state.incarnations, 2)
 
 
 class Roster(Case):
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -127,8 +127,8 @@
         budget = Budget(0.1, 2)
         self.assertEqual([budget.spend() for _ in range(3)], [True, True, False])
         for _ in range(10):
-            budget.first()
-        self.assertEqual(([budget.spend() for _ in range(2)], budget.refused), ([True, False], 2))
+            budget.earn()
+        self.assertEqual(([budget.spend() for _ in range(2)], budget.rejected), ([True, False], 2))
         timed = Budget(0.1, 2, every=S)
         self.assertEqual(
             [timed.spend(0) for _ in range(3)] + [timed.spend(S), timed.spend(S + 1)],
@@ -139,17 +139,17 @@
         terms = type("Terms", (), {"connect_within": S // 4, "quiet": S})
         shared = Budget(1.0, 2, every=10 * S)
         links = [LinkState(f"w{i}", terms, half, shared) for i in range(5)]
-        self.assertEqual([link.wants(0) for link in links], ["connect"] * 5)  # the first time is free
+        self.assertEqual([link.on_call(0) for link in links], ["connect"] * 5)  # the first time is free
         for link in links:
-            link.connecting(0)
-            link.lost(0)
-        self.assertEqual([link.wants(S) for link in links], ["connect"] * 2 + ["refuse"] * 3)
-        links[0].connecting(S)
-        links[0].connected(S)
-        self.assertTrue(links[0].greeted(S, "w0", 7))
-        self.assertEqual(links[3].wants(S), "connect")
-        self.assertEqual(links[4].wants(S), "refuse")
-        self.assertEqual(links[4].wants(11 * S), "connect")  # time earns too
+            link.on_connecting(0)
+            link.on_lost(0)
+        self.assertEqual([link.on_call(S) for link in links], ["connect"] * 2 + ["refuse"] * 3)
+        links[0].on_connecting(S)
+        links[0].on_connected()
+        self.assertTrue(links[0].on_greeting(S, "w0", 7))
+        self.assertEqual(links[3].on_call(S), "connect")
+        self.assertEqual(links[4].on_call(S), "refuse")
+        self.assertEqual(links[4].on_call(11 * S), "connect")  # time earns too
 
 
 class Bound(unittest.TestCase):
