--- a/petrelwood/decide/cluster/durable_replica.py
+++ b/petrelwood/decide/cluster/durable_replica.py
@@ -94,7 +94,7 @@
 
     def retry(self, now: int) -> None:
         """Writes the whole state anew if the disk has failed and the backoff is over; to be called often."""
-        if self.failed and self._backoff.may(now):
+        if self.failed and self._backoff.may_retry(now):
             self._write(now)
 
     def _write(self, now: int) -> None:
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -257,13 +257,13 @@
     def test_the_link_of_the_webhook_dispatcher(self):
         core, written = Core(), []
         link = links_worker.WorkerLink("w", ("h", 1), self.TERMS, lambda: 0.5, core, None)
-        link._connect = link.state.connecting
+        link._connect = link.state.on_connecting
         link.run("long", 0, "f", "m", 90, 1, b"x")
         link.run("short", 0, "f", "m", 50, 1, b"x")
         self.assertGreater(link.waiting_bytes, 0)
         core.time = 60
-        link.state.connected(60)
-        link.state.greeted(60, "w", 1)
+        link.state.on_connected()
+        link.state.on_greeting(60, "w", 1)
         link._write = written.append
         link._flush()
         self.assertEqual(core.ends, [("short", ports.NOT_SENT)])
@@ -274,9 +274,9 @@
     def test_a_turn_of_the_loop_between_the_call_and_its_flush(self):
         core, written = Core(), []
         link = links_worker.WorkerLink("w", ("h", 1), self.TERMS, lambda: 0.5, core, None)
-        link.state.connecting(0)
-        link.state.connected(0)
-        link.state.greeted(0, "w", 1)
+        link.state.on_connecting(0)
+        link.state.on_connected()
+        link.state.on_greeting(0, "w", 1)
         link._write = written.append
         link.run("one", 0, "f", "m", 90, 1, b"x")
         core.time = 40
