--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -98,9 +98,9 @@
         self.processor = fleet.processor
         super().__init__(*arguments)
 
-    def soon(self, call, *arguments):
+    def submit(self, call, *arguments):
         what = flows.TIMERS if call.__name__ == "_ring" else flows.CALLS
-        self.processor.measure(what, super().soon, call, *arguments)
+        self.processor.measure(what, super().submit, call, *arguments)
 
     def _look(self):
         self.processor.measure(flows.TIMERS, super()._look)
@@ -168,7 +168,7 @@
         if self.open:
             self.core.membership.alive(now)
         if self.core.membership.silent(now):
-            self.core.soon(self.core._tell_brain, "list_lost")
+            self.core.endpoint_list_lost()
 
 
 class HollowFleet(Platform):
--- a/benchmarks/scale/parts.py
+++ b/benchmarks/scale/parts.py
@@ -71,8 +71,8 @@
     def run(self, act, n, fn, mark, left, lanes, body):
         """Answers at once, as a worker with a warm copy does."""
         core = self.core
-        core.soon(
-            core.returned, act, n, self.worker, ports.COMPLETED, ports.FOUND_WARM, b"ok", core.now(), None
+        core.submit(
+            core.send_ended, act, n, self.worker, ports.COMPLETED, ports.FOUND_WARM, b"ok", core.now(), None
         )
 
 
@@ -140,7 +140,7 @@
 def hear_list(dispatcher, told):
     """Tells a core a whole list."""
     now, wall = dispatcher.now(), dispatcher.clock.wall()
-    dispatcher.listed(*dispatcher.membership.whole("e-1", told, now, wall), True)
+    dispatcher.endpoints_changed(*dispatcher.membership.whole("e-1", told, now, wall), True)
 
 
 # Placement.
@@ -301,7 +301,7 @@
     """A call that is answered at once."""
     now = dispatcher.now()
     asked = Ask("caller", f"id-{number}", dispatcher.clock.wall() + SECOND, "call", now, 0)
-    dispatcher.ask(asked, function, dispatcher.rule(function), 0, IgnoringExchange())
+    dispatcher.admit(asked, function, dispatcher.rule(function), 0, IgnoringExchange())
 
 
 def memory_with_calls(count, functions):
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -37,8 +37,8 @@
 class Core:
     """One dispatcher. It is the module's `ports.Outlet`. `clock` as in `clocks`; `chance` a seeded
     `random.Random`; `link(worker, address, core)` makes a link: `run`, `hold`, `probe`, `cancel`, `late`,
-    `withdraw`, `recall`, `owes`, `give_up`, which hear nothing but tells us `returned`, `held`, `probed`
-    through `soon`."""
+    `withdraw`, `recall`, `owes`, `give_up`. It calls `send_ended`, `load_order_ended`, `health_check_ended`
+    through `submit`."""
 
     slices = False  # whether forecasts are learnt a few functions at a time
 
@@ -230,7 +230,7 @@
         self.clock.at(self.now() + terms.slot, self._early_turn)
 
     def _early_turn(self):
-        self.soon(self._plan)
+        self.submit(self._plan)
         self.clock.at(self.now() + self.gateway.early.slot, self._early_turn)
 
     def _look(self):
@@ -277,7 +277,7 @@
         return found
 
     # One thing after the other.
-    def soon(self, call, *args):
+    def submit(self, call, *args):
         """Does it now, or after what is being done."""
         self.inbox.append((call, args))
         if not self.telling:
@@ -302,8 +302,12 @@
         if self.inbox:
             self.clock.at(self.now(), self._drain)
 
-    def _tell_brain(self, what, *args):
-        getattr(self.brain, what)(self.now(), *args)
+    def endpoint_list_lost(self):
+        """Nothing is heard of the list of workers any more; the last one stays in use."""
+        self.submit(self._endpoint_list_lost)
+
+    def _endpoint_list_lost(self):
+        self.brain.list_lost(self.now())
 
     def defect(self, where, fault, args=()):
         """Ends what the failed call had touched, and goes on."""
@@ -322,10 +326,10 @@
                     self.log.error("defect", where="left", fault=repr(second), act=act_id)
 
     # From the fronts.
-    def ask(self, ask, function, rule, body, exchange):
-        self.soon(self._ask, ask, function, rule, body, exchange)
+    def admit(self, ask, function, rule, body, exchange):
+        self.submit(self._admit, ask, function, rule, body, exchange)
 
-    def _ask(self, ask, function, rule, body, exchange):
+    def _admit(self, ask, function, rule, body, exchange):
         now, key = self.now(), (ask.customer, ask.id)
         if self.may_be_superseded is not None and self.may_be_superseded(now):
             exchange.answer(stage.REFUSE, retry_after=self.intake.come_back(now, *key), why=stage.CLOSING)
@@ -361,11 +365,11 @@
         else:
             exchange.answer(verdict.what, verdict.body, verdict.retry_after, verdict.why)
 
-    def left(self, act_id, exchange):
+    def client_left(self, act_id, exchange):
         """The client of an exchange hung up."""
-        self.soon(self._left, act_id, exchange)
+        self.submit(self._client_left, act_id, exchange)
 
-    def _left(self, act_id, exchange):
+    def _client_left(self, act_id, exchange):
         if self.pending.left(self.now(), act_id, exchange) == "end":
             act = self.pending.end(self.now(), act_id, LEFT)
             self._ended(act, LEFT, None)
@@ -404,7 +408,7 @@
         self.due_timer = None
         for act, late, whole in self.pending.overdue(self.now()):
             if whole:
-                self.soon(self._out_of_time, act.id)
+                self.submit(self._out_of_time, act.id)
             for exchange in late:
                 exchange.answer(ABORTED, why="the first try still runs", act=act.id)
         self._arm()
@@ -417,7 +421,7 @@
             return
         for n in sorted(act.out):
             self.links[self.flying[act_id, n]].late(act_id, n)
-        self.soon(self._overdue, act_id)
+        self.submit(self._overdue, act_id)
 
     def _overdue(self, act_id):
         if act_id in self.pending.acts:
@@ -427,7 +431,7 @@
             self.brain.left(self.now(), act_id)
 
     # From the links.
-    def returned(self, act_id, n, worker, code, note, body, at, gauge):
+    def send_ended(self, act_id, n, worker, code, note, body, at, gauge):
         now = self.now()
         self.flying.pop((act_id, n), None)
         owed = self.pending.acts.get(act_id)
@@ -463,18 +467,18 @@
                 0 if warm else took,
             )
 
-    def held(self, worker, fn, code, copies):
+    def load_order_ended(self, worker, fn, code, copies):
         if self.early is not None:
             self.early.stands(self.now(), fn, worker, code == ports.COMPLETED)
         self.brain.stands(self.now(), worker, fn, code, copies)
 
-    def probed(self, worker, code, gauge):
+    def health_check_ended(self, worker, code, gauge):
         self.brain.probed(self.now(), worker, code, gauge)
 
-    def listed(self, entries, leaving, whole):
-        self.soon(self._listed, entries, leaving, whole)
+    def endpoints_changed(self, entries, leaving, whole):
+        self.submit(self._endpoints_changed, entries, leaving, whole)
 
-    def _listed(self, entries, leaving, whole):
+    def _endpoints_changed(self, entries, leaving, whole):
         for worker in leaving:
             if worker in self.links:
                 self.links[worker].recall()
@@ -486,9 +490,9 @@
             if link is None and entry.usable:
                 self.links[entry.worker] = self.make_link(entry.worker, address, self)
         self.brain.listed(self.now(), entries, whole)
-        self.let_links_go()
+        self.release_unused_links()
 
-    def let_links_go(self):
+    def release_unused_links(self):
         """Those of workers that have left the list and that owe nothing any more."""
         for worker in [
             w for w, link in self.links.items() if w not in self.membership.members and not link.owes()
@@ -506,7 +510,7 @@
         now, link = self.now(), self.links.get(worker)
         if link is None or not self.membership.usable(worker) or not self._warm_enough(worker, now):
             self.counts["refused_by_guard"] += 1
-            self.soon(self.returned, act, n, worker, ports.NOT_SENT, 0, b"", now, None)
+            self.submit(self.send_ended, act, n, worker, ports.NOT_SENT, 0, b"", now, None)
             return
         if self.repeats is not None:
             if not n:
@@ -514,7 +518,7 @@
             # more are sent again than first: what fails is not helped by more
             elif not self.repeats.spend():
                 self.counts["over_budget"] += 1
-                self.soon(self.returned, act, n, worker, ports.NOT_SENT, 0, b"", now, None)
+                self.submit(self.send_ended, act, n, worker, ports.NOT_SENT, 0, b"", now, None)
                 return
         self.counts["sends"] += 1
         self.flying[act, n] = worker
@@ -552,8 +556,8 @@
         link, rule = self.links.get(worker), self.rule(fn)
         if link is None or self.retired or not self.membership.usable(worker):
             self.counts["refused_by_guard"] += 1
-            self.stays(self.now())
-            self.soon(self.held, worker, fn, ports.NOT_SENT, 0)
+            self.order_not_sent(self.now())
+            self.submit(self.load_order_ended, worker, fn, ports.NOT_SENT, 0)
             return
         # before it goes out: it counts against the next life's ration
         if self.state is not None:
@@ -562,11 +566,11 @@
         self.counts["orders"] += 1
         link.hold(fn, rule.lanes, copies)
 
-    def leaves(self, given):
+    def may_send_order(self, given):
         """A link: an order that was given at `given` (ns) is about to leave. Whether it may."""
         return not hasattr(self.brain, "leaves") or self.brain.leaves(self.now(), given)
 
-    def stays(self, given):
+    def order_not_sent(self, given):
         """A link: it never will."""
         if hasattr(self.brain, "stays"):
             self.brain.stays(self.now(), given)
@@ -576,10 +580,10 @@
         if worker in self.links:
             self.links[worker].probe()
         else:
-            self.soon(self.probed, worker, ports.NO_CONNECTION, None)
+            self.submit(self.health_check_ended, worker, ports.NO_CONNECTION, None)
 
     def wake(self, mark, wait):
-        self.clock.at(self.now() + wait, self.soon, self._ring, mark)
+        self.clock.at(self.now() + wait, self.submit, self._ring, mark)
 
     def _ring(self, mark):
         self.brain.ring(self.now(), mark)
--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -49,7 +49,7 @@
         self.history, self.ends, self.dumping, self.dumped, self.dump_at = None, None, None, [], 0
         if not follows:
             self.open_history()
-        self.listed_once, self.renew_at = asyncio.Event(), self.now() + RENEW
+        self.endpoints_known, self.renew_at = asyncio.Event(), self.now() + RENEW
         self.identities = [
             tls for tls in (gateway.tls, gateway.worker_tls, gateway.mqtt and gateway.mqtt.tls) if tls
         ]
@@ -68,7 +68,7 @@
     def _synced(self, acts, done):
         self.syncing = False
         good = not done.cancelled() and done.exception() is None and done.result()
-        self.soon(self.kept, acts, good)
+        self.submit(self.kept, acts, good)
         self.sync_soon()
 
     def open_state(self, elsewhere=False):
@@ -190,7 +190,7 @@
         if self.membership.silent(now):
             self.log.warning("the list of workers is lost")
             self.roster.drop()
-            self.soon(self._tell_brain, "list_lost")
+            self.endpoint_list_lost()
 
     def storm_changed(self, name, on):
         for front in self.fronts:
@@ -199,9 +199,9 @@
     def active(self, link):
         self.busy[link] = True
 
-    def listed(self, entries, leaving, whole):
-        super().listed(entries, leaving, whole)
-        self.listed_once.set()
+    def endpoints_changed(self, entries, leaving, whole):
+        super().endpoints_changed(entries, leaving, whole)
+        self.endpoints_known.set()
 
     # The end.
     async def close(self):
--- a/petrelwood/dispatch/serve.py
+++ b/petrelwood/dispatch/serve.py
@@ -126,7 +126,7 @@
             await self.shutdown.wait()
 
     async def _endpoints_or_shutdown(self) -> None:
-        events = (self.core.listed_once, self.shutdown)
+        events = (self.core.endpoints_known, self.shutdown)
         waiting = [asyncio.ensure_future(event.wait()) for event in events]
         await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
         for one in waiting:
--- a/petrelwood/emulate/link.py
+++ b/petrelwood/emulate/link.py
@@ -162,7 +162,7 @@
         self.node.links.append(self)
         while self.waiting:
             call = self.waiting[0]
-            if call.kind == "hold" and not self.core.leaves(call.at):
+            if call.kind == "hold" and not self.core.may_send_order(call.at):
                 self._end(call, send_outcome.of_recall(call.stage))
             elif call.kind == "run" and call.args[1] <= self.core.now():
                 self._end(call, send_outcome.of_time(call.stage))
@@ -302,10 +302,10 @@
             return
         if call.kind == "run":
             self.runs.pop((call.act, call.n), None)
-            core.soon(core.returned, call.act, call.n, self.worker, code, note, body, call.at, gauge)
+            core.submit(core.send_ended, call.act, call.n, self.worker, code, note, body, call.at, gauge)
         elif call.kind == "hold":
             if call.stage == send_outcome.WAITING:
-                core.stays(call.at)
-            core.soon(core.held, self.worker, call.fn, code, note)
+                core.order_not_sent(call.at)
+            core.submit(core.load_order_ended, self.worker, call.fn, code, note)
         else:
-            core.soon(core.probed, self.worker, code, gauge)
+            core.submit(core.health_check_ended, self.worker, code, gauge)
--- a/petrelwood/emulate/platform.py
+++ b/petrelwood/emulate/platform.py
@@ -198,7 +198,7 @@
             "told", who="roster", to=name, kind="change", entries=[(entry.worker, entry.state, entry.booted)]
         )
         listed, leaving = core.membership.change(f"e-{number}", [entry], now, core.clock.wall())
-        core.listed(listed, leaving, False)
+        core.endpoints_changed(listed, leaving, False)
 
     def _asks(self, name, life):
         """A dispatcher asks for the list. Askings are served one after the other; one that would wait too
@@ -243,7 +243,7 @@
         listed, leaving = core.membership.whole(
             f"e-{self.number}", entries, self.clock.now(), core.clock.wall()
         )
-        core.listed(listed, leaving, True)
+        core.endpoints_changed(listed, leaving, True)
         self.known[name] = entries
 
     # Dispatchers.
@@ -338,13 +338,13 @@
             return
         wish = made.wish
         self.open_tries[name][made] = True
-        core.ask(self.clients.ask_of(made), wish.fn, core.rule(wish.fn), wish.work, made)
+        core.admit(self.clients.ask_of(made), wish.fn, core.rule(wish.fn), wish.work, made)
 
     def left(self, made):
         core = self.cores.get(made.to)
         self.open_tries[made.to].pop(made, None)
         if core is not None and made.act is not None and made.act in core.pending.acts:
-            core.left(made.act, made)
+            core.client_left(made.act, made)
 
     def wish_ended(self, wish):
         second = min(wish.begun // SECOND, len(self.time_course) - 1)
--- a/petrelwood/fronts/mqtt.py
+++ b/petrelwood/fronts/mqtt.py
@@ -185,7 +185,7 @@
             self.fresh = False  # the broker remembers nothing of an earlier life
         elif self.fresh:  # what an earlier life has begun to send is let go
             self._write(*(mqtt.Packet(mqtt.PUBREL, id_) for id_ in range(1, IDS + 1)))
-        self.front.core.soon(self.deliveries.resume, self.front.core.now(), bool(first.present))
+        self.front.core.submit(self.deliveries.resume, self.front.core.now(), bool(first.present))
         self._resend(bool(first.present))
         while True:
             data = await self.stream.read_bytes(READ, partial=True)
@@ -214,7 +214,7 @@
 
     def check(self, now):
         """Asked now and then: keep-alive, and what waits too long."""
-        self.front.core.soon(self.deliveries.sweep, now)
+        self.front.core.submit(self.deliveries.sweep, now)
         if not self.up:
             return
         if now - self.heard > self.terms.keep_alive:
@@ -229,11 +229,11 @@
     def _packet(self, packet):
         now = self.front.core.now()
         if packet.type == mqtt.PUBLISH:
-            self.front.core.soon(self._published, packet)
+            self.front.core.submit(self._published, packet)
         elif packet.type == mqtt.PUBREL:
-            self.front.core.soon(self.deliveries.released, now, packet.id)
+            self.front.core.submit(self.deliveries.released, now, packet.id)
         elif packet.type == mqtt.PINGRESP:
-            self.front.core.soon(self._ponged, now)
+            self.front.core.submit(self._ponged, now)
         elif packet.type in (mqtt.PUBACK, mqtt.PUBCOMP):
             # None: released; a late one of an earlier use means nothing
             answer = self.answers.get(packet.id, self)
@@ -345,7 +345,7 @@
     def begin(self, delivery):
         message = delivery.what
         message.delivery = delivery
-        self.front.core.ask(message.ask, message.function, message.rule, message.body, message)
+        self.front.core.admit(message.ask, message.function, message.rule, message.body, message)
 
     def turn_away(self, delivery):
         message = delivery.what
@@ -368,7 +368,7 @@
         message = delivery.what
         if message.answer_is is None and message.act is not None:
             message.answer_is = (b"", [])
-            self.front.core.left(message.act, message)
+            self.front.core.client_left(message.act, message)
 
     def give(self, delivery, owed):
         """The answer, and in the same write the acknowledgement that is owed with it: the broker has both or,
@@ -458,7 +458,7 @@
                 await asyncio.wait_for(self.draining, self.terms.connect_within / 1e9)
             except TimeoutError:
                 pass
-        self.front.core.soon(self.deliveries.close, self.front.core.now())
+        self.front.core.submit(self.deliveries.close, self.front.core.now())
 
 
 class Mqtt:
--- a/petrelwood/fronts/webhook.py
+++ b/petrelwood/fronts/webhook.py
@@ -319,7 +319,7 @@
         dropped, self.waiting = self.waiting, deque()
         for exchange in dropped:
             if exchange.act is not None and exchange.reply is None:
-                self.front.core.left(exchange.act, exchange)
+                self.front.core.client_left(exchange.act, exchange)
 
 
 class Webhooks(Listener):
@@ -432,7 +432,7 @@
             self._count(str(status))
             exchange.fail(status, detail)
             return
-        self.core.ask(ask, function, rule, body, exchange)
+        self.core.admit(ask, function, rule, body, exchange)
 
     def _read(self, x, body):
         headers = x.headers
--- a/petrelwood/links/calls.py
+++ b/petrelwood/links/calls.py
@@ -1,8 +1,8 @@
 """What a link to a worker has been asked and has not ended yet: the queue, the stages and how each call ends.
 
 Shared by the links of all protocols. A frame is encoded as it leaves, since a send's time left is part of it.
-What an end proves is decided in `decide.delivery.send_outcome`. `core`
-hears of each end, through `soon`: `returned`, `held`, `probed`; never from within a method that it has called
+What an end proves is decided in `decide.delivery.send_outcome`. `core` hears of each end, through `submit`:
+`send_ended`, `load_order_ended`, `health_check_ended`; never from within a method that it has called
 itself."""
 
 from collections import deque
@@ -102,7 +102,7 @@
         if call.kind == "run" and call.until - self.core.now() < self.LEAST_LEFT:
             self._end(call, send_outcome.of_time(call.stage))
             return False
-        if call.kind != "hold" or self.core.leaves(call.at):
+        if call.kind != "hold" or self.core.may_send_order(call.at):
             return True
         self.counts["recalled"] += 1
         self._end(call, send_outcome.of_recall(call.stage))
@@ -133,14 +133,14 @@
 
     def _tell(self, call, code, note=0, body=b"", gauge=None):
         if call.kind == "hold" and call.stage == send_outcome.WAITING:
-            self.core.stays(call.at)
+            self.core.order_not_sent(call.at)
         call.stage = send_outcome.ANSWERED
         if call.kind == "run":
             self.runs.pop((call.act, call.n), None)
-            self.core.soon(
-                self.core.returned, call.act, call.n, self.worker, code, note, body, call.at, gauge
+            self.core.submit(
+                self.core.send_ended, call.act, call.n, self.worker, code, note, body, call.at, gauge
             )
         elif call.kind == "hold":
-            self.core.soon(self.core.held, self.worker, call.fn, code, note)
+            self.core.submit(self.core.load_order_ended, self.worker, call.fn, code, note)
         else:
-            self.core.soon(self.core.probed, self.worker, code, gauge)
+            self.core.submit(self.core.health_check_ended, self.worker, code, gauge)
--- a/petrelwood/links/roster.py
+++ b/petrelwood/links/roster.py
@@ -96,12 +96,12 @@
         if kind == "list":
             self.lists += 1
             listed, leaving = self.membership.whole(id_, entries, now, self.core.clock.wall())
-            self.core.listed(listed, leaving, True)
+            self.core.endpoints_changed(listed, leaving, True)
             return
         follows = self.membership.event(id_)
         if follows == "next":
             listed, leaving = self.membership.change(id_, entries, now, self.core.clock.wall())
-            self.core.listed(listed, leaving, False)
+            self.core.endpoints_changed(listed, leaving, False)
         elif follows == "gap":
             self.membership.forget()
             raise ValueError(f"a gap in the list before {id_}")
--- a/petrelwood/node/front.py
+++ b/petrelwood/node/front.py
@@ -220,7 +220,7 @@
         if self.deferred:
             links, self.deferred = self.deferred, {}
             for link in links:
-                self.front.core.soon(link.pump)
+                self.front.core.submit(link.pump)
 
     def unread(self):
         """Whether anything of it has come that it was not served for yet, here or in the machine's hands:
@@ -247,7 +247,7 @@
         self.stream.close()
         for exchange in list(self.open.values()):
             if exchange.act is not None:
-                self.front.core.left(exchange.act, exchange)
+                self.front.core.client_left(exchange.act, exchange)
         self.open.clear()
 
     def rests(self):
@@ -296,7 +296,7 @@
             for msgid in message[2]:
                 exchange = self.open.pop(msgid, None) if isinstance(msgid, int) else None
                 if exchange is not None and exchange.act is not None:
-                    self.front.core.left(exchange.act, exchange)
+                    self.front.core.client_left(exchange.act, exchange)
             self.rests()
         else:
             raise rpc.Garbage("neither a request nor a cancel")
@@ -322,7 +322,7 @@
             return
         exchange = self.open[msgid] = Exchange(self, msgid)
         self.front.idle.pop(self, None)
-        core.ask(ask, function, figures, params[1], exchange)
+        core.admit(ask, function, figures, params[1], exchange)
 
 
 class Front:
--- a/petrelwood/node/roster.py
+++ b/petrelwood/node/roster.py
@@ -96,7 +96,7 @@
 
 
 class DnsRoster:
-    """`core.listed(entries, leaving, whole)` hears of each list that is new."""
+    """`core.endpoints_changed(entries, leaving, whole)` hears of each list that is new."""
 
     def __init__(self, address, membership, asking, core, log):
         self.address, self.membership, self.asking, self.core, self.log = (
@@ -196,7 +196,7 @@
         self.last = data[2:]
         self._good(now)
         if serial > self.membership.number:
-            self.core.listed(
+            self.core.endpoints_changed(
                 *self.membership.whole(f"dns-{serial}", entries, now, self.core.clock.wall()), True
             )
         # an answer may come long after it was written, but not before it was asked for
--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -74,13 +74,13 @@
         owed = self.pending.acts.get(act_id)
         return owed is None or all(exchange.may_send(link) for exchange, _ in owed.waiting)
 
-    def _ask(self, ask, function, rule, body, exchange):
+    def _admit(self, ask, function, rule, body, exchange):
         if not exchange.waits():  # its client left between its reading and its turn
             return
         if self.is_open(ask.id):
             exchange.answer(intake.ABORT, why="an id that is open")
             return
-        super()._ask(ask, function, rule, body, exchange)
+        super()._admit(ask, function, rule, body, exchange)
 
     # After the loop was held up.
     def behind(self):
@@ -106,7 +106,7 @@
         self.turns, self.beat = 0, self.now()
         rings, self.rings = self.rings, []
         for mark in rings:
-            self.soon(self._ring, mark)
+            self.submit(self._ring, mark)
         for link in list(self.busy):
             link.pump()
 
@@ -162,7 +162,7 @@
             wall,
         )
         self.membership.alive(now)
-        self.listed(*listed, True)
+        self.endpoints_changed(*listed, True)
         self.front.open(self.gateway.listen)
         # asked again where it can't be asked now: what is known serves without it
         self.roster.open()
@@ -183,12 +183,12 @@
         if not self.looks % TIDY:
             for link in list(self.links.values()):
                 link.tidy(now)
-            self.let_links_go()
+            self.release_unused_links()
         if not self.looks % STANDING:
             self.log.info("standing", **self.standing())
         if self.membership.silent(now):
             self.log.warning("the list of workers is lost")
-            self.soon(self._tell_brain, "list_lost")
+            self.endpoint_list_lost()
 
     def reload(self, gateway):
         """SIGHUP: only the roster's address can have changed while it runs."""
@@ -206,7 +206,7 @@
             self.intake.closing = ends.closed(self.now())
             if ends.out_of_time(self.now()):
                 for act_id in sorted(self.pending.acts):
-                    self.soon(self._cut, act_id)
+                    self.submit(self._cut, act_id)
             await asyncio.sleep(CHECK / 5)
         # nothing comes between the look that found it quiet and this
         self.front.stop()
--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -39,7 +39,7 @@
 
 
 class NodeLink(Calls):
-    """`terms` as `told.WorkerTerms`; `core` hears of each end through `soon`."""
+    """`terms` as `told.WorkerTerms`; `core` hears of each end through `submit`."""
 
     LEAST_LEFT = MS
 
--- a/tests/ration.py
+++ b/tests/ration.py
@@ -219,7 +219,7 @@
         ]
         node = self.node
         node.membership.alive(node.now())
-        node.listed(
+        node.endpoints_changed(
             *node.membership.whole(f"dns-{self.serial}", entries, node.now(), node.clock.wall()), True
         )
 
@@ -286,7 +286,7 @@
 
     def read(self, exchange, id_, fn, ttl):
         if not self.node.is_open(id_):
-            self.node.ask(
+            self.node.admit(
                 Ask("acme", id_, 0, "plain", self.clock.now(), ttl * MS, ""),
                 fn,
                 Figures(4, 200 * MS, 5 * MS),
@@ -297,7 +297,7 @@
     def leave(self, exchange):
         if exchange.ended is None and exchange.act is not None:
             exchange.ended = "left"
-            self.node.left(exchange.act, exchange)
+            self.node.client_left(exchange.act, exchange)
 
     def flood(self):
         """Hundreds at once, half of them under one id: for what nobody has, taken back at once, a little
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -163,7 +163,7 @@
         # What was signed before this life began is refused; a test begins inside a second.
         self.core.ledger.began -= 10_000_000_000
         self.core.open()
-        await asyncio.wait_for(self.core.listed_once.wait(), 30)
+        await asyncio.wait_for(self.core.endpoints_known.wait(), 30)
         self.front = Webhooks(self.gateway, self.core, self.log)
         self.core.fronts.append(self.front)
         self.address = self.front.open(("127.0.0.1", 0))
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -60,12 +60,12 @@
 
 
 def sending_again(node, worker):
-    """`Node.returned` that decides on a further send to `worker`, as the module may."""
-    returned = node.returned
+    """`Node.send_ended` that decides on a further send to `worker`, as the module may."""
+    send_ended = node.send_ended
 
     def again(act, *rest):
         node.send(act, worker, 0)
-        returned(act, *rest)
+        send_ended(act, *rest)
 
     return again
 
@@ -134,7 +134,7 @@
                     async with Inside(workers, **quiet) as site:
                         client = Caller(site.address)
                         for worker in workers:  # a connection to each is up
-                            site.node.soon(site.node.probe, worker.name)
+                            site.node.submit(site.node.probe, worker.name)
                             await site.until(worker.read)
                             worker.write(0, {"type": "PONG", "req": worker.read()[0][1]["req"], "meta": {}})
                         await site.until(lambda: not any(each.owes() for each in site.node.links.values()))
@@ -143,7 +143,7 @@
                         first, second = workers if workers[0].runs() else workers[::-1]
                         await after_a_look(site)
                         again = sending_again(site.node, second.name)
-                        with mock.patch.object(site.node, "returned", again):
+                        with mock.patch.object(site.node, "send_ended", again):
                             first.answer(first.runs()[0], type="SHED")
                             client.close(how)
                             await held_up_twice(*holds)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -415,9 +415,9 @@
             (act, n), worker = next(iter(node.flying.items()))
             # it went to the narrow one first: the other is its second
             if worker == "s-2":
-                node.soon(node.send, act, "s-1", 0)
+                node.submit(node.send, act, "s-1", 0)
             else:
-                node.soon(node.send, act, "s-2", 0)
+                node.submit(node.send, act, "s-2", 0)
             await site.until(slow.runs)
             self.assertTrue(node.links["s-2"].waiting)
             slow.answer(slow.runs()[0])
@@ -427,7 +427,7 @@
             client.call(ask(fn=3, ttl=3900))
             narrow.opens()
             await site.turns()
-            node.soon(node.hold, "s-2", f"{4:016x}", 1)
+            node.submit(node.hold, "s-2", f"{4:016x}", 1)
             await site.until(narrow.orders)  # the way is open now
             self.assertNotIn(fields["call"], [said["req"] for _, said in narrow.runs()])
             client.close()
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -135,7 +135,7 @@
             described = gateway.read(path)
         core = Dispatcher(described, self.log)
         core.open()
-        await asyncio.wait_for(core.listed_once.wait(), 30)
+        await asyncio.wait_for(core.endpoints_known.wait(), 30)
         front = Mqtt(described.mqtt, core, self.log)
         core.fronts.append(front)
         front.open()
--- a/tests/test_ration.py
+++ b/tests/test_ration.py
@@ -157,7 +157,9 @@
             node.room.workers = 1
             node.brain.taken.add(node.now(), 200)
             self.give(world, 1)
-            node.held = lambda worker_, fn, code, copies: ends.append((round(node.now() / 1e9), code))
+            node.load_order_ended = lambda worker_, fn, code, copies: ends.append(
+                (round(node.now() / 1e9), code)
+            )
             world.later(0.3, lambda: self.give(world, 2))
             world.later(0.4, lambda: self.give(world, 1))
 
@@ -188,17 +190,17 @@
         def now(self):
             return self.time
 
-        def leaves(self, at):
+        def may_send_order(self, at):
             self.asked.append(at)
             return self.bears(at)
 
-        def stays(self, at):
+        def order_not_sent(self, at):
             self.kept_back.append(at)
 
-        def soon(self, call, *args):
+        def submit(self, call, *args):
             call(*args)
 
-        def held(self, worker_, fn, code, copies):
+        def load_order_ended(self, worker_, fn, code, copies):
             self.ends.append((fn, code))
 
         def active(self, link):
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -163,7 +163,7 @@
         link = self.core.links["w1"]
         msgid = next(iter(link.out))
         link._response(msgid, None, [*w.acts()[0], 1, b"{}", None])  # both in one turn of the loop
-        self.front.core.left(exchange.act, exchange)
+        self.front.core.client_left(exchange.act, exchange)
         line.stream.close()
         await asyncio.gather(asked, return_exceptions=True)  # it may still have got the bytes
         counts = self.core.pending.counts
@@ -178,7 +178,7 @@
         await self.until(lambda: w.runs)
         line, link = next(iter(self.front.lines)), self.core.links["w1"]
         msgid = next(iter(link.out))
-        self.front.core.left(line.waiting[0].act, line.waiting[0])
+        self.front.core.client_left(line.waiting[0].act, line.waiting[0])
         link._response(msgid, None, [*w.acts()[0], 1, b"{}", None])
         with self.assertRaises(asyncio.TimeoutError):  # nothing may be written for what was left
             await asyncio.wait_for(asyncio.shield(asked), 0.2)
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -125,7 +125,7 @@
                     await site.until(first.runs)
                     with late.hold():
                         node.links[second.name].give_up("the test has its connections come up late")
-                        node.soon(node.send, act, second.name, 0)
+                        node.submit(node.send, act, second.name, 0)
                         if how == "turned away":
                             first.answer(first.runs()[0], type="SHED")
                             await site.until(lambda node=node, act=act: (act, 0) not in node.flying)
@@ -239,10 +239,10 @@
     def now(self):
         return self.time
 
-    def soon(self, call, *args):
+    def submit(self, call, *args):
         call(*args)
 
-    def returned(self, act, n, worker, code, *rest):
+    def send_ended(self, act, n, worker, code, *rest):
         self.ends.append((act, code))
 
     def active(self, link):
