--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -44,8 +44,8 @@
 from petrelwood.decide.cluster import membership
 from petrelwood.decide.cluster.link_state import LinkPhase
 from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announced, Rollout, dwell_for
-from petrelwood.decide.overload.sliding_window import SlidingWindowCounter
 from petrelwood.dispatch.health import HeartbeatReporter
+from petrelwood.dispatch.recent_answers import RecentAnswers
 from petrelwood.links import rpc, sse
 from petrelwood.links.roster import READ, RosterLink
 from petrelwood.links.worker import WorkerLink
@@ -393,7 +393,7 @@
         entries = [membership.entry(roster_entry(n)) for n in range(workers)]
         self.membership.whole("e-1", entries, SECOND, WALL)
         self.intake = Intake(False)
-        self.goods = self.bads = SlidingWindowCounter(SECOND, 11)
+        self.recent_answers = RecentAnswers()
         self.state, self.retired = None, False
 
     def now(self):
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -9,11 +9,9 @@
 never entered twice. A defect ends the activations it touched with an abort, never the others."""
 
 import traceback
-from collections import deque
 
 from petrelwood import ports
 from petrelwood.brain import Brain
-from petrelwood.decide.cluster.completion import CompletionRate
 from petrelwood.decide.cluster.membership import Membership
 from petrelwood.decide.delivery import recovery
 from petrelwood.decide.delivery.ledger import ABORTED, COMPLETED, LEFT, REJECTED, Ledger
@@ -24,11 +22,11 @@
 from petrelwood.decide.overload import intake as stage
 from petrelwood.decide.overload.backoff import Budget
 from petrelwood.decide.overload.intake import Intake
-from petrelwood.decide.overload.sliding_window import SlidingWindowCounter
+from petrelwood.dispatch.event_queue import EventQueue
+from petrelwood.dispatch.recent_answers import RecentAnswers
+from petrelwood.dispatch.worker_links import WorkerLinks
 
-MOST_IN_A_TURN = 10_000  # what follows from what, before the clock is let go on
 KEPT_BODY = 4096  # bytes of an answer that is kept for a retry after a restart
-WELL = 1_000_000_000  # ns of a bucket of answers that tell how well it does
 LOOK = 500_000_000  # ns between looks at storms
 REPEATS = 0.5  # repeated sends for each first one
 RECONNECTS = 32.0  # connections tried again at once, over all links
@@ -43,19 +41,18 @@
     slices = False  # whether forecasts are learnt a few functions at a time
 
     def __init__(self, gateway, clock, chance, link, log, brain=Brain, state=None):
-        self.gateway, self.log, self.name, self.clock, self.make_link = (
-            gateway,
-            log,
-            gateway.name,
-            clock,
-            link,
-        )
+        self.gateway = gateway
+        self.log = log
+        self.name = gateway.name
+        self.clock = clock
         self.now, self.limits, self.terms, start = clock.now, gateway.limits, gateway.terms, clock.now()
         self.chance = chance
         self.ledger, self.intake, prefix = self._stages()
         self.pending = PendingActivations(self.intake, self.ledger, prefix)
         self.membership = Membership(self.terms.orders.keep, gateway.workers.connect_within, chance.random)
-        self.links, self.flying, self.inbox, self.telling, self.touched = {}, {}, deque(), False, None
+        self.events = EventQueue(clock, self.defect, self._turn_ended)
+        self.links = WorkerLinks(lambda worker, address: link(worker, address, self))
+        self.sends_in_flight = {}  # (activation, number of the send) -> worker
         self.due_timer, self.due_at, self.rules = None, 0, {}
         self.repeats = Budget(REPEATS, max(16.0, self.limits.held / 64)) if gateway.damps else None
         self.reconnects = Budget(1.0, RECONNECTS, gateway.workers.connect_within) if gateway.damps else None
@@ -72,7 +69,7 @@
         )
         # `may_be_superseded(now)`: whether another process may own what comes
         self.may_be_superseded = None
-        self.goods, self.bads = SlidingWindowCounter(WELL, 11), SlidingWindowCounter(WELL, 11)
+        self.recent_answers = RecentAnswers()
         if state is not None:
             self.adopt(state)
         self.early, self.note = None, None  # `note(...)` of `store.history`, where one is kept
@@ -129,8 +126,7 @@
     # A hand-over: see `decide.cluster.handover`.
     def recent_completion(self):
         """How the activations that were answered in the last ten seconds ended."""
-        good, bad = self.goods.sum(self.now()), self.bads.sum(self.now())
-        return CompletionRate(good / (good + bad) if good + bad else 1.0, good + bad)
+        return self.recent_answers.rate(self.now())
 
     @property
     def answered(self):
@@ -196,14 +192,14 @@
                 self._turn_away(act)
 
     def _begin(self, act):
-        self.touched.add(act.id)
+        self.events.touched.add(act.id)
         self.brain.activation(
             self.now(), act.id, act.fn, act.type, act.customer, act.due, act.lanes, act.work, act.load_time
         )
 
     def _ended(self, act, outcome, body):
         if outcome != LEFT:
-            (self.goods if outcome == COMPLETED else self.bads).add(self.now())
+            self.recent_answers.record(self.now(), outcome == COMPLETED)
             if self.on_answer is not None:
                 self.on_answer(outcome == COMPLETED)
         kept = body if outcome == COMPLETED and body is not None and len(body) <= KEPT_BODY else None
@@ -278,29 +274,12 @@
 
     # One thing after the other.
     def submit(self, call, *args):
-        """Does it now, or after what is being done."""
-        self.inbox.append((call, args))
-        if not self.telling:
-            self._drain()
-
-    def _drain(self):
-        self.telling = True
-        try:
-            for _ in range(MOST_IN_A_TURN):
-                if not self.inbox:
-                    break
-                call, args = self.inbox.popleft()
-                self.touched = set()
-                try:
-                    call(*args)
-                except Exception as fault:
-                    self.defect(getattr(call, "__name__", "call"), fault, args)
-        finally:
-            self.telling = False
-            if self.state is not None:
-                self.state.flush()
-        if self.inbox:
-            self.clock.at(self.now(), self._drain)
+        """Makes a call at once, or after the one that is being made."""
+        self.events.submit(call, args)
+
+    def _turn_ended(self):
+        if self.state is not None:
+            self.state.flush()
 
     def endpoint_list_lost(self):
         """Nothing is heard of the list of workers any more; the last one stays in use."""
@@ -311,7 +290,7 @@
 
     def defect(self, where, fault, args=()):
         """Ends what the failed call had touched, and goes on."""
-        touched = (self.touched or set()) | {a for a in args if isinstance(a, str) and a in self.pending.acts}
+        touched = self.events.touched | {a for a in args if isinstance(a, str) and a in self.pending.acts}
         at = traceback.extract_tb(fault.__traceback__)[-1]
         self.pending.counts["defects"] += 1
         self.log.error(
@@ -356,7 +335,7 @@
                 now, key, ask, verdict.due, function, rule.lanes, body, exchange, rule.load_time, rule.work
             )
             exchange.act = act.id
-            self.touched.add(act.id)
+            self.events.touched.add(act.id)
             self._arm()
             if self.early is not None:
                 self.early.called(now, self.clock.wall(), function, rule.lanes, rule.load_time, ask.type)
@@ -380,7 +359,7 @@
         """It has ended: a send of it that waits in a link for a connection never leaves. Against sends after
         the end, also where nothing may be cancelled."""
         for n in sorted(act.out):
-            link = self.links.get(self.flying.get((act.id, n)))
+            link = self.links.get(self.sends_in_flight.get((act.id, n)))
             if link is not None:
                 link.withdraw(act.id, n)
 
@@ -420,7 +399,7 @@
         if act is None:
             return
         for n in sorted(act.out):
-            self.links[self.flying[act_id, n]].late(act_id, n)
+            self.links[self.sends_in_flight[act_id, n]].late(act_id, n)
         self.submit(self._overdue, act_id)
 
     def _overdue(self, act_id):
@@ -433,7 +412,7 @@
     # From the links.
     def send_ended(self, act_id, n, worker, code, note, body, at, gauge):
         now = self.now()
-        self.flying.pop((act_id, n), None)
+        self.sends_in_flight.pop((act_id, n), None)
         owed = self.pending.acts.get(act_id)
         owing = self.pending.returned(act_id, n)
         if owing and code == ports.COMPLETED:
@@ -442,7 +421,7 @@
             self.intake.storms.ran(now, note not in (0, ports.FOUND_WARM))
         if owed is not None and (self.early is not None or self.note is not None):
             self._learn(now, owed, worker, code, note, now - at)
-        self.touched.add(act_id)
+        self.events.touched.add(act_id)
         self.brain.answer(
             now, act_id, n, worker, code, note, act_id not in self.pending.acts, now - at, gauge
         )
@@ -479,29 +458,14 @@
         self.submit(self._endpoints_changed, entries, leaving, whole)
 
     def _endpoints_changed(self, entries, leaving, whole):
-        for worker in leaving:
-            if worker in self.links:
-                self.links[worker].recall()
-        for entry in entries:
-            link, address = self.links.get(entry.worker), self.membership.address(entry.worker)
-            if link is not None and address is not None and link.address != address:
-                link.address = address  # first: what is lost makes room for new connections
-                link.give_up("the worker has moved")
-            if link is None and entry.usable:
-                self.links[entry.worker] = self.make_link(entry.worker, address, self)
+        self.links.drain(leaving)
+        self.links.connect(entries, self.membership)
         self.brain.listed(self.now(), entries, whole)
-        self.release_unused_links()
-
-    def release_unused_links(self):
-        """Those of workers that have left the list and that owe nothing any more."""
-        for worker in [
-            w for w, link in self.links.items() if w not in self.membership.members and not link.owes()
-        ]:
-            self.links.pop(worker).give_up("it has left the list")
+        self.links.release_unused(self.membership.members)
 
     # The module's outlet.
     def send(self, act, worker, limit):
-        self.touched.add(act)
+        self.events.touched.add(act)
         owed = self.pending.acts.get(act)
         n = self.pending.sent(act)
         if n is None:
@@ -521,7 +485,7 @@
                 self.submit(self.send_ended, act, n, worker, ports.NOT_SENT, 0, b"", now, None)
                 return
         self.counts["sends"] += 1
-        self.flying[act, n] = worker
+        self.sends_in_flight[act, n] = worker
         self._hand(link, owed, n, owed.due - now)
 
     def _hand(self, link, owed, n, left):
@@ -534,7 +498,7 @@
         return self.returning.may_send(now, bool(booted) and now - booted < self.terms.guarantees.cold)
 
     def reject(self, act, retry_after):
-        self.touched.add(act)
+        self.events.touched.add(act)
         owed = self.pending.acts.get(act)
         wait = (
             self.intake.come_back(self.now(), *owed.key, retry_after)
@@ -544,11 +508,11 @@
         self._finish(act, REJECTED, retry_after=wait)
 
     def abort(self, act):
-        self.touched.add(act)
+        self.events.touched.add(act)
         self._finish(act, ABORTED)
 
     def cancel(self, act, n):
-        link = self.links.get(self.flying.get((act, n)))
+        link = self.links.get(self.sends_in_flight.get((act, n)))
         if link is not None:
             link.cancel(act, n)
 
--- /dev/null
+++ b/petrelwood/dispatch/event_queue.py
@@ -0,0 +1,59 @@
+"""Runs what happens to a dispatcher one call after the other.
+
+What is submitted during a call runs after it, in order: the decision module is never entered twice. A call
+that fails does not stop those behind it.
+"""
+
+from collections import deque
+from collections.abc import Callable
+
+from petrelwood.dispatch.interfaces import Clock
+
+MOST_CALLS_IN_A_TURN = 10_000  # that follow from each other, before the clock is let go on
+
+Call = Callable[..., object]
+Arguments = tuple[object, ...]
+DefectHandler = Callable[[str, Exception, Arguments], object]
+
+
+class EventQueue:
+    """Calls that wait for their turn.
+
+    `on_defect(name, error, arguments)` is called for each call that raised, `after_turn()` when nothing is
+    left to do for now.
+    """
+
+    __slots__ = ("after_turn", "clock", "on_defect", "running", "touched", "waiting")
+
+    def __init__(self, clock: Clock, on_defect: DefectHandler, after_turn: Callable[[], object]) -> None:
+        self.clock = clock
+        self.on_defect = on_defect
+        self.after_turn = after_turn
+        self.waiting: deque[tuple[Call, Arguments]] = deque()
+        self.running = False
+        self.touched: set[str] = set()  # ids of the activations that the present call has to do with
+
+    def submit(self, call: Call, arguments: Arguments) -> None:
+        """Makes a call at once, or after the one that is being made."""
+        self.waiting.append((call, arguments))
+        if not self.running:
+            self._run()
+
+    def _run(self) -> None:
+        self.running = True
+        waiting = self.waiting
+        try:
+            for _ in range(MOST_CALLS_IN_A_TURN):
+                if not waiting:
+                    break
+                call, arguments = waiting.popleft()
+                self.touched.clear()
+                try:
+                    call(*arguments)
+                except Exception as fault:
+                    self.on_defect(getattr(call, "__name__", "call"), fault, arguments)
+        finally:
+            self.running = False
+            self.after_turn()
+        if waiting:
+            self.clock.at(self.clock.now(), self._run)
--- a/petrelwood/dispatch/health.py
+++ b/petrelwood/dispatch/health.py
@@ -44,8 +44,8 @@
             closing=core.intake.closing,
             listed=now - membership.heard if membership.lost else 0,
             usable=sum(1 for worker in membership.members if membership.usable(worker)),
-            good=core.goods.sum(now),
-            bad=core.bads.sum(now),
+            good=core.recent_answers.completed.sum(now),
+            bad=core.recent_answers.failed.sum(now),
             stalled=self.stalls.sum(now),
             keeps=core.state is None or core.state.stopped is None,
         )
--- /dev/null
+++ b/petrelwood/dispatch/worker_links.py
@@ -0,0 +1,75 @@
+"""The links of a dispatcher to its workers."""
+
+from collections.abc import Callable, Container, Iterable
+from typing import Protocol
+
+from petrelwood.decide.cluster.membership import Membership
+from petrelwood.ports import Listed
+
+Address = tuple[str, int]
+
+
+class WorkerLink(Protocol):
+    """A link to one worker.
+
+    It calls `send_ended`, `load_order_ended` and `health_check_ended` of the core for each end, through
+    `submit`: never from within a method of its own.
+    """
+
+    address: Address
+
+    def hold(self, function: str, lanes: int, copies: int) -> object:
+        """Orders the worker to have so many copies of a function."""
+
+    def probe(self) -> object:
+        """Sends a health check."""
+
+    def cancel(self, activation: str, attempt: int) -> object:
+        """Asks the worker to end a send."""
+
+    def late(self, activation: str, attempt: int) -> object:
+        """The deadline of a send has passed."""
+
+    def withdraw(self, activation: str, attempt: int) -> object:
+        """Takes back a send that has not left yet."""
+
+    def recall(self) -> object:
+        """The worker drains: takes back all that has not left yet."""
+
+    def owes(self) -> bool:
+        """Whether a send or an order has not ended yet."""
+
+    def give_up(self, why: str) -> object:
+        """Closes the connection; all that was sent on it ends."""
+
+
+class WorkerLinks(dict[str, WorkerLink]):
+    """The links by worker. `make_link(worker, address)` makes one."""
+
+    def __init__(self, make_link: Callable[[str, Address | None], WorkerLink]) -> None:
+        super().__init__()
+        self.make_link = make_link
+
+    def drain(self, workers: Iterable[str]) -> None:
+        """These workers drain or are gone: nothing more leaves for them."""
+        for worker in workers:
+            if worker in self:
+                self[worker].recall()
+
+    def connect(self, entries: Iterable[Listed], membership: Membership) -> None:
+        """Makes links to workers that are new and usable, and moves those whose address has changed."""
+        for entry in entries:
+            link = self.get(entry.worker)
+            address = membership.address(entry.worker)
+            if link is None:
+                if entry.usable:
+                    self[entry.worker] = self.make_link(entry.worker, address)
+            elif address is not None and link.address != address:
+                link.address = address  # first: what is lost makes room for new connections
+                link.give_up("the worker has moved")
+
+    def release_unused(self, members: Container[str]) -> None:
+        """Closes links to workers that have left the endpoint list and that owe nothing any more."""
+        unused = [worker for worker, link in self.items() if worker not in members and not link.owes()]
+        for worker in unused:
+            self.pop(worker).give_up("it has left the list")
--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -65,7 +65,7 @@
         """Whether an activation has this id, or a send of one that had it is still out, whose answer would be
         taken for the new one's: also another customer's, as workers know no more of it than the id."""
         return act_id in self.pending.acts or any(
-            (act_id, n) in self.flying for n in range(self.terms.allowed.sends)
+            (act_id, n) in self.sends_in_flight for n in range(self.terms.allowed.sends)
         )
 
     def may_send(self, act_id, link):
@@ -183,7 +183,7 @@
         if not self.looks % TIDY:
             for link in list(self.links.values()):
                 link.tidy(now)
-            self.release_unused_links()
+            self.links.release_unused(self.membership.members)
         if not self.looks % STANDING:
             self.log.info("standing", **self.standing())
         if self.membership.silent(now):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -23,7 +23,7 @@
 from node_site import ROOT, SETTINGS, Roster, Site, Worker, ask, hit
 
 from petrelwood.decide.overload import resource_limits
-from petrelwood.dispatch import core
+from petrelwood.dispatch import event_queue
 from petrelwood.links import sockets
 from petrelwood.node import told
 from petrelwood.node import worker as link
@@ -355,9 +355,9 @@
                 worker = Raw("s-1")
                 async with Inside([worker]) as site:
                     gone, stays = Caller(site.address), Caller(site.address)
-                    with mock.patch.object(core, "MOST_IN_A_TURN", 0):
+                    with mock.patch.object(event_queue, "MOST_CALLS_IN_A_TURN", 0):
                         gone.call(ask(fn=1))
-                        await site.until(lambda: site.node.inbox)
+                        await site.until(lambda: site.node.events.waiting)
                         gone.close(how)
                         await site.until(lambda: not any(c.open for c in site.node.front.clients))
                     kept = ask(fn=1)
@@ -386,7 +386,7 @@
                         any(
                             line.open and line.stream.writing()
                             for line in site.node.links["s-1"].lines
-                            if site.node.flying
+                            if site.node.sends_in_flight
                         )
                         if site.node.links
                         else False
@@ -411,8 +411,8 @@
         ) as site:
             node, client = site.node, Caller(site.address)
             number = client.call(fields := ask(fn=1, ttl=3900))
-            await site.until(lambda: node.flying)
-            (act, n), worker = next(iter(node.flying.items()))
+            await site.until(lambda: node.sends_in_flight)
+            (act, n), worker = next(iter(node.sends_in_flight.items()))
             # it went to the narrow one first: the other is its second
             if worker == "s-2":
                 node.submit(node.send, act, "s-1", 0)
@@ -630,7 +630,7 @@
             worker.answer(worker.runs()[0])
             await site.until(two.read)
             self.assertNotEqual(two.answers[number][0], "completed")
-            await site.until(lambda: not site.node.flying)
+            await site.until(lambda: not site.node.sends_in_flight)
             number = two.call({**fields, "org": "bolt"}, b"of bolt")
             self.assertEqual(await site.second(two, number, worker), ("completed", b"of bolt"))
             two.close()
@@ -849,7 +849,7 @@
             site.roster.tell(loud)
             site.roster.tell(silent, "Gone")
             await site.until(lambda: "s-1" not in site.node.links)
-            self.assertFalse(link.owes() or link.lines or site.node.flying)
+            self.assertFalse(link.owes() or link.lines or site.node.sends_in_flight)
             # not allowed
             self.assertEqual([said["type"] for _, said in silent.read() if said["type"] == "KILL"], [])
             client = Caller(site.address)
