--- a/benchmarks/scale/budget.py
+++ b/benchmarks/scale/budget.py
@@ -162,7 +162,7 @@
         dns.high,
         "a datagram's most",
     )
-    asked = SECOND / polling.EVERY
+    asked = SECOND / polling.INTERVAL
     yield Quantity(
         "control, bytes, the list by DNS",
         "KB a second",
--- a/petrelwood/decide/cluster/connection_pool.py
+++ b/petrelwood/decide/cluster/connection_pool.py
@@ -1,31 +1,56 @@
-"""Which of a worker's connections carries a send, and when another one is opened.
+"""Which of a worker's connections carries a call, and when another one is opened.
 
-One send to a connection as long as there is room for connections: where an answer comes spoilt its connection
-is of no further use, and whatever else is open on it may have run. Only where the budget of descriptors is
-used up do sends share, the least loaded connection first."""
+One call to a connection as long as there is room for connections: where an answer comes damaged its
+connection is of no further use, and whatever else is in flight on it may have run. Only where the budget of
+descriptors is used up do calls share, the least loaded connection first.
+"""
 
-# ids that a connection has carried and remembers: an answer to one is not taken for another send of it
-KEPT = 8
-CONNECTING = 4  # connections of one worker that may be coming up at a time
+from collections.abc import Sequence
+from typing import Protocol, TypeVar
 
+MOST_REMEMBERED_IDS = 8  # of a connection: an answer to one is not taken for another call of that id
+MOST_CONNECTING = 4  # connections of one worker that may be coming up at a time
 
-def remembers(line, tag):
+
+class Connection(Protocol):
+    """What of a connection its choice depends on."""
+
+    up: bool
+    open: dict[str, object]  # the calls in flight, by id
+    carried: dict[str, bool]  # the last ids that it has carried, oldest first
+
+
+AnyConnection = TypeVar("AnyConnection", bound=Connection)
+
+
+def remember(connection: Connection, call_id: str) -> None:
     """Notes on a connection that it carries this id."""
-    line.carried[tag] = True
-    if len(line.carried) > KEPT:
-        del line.carried[next(iter(line.carried))]
+    connection.carried[call_id] = True
+    if len(connection.carried) > MOST_REMEMBERED_IDS:
+        del connection.carried[next(iter(connection.carried))]
+
+
+def choose(
+    connections: Sequence[AnyConnection], call_id: str, most_in_flight: int, may_open: bool
+) -> AnyConnection | None:
+    """The connection for a call, or None where the call has to wait for one that is free or comes up.
+
+    `connections`: those of its worker, the last used at the end; `most_in_flight`: calls that may share one;
+    `may_open`: whether another one may be opened.
+    """
+    for connection in reversed(connections):
+        if not connection.open and connection.up and call_id not in connection.carried:
+            return connection
+    return None if may_open else _least_loaded(connections, call_id, most_in_flight)
 
 
-def pick(lines, tag, streams, may_open):
-    """The connection for a send, or None where it should wait for one that is free or comes up. `lines`:
-    those of its worker, the last used at the end; `may_open`: whether another one may be opened."""
+def _least_loaded(
+    connections: Sequence[AnyConnection], call_id: str, most_in_flight: int
+) -> AnyConnection | None:
     best = None
-    for line in reversed(lines):
-        if not line.open and line.up and tag not in line.carried:
-            return line
-    if may_open:
-        return None
-    for line in reversed(lines):
-        if line.up and tag not in line.carried and (best is None or len(line.open) < len(best.open)):
-            best = line
-    return best if best is not None and len(best.open) < streams else None
+    for connection in reversed(connections):
+        if not connection.up or call_id in connection.carried:
+            continue
+        if best is None or len(connection.open) < len(best.open):
+            best = connection
+    return best if best is not None and len(best.open) < most_in_flight else None
--- a/petrelwood/decide/cluster/polling.py
+++ b/petrelwood/decide/cluster/polling.py
@@ -1,42 +1,49 @@
-"""When to ask the roster: often while it answers, soon again after a loss. Times in ns."""
+"""When to poll the roster: often while it answers, soon again after a loss. Times in ns."""
 
-MS = 1_000_000
-# between two questions; the roster may tell 1.5 s after the event, and waits for no one
-EVERY = 250 * MS
-AGAIN = 80 * MS  # after a question that has no answer yet
+from collections.abc import Callable
+
+MILLISECOND = 1_000_000
+INTERVAL = 250 * MILLISECOND  # the roster may know of an event 1.5 s late, and waits for no one
+RETRY_INTERVAL = 80 * MILLISECOND  # after a query that has no answer yet
 # what the roster would have told counts as told then, however late its answers come
-LATE = 4_500 * MS
-OPEN = LATE // AGAIN  # questions whose answers are still taken: those of that time
+ANSWER_LIFETIME = 4_500 * MILLISECOND
+MOST_OPEN_QUERIES = ANSWER_LIFETIME // RETRY_INTERVAL  # whose answers are still taken
+QUERY_IDS = 65_536
 
 
 class RosterPolling:
-    """`ids`: those that are open, oldest first. `chance()` in [0, 1)."""
-
-    def __init__(self, chance):
-        self.chance, self.ids, self.next = chance, {}, 0
-
-    def due(self, now):
-        return now >= self.next
-
-    def asks(self, now):
-        """The id of a question that goes out now."""
-        id_ = int(self.chance() * 65536)
-        self.ids.pop(id_, None)
-        self.ids[id_] = now
-        if len(self.ids) > OPEN:
-            del self.ids[next(iter(self.ids))]
-        self.next = now + AGAIN
-        return id_
-
-    def answered(self, now, id_):
-        """Whether this id was asked and has had no answer yet."""
-        return self.ids.pop(id_, None) is not None
-
-    def good(self, now):
-        """An answer that could be used."""
-        self.next = now + EVERY
-
-    def anew(self, now):
+    """The queries to one roster; `chance()` is drawn in [0, 1)."""
+
+    __slots__ = ("chance", "next_at", "open_queries")
+
+    def __init__(self, chance: Callable[[], float]) -> None:
+        self.chance = chance
+        self.open_queries: dict[int, int] = {}  # id -> when it was sent, oldest first
+        self.next_at = 0
+
+    def is_due(self, now: int) -> bool:
+        """Whether a query is to be sent now."""
+        return now >= self.next_at
+
+    def begin_query(self, now: int) -> int:
+        """The id of a query that is sent now."""
+        query_id = int(self.chance() * QUERY_IDS)
+        self.open_queries.pop(query_id, None)
+        self.open_queries[query_id] = now
+        if len(self.open_queries) > MOST_OPEN_QUERIES:
+            del self.open_queries[next(iter(self.open_queries))]
+        self.next_at = now + RETRY_INTERVAL
+        return query_id
+
+    def end_query(self, query_id: int) -> int | None:
+        """When an answer's query was sent; None where none is open under this id."""
+        return self.open_queries.pop(query_id, None)
+
+    def on_usable_answer(self, now: int) -> None:
+        """The list is known: the next query can wait."""
+        self.next_at = now + INTERVAL
+
+    def restart(self, now: int) -> None:
         """Another roster: nothing that was asked of the one before counts."""
-        self.ids.clear()
-        self.next = now
+        self.open_queries.clear()
+        self.next_at = now
--- a/petrelwood/node/roster.py
+++ b/petrelwood/node/roster.py
@@ -98,11 +98,11 @@
 class DnsRoster:
     """`core.endpoints_changed(entries, leaving, whole)` hears of each list that is new."""
 
-    def __init__(self, address, membership, asking, core, log):
-        self.address, self.membership, self.asking, self.core, self.log = (
+    def __init__(self, address, membership, polling, core, log):
+        self.address, self.membership, self.polling, self.core, self.log = (
             address,
             membership,
-            asking,
+            polling,
             core,
             log,
         )
@@ -145,17 +145,17 @@
     def moves(self, address):
         """The roster is at another address from now on; its numbers go on."""
         self.address = address
-        self.asking.anew(self.core.now())
+        self.polling.restart(self.core.now())
         self.failed = False
         self.open()
 
     def check(self, now):
-        if self.sock is None and not self.failed or not self.asking.due(now):
+        if self.sock is None and not self.failed or not self.polling.is_due(now):
             return
         if self.failed:
             self.open()
         self.counts["asked"] += 1
-        asked = self.asking.asks(now).to_bytes(2, "big") + self.question
+        asked = self.polling.begin_query(now).to_bytes(2, "big") + self.question
         if self.sock is not None:
             try:
                 self.sock.send(asked)
@@ -175,8 +175,8 @@
     def take(self, data):
         """One datagram."""
         now, id_ = self.core.now(), int.from_bytes(data[:2], "big")
-        asked_at = self.asking.ids.get(id_, now)
-        if len(data) < 12 or not self.asking.answered(now, id_):
+        asked_at = self.polling.end_query(id_) if len(data) >= 12 else None
+        if asked_at is None:
             self.counts["unusable"] += 1
             return
         if data[2:] == self.last:  # nothing has changed: nothing is read
@@ -204,6 +204,6 @@
 
     def _good(self, now):
         self.counts["good"] += 1
-        self.asking.good(now)
+        self.polling.on_usable_answer(now)
         if self.membership.alive(now):
             self.log.info("roster heard again")
--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -95,7 +95,7 @@
             while len(self.waiting) > deferred:
                 # a send behind the unsent rest of another would begin whenever its worker reads again
                 ready = [line for line in self.lines if not line.stream.writing()]
-                line = connection_pool.pick(
+                line = connection_pool.choose(
                     ready, self.waiting[0].act, self.terms.streams, self.core.may_open()
                 )
                 if line is not None:
@@ -107,7 +107,7 @@
                     elif self._may_leave(self.waiting[0]):
                         self._put(line, self.waiting.popleft())
                 elif (
-                    self.connecting < min(len(self.waiting), connection_pool.CONNECTING)
+                    self.connecting < min(len(self.waiting), connection_pool.MOST_CONNECTING)
                     and self.core.makes_room()
                 ):
                     self._connect()
@@ -129,7 +129,7 @@
     def _put(self, line, call):
         frame = self._hand(call)
         call.line, line.open[call.act] = line, call
-        connection_pool.remembers(line, call.act)
+        connection_pool.remember(line, call.act)
         line.last = call
         line.written = self.core.now()
         self.lines.remove(line)  # the last used stands at the end
--- a/tests/test_finished.py
+++ b/tests/test_finished.py
@@ -15,12 +15,20 @@
 FINISHED_BEFORE = {
     "petrelwood/clocks.py",
     "petrelwood/control",
+    "petrelwood/decide/cluster/completion.py",
+    "petrelwood/decide/cluster/connection_pool.py",
     "petrelwood/decide/cluster/durable_replica.py",
+    "petrelwood/decide/cluster/handover.py",
+    "petrelwood/decide/cluster/link_state.py",
     "petrelwood/decide/cluster/log_proposal.py",
     "petrelwood/decide/cluster/log_records.py",
+    "petrelwood/decide/cluster/polling.py",
     "petrelwood/decide/cluster/replicated_log.py",
+    "petrelwood/decide/overload/backoff.py",
+    "petrelwood/decide/wall_clock.py",
     "petrelwood/errors.py",
     "petrelwood/links/listener.py",
+    "petrelwood/settings/comparison.py",
 }
 EXCUSE = re.compile(r"#\s*(noqa|fmt:|ruff:|type:\s*ignore|mypy:|pylint:)")
 READABLE = '''"""A module."""
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -18,7 +18,7 @@
 
 from petrelwood import ports
 from petrelwood.decide.cluster import connection_pool, membership, shutdown
-from petrelwood.decide.cluster.polling import AGAIN, EVERY, RosterPolling
+from petrelwood.decide.cluster.polling import INTERVAL, RETRY_INTERVAL, RosterPolling
 from petrelwood.decide.overload.resource_limits import CapacityIntake, ResourceLimits
 from petrelwood.links import rpc
 from petrelwood.node import front, lines, roster, told
@@ -246,14 +246,15 @@
 
 class Decisions(unittest.TestCase):
     def test_when_to_ask(self):
-        asking = RosterPolling(random.Random(1).random)
-        first = asking.asks(0)
-        self.assertEqual((asking.due(AGAIN - 1), asking.due(AGAIN)), (False, True))
-        second = asking.asks(AGAIN)
-        self.assertTrue(asking.answered(AGAIN + 1, first) and asking.answered(AGAIN + 1, second))
-        self.assertFalse(asking.answered(AGAIN + 2, first))
-        asking.good(AGAIN)
-        self.assertEqual((asking.due(AGAIN + EVERY - 1), asking.due(AGAIN + EVERY)), (False, True))
+        polling = RosterPolling(random.Random(1).random)
+        first = polling.begin_query(0)
+        self.assertEqual((polling.is_due(RETRY_INTERVAL - 1), polling.is_due(RETRY_INTERVAL)), (False, True))
+        second = polling.begin_query(RETRY_INTERVAL)
+        self.assertEqual((polling.end_query(first), polling.end_query(second)), (0, RETRY_INTERVAL))
+        self.assertIsNone(polling.end_query(first))
+        polling.on_usable_answer(RETRY_INTERVAL)
+        due = RETRY_INTERVAL + INTERVAL
+        self.assertEqual((polling.is_due(due - 1), polling.is_due(due)), (False, True))
 
     def test_which_connection(self):
         class Line:
@@ -277,7 +278,7 @@
             ("coming up", ([Line("a", False, "")], "x", 4, False)),
             ("it has carried this id", ([Line("a", True, "", "x"), Line("b", True, "p")], "x", 4, False)),
         ):
-            line = connection_pool.pick(*args)
+            line = connection_pool.choose(*args)
             said.append(f"{what}: {line.name if line else '-'}")
         compare(self, "node_pool", said)
 
@@ -286,9 +287,10 @@
             carried = {}
 
         for number in range(100):
-            connection_pool.remembers(Line, number)
+            connection_pool.remember(Line, number)
         self.assertEqual(
-            (len(Line.carried), 99 in Line.carried, 0 in Line.carried), (connection_pool.KEPT, True, False)
+            (len(Line.carried), 99 in Line.carried, 0 in Line.carried),
+            (connection_pool.MOST_REMEMBERED_IDS, True, False),
         )
 
     def test_the_end(self):
