--- a/petrelwood/brain.py
+++ b/petrelwood/brain.py
@@ -137,6 +137,7 @@
         self.sweep = max(terms.tick, self.look // 50)
         self.usual, self.mean, self.mean_report = self.target // 4, 1.0, None
         self.hint, self.told, self.took = 0, self.target / 8, self.target / 8
+        self.answers, self.answer_time = 0, self.target      # those completed here, their mean time
         cold, period = terms.guarantees.cold, terms.orders.period or 1
         self.done, self.warm_time = Ring(cold), Ring(cold)    # of warm workers: answers, their time in all
         self.taken, self.loads, self.ripe = Ring(period), Ring(period), deque()
@@ -481,7 +482,8 @@
         if slot != worker.slot:
             part = g.cold_from + (1 - g.cold_from) * slot * g.fall / g.cold
             warm_time = max(self.warm_time.least(now), max(1, self.warm) * g.cold)
-            rate = max(self.done.least(now) / warm_time, 1 / max(self.usual, self.hint) / self.dispatchers)
+            work = max(self.usual, self.hint or self.answer_time)     # no hint: `usual` may be a guess
+            rate = max(self.done.least(now) / warm_time, 1 / work / self.dispatchers)
             worker.slot, worker.room = slot, int(g.fall_multiple / 3 * part * rate * g.fall + self.chance())
         return worker.room
 
@@ -587,6 +589,8 @@
     def _completed(self, now, send, note, took):
         fn, copy, worker = send.act.fn, send.copy, send.worker
         worker.latest = max(worker.latest, send.at)
+        self.answers = min(self.answers + 1, RECENT)
+        self.answer_time += (took - self.answer_time) / (self.answers + 1)
         self.done.add(now, self._warm(worker, now))
         if worker.usable:
             copy = fn.copies.setdefault(worker.id, copy)
--- a/tests/cold_budget.py
+++ b/tests/cold_budget.py
@@ -63,6 +63,7 @@
     fresh: bool = False  # all dispatchers are restarted with the first workers and have learnt nothing
     slow: float = 1.0  # the speed of those that restart, against the others
     tick: int = 10
+    hints: bool = True  # clients tell roughly how much work an activation is
     swing: float = 1.0  # a burst: traffic is so many times as much for `burst`
     burst: tuple = ()  # from, until
 
@@ -385,6 +386,7 @@
         work = int(self.chance.gammavariate(2, mean / 2))
         self.acts[act] = Asked(fn, type_, work)
         due, hint = self.now + 4 * self.case.target * MS, int(work * self.chance.uniform(0.7, 1.4))
+        hint *= self.case.hints
         dispatcher.brain.activation(self.now, act, fn, type_, "", due, LANES, hint, self.case.load * MS)
 
     # Troubles.
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -70,6 +70,19 @@
                         sent += sum(book.total for book in world.books)
         self.assertGreater(sent, 1000)
 
+    def test_without_hints_a_new_life_does_not_take_its_guess_for_the_usual_time(self):
+        """The target latency is half of the mean work: a quarter of it is no guess of a work's time."""
+        for dispatchers, seed, figures in (
+            (1, 2, TWO_TYPES),
+            (2, 5, TWO_TYPES),
+            (4, 3, TWO_TYPES),
+            (1, 5, {**TWO_TYPES, **ALL}),
+            (2, 2, {**TWO_TYPES, **ALL}),
+            (4, 1, {**TWO_TYPES, **ALL}),
+        ):
+            with self.subTest(f"{dispatchers}, seed {seed}"):
+                self.check(dispatchers=dispatchers, seed=seed, hints=False, **figures)
+
     def test_no_cold_worker_falls_under_what_all_dispatchers_send_together(self):
         for name, figures in CASES.items():
             with self.subTest(name):
