--- a/petrelwood/node/roster.py
+++ b/petrelwood/node/roster.py
@@ -96,7 +96,7 @@
 
 
 class DnsRoster:
-    """`core.listed(entries, leaving, whole)` hears of each list that is new."""
+    """`core.endpoints_changed(entries, leaving, whole)` hears of each list that is new."""
 
     def __init__(self, address, membership, asking, core, log):
         self.address, self.membership, self.asking, self.core, self.log = (
@@ -174,11 +174,13 @@
 
     def take(self, data):
         """One datagram."""
-        now = self.core.now()
-        if len(data) < 12 or not self.asking.answered(now, int.from_bytes(data[:2], "big")):
+        now, id_ = self.core.now(), int.from_bytes(data[:2], "big")
+        asked_at = self.asking.ids.get(id_, now)
+        if len(data) < 12 or not self.asking.answered(now, id_):
             self.counts["unusable"] += 1
             return
         if data[2:] == self.last:  # nothing has changed: nothing is read
+            self.membership.confirmed(asked_at)
             self._good(now)
             return
         try:
@@ -194,9 +196,11 @@
         self.last = data[2:]
         self._good(now)
         if serial > self.membership.number:
-            self.core.listed(
+            self.core.endpoints_changed(
                 *self.membership.whole(f"dns-{serial}", entries, now, self.core.clock.wall()), True
             )
+        # an answer may come long after it was written, but not before it was asked for
+        self.membership.confirmed(asked_at)
 
     def _good(self, now):
         self.counts["good"] += 1
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -163,7 +163,7 @@
         link = self.core.links["w1"]
         msgid = next(iter(link.out))
         link._response(msgid, None, [*w.acts()[0], 1, b"{}", None])  # both in one turn of the loop
-        self.front.core.left(exchange.act, exchange)
+        self.front.core.client_left(exchange.act, exchange)
         line.stream.close()
         await asyncio.gather(asked, return_exceptions=True)  # it may still have got the bytes
         counts = self.core.pending.counts
@@ -178,7 +178,7 @@
         await self.until(lambda: w.runs)
         line, link = next(iter(self.front.lines)), self.core.links["w1"]
         msgid = next(iter(link.out))
-        self.front.core.left(line.waiting[0].act, line.waiting[0])
+        self.front.core.client_left(line.waiting[0].act, line.waiting[0])
         link._response(msgid, None, [*w.acts()[0], 1, b"{}", None])
         with self.assertRaises(asyncio.TimeoutError):  # nothing may be written for what was left
             await asyncio.wait_for(asyncio.shield(asked), 0.2)
@@ -334,7 +334,7 @@
         for _ in range(30):  # cold: its budget is small at first
             if await answered():
                 break
-        self.assertEqual(self.core.links["w1"].state.lives, 2)
+        self.assertEqual(self.core.links["w1"].state.incarnations, 2)
 
 
 class Roster(Case):
@@ -406,10 +406,10 @@
 
 class Stalls(Case):
     async def test_a_loop_that_stands_still_is_seen_and_its_place_is_logged(self):
-        from petrelwood.dispatch.stall import StallWatch
+        from petrelwood.dispatch.stall import StallDetector
 
         log = Quiet()
-        watch = StallWatch(asyncio.get_running_loop(), 20_000_000, log)
+        watch = StallDetector(asyncio.get_running_loop(), 20_000_000, log)
         watch.open()
         await asyncio.sleep(0.1)
 
@@ -419,9 +419,9 @@
                 pass
 
         stands_still()
-        await self.until(lambda: log.said("the loop stood still"))
+        await self.until(lambda: log.said("event loop stalled"))
         watch.close()
-        said = log.said("the loop stood still")[0]
+        said = log.said("event loop stalled")[0]
         self.assertTrue(said["ms"] > 300 and "stands_still" in said["at"], said)
 
 
