--- /dev/null
+++ b/petrelwood/control/connection.py
@@ -0,0 +1,70 @@
+"""One caller's connection to a configuration server: calls by MessagePack-RPC, answered as they end."""
+
+import asyncio
+import contextlib
+import time
+from collections.abc import Awaitable, Callable
+from typing import Any
+
+from tornado.iostream import IOStream, StreamBufferFullError, StreamClosedError
+
+from petrelwood.control.messages import MAX_MESSAGE_SIZE
+from petrelwood.control.tasks import BackgroundTasks
+from petrelwood.errors import PetrelwoodError, ProtocolError
+from petrelwood.links import rpc
+
+READ_SIZE = 65_536  # bytes taken from a connection at a time
+IDLE_TIMEOUT = 300.0  # seconds without a call after which a connection is closed
+Handler = Callable[[str, list[Any]], Awaitable[list[Any]]]
+
+
+class Connection:
+    """`handler(method, params)` gives the result of a call, or raises `PetrelwoodError`."""
+
+    def __init__(self, stream: IOStream, handler: Handler, tasks: BackgroundTasks) -> None:
+        self.last_read = time.monotonic_ns()
+        self._stream = stream
+        self._handler = handler
+        self._tasks = tasks
+        self._open_calls = 0
+
+    @property
+    def idle(self) -> bool:
+        """Whether no call is open."""
+        return not self._open_calls
+
+    async def serve(self) -> None:
+        """Answers calls until the connection ends, is idle for long, or can't be understood.
+
+        Raises OSError and `ProtocolError`.
+        """
+        self._stream.set_nodelay(True)
+        reader = rpc.Reader(MAX_MESSAGE_SIZE)
+        while True:
+            data = await asyncio.wait_for(self._stream.read_bytes(READ_SIZE, partial=True), IDLE_TIMEOUT)
+            self.last_read = time.monotonic_ns()
+            try:
+                messages = reader.feed(data)
+            except rpc.Garbage as error:
+                raise ProtocolError(f"the caller does not speak MessagePack-RPC: {error}") from error
+            for message in messages:
+                if message[0] == rpc.REQUEST:
+                    _, message_id, method, params = message
+                    self._open_calls += 1
+                    self._tasks.start(self._respond(message_id, method, params))
+
+    async def _respond(self, message_id: int, method: str, params: list[Any]) -> None:
+        try:
+            try:
+                response = rpc.response(message_id, None, await self._handler(method, params))
+            except PetrelwoodError as error:
+                response = rpc.response(message_id, str(error), None)
+            # a caller that is gone, or reads nothing, needs no answer
+            with contextlib.suppress(StreamClosedError, StreamBufferFullError):
+                await self._stream.write(response)
+        finally:
+            self._open_calls -= 1
+
+    def close(self) -> None:
+        """Ends the connection; calls that are open have no answer."""
+        self._stream.close()
--- a/petrelwood/control/server.py
+++ b/petrelwood/control/server.py
@@ -7,30 +7,29 @@
 """
 
 import asyncio
-import contextlib
+import errno
 import time
 from collections.abc import Mapping
 from random import Random
 from typing import Any
 
 from structlog.typing import FilteringBoundLogger
-from tornado.iostream import IOStream, StreamBufferFullError, StreamClosedError
+from tornado.iostream import IOStream
 
 from petrelwood.control import messages
 from petrelwood.control.appending import Appender
 from petrelwood.control.catching_up import CatchUp
+from petrelwood.control.connection import Connection
 from petrelwood.control.errors import MalformedMessageError
 from petrelwood.control.peers import Address, Peers
 from petrelwood.control.tasks import BackgroundTasks
 from petrelwood.decide.cluster.durable_replica import DurableReplica, Save
 from petrelwood.decide.cluster.log_proposal import MS
 from petrelwood.decide.cluster.replicated_log import Replica
-from petrelwood.errors import PetrelwoodError
-from petrelwood.links import rpc
+from petrelwood.errors import ProtocolError
 from petrelwood.links.listener import Listener
 
-READ_SIZE = 65_536  # bytes taken from a connection at a time
-IDLE_TIMEOUT = 300.0  # seconds without a call after which a connection is closed
+OUT_OF_DESCRIPTORS = frozenset((errno.EMFILE, errno.ENFILE))
 DISK_CHECK_INTERVAL = 0.05  # seconds between two looks whether a failed disk is to be written to again
 
 
@@ -56,7 +55,7 @@
         self._log = logger
         self._appender = Appender(name, self.durable, self.peers, random_fraction, logger)
         self._catch_up = CatchUp(self.durable, self.peers, self._appender, random_fraction, logger)
-        self._connections: set[IOStream] = set()
+        self._connections: set[Connection] = set()
         self._tasks = BackgroundTasks()
         if not self.durable.save_changes(time.monotonic_ns()):
             self.durable.require_disk()
@@ -69,8 +68,8 @@
         """Closes all listeners and connections, and ends all that is on its way."""
         self.stop()
         self.peers.close()
-        for stream in list(self._connections):
-            stream.close()
+        for connection in list(self._connections):
+            connection.close()
         self._appender.close()
         self._tasks.cancel()
 
@@ -91,38 +90,27 @@
 
     # Connections.
     def accept_failed(self, error: OSError, pause: int) -> None:
-        """Logs that no connection is taken for a moment."""
+        """Logs that no connection is taken for a moment; an idle one makes room where descriptors run out."""
         self._log.warning("accept failed", error=error.strerror, pause_ms=pause // MS)
+        if error.errno in OUT_OF_DESCRIPTORS:
+            self._close_idlest_connection()
+
+    def _close_idlest_connection(self) -> None:
+        idle = [connection for connection in self._connections if connection.idle]
+        if idle:
+            min(idle, key=lambda connection: connection.last_read).close()
 
     async def handle_stream(self, stream: IOStream, address: tuple[Any, ...]) -> None:
-        """Serves one connection until it ends, is idle for long, or can't be understood."""
-        self._connections.add(stream)
+        """Serves one connection to its end."""
+        connection = Connection(stream, self._call, self._tasks)
+        self._connections.add(connection)
         try:
-            stream.set_nodelay(True)
-            await self._serve(stream)
-        except (StreamClosedError, OSError, rpc.Garbage) as error:
+            await connection.serve()
+        except (OSError, ProtocolError) as error:
             self._log.debug("connection ended", address=address[0], error=str(error))
         finally:
-            self._connections.discard(stream)
-            stream.close()
-
-    async def _serve(self, stream: IOStream) -> None:
-        reader = rpc.Reader(messages.MAX_MESSAGE_SIZE)
-        while True:
-            data = await asyncio.wait_for(stream.read_bytes(READ_SIZE, partial=True), IDLE_TIMEOUT)
-            for message in reader.feed(data):
-                if message[0] == rpc.REQUEST:
-                    _, message_id, method, params = message
-                    self._tasks.start(self._respond(stream, message_id, method, params))
-
-    async def _respond(self, stream: IOStream, message_id: int, method: str, params: list[Any]) -> None:
-        try:
-            response = rpc.response(message_id, None, await self._call(method, params))
-        except PetrelwoodError as error:
-            response = rpc.response(message_id, str(error), None)
-        # a caller that is gone, or reads nothing, needs no answer
-        with contextlib.suppress(StreamClosedError, StreamBufferFullError):
-            await stream.write(response)
+            self._connections.discard(connection)
+            connection.close()
 
     async def _call(self, method: str, params: list[Any]) -> list[Any]:
         """The result of one call. Raises `PetrelwoodError` with what the caller is told."""
--- a/tests/test_configuration_disk.py
+++ b/tests/test_configuration_disk.py
@@ -4,6 +4,7 @@
 import errno
 import os
 import pathlib
+import socket
 import tempfile
 import unittest
 from random import Random
@@ -31,6 +32,7 @@
     Promise,
     RecordKind,
 )
+from petrelwood.decide.cluster.replicated_log import Replica
 from petrelwood.emulate.configuration_servers import SECOND, World
 from petrelwood.links.rpc_client import RpcClient, RpcError
 from petrelwood.store import snapshot
@@ -346,6 +348,28 @@
         self.assertEqual([task for task in self.tasks["c1"] if task.done()], [])
 
 
+class Descriptors(unittest.IsolatedAsyncioTestCase):
+    async def test_idle_connections_make_room_where_descriptors_run_out(self):
+        one = server.ConfigurationServer("c1", {}, Replica(), lambda value: None, structlog.get_logger())
+        self.addCleanup(one.close)
+        sockets = bind_sockets(0, "127.0.0.1")
+        one.add_sockets(sockets)
+        clients = [RpcClient(sockets[0].getsockname(), messages.MAX_MESSAGE_SIZE) for _ in range(4)]
+        for client in clients:
+            self.addCleanup(client.close)
+        accept, left = socket.socket.accept, 3
+
+        def limited(sock):
+            if len(one._connections) >= left:
+                raise OSError(errno.EMFILE, os.strerror(errno.EMFILE))
+            return accept(sock)
+
+        with mock.patch.object(socket.socket, "accept", limited):
+            for client in (*clients[:3], clients[0], clients[3]):
+                self.assertEqual(await client.call("read", [0], PATIENT), [0, 0, []])
+            self.assertEqual([client._stream.closed() for client in clients], [False, True, False, False])
+
+
 class Identities(unittest.TestCase):
     def test_a_wall_clock_stepped_back_to_an_earlier_start_makes_no_ballot_twice(self):
         with mock.patch("time.time_ns", return_value=1):
