--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -297,6 +297,7 @@
                     self.defect(getattr(call, "__name__", "call"), fault, args)
         finally:
             self.telling = False
+            self.touched = set()  # a defect elsewhere is none of theirs
             if self.state is not None:
                 self.state.flush()
         if self.inbox:
--- a/petrelwood/node/front.py
+++ b/petrelwood/node/front.py
@@ -14,6 +14,7 @@
 
 from tornado.iostream import StreamBufferFullError, StreamClosedError
 
+from petrelwood.decide.delivery import ledger
 from petrelwood.decide.overload import intake, resource_limits
 from petrelwood.decide.overload.intake import Ask
 from petrelwood.links import rpc, sockets
@@ -22,7 +23,12 @@
 
 READ = 16_384
 READERS = 8  # kept for whoever sends next
-ACCEPTS = 32  # connections taken in one turn of the loop
+# connections taken in one turn of the loop, and ns that this may last: it keeps answers waiting
+ACCEPTS, ACCEPTING = 32, 3_000_000
+GUESTS = 8  # connections beyond the room for clients: who asks on one is turned away, not closed
+REFUSALS = 16 * READ  # bytes of answers to what one reading may hold beyond a client's open requests
+UNTAKEN = 10_000_000_000  # ns that a client may leave answers unread, with no request open
+ANSWER = resource_limits.BODY + resource_limits.TEXT
 REJECTED, ABORTED, WRONG = "Throttled", "Broken", "Invalid"
 HEX, TEXT = frozenset("0123456789abcdef"), frozenset((str,))
 # ns after a client's end or cancel in which a send for it may begin, as the operators' rules have it; a look
@@ -154,7 +160,9 @@
 
 class Client:
     """One connection. `open`: exchanges by message id; `coming`: what its next bytes resolve; `readings`:
-    those that left nothing unread; `deferred`: links with sends that wait until it was read."""
+    those that left nothing unread; `deferred`: links with sends that wait until it was read; `written`: what
+    the last write resolves. `guest`: there was no room for it. `ending`: nothing more is taken from it, and
+    it is closed once all is answered; `garbled`: nothing that follows can be read either."""
 
     __slots__ = (
         "front",
@@ -169,53 +177,101 @@
         "ending",
         "readings",
         "deferred",
+        "written",
+        "guest",
+        "garbled",
     )
 
-    def __init__(self, front, stream, now):
+    def __init__(self, front, stream, now, guest=False):
         self.front, self.stream, self.open, self.reader, self.coming = front, stream, {}, None, None
         self.since, self.asked, self.part, self.faults, self.ending = now, False, 0, 0, False
         self.readings, self.deferred = 0, {}
+        self.written = None
+        self.guest = guest
+        self.garbled = False
 
     async def serve(self):
         front = self.front
         try:
-            while not self.ending:
+            while True:
+                while self._crowded():  # who does not read its answers asks for nothing more
+                    await self.written
                 self.coming = self.stream.read_bytes(READ, partial=True)
                 self._pump_deferred()
                 data = await self.coming
                 now = front.core.now()
+                front.core.answer_due(now)
                 front.reads += 1
-                if self.reader is None:
-                    self.reader = (
-                        front.readers.pop()
-                        if front.readers
-                        else rpc.Reader(resource_limits.FRAME + READ, PARTS)
-                    )
-                messages = self.reader.feed(data)
-                # a reader has some 40 KB: only who is in a message has one
-                if self.reader.whole():
-                    if len(front.readers) < READERS:
-                        front.readers.append(self.reader)
-                    self.reader, self.part = None, 0
-                elif messages or not self.part:
-                    self.part = now
-                for message in messages:
-                    self._message(message, now)
-                    if self.ending:
-                        # once what was written has gone out; see `Front.check`. Until then what it sent
-                        # stays unread, and so nothing is sent on for it
-                        self.since = now
-                        return
+                if not self.garbled:
+                    self._take(data, now)
                 if len(data) < READ:
                     self.readings += 1
         except StreamClosedError:
             pass
-        except rpc.Garbage as fault:
-            front.note("unreadable", str(fault))
         except Exception as fault:
             front.core.defect("front", fault)
         self.close()
 
+    def _take(self, data, now):
+        """What has come. What can't be read ends the connection, once what is owed on it is answered."""
+        front = self.front
+        if self.reader is None:
+            self.reader = (
+                front.readers.pop() if front.readers else rpc.Reader(resource_limits.FRAME + READ, PARTS)
+            )
+        try:
+            messages = self.reader.feed(data)
+            # a reader has some 40 KB: only who is in a message has one
+            if self.reader.whole():
+                if len(front.readers) < READERS:
+                    front.readers.append(self.reader)
+                self.reader, self.part = None, 0
+            elif messages or not self.part:
+                self.part = now
+            for message in messages:
+                self._handle(message, now)
+        except rpc.Garbage as fault:
+            front.note("unreadable", str(fault))
+            self._garbled(now)
+
+    def _handle(self, message, now):
+        """A defect costs the one message that met it."""
+        try:
+            self._message(message, now)
+        except rpc.Garbage:
+            raise
+        except Exception as fault:
+            self.front.core.defect("front", fault)
+            exchange = self.open.get(message[1]) if message[0] == rpc.REQUEST else None
+            if exchange is not None:
+                exchange.answer(ledger.ABORTED)
+            elif message[0] == rpc.REQUEST:
+                self.write(rpc.response(message[1], [ABORTED, {}], None))
+
+    def _garbled(self, now):
+        """Whose the next answers would be can't be told: each open request is answered now, as failed. What
+        still comes is thrown away, as a close over unread bytes would overtake the answers."""
+        self.reader, self.part = None, 0
+        if not self.open and not self.stream.writing():
+            self.close()
+            return
+        self._end(now)
+        self.garbled = True
+        for msgid, exchange in list(self.open.items()):
+            del self.open[msgid]
+            if exchange.act is not None:
+                self.front.core.left(exchange.act, exchange)
+            self.write(rpc.response(msgid, [ABORTED, {}], None))
+
+    def _end(self, now):
+        """Nothing more is taken from it; see `Front.check`."""
+        if not self.ending:
+            self.ending, self.since = True, now
+
+    def _crowded(self):
+        """Whether the answers that it has not read and those that it is owed need all the room for them."""
+        return self.stream.unsent() + len(self.open) * ANSWER > resource_limits.UNREAD
+
     def _pump_deferred(self):
         if self.deferred:
             links, self.deferred = self.deferred, {}
@@ -259,7 +315,7 @@
 
     def write(self, frame):
         try:
-            self.stream.write(frame)
+            self.written = self.stream.write(frame)
         except (StreamClosedError, StreamBufferFullError):
             self.front.core.loop.call_soon(self.close)
 
@@ -275,7 +331,7 @@
         self.faults += 1
         self.write(rpc.response(msgid, [WRONG, {"why": why}], None))
         if self.faults >= resource_limits.FAULTS:
-            self.ending = True
+            self._end(self.front.core.now())
 
     def _message(self, message, now):
         kind = message[0]
@@ -284,7 +340,9 @@
             # whose answer the next one under it would be can't be told
             if msgid in self.open:
                 raise rpc.Garbage("a number that is open")
-            if method in self.front.core.terms.types:
+            if self.ending:
+                self.refuse(msgid, self.front.core.intake.usual)
+            elif method in self.front.core.terms.types:
                 self._call(msgid, method, params, now)
             elif method == "health":
                 self.asked = True
@@ -316,7 +374,13 @@
             self.wrong(msgid, str(fault))
             return
         self.asked = True
-        if len(self.open) >= resource_limits.OPEN:
+        self.guest = self.guest and self.front.full()
+        if self.guest:
+            self.refuse(msgid, core.intake.usual)
+            return
+        if len(self.open) >= resource_limits.OPEN or (
+            self.stream.unsent() + (len(self.open) + 1) * ANSWER > resource_limits.UNREAD
+        ):
             self.front.counts["over its part"] += 1
             self.refuse(msgid, core.intake.usual)
             return
@@ -366,8 +430,24 @@
         for client in list(self.clients):
             client.close()
 
+    def full(self):
+        """Whether there are as many clients as there is room for."""
+        return len(self.clients) >= self.room.clients
+
+    def _rest_listener(self):
+        """What comes waits in the machine's hands until the next look. The listener stays readable: the loop
+        would come back here at once, and again."""
+        self.deaf = True
+        self.core.loop.remove_reader(self.sock)
+
     def _accept(self):
+        began = self.core.now()
+        self.core.answer_due(began)
         for _ in range(ACCEPTS):
+            guest = self.full() and not self._make_room()
+            if guest and len(self.clients) >= self.room.clients + GUESTS:
+                self._rest_listener()
+                return
             try:
                 sock, _ = self.sock.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
@@ -375,14 +455,9 @@
             except OSError as fault:
                 if fault.errno in (errno.EMFILE, errno.ENFILE) and self._make_room():
                     continue
-                # it stays readable: the loop would come back here at once, and again
-                self.deaf = True
-                self.core.loop.remove_reader(self.sock)
+                self._rest_listener()
                 return
             self.counts["connections"] += 1
-            if len(self.clients) >= self.room.clients and not self._make_room():
-                sock.close()
-                continue
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             client = Client(
@@ -391,12 +466,15 @@
                     sock,
                     max_buffer_size=2 * READ + resource_limits.FRAME,
                     read_chunk_size=READ,
-                    max_write_buffer_size=resource_limits.UNREAD,
+                    max_write_buffer_size=resource_limits.UNREAD + REFUSALS,
                 ),
                 self.core.now(),
+                guest,
             )
             self.clients[client] = self.idle[client] = True
             self.core.loop.create_task(client.serve())
+            if self.core.now() - began > ACCEPTING:
+                return
 
     def _make_room(self):
         """Descriptors run short: the connection that has been idle longest goes, never one with an open
@@ -413,8 +491,10 @@
             self.deaf = False
             self.core.loop.add_reader(self.sock, self._accept)
         for client in list(self.clients):
-            if client.ending:  # nothing of it is read any more
-                if not client.stream.writing() or now - client.since > resource_limits.PART:
+            if client.open:  # each gets its answer first, and none waits longer than its time
+                continue
+            if client.ending:
+                if client.at_rest() or now - client.since > resource_limits.PART:
                     client.close()
             elif (
                 client.part
@@ -427,6 +507,12 @@
         for client in list(self.idle):
             if now - client.since <= resource_limits.IDLE:
                 break
+            if client.at_rest() or client.stream.writing() and now - client.since > UNTAKEN:
+                client.close()
+
+    def close_resting(self):
+        """Closes the connections on which nothing is owed and nothing has come."""
+        for client in list(self.idle):
             if client.at_rest():
                 client.close()
 
@@ -434,9 +520,9 @@
         """Whether all that was written has gone out, and all that has come was read: connections, requests,
         ends."""
         if any(c.stream.writing() for c in self.clients) or any(
-            c.coming is None or c.coming.done() for c in self.clients if not c.ending
+            c.coming is None or c.coming.done() for c in self.clients
         ):
             return False
         return self.sock is None or not pending(
-            [self.sock, *(c.stream.socket for c in self.clients if not c.ending and not c.stream.closed())]
+            [self.sock, *(c.stream.socket for c in self.clients if not c.stream.closed())]
         )
--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -18,8 +18,9 @@
 
 CHECK = 0.05  # seconds between looks at links, clients and the roster
 BEHIND = 100_000_000  # ns without a look, after which the loop was held up: two looks
-# turns of the loop in which nothing of a client is read, after which all is; turns at most
-QUIET, TURNS = 3, 64
+# turns of the loop in which nothing of a client is read, after which all is. Where something always comes,
+# what lay unread at the first turn has been read after as many and this long (ns), whatever followed
+QUIET, CATCH_UP = 3, 50_000_000
 TIDY = 20  # looks between two at connections that rest
 STANDING = 100  # looks between two log lines of what is believed
 UNKNOWN = Figures(1, 0, 0)
@@ -41,6 +42,7 @@
         )
         super().__init__(gateway, LoopClock(), Random(gateway.seed), self._link, log, brain)
         self.beat, self.turns, self.still, self.read, self.rings = self.now(), 0, 0, 0, []
+        self.held_up_at = 0  # when it was seen that the loop was held up
         self.front = Front(self, self.room, log)
         self.roster = DnsRoster(gateway.names, self.membership, RosterPolling(self.chance.random), self, log)
 
@@ -87,7 +89,8 @@
         """Whether what came while the loop was held up may still lie unread: a client's end or cancel, news
         of workers. Nothing leaves for a worker until it is read; what it takes back is then still here."""
         if not self.turns and self.now() - self.beat > BEHIND:
-            self.turns, self.still, self.read = TURNS, QUIET, self.front.reads
+            self.turns, self.still, self.read = QUIET, QUIET, self.front.reads
+            self.held_up_at = self.now()
             self.loop.call_soon(self._turn)
         return self.turns > 0
 
@@ -97,10 +100,10 @@
         return now if now - self.beat <= BEHIND else self.beat
 
     def _turn(self):
-        self.turns -= 1
+        self.turns = max(1, self.turns - 1)
         self.still = self.still - 1 if self.read == self.front.reads else QUIET
         self.read = self.front.reads
-        if self.turns and self.still:
+        if self.still and (self.turns > 1 or self.now() - self.held_up_at < CATCH_UP):
             self.loop.call_soon(self._turn)
             return
         self.turns, self.beat = 0, self.now()
@@ -118,6 +121,12 @@
         else:
             super()._ring(mark)
 
+    def answer_due(self, now):
+        """What is due is answered before anything new is taken: a turn of the loop may be long."""
+        if self.due_timer is not None and self.due_at <= now:
+            self.due_timer.cancel()
+            self._due()
+
     # Descriptors of links, and their tags.
     def opened(self):
         self.lines += 1
@@ -204,6 +213,8 @@
         self.began = False
         while not ends.over(self.now(), len(self.pending.acts), self.front.quiet()):
             self.intake.closing = ends.closed(self.now())
+            if ends.closed(self.now()) and not self.pending.acts:
+                self.front.close_resting()  # those that go on sending keep only themselves
             if ends.out_of_time(self.now()):
                 for act_id in sorted(self.pending.acts):
                     self.soon(self._cut, act_id)
--- a/petrelwood/node/stream.py
+++ b/petrelwood/node/stream.py
@@ -14,3 +14,7 @@
             return
         self._check_closed()
         self._add_io_state(IOLoop.READ)
+
+    def unsent(self):
+        """Bytes that were written and that the machine has not taken yet."""
+        return len(self._write_buffer)
--- /dev/null
+++ b/tests/test_final_answers.py
@@ -0,0 +1,327 @@
+"""Every request that was read gets its final answer, whatever becomes of its connection or of its neighbours:
+faults of its own client, too many clients, answers that nobody reads, a loop that is held up again and again.
+
+Moments are forced as in `test_crossings`. Each test failed on the text before (668305e), or names the broken
+dispatcher that it fails on."""
+
+import asyncio
+import base64
+import contextlib
+import socket
+import time
+import unittest
+from unittest import mock
+
+import msgpack
+from node_site import ask
+from test_client_departure import ids
+from test_crossings import Caller, Inside, Raw, held_up
+
+from petrelwood.decide.overload import resource_limits
+from petrelwood.node import front as node_front
+
+
+def wrongs(first, count):
+    """Requests of a class that there is not."""
+    return b"".join(msgpack.packb([0, first + n, "nothing", [{}, b""]]) for n in range(count))
+
+
+def call(number, fields):
+    return msgpack.packb([0, number, "plain", [fields, b"x"]])
+
+
+class BadNeighboursOnTheSameConnection(unittest.IsolatedAsyncioTestCase):
+    async def test_good_requests_open_when_the_faults_are_too_many(self):
+        """One is at its worker, one is held, one comes with the last fault, and one behind it.
+        The text before closed the connection at its next look: no answer to any."""
+        worker = Raw("s-1")
+        async with Inside([worker]) as site:
+            client = Caller(site.address)
+            one_lane = "lanes:1;load_ms:20"
+            client.call(ask(fn=1, facts=one_lane))
+            await site.until(worker.runs)
+            client.call(ask(fn=1, facts=one_lane))
+            await site.until(lambda: site.node.intake.held == 2)
+            client.sock.sendall(wrongs(100, resource_limits.FAULTS) + call(3, ask(fn=1)))
+            looks = site.node.looks
+            await site.until(lambda: site.node.looks > looks + 3)
+            client.sock.sendall(call(4, ask(fn=1)))
+            await site.until(lambda: 4 in client.read() or client.ended)
+            for number in (1, 2):
+                await site.until(lambda number=number: len(worker.runs()) >= number)
+                worker.answer(worker.runs()[number - 1])
+            await site.until(lambda: {1, 2, 3, 4} <= set(client.read()) or client.ended)
+            words = [client.answers[number][0] for number in (1, 2, 3, 4)]
+            self.assertEqual(words, ["completed", "completed", "Throttled", "Throttled"])
+            await site.until(lambda: client.read() and client.ended)  # and then it is ended
+            self.assertEqual(client.ended, "end")
+
+    async def test_good_requests_open_when_something_can_not_be_read(self):
+        """Noise, or a second request under an open number: the text before closed it at once."""
+        noise = b"\xc1\xc1\xc1" + b"\x00" * 40_000
+        for what, data in (("noise", noise), ("an open number", call(1, ask(fn=5)))):
+            with self.subTest(what):
+                worker = Raw("s-1")
+                async with Inside([worker]) as site:
+                    client = Caller(site.address)
+                    client.call(ask(fn=1))
+                    client.call(ask(fn=1), type_="single")
+                    await site.until(lambda worker=worker: len(worker.runs()) == 2)
+                    client.sock.sendall(data)
+                    await site.until(lambda client=client: len(client.read()) == 2 or client.ended)
+                    self.assertEqual([client.answers[n][0] for n in (1, 2)], ["Broken", "Broken"])
+                    await site.until(lambda client=client: client.read() and client.ended)
+                    self.assertEqual(len(client.answers), 2)
+                    self.assertFalse(site.node.pending.acts)
+
+    async def test_who_is_owed_nothing_is_closed_at_once(self):
+        async with Inside([]) as site:
+            client = Caller(site.address)
+            client.sock.sendall(b"\xc1\xc1\xc1")
+            looks = site.node.looks
+            await site.until(lambda: client.read() is not None and client.ended)
+            self.assertLessEqual(site.node.looks, looks + 1)
+
+    async def test_a_request_that_stays_half_beside_good_ones(self):
+        """The text before closed it as too slow, with an open request."""
+        worker = Raw("s-1")
+        with mock.patch.object(resource_limits, "PART", 100_000_000):
+            async with Inside([worker]) as site:
+                client = Caller(site.address)
+                number = client.call(ask(fn=1))
+                await site.until(worker.runs)
+                client.call(ask(fn=1), part=slice(None, 40))
+                looks = site.node.looks
+                await site.until(lambda: site.node.looks > looks + 5)
+                worker.answer(worker.runs()[0])
+                await site.until(lambda: number in client.read() or client.ended)
+                self.assertEqual(client.answers[number][0], "completed")
+                await site.until(lambda: client.read() and client.ended)
+
+    async def test_a_defect_in_reading_one_request(self):
+        """It alone is answered as failed; the text before closed the connection with the others open."""
+        worker = Raw("s-1")
+        async with Inside([worker]) as site:
+            client = Caller(site.address)
+            first = client.call(ask(fn=1))
+            await site.until(worker.runs)
+            with mock.patch.object(node_front, "asked", side_effect=RuntimeError("a defect")):
+                second = client.call(ask(fn=1))
+                await site.until(lambda: second in client.read() or client.ended)
+            worker.answer(worker.runs()[0])
+            await site.until(lambda: first in client.read() or client.ended)
+            self.assertEqual((client.answers[first][0], client.answers[second][0]), ("completed", "Broken"))
+            client.close()
+
+
+class TooManyClients(unittest.IsolatedAsyncioTestCase):
+    async def test_a_new_connection_where_all_others_have_open_requests(self):
+        """It has a request in it, and gets a refusal: the text before closed it over the request."""
+        worker = Raw("s-1")
+        async with Inside([worker]) as site:
+            site.node.room.clients = 2
+            busy = [Caller(site.address) for _ in range(2)]
+            for client in busy:
+                client.call(ask(fn=1, ttl=3900))
+            await site.until(lambda: len(worker.runs()) == 2)
+            more = [Caller(site.address) for _ in range(3 * node_front.GUESTS)]
+            for client in more:
+                client.call(ask(fn=1, ttl=3900))
+            for client in more:
+                await site.until(lambda client=client: 1 in client.read() or client.ended)
+                self.assertEqual(client.answers[1][0], "Throttled")
+                client.close()
+            self.assertEqual(len(ids(worker)), 2)
+            for run in worker.runs():
+                worker.answer(run)
+            for client in busy:
+                await site.until(lambda client=client: 1 in client.read())
+                self.assertEqual(client.answers[1][0], "completed")
+                client.close()
+
+    async def test_more_than_room_and_guests_wait_to_be_accepted(self):
+        """Guests that say nothing fill what is spare; who comes then is answered when one of them is closed.
+        The text before closed it. The loop does not come back to the listener meanwhile."""
+        worker = Raw("s-1")
+        async with Inside([worker]) as site:
+            site.node.room.clients = 1
+            busy = Caller(site.address)
+            busy.call(ask(fn=1, ttl=3900))
+            await site.until(worker.runs)
+            with mock.patch.object(node_front.Client, "at_rest", lambda self: False):
+                guests = [Caller(site.address) for _ in range(node_front.GUESTS)]
+                late = Caller(site.address)
+                late.call(ask(fn=1, ttl=3900))
+                await site.until(lambda: site.node.front.deaf)
+                self.assertEqual(late.read(), {})
+                self.assertIsNone(late.ended)
+            await site.until(lambda: late.read() or late.ended)
+            self.assertEqual(late.answers[1][0], "Throttled")
+            for client in (busy, late, *guests):
+                client.close()
+
+
+class AnswersThatNobodyReads(unittest.IsolatedAsyncioTestCase):
+    async def test_a_client_that_asks_on_and_reads_nothing(self):
+        """More answers than a client's room for them: what it asks beyond is turned away or stays unread, and
+        it has all its answers once it reads. The text before closed it with requests open."""
+        worker = Raw("s-1")
+        async with Inside([worker]) as site:
+            client = Caller(site.address)
+            client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
+            await site.until(lambda: site.node.front.clients)
+            there = next(iter(site.node.front.clients))
+            there.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)
+            client.sock.setblocking(False)
+            body, answered, whole, data = b"y" * resource_limits.BODY, 0, 0, b""
+            large = base64.b64encode(body).decode()
+
+            def work():
+                nonlocal answered
+                for run in worker.runs()[answered:]:
+                    worker.answer(run, data=large)
+                    answered += 1
+
+            for _ in range(3):
+                end = time.monotonic() + 0.5
+                asked = 0
+                while time.monotonic() < end:
+                    if not data and asked < resource_limits.OPEN:
+                        asked += 1
+                        client.last += 1
+                        data = msgpack.packb([0, client.last, "plain", [ask(fn=1, ttl=3900), body]])
+                    with contextlib.suppress(BlockingIOError):
+                        data = data[client.sock.send(data) :]
+                    await asyncio.sleep(0)
+                    work()
+            whole = client.last - 1 if data else client.last
+            self.assertGreater(site.node.pending.counts["completed"], resource_limits.OPEN // 2)
+            self.assertFalse(there.ending)
+            client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
+            there.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
+
+            def all_read():
+                work()
+                return len(client.read()) >= whole or client.ended
+
+            await site.until(all_read)
+            self.assertEqual(set(range(1, whole + 1)) - set(client.answers), set())
+            self.assertGreater(whole, resource_limits.OPEN)
+            client.close()
+
+
+class HeldUpAgainAndAgain(unittest.IsolatedAsyncioTestCase):
+    """As on a machine that is short of processor time: each turn of the loop lasts long."""
+
+    def strain(self, site, seconds):
+        """Each turn of the loop lasts so long, until the result is called."""
+        going = True
+
+        def hold():
+            if going:
+                time.sleep(seconds)
+                site.node.loop.call_soon(hold)
+
+        hold()
+
+        def stop():
+            nonlocal going
+            going = False
+
+        return stop
+
+    async def test_requests_still_leave_for_their_workers(self):
+        """Something is read in each turn. The text before let nothing leave for 64 turns of the loop, longer
+        than a request's time."""
+        worker = Raw("s-1")
+        async with Inside([worker]) as site:
+            client, chatty = Caller(site.address), Caller(site.address)
+            client.call(ask(fn=1))
+            await site.until(worker.runs)
+            worker.answer(worker.runs()[0])
+            await site.until(client.read)
+            going = True
+
+            def talk():
+                if going:
+                    chatty.sock.send(msgpack.packb([2, "cancel", [999]]))
+                    site.node.loop.call_soon(talk)
+
+            talk()
+            stop = self.strain(site, 0.12)
+            began = time.monotonic()
+            number = client.call(ask(fn=1, ttl=3900))
+            while time.monotonic() - began < 3.9 and len(worker.runs()) < 2:
+                await asyncio.sleep(0)
+            took = time.monotonic() - began
+            stop()
+            going = False
+            self.assertEqual(len(worker.runs()), 2)
+            self.assertLess(took, 3.0)
+            worker.answer(worker.runs()[1])
+            await site.until(lambda: number in client.read())
+            client.close(), chatty.close()
+
+    async def test_what_is_due_is_answered_before_anything_new_is_taken(self):
+        """Its time is up while the requests of others, which lay unread together, are read one after the
+        other. The text before read them all first."""
+        worker = Raw("s-1")
+        async with Inside([worker]) as site:
+            waits = Caller(site.address)
+            number = waits.call(ask(fn=1, ttl=300))
+            await site.until(worker.runs)
+            opened = [Caller(site.address) for _ in range(10)]
+            await site.until(lambda: len(site.node.front.clients) == 11)
+            order, take, answer = [], site.node.ask, node_front.Exchange.answer
+
+            def asks(*args):
+                order.append("taken")
+                time.sleep(0.06)
+                take(*args)
+
+            def answers(exchange, *args, **more):
+                order.append("answered")
+                answer(exchange, *args, **more)
+
+            with (
+                mock.patch.object(site.node, "ask", asks),
+                mock.patch.object(node_front.Exchange, "answer", answers),
+            ):
+                for client in opened:
+                    client.call(ask(fn=2, ttl=3900))
+                await site.until(lambda: order.count("taken") == len(opened))
+                await site.until(lambda: number in waits.read())
+            self.assertLessEqual(order.index("answered"), 7)
+            for client in (waits, *opened):
+                client.close()
+
+    async def test_accepting_does_not_keep_answers_waiting(self):
+        """Connections that take long to accept: few of them in one turn. The text before took 32."""
+        async with Inside([]) as site:
+            made, most, turn = node_front.Stream, 0, []
+
+            def slowly(*args, **more):
+                time.sleep(0.004)
+                turn.append(1)
+                return made(*args, **more)
+
+            accept = site.node.front._accept
+            site.node.loop.remove_reader(site.node.front.sock)
+
+            def accepts():
+                nonlocal most
+                turn.clear()
+                accept()
+                most = max(most, len(turn))
+
+            site.node.loop.add_reader(site.node.front.sock, accepts)
+            with mock.patch.object(node_front, "Stream", slowly):
+                clients = [Caller(site.address) for _ in range(20)]
+                await site.until(lambda: len(site.node.front.clients) == 20)
+            self.assertLessEqual(most, 2)
+            for client in clients:
+                client.close()
+
+
+if __name__ == "__main__":
+    unittest.main()
