--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -1,21 +1,25 @@
-"""What keeping state costs: the log's pace, a start by size of log, and the whole dispatcher with it and
-without.
+"""What keeping state costs: the log's pace, a start by size of log, the recovery of a log that failed, and
+the whole dispatcher with it and without.
 
-    python benchmarks/state.py pace|start|whole"""
+    python benchmarks/state.py pace|start|recovery|whole"""
 
 import argparse
 import asyncio
+import errno
 import gc
 import pathlib
+import random
 import statistics
 import sys
 import tempfile
 import time
 
 from petrelwood import ports
+from petrelwood.clocks import LoopClock
 from petrelwood.decide.delivery import recovery
 from petrelwood.decide.delivery.ledger import Ledger
-from petrelwood.store import state
+from petrelwood.dispatch.core import Core
+from petrelwood.store import state, tail
 
 WALL, S = 1_764_547_200 * 10**9, 10**9
 TYPES = {"once": ports.NamespaceType(S, ports.ONCE_ONLY, "all", 0)}
@@ -64,6 +68,76 @@
             print(f"{held:7d} ids, {size / 1e6:6.1f} MB: {time.perf_counter() - begun:6.3f} s")
 
 
+class _FullOnce(tail.Files):
+    """A disk whose next write fails, once."""
+
+    full = False
+
+    def write(self, handle, data):
+        if self.full:
+            self.full = False
+            raise OSError(errno.ENOSPC, "No space left on device")
+        return super().write(handle, data)
+
+
+async def _recovery(count, durability):
+    """(seconds from a failed write until the log counts again, the longest that the loop was blocked in it)
+    with `count` ids remembered, half of them with a short answer."""
+    sys.path.insert(0, str(pathlib.Path(__file__).parents[1] / "tests"))
+    from test_store_faults import GATEWAY, Log, Recorded
+
+    clock, files = LoopClock(), _FullOnce()
+
+    class Running(Core):
+        def sync_state(self, done):
+            task = asyncio.get_running_loop().run_in_executor(None, self.state.sync_task())
+            task.add_done_callback(lambda ended: self.soon(done, ended.result()))
+
+    core = Running(GATEWAY, clock, random.Random(1), None, Log(), Recorded)
+    with tempfile.TemporaryDirectory() as folder:
+        core.adopt(state.StateLog(folder, clock.wall(), "b", 1200 * S, durability, files))
+        now = clock.now()
+        for number in range(count):
+            core.ledger.restore(
+                ("customer", f"msg_{number:026d}"),
+                clock.wall(),
+                "once",
+                "completed" if number % 2 else "aborted",
+                now,
+                now + 600 * S,
+                True,
+                b'{"ok":1}' if number % 2 else None,
+            )
+        files.full = True
+        core.state.add(state.TAKE, clock.wall(), "customer", "last", clock.wall(), "once")
+        core.state.flush()
+        begun = seen = time.perf_counter()
+        longest = 0
+        while core.state.stopped is not None:
+            await asyncio.sleep(0)
+            at = time.perf_counter()
+            if core.state.rewriting or core.state.stopped is None:
+                longest = max(longest, at - seen)
+            seen = at
+        took = time.perf_counter() - begun
+        size = sum(path.stat().st_size for path in pathlib.Path(folder).iterdir())
+        assert len(recovery.replay(state.read(folder)[0], clock.wall(), "b", False).ids) == count
+        core.state.close(clock.wall())
+    return took, longest, size
+
+
+def recovered():
+    """How long until a log that failed counts again, its disk being well at once."""
+    for durability in ("process", "machine"):
+        for count in (0, 10_000, 300_000):
+            for _ in range(3):
+                took, longest, size = asyncio.run(_recovery(count, durability))
+                print(
+                    f"{durability:8s} {count:7d} ids, {size / 1e6:5.1f} MB: {took:6.2f} s, "
+                    f"the loop blocked for {longest * 1e3:5.1f} ms at most"
+                )
+
+
 async def _whole(more, count, out):
     """Once-only webhooks through a whole dispatcher on loopback, 32 at a time; seconds for `count`."""
     sys.path.insert(0, str(pathlib.Path(__file__).parents[1] / "tests"))
@@ -110,8 +184,8 @@
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument("what", choices=["pace", "start", "whole"])
-    {"pace": pace, "start": start, "whole": whole}[parser.parse_args().what]()
+    parser.add_argument("what", choices=["pace", "start", "recovery", "whole"])
+    {"pace": pace, "start": start, "recovery": recovered, "whole": whole}[parser.parse_args().what]()
 
 
 if __name__ == "__main__":
--- a/petrelwood/decide/delivery/recovery.py
+++ b/petrelwood/decide/delivery/recovery.py
@@ -17,6 +17,7 @@
 
 SECOND = 1_000_000_000
 TAKE, END, ORDER, LIFE, CLOSE = "take", "end", "order", "life", "close"  # the kinds of `store.state`
+OUTAGE = "outage"  # the log had failed and was begun anew; it changes nothing of what was taken
 NEVER = -(1 << 60)  # so long ago that no window is open any more
 BACK = SECOND  # a wall clock this much behind the last record has gone back
 
--- /dev/null
+++ b/petrelwood/decide/delivery/state_rewrite.py
@@ -0,0 +1,119 @@
+"""When a state log that failed is begun anew, and what must be written into it before it counts.
+
+A file whose write or fsync failed is never trusted again: nobody can tell what of it is on the disk. What is
+still owed stands in memory all the same: the ledger has every id and its outcome for as long as either is
+remembered, and the load orders of the last period are few. So a new segment is begun, with backoff, and all
+of this is written into it as the records that a start reads. Only when the last of it is durable is anything
+new taken that must not run twice, and only then may load orders go out again: the next incarnation must count
+them against its ration.
+"""
+
+from collections import deque
+from collections.abc import Callable, Iterator
+
+from petrelwood.decide.delivery.ledger import ABORTED, RUNNING, Entry
+from petrelwood.decide.delivery.ledger import ELSEWHERE as RUNNING_ELSEWHERE
+from petrelwood.decide.delivery.recovery import END, ORDER, OUTAGE, TAKE
+from petrelwood.decide.overload.backoff import Backoff
+
+MILLISECOND = 1_000_000
+SECOND = 1_000_000_000
+FIRST_DELAY = 250 * MILLISECOND
+LONGEST_DELAY = 10 * SECOND
+STABLE_AFTER = 60 * SECOND  # the log must hold so long before the delays begin at the first again
+
+Record = tuple[object, ...]
+
+
+class RecoverySchedule:
+    """When a failed log is attempted again, and the history of its outage.
+
+    A disk that fails again soon after it recovered goes on with longer delays: each attempt rewrites all that
+    is remembered. Times in ns: `now` is the monotonic clock, `wall` the wall clock.
+    """
+
+    def __init__(self, random_fraction: Callable[[], float]) -> None:
+        self.backoff = Backoff(FIRST_DELAY, LONGEST_DELAY, random_fraction)
+        self.failed_at: int | None = None
+        self.recovered_at: int | None = None
+        self.attempts = 0
+        self.cause = ""
+
+    @property
+    def in_outage(self) -> bool:
+        """Whether the log has failed and is not recovered yet."""
+        return self.failed_at is not None
+
+    def failed(self, now: int, cause: str) -> int:
+        """Notes that the log, or an attempt to begin it anew, has failed; the delay before the next one."""
+        if self.failed_at is None:
+            self.failed_at = now
+            self.attempts = 0
+            self.cause = cause
+            if self.recovered_at is not None and now - self.recovered_at >= STABLE_AFTER:
+                self.backoff.succeeded()
+        return self.backoff.failed(now) - now
+
+    def attempt_due(self, now: int) -> bool:
+        """Whether the log may be begun anew now; the attempt is counted."""
+        if self.failed_at is None or not self.backoff.may(now):
+            return False
+        self.attempts += 1
+        return True
+
+    def outage_record(self, now: int, wall: int) -> Record:
+        """The outage, as the recovered log keeps it. The time at which it began is a span before now."""
+        assert self.failed_at is not None
+        return (OUTAGE, wall, wall - (now - self.failed_at), self.cause, self.attempts)
+
+    def recovered(self, now: int) -> int:
+        """Ends the outage; how long it lasted."""
+        assert self.failed_at is not None
+        lasted = now - self.failed_at
+        self.failed_at = None
+        self.recovered_at = now
+        return lasted
+
+
+class RecentOrders:
+    """The load orders that still count against the ration: those of the last `period` ns."""
+
+    def __init__(self, period: int) -> None:
+        self.period = period
+        self.orders: deque[tuple[int, str, str, int]] = deque()
+
+    def add(self, now: int, worker: str, function: str, copies: int) -> None:
+        """Notes an order that goes out."""
+        self._prune(now)
+        if self.period:
+            self.orders.append((now, worker, function, copies))
+
+    def records(self, now: int, wall: int) -> Iterator[Record]:
+        """The orders as records of the state log."""
+        self._prune(now)
+        for at, worker, function, copies in self.orders:
+            yield (ORDER, wall - (now - at), worker, function, copies)
+
+    def _prune(self, now: int) -> None:
+        while self.orders and now - self.orders[0][0] >= self.period:
+            self.orders.popleft()
+
+
+def entry_records(
+    key: tuple[str, str], entry: Entry, now: int, wall: int, remember: dict[str, int], longest_body: int
+) -> Iterator[Record]:
+    """The records from which `recovery` makes this entry of the ledger again.
+
+    They carry the times of the entry by its age, so that it is forgotten no earlier than it would be here. An
+    id that has no outcome yet keeps none; where an earlier attempt of it may have run, that is told first.
+    """
+    first = max(0, wall - (now - entry.first))
+    # nothing from ahead of the clock; where the stamp keeps an id for longer, it is in the record too
+    last = min(wall, max(first, wall - (now - (entry.until - remember[entry.type]))))
+    yield (TAKE, first, *key, entry.stamp, entry.type)
+    if entry.state not in (RUNNING, RUNNING_ELSEWHERE):
+        body = entry.body if entry.body is not None and len(entry.body) <= longest_body else None
+        yield (END, last, *key, entry.state, entry.sent, body)
+    elif entry.sent:
+        yield (END, last, *key, ABORTED, True, None)
+        yield (TAKE, last, *key, entry.stamp, entry.type)
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -24,9 +24,9 @@
 from petrelwood.decide.overload.backoff import Budget
 from petrelwood.decide.overload.intake import Intake
 from petrelwood.decide.overload.sliding_window import SlidingWindowCounter
+from petrelwood.dispatch.state_recovery import LONGEST_BODY, StateRecovery
 
 MOST_IN_A_TURN = 10_000  # what follows from what, before the clock is let go on
-KEPT_BODY = 4096  # bytes of an answer that is kept for a retry after a restart
 WELL = 1_000_000_000  # ns of a bucket of answers that tell how well it does
 LOOK = 500_000_000  # ns between looks at storms
 REPEATS = 0.5  # repeated sends for each first one
@@ -71,6 +71,7 @@
         )
         # `unsure(now)`: whether another process may own what comes
         self.unsure = None
+        self.state_recovery = StateRecovery(self)
         self.goods, self.bads = SlidingWindowCounter(WELL, 11), SlidingWindowCounter(WELL, 11)
         if state is not None:
             self.adopt(state)
@@ -182,6 +183,11 @@
     def sync_soon(self):
         """For a dispatcher whose log is on a disk: calls `kept` when what was added is there."""
 
+    def sync_state(self, done):
+        """Makes the state log durable, then calls `done(durable)`; a dispatcher on a loop does it in a
+        thread."""
+        done(self.state.sync_task()())
+
     def kept(self, acts, good):
         """The ids of these activations are on the disk, or can't be."""
         for act_id in acts:
@@ -204,7 +210,7 @@
             (self.goods if outcome == COMPLETED else self.bads).add(self.now())
             if self.tells_end is not None:
                 self.tells_end(outcome == COMPLETED)
-        kept = body if outcome == COMPLETED and body is not None and len(body) <= KEPT_BODY else None
+        kept = body if outcome == COMPLETED and body is not None and len(body) <= LONGEST_BODY else None
         if self.hears_end is not None:
             self.hears_end(*act.key, outcome, act.sends > 0, kept)
         if self.state is not None:
@@ -243,6 +249,7 @@
             self.storm_changed(name, on)
         if self.state is not None:
             self.state.tend(self.clock.wall())
+            self.state_recovery.check()
         self.clock.at(self.now() + LOOK, self._look)
 
     def storm_changed(self, name, on):
@@ -342,9 +349,8 @@
             and not recovery.may_take(self.terms.types[ask.type].effect, self.state.stopped is None)
         ):
             self.ledger.ended(key, LEFT)
-            exchange.answer(
-                stage.REFUSE, retry_after=self.intake.come_back(now, *key), why="its id can't be kept now"
-            )
+            wait = self.intake.come_back(now, *key, self.state_recovery.rejected_for(now))
+            exchange.answer(stage.REFUSE, retry_after=wait, why="its id can't be kept now")
         elif verdict.what == stage.TAKE:
             act = self.pending.take(
                 now, key, ask, verdict.due, function, rule.lanes, body, exchange, rule.load_time, rule.work
@@ -555,13 +561,24 @@
             self.stays(self.now())
             self.soon(self.held, worker, fn, ports.NOT_SENT, 0)
             return
-        # before it goes out: it counts against the next life's ration
-        if self.state is not None:
-            self.state.add(recovery.ORDER, self.clock.wall(), worker, fn, copies)
-            self.state.flush()
+        if not self._order_recorded(worker, fn, copies):
+            self.stays(self.now())
+            self.soon(self.held, worker, fn, ports.NOT_SENT, 0)
+            return
         self.counts["orders"] += 1
         link.hold(fn, rule.lanes, copies)
 
+    def _order_recorded(self, worker, fn, copies):
+        """Whether a load order may go out: it counts against the next life's ration, so it is in the log
+        before."""
+        if self.state is None:
+            return True
+        self.state.add(recovery.ORDER, self.clock.wall(), worker, fn, copies)
+        if not self.state.flush():
+            return False
+        self.state_recovery.recent_orders.add(self.now(), worker, fn, copies)
+        return True
+
     def leaves(self, given):
         """A link: an order that was given at `given` (ns) is about to leave. Whether it may."""
         return not hasattr(self.brain, "leaves") or self.brain.leaves(self.now(), given)
--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -40,7 +40,7 @@
         """`follows`: another process still has the folders; `open_state` and `open_history` come later."""
         self.busy, self.checks, self.fronts, self.loop = {}, None, [], asyncio.get_running_loop()
         super().__init__(gateway, LoopClock(), Random(gateway.seed), self._link, log, brain)
-        self.syncing, self.told_lost = False, False
+        self.syncing = False
         if not follows:
             self.open_state()
         self.roster = RosterLink(
@@ -61,15 +61,23 @@
             return
         self.syncing, acts = True, list(self.unkept)
         self.state.flush()
-        self.loop.run_in_executor(None, self.state.sync).add_done_callback(
-            lambda done: self._synced(acts, done)
-        )
+        self.sync_state(lambda durable: self._synced(acts, durable))
 
-    def _synced(self, acts, done):
-        self.syncing = False
-        good = not done.cancelled() and done.exception() is None and done.result()
-        self.soon(self.kept, acts, good)
-        self.sync_soon()
+    def _synced(self, acts, durable):
+        try:
+            self.kept(acts, durable and self.state.stopped is None)
+        finally:
+            self.syncing = False
+            self.sync_soon()
+
+    def sync_state(self, done):
+        """In a thread: the loop goes on meanwhile."""
+
+        def ended(future):
+            durable = not future.cancelled() and future.exception() is None and future.result()
+            self.soon(done, durable)
+
+        self.loop.run_in_executor(None, self.state.sync_task()).add_done_callback(ended)
 
     def open_state(self, elsewhere=False):
         """Raises `store.state.Refused` where the folder holds what this build can't read."""
@@ -163,11 +171,6 @@
     def _check(self):
         self.checks = self.loop.call_later(CHECK, self._check)
         now = self.now()
-        if self.state is not None and self.state.stopped and not self.told_lost:
-            self.told_lost = True
-            self.log.error(
-                "state can't be kept: what must not run twice is turned away", why=self.state.stopped
-            )
         for link in list(self.busy):
             if not link.check(now):
                 self.busy.pop(link, None)
--- a/petrelwood/dispatch/handover.py
+++ b/petrelwood/dispatch/handover.py
@@ -166,7 +166,7 @@
             why = (
                 "it did not greet"
                 if kind != "hello" or not isinstance(facts, dict)
-                else handover.refuses(facts, self.core.name, store.FORMAT, self.machine.busy())
+                else handover.refuses(facts, self.core.name, self._state_format(), self.machine.busy())
             )
             if why:
                 self.log.warning("an upgrade was turned away", why=why)
@@ -197,6 +197,10 @@
             if channel is self.channel:
                 self._gone(str(fault) or "it said nothing")
 
+    def _state_format(self):
+        """What one that follows must read: the newest format that stands in the folder."""
+        return store.PLAIN_FORMAT if self.core.state is None else self.core.state.format
+
     def _gone(self, why):
         channel, self.channel = self.channel, None
         if channel is not None:
--- /dev/null
+++ b/petrelwood/dispatch/state_recovery.py
@@ -0,0 +1,116 @@
+"""Begins the state log anew after its disk failed, a slice at a time, so that the loop is never blocked.
+
+What is decided (when, and what is written) is in `decide.delivery.state_rewrite`; what a segment is, in
+`store.state`. While this goes on, records of what ends or begins meanwhile are added to the new segment like
+any others: an entry of the ledger is written as it stands when its turn comes, so the two never disagree.
+"""
+
+from collections.abc import Iterator
+from itertools import islice
+from typing import Any
+
+from petrelwood.decide.delivery.state_rewrite import (
+    MILLISECOND,
+    RecentOrders,
+    RecoverySchedule,
+    entry_records,
+)
+
+SLICE = 250  # ids that are written before the loop goes on
+PAUSE = 4 * MILLISECOND  # between two slices
+LONGEST_BODY = 4096  # bytes of an answer that is kept for a retry after a restart
+
+
+class StateRecovery:
+    """The recovery of one dispatcher's state log. `core`: `dispatch.core.Core`, whose `state` it recovers."""
+
+    def __init__(self, core: Any) -> None:
+        self.core = core
+        self.schedule = RecoverySchedule(core.chance.random)
+        self.recent_orders = RecentOrders(core.terms.orders.period)
+        self.unwritten: Iterator[tuple[str, str]] | None = None  # ids that wait for their slice
+        self.rejected = 0  # activations that were rejected in this outage
+
+    def check(self) -> None:
+        """Called a few times a second: notices a failure, and begins the log anew when that is due."""
+        state, now = self.core.state, self.core.now()
+        if state.stopped is None or self.unwritten is not None and not state.failed:
+            return
+        if not self.schedule.in_outage or self.unwritten is not None:
+            self._failed(now)
+        elif not state.syncing and self.schedule.attempt_due(now):
+            self._attempt(now)
+
+    def rejected_for(self, now: int) -> int:
+        """Notes that an activation is rejected for the outage; the time until the next attempt to end it."""
+        self.rejected += 1
+        return max(0, self.schedule.backoff.not_before - now)
+
+    def _failed(self, now: int) -> None:
+        first = not self.schedule.in_outage
+        self.unwritten = None
+        cause = self.core.state.stopped
+        delay = self.schedule.failed(now, cause)
+        self.core.clock.at(now + delay, self.core.soon, self.check)
+        if first:
+            self.rejected = 0
+            self.core.log.error(
+                "state log failed: work that must not run twice is rejected until it is recovered",
+                cause=cause,
+                retry_in=round(delay / 1e9, 2),
+            )
+        else:
+            self.core.log.warning(
+                "state log is not recovered",
+                cause=cause,
+                attempts=self.schedule.attempts,
+                retry_in=round(delay / 1e9, 2),
+            )
+
+    def _attempt(self, now: int) -> None:
+        core = self.core
+        reopened = core.state.reopen(core.clock.wall())
+        if core.state.found:
+            # another process had taken over, and what it wrote could not be read until now
+            core.adopt(core.state)
+        if not reopened:
+            self._failed(now)
+            return
+        self.unwritten = iter(list(core.ledger.entries))
+        core.soon(self._write_slice)
+
+    def _write_slice(self) -> None:
+        core, now, wall = self.core, self.core.now(), self.core.clock.wall()
+        if self.unwritten is None or core.state.failed:
+            return
+        keys = list(islice(self.unwritten, SLICE))
+        for key in keys:
+            entry = core.ledger.entries.get(key)
+            if entry is None:
+                continue
+            for record in entry_records(key, entry, now, wall, core.gateway.remember, LONGEST_BODY):
+                core.state.add(*record)
+        if keys:
+            core.state.flush()
+            core.clock.at(now + PAUSE, core.soon, self._write_slice)
+            return
+        for record in self.recent_orders.records(now, wall):
+            core.state.add(*record)
+        core.state.add(*self.schedule.outage_record(now, wall))
+        core.state.flush()
+        core.sync_state(self._synced)
+
+    def _synced(self, durable: bool) -> None:
+        if not durable or self.unwritten is None or self.core.state.failed:
+            return  # `check` sees to it
+        self.unwritten = None
+        self.core.state.resume()
+        attempts = self.schedule.attempts
+        lasted = self.schedule.recovered(self.core.now())
+        self.core.log.warning(
+            "state log recovered",
+            after=round(lasted / 1e9, 2),
+            attempts=attempts,
+            ids=len(self.core.ledger.entries),
+            rejected=self.rejected,
+        )
--- a/petrelwood/store/snapshot.py
+++ b/petrelwood/store/snapshot.py
@@ -31,13 +31,6 @@
     def open(self, path):
         return os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
 
-    def sync_folder(self, path):
-        handle = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
-        try:
-            os.fsync(handle)
-        finally:
-            os.close(handle)
-
 
 def pack(kind, version, value):
     name, body = kind.encode("ascii"), msgpack.packb(value, use_bin_type=True)
--- a/petrelwood/store/tail.py
+++ b/petrelwood/store/tail.py
@@ -48,6 +48,14 @@
     def remove(self, path):
         os.remove(path)
 
+    def sync_folder(self, path):
+        """Makes the names in a folder durable."""
+        handle = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
+        try:
+            os.fsync(handle)
+        finally:
+            os.close(handle)
+
     def write_all(self, handle, data):
         """All of it, in as many pieces as the disk takes it in."""
         view = memoryview(data)
@@ -103,6 +111,7 @@
         data = self.path.read_bytes() if self.path.exists() else b""
         self.records, whole, self.why = scan(data)
         self.dropped = len(data) - whole
+        self.handle = None
         try:
             self.handle = self.files.open(str(path))
             if self.dropped:
@@ -111,6 +120,7 @@
             if not whole:
                 self._write(MARK)
         except OSError as fault:
+            self.abandon()
             self._fail(fault)
 
     def _fail(self, fault):
@@ -155,4 +165,15 @@
             if not self.failed:
                 self.sync()
         finally:
-            self.files.close(self.handle)
+            if self.handle is not None:
+                handle, self.handle = self.handle, None
+                self.files.close(handle)
+
+    def abandon(self):
+        """Gives up a file that failed: nothing more is written, whatever closing it says."""
+        if self.handle is not None:
+            handle, self.handle = self.handle, None
+            try:
+                self.files.close(handle)
+            except OSError:
+                pass  # nothing depends on it any more
--- /dev/null
+++ b/tests/test_store_faults.py
@@ -0,0 +1,746 @@
+"""Folders that fail for a while: each call of the stores fails once, for a while or for good, and what was
+taken on is still owed."""
+
+import errno
+import os
+import pathlib
+import tempfile
+import unittest
+from random import Random
+
+from petrelwood import ports
+from petrelwood.audit import rules
+from petrelwood.clocks import VirtualClock
+from petrelwood.decide.delivery import recovery
+from petrelwood.decide.delivery.ledger import ABORTED, COMPLETED, REJECTED, RUNNING
+from petrelwood.decide.overload import intake as stage
+from petrelwood.decide.overload.intake import Ask
+from petrelwood.dispatch import state_recovery
+from petrelwood.dispatch.core import Core
+from petrelwood.emulate import script
+from petrelwood.emulate.platform import Platform
+from petrelwood.settings import gateway
+from petrelwood.store import ends, history, snapshot, state, tail, versions
+
+SECOND = 10**9
+WALL = 1_764_547_200 * SECOND
+FOREVER = 1 << 62
+STORED = pathlib.Path(__file__).parent / "stored" / "before"
+SETTINGS = """
+gateway "d" { listen "127.0.0.1:0"; roster "127.0.0.1:1"; zone "n"; seed 1 }
+customer "x" { key "whsec_AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=" }
+namespace-type "again" { target-latency "500ms"; action-timeout "2s"; effect "repeatable" }
+namespace-type "all" { target-latency "500ms"; action-timeout "2s"; effect "deduplicated"
+  scope "all"; window "30s" }
+namespace-type "once" { target-latency "500ms"; action-timeout "2s"; effect "once-only" }
+function "again-*" type="again" lanes=4
+function "all-*" type="all" lanes=4
+function "once-*" type="once" lanes=4
+workers { cold "5s" from=0.2; fall "1s" multiple=3.0; sends 3; keep "8s"; on-miss "load"; quiet "3s"
+  ration free=6 part=0.4 period="5s" }
+limits { header "2KB"; body "20KB" }
+"""
+
+
+def read_settings():
+    with tempfile.TemporaryDirectory() as folder:
+        path = pathlib.Path(folder) / "g.kdl"
+        path.write_text(SETTINGS)
+        return gateway.read(path)
+
+
+GATEWAY = read_settings()
+
+
+class FaultyFiles(snapshot.Files):
+    """Files of which some calls fail. `fails(name)` returns an errno, or None where the call may go on;
+    `torn`: a write that fails has written a part."""
+
+    def __init__(self, fails=lambda name: None, torn=False):
+        self.fails, self.torn, self.calls = fails, torn, []
+
+    def _check(self, name):
+        self.calls.append(name)
+        code = self.fails(name)
+        if code is not None:
+            raise OSError(code, os.strerror(code))
+
+    def open(self, path):
+        self._check("open")
+        return tail.Files.open(self, path)
+
+    def write(self, handle, data):
+        try:
+            self._check("write")
+        except OSError:
+            if self.torn:
+                super().write(handle, data[: len(data) // 2])
+            raise
+        return super().write(handle, data)
+
+    def sync(self, handle):
+        self._check("sync")
+        super().sync(handle)
+
+    def close(self, handle):
+        super().close(handle)
+        self._check("close")
+
+    def cut(self, handle, size):
+        self._check("cut")
+        super().cut(handle, size)
+
+    def replace(self, source, target):
+        self._check("replace")
+        super().replace(source, target)
+
+    def remove(self, path):
+        self._check("remove")
+        super().remove(path)
+
+    def sync_folder(self, path):
+        self._check("sync_folder")
+        super().sync_folder(path)
+
+
+class PutFiles(FaultyFiles):
+    """As `FaultyFiles`, for snapshots: their files are opened for a new value."""
+
+    def open(self, path):
+        self._check("open")
+        return snapshot.Files.open(self, path)
+
+
+class Log:
+    """A log that keeps what it is told."""
+
+    def __init__(self):
+        self.lines = []
+
+    def _keep(self, event, **fields):
+        self.lines.append((event, fields))
+
+    debug = info = warning = error = _keep
+
+    def said(self, event):
+        return [fields for said, fields in self.lines if said.startswith(event)]
+
+
+class Exchange:
+    """What a front waits with."""
+
+    act = None
+    verdict = None
+    retry_after = None
+
+    def answer(self, verdict, body=b"", retry_after=0, why="", act=None):
+        assert self.verdict is None, "a second final answer"
+        self.verdict, self.retry_after = verdict, retry_after
+
+
+class Recorded:
+    """A decision module that only notes what begins."""
+
+    def __init__(self, start, terms, seed, out):
+        self.began = {}
+
+    def activation(self, now, act_id, *rest):
+        self.began[act_id] = now
+
+    def held(self, *args):
+        pass
+
+    stands = left = answer = listed = resumed = held
+
+
+class Gateway(unittest.TestCase):
+    """One dispatcher on a virtual clock, whose state log is on a folder that fails as a test says."""
+
+    def setUp(self):
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        self.folder = pathlib.Path(folder.name)
+
+    def start(self, files=None, durability="process", folder=None, clock=None, **more):
+        self.clock = clock or VirtualClock()
+        self.log = Log()
+        self.core = Core(GATEWAY, self.clock, Random(1), None, self.log, Recorded)
+        self.files = files or FaultyFiles()
+        self.state = state.StateLog(
+            folder or self.folder / "state",
+            self.clock.wall(),
+            "b1",
+            600 * SECOND,
+            durability,
+            self.files,
+            now=self.clock.now,
+            **more,
+        )
+        # as `Dispatcher` has it, without the thread
+        self.core.sync_soon = lambda: self.core.kept(list(self.core.unkept), self.state.sync())
+        self.core.adopt(self.state)
+        self.taken = {}  # what must not run twice and has begun: id -> activation
+        self.number = 0
+        return self.core
+
+    def ask(self, type_="once", id_=None):
+        self.number += 1
+        id_ = id_ or f"m{self.number}"
+        exchange = Exchange()
+        now = self.clock.now()
+        stamp = self.clock.wall() + self.number * SECOND // 1000
+        request = Ask("x", id_, stamp, type_, now, 0)
+        function = f"{type_}-1"
+        self.core.ask(request, function, self.core.rule(function), b"{}", exchange)
+        if type_ != "again" and exchange.act in self.core.brain.began:
+            self.taken[id_] = exchange.act
+        return exchange
+
+    def complete(self, act_id, body=b"done"):
+        n = self.core.pending.sent(act_id)
+        self.core.soon(self.core.returned, act_id, n, "w", ports.COMPLETED, 0, body, self.clock.now(), None)
+
+    def wait(self, seconds):
+        self.clock.run(self.clock.now() + int(seconds * SECOND))
+
+    def until(self, what):
+        """Goes on step by step until it is so."""
+        for _ in range(10_000):
+            if what():
+                return
+            self.clock.run(self.clock.heap[0][0])
+        self.fail("it did not come to pass")
+
+    def after_a_kill(self, folder=None, boot="b1"):
+        """What the next incarnation makes of the folder as it stands."""
+        records, _ = state.read(folder or self.folder / "state")
+        return recovery.replay(records, self.clock.wall(), boot, self.state.durability == "machine")
+
+    def assert_owed(self, found, taken=None):
+        """No id that may have run could run again."""
+        for id_ in self.taken if taken is None else taken:
+            known = found.ids.get(("x", id_))
+            self.assertIsNotNone(known, id_)
+            if id_ in self.taken and known.outcome == REJECTED:
+                self.fail(f"{id_} would run again")
+
+
+class Outages(Gateway):
+    def play(self, name, code, lasts, durability, torn=False):
+        """Takes work before, in and after a fault of one kind of call; True if the log was recovered."""
+        with (
+            tempfile.TemporaryDirectory() as folder,
+            self.subTest(call=name, code=code, lasts=lasts, durability=durability, torn=torn),
+        ):
+            until = [0]
+            left = [1 if lasts == 0 else FOREVER]
+
+            def fails(call):
+                if call != name or self.clock.now() >= until[0] or not left[0]:
+                    return None
+                left[0] -= 1
+                return code
+
+            clock = VirtualClock()
+            self.clock = clock
+            self.start(FaultyFiles(fails, torn), durability, folder, clock)
+            for number in range(20):
+                acted = self.ask()
+                self.assertIsNotNone(acted.act)
+                if number % 2:
+                    self.complete(acted.act)
+            until[0] = clock.now() + (lasts or 3600 * SECOND)
+            # the segment is rolled, so that each kind of call has its turn
+            self.state.roll(clock.wall())
+            rejected = 0
+            for _ in range(30):
+                exchange = self.ask()
+                if exchange.verdict is not None:
+                    self.assertIn(exchange.verdict, (stage.REFUSE, REJECTED))
+                    self.assertGreater(exchange.retry_after, 0)
+                    rejected += 1
+                # what may run twice goes on, whatever the disk does
+                repeatable = self.ask("again")
+                self.assertIn(repeatable.act, self.core.brain.began)
+                self.complete(repeatable.act)
+                self.assertEqual(repeatable.verdict, COMPLETED)
+                self.assert_owed(self.after_a_kill(folder))
+                self.wait(0.5)
+            self.wait(30)
+            stopped = self.state.stopped
+            if lasts != FOREVER:
+                self.assertIsNone(stopped)
+                after = self.ask()
+                self.assertIn(after.act, self.core.brain.began)
+                self.complete(after.act)
+                self.assertEqual(after.verdict, COMPLETED)
+            found = self.after_a_kill(folder)
+            self.assert_owed(found)
+            for id_, act in self.taken.items():
+                entry = self.core.ledger.entries["x", id_]
+                if stopped is None and entry.state != RUNNING:
+                    self.assertEqual(found.ids["x", id_].outcome, entry.state, (id_, act))
+            outages = [record for record in state.read(folder)[0] if record[0] == state.OUTAGE]
+            self.assertEqual(len(self.log.said("state log failed")), int(rejected > 0 or bool(outages)))
+            if rejected and stopped is None:
+                self.assertEqual(len(self.log.said("state log recovered")), 1)
+                self.assertEqual(len(outages), 1)
+                _, ended, began, cause, attempts = outages[0]
+                self.assertTrue(began < ended and attempts >= 1 and os.strerror(code) in cause)
+            self.state.close(clock.wall())
+            return rejected > 0
+
+    def test_each_call_fails_once_for_a_while_and_for_good(self):
+        calls = ("open", "write", "sync", "close", "remove", "sync_folder")
+        outages = set()
+        for name in calls:
+            for code in (errno.ENOSPC, errno.EIO):
+                for lasts in (0, 12 * SECOND, FOREVER):
+                    for durability in ("process", "machine"):
+                        if self.play(name, code, lasts, durability, torn=lasts != 0):
+                            outages.add(name)
+        # a failed close or remove says nothing of what was written
+        self.assertEqual(outages, {"open", "write", "sync", "sync_folder"})
+
+    def test_a_log_that_fails_at_the_start_is_recovered(self):
+        until = 5 * SECOND
+        files = FaultyFiles(lambda name: errno.EIO if self.clock.now() < until else None)
+        self.start(files)
+        self.assertEqual(self.ask().verdict, stage.REFUSE)
+        self.wait(30)
+        self.assertIsNone(self.state.stopped)
+        self.assertIn(self.ask().act, self.core.brain.began)
+        self.assert_owed(self.after_a_kill())
+
+    def test_attempts_back_off_and_begin_again_early_only_after_a_quiet_minute(self):
+        failing = [True]
+        self.start(FaultyFiles(lambda name: errno.ENOSPC if failing[0] and name == "write" else None))
+        self.wait(600)
+        attempts = [fields["retry_in"] for fields in self.log.said("state log is not recovered")]
+        self.assertLess(len(attempts), 140)
+        self.assertGreaterEqual(attempts[-1], 5)
+        # a segment that was given up does not stay
+        self.assertLessEqual(len(state.segments(self.folder / "state")), 2)
+        for pause, least in ((10, 5.0), (61, 0.1)):
+            failing[0] = False
+            self.wait(15)
+            self.assertIsNone(self.state.stopped)
+            self.wait(pause)
+            failing[0] = True
+            self.ask()
+            self.wait(0.6)
+            delay = self.log.said("state log failed")[-1]["retry_in"]
+            self.assertGreaterEqual(delay, least)
+            self.assertLess(delay, 10 * least if least < 1 else 10.1)
+
+    def test_descriptors_are_given_back(self):
+        failing = [False]
+        self.start(FaultyFiles(lambda name: errno.EIO if failing[0] and name in ("write", "sync") else None))
+        before = len(os.listdir("/proc/self/fd"))
+        for _ in range(20):
+            failing[0] = True
+            self.ask()
+            self.wait(30)
+            failing[0] = False
+            self.wait(30)
+            self.assertIsNone(self.state.stopped)
+        self.assertLessEqual(len(os.listdir("/proc/self/fd")), before)
+
+    def test_a_slice_is_short_and_nothing_is_taken_before_the_last_one(self):
+        failing = [False]
+        self.start(FaultyFiles(lambda name: errno.EIO if failing[0] and name == "write" else None))
+        for _ in range(2000):
+            self.complete(self.ask().act)
+        failing[0] = True
+        self.ask()
+        self.wait(0.6)
+        failing[0] = False
+        added = []
+        add = self.state.add
+
+        def count(*record):
+            added[-1] += 1
+            return add(*record)
+
+        self.state.add = count
+        asked = 0
+        while self.state.stopped is not None:
+            added.append(0)
+            self.clock.run(self.clock.heap[0][0])
+            if self.state.stopped is not None and self.state.rewriting:
+                asked += 1
+                self.assertEqual(self.ask().verdict, stage.REFUSE)
+                self.assertIn(self.ask("again").act, self.core.brain.began)
+        self.assertGreater(asked, 5)
+        # two records an id, and what was asked between
+        self.assertLessEqual(max(added), 2 * state_recovery.SLICE + 10)
+        self.assert_owed(self.after_a_kill())
+
+    def test_what_ends_while_the_log_is_rewritten_is_in_it(self):
+        failing = [False]
+        self.start(FaultyFiles(lambda name: errno.EIO if failing[0] and name == "write" else None))
+        acts = [self.ask().act for _ in range(1000)]
+        failing[0] = True
+        self.ask()
+        self.complete(acts.pop())  # in the outage itself
+        self.wait(0.6)
+        failing[0] = False
+        self.until(lambda: self.state.rewriting)
+        # the first written and the last not yet, in turn
+        while self.state.stopped is not None:
+            self.complete(acts.pop(0))
+            self.complete(acts.pop())
+            self.clock.run(self.clock.heap[0][0])
+        found = self.after_a_kill()
+        ended = 0
+        for (_, id_), entry in self.core.ledger.entries.items():
+            if id_ in self.taken:
+                self.assertEqual(found.ids["x", id_].outcome, entry.state)
+                self.assertEqual(found.ids["x", id_].body, entry.body)
+                ended += entry.state == COMPLETED
+        self.assertGreater(ended, 8)
+        self.assertGreater(len(acts), 900)
+
+    def test_load_orders_wait_for_the_log_and_stay_in_the_ration_of_the_next_life(self):
+        failing = [False]
+        self.start(FaultyFiles(lambda name: errno.EIO if failing[0] and name == "write" else None))
+        sent = []
+        link = type("Link", (), {"hold": lambda self, *order: sent.append(order), "owes": lambda self: False})
+        self.core.links["w1"] = link()
+        self.core.membership.usable = lambda worker: True
+        held = []
+        self.core.held = lambda *answer: held.append(answer[2])
+        self.core.hold("w1", "again-1", 2)
+        self.assertEqual(len(sent), 1)
+        failing[0] = True
+        self.core.hold("w1", "again-2", 1)
+        self.wait(1)
+        self.core.hold("w1", "again-3", 1)
+        self.assertEqual((len(sent), held), (1, [ports.NOT_SENT] * 2))
+        failing[0] = False
+        self.wait(2)
+        self.assertIsNone(self.state.stopped)
+        # the first segment is gone, the order is not, and it is as old as it was
+        orders = [record for record in state.read(self.folder / "state")[0] if record[0] == state.ORDER]
+        self.assertEqual([record[2:] for record in orders], [["w1", "again-1", 2]])
+        self.assertLessEqual(abs(orders[0][1] - (self.clock.wall() - self.clock.now())), SECOND)
+        self.core.hold("w1", "again-4", 1)
+        self.assertEqual(len(sent), 2)
+
+    def test_a_segment_under_an_fsync_is_not_closed(self):
+        """The descriptor could be another file's before the thread has called fsync."""
+        self.start()
+        self.ask()
+        failed_log = self.state.log
+        task = self.state.sync_task()
+        self.state.roll(self.clock.wall())
+        self.assertIsNotNone(failed_log.handle)
+        self.assertTrue(task())
+        self.assertIsNone(failed_log.handle)
+        task = self.state.sync_task()
+        self.state._stop("as a write that failed")
+        self.wait(30)
+        self.assertIsNotNone(self.state.stopped)
+        self.assertFalse(task())
+        self.wait(30)
+        self.assertIsNone(self.state.stopped)
+
+    def test_a_successors_log_that_cannot_be_read_holds_back_what_it_may_have_taken(self):
+        self.start()
+        first = self.ask().act
+        self.core.give_way(None)
+        successor = state.StateLog(
+            self.folder / "state", self.clock.wall(), "b1", 600 * SECOND, now=self.clock.now
+        )
+        successor.add(state.TAKE, self.clock.wall(), "x", "theirs", self.clock.wall(), "once")
+        successor.flush()
+        path, scan = successor.log.path, state.scan
+
+        def unreadable(which):
+            if which == path:
+                raise state.Refused(f"{which} can't be read: Input/output error")
+            return scan(which)
+
+        state.scan = unreadable
+        try:
+            self.core.take_back()
+            self.complete(first)
+            self.assertEqual(self.ask(id_="theirs").verdict, stage.REFUSE)
+            self.wait(20)
+            self.assertEqual(self.ask(id_="theirs").verdict, stage.REFUSE)
+        finally:
+            state.scan = scan
+        self.wait(20)
+        self.assertIsNone(self.state.stopped)
+        self.number += 1000
+        self.assertEqual(self.ask(id_="theirs").verdict, stage.ABORT)
+        self.assertIn(self.ask().act, self.core.brain.began)
+        self.assertEqual(self.after_a_kill().ids["x", "m1"].outcome, COMPLETED)
+
+
+class Kills(Gateway):
+    """A kill at each byte that the recovery writes, and after each file that it removes."""
+
+    def outage(self, files):
+        """A dispatcher with open, completed and aborted work, whose log fails, and is recovered."""
+        self.start(files)
+        acts = [self.ask("all" if number % 3 else "once").act for number in range(12)]
+        for act in acts[:4]:
+            self.complete(act)
+        for act in acts[4:6]:
+            self.core.pending.sent(act)
+            self.core.soon(self.core.abort, act)
+
+    def snapshot_of(self, folder):
+        return {path.name: path.read_bytes() for path in folder.iterdir()}
+
+    def test_a_kill_at_each_byte_of_the_recovery(self):
+        shots = []  # (files, the segment that is written, its bytes so far, what is written)
+        case = self
+
+        class Shots(FaultyFiles):
+            recording = False
+
+            def write(self, handle, data):
+                if self.recording:
+                    name = pathlib.Path(os.readlink(f"/proc/self/fd/{handle}")).name
+                    shots.append((case.snapshot_of(case.folder / "state"), name, bytes(data)))
+                return super().write(handle, data)
+
+            def remove(self, path):
+                super().remove(path)
+                if self.recording:
+                    shots.append((case.snapshot_of(case.folder / "state"), None, b""))
+
+        failing = [False]
+        files = Shots(lambda name: errno.ENOSPC if failing[0] and name == "write" else None, torn=True)
+        self.outage(files)
+        failing[0] = True
+        self.ask()
+        self.wait(0.6)
+        failing[0], files.recording = False, True
+        slice_before, state_recovery.SLICE = state_recovery.SLICE, 3
+        try:
+            self.wait(5)
+        finally:
+            state_recovery.SLICE = slice_before
+        files.recording = False
+        self.assertIsNone(self.state.stopped)
+        self.assertGreater(len(shots), 6)
+        states = {id_: self.core.ledger.entries["x", id_].state for id_ in self.taken}
+        kills = 0
+        where = self.folder / "killed"
+        where.mkdir()
+        for files_then, name, data in shots:
+            for cut in range(len(data) + 1) if name else (0,):
+                for path in where.iterdir():
+                    path.unlink()
+                for file, content in files_then.items():
+                    (where / file).write_bytes(content)
+                if name:
+                    (where / name).write_bytes(files_then.get(name, b"") + data[:cut])
+                found = self.after_a_kill(where)
+                for id_, outcome in states.items():
+                    known = found.ids[("x", id_)].outcome
+                    # what it knows is true; what it does not know counts as may have run
+                    self.assertIn(known, (outcome, RUNNING))
+                kills += 1
+        self.assertGreater(kills, 1000)
+
+    def test_writes_of_one_byte_make_the_same_log(self):
+        class Short(FaultyFiles):
+            def write(self, handle, data):
+                self._check("write")
+                return os.write(handle, data[:1])
+
+        failing = [False]
+        self.outage(Short(lambda name: errno.EIO if failing[0] and name == "write" else None))
+        failing[0] = True
+        self.ask()
+        failing[0] = False
+        self.wait(5)
+        self.assertIsNone(self.state.stopped)
+        found = self.after_a_kill()
+        self.assertEqual(
+            {id_: found.ids["x", id_].outcome for id_ in self.taken},
+            {id_: self.core.ledger.entries["x", id_].state for id_ in self.taken},
+        )
+
+
+class Rewritten(Gateway):
+    """What the next incarnation makes of a rewritten log, beside what this one knows."""
+
+    def test_the_next_ledger_is_no_more_forgetful_and_repeats_no_longer(self):
+        failing = [False]
+        self.start(FaultyFiles(lambda name: errno.EIO if failing[0] and name == "write" else None))
+        for number in range(60):
+            type_ = ("once", "all", "again")[number % 3]
+            act = self.ask(type_).act
+            if number % 4 == 1:
+                self.complete(act, b"x" * (10 if number % 8 == 1 else 5000))
+            elif number % 4 == 2:
+                self.core.soon(self.core.reject, act, 0)
+            elif number % 4 == 3:
+                self.core.pending.sent(act)
+                self.core.soon(self.core.abort, act)
+                self.wait(0.5)
+                self.number += 5000
+                self.ask(type_, f"m{number + 1}")  # asked again
+                self.number -= 5001
+        failing[0] = True
+        self.ask()
+        failing[0] = False
+        self.wait(5)
+        self.assertIsNone(self.state.stopped)
+        before = self.core.ledger.entries
+        # the recovered segment alone: what this life wrote before is gone
+        self.assertEqual(len(state.segments(self.folder / "state")), 1)
+        self.start(clock=self.clock)
+        after = self.core.ledger.entries
+        for key, entry in before.items():
+            again = after[key]
+            self.assertGreaterEqual(again.until, entry.until - SECOND // 1000, key)
+            self.assertLessEqual(again.first, entry.first + SECOND // 1000, key)
+            self.assertEqual(again.stamp, entry.stamp, key)
+            self.assertEqual(again.state, ABORTED if entry.state == RUNNING else entry.state, key)
+            self.assertTrue(again.sent or not entry.sent, key)
+
+
+class Formats(Gateway):
+    def test_only_a_recovered_segment_needs_a_build_that_knows_outages(self):
+        failing = [False]
+        self.start(FaultyFiles(lambda name: errno.EIO if failing[0] and name == "write" else None))
+        self.ask()
+        self.assertEqual(self.state.format, 1)
+        failing[0] = True
+        self.ask()
+        failing[0] = False
+        self.wait(5)
+        self.assertEqual(self.state.format, 2)
+        self.state.roll(self.clock.wall())
+        formats = [state.scan(path)[0][0][4] for _, _, path in state.segments(self.folder / "state")]
+        self.assertEqual(formats, [2, 1])
+        self.wait(601)
+        self.state.roll(self.clock.wall())
+        self.assertEqual(self.state.format, 1)
+
+    def test_the_state_of_the_text_before_is_read(self):
+        records, dropped = state.read(STORED / "state")
+        self.assertEqual(dropped, [])
+        found = recovery.replay(records, WALL + 20, "b1", False)
+        self.assertEqual(
+            {key: (known.outcome, known.sent, known.body, known.type) for key, known in found.ids.items()},
+            {
+                ("x", "open"): (RUNNING, False, None, "once"),
+                ("x", "done"): (COMPLETED, True, b'{"ok":1}', "once"),
+                ("x", "rejected"): (REJECTED, False, None, "all"),
+                ("y", "later"): (RUNNING, False, None, "again"),
+            },
+        )
+        self.assertEqual((found.orders, found.in_order, found.began), ([WALL + 6] * 2, True, WALL))
+
+    def test_other_folders_of_the_text_before_are_read(self):
+        self.assertEqual(
+            snapshot.read(STORED / "value.snap", "test", 3), (3, {"a": [1, 2.5, None, "x"], "b": {3: b"raw"}})
+        )
+        folder = STORED / "versions"
+        self.assertEqual(
+            [tuple(one) for one in versions.announced(folder)], [(7, WALL, False), (8, WALL + SECOND, True)]
+        )
+        self.assertEqual(versions.position(folder), 12)
+        table = history.read(STORED / "history")
+        self.assertEqual(table["function"].to_pylist(), [f"f{number % 2}" for number in range(11)])
+        self.assertEqual(history.verify(STORED / "history"), [])
+        (row,) = ends.read(STORED / "history")
+        self.assertEqual(
+            (row["function"], row["end"], row["seconds"], row["memory"]), ("f1", "used", 0.25, 1.5)
+        )
+
+    def test_the_stored_bytes_are_those_of_the_text_before(self):
+        log = state.StateLog(self.folder / "state", WALL, "b1", 600 * SECOND)
+        log.add(state.TAKE, WALL + 1, "x", "open", WALL, "once")
+        log.add(state.TAKE, WALL + 2, "x", "done", WALL, "once")
+        log.add(state.END, WALL + 3, "x", "done", COMPLETED, True, b'{"ok":1}')
+        log.add(state.TAKE, WALL + 4, "x", "rejected", WALL, "all")
+        log.add(state.END, WALL + 5, "x", "rejected", REJECTED, False, None)
+        log.add(state.ORDER, WALL + 6, "w1", "f", 2)
+        log.roll(WALL + 7)
+        log.add(state.TAKE, WALL + 8, "y", "later", WALL, "again")
+        log.close(WALL + 9)
+        for before in sorted((STORED / "state").iterdir()):
+            self.assertEqual((self.folder / "state" / before.name).read_bytes(), before.read_bytes())
+
+
+class Days(unittest.TestCase):
+    """Emulated days on which folders fail and dispatchers are killed, before clients that insist; the logs
+    are files. The five rules are judged."""
+
+    def play(self, seed):
+        day = script.read(script.find(str(pathlib.Path(__file__).parent / "days" / "small.kdl")))
+        chance = Random(seed)
+        kills = tuple(
+            script.Trouble(
+                "kill",
+                int(chance.uniform(0.3, 5) * SECOND),
+                0,
+                {"dispatcher": chance.choice(day.dispatchers), "down": int(chance.uniform(0.05, 1) * SECOND)},
+            )
+            for _ in range(4)
+        )
+        outages = []
+        for _ in range(4):
+            begins = int(chance.uniform(0.2, 5) * SECOND)
+            outages.append((begins, begins + int(chance.uniform(0.01, 1.5) * SECOND)))
+        day = day._replace(
+            state=True,
+            troubles=kills,
+            clients=tuple(client._replace(insists=True, retries=4) for client in day.clients),
+        )
+        logs = []
+
+        class OnFiles(Platform):
+            """Its dispatchers keep their state in folders that fail."""
+
+            def make_core(self, described, clock, chance, disk):
+                core = super().make_core(described, clock, chance, None)
+                failing = chance.choice(("write", "open"))
+
+                def fails(call):
+                    now = clock.now()
+                    return errno.ENOSPC if call == failing and any(a <= now < b for a, b in outages) else None
+
+                files = FaultyFiles(fails, torn=True)
+                log = state.StateLog(
+                    pathlib.Path(folder) / described.name,
+                    clock.wall(),
+                    "emulated",
+                    600 * SECOND,
+                    files=files,
+                    now=clock.now,
+                )
+                logs.append((log, core))
+                core.adopt(log)
+                return core
+
+        with tempfile.TemporaryDirectory() as folder:
+            platform = OnFiles(day, seed).run()
+            broken = [line for found in rules.judge(platform.case()) for line in found.broken]
+            completed = sum(wish.ended == "completed" for wish in platform.clients.wishes)
+            recovered = sum(bool(core.state_recovery.schedule.recovered_at) for _, core in logs)
+            for log, _ in logs:
+                if log.log is not None:
+                    log.log.abandon()
+        return broken, completed, recovered
+
+    def test_no_rule_breaks_over_days_of_outages_and_kills(self):
+        recovered = 0
+        for seed in range(1, 13):
+            broken, completed, more = self.play(seed)
+            self.assertEqual(broken, [], seed)
+            self.assertGreater(completed, 100)
+            recovered += more
+        self.assertGreater(recovered, 12)
+
+
+if __name__ == "__main__":
+    unittest.main()
