--- a/petrelwood/decide/cluster/version_watch.py
+++ b/petrelwood/decide/cluster/version_watch.py
@@ -5,13 +5,14 @@
 the first that works in its own order of preference, by rendezvous hashing of its name (Thaler and
 Ravishankar,
 1998), so that dispatchers spread evenly and a lost server's share spreads too; and one more in turn, so that
-a server that is cut off from the others is not the only one heard. Times in ns; `wall` is wall-clock time.
+a server that is cut off from the others is not the only one heard. Times in ns; `wall` is wall-clock time
+without the steps of this machine's clock (`decide.wall_clock`).
 """
 
 import hashlib
 from typing import NamedTuple
 
-from petrelwood.decide.cluster.replicated_log import CALL_OFF, VERSION
+from petrelwood.decide.cluster.log_records import RecordKind
 from petrelwood.decide.overload.backoff import Backoff
 
 SECOND = 1_000_000_000
@@ -28,7 +29,7 @@
 
     number: int
     begun: int  # wall-clock ns at which its roll-out begins, for this dispatcher
-    body: bytes  # see `replicated_log.unpacked`
+    body: bytes  # see `log_records.decompress_text`
 
 
 class CallOff(NamedTuple):
@@ -85,13 +86,14 @@
         return [one for one in fresh if one is not None]
 
     def _news(self, slot, record, wall):
-        if record.kind == CALL_OFF:
+        if record.kind == RecordKind.REVOCATION:
             return CallOff(record.number, record.body.decode("utf-8", "replace"))
-        if record.kind == VERSION:
+        if record.kind == RecordKind.VERSION:
             return Version(slot, self._begins(record.begun, wall), record.body)
         return None  # of a later build: not ours to act on
 
     def _begins(self, begun, wall):
         """A record may be decided long after it was proposed, or be heard of late. Its stages are over then,
-        and all who hear of it would take it together: so they begin when it is heard of."""
-        return begun if wall - begun <= self.staged else wall
+        and all who hear of it would take it together: so they begin when it is heard of. So they do where it
+        is dated ahead of this clock: it was proposed before it is heard of, and the clocks differ."""
+        return begun if 0 <= wall - begun <= self.staged else wall
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -448,7 +448,7 @@
     def test_a_successors_log_that_cannot_be_read_holds_back_what_it_may_have_taken(self):
         self.start()
         first = self.ask().act
-        self.core.give_way(None)
+        self.core.stop_admitting(None)
         successor = state.StateLog(
             self.folder / "state", self.clock.wall(), "b1", 600 * SECOND, now=self.clock.now
         )
@@ -463,7 +463,7 @@
 
         state.scan = unreadable
         try:
-            self.core.take_back()
+            self.core.resume_admitting()
             self.complete(first)
             self.assertEqual(self.ask(id_="theirs").verdict, stage.REFUSE)
             self.wait(20)
