--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -91,7 +91,7 @@
     class Running(Core):
         def sync_state(self, done):
             task = asyncio.get_running_loop().run_in_executor(None, self.state.sync_task())
-            task.add_done_callback(lambda ended: self.soon(done, ended.result()))
+            task.add_done_callback(lambda ended: self.submit(done, ended.result()))
 
     core = Running(GATEWAY, clock, random.Random(1), None, Log(), Recorded)
     with tempfile.TemporaryDirectory() as folder:
--- a/petrelwood/decide/delivery/state_rewrite.py
+++ b/petrelwood/decide/delivery/state_rewrite.py
@@ -56,7 +56,7 @@
 
     def attempt_due(self, now: int) -> bool:
         """Whether the log may be begun anew now; the attempt is counted."""
-        if self.failed_at is None or not self.backoff.may(now):
+        if self.failed_at is None or now < self.backoff.not_before:
             return False
         self.attempts += 1
         return True
--- a/petrelwood/dispatch/state_recovery.py
+++ b/petrelwood/dispatch/state_recovery.py
@@ -51,7 +51,7 @@
         self.unwritten = None
         cause = self.core.state.stopped
         delay = self.schedule.failed(now, cause)
-        self.core.clock.at(now + delay, self.core.soon, self.check)
+        self.core.clock.at(now + delay, self.core.submit, self.check)
         if first:
             self.rejected = 0
             self.core.log.error(
@@ -77,7 +77,7 @@
             self._failed(now)
             return
         self.unwritten = iter(list(core.ledger.entries))
-        core.soon(self._write_slice)
+        core.submit(self._write_slice)
 
     def _write_slice(self) -> None:
         core, now, wall = self.core, self.core.now(), self.core.clock.wall()
@@ -92,7 +92,7 @@
                 core.state.add(*record)
         if keys:
             core.state.flush()
-            core.clock.at(now + PAUSE, core.soon, self._write_slice)
+            core.clock.at(now + PAUSE, core.submit, self._write_slice)
             return
         for record in self.recent_orders.records(now, wall):
             core.state.add(*record)
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -191,14 +191,16 @@
         stamp = self.clock.wall() + self.number * SECOND // 1000
         request = Ask("x", id_, stamp, type_, now, 0)
         function = f"{type_}-1"
-        self.core.ask(request, function, self.core.rule(function), b"{}", exchange)
+        self.core.admit(request, function, self.core.rule(function), b"{}", exchange)
         if type_ != "again" and exchange.act in self.core.brain.began:
             self.taken[id_] = exchange.act
         return exchange
 
     def complete(self, act_id, body=b"done"):
         n = self.core.pending.sent(act_id)
-        self.core.soon(self.core.returned, act_id, n, "w", ports.COMPLETED, 0, body, self.clock.now(), None)
+        self.core.submit(
+            self.core.send_ended, act_id, n, "w", ports.COMPLETED, 0, body, self.clock.now(), None
+        )
 
     def wait(self, seconds):
         self.clock.run(self.clock.now() + int(seconds * SECOND))
@@ -409,7 +411,7 @@
         self.core.links["w1"] = link()
         self.core.membership.usable = lambda worker: True
         held = []
-        self.core.held = lambda *answer: held.append(answer[2])
+        self.core.load_order_ended = lambda *answer: held.append(answer[2])
         self.core.hold("w1", "again-1", 2)
         self.assertEqual(len(sent), 1)
         failing[0] = True
@@ -489,7 +491,7 @@
             self.complete(act)
         for act in acts[4:6]:
             self.core.pending.sent(act)
-            self.core.soon(self.core.abort, act)
+            self.core.submit(self.core.abort, act)
 
     def snapshot_of(self, folder):
         return {path.name: path.read_bytes() for path in folder.iterdir()}
@@ -579,10 +581,10 @@
             if number % 4 == 1:
                 self.complete(act, b"x" * (10 if number % 8 == 1 else 5000))
             elif number % 4 == 2:
-                self.core.soon(self.core.reject, act, 0)
+                self.core.submit(self.core.reject, act, 0)
             elif number % 4 == 3:
                 self.core.pending.sent(act)
-                self.core.soon(self.core.abort, act)
+                self.core.submit(self.core.abort, act)
                 self.wait(0.5)
                 self.number += 5000
                 self.ask(type_, f"m{number + 1}")  # asked again
