--- a/petrelwood/dispatch/configuration.py
+++ b/petrelwood/dispatch/configuration.py
@@ -9,7 +9,14 @@
 from collections.abc import Coroutine
 
 from petrelwood.control import messages
-from petrelwood.decide.cluster import replicated_log
+from petrelwood.control.errors import MalformedMessageError
+from petrelwood.decide.cluster.log_records import (
+    CorruptVersionError,
+    Extract,
+    Record,
+    RecordKind,
+    decompress_text,
+)
 from petrelwood.decide.cluster.rollout import STAGES, dwell_for
 from petrelwood.decide.cluster.version_watch import (
     ANSWER_WITHIN,
@@ -19,11 +26,11 @@
     VersionWatch,
 )
 from petrelwood.dispatch.interfaces import Clock, Logger, RandomFraction
-from petrelwood.links.rpc_client import CallFailed, RpcClient
+from petrelwood.links.rpc_client import RpcClient, RpcError
 from petrelwood.settings.gateway import ConfigurationTerms
 from petrelwood.store import versions
 
-APPEND_TIMEOUT = 5.0  # seconds; over `replicated_log.PATIENCE`
+APPEND_TIMEOUT = 5.0  # seconds; over `QUORUM_TIMEOUT`
 APPEND_RETRY_INTERVAL = 1.0  # seconds between two rounds of attempts to report a call-off
 MOST_UNSENT_CALL_OFFS = 64
 
@@ -45,7 +52,9 @@
         self.clock = clock
         self.log = logger
         addresses = {f"{host}:{port}": (host, port) for host, port in terms.servers}
-        self.clients = {server: RpcClient(address, messages.MOST) for server, address in addresses.items()}
+        self.clients = {
+            server: RpcClient(address, messages.MAX_MESSAGE_SIZE) for server, address in addresses.items()
+        }
         rollout_time = dwell_for(terms.within) * (len(STAGES) - 1)
         self.watch = VersionWatch(name, addresses, versions.position(folder), rollout_time, chance)
         self.unsent_call_offs: dict[int, str] = {}  # version -> reason
@@ -67,14 +76,14 @@
     async def _poll(self, server: str) -> None:
         try:
             answer = await self.clients[server].call("read", [self.watch.known], ANSWER_WITHIN / SECOND)
-            extract = messages.extract(answer)
-        except (CallFailed, messages.Malformed) as fault:
+            extract = messages.decode_extract(answer)
+        except (RpcError, MalformedMessageError) as fault:
             self.watch.failed(server, self.clock.now())
             self.log.debug("configuration server poll failed", server=server, why=str(fault))
             return
         self._apply(server, extract)
 
-    def _apply(self, server: str, extract: replicated_log.Extract) -> None:
+    def _apply(self, server: str, extract: Extract) -> None:
         """Stores an answer. The position is stored last: what a kill cuts off is read again."""
         position = self.watch.known
         try:
@@ -92,8 +101,8 @@
             versions.call_off(self.folder, event.number, event.why)
         else:
             try:
-                text = replicated_log.unpacked(event.body)
-            except replicated_log.Damaged as fault:
+                text = decompress_text(event.body)
+            except CorruptVersionError as fault:
                 self.log.error("version unreadable; skipped", number=event.number, why=str(fault))
                 return
             versions.receive(self.folder, event.number, text, event.begun)
@@ -110,18 +119,19 @@
         self._start(self._report_call_off(number, f"{self.name}: {why}"))
 
     async def _report_call_off(self, number: int, why: str) -> None:
-        record = replicated_log.Record(
-            f"off-{number}-{self.name}"[: messages.ID],
-            replicated_log.CALL_OFF,
+        record = Record(
+            f"off-{number}-{self.name}"[: messages.MAX_ID_SIZE],
+            RecordKind.REVOCATION,
             number,
             self.clock.wall(),
             why.encode(),
         )
+        params = [messages.encode_record(record)]
         while number in self.unsent_call_offs:
             for server in self.watch.order:
                 try:
-                    await self.clients[server].call("append", [list(record)], APPEND_TIMEOUT)
-                except CallFailed as fault:
+                    await self.clients[server].call("append", params, APPEND_TIMEOUT)
+                except RpcError as fault:
                     self.log.warning(
                         "reporting a call-off failed; will be retried",
                         number=number,
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -25,9 +25,9 @@
 from petrelwood.decide.overload.backoff import Budget
 from petrelwood.decide.overload.intake import Intake
 from petrelwood.decide.overload.sliding_window import SlidingWindowCounter
+from petrelwood.dispatch.state_recovery import LONGEST_BODY, StateRecovery
 
 MOST_IN_A_TURN = 10_000  # what follows from what, before the clock is let go on
-KEPT_BODY = 4096  # bytes of an answer that is kept for a retry after a restart
 WELL = 1_000_000_000  # ns of a bucket of answers that tell how well it does
 LOOK = 500_000_000  # ns between looks at storms
 REPEATS = 0.5  # repeated sends for each first one
@@ -37,8 +37,8 @@
 class Core:
     """One dispatcher. It is the module's `ports.Outlet`. `clock` as in `clocks`; `chance` a seeded
     `random.Random`; `link(worker, address, core)` makes a link: `run`, `hold`, `probe`, `cancel`, `late`,
-    `withdraw`, `recall`, `owes`, `give_up`, which hear nothing but tells us `returned`, `held`, `probed`
-    through `soon`."""
+    `withdraw`, `recall`, `owes`, `give_up`. It calls `send_ended`, `load_order_ended`, `health_check_ended`
+    through `submit`."""
 
     slices = False  # whether forecasts are learnt a few functions at a time
 
@@ -72,6 +72,7 @@
         )
         # `may_be_superseded(now)`: whether another process may own what comes
         self.may_be_superseded = None
+        self.state_recovery = StateRecovery(self)
         self.goods, self.bads = SlidingWindowCounter(WELL, 11), SlidingWindowCounter(WELL, 11)
         if state is not None:
             self.adopt(state)
@@ -184,6 +185,11 @@
     def sync_soon(self):
         """For a dispatcher whose log is on a disk: calls `kept` when what was added is there."""
 
+    def sync_state(self, done):
+        """Makes the state log durable, then calls `done(durable)`; a dispatcher on a loop does it in a
+        thread."""
+        done(self.state.sync_task()())
+
     def kept(self, acts, good):
         """The ids of these activations are on the disk, or can't be."""
         for act_id in acts:
@@ -206,7 +212,7 @@
             (self.goods if outcome == COMPLETED else self.bads).add(self.now())
             if self.on_answer is not None:
                 self.on_answer(outcome == COMPLETED)
-        kept = body if outcome == COMPLETED and body is not None and len(body) <= KEPT_BODY else None
+        kept = body if outcome == COMPLETED and body is not None and len(body) <= LONGEST_BODY else None
         if self.on_activation_end is not None:
             self.on_activation_end(*act.key, outcome, act.sends > 0, kept)
         if self.state is not None:
@@ -230,7 +236,7 @@
         self.clock.at(self.now() + terms.slot, self._early_turn)
 
     def _early_turn(self):
-        self.soon(self._plan)
+        self.submit(self._plan)
         self.clock.at(self.now() + self.gateway.early.slot, self._early_turn)
 
     def _look(self):
@@ -245,6 +251,7 @@
             self.storm_changed(name, on)
         if self.state is not None:
             self.state.tend(self.clock.wall())
+            self.state_recovery.check()
         self.clock.at(self.now() + LOOK, self._look)
 
     def storm_changed(self, name, on):
@@ -277,7 +284,7 @@
         return found
 
     # One thing after the other.
-    def soon(self, call, *args):
+    def submit(self, call, *args):
         """Does it now, or after what is being done."""
         self.inbox.append((call, args))
         if not self.telling:
@@ -303,8 +310,12 @@
         if self.inbox:
             self.clock.at(self.now(), self._drain)
 
-    def _tell_brain(self, what, *args):
-        getattr(self.brain, what)(self.now(), *args)
+    def endpoint_list_lost(self):
+        """Nothing is heard of the list of workers any more; the last one stays in use."""
+        self.submit(self._endpoint_list_lost)
+
+    def _endpoint_list_lost(self):
+        self.brain.list_lost(self.now())
 
     def defect(self, where, fault, args=()):
         """Ends what the failed call had touched, and goes on."""
@@ -323,10 +334,10 @@
                     self.log.error("defect", where="left", fault=repr(second), act=act_id)
 
     # From the fronts.
-    def ask(self, ask, function, rule, body, exchange):
-        self.soon(self._ask, ask, function, rule, body, exchange)
+    def admit(self, ask, function, rule, body, exchange):
+        self.submit(self._admit, ask, function, rule, body, exchange)
 
-    def _ask(self, ask, function, rule, body, exchange):
+    def _admit(self, ask, function, rule, body, exchange):
         now, key = self.now(), (ask.customer, ask.id)
         if self.may_be_superseded is not None and self.may_be_superseded(now):
             exchange.answer(stage.REFUSE, retry_after=self.intake.come_back(now, *key), why=stage.CLOSING)
@@ -345,9 +356,8 @@
             and not recovery.may_take(self.terms.types[ask.type].effect, self.state.stopped is None)
         ):
             self.ledger.ended(key, LEFT)
-            exchange.answer(
-                stage.REFUSE, retry_after=self.intake.come_back(now, *key), why="its id can't be kept now"
-            )
+            wait = self.intake.come_back(now, *key, self.state_recovery.rejected_for(now))
+            exchange.answer(stage.REFUSE, retry_after=wait, why="its id can't be kept now")
         elif verdict.what == stage.TAKE:
             act = self.pending.take(
                 now, key, ask, verdict.due, function, rule.lanes, body, exchange, rule.load_time, rule.work
@@ -362,11 +372,11 @@
         else:
             exchange.answer(verdict.what, verdict.body, verdict.retry_after, verdict.why)
 
-    def left(self, act_id, exchange):
+    def client_left(self, act_id, exchange):
         """The client of an exchange hung up."""
-        self.soon(self._left, act_id, exchange)
+        self.submit(self._client_left, act_id, exchange)
 
-    def _left(self, act_id, exchange):
+    def _client_left(self, act_id, exchange):
         if self.pending.left(self.now(), act_id, exchange) == "end":
             act = self.pending.end(self.now(), act_id, LEFT)
             self._ended(act, LEFT, None)
@@ -405,7 +415,7 @@
         self.due_timer = None
         for act, late, whole in self.pending.overdue(self.now()):
             if whole:
-                self.soon(self._out_of_time, act.id)
+                self.submit(self._out_of_time, act.id)
             for exchange in late:
                 exchange.answer(ABORTED, why="the first try still runs", act=act.id)
         self._arm()
@@ -418,7 +428,7 @@
             return
         for n in sorted(act.out):
             self.links[self.flying[act_id, n]].late(act_id, n)
-        self.soon(self._overdue, act_id)
+        self.submit(self._overdue, act_id)
 
     def _overdue(self, act_id):
         if act_id in self.pending.acts:
@@ -428,7 +438,7 @@
             self.brain.left(self.now(), act_id)
 
     # From the links.
-    def returned(self, act_id, n, worker, code, note, body, at, gauge):
+    def send_ended(self, act_id, n, worker, code, note, body, at, gauge):
         now = self.now()
         self.flying.pop((act_id, n), None)
         owed = self.pending.acts.get(act_id)
@@ -464,18 +474,18 @@
                 0 if warm else took,
             )
 
-    def held(self, worker, fn, code, copies):
+    def load_order_ended(self, worker, fn, code, copies):
         if self.early is not None:
             self.early.stands(self.now(), fn, worker, code == ports.COMPLETED)
         self.brain.stands(self.now(), worker, fn, code, copies)
 
-    def probed(self, worker, code, gauge):
+    def health_check_ended(self, worker, code, gauge):
         self.brain.probed(self.now(), worker, code, gauge)
 
-    def listed(self, entries, leaving, whole):
-        self.soon(self._listed, entries, leaving, whole)
+    def endpoints_changed(self, entries, leaving, whole):
+        self.submit(self._endpoints_changed, entries, leaving, whole)
 
-    def _listed(self, entries, leaving, whole):
+    def _endpoints_changed(self, entries, leaving, whole):
         for worker in leaving:
             if worker in self.links:
                 self.links[worker].recall()
@@ -487,9 +497,9 @@
             if link is None and entry.usable:
                 self.links[entry.worker] = self.make_link(entry.worker, address, self)
         self.brain.listed(self.now(), entries, whole)
-        self.let_links_go()
+        self.release_unused_links()
 
-    def let_links_go(self):
+    def release_unused_links(self):
         """Those of workers that have left the list and that owe nothing any more."""
         for worker in [
             w for w, link in self.links.items() if w not in self.membership.members and not link.owes()
@@ -507,15 +517,15 @@
         now, link = self.now(), self.links.get(worker)
         if link is None or not self.membership.usable(worker) or not self._warm_enough(worker, now):
             self.counts["refused_by_guard"] += 1
-            self.soon(self.returned, act, n, worker, ports.NOT_SENT, 0, b"", now, None)
+            self.submit(self.send_ended, act, n, worker, ports.NOT_SENT, 0, b"", now, None)
             return
         if self.repeats is not None:
             if not n:
-                self.repeats.first()
+                self.repeats.earn()
             # more are sent again than first: what fails is not helped by more
             elif not self.repeats.spend():
                 self.counts["over_budget"] += 1
-                self.soon(self.returned, act, n, worker, ports.NOT_SENT, 0, b"", now, None)
+                self.submit(self.send_ended, act, n, worker, ports.NOT_SENT, 0, b"", now, None)
                 return
         self.counts["sends"] += 1
         self.flying[act, n] = worker
@@ -553,21 +563,32 @@
         link, rule = self.links.get(worker), self.rule(fn)
         if link is None or self.retired or not self.membership.usable(worker):
             self.counts["refused_by_guard"] += 1
-            self.stays(self.now())
-            self.soon(self.held, worker, fn, ports.NOT_SENT, 0)
+            self.order_not_sent(self.now())
+            self.submit(self.load_order_ended, worker, fn, ports.NOT_SENT, 0)
+            return
+        if not self._order_recorded(worker, fn, copies):
+            self.order_not_sent(self.now())
+            self.submit(self.load_order_ended, worker, fn, ports.NOT_SENT, 0)
             return
-        # before it goes out: it counts against the next life's ration
-        if self.state is not None:
-            self.state.add(recovery.ORDER, self.clock.wall(), worker, fn, copies)
-            self.state.flush()
         self.counts["orders"] += 1
         link.hold(fn, rule.lanes, copies)
 
-    def leaves(self, given):
+    def _order_recorded(self, worker, fn, copies):
+        """Whether a load order may go out: it counts against the next life's ration, so it is in the log
+        before."""
+        if self.state is None:
+            return True
+        self.state.add(recovery.ORDER, self.clock.wall(), worker, fn, copies)
+        if not self.state.flush():
+            return False
+        self.state_recovery.recent_orders.add(self.now(), worker, fn, copies)
+        return True
+
+    def may_send_order(self, given):
         """A link: an order that was given at `given` (ns) is about to leave. Whether it may."""
         return not hasattr(self.brain, "leaves") or self.brain.leaves(self.now(), given)
 
-    def stays(self, given):
+    def order_not_sent(self, given):
         """A link: it never will."""
         if hasattr(self.brain, "stays"):
             self.brain.stays(self.now(), given)
@@ -577,10 +598,10 @@
         if worker in self.links:
             self.links[worker].probe()
         else:
-            self.soon(self.probed, worker, ports.NO_CONNECTION, None)
+            self.submit(self.health_check_ended, worker, ports.NO_CONNECTION, None)
 
     def wake(self, mark, wait):
-        self.clock.at(self.now() + wait, self.soon, self._ring, mark)
+        self.clock.at(self.now() + wait, self.submit, self._ring, mark)
 
     def _ring(self, mark):
         self.brain.ring(self.now(), mark)
--- a/tests/test_configuration_disk.py
+++ b/tests/test_configuration_disk.py
@@ -12,14 +12,27 @@
 import structlog
 from test_configuration_servers import run
 from test_replicated_log import troubled, version
+from tornado.netutil import bind_sockets
 
-from petrelwood.control import log_storage, messages, server
-from petrelwood.control.log_storage import LogStorage, LogStorageError
+from petrelwood.control import catching_up, log_storage, messages, server
+from petrelwood.control.appending import new_identity
+from petrelwood.control.errors import LogStorageError
+from petrelwood.control.log_storage import LogStorage
 from petrelwood.decide.cluster import durable_replica
-from petrelwood.decide.cluster import replicated_log as log
 from petrelwood.decide.cluster.durable_replica import DiskFailedError, DurableReplica
+from petrelwood.decide.cluster.log_records import (
+    Accept,
+    Accepted,
+    Ballot,
+    Extract,
+    Learn,
+    NotVoting,
+    Prepare,
+    Promise,
+    RecordKind,
+)
 from petrelwood.emulate.configuration_servers import SECOND, World
-from petrelwood.links.rpc_client import CallFailed, RpcClient
+from petrelwood.links.rpc_client import RpcClient, RpcError
 from petrelwood.store import snapshot
 
 SEEDS = 24
@@ -117,12 +130,15 @@
     def begun(self):
         """A log in which slot 1 is promised and accepted and which a restart finds."""
         durable = self.durable(snapshot.Files(), 0)
-        self.assertEqual(durable.answer(log.Accept(1, log.Ballot(1, "a"), version(1)), 0), log.Accepted())
+        self.assertEqual(
+            durable.answer(Accept(1, Ballot(1, "a"), version(1)), 0),
+            Accepted(),
+        )
         return durable
 
     def on_disk(self):
         """What a restart finds."""
-        return LogStorage(self.folder).open(None).durable()
+        return LogStorage(self.folder).open(None).durable_state()
 
 
 class Failures(Folder):
@@ -137,43 +153,44 @@
         self.begun()
         files = FailingFiles(call, times, errno.ENOSPC)
         durable, now = self.durable(files), 0
-        high = log.Ballot(9, "b")
-        self.assertEqual(durable.answer(log.Prepare(1, high), now), log.NotVoting())
-        failed = durable.replica.durable()
+        high = Ballot(9, "b")
+        self.assertEqual(durable.answer(Prepare(1, high), now), NotVoting())
+        failed = durable.replica.durable_state()
         # nothing more is promised, and nothing more is tried before the backoff is over
-        self.assertEqual(durable.answer(log.Prepare(1, log.Ballot(10, "c")), now), log.NotVoting())
-        self.assertEqual(durable.answer(log.Accept(1, high, version(2)), now), log.NotVoting())
-        self.assertEqual((durable.replica.durable(), files.failed), (failed, 1))
+        self.assertEqual(durable.answer(Prepare(1, Ballot(10, "c")), now), NotVoting())
+        self.assertEqual(durable.answer(Accept(1, high, version(2)), now), NotVoting())
+        self.assertEqual((durable.replica.durable_state(), files.failed), (failed, 1))
         with self.assertRaisesRegex(DiskFailedError, os.strerror(errno.ENOSPC)):
             durable.require_disk()
         # a restart at any moment of it finds what was there before, or more than was promised
         found = LogStorage(self.folder).open(None)
-        self.assertGreaterEqual(found.promised, log.Ballot(1, "a"))
-        self.assertEqual(found.accepted, log.Ballot(1, "a"))
+        self.assertGreaterEqual(found.promised, Ballot(1, "a"))
+        self.assertEqual(found.accepted, Ballot(1, "a"))
         for _ in range(400):  # twenty seconds
             now += durable_replica.FIRST_RETRY // 2
             durable.retry(now)
         if times is None:
             self.assertLess(files.failed, 20)
-            self.assertEqual(durable.answer(log.Prepare(1, high), now), log.NotVoting())
+            self.assertEqual(durable.answer(Prepare(1, high), now), NotVoting())
             files.failing = None
             now += durable_replica.LONGEST_RETRY
             durable.retry(now)
         self.assertFalse(durable.failed)
         self.assertEqual([word for word, *_ in durable._observer.said].count("recovered"), 1)
         self.assertEqual(
-            durable.answer(log.Prepare(1, high), now), log.Promise(log.Ballot(1, "a"), version(1))
+            durable.answer(Prepare(1, high), now),
+            Promise(Ballot(1, "a"), version(1)),
         )
-        self.assertEqual(self.on_disk(), durable.replica.durable())
+        self.assertEqual(self.on_disk(), durable.replica.durable_state())
 
     def test_what_was_decided_is_learned_while_the_disk_fails_and_is_there_after_it(self):
         self.begun()
         files = FailingFiles("sync")
         durable = self.durable(files)
-        extract = log.Extract(0, 1, ((1, version(1)),))
+        extract = Extract(0, 1, ((1, version(1)),))
         with self.assertRaises(DiskFailedError):
-            durable.answer(log.Learn(extract), 0)
-        durable.learn(log.Extract(1, 2, ((2, version(2)),)), 0)
+            durable.answer(Learn(extract), 0)
+        durable.learn(Extract(1, 2, ((2, version(2)),)), 0)
         self.assertEqual(durable.replica.chosen, 2)
         files.failing = None
         durable.retry(SECOND)
@@ -183,13 +200,13 @@
         files = FailingFiles("replace")
         durable = self.durable(files)
         self.assertFalse(durable.rejoin({"b": 0, "c": 0}, 3, 0))
-        durable.learn(log.Extract(0, 1, ((1, version(1)),)), 0)
-        prepare = log.Prepare(2, log.Ballot(1, "a"))
-        self.assertEqual(durable.answer(prepare, 0), log.NotVoting())
+        durable.learn(Extract(0, 1, ((1, version(1)),)), 0)
+        prepare = Prepare(2, Ballot(1, "a"))
+        self.assertEqual(durable.answer(prepare, 0), NotVoting())
         self.assertIsNone(LogStorage(self.folder).open(None).votes_from)
         files.failing = None
         durable.retry(SECOND)
-        self.assertIsInstance(durable.answer(prepare, SECOND), log.Promise)
+        self.assertIsInstance(durable.answer(prepare, SECOND), Promise)
         self.assertEqual(LogStorage(self.folder).open(None).votes_from, 2)
 
     def test_a_kill_at_each_byte_of_a_write_leaves_the_log_before_it(self):
@@ -199,14 +216,17 @@
         for after in range(size):
             durable = self.durable(FailingFiles(kill_after=after))
             with self.assertRaises(Killed):
-                durable.answer(log.Prepare(1, log.Ballot(2, "b")), 0)
+                durable.answer(Prepare(1, Ballot(2, "b")), 0)
             self.assertEqual(self.on_disk(), before, after)
-        self.assertIsInstance(self.durable(None).answer(log.Prepare(1, log.Ballot(2, "b")), 0), log.Promise)
+        self.assertIsInstance(
+            self.durable(None).answer(Prepare(1, Ballot(2, "b")), 0),
+            Promise,
+        )
 
     def test_a_file_that_failed_is_not_written_to_again(self):
         self.begun()
         files = FailingFiles("sync", 1)
-        self.durable(files).answer(log.Prepare(1, log.Ballot(2, "b")), 0)
+        self.durable(files).answer(Prepare(1, Ballot(2, "b")), 0)
         self.assertEqual([path.name for path in self.folder.iterdir()], [log_storage.FILE])
 
     def test_a_disk_that_can_not_be_read_does_not_pass_for_a_lost_one(self):
@@ -271,11 +291,11 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.files = FailingFiles()
-        self.enterContext(mock.patch.object(server, "CATCH_UP", 0.05))
+        self.enterContext(mock.patch.object(catching_up, "INTERVAL", 0.05))
         self.enterContext(mock.patch.object(durable_replica, "LONGEST_RETRY", SECOND // 4))
         addresses, self.servers, sockets = {}, {}, {}
         for name in ("c1", "c2", "c3"):
-            sockets[name] = server.bind_sockets(0, "127.0.0.1")
+            sockets[name] = bind_sockets(0, "127.0.0.1")
             addresses[name] = sockets[name][0].getsockname()
         self.log = structlog.testing.CapturingLogger()
         logger = structlog.wrap_logger(
@@ -288,14 +308,11 @@
                 name, peers, storage.open(0), storage.save, logger if name == "c1" else structlog.get_logger()
             )
             self.servers[name].add_sockets(sockets[name])
-            self.addCleanup(self.servers[name].end)
-        self.tasks = [
-            asyncio.create_task(work)
-            for one in self.servers.values()
-            for work in (one.follow(), one.watch_disk())
-        ]
-        self.addCleanup(lambda: [task.cancel() for task in self.tasks])
-        self.clients = {name: RpcClient(address, messages.MOST) for name, address in addresses.items()}
+            self.addCleanup(self.servers[name].close)
+        self.tasks = {name: one.start_background() for name, one in self.servers.items()}
+        self.clients = {
+            name: RpcClient(address, messages.MAX_MESSAGE_SIZE) for name, address in addresses.items()
+        }
         for client in self.clients.values():
             self.addCleanup(client.close)
 
@@ -312,33 +329,33 @@
         # c2 has a quorum without it; c1 fails at the first message of this and learns what is decided
         self.assertEqual(await self.append("c2", 2), 2)
         self.assertEqual(await self.call("c1", "prepare", [3, 9, "x"]), ["not voting"])
-        with self.assertRaisesRegex(CallFailed, "No space left on device"):
+        with self.assertRaisesRegex(RpcError, "No space left on device"):
             await self.append("c1", 3)
         async with asyncio.timeout(PATIENT):
             while self.servers["c1"].replica.chosen < 2:
                 await asyncio.sleep(0.01)
         self.assertEqual((await self.call("c1", "read", [0]))[1], 2)
         self.assertIn("log write failed; not voting", [call.args[0] for call in self.log.calls])
-        self.servers["c3"].end()  # without it there is no quorum until c1 votes again
+        self.servers["c3"].close()  # without it there is no quorum until c1 votes again
         self.files.failing = None
         async with asyncio.timeout(PATIENT):
             while self.servers["c1"].durable.failed:
                 await asyncio.sleep(0.01)
         self.assertIn("log written again; voting", [call.args[0] for call in self.log.calls])
         self.assertEqual(await self.append("c1", 3), 3)
-        self.assertEqual([task for task in self.tasks if task.done()], [])
+        self.assertEqual([task for task in self.tasks["c1"] if task.done()], [])
 
 
 class Identities(unittest.TestCase):
     def test_a_wall_clock_stepped_back_to_an_earlier_start_makes_no_ballot_twice(self):
         with mock.patch("time.time_ns", return_value=1):
-            self.assertEqual(len({server.new_identity("c1") for _ in range(100)}), 100)
+            self.assertEqual(len({new_identity("c1") for _ in range(100)}), 100)
 
     def test_whatever_the_name_is_peers_accept_the_identity_and_ids_made_of_it(self):
         for name in ("c1", "a" * 200, "\u20ac" * 64):
-            identity = server.new_identity(name)
-            messages.message("prepare", [1, 1, identity])
-            messages.record([f"{identity}.{1 << 62}", log.NO_OPERATION, 0, 0, b""])
+            identity = new_identity(name)
+            messages.decode_call("prepare", [1, 1, identity])
+            messages.decode_record([f"{identity}.{1 << 62}", RecordKind.NO_OPERATION, 0, 0, b""])
 
 
 if __name__ == "__main__":
--- a/tests/test_configuration_servers.py
+++ b/tests/test_configuration_servers.py
@@ -16,9 +16,10 @@
 
 from petrelwood.clocks import LoopClock
 from petrelwood.control import log_storage, messages
-from petrelwood.decide.cluster import replicated_log as log
+from petrelwood.decide.cluster.log_records import MAX_TEXT_SIZE, Record, RecordKind, compress_text
+from petrelwood.decide.cluster.replicated_log import Replica
 from petrelwood.dispatch.configuration import ConfigurationFollower
-from petrelwood.links.rpc_client import CallFailed, RpcClient
+from petrelwood.links.rpc_client import RpcClient, RpcError
 from petrelwood.settings.gateway import ConfigurationTerms
 from petrelwood.standins.caller import Broken
 from petrelwood.store import snapshot, versions
@@ -78,7 +79,7 @@
         return (self.folder / f"{name}.log").read_text()
 
     async def append(self, name, record):
-        client = RpcClient(self.addresses[name], messages.MOST)
+        client = RpcClient(self.addresses[name], messages.MAX_MESSAGE_SIZE)
         try:
             (slot,) = await client.call("append", [list(record)], 10)
             return slot
@@ -87,7 +88,7 @@
 
 
 def version(n):
-    return log.Record(f"r{n}", log.VERSION, 0, 0, log.packed(f"text {n}"))
+    return Record(f"r{n}", RecordKind.VERSION, 0, 0, compress_text(f"text {n}"))
 
 
 class Servers(unittest.IsolatedAsyncioTestCase):
@@ -127,7 +128,7 @@
             await self.until(lambda number=number: follower.watch.known == number)
             self.assertEqual(versions.path_of(folder, number).read_text(), f"text {number}")
         await self.group.kill("c3")
-        with self.assertRaisesRegex(CallFailed, "no quorum"):
+        with self.assertRaisesRegex(RpcError, "no quorum"):
             await self.group.append("c1", version(4))
         late = self.follow(self.folder / "late")  # what was decided is still told
         await self.until(lambda: late.watch.known == 3)
@@ -156,16 +157,16 @@
             for _ in range(PATIENT):
                 try:
                     return await self.group.append("c1", version(n))
-                except CallFailed:
+                except RpcError:
                     await asyncio.sleep(0.1)
             self.fail(self.group.said("c5"))
 
         slot = await decided(4)
         self.assertGreaterEqual(slot, 4)
         for name in ("c1", "c2", "c5"):  # all agree on each slot
-            client = RpcClient(self.group.addresses[name], messages.MOST)
+            client = RpcClient(self.group.addresses[name], messages.MAX_MESSAGE_SIZE)
             for _ in range(20 * PATIENT):
-                found = messages.extract(await client.call("catch-up", [0], 10))
+                found = messages.decode_extract(await client.call("catch-up", [0], 10))
                 if found.chosen >= slot:
                     break
                 await asyncio.sleep(0.05)
@@ -182,11 +183,11 @@
         self.assertTrue(versions.announced(self.folder / "other")[0].off)
         self.assertEqual((self.folder / "other" / "1.off").read_text(), "d1: it did worse")
         await self.until(lambda: not one.unsent_call_offs)
-        with self.assertRaisesRegex(CallFailed, "no version 9"):
-            await self.group.append("c1", log.Record("x", log.CALL_OFF, 9, 0, b"?"))
+        with self.assertRaisesRegex(RpcError, "no version 9"):
+            await self.group.append("c1", Record("x", RecordKind.REVOCATION, 9, 0, b"?"))
 
     async def test_what_can_not_be_read_is_an_error_and_the_server_goes_on(self):
-        client = RpcClient(self.group.addresses["c1"], messages.MOST)
+        client = RpcClient(self.group.addresses["c1"], messages.MAX_MESSAGE_SIZE)
         self.addCleanup(client.close)
         for method, params in (
             ("nonsense", []),
@@ -196,17 +197,17 @@
             ("append", [["id", "version", 0, 0]]),
             ("append", [["", "version", 0, 0, b""]]),
             ("append", [["id", "version", -1, 0, b""]]),
-            ("append", [["id", "version", 0, 0, b"x" * (log.DOCUMENT + 1)]]),
+            ("append", [["id", "version", 0, 0, b"x" * (MAX_TEXT_SIZE + 1)]]),
             ("prepare", [1, 1 << 63, "c1"]),
             ("accept", [1, 1, "c1", None]),
             ("learn", [0, 1, [[1]]]),
         ):
-            with self.assertRaises(CallFailed, msg=(method, params)):
+            with self.assertRaises(RpcError, msg=(method, params)):
                 await client.call(method, params, 10)
-        raw = RpcClient(self.group.addresses["c1"], messages.MOST)
+        raw = RpcClient(self.group.addresses["c1"], messages.MAX_MESSAGE_SIZE)
         self.addCleanup(raw.close)
         await raw.call("read", [0], 10)
-        await raw.stream.write(b"\xc1 this is no message")
+        await raw._stream.write(b"\xc1 this is no message")
         self.assertEqual(await self.group.append("c1", version(1)), 1)
 
 
@@ -231,7 +232,10 @@
 
     def test_a_log_that_can_not_be_used_ends_the_start_with_one_line_and_status_2(self):
         snapshot.write(
-            self.folder / log_storage.FILE, log_storage.KIND, log_storage.VERSION, log.Replica().durable()
+            self.folder / log_storage.FILE,
+            log_storage.KIND,
+            log_storage.VERSION,
+            Replica().durable_state(),
         )
         held = self.serve("--new-log-after", "0")
         (self.folder / log_storage.FILE).write_bytes(b"half of a")
