--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -15,7 +15,7 @@
 import msgpack
 from node_site import ask
 from test_client_departure import ids
-from test_crossings import Caller, Inside, Raw, held_up
+from test_crossings import Caller, Inside, Raw
 
 from petrelwood.decide.overload import resource_limits
 from petrelwood.node import front as node_front
