--- a/petrelwood/dispatch/event_queue.py
+++ b/petrelwood/dispatch/event_queue.py
@@ -54,6 +54,7 @@
                     self.on_defect(getattr(call, "__name__", "call"), fault, arguments)
         finally:
             self.running = False
+            self.touched.clear()  # a defect outside of the queue is none of theirs
             self.after_turn()
         if waiting:
             self.clock.at(self.clock.now(), self._run)
