--- a/petrelwood/cli/main.py
+++ b/petrelwood/cli/main.py
@@ -11,6 +11,7 @@
 
 import click
 
+from petrelwood.errors import StorageError
 from petrelwood.settings.document import BadFile
 
 EXAMPLES = {
@@ -446,7 +447,7 @@
 def main():
     try:
         cli(prog_name="petrelwood", standalone_mode=True)
-    except BadFile as fault:
+    except (BadFile, StorageError) as fault:
         click.echo(f"petrelwood: {fault}", err=True)
         return 2
     except KeyboardInterrupt:
--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -187,14 +187,20 @@
                 self.history.flush()
                 if self.ends is not None:
                     self.ends.flush()
-                if self.history.stopped and not self.told_stop:
-                    self.told_stop = True
-                    self.log.warning("the history has stopped; dispatching goes on", why=self.history.stopped)
+                self._report_history()
         if self.membership.silent(now):
             self.log.warning("the list of workers is lost")
             self.roster.drop()
             self.endpoint_list_lost()
 
+    def _report_history(self):
+        """Logs when the history stops, and when it goes on again."""
+        if self.history.stopped and not self.told_stop:
+            self.log.warning("the history has stopped; dispatching goes on", why=self.history.stopped)
+        elif self.told_stop and not self.history.stopped:
+            self.log.info("history recovered", lost=self.history.lost)
+        self.told_stop = bool(self.history.stopped)
+
     def storm_changed(self, name, on):
         for front in self.fronts:
             front.storm_changed(name, on)
--- a/petrelwood/dispatch/rollout.py
+++ b/petrelwood/dispatch/rollout.py
@@ -17,6 +17,7 @@
 from petrelwood.settings.document import BadFile, read_whole
 from petrelwood.settings.gateway import Gateway
 from petrelwood.store import versions
+from petrelwood.store.errors import VersionUnreadableError
 
 if TYPE_CHECKING:
     from petrelwood.dispatch.dispatcher import Dispatcher
@@ -36,7 +37,10 @@
     read_settings: ReadSettings
 
     def read(self, number: int) -> Gateway:
-        """The settings of a version; 0 for the dispatcher's own. Raises `settings.document.BadFile`."""
+        """The settings of a version; 0 for the dispatcher's own.
+
+        Raises `settings.document.BadFile` and `store.errors.VersionUnreadableError`.
+        """
         if not number:
             return self.own
         return read_version(self.read_settings, self.own, self.folder, number)
@@ -45,9 +49,10 @@
 def read_version(read_settings: ReadSettings, own: Gateway, folder: str, number: int) -> Gateway:
     """The settings of a version for the dispatcher whose own file says `own`.
 
-    Raises `settings.document.BadFile`.
+    Raises `settings.document.BadFile` for what it says, and `store.errors.VersionUnreadableError` where the
+    folder does not give it.
     """
-    text = read_whole(versions.path_of(folder, number))
+    text = read_whole(versions.require_readable(folder, number))
     settings: Gateway = read_settings(text).as_of(own)
     return settings
 
@@ -75,6 +80,7 @@
         self.updater = updater
         self.upgrader = upgrader
         self.on_call_off = on_call_off
+        self.unwritten_call_offs: dict[int, str] = {}  # that the folder did not take yet
 
     async def run(self, answers_counted: tuple[int, int]) -> None:
         """Follows the folder until it is cancelled.
@@ -91,6 +97,7 @@
             for _ in range(failed_now - failed):
                 self.rollout.ended(False)
             completed, failed = completed_now, failed_now
+            await self._write_call_offs()
             if self.upgrader.handing_over:
                 # the successor goes on with this
                 continue
@@ -109,8 +116,13 @@
             await self._call_off(called_off, DID_WORSE)
         reason = NOT_APPLICABLE
         try:
-            new = await self.core.loop.run_in_executor(None, self.source.read, number)
+            new = await self._read(number, is_rollback)
             result = await self._apply(new, is_rollback)
+        except VersionUnreadableError as fault:
+            self.log.error("version can't be read; it is attempted again", why=str(fault))
+            self.rollout.could_not()
+            self.rollout.refused.discard(number)
+            return
         except BadFile as fault:
             self.log.error("version invalid", why=str(fault))
             result = UpdateResult.NOT_APPLIED
@@ -119,6 +131,20 @@
             self.rollout.could_not()
             await self._call_off(number, reason)
 
+    async def _read(self, number: int, is_rollback: bool) -> Gateway:
+        """The settings of a version. What it goes back to is read until the folder gives it.
+
+        Raises as `VersionSource.read`.
+        """
+        while True:
+            try:
+                return await self.core.loop.run_in_executor(None, self.source.read, number)
+            except VersionUnreadableError as fault:
+                if not is_rollback:
+                    raise
+                self.log.error("version to go back to can't be read; it is attempted again", why=str(fault))
+                await asyncio.sleep(POLL_INTERVAL)
+
     async def _apply(self, new: Gateway, is_rollback: bool) -> UpdateResult:
         """Applies settings, by an upgrade where it must be: a version that is bad is left in any case."""
         result = self.updater.update(new, self.upgrader.available)
@@ -134,6 +160,18 @@
 
     async def _call_off(self, number: int, why: str) -> None:
         """For whoever reads the same folder, and by the configuration servers for all others."""
-        reason = f"{self.updater.gateway.name}: {why}"
-        await self.core.loop.run_in_executor(None, versions.call_off, self.source.folder, number, reason)
         self.on_call_off(number, why)
+        self.unwritten_call_offs[number] = f"{self.updater.gateway.name}: {why}"
+        await self._write_call_offs()
+
+    async def _write_call_offs(self) -> None:
+        """Puts call-offs into the folder; those that it does not take are attempted again later."""
+        for number, reason in list(self.unwritten_call_offs.items()):
+            try:
+                await self.core.loop.run_in_executor(
+                    None, versions.call_off, self.source.folder, number, reason
+                )
+            except OSError as fault:
+                self.log.error("call-off not stored; it is attempted again", number=number, why=str(fault))
+                continue
+            del self.unwritten_call_offs[number]
--- a/petrelwood/store/ends.py
+++ b/petrelwood/store/ends.py
@@ -1,14 +1,19 @@
 """How early loads ended: a log of rows beside the history, for the account that people read.
 
-A full or failing disk ends the log, never the early loads. When it is as large as its bound it begins anew,
-and the one before is kept as `early-old.log`."""
+A full or failing disk stops the log, never the early loads. When it is as large as its bound it begins anew,
+and the one before is kept as `early-old.log`; after a fault it begins anew in the same way, with backoff, as
+nobody knows what of the failed file is on the disk. What ends meanwhile is not in the account."""
 
 import pathlib
+import time
 
 import msgpack
 
+from petrelwood.decide.overload.backoff import Backoff
 from petrelwood.store import tail
 
+FIRST_DELAY = 5_000_000_000  # ns after a fault until it begins anew; doubled up to the longest
+LONGEST_DELAY = 300_000_000_000
 FIELDS = ("asked", "stood", "ended", "function", "hall", "worker", "end", "seconds", "memory")
 
 
@@ -16,19 +21,35 @@
     """Times are wall-clock ns; `seconds` what it saved less its costs, `memory` the gigabyte-seconds it
     stood."""
 
-    def __init__(self, folder, most=32 << 20, files=None):
+    def __init__(self, folder, most=32 << 20, files=None, now=time.monotonic_ns):
+        self.now, self.backoff = now, Backoff(FIRST_DELAY, LONGEST_DELAY, lambda: 1.0)
         self.path, self.most, self.files, self.stopped = (
             pathlib.Path(folder) / "early.log",
             most,
             files or tail.Files(),
             None,
         )
-        self.path.parent.mkdir(parents=True, exist_ok=True)
+        self.log = None
         try:
+            self.path.parent.mkdir(parents=True, exist_ok=True)
             self.log = tail.Log(self.path, self.files, most)
             self.log.records = []
-        except (tail.Failed, tail.Refused) as fault:
-            self.log, self.stopped = None, str(fault)
+        except (tail.Failed, tail.Refused, OSError) as fault:
+            self._stop(fault)
+
+    def _stop(self, fault):
+        self.stopped = str(fault)
+        self.backoff.failed(self.now())
+
+    def _begin(self):
+        """A new file; the one before, whole or failed, is the old one then."""
+        if self.log is not None:
+            self.log.abandon()
+        try:
+            self.files.replace(str(self.path), str(self.path.with_name("early-old.log")))
+        except FileNotFoundError:
+            pass
+        self.log = tail.Log(self.path, self.files, self.most)
 
     def note(self, *row):
         """A row in the order of `FIELDS`."""
@@ -36,19 +57,23 @@
             return
         try:
             if not self.log.append(msgpack.packb(row)):
-                self.log.close()
-                self.files.replace(str(self.path), str(self.path.with_name("early-old.log")))
-                self.log = tail.Log(self.path, self.files, self.most)
+                self.log.sync()
+                self._begin()
                 self.log.append(msgpack.packb(row))
-        except (tail.Failed, OSError) as fault:
-            self.stopped = str(fault)
+        except (tail.Failed, tail.Refused, OSError) as fault:
+            self._stop(fault)
 
     def flush(self):
-        if self.stopped is None:
-            try:
+        """Gives the system what was noted; after a fault, begins anew when that is due."""
+        try:
+            if self.stopped is None:
                 self.log.flush()
-            except tail.Failed as fault:
-                self.stopped = str(fault)
+            elif self.backoff.may_retry(self.now()):
+                self._begin()
+                self.stopped = None
+                self.backoff.succeeded()
+        except (tail.Failed, tail.Refused, OSError) as fault:
+            self._stop(fault)
 
     def close(self):
         if self.log is not None:
--- a/petrelwood/store/history.py
+++ b/petrelwood/store/history.py
@@ -5,18 +5,25 @@
 any byte loses no more than what was noted since the last flush, and what was dropped is said. A file that is
 renamed while its tail still stands is known by the tail's number, so no row counts twice.
 
-A full or failing disk stops the history, never the dispatching: `note` then does nothing and `stopped` tells
-why."""
+A full or failing disk stops the history, never the dispatching: `stopped` tells why. The failed tail is given
+up, as nobody can tell what of it is on the disk; its rows stand in memory, and what is noted meanwhile beside
+them, up to `ROLL` rows. With backoff they become files of that tail's number and a new tail begins."""
 
 import datetime
 import pathlib
 import struct
+import time
 
 import pyarrow
 import pyarrow.parquet
 
+from petrelwood.decide.overload.backoff import Backoff
 from petrelwood.store import tail
 
+FIRST_DELAY = (
+    5_000_000_000  # ns after a fault until the history is attempted again; doubled up to the longest
+)
+LONGEST_DELAY = 300_000_000_000
 ROLL = 50_000  # rows of one file
 GROUP = 256  # rows noted before they are written
 ROW = struct.Struct("<qHHHBIII")
@@ -40,7 +47,17 @@
 class History:
     """`most`: bytes on disk; `keep`: days. Times are wall-clock ns."""
 
-    def __init__(self, folder, most=1 << 30, keep=60, files=None, group=GROUP, roll=ROLL):
+    def __init__(
+        self,
+        folder,
+        most=1 << 30,
+        keep=60,
+        files=None,
+        group=GROUP,
+        roll=ROLL,
+        now=time.monotonic_ns,
+    ):
+        self.now, self.backoff = now, Backoff(FIRST_DELAY, LONGEST_DELAY, lambda: 1.0)
         self.folder, self.most, self.keep, self.files = (
             pathlib.Path(folder),
             most,
@@ -49,22 +66,43 @@
         )
         self.group, self.roll, self.stopped, self.names, self.rows = group, roll, None, {}, []
         self.dropped, self.lost, self.noted, self.log, self.since = 0, 0, 0, None, 0
-        self.folder.mkdir(parents=True, exist_ok=True)
+        self.number, self.opened, self.unremoved = 0, False, []
         try:
             self._open()
-        except (tail.Failed, OSError) as fault:
+        except (tail.Failed, tail.Refused, OSError) as fault:
             self._stop(fault)
 
     def _stop(self, fault):
-        if self.stopped is None:
-            self.stopped = str(fault)
-            self.lost += self.since
+        self.stopped = str(fault)
+        self.backoff.failed(self.now())
+
+    def _recover(self):
+        """After a fault, once that is due: the rows of the tail that failed become files, and a new one
+        begins."""
+        if not self.backoff.may_retry(self.now()):
+            return
+        try:
+            if not self.opened:
+                noted, self.rows, self.names = self.rows, [], {}
+                try:
+                    self._open()
+                finally:
+                    self.rows += noted
+            else:
+                self.log.abandon()
+                self._seal_rows()
+        except (tail.Failed, tail.Refused, OSError) as fault:
+            self._stop(fault)
+            return
+        self.stopped = None
+        self.backoff.succeeded()
 
     def _tails(self):
         return sorted(self.folder.glob("tail-*.log"))
 
     def _open(self):
         """Finds the tail; rows that a file already has are not taken again."""
+        self.folder.mkdir(parents=True, exist_ok=True)
         for part in self.folder.glob("**/*.part"):
             part.unlink()
         done = sealed(self.folder)
@@ -83,6 +121,7 @@
         self.log = tail.Log(self.folder / f"tail-{self.number:08d}.log", self.files)
         self.dropped = self.log.dropped
         self.names, self.rows = replayed(self.log.records)
+        self.opened = True
 
     def _name(self, text):
         number = self.names.get(text)
@@ -94,7 +133,8 @@
     def note(self, at, function, customer, hall, how, waited, took, load):
         """One activation's end; ns, as large as 71 minutes are kept. Cheap: most calls only append to a
         list."""
-        if self.stopped is not None:
+        if self.stopped is not None and len(self.rows) >= 2 * self.roll:
+            self.lost += 1
             return
         row = (
             at,
@@ -109,13 +149,18 @@
         self.rows.append(row)
         self.noted += 1
         self.since += 1
-        if self.since >= self.group:
+        if self.since >= self.group and self.stopped is None:
             self.flush()
 
     def flush(self, sync=False):
-        """Writes what was noted; when enough stands, a file of columns is made of it."""
+        """Writes what was noted; when enough stands, a file of columns is made of it. After a fault the
+        history is begun again when that is due."""
+        if self.stopped is not None:
+            self._recover()
         if self.stopped is not None:
             return
+        if self.unremoved:
+            self._remove_old()
         try:
             if self.since:
                 packed = b"".join(
@@ -136,13 +181,34 @@
     def seal(self):
         """The rows become files, one a day; the tail begins anew."""
         self.log.sync()
-        number = self.number
-        self._write_days(self.rows, number)
-        old, self.number, self.rows, self.names = self.log, number + 1, [], {}
-        self.log = tail.Log(self.folder / f"tail-{self.number:08d}.log", self.files)
-        old.close()
-        self.files.remove(str(old.path))
-        self.retain()
+        self._seal_rows()
+
+    def _seal_rows(self):
+        old = self.log
+        for day in sorted({day_of(row[0]) for row in self.rows}):
+            self._write_days([row for row in self.rows if day_of(row[0]) == day], self.number)
+            # a file of this day and number is enough for a start to pass over the tail's rows of it
+            self.rows = [row for row in self.rows if day_of(row[0]) != day]
+        self.names, self.since = {}, 0
+        self.number += 1
+        path = self.folder / f"tail-{self.number:08d}.log"
+        self.unremoved.append(path)  # unless it can be begun
+        self.log = tail.Log(path, self.files)
+        self.unremoved.remove(path)
+        old.abandon()
+        self.unremoved.append(old.path)
+        self._remove_old()
+
+    def _remove_old(self):
+        """What can't be removed now only takes room; it is tried again."""
+        try:
+            while self.unremoved:
+                if self.unremoved[-1].exists():
+                    self.files.remove(str(self.unremoved[-1]))
+                self.unremoved.pop()
+            self.retain()
+        except OSError:
+            pass
 
     def _write_days(self, rows, number):
         for day in sorted({day_of(row[0]) for row in rows}):
@@ -196,6 +262,8 @@
         try:
             if self.log is not None and self.stopped is None:
                 self.log.close()
+            elif self.log is not None:
+                self.log.abandon()
         except (tail.Failed, OSError) as fault:
             self._stop(fault)
 
--- a/petrelwood/store/snapshot.py
+++ b/petrelwood/store/snapshot.py
@@ -31,6 +31,10 @@
     def open(self, path):
         return os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
 
+    def create(self, path):
+        """A new file that others may read."""
+        return os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o666)
+
 
 def pack(kind, version, value):
     name, body = kind.encode("ascii"), msgpack.packb(value, use_bin_type=True)
@@ -68,7 +72,8 @@
 
 
 def write(path, kind, version, value, files=None):
-    """Puts the value in place of what stood there. Raises `OSError`; the old one then still stands."""
+    """Puts the value in place of what stood there. Raises `OSError`; then either the old one or the new one
+    stands, whole, and which of them after a fall of the machine is not known."""
     files, path = files or Files(), pathlib.Path(path)
     part = path.with_name(path.name + ".part")
     handle = files.open(str(part))
@@ -81,21 +86,28 @@
     files.sync_folder(str(path.parent))
 
 
-def put(path, data, mode=None, durable=False):
+def put(path, data, mode=None, durable=False, files=None):
     """Bytes in place of what stood there, whole or not at all: written beside and renamed. They outlive the
-    process, and with `durable` the machine; what has to be checked when it is read goes by `write`."""
-    path = pathlib.Path(path)
+    process, and with `durable` the machine; what has to be checked when it is read goes by `write`. Raises
+    `OSError`; what was written beside is then removed where that is possible."""
+    files, path = files or Files(), pathlib.Path(path)
     part = path.with_name(f".{path.name}.{os.getpid()}.part")
-    with open(part, "wb") as file:
-        file.write(data)
-        if durable:
-            file.flush()
-            os.fsync(file.fileno())
-    if mode is not None:
-        part.chmod(mode)
-    os.replace(part, path)
+    try:
+        handle = files.create(str(part))
+        try:
+            files.write_all(handle, data)
+            if durable:
+                files.sync(handle)
+        finally:
+            files.close(handle)
+        if mode is not None:
+            part.chmod(mode)
+        files.replace(str(part), str(path))
+    except OSError:
+        part.unlink(missing_ok=True)
+        raise
     if durable:
-        Files().sync_folder(str(path.parent))
+        files.sync_folder(str(path.parent))
 
 
 def read(path, kind, newest, oldest=1):
--- a/petrelwood/store/versions.py
+++ b/petrelwood/store/versions.py
@@ -5,60 +5,88 @@
     folder/7.off     somebody has called it off; what is in it says who and why
     folder/position  how far the log of the configuration servers has been read, where versions come from them
 
-Files are written beside and renamed. Numbers only grow."""
+Files are written beside and renamed. Numbers only grow. What outlives the machine is durable before the
+position that says so: after a fall of the machine nothing that was read is missing.
+"""
 
 import json
+import os
 import pathlib
 
 from petrelwood.decide.cluster.rollout import Announced
-from petrelwood.store.snapshot import put
+from petrelwood.store.errors import VersionUnreadableError
+from petrelwood.store.snapshot import Files, put
 
 POSITION = "position"
-KEPT = 16  # versions that stay in a folder that the configuration servers fill
+MOST_VERSIONS = 16  # that stay in a folder that the configuration servers fill
+SETTINGS, BEGINNING, CALL_OFF = ".kdl", ".json", ".off"  # the endings of a version's files
 
+Folder = str | os.PathLike[str]
 
-def announced(folder):
-    """All announced versions; what can't be read is not one yet."""
-    found, folder = [], pathlib.Path(folder)
-    for path in sorted(folder.glob("*.json")):
+
+def announced(folder: Folder) -> list[Announced]:
+    """All announced versions. What can't be read is not announced yet; a later look may find it."""
+    folder = pathlib.Path(folder)
+    found = []
+    for number in _numbers(folder, BEGINNING):
         try:
-            if path.stem.isdigit() and (folder / f"{path.stem}.kdl").exists():
-                found.append(
-                    Announced(
-                        int(path.stem),
-                        int(json.loads(path.read_text())["begun"]),
-                        (folder / f"{path.stem}.off").exists(),
-                    )
-                )
+            if path_of(folder, number).exists():
+                begun = int(json.loads((folder / f"{number}{BEGINNING}").read_text())["begun"])
+                called_off = (folder / f"{number}{CALL_OFF}").exists()
+                found.append(Announced(number, begun, called_off))
         except (OSError, ValueError, KeyError, TypeError):
             continue
     return found
 
 
-def announce(folder, text, begun):
-    """Puts a version there; its number."""
+def _numbers(folder: pathlib.Path, ending: str) -> list[int]:
+    """The numbers of which a file of this kind stands there, sorted; none if the folder can't be listed."""
+    try:
+        names = [pathlib.Path(name) for name in os.listdir(folder)]
+    except OSError:
+        return []
+    return sorted(int(name.stem) for name in names if name.suffix == ending and name.stem.isdigit())
+
+
+def announce(folder: Folder, text: str, begun: int) -> int:
+    """Announces a version; returns its number. Raises `OSError`; then it is not announced."""
     folder = pathlib.Path(folder)
     folder.mkdir(parents=True, exist_ok=True)
-    number = max([int(p.stem) for p in folder.glob("*.kdl") if p.stem.isdigit()], default=0) + 1
-    put(folder / f"{number}.kdl", text.encode("utf-8"))
-    put(folder / f"{number}.json", json.dumps({"begun": begun}).encode())
+    number = max(_numbers(folder, SETTINGS), default=0) + 1
+    _write(folder, number, text, begun, Files())
     return number
 
 
-def receive(folder, number, text, begun):
-    """Puts a version there that has its number from the configuration servers. It outlives the machine: half
-    of a version would be called off for everyone as one that can't be read."""
+def receive(folder: Folder, number: int, text: str, begun: int, files: Files | None = None) -> None:
+    """Announces a version that has its number from the configuration servers, and forgets the oldest ones.
+
+    It outlives the machine: half of a version would be called off for everyone as one that can't be read.
+    Raises `OSError`; then it is not announced, and may be received again.
+    """
     folder = pathlib.Path(folder)
+    files = files or Files()
     folder.mkdir(parents=True, exist_ok=True)
-    put(folder / f"{number}.kdl", text.encode("utf-8"), durable=True)
-    put(folder / f"{number}.json", json.dumps({"begun": begun}).encode(), durable=True)
-    numbers = sorted(int(path.stem) for path in folder.glob("*.json") if path.stem.isdigit())
-    for old in numbers[:-KEPT]:
-        for ending in ("json", "off", "kdl"):
-            (folder / f"{old}.{ending}").unlink(missing_ok=True)
+    _write(folder, number, text, begun, files)
+    for old in _numbers(folder, BEGINNING)[:-MOST_VERSIONS]:
+        for ending in (BEGINNING, CALL_OFF, SETTINGS):
+            _remove(folder / f"{old}{ending}", files)
+
+
+def _write(folder: pathlib.Path, number: int, text: str, begun: int, files: Files) -> None:
+    put(path_of(folder, number), text.encode("utf-8"), durable=True, files=files)
+    beginning = json.dumps({"begun": begun}).encode()
+    put(folder / f"{number}{BEGINNING}", beginning, durable=True, files=files)
 
 
-def position(folder):
+def _remove(path: pathlib.Path, files: Files) -> None:
+    """What can't be removed now is removed with a later version: it only takes room."""
+    try:
+        files.remove(str(path))
+    except OSError:
+        pass
+
+
+def position(folder: Folder) -> int:
     """How far the log has been read; 0 where that is not known, and all is read again."""
     try:
         return int((pathlib.Path(folder) / POSITION).read_text())
@@ -66,16 +94,35 @@
         return 0
 
 
-def note_position(folder, slot):
-    """Notes how far the log has been read, once all of it is in the folder."""
+def note_position(folder: Folder, slot: int, files: Files | None = None) -> None:
+    """Notes how far the log has been read, once all of it is in the folder. Raises `OSError`."""
     folder = pathlib.Path(folder)
     folder.mkdir(parents=True, exist_ok=True)
-    put(folder / POSITION, str(slot).encode())
+    put(folder / POSITION, str(slot).encode(), files=files)
+
 
+def call_off(folder: Folder, number: int, why: str, files: Files | None = None) -> None:
+    """Calls a version off for all that read the folder. Raises `OSError`.
 
-def call_off(folder, number, why):
-    put(pathlib.Path(folder) / f"{number}.off", why.encode("utf-8"))
+    It outlives the machine: the position that follows it may, and then nobody would ask for it again.
+    """
+    put(pathlib.Path(folder) / f"{number}{CALL_OFF}", why.encode("utf-8"), durable=True, files=files)
 
 
-def path_of(folder, number):
-    return pathlib.Path(folder) / f"{number}.kdl"
+def path_of(folder: Folder, number: int) -> pathlib.Path:
+    """Where the settings of a version stand."""
+    return pathlib.Path(folder) / f"{number}{SETTINGS}"
+
+
+def require_readable(folder: Folder, number: int) -> pathlib.Path:
+    """Where the settings of a version stand, once the folder gives them.
+
+    Raises `VersionUnreadableError` where it does not: a version is called off for what it says, never for the
+    fault of one folder.
+    """
+    path = path_of(folder, number)
+    try:
+        path.read_bytes()
+    except OSError as error:
+        raise VersionUnreadableError(f"{path} can't be read: {error.strerror or error}") from error
+    return path
--- a/tests/test_version_watch.py
+++ b/tests/test_version_watch.py
@@ -134,12 +134,12 @@
     def test_versions_and_the_position_outlive_the_process_and_are_bounded(self):
         with tempfile.TemporaryDirectory() as folder:
             self.assertEqual(versions.position(folder), 0)
-            for number in range(1, 3 * versions.KEPT):
+            for number in range(1, 3 * versions.MOST_VERSIONS):
                 versions.receive(folder, number, f"text {number}", WALL + number)
             versions.note_position(folder, 200)
             known = versions.announced(folder)
-            self.assertEqual(len(known), versions.KEPT)
-            self.assertEqual(max(a.number for a in known), 3 * versions.KEPT - 1)
+            self.assertEqual(len(known), versions.MOST_VERSIONS)
+            self.assertEqual(max(a.number for a in known), 3 * versions.MOST_VERSIONS - 1)
             self.assertEqual(versions.position(folder), 200)
             (path := versions.path_of(folder, 0).with_name(versions.POSITION)).write_text("no number")
             self.assertEqual(versions.position(path.parent), 0)
@@ -158,11 +158,11 @@
             for fails_at in range(4):  # each file of it in turn can't be written
                 calls = [0]
 
-                def put(path, data, mode=None, durable=False, calls=calls, fails_at=fails_at):
+                def put(path, data, mode=None, durable=False, files=None, calls=calls, fails_at=fails_at):
                     calls[0] += 1
                     if calls[0] > fails_at:
                         raise OSError("no space left")
-                    snapshot.put(path, data, mode, durable)
+                    snapshot.put(path, data, mode, durable, files)
 
                 with patch.object(versions, "put", put):
                     follower._apply("127.0.0.1:1", answer)
