--- a/petrelwood/control/server.py
+++ b/petrelwood/control/server.py
@@ -6,6 +6,7 @@
 
 import asyncio
 import pathlib
+import secrets
 import signal
 import time
 from random import Random
@@ -64,7 +65,7 @@
         self.chance = Random(name).random
         self.peers = {peer: RpcClient(address, messages.MOST) for peer, address in peers.items()}
         self.servers = (name, *peers)
-        self.proposer = log.Proposer(f"{name}.{time.time_ns():x}")
+        self.proposer = log.Proposer(f"{name}.{secrets.token_hex(8)}")
         self.lock, self.waiting, self.streams, self.tasks = asyncio.Lock(), 0, set(), set()
         self.keep()
 
--- a/petrelwood/decide/cluster/membership.py
+++ b/petrelwood/decide/cluster/membership.py
@@ -14,7 +14,7 @@
 
 from petrelwood import ports
 from petrelwood.decide.overload.backoff import Backoff
-from petrelwood.decide.wall_clock import UnsteppedWallClock
+from petrelwood.decide.wall_clock import FOLLOWED, UnsteppedWallClock
 
 # A list heard now may lack a worker that started up to this much earlier (ns): an age beyond it is an error
 # of the clocks, one within it is news that came late.
@@ -78,6 +78,21 @@
         self.backoff.succeeded()
         return was
 
+    def clock_was(self, ahead, now):
+        """An earlier process on this start of the machine had a wall clock that was ahead of the monotonic
+        one by `ahead` only. Either may have been wrong: workers are as old as the lesser of the two says.
+        What changes by it, as `whole` lists it."""
+        clock = self.platform_clock
+        off = 0 if clock.ahead is None else clock.ahead - ahead
+        if clock.ahead is None or off > 0:
+            clock.ahead = ahead
+        listed = []
+        for member in self.members.values() if off > FOLLOWED else ():
+            if member.booted:
+                member.booted = min(now, member.booted + off) or 1
+                listed.append(_listed(member))
+        return listed
+
     def confirmed(self, now):
         """What the roster has said so far is all that there was to say at `now`: the list that we have is
         complete as of then."""
@@ -123,9 +138,7 @@
                 member.told = now
                 leaving.append(entry.worker)
             member.entry = entry
-            listed.append(
-                ports.Listed(entry.worker, entry.zone, entry.cell, member.booted, entry.state == USABLE)
-            )
+            listed.append(_listed(member))
             if entry.state == GONE:
                 self._remove(entry.worker)
         self.complete_at = now
@@ -162,6 +175,11 @@
         return member.entry.address if member else None
 
 
+def _listed(member):
+    entry = member.entry
+    return ports.Listed(entry.worker, entry.zone, entry.cell, member.booted, entry.state == USABLE)
+
+
 def entry(raw):
     """An `Entry` of what a roster sent; ValueError tells what is wrong with it."""
     if not isinstance(raw, dict):
--- a/petrelwood/decide/delivery/ledger.py
+++ b/petrelwood/decide/delivery/ledger.py
@@ -11,7 +11,12 @@
 of their own: the oldest are dropped first, and then only the fact is known.
 
 A ledger that began empty can't tell a replay of what an earlier life answered. It takes only what was signed
-since it began: a client that is told to come back signs anew."""
+since it began: a client that is told to come back signs anew.
+
+How long an id is remembered is a span of our own clock. The tolerance of timestamps is one of the wall clock,
+so one that is stepped back lets in timestamps of ids that are forgotten by then. What must not run twice is
+therefore taken only with a timestamp newer than all that were forgotten; no sender within the tolerance of a
+clock that is not stepped comes near them."""
 
 from collections import OrderedDict, deque
 
@@ -49,6 +54,7 @@
             remember,
         )
         self.began = began // SECOND * SECOND  # wall clock; timestamps are whole seconds
+        self.newest_forgotten = 0  # the newest timestamp of an id that is not remembered any more
         self.entries, self.kept, self.held = {}, OrderedDict(), 0
         self.ends = deque()  # (until, key), in the order of coming: pruned from the front
         self.counts = {
@@ -80,7 +86,26 @@
                 entry.state, entry.sent = ABORTED, True
 
     def _until(self, now, wall, stamp, type_name):
-        return now + max(self.remember[type_name], stamp - wall + 2 * self.tolerance)
+        # the check of the tolerance has let it in, so what is ahead by more is a step since then
+        ahead = min(stamp - wall, self.tolerance)
+        return now + max(self.remember[type_name], ahead + 2 * self.tolerance)
+
+    def forgets(self, stamp):
+        """An id with this timestamp is not remembered here."""
+        if stamp > self.newest_forgotten:
+            self.newest_forgotten = stamp
+
+    def earliest(self, type_name):
+        """The earliest timestamp that an id which is not known may have."""
+        if self.types[type_name].effect == ports.REPEATABLE:
+            return self.began
+        return max(self.began, self.newest_forgotten + 1)
+
+    def next_stamp(self, key, type_name, wall):
+        """The timestamp of what comes from a sender that signs none: newer than all that it is compared
+        with."""
+        entry = self.entries.get(key)
+        return max(wall, self.earliest(type_name) if entry is None else entry.stamp + 1)
 
     def prune(self, now, at_most=64):
         """Forgets what may be forgotten: a few at each call, so that no one call is long."""
@@ -96,6 +121,7 @@
                 continue
             self._drop_body(key, entry)
             del self.entries[key]
+            self.forgets(entry.stamp)
 
     def ask(self, now, wall, key, stamp, type_name):
         """(verdict, entry) for a request that is signed rightly and inside the tolerance."""
@@ -107,7 +133,7 @@
     def _ask(self, now, wall, key, stamp, type_name):
         entry = self.entries.get(key)
         if entry is None:
-            if stamp < self.began:
+            if stamp < self.began or stamp <= self.newest_forgotten and stamp < self.earliest(type_name):
                 return BEFORE, None
             if len(self.entries) >= self.most:
                 return FULL, None
--- a/petrelwood/decide/delivery/recovery.py
+++ b/petrelwood/decide/delivery/recovery.py
@@ -6,8 +6,14 @@
 against the ration of this life. What a cold worker was sent in the window that the restart fell into is not
 known, so it gets nothing for one window.
 
-Wall clocks are doubted: a clock that went back, or records from ahead of it, close every window of
-deduplication and keep ids for their whole time from now on."""
+Records carry wall-clock times, which span real time only as far as the clock is known:
+
+- Of an earlier life on the same start of the machine all spans are exact: each life names the machine's start
+  together with its offset from the monotonic clock (`boot_mark`), which runs on from one process to the next.
+- Of a life before the machine started anew only the order is known: its records count as no older than the
+  first life after them, and its windows of deduplication as closed.
+- Logs of builds that kept no offset are read by the wall clock. One that went back, or records from ahead of
+  it, close every window of deduplication and keep ids for their whole time from now on."""
 
 import operator
 from typing import NamedTuple
@@ -21,67 +27,124 @@
 BACK = SECOND  # a wall clock this much behind the last record has gone back
 
 
+def boot_mark(name, epoch):
+    """What names the machine's start in the log: the system's name for it, and what our wall clock is ahead
+    of the monotonic one."""
+    return f"{name} {epoch}" if name else ""
+
+
+def _parsed(mark):
+    """(name, epoch) of a `boot_mark`; epoch None where a build before this one wrote it."""
+    name, _, epoch = mark.partition(" ")
+    return name, int(epoch) if epoch.lstrip("-").isdigit() else None
+
+
 class PastActivation:
-    """One id that an earlier life had. Times are wall-clock ns; `outcome` of `ledger`, or RUNNING: none was
-    kept."""
+    """One id that an earlier life had. Times are those of `RecoveredState`; `ahead`: how far its newest
+    timestamp was ahead of the clock that took it; `outcome` of `ledger`, or RUNNING: none was kept."""
 
-    __slots__ = ("key", "stamp", "type", "first", "last", "outcome", "sent", "body")
+    __slots__ = ("key", "stamp", "ahead", "type", "first", "last", "outcome", "sent", "body")
 
-    def __init__(self, key, stamp, type_, first, last, sent):
-        self.key, self.stamp, self.type, self.first, self.last = key, stamp, type_, first, last
+    def __init__(self, key, stamp, ahead, type_, first, last, sent):
+        self.key, self.stamp, self.ahead = key, stamp, ahead
+        self.type, self.first, self.last = type_, first, last
         self.outcome, self.sent, self.body = RUNNING, sent, None
 
 
 class RecoveredState(NamedTuple):
-    """What the records come to."""
+    """What the records come to. Times are ns of this life's wall clock, but `began`: that is compared with
+    the senders' timestamps, and stays as it was written."""
 
     ids: dict  # key -> PastActivation
-    orders: list  # wall-clock ns, the newest last
+    orders: list  # when they went out, the newest last
     began: int  # from when on nothing can be missing; 0: this life's own start
     last: int  # the newest record's time
     in_order: bool  # the last life ended owing nothing
     clock_back: bool
     same_machine_start: bool
+    least_epoch: int | None  # of the lives on this start of the machine and of this one; None: not known
+
+
+class _Block(NamedTuple):
+    """Records that one clock stamped, by their places, and how their times are read: `shift` is added; or
+    all count as of `youngest`, where that is not None: the machine has started anew since."""
+
+    begin: int
+    end: int
+    shift: int
+    youngest: int | None
+
+
+def _blocks(records, wall, boot):
+    """The records by the clocks that stamped them."""
+    name, epoch = _parsed(boot)
+    begins = [index for index, record in enumerate(records) if record[0] == LIFE]
+    if not begins or begins[0]:
+        begins.insert(0, 0)
+    found, end, bound = [], len(records), wall
+    for begin in reversed(begins):
+        its_name, its_epoch = name, None
+        if begin < end and records[begin][0] == LIFE:
+            its_name, its_epoch = _parsed(records[begin][2])
+        if its_name != name:
+            found.append(_Block(begin, end, 0, bound))
+        else:
+            shift = epoch - its_epoch if epoch is not None and its_epoch is not None else 0
+            found.append(_Block(begin, end, shift, None))
+            if begin < end:
+                bound = min(bound, records[begin][1] + shift)
+        end = begin
+    return reversed(found)
 
 
 def replay(records, wall, boot, durable):
-    """`records` as `store.state` has them, `boot` the machine's present start, `durable` whether each was on
-    the disk before its effect went out."""
+    """`records` as `store.state` has them, `boot` the mark of the machine's present start, `durable` whether
+    each was on the disk before its effect went out."""
     ids, orders, began, last, closed, boots = {}, [], None, 0, True, set()
-    epoch, running = None, set()
-    for record in records:
-        kind, at = record[0], record[1]
-        last, closed = max(last, at), kind == CLOSE
-        if kind == LIFE:
-            boots.add(record[2])
-            # another life: what the one before left open stays open
-            if record[3] != epoch:
-                epoch = record[3]
-                for key in running:
-                    ids[key].outcome, ids[key].sent = ABORTED, True
-                running = set()
-            began = at if began is None else began
-        elif kind == TAKE:
-            _, _, customer, id_, stamp, type_ = record
-            key = (customer, id_)
-            old = ids.get(key)
-            ids[key] = PastActivation(
-                key, stamp, type_, old.first if old and old.sent else at, at, old.sent if old else False
-            )
-            running.add(key)
-        elif kind == END:
-            _, _, customer, id_, outcome, sent, body = record
-            old = ids.get((customer, id_))
-            if old is not None:
-                old.outcome, old.sent, old.body, old.last = outcome, old.sent or sent, body, at
-                running.discard(old.key)
-        elif kind == ORDER:
-            orders += [at] * record[4]
-    same = boots <= {boot}
+    epoch, running, epochs = None, set(), []
+    for block in _blocks(records, wall, boot):
+        for record in records[block.begin : block.end]:
+            kind, written = record[0], record[1]
+            at = written + block.shift if block.youngest is None else block.youngest
+            last, closed = max(last, at), kind == CLOSE
+            if kind == LIFE:
+                name, its_epoch = _parsed(record[2])
+                boots.add(name)
+                if block.youngest is None and its_epoch is not None:
+                    epochs.append(its_epoch)
+                # another life: what the one before left open stays open
+                if record[3] != epoch:
+                    epoch = record[3]
+                    for key in running:
+                        ids[key].outcome, ids[key].sent = ABORTED, True
+                    running = set()
+                began = written if began is None else began
+            elif kind == TAKE:
+                _, _, customer, id_, stamp, type_ = record
+                key = (customer, id_)
+                old = ids.get(key)
+                first = at if block.youngest is None else NEVER
+                if old and old.sent:
+                    first = old.first
+                ids[key] = PastActivation(
+                    key, stamp, stamp - written, type_, first, at, old.sent if old else False
+                )
+                running.add(key)
+            elif kind == END:
+                _, _, customer, id_, outcome, sent, body = record
+                old = ids.get((customer, id_))
+                if old is not None:
+                    old.outcome, old.sent, old.body, old.last = outcome, old.sent or sent, body, at
+                    running.discard(old.key)
+            elif kind == ORDER:
+                orders += [at] * record[4]
+    name, its_epoch = _parsed(boot)
+    same = boots <= {name}
+    least = None if its_epoch is None else min([its_epoch, *epochs])
     back = bool(last) and wall < last - BACK
     # After the machine itself fell, the last records may be gone unless each was on the disk first.
     whole = began is not None and (same or durable) and not back
-    return RecoveredState(ids, orders, began if whole else 0, last, closed, back, same)
+    return RecoveredState(ids, orders, began if whole else 0, last, closed, back, same, least)
 
 
 def fill(ledger, found, now, wall, types, remember, tolerance, elsewhere=False):
@@ -93,11 +156,17 @@
         if known.type not in types:
             continue
         age = 0 if found.clock_back else max(0, wall - known.last)
-        until = now - age + max(remember[known.type], known.stamp - known.last + 2 * tolerance)
+        until = now - age + max(remember[known.type], min(known.ahead, tolerance) + 2 * tolerance)
         here = ledger.entries.get(key)
-        if until > now and (here is None or here.state != RUNNING):
+        if here is not None and here.state == RUNNING:
+            continue
+        if until > now:
             rows.append((until, key, known))
+        elif here is None:
+            ledger.forgets(known.stamp)
     rows.sort(key=operator.itemgetter(0, 1))
+    for _, _, known in rows[: -ledger.most]:
+        ledger.forgets(known.stamp)
     for until, key, known in rows[-ledger.most :]:
         running = known.outcome == RUNNING
         first = NEVER if found.clock_back else now - (wall - known.first)
--- a/petrelwood/decide/overload/intake.py
+++ b/petrelwood/decide/overload/intake.py
@@ -55,9 +55,9 @@
 
 
 def wall_after(ledger, ask):
-    """How far a request's timestamp lies before the ledger's beginning, ns: its sender's clock may be
-    behind."""
-    return ledger.began - ask.stamp
+    """How far a request's timestamp lies before the earliest that the ledger takes, ns: its sender's clock
+    may be behind."""
+    return ledger.earliest(ask.type) - ask.stamp
 
 
 class Intake:
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -50,6 +50,7 @@
             link,
         )
         self.now, self.limits, self.terms, start = clock.now, gateway.limits, gateway.terms, clock.now()
+        self.record_epoch = clock.steady_wall() - start  # what records' times are ahead of `now`
         self.chance = chance
         self.ledger, self.intake, prefix = self._stages()
         self.pending = PendingActivations(self.intake, self.ledger, prefix)
@@ -91,13 +92,19 @@
             wall,
         )
         intake = Intake(self.limits, gateway.timeouts, self.terms, ledger, self.chance.random, gateway.damps)
-        return ledger, intake, f"{self.name}-{wall // 1000:x}-"
+        # Two processes may begin at the same wall-clock time, as that clock may be stepped back, but not at
+        # the same monotonic time on one start of the machine.
+        return ledger, intake, f"{self.name}-{wall // 1000:x}-{self.now() // 1000:x}-"
+
+    def record_time(self):
+        """The wall-clock time as the state log has it: without steps since this process began."""
+        return self.now() + self.record_epoch
 
     # What an earlier life left, and what is kept of this one.
     def adopt(self, state, elsewhere=False):
         """Goes on from what earlier lives left. `state` as `store.state.StateLog`: `found`, `add`, `flush`,
         `stopped`, `durability`, `boot`. `elsewhere`: the life before still finishes what it took."""
-        now, wall, self.state = self.now(), self.clock.wall(), state
+        now, wall, self.state = self.now(), self.record_time(), state
         found = recovery.replay(self.state.found, wall, self.state.boot, self.state.durability == "machine")
         known = recovery.fill(
             self.ledger,
@@ -115,6 +122,10 @@
         if self.returning.begins_low and self.gateway.damps and not elsewhere:
             self.intake.concurrency_limit.begin(now)
         self.state.found = []
+        if found.least_epoch is not None:
+            younger = self.membership.clock_was(found.least_epoch, now)
+            if younger:
+                self.soon(self._listed, younger, [], False)
         if found.last:
             self.log.info(
                 "state found",
@@ -147,14 +158,14 @@
     def take_back(self):
         """The one that followed has failed: what it took is known from its log, and this one takes again."""
         if self.state is not None:
-            self.state.renew(self.clock.wall())
+            self.state.renew(self.record_time())
             self.adopt(self.state)
         self.intake.closing, self.retired, self.hears_end = False, False, None
 
     def heard_end(self, customer, id_, outcome, sent, body):
         """The process before this one has finished an activation of its own."""
         if self.ledger.heard((customer, id_), outcome, sent, body) and self.state is not None:
-            self.state.add(recovery.END, self.clock.wall(), customer, id_, outcome, sent, body)
+            self.state.add(recovery.END, self.record_time(), customer, id_, outcome, sent, body)
 
     def old_is_gone(self):
         self.ledger.nobody_elsewhere()
@@ -166,7 +177,7 @@
         """Notes a new activation; whether it may be told to the module at once. What must not run twice waits
         until its id is kept, and is turned away where it can't be."""
         self.state.add(
-            recovery.TAKE, self.clock.wall(), *act.key, self.ledger.entries[act.key].stamp, act.type
+            recovery.TAKE, self.record_time(), *act.key, self.ledger.entries[act.key].stamp, act.type
         )
         if not recovery.kept_first(self.terms.types[act.type].effect):
             return True
@@ -208,7 +219,7 @@
         if self.hears_end is not None:
             self.hears_end(*act.key, outcome, act.sends > 0, kept)
         if self.state is not None:
-            self.state.add(recovery.END, self.clock.wall(), *act.key, outcome, act.sends > 0, kept)
+            self.state.add(recovery.END, self.record_time(), *act.key, outcome, act.sends > 0, kept)
 
     def _begin_early(self, terms):
         calendar = Calendar(terms.slot, terms.season, terms.week, terms.events)
@@ -242,7 +253,7 @@
             )
             self.storm_changed(name, on)
         if self.state is not None:
-            self.state.tend(self.clock.wall())
+            self.state.tend(self.record_time())
         self.clock.at(self.now() + LOOK, self._look)
 
     def storm_changed(self, name, on):
@@ -252,7 +263,7 @@
         if self.intake.storms.on("cold") or self.intake.concurrency_limit.holds_back:
             return  # guesses wait until what is asked for can be served
         orders = self.terms.orders
-        self.early.turn(self.now(), self.clock.wall(), 1e9 if not orders.period else orders.free)
+        self.early.turn(self.now(), self.clock.steady_wall(), 1e9 if not orders.period else orders.free)
 
     def apply(self, gateway):
         """A new version of the settings, of which all can act at once: customers' keys, functions, limits.
@@ -353,7 +364,9 @@
             self.touched.add(act.id)
             self._arm()
             if self.early is not None:
-                self.early.called(now, self.clock.wall(), function, rule.lanes, rule.load_time, ask.type)
+                self.early.called(
+                    now, self.clock.steady_wall(), function, rule.lanes, rule.load_time, ask.type
+                )
             if self.state is None or self._keep(act):
                 self._begin(act)
         else:
@@ -451,7 +464,7 @@
                 self.early.missed(now, owed.fn, worker)
         if self.note is not None and code == ports.COMPLETED:
             self.note(
-                self.clock.wall(),
+                self.clock.steady_wall(),
                 owed.fn,
                 owed.customer,
                 self.terms.zone,
@@ -555,7 +568,7 @@
             return
         # before it goes out: it counts against the next life's ration
         if self.state is not None:
-            self.state.add(recovery.ORDER, self.clock.wall(), worker, fn, copies)
+            self.state.add(recovery.ORDER, self.record_time(), worker, fn, copies)
             self.state.flush()
         self.counts["orders"] += 1
         link.hold(fn, rule.lanes, copies)
--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -8,6 +8,7 @@
 
 from petrelwood.brain import Brain
 from petrelwood.clocks import LoopClock
+from petrelwood.decide.delivery import recovery
 from petrelwood.dispatch.core import Core
 from petrelwood.links.roster import RosterLink
 from petrelwood.links.worker import WorkerLink
@@ -76,12 +77,13 @@
         terms, longest = self.gateway.state, max(self.gateway.remember.values()) + 2 * self.gateway.tolerance
         if terms is None:
             return
+        mark = recovery.boot_mark(boot(), self.record_epoch)
         # hundreds of thousands of records are made, and all of them stay
         gc.disable()
         try:
             self.adopt(
                 StateLog(
-                    terms.folder, self.clock.wall(), boot(), longest, terms.durability, now=self.clock.now
+                    terms.folder, self.record_time(), mark, longest, terms.durability, now=self.clock.now
                 ),
                 elsewhere,
             )
@@ -114,7 +116,7 @@
             self.log.info("forecasts read", functions=self.early.forecast.restore(found[1]))
 
     def _early_ended(self, now, early, end, seconds, memory):
-        off = self.clock.wall() - now
+        off = self.clock.steady_wall() - now
         self.ends.note(
             early.asked + off,
             early.stood and early.stood + off,
@@ -218,7 +220,7 @@
         if self.history is not None:
             self.history.close()
         if self.state is not None:
-            self.state.close(self.clock.wall())
+            self.state.close(self.record_time())
         if self.ends is not None:
             self.ends.close()
             self._write_forecasts(list(self.early.forecast.dump()))
--- a/petrelwood/emulate/disk.py
+++ b/petrelwood/emulate/disk.py
@@ -5,11 +5,11 @@
 class Disk:
     """One life's view of the records."""
 
-    stopped, durability, boot = None, "process", "emulated"
+    stopped, durability = None, "process"
 
-    def __init__(self, records, wall):
-        self.found, self.records = list(records), records
-        records.append(["life", wall, self.boot, 1, 1])
+    def __init__(self, records, wall, boot, epoch):
+        self.found, self.records, self.boot = list(records), records, boot
+        records.append(["life", wall, boot, epoch, 1])
 
     def add(self, *record):
         self.records.append(list(record))
--- a/petrelwood/emulate/platform.py
+++ b/petrelwood/emulate/platform.py
@@ -10,6 +10,7 @@
 from petrelwood.brain import Brain
 from petrelwood.clocks import VirtualClock
 from petrelwood.decide.cluster import membership
+from petrelwood.decide.delivery import recovery
 from petrelwood.decide.wall_clock import UnsteppedWallClock
 from petrelwood.dispatch.core import Core
 from petrelwood.emulate import script
@@ -42,8 +43,8 @@
 class LifeClock:
     """The clock of one dispatcher's life: what a dead one had asked for does not happen."""
 
-    def __init__(self, clock):
-        self.clock, self.alive, self.now, self.step = clock, True, clock.now, 0
+    def __init__(self, clock, step=0):
+        self.clock, self.alive, self.now, self.step = clock, True, clock.now, step
         self.unstepped = UnsteppedWallClock()
         self.steady_wall()
 
@@ -94,6 +95,8 @@
         self.entries = {name: self._entry(name, membership.USABLE) for name in self.nodes}
         self.disks = {}  # what each dispatcher has kept, over its lives
         self.cores, self.lives, self.halls, self.known = {}, {}, {}, {}
+        # what each dispatcher's wall clock is stepped by; when the roster was last heard anew
+        self.steps, self.roster_back = dict.fromkeys(day.dispatchers, 0), 0
         self.open_tries, self.by_hall, self.dead = collections.defaultdict(dict), {}, {}
         for number, name in enumerate(day.dispatchers):
             self.halls[name] = day.halls[number % len(day.halls)]
@@ -197,9 +200,16 @@
         self.saw(
             "told", who="roster", to=name, kind="change", entries=[(entry.worker, entry.state, entry.booted)]
         )
+        self._comments(core, now)
         listed, leaving = core.membership.change(f"e-{number}", [entry], now, core.clock.wall())
         core.listed(listed, leaving, False)
 
+    def _comments(self, core, now):
+        """The roster's stream carries a comment each second, the last of which came before this."""
+        last = now // SECOND * SECOND
+        if last > self.roster_back + 50 * MS:  # what was held back is told first
+            core.membership.confirmed(max(last, core.membership.complete_at or 0))
+
     def _asks(self, name, life):
         """A dispatcher asks for the list. Askings are served one after the other; one that would wait too
         long fails."""
@@ -254,8 +264,9 @@
             seed=self.seed * 1000 + number,
             terms=self.gateway.terms._replace(zone=self.halls[name]),
         )
-        disk = Disk(self.disks.setdefault(name, []), self.clock.wall()) if self.day.state else None
-        self.cores[name] = self.make_core(described, LifeClock(self.clock), Random(described.seed), disk)
+        clock = LifeClock(self.clock, self.steps[name])
+        disk = self._disk(name, clock) if self.day.state else None
+        self.cores[name] = self.make_core(described, clock, Random(described.seed), disk)
         if self.ends is not None:
             self._account_of(self.cores[name])
         if self.future is not None:
@@ -267,6 +278,14 @@
         if self.day.ask_every:
             self.after(int(self.day.ask_every * self.ways.uniform()), self._asks, name, self.lives[name])
 
+    def _disk(self, name, clock):
+        mark = recovery.boot_mark(self.machine_start(name), clock.wall() - clock.now())
+        return Disk(self.disks.setdefault(name, []), clock.wall(), mark, self.lives[name])
+
+    def machine_start(self, name):
+        """What names the start of a dispatcher's machine: it goes on over the dispatcher's lives."""
+        return "emulated"
+
     def make_core(self, described, clock, chance, disk):
         """A dispatcher of the settings `described`, with links to this platform's workers."""
 
@@ -391,6 +410,7 @@
 
     def _roster_back(self):
         self.closed, news, self.news = False, self.news, []
+        self.roster_back = self.clock.now()
         for entry in news:
             self._told(entry)
 
@@ -487,9 +507,11 @@
         self._span(t, lambda: self.cuts.add(pair), lambda: self.cuts.discard(pair))
 
     def _on_clock_step(self, t, nodes):
-        core = self.cores.get(t.what["dispatcher"])
-        if core is not None:
-            core.clock.step += t.what["by"]
+        """It is the machine's clock: a dispatcher that starts there later has it too."""
+        name = t.what["dispatcher"]
+        self.steps[name] += t.what["by"]
+        if name in self.cores:
+            self.cores[name].clock.step = self.steps[name]
 
     def _on_kill(self, t, nodes):
         self._kill(t.what["dispatcher"], t.what["down"])
--- a/petrelwood/fronts/mqtt.py
+++ b/petrelwood/fronts/mqtt.py
@@ -6,7 +6,6 @@
 it runs, in the intake that all fronts share."""
 
 import asyncio
-import time
 from collections import OrderedDict, deque
 
 import orjson
@@ -293,8 +292,11 @@
         type_, wait = rule.type, packet.props.get("message_expiry", 0) * SECOND
         if "message_expiry" in packet.props and not wait:
             wait = 1  # it has expired on its way
-        self.number, self.stamp = self.number + 1, max(self.stamp + 1, time.time_ns())
+        self.number += 1
         id_ = mqtt_topics.identity(response, packet.props.get("correlation_data"), self.client, self.number)
+        # nobody signs it: it only has to be newer than what came before, whatever the wall clock does
+        newer = core.ledger.next_stamp((self.customer, id_), type_, core.clock.steady_wall())
+        self.stamp = max(self.stamp + 1, newer)
         ask = intake.Ask(self.customer, id_, self.stamp, type_, now, wait)
         terms = core.terms.types[type_]
         message = Message(
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -2,27 +2,48 @@
 spans of real time stay what they are."""
 
 import asyncio
+import functools
 import itertools
 import pathlib
+import random
 import tempfile
 import time
 import types
 import unittest
 from unittest import mock
 
-from petrelwood import clocks
+import rig
+import test_mqtt
+
+from petrelwood import clocks, ports
+from petrelwood.audit import rules
+from petrelwood.control.server import ConfigurationServer
 from petrelwood.decide.cluster.membership import DEPARTED, GONE, NEWS_DELAY, USABLE, Entry, Membership
-from petrelwood.decide.cluster.replicated_log import VERSION, Record
+from petrelwood.decide.cluster.replicated_log import VERSION, Record, Replica
 from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announced, Rollout, turn
 from petrelwood.decide.cluster.version_watch import VersionWatch
+from petrelwood.decide.delivery import ledger as ids
+from petrelwood.decide.delivery import recovery
+from petrelwood.decide.forecasting.forecast import Calendar, Forecast
 from petrelwood.decide.wall_clock import FOLLOWED, UnsteppedWallClock
 from petrelwood.dispatch.serve import Serving
+from petrelwood.emulate import script
+from petrelwood.emulate.platform import Platform
 from petrelwood.store import versions
+from petrelwood.store.state import StateLog
 
 S, MS = 1_000_000_000, 1_000_000
 HOUR, WALL = 3600 * S, 1_700_000_000 * S
 STEPS = (HOUR, -HOUR, 5 * S, -5 * S)
 LATE = 1000 * S  # on the monotonic clock, when the moment of a test begins
+TOLERANCE, REMEMBERED, WINDOW = 300 * S, 600 * S, 20 * S
+TYPES = {
+    "again": ports.NamespaceType(S, ports.REPEATABLE, "all", 0),
+    "all": ports.NamespaceType(S, ports.DEDUPLICATED, "all", WINDOW),
+    "once": ports.NamespaceType(S, ports.ONCE_ONLY, "all", 0),
+}
+REMEMBER = dict.fromkeys(TYPES, REMEMBERED)
+ONCE, KEY = "once", ("x", "m1")
 
 
 def entry(worker, booted=0, state=USABLE):
@@ -221,3 +242,278 @@
             )
             (version,) = watch.answered("c1", extract, 0, WALL)
             self.assertEqual(version.begun, WALL)
+
+
+class Ids(unittest.TestCase):
+    """Rule 2: how long an id is remembered is a span of our own clock."""
+
+    def ledger(self):
+        return ids.Ledger(10_000, 10_000, TOLERANCE, TYPES, REMEMBER)
+
+    def test_a_step_after_the_check_of_a_timestamp_lengthens_nothing(self):
+        ledger = self.ledger()
+        _, entry = ledger.ask(LATE, WALL - HOUR, KEY, WALL, ONCE)
+        self.assertEqual(entry.until, LATE + 3 * TOLERANCE)
+        _, entry = ledger.ask(LATE, WALL + HOUR, ("x", "m2"), WALL, ONCE)
+        self.assertEqual(entry.until, LATE + REMEMBERED)
+
+    def test_what_is_played_back_after_a_step_to_before_it_was_forgotten(self):
+        for type_, verdict in ((ONCE, ids.BEFORE), ("all", ids.BEFORE), ("again", ids.RUN)):
+            ledger = self.ledger()
+            ledger.ask(LATE, WALL, KEY, WALL, type_)
+            ledger.ended(KEY, ids.COMPLETED, b"{}", True)
+            now = LATE + HOUR
+            ledger.prune(now)
+            self.assertEqual(ledger.entries, {})
+            # the clock is back at the time of the first request: its timestamp is within the tolerance
+            self.assertEqual(ledger.ask(now, WALL, KEY, WALL, type_)[0], verdict)
+            self.assertEqual(ledger.ask(now, WALL, ("x", "m2"), WALL + 1, type_)[0], ids.RUN)
+
+    def test_no_honest_sender_is_turned_away_where_no_clock_is_stepped(self):
+        ledger, chance, now = self.ledger(), random.Random(5), LATE
+        for number in range(5000):
+            now += int(chance.expovariate(2) * S)
+            wall = WALL + now
+            stamp = wall + chance.randint(-TOLERANCE, TOLERANCE)
+            verdict, _ = ledger.ask(now, wall, ("x", f"m{number}"), stamp, chance.choice(list(TYPES)))
+            self.assertEqual(verdict, ids.RUN)
+            ledger.ended(("x", f"m{number}"), ids.COMPLETED, b"", True)
+        self.assertGreater(ledger.newest_forgotten, 0)
+
+    def test_what_nobody_signs_is_newer_than_all_that_is_known(self):
+        ledger = self.ledger()
+        ledger.ask(LATE, WALL, KEY, WALL, ONCE)
+        self.assertEqual(ledger.next_stamp(KEY, ONCE, WALL - HOUR), WALL + 1)
+        ledger.ended(KEY, ids.COMPLETED, b"{}", True)
+        ledger.prune(LATE + HOUR)
+        self.assertEqual(ledger.next_stamp(KEY, ONCE, WALL - HOUR), WALL + 1)
+        self.assertEqual(ledger.next_stamp(KEY, ONCE, WALL + HOUR), WALL + HOUR)
+
+
+class Restarts(unittest.TestCase):
+    """What an earlier process wrote, read by one that begins after a step."""
+
+    GUARANTEES = ports.Guarantees(S, 8 * S, 0.25, 2.5, S)
+    ORDERS = ports.LoadOrders(True, True, 8 * S, 6, 0.4, 5 * S)
+
+    def setUp(self):
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        self.folder, self.now = pathlib.Path(folder.name), LATE
+
+    def log(self, step, machine="b1", marked=True):
+        """The log of a process that begins now, on a wall clock stepped by `step`."""
+        self.epoch = WALL + step
+        mark = recovery.boot_mark(machine, self.epoch) if marked else machine
+        return StateLog(self.folder, self.now + self.epoch, mark, REMEMBERED + 2 * TOLERANCE)
+
+    def first_life(self):
+        """Writes one id of each type that may have run, and four orders a second apart."""
+        log = self.log(0)
+        for type_ in TYPES:
+            log.add(recovery.TAKE, self.now + WALL, "x", type_, self.now + WALL, type_)
+        for second in range(4):
+            self.now = LATE + second * S
+            log.add(recovery.ORDER, self.now + WALL, "w1", "f", 1)
+        log.flush()
+
+    def second_life(self, after, step, **how):
+        """(what it found, its ledger, its recovery) of a process that begins `after` the end of the first."""
+        self.now += after
+        log = self.log(step, **how)
+        wall = self.now + self.epoch
+        found = recovery.replay(log.found, wall, log.boot, False)
+        ledger = ids.Ledger(10_000, 10_000, TOLERANCE, TYPES, REMEMBER, wall)
+        recovery.fill(ledger, found, self.now, wall, TYPES, REMEMBER, TOLERANCE)
+        return found, ledger, recovery.Recovery(found, self.now, wall, self.GUARANTEES, self.ORDERS)
+
+    def verdict(self, ledger, type_):
+        return ledger.ask(self.now, self.now + self.epoch, ("x", type_), WALL + 10 * HOUR, type_)[0]
+
+    def test_on_the_same_start_of_the_machine_all_spans_are_exact(self):
+        for step in (0, *STEPS):
+            for after, orders, waits, window in (
+                (S // 2, 4, S, ids.RUN),
+                (2 * S + S // 2, 3, 0, ids.RUN),
+                (WINDOW - 4 * S, 0, 0, ids.RUN),
+                (WINDOW - 2 * S, 0, 0, ids.UNKNOWN),
+            ):
+                with self.subTest(step=step, after=after):
+                    self.setUp()
+                    self.first_life()
+                    found, ledger, back = self.second_life(after, step)
+                    self.assertFalse(found.clock_back)
+                    self.assertEqual((back.orders, back.cold_from - self.now), (orders, waits))
+                    self.assertEqual(self.verdict(ledger, "all"), window)
+                    self.assertEqual(self.verdict(ledger, ONCE), ids.UNKNOWN)
+                    self.assertEqual(self.verdict(ledger, "again"), ids.RUN)
+
+    def test_an_id_is_remembered_for_its_time_over_a_step_and_a_restart(self):
+        for step in STEPS:
+            for after, remembered in ((REMEMBERED - 4 * S, True), (REMEMBERED - 2 * S, False)):
+                self.setUp()
+                self.first_life()
+                _, ledger, _ = self.second_life(after, step)
+                self.assertEqual(("x", ONCE) in ledger.entries, remembered, (step, after))
+                self.assertEqual(ledger.newest_forgotten, 0 if remembered else LATE + WALL)
+
+    def test_after_a_new_start_of_the_machine_nothing_is_older_than_that(self):
+        for step in (0, *STEPS):
+            self.setUp()
+            self.first_life()
+            _, ledger, back = self.second_life(S, step, machine="b2")
+            self.assertEqual((back.orders, back.cold_from - self.now), (4, S), step)
+            self.assertEqual(self.verdict(ledger, "all"), ids.UNKNOWN)
+            self.assertEqual(self.verdict(ledger, ONCE), ids.UNKNOWN)
+            self.assertGreaterEqual(ledger.entries["x", ONCE].until, self.now + REMEMBERED)
+
+    def test_a_life_before_a_new_start_of_the_machine_is_older_than_the_one_after_it(self):
+        self.first_life()
+        self.now += S
+        self.log(HOUR, machine="b2")
+        began = self.now
+        found, ledger, back = self.second_life(9 * S, -HOUR, machine="b2")
+        self.assertEqual((back.orders, back.cold_from), (0, self.now))
+        self.assertEqual(ledger.entries["x", ONCE].until, began + REMEMBERED)
+        self.assertFalse(found.same_machine_start)
+
+    def test_a_log_of_a_build_that_kept_no_offset_is_read_by_the_wall_clock(self):
+        self.folder.mkdir(exist_ok=True)
+        log = StateLog(self.folder, WALL + self.now, "b1", HOUR)
+        log.add(recovery.TAKE, WALL + self.now, "x", ONCE, WALL + self.now, ONCE)
+        log.flush()
+        for after, remembered in ((REMEMBERED - S, True), (2 * S, False)):
+            found, ledger, _ = self.second_life(after, 0)
+            self.assertEqual(("x", ONCE) in ledger.entries, remembered)
+            self.assertTrue(found.same_machine_start and found.began)
+
+    def test_workers_are_as_old_as_the_lesser_of_two_clocks_says(self):
+        for step in (HOUR, 5 * S):
+            for listed_first in (False, True):
+                m, now = Membership(5 * S, 100 * MS, lambda: 0.5), LATE
+                told = [entry("new", WALL + now - S), entry("old")]
+                if listed_first:
+                    m.whole("e-1", told, now, WALL + now + step)
+                    (changed,) = m.clock_was(WALL, now)
+                    self.assertEqual(now - changed.booted, S)
+                else:
+                    self.assertEqual(m.clock_was(WALL, now), [])
+                    listed, _ = m.whole("e-1", told, now, WALL + now + step)
+                    self.assertEqual([age([one], now) for one in listed], [S, None])
+                self.assertEqual(m.clock_was(WALL + HOUR, now), [])  # that one was ahead
+
+
+class Names(unittest.IsolatedAsyncioTestCase):
+    """What is named after the wall clock is named anew though that goes back to the same time."""
+
+    def test_activations_of_two_processes(self):
+        prefixes, day = set(), stepped_day()
+        for start in (LATE, LATE + S):
+            platform = Platform(day, 1)
+            clock = clocks.VirtualClock(start)
+            back = types.SimpleNamespace(now=clock.now, wall=lambda: WALL, at=clock.at)
+            back.steady_wall = back.wall
+            core = platform.make_core(platform.cores["d1"].gateway, back, random.Random(1), None)
+            prefixes.add(core.pending.prefix)
+        self.assertEqual(len(prefixes), 2)
+
+    async def test_proposers_of_two_processes(self):
+        with mock.patch("time.time_ns", lambda: WALL):
+            servers = [
+                ConfigurationServer("c1", {}, Replica(votes_from=None), lambda value: None, mock.Mock())
+                for _ in range(2)
+            ]
+        self.assertNotEqual(*(server.proposer.identity for server in servers))
+
+
+class Messages(test_mqtt.MqttCase):
+    async def test_a_message_that_is_sent_again_after_a_step_back_is_answered_like_before(self):
+        """To a session that has seen nothing before it, as after a restart, while the id is known."""
+        await self.begin(rig.Worker("w1"))
+        self.client.ask("once-1", b"a", 1)
+        self.assertEqual(await self.answered(b"a"), ["completed"])
+        system = time.time_ns
+        with mock.patch("time.time_ns", lambda: system() - HOUR):
+            self.client.answers.clear()
+            for session in self.cores[0].fronts[0].sessions:
+                session.stamp = 0
+            self.client.ask("once-1", b"a", 1)
+            self.assertEqual(await self.answered(b"a"), ["completed"])
+        self.assertEqual(self.runs(), 1)
+
+
+class Forecasts(unittest.TestCase):
+    def test_a_step_ends_no_slot(self):
+        """As the core asks them: on the clock without steps."""
+        for step in STEPS:
+            forecast, unstepped = (
+                Forecast(Calendar(10 * S, 86_400 * S, 7 * 86_400 * S, ()), str),
+                UnsteppedWallClock(),
+            )
+            ended = 0
+            for second in range(100):
+                wall = WALL + second * S + (step if second >= 45 else 0)
+                ended += forecast.called(unstepped.read(second * S, wall), "f")
+            self.assertEqual((ended, forecast.broken), (9, 0), step)
+
+    def test_the_core_asks_them_so(self):
+        platform = Platform(stepped_day()._replace(early=True), 1)
+        core = platform.cores["d1"]
+        core.clock.step = HOUR
+        with mock.patch.object(core, "early") as early:
+            core._plan()
+            self.assertEqual(early.turn.call_args.args[1], clocks.WALL)
+
+
+def stepped_day(step=0, share="one", moment="under load"):
+    """A day of four dispatchers, each with a region of its own, whose wall clocks are stepped at 2 s."""
+    path = pathlib.Path(__file__).parent / "days" / "stepped.kdl"
+    day = script.read(path)
+    some = day.dispatchers[: {"one": 1, "half": 2, "all": 4}[share]]
+    starts = {
+        "before a worker starts": 3 * S,
+        "before a restart": 3 * S,
+        "after a worker started": 17 * S // 10,
+    }
+    restarts = {"before a restart": 22 * S // 10, "after a worker started": 21 * S // 10}
+    troubles = [script.Trouble("clock-step", 2 * S, 0, {"dispatcher": d, "by": step}) for d in some]
+    if moment in starts:
+        for worker in ("w1", "w2", "w3"):
+            troubles.append(script.Trouble("restart", starts[moment], 0, {"worker": worker, "down": S // 5}))
+    if moment in restarts:
+        for number, name in enumerate(some):
+            at = restarts[moment] + number * S // 20
+            troubles.append(script.Trouble("kill", at, 0, {"dispatcher": name, "down": S // 10}))
+    return day._replace(
+        state=True,
+        troubles=tuple(sorted(troubles, key=lambda trouble: (trouble.at, trouble.kind))),
+        clients=tuple(client._replace(insists=True, retries=4) for client in day.clients),
+    )
+
+
+class Days(unittest.TestCase):
+    """A day of the emulator's own under its five rules, with dispatchers whose clocks are stepped."""
+
+    MOMENTS = ("under load", "before a worker starts", "before a restart", "after a worker started")
+    SHARES = ("one", "half", "all")
+
+    def play(self, step, share, moment, platform=Platform):
+        """(what breaks a rule, how the requests ended)."""
+        day = platform(stepped_day(step, share, moment), 1).run()
+        broken = [line for found in rules.judge(day.case()) for line in found.broken]
+        return broken, [wish.ended for wish in day.clients.wishes]
+
+    @functools.cache  # noqa: B019
+    def without(self, share, moment):
+        broken, ended = self.play(0, share, moment)
+        self.assertEqual(broken, [])
+        self.assertGreater(ended.count("completed"), 1000)
+        return ended
+
+    def test_the_rules_hold(self):
+        for share, moment, step in itertools.product(self.SHARES, self.MOMENTS, STEPS):
+            with self.subTest(share=share, moment=moment, step=step // S):
+                broken, ended = self.play(step, share, moment)
+                self.assertEqual(broken, [])
+                done = ended.count("completed")
+                self.assertGreaterEqual(done, 0.99 * self.without(share, moment).count("completed"))
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -42,7 +42,7 @@
     def now(self):
         return round(self.loop.time() * 1e9)
 
-    wall = now
+    wall = steady_wall = now
 
     def at(self, when, call, *args):
         # never early, however the float is rounded
