--- a/petrelwood/emulate/platform.py
+++ b/petrelwood/emulate/platform.py
@@ -202,7 +202,7 @@
         )
         self._comments(core, now)
         listed, leaving = core.membership.change(f"e-{number}", [entry], now, core.clock.wall())
-        core.listed(listed, leaving, False)
+        core.endpoints_changed(listed, leaving, False)
 
     def _comments(self, core, now):
         """The roster's stream carries a comment each second, the last of which came before this."""
@@ -253,7 +253,7 @@
         listed, leaving = core.membership.whole(
             f"e-{self.number}", entries, self.clock.now(), core.clock.wall()
         )
-        core.listed(listed, leaving, True)
+        core.endpoints_changed(listed, leaving, True)
         self.known[name] = entries
 
     # Dispatchers.
@@ -357,13 +357,13 @@
             return
         wish = made.wish
         self.open_tries[name][made] = True
-        core.ask(self.clients.ask_of(made), wish.fn, core.rule(wish.fn), wish.work, made)
+        core.admit(self.clients.ask_of(made), wish.fn, core.rule(wish.fn), wish.work, made)
 
     def left(self, made):
         core = self.cores.get(made.to)
         self.open_tries[made.to].pop(made, None)
         if core is not None and made.act is not None and made.act in core.pending.acts:
-            core.left(made.act, made)
+            core.client_left(made.act, made)
 
     def wish_ended(self, wish):
         second = min(wish.begun // SECOND, len(self.time_course) - 1)
--- a/petrelwood/fronts/webhook.py
+++ b/petrelwood/fronts/webhook.py
@@ -14,11 +14,11 @@
 from tornado.concurrent import Future
 from tornado.iostream import IOStream, StreamClosedError
 from tornado.netutil import bind_sockets
-from tornado.tcpserver import TCPServer
 
 from petrelwood.decide.overload import admission, intake
 from petrelwood.fronts import problem
 from petrelwood.fronts.signing import Verifier
+from petrelwood.links.listener import Listener
 
 SECOND = 1_000_000_000
 READ = 65_536
@@ -319,10 +319,10 @@
         dropped, self.waiting = self.waiting, deque()
         for exchange in dropped:
             if exchange.act is not None and exchange.reply is None:
-                self.front.core.left(exchange.act, exchange)
+                self.front.core.client_left(exchange.act, exchange)
 
 
-class Webhooks(TCPServer):
+class Webhooks(Listener):
     """The listener. `core` takes what is signed rightly: `dispatch.core.Core`."""
 
     def __init__(self, gateway, core, log):
@@ -432,7 +432,7 @@
             self._count(str(status))
             exchange.fail(status, detail)
             return
-        self.core.ask(ask, function, rule, body, exchange)
+        self.core.admit(ask, function, rule, body, exchange)
 
     def _read(self, x, body):
         headers = x.headers
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -17,16 +17,18 @@
 
 from petrelwood import clocks, ports
 from petrelwood.audit import rules
-from petrelwood.control.server import ConfigurationServer
+from petrelwood.control.appending import new_identity
+from petrelwood.decide.cluster.log_records import Entry as LogEntry
+from petrelwood.decide.cluster.log_records import Extract, Record, RecordKind
 from petrelwood.decide.cluster.membership import DEPARTED, GONE, NEWS_DELAY, USABLE, Entry, Membership
-from petrelwood.decide.cluster.replicated_log import VERSION, Record, Replica
 from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announced, Rollout, turn
 from petrelwood.decide.cluster.version_watch import VersionWatch
 from petrelwood.decide.delivery import ledger as ids
 from petrelwood.decide.delivery import recovery
 from petrelwood.decide.forecasting.forecast import Calendar, Forecast
 from petrelwood.decide.wall_clock import FOLLOWED, UnsteppedWallClock
-from petrelwood.dispatch.serve import Serving
+from petrelwood.dispatch.rollout import VersionRollout, VersionSource
+from petrelwood.dispatch.settings_update import UpdateResult
 from petrelwood.emulate import script
 from petrelwood.emulate.platform import Platform
 from petrelwood.store import versions
@@ -192,20 +194,17 @@
             if clock.now() > length:
                 raise asyncio.CancelledError
 
-        serving = Serving.__new__(Serving)
-        serving.core = types.SimpleNamespace(loop=asyncio.get_running_loop(), clock=wall, answered=(0, 0))
-        serving.own, serving.rollout, serving.rolled, serving.predecessor = None, rollout, (0, 0), None
-        serving.log, serving.again = mock.Mock(), None
-        serving._take = lambda new, rolls: taken.append(clock.now() // S) or True
+        loop, log = asyncio.get_running_loop(), mock.Mock()
+        core = types.SimpleNamespace(loop=loop, clock=wall, answered=(0, 0))
+        updater, upgrader = mock.Mock(), types.SimpleNamespace(handing_over=False, available=False)
+        updater.update = lambda *settings: taken.append(clock.now() // S) or UpdateResult.APPLIED
         with tempfile.TemporaryDirectory() as folder:
             for one in announced:
                 versions.receive(pathlib.Path(folder), one.number, "", one.begun)
-            with (
-                mock.patch("asyncio.sleep", sleep),
-                mock.patch("petrelwood.dispatch.serve.versioned", lambda *parts: None),
-                self.assertRaises(asyncio.CancelledError),
-            ):
-                await serving._roll(folder)
+            source = VersionSource(folder, None, mock.Mock())
+            rolls = VersionRollout(rollout, source, core, log, updater, upgrader, mock.Mock())
+            with mock.patch("asyncio.sleep", sleep), self.assertRaises(asyncio.CancelledError):
+                await rolls.run((0, 0))
         return taken
 
     async def test_stages_come_at_their_time(self):
@@ -237,9 +236,8 @@
     def test_a_record_dated_ahead_of_ours_begins_when_it_is_heard_of(self):
         for ahead in (HOUR, 5 * S):
             watch = VersionWatch("d1", ["c1", "c2"], 0, 90 * S, lambda: 0.5)
-            extract = types.SimpleNamespace(
-                since=0, chosen=1, entries=[(1, Record("r", VERSION, 0, WALL + ahead, b""))]
-            )
+            record = Record("r", RecordKind.VERSION, 0, WALL + ahead, b"")
+            extract = Extract(0, 1, (LogEntry(1, record),))
             (version,) = watch.answered("c1", extract, 0, WALL)
             self.assertEqual(version.begun, WALL)
 
@@ -305,7 +303,8 @@
         """The log of a process that begins now, on a wall clock stepped by `step`."""
         self.epoch = WALL + step
         mark = recovery.boot_mark(machine, self.epoch) if marked else machine
-        return StateLog(self.folder, self.now + self.epoch, mark, REMEMBERED + 2 * TOLERANCE)
+        wall, keep = self.now + self.epoch, REMEMBERED + 2 * TOLERANCE
+        return StateLog(self.folder, wall, mark, keep, now=lambda: self.now)
 
     def first_life(self):
         """Writes one id of each type that may have run, and four orders a second apart."""
@@ -403,7 +402,7 @@
                 self.assertEqual(m.clock_was(WALL + HOUR, now), [])  # that one was ahead
 
 
-class Names(unittest.IsolatedAsyncioTestCase):
+class Names(unittest.TestCase):
     """What is named after the wall clock is named anew though that goes back to the same time."""
 
     def test_activations_of_two_processes(self):
@@ -417,13 +416,9 @@
             prefixes.add(core.pending.prefix)
         self.assertEqual(len(prefixes), 2)
 
-    async def test_proposers_of_two_processes(self):
-        with mock.patch("time.time_ns", lambda: WALL):
-            servers = [
-                ConfigurationServer("c1", {}, Replica(votes_from=None), lambda value: None, mock.Mock())
-                for _ in range(2)
-            ]
-        self.assertNotEqual(*(server.proposer.identity for server in servers))
+    def test_proposers_of_two_processes(self):
+        with mock.patch("time.time_ns", lambda: WALL), mock.patch("time.monotonic_ns", lambda: LATE):
+            self.assertNotEqual(new_identity("c1"), new_identity("c1"))
 
 
 class Messages(test_mqtt.MqttCase):
--- a/tests/test_ration.py
+++ b/tests/test_ration.py
@@ -8,6 +8,7 @@
 import virtual
 
 from petrelwood import brain, ports
+from petrelwood.decide.cluster.link_state import CallDecision
 from petrelwood.emulate import link as emulate_link
 from petrelwood.links import worker as links_worker
 from petrelwood.node import worker
@@ -157,7 +158,9 @@
             node.room.workers = 1
             node.brain.taken.add(node.now(), 200)
             self.give(world, 1)
-            node.held = lambda worker_, fn, code, copies: ends.append((round(node.now() / 1e9), code))
+            node.load_order_ended = lambda worker_, fn, code, copies: ends.append(
+                (round(node.now() / 1e9), code)
+            )
             world.later(0.3, lambda: self.give(world, 2))
             world.later(0.4, lambda: self.give(world, 1))
 
@@ -188,17 +191,17 @@
         def now(self):
             return self.time
 
-        def leaves(self, at):
+        def may_send_order(self, at):
             self.asked.append(at)
             return self.bears(at)
 
-        def stays(self, at):
+        def order_not_sent(self, at):
             self.kept_back.append(at)
 
-        def soon(self, call, *args):
+        def submit(self, call, *args):
             call(*args)
 
-        def held(self, worker_, fn, code, copies):
+        def load_order_ended(self, worker_, fn, code, copies):
             self.ends.append((fn, code))
 
         def active(self, link):
@@ -221,10 +224,10 @@
     def test_the_link_of_the_webhook_dispatcher(self):
         core, written = self.Core(lambda at: at > 0), []
         link = links_worker.WorkerLink("w", ("h", 1), self.TERMS, lambda: 0.5, core, None)
-        link._connect = link.state.connecting
+        link._connect = link.state.on_connecting
         self.wait(link, core)
-        link.state.connected(90)
-        link.state.greeted(90, "w", 1)
+        link.state.on_connected()
+        link.state.on_greeting(90, "w", 1)
         link._write = written.append
         link._flush()
         self.told(core)
@@ -248,7 +251,7 @@
     def test_one_that_is_refused_at_once_never_left(self):
         core = self.Core(lambda at: True)
         link = links_worker.WorkerLink("w", ("h", 1), self.TERMS, lambda: 0.5, core, None)
-        link.state.wants = lambda now: "refuse"
+        link.state = types.SimpleNamespace(on_call=lambda now: CallDecision.REJECT)
         link.hold("one", 1, 1)
         self.assertEqual((core.kept_back, core.ends), ([0], [("one", ports.NO_CONNECTION)]))
 
