--- a/petrelwood/decide/delivery/recovery.py
+++ b/petrelwood/decide/delivery/recovery.py
@@ -97,6 +97,15 @@
     return reversed(found)
 
 
+def least_age(records, wall, boot):
+    """How long ago the newest of a segment's records was written, at the least."""
+    newest = 0
+    for block in _blocks(records, wall, boot):
+        for record in records[block.begin : block.end]:
+            newest = max(newest, record[1] + block.shift if block.youngest is None else block.youngest)
+    return max(0, wall - newest)
+
+
 def replay(records, wall, boot, durable):
     """`records` as `store.state` has them, `boot` the mark of the machine's present start, `durable` whether
     each was on the disk before its effect went out."""
--- a/petrelwood/store/state.py
+++ b/petrelwood/store/state.py
@@ -23,7 +23,7 @@
 
 import msgpack
 
-from petrelwood.decide.delivery.recovery import CLOSE, END, LIFE, ORDER, TAKE
+from petrelwood.decide.delivery.recovery import CLOSE, END, LIFE, ORDER, TAKE, least_age
 from petrelwood.store import tail
 
 FORMAT, OLDEST = 1, 1
@@ -65,10 +65,6 @@
     return records, whole, why
 
 
-def _last(records):
-    return max((record[1] for record in records), default=0)
-
-
 def read(folder):
     """(records of all segments in order, [(path, bytes dropped, why)]). Raises `Refused`."""
     records, dropped = [], []
@@ -114,9 +110,9 @@
         self._begin(wall)
 
     def _written(self, records, wall):
-        """When a segment that was found had its last record, on the monotonic clock. One from ahead of the
-        wall clock is no older than this start."""
-        return self.now() - max(0, wall - _last(records))
+        """When a segment that was found had its last record, on the monotonic clock, as far as that is known:
+        a step of the wall clock since then removes nothing early."""
+        return self.now() - least_age(records, wall, self.boot)
 
     def _stop(self, fault):
         if self.stopped is None:
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -356,6 +356,17 @@
                 self.assertEqual(("x", ONCE) in ledger.entries, remembered, (step, after))
                 self.assertEqual(ledger.newest_forgotten, 0 if remembered else LATE + WALL)
 
+    def test_segments_that_are_found_are_kept_for_their_time(self):
+        for step, machine in itertools.product(STEPS, ("b1", "b2")):
+            self.setUp()
+            self.first_life()
+            self.now += S
+            second = self.log(step, machine)
+            self.now += S
+            second.roll(self.now + self.epoch)
+            _, ledger, _ = self.second_life(S, step, machine=machine)
+            self.assertIn(("x", ONCE), ledger.entries, (step, machine))
+
     def test_after_a_new_start_of_the_machine_nothing_is_older_than_that(self):
         for step in (0, *STEPS):
             self.setUp()
