--- /dev/null
+++ b/tests/test_fleet_faults.py
@@ -0,0 +1,251 @@
+"""Kinds of faults that the operators' days name and no other test forces: after a long quiet time, at idle
+connections, at retries, and with very little time left.
+
+The node's core, module and links on the virtual clock of `ration`. Each request gets one final answer, at
+most `GRACE_S` after its time; no worker that is gone gets anything after the grace; no activation is sent
+more often than allowed."""
+
+import copy
+import unittest
+from collections import Counter
+from unittest import mock
+
+import node_site
+import ration
+
+GRACE_S = 0.5  # a final answer may come so much later than the request's time
+ATTEMPTS = 3  # as `node_site.SETTINGS` allows
+BUSY_S, QUIET_S = 6.0, 600.0  # calls come for so long, then none
+AGAIN_S = BUSY_S + QUIET_S
+IDLE_S = 2.0  # after which the workers here no longer know a connection; the settings tell 30 s
+
+
+class TimedExchange(ration.Exchange):
+    """Notes when it was answered."""
+
+    ended_at = None
+
+    def answer(self, what, *arguments, **more):
+        super().answer(what, *arguments, **more)
+        self.ended_at = self.world.clock.loop.time()
+
+
+class World(ration.World):
+    """`worker`: the class of its workers; `quiet`: from when until when no client comes (s)."""
+
+    worker, quiet = ration.Worker, (0.0, 0.0)
+
+    def __init__(self, case):
+        super().__init__(case)
+        self.exchanges, self.sends = [], Counter()
+
+    def hire(self):
+        self.made += 1
+        self.hosts[self.made] = self.worker(self, f"w{self.made}", self.made)
+
+    def client(self):
+        since, until = self.quiet
+        if since <= self.clock.loop.time() < until:
+            self.later(until - self.clock.loop.time(), self.client)
+        else:
+            super().client()
+
+    def ask_later(self, fn, bad, ttl, id_=None):
+        exchange = TimedExchange(self, bad)
+        self.exchanges.append((exchange, exchange.sent + ttl / 1000))
+        self.number += 1
+        self.later(self.case.lag / 1000, self.read, exchange, f"{self.number:016x}", fn, ttl)
+        return exchange
+
+
+class Worker(ration.Worker):
+    """Counts what each activation is sent."""
+
+    def line(self, stream, said):
+        if said["type"] == "FN" and self.world.clock.loop.time() >= self.hung:
+            self.world.sends[said["req"]] += 1
+        super().line(stream, said)
+
+
+class ForgetsIdle(Worker):
+    """Knows nothing of a connection that has carried nothing for a while, and says nothing on it any more."""
+
+    def line(self, stream, said):
+        now, last = self.world.clock.loop.time(), getattr(stream, "used", None)
+        if last is not None and now - last > IDLE_S:
+            return
+        stream.used = now
+        super().line(stream, said)
+
+
+class ClosesIdle(Worker):
+    """Closes a connection that has carried nothing for a while."""
+
+    def line(self, stream, said):
+        stream.used = self.world.clock.loop.time()
+        self.world.later(IDLE_S, self.close_idle, stream, stream.used)
+        super().line(stream, said)
+
+    def close_idle(self, stream, used):
+        if stream.used == used:
+            stream.close()
+
+
+class FailsRepeats(Worker):
+    """An activation that any worker has had before fails at once."""
+
+    def line(self, stream, said):
+        hung = self.world.clock.loop.time() < self.hung
+        if said["type"] == "FN" and self.world.sends[said["req"]] and not hung:
+            self.world.sends[said["req"]] += 1
+            self.world.failed += 1
+            stream.says({"type": "FAULT", "req": said["req"], "meta": {}})
+        else:
+            super().line(stream, said)
+
+
+class FailsAll(Worker):
+    """Whatever comes fails at once."""
+
+    def line(self, stream, said):
+        if said["type"] == "FN":
+            self.world.sends[said["req"]] += 1
+            stream.says({"type": "FAULT", "req": said["req"], "meta": {}})
+        else:
+            super().line(stream, said)
+
+
+class DropsWhatIsLate(Worker):
+    """Drops without a word what it could not answer in the time that it was told."""
+
+    def ran(self, stream, said):
+        took = self.world.clock.loop.time() - self.world.arrived.pop((self.name, said["req"]))
+        if took > float(said["meta"]["patience"]) / 1000:
+            self.world.dropped += 1
+        else:
+            super().ran(stream, said)
+
+    def line(self, stream, said):
+        if said["type"] == "FN" and self.world.clock.loop.time() >= self.hung:
+            self.world.arrived[self.name, said["req"]] = self.world.clock.loop.time()
+        super().line(stream, said)
+
+
+class Faults(unittest.TestCase):
+    def play(self, worker, seconds=14, quiet=(0.0, 0.0), make=World, **figures):
+        """The `World` after a day that kept the rules."""
+        figures = {"replaced": 0, "floods": 0, "strange": 0, "gives_up": 0, "falls": 1, **figures}
+        figures = {"late": 0, "never": 0, "refused": 0, "free": 50, **figures}
+        world = make(ration.Case(5, seconds=quiet[1] + seconds, **figures))
+        world.worker, world.quiet, world.failed, world.dropped, world.arrived = worker, quiet, 0, 0, {}
+        return ration.on(world)
+
+    def check(self, world):
+        end = world.clock.loop.time()
+        late = [
+            (due, exchange.ended, exchange.ended_at)
+            for exchange, due in world.exchanges
+            if due + GRACE_S < end and not (exchange.ended and exchange.ended_at <= due + GRACE_S)
+        ]
+        self.assertEqual(late, [])
+        self.assertEqual(world.after_grace, [])
+        self.assertLessEqual(max(world.sends.values()), ATTEMPTS)
+
+    def served(self, world):
+        """The part that was completed, of what came last (after a quiet time: after it)."""
+        ends = [exchange.ended for exchange, _ in world.exchanges if exchange.sent >= world.quiet[1]]
+        return sum(end == "completed" for end in ends) / len(ends)
+
+
+class AfterQuiet(Faults):
+    """For ten minutes nobody calls and the list says nothing; then all comes at once."""
+
+    def test_workers_are_replaced_as_the_first_calls_come(self):
+        class Replaced(World):
+            """Its list comes late, but for the first one."""
+
+            def tell(self):
+                if self.serial:
+                    self.later(1.0, super().tell)
+                else:
+                    super().tell()
+
+            async def run(self):
+                self.at_second = (AGAIN_S + 0.2, self.replace)
+                return await super().run()
+
+        for worker in (Worker, ForgetsIdle):
+            with self.subTest(worker.__name__):
+                world = self.play(worker, quiet=(BUSY_S, AGAIN_S), make=Replaced)
+                self.check(world)
+                self.assertGreater(self.served(world), 0.5)
+
+    def test_half_of_the_workers_hang_as_the_first_calls_come(self):
+        class Hanging(World):
+            def hang_half(self):
+                for host in list(self.hosts.values())[::2]:
+                    host.hung = AGAIN_S + QUIET_S
+
+            async def run(self):
+                self.at_second = (AGAIN_S, self.hang_half)
+                return await super().run()
+
+        world = self.play(Worker, quiet=(BUSY_S, AGAIN_S), make=Hanging)
+        self.check(world)
+        self.assertGreater(self.served(world), 0.4)
+
+
+class IdleConnections(Faults):
+    def test_forgotten(self):
+        world = self.play(ForgetsIdle, rate=20)
+        self.check(world)
+        self.assertGreater(self.served(world), 0.5)
+
+    def test_closed(self):
+        world = self.play(ClosesIdle, rate=20)
+        self.check(world)
+        self.assertGreater(self.served(world), 0.6)
+
+
+class Repeats(Faults):
+    def test_retries_and_hedged_requests_that_fail_at_once(self):
+        world = self.play(FailsRepeats, hangs=0.3, hung=2)
+        self.check(world)
+        self.assertGreater(world.failed, 10)
+        self.assertGreater(self.served(world), 0.5)
+
+
+class Broken(Faults):
+    """The judge sees what is broken on purpose."""
+
+    def test_an_attempt_too_many(self):
+        raised = copy.deepcopy(node_site.SETTINGS)
+        raised["permissions"]["maxAttempts"] = ATTEMPTS + 5
+        with mock.patch.object(ration, "SETTINGS", raised), self.assertRaises(AssertionError):
+            self.check(self.play(FailsAll, target=2000))
+
+    def test_answers_that_come_late(self):
+        class Patient(World):
+            """The dispatcher is told another time than the client's."""
+
+            def read(self, exchange, id_, fn, ttl):
+                super().read(exchange, id_, fn, 5 * ttl)
+
+        with self.assertRaises(AssertionError):
+            self.check(self.play(Worker, make=Patient, hangs=0.5, hung=8))
+
+
+class LittleTime(Faults):
+    def test_requests_with_little_time_left_that_workers_drop_without_a_word(self):
+        class Short(World):
+            def ask_later(self, fn, bad, ttl, id_=None):
+                return super().ask_later(fn, bad, self.chance.choice((1, 5, 20, 60, 200, 1200)), id_)
+
+        world = self.play(DropsWhatIsLate, make=Short)
+        self.check(world)
+        self.assertGreater(world.dropped, 10)
+        self.assertGreater(self.served(world), 0.2)
+
+
+if __name__ == "__main__":
+    unittest.main()
