--- a/petrelwood/node/front.py
+++ b/petrelwood/node/front.py
@@ -260,7 +260,7 @@
         for msgid, exchange in list(self.open.items()):
             del self.open[msgid]
             if exchange.act is not None:
-                self.front.core.left(exchange.act, exchange)
+                self.front.core.client_left(exchange.act, exchange)
             self.write(rpc.response(msgid, [ABORTED, {}], None))
 
     def _end(self, now):
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -15,7 +15,7 @@
 import msgpack
 from node_site import ask
 from test_client_departure import ids
-from test_crossings import Caller, Inside, Raw, held_up
+from test_crossings import Caller, Inside, Raw
 
 from petrelwood.decide.overload import resource_limits
 from petrelwood.node import front as node_front
@@ -272,9 +272,9 @@
             await site.until(worker.runs)
             opened = [Caller(site.address) for _ in range(10)]
             await site.until(lambda: len(site.node.front.clients) == 11)
-            order, take, answer = [], site.node.ask, node_front.Exchange.answer
+            order, take, answer = [], site.node.admit, node_front.Exchange.answer
 
-            def asks(*args):
+            def admits(*args):
                 order.append("taken")
                 time.sleep(0.06)
                 take(*args)
@@ -284,7 +284,7 @@
                 answer(exchange, *args, **more)
 
             with (
-                mock.patch.object(site.node, "ask", asks),
+                mock.patch.object(site.node, "admit", admits),
                 mock.patch.object(node_front.Exchange, "answer", answers),
             ):
                 for client in opened:
