--- a/petrelwood/dispatch/state_recovery.py
+++ b/petrelwood/dispatch/state_recovery.py
@@ -69,7 +69,7 @@
 
     def _attempt(self, now: int) -> None:
         core = self.core
-        reopened = core.state.reopen(core.clock.wall())
+        reopened = core.state.reopen(core.record_time())
         if core.state.found:
             # another process had taken over, and what it wrote could not be read until now
             core.adopt(core.state)
@@ -80,7 +80,7 @@
         core.submit(self._write_slice)
 
     def _write_slice(self) -> None:
-        core, now, wall = self.core, self.core.now(), self.core.clock.wall()
+        core, now, wall = self.core, self.core.now(), self.core.record_time()
         if self.unwritten is None or core.state.failed:
             return
         keys = list(islice(self.unwritten, SLICE))
