--- a/petrelwood/decide/delivery/state_rewrite.py
+++ b/petrelwood/decide/delivery/state_rewrite.py
@@ -11,6 +11,7 @@
 from collections import deque
 from collections.abc import Callable, Iterator
 
+from petrelwood import ports
 from petrelwood.decide.delivery.ledger import ABORTED, RUNNING, Entry
 from petrelwood.decide.delivery.ledger import ELSEWHERE as RUNNING_ELSEWHERE
 from petrelwood.decide.delivery.recovery import END, ORDER, OUTAGE, TAKE
@@ -117,3 +118,21 @@
     elif entry.sent:
         yield (END, last, *key, ABORTED, True, None)
         yield (TAKE, last, *key, entry.stamp, entry.type)
+
+
+def forgotten_record(
+    newest_forgotten: int,
+    wall: int,
+    types: dict[str, ports.NamespaceType],
+    remember: dict[str, int],
+    tolerance: int,
+) -> Record | None:
+    """What tells the next ledger the newest timestamp of an id that this one has forgotten.
+
+    The segments that had those ids are superseded. It is an id of no customer's, so old that it is forgotten
+    by whoever reads it, and with it all that have its timestamp or an older one.
+    """
+    for name, type_ in types.items():
+        if newest_forgotten and type_.effect != ports.REPEATABLE:
+            return (TAKE, max(0, wall - remember[name] - 4 * tolerance), "", "", newest_forgotten, name)
+    return None
--- a/petrelwood/dispatch/state_recovery.py
+++ b/petrelwood/dispatch/state_recovery.py
@@ -14,6 +14,7 @@
     RecentOrders,
     RecoverySchedule,
     entry_records,
+    forgotten_record,
 )
 
 SLICE = 250  # ids that are written before the loop goes on
@@ -77,6 +78,15 @@
             self._failed(now)
             return
         self.unwritten = iter(list(core.ledger.entries))
+        forgotten = forgotten_record(
+            core.ledger.newest_forgotten,
+            core.record_time(),
+            core.terms.types,
+            core.gateway.remember,
+            core.gateway.tolerance,
+        )
+        if forgotten is not None:
+            core.state.add(*forgotten)
         core.submit(self._write_slice)
 
     def _write_slice(self) -> None:
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -607,6 +607,25 @@
             self.assertEqual(again.state, ABORTED if entry.state == RUNNING else entry.state, key)
             self.assertTrue(again.sent or not entry.sent, key)
 
+    def test_the_next_ledger_knows_what_was_forgotten(self):
+        """A replay of it, let in again by a wall clock that was stepped back, is no new activation."""
+        failing = [False]
+        self.start(FaultyFiles(lambda name: errno.EIO if failing[0] and name == "write" else None))
+        self.complete(self.ask().act)
+        self.wait(1300)
+        self.ask()  # a ledger forgets as it is asked
+        self.assertNotIn(("x", "m1"), self.core.ledger.entries)
+        failing[0] = True
+        self.ask()
+        failing[0] = False
+        self.wait(5)
+        self.assertIsNone(self.state.stopped)
+        forgotten = self.core.ledger.newest_forgotten
+        self.assertGreater(forgotten, 0)
+        self.start(clock=self.clock)
+        self.assertGreaterEqual(self.core.ledger.newest_forgotten, forgotten)
+        self.assertNotIn(("", ""), self.core.ledger.entries)
+
 
 class Formats(Gateway):
     def test_only_a_recovered_segment_needs_a_build_that_knows_outages(self):
