--- a/petrelwood/decide/delivery/send_outcome.py
+++ b/petrelwood/decide/delivery/send_outcome.py
@@ -3,7 +3,8 @@
 A call passes three stages on its way out: WAITING in our own queue, HANDED to the socket, and ANSWERED. Only
 a call that never left our queue, or that the worker itself says it did not begin, provably never ran. Bytes
 that were handed over count as read, whatever became of the connection: half a frame on the wire may have been
-completed by bytes that are still in the kernel's hands."""
+completed by bytes that are still in the kernel's hands. A call of which the kernel took no byte, and whose
+connection is lost, never left: it is as one that waited."""
 
 from petrelwood import ports
 
@@ -20,6 +21,14 @@
 }
 
 
+def reached(stage, begins, taken):
+    """The stage that a call had reached when its connection was lost. `taken`: bytes written on it that the
+    kernel took, `begins`: how many were written before the call's own; None: not known."""
+    if stage == HANDED and begins is not None and taken <= begins:
+        return WAITING
+    return stage
+
+
 def of_error(word):
     """The code of an error that a worker sent."""
     return SAID.get(word, ports.ERROR)
--- a/petrelwood/links/calls.py
+++ b/petrelwood/links/calls.py
@@ -7,18 +7,21 @@
 from collections import deque
 
 from petrelwood.decide.delivery import send_outcome
+from petrelwood.links import sockets
 
 
 class Call:
     """One send, order or probe. `tag` names it among those that are out; `line` is the connection that has
     it, where there are several; `until` (ns) is when a send's time is up, whether its activation still lives
-    or not."""
+    or not; `begins` is how many bytes were written on its connection before it, where that proves
+    something."""
 
-    __slots__ = ("kind", "act", "n", "fn", "at", "frame", "stage", "tag", "line", "until")
+    __slots__ = ("kind", "act", "n", "fn", "at", "frame", "stage", "tag", "line", "until", "begins")
 
     def __init__(self, kind, act, n, fn, at, frame, tag, until=None):
         self.kind, self.act, self.n, self.fn, self.at, self.until = kind, act, n, fn, at, until
         self.frame, self.stage, self.tag, self.line = frame, send_outcome.WAITING, tag, None
+        self.begins = None
 
 
 class Calls:
@@ -75,6 +78,12 @@
         self.counts["sent"] += 1
         return frame
 
+    def _lose(self, call, stream):
+        """Ends a call whose connection is lost, or was never made (None)."""
+        taken = 0 if stream is None else sockets.bytes_taken(stream)
+        stage = send_outcome.reached(call.stage, call.begins, taken)
+        self._end(call, send_outcome.of_loss(stage))
+
     def _may_leave(self, call):
         """Whether the first that waits may still be handed over; what may not is ended. An order that has
         waited is held against the ration as it is now: it counts when it arrives, not when it was given."""
--- a/petrelwood/links/listener.py
+++ b/petrelwood/links/listener.py
@@ -14,30 +14,13 @@
 from tornado.tcpserver import TCPServer
 
 from petrelwood.decide.overload.backoff import Backoff
+from petrelwood.links.sockets import CONNECTION_FAULTS, CONNECTION_FAULTS_IN_A_ROW
 
 ACCEPTS_PER_TURN = 128  # connections taken before others on the loop have their turn
-CONNECTION_FAULTS_IN_A_ROW = 16  # of new connections, after which a listener pauses all the same
 MILLISECOND = 1_000_000
 FIRST_PAUSE = 50 * MILLISECOND
 LONGEST_PAUSE = 1_000 * MILLISECOND
 NOTHING_TO_ACCEPT = frozenset((errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR))
-# Errors of the new connection, which is gone: what was pending on it, or a firewall forbids it.
-CONNECTION_FAULTS = frozenset(
-    (
-        errno.ECONNABORTED,
-        errno.ECONNRESET,
-        errno.EHOSTDOWN,
-        errno.EHOSTUNREACH,
-        errno.ENETDOWN,
-        errno.ENETUNREACH,
-        errno.ENONET,
-        errno.ENOPROTOOPT,
-        errno.EOPNOTSUPP,
-        errno.EPERM,
-        errno.EPROTO,
-        errno.ETIMEDOUT,
-    )
-)
 
 
 class _ListeningSocket:
--- a/petrelwood/links/sockets.py
+++ b/petrelwood/links/sockets.py
@@ -1,8 +1,52 @@
-"""New sockets for numeric addresses."""
+"""New sockets for numeric addresses, and what is asked of accepted ones."""
 
+import contextlib
+import errno
 import socket
 
+from tornado.iostream import IOStream
 
-def fresh(host, kind=socket.SOCK_STREAM):
-    """A socket, neither bound nor connected, of the family that `host` is an address of."""
+# Errors of accept(2) that belong to the new connection, which is gone: what was pending on it, or a firewall
+# forbids it. They say nothing of those that wait behind it.
+CONNECTION_FAULTS = frozenset(
+    (
+        errno.ECONNABORTED,
+        errno.ECONNRESET,
+        errno.EHOSTDOWN,
+        errno.EHOSTUNREACH,
+        errno.ENETDOWN,
+        errno.ENETUNREACH,
+        errno.ENONET,
+        errno.ENOPROTOOPT,
+        errno.EOPNOTSUPP,
+        errno.EPERM,
+        errno.EPROTO,
+        errno.ETIMEDOUT,
+    )
+)
+CONNECTION_FAULTS_IN_A_ROW = 16  # after which a listener pauses all the same
+
+
+def fresh(host: str, kind: socket.SocketKind = socket.SOCK_STREAM) -> socket.socket:
+    """A socket, neither bound nor connected, of the family that `host` is an address of. Raises OSError."""
     return socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, kind)
+
+
+def bytes_written(stream: IOStream) -> int:
+    """Bytes that were written on a stream so far, whether the kernel took them or not."""
+    written: int = stream._total_write_index
+    return written
+
+
+def bytes_taken(stream: IOStream) -> int:
+    """How many of them the kernel took, also once the stream is closed. A failed send(2) has taken none."""
+    taken: int = stream._total_write_done_index
+    return taken
+
+
+def disable_delay(sock: socket.socket | None) -> None:
+    """Lets small writes leave at once. A connection that can't be told so, or has just been reset, still
+    serves: what becomes of it is seen when it is read."""
+    if sock is not None:
+        with contextlib.suppress(OSError):
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/petrelwood/links/worker.py
+++ b/petrelwood/links/worker.py
@@ -69,8 +69,11 @@
         self.soon = False
         while self.waiting and not self.writing and self.state.state == link_state.UP:
             size, chunk = 0, []
+            written = sockets.bytes_written(self.stream)
             while self.waiting and size < BATCH:
                 if self._may_leave(self.waiting[0]):
+                    # of a connection with TLS it is not known which bytes the kernel took
+                    self.waiting[0].begins = written + size if self.tls is None else None
                     chunk.append(self._hand(self.waiting.popleft()))
                     size += len(chunk[-1])
             if chunk:
@@ -105,14 +108,21 @@
         self.state.connecting(now)
         host, port = self.address
         self.writing = False
-        most = self.terms.frame + BATCH
-        self.stream = (
-            IOStream(sockets.fresh(host), max_buffer_size=most)
-            if self.tls is None
-            else SSLIOStream(sockets.fresh(host), ssl_options=self.tls.client(), max_buffer_size=most)
-        )
+        try:
+            self.stream = self._new_stream(host)
+        except OSError as fault:  # as a connection that is not made
+            self.stream = None
+            self._lost(None, str(fault))
+            return
         self.core.loop.create_task(self._serve(self.stream, (host, port)))
 
+    def _new_stream(self, host):
+        """A stream that is not connected yet. Raises OSError."""
+        most = self.terms.frame + BATCH
+        if self.tls is None:
+            return IOStream(sockets.fresh(host), max_buffer_size=most)
+        return SSLIOStream(sockets.fresh(host), ssl_options=self.tls.client(), max_buffer_size=most)
+
     async def _serve(self, stream, address):
         why = "closed by the peer"
         try:
@@ -121,7 +131,7 @@
                 if self.tls is None
                 else stream.connect(address, server_hostname=self.tls.server_name(address[0]))
             )
-            stream.set_nodelay(True)
+            sockets.disable_delay(stream.socket)
             self.state.connected(self.core.now())
             stream.write(rpc.notice("hello", [self.core.name])).add_done_callback(
                 lambda done: done.exception()
@@ -144,7 +154,8 @@
         self._lost(stream, why)
 
     def _lost(self, stream, why):
-        stream.close()
+        if stream is not None:
+            stream.close()
         if self.stream is not stream or self.state.state == link_state.DOWN:
             return
         was_up = self.state.state == link_state.UP
@@ -159,7 +170,7 @@
             waiting=len(self.waiting),
         )
         for call in list(self.out.values()) + list(self.waiting):
-            self._end(call, send_outcome.of_loss(call.stage))
+            self._lose(call, stream)
 
     def give_up(self, why):
         if self.stream is not None:
--- a/petrelwood/node/front.py
+++ b/petrelwood/node/front.py
@@ -364,36 +364,56 @@
             client.close()
 
     def _accept(self):
+        connection_faults = 0
+        made_room = False
         for _ in range(ACCEPTS):
             try:
                 sock, _ = self.sock.accept()
-            except (BlockingIOError, InterruptedError, ConnectionAbortedError):
+            except (BlockingIOError, InterruptedError):
                 return
             except OSError as fault:
-                if fault.errno in (errno.EMFILE, errno.ENFILE) and self._make_room():
+                if fault.errno in sockets.CONNECTION_FAULTS:
+                    connection_faults += 1
+                    if connection_faults < sockets.CONNECTION_FAULTS_IN_A_ROW:
+                        continue
+                # Where one descriptor more did not help, another would not: the machine is out of them.
+                elif fault.errno in (errno.EMFILE, errno.ENFILE) and not made_room and self._make_room():
+                    made_room = True
                     continue
-                # it stays readable: the loop would come back here at once, and again
-                self.deaf = True
-                self.core.loop.remove_reader(self.sock)
+                self._pause()
                 return
+            connection_faults = 0
+            made_room = False
             self.counts["connections"] += 1
             if len(self.clients) >= self.room.clients and not self._make_room():
                 sock.close()
                 continue
-            sock.setblocking(False)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            client = Client(
-                self,
-                Stream(
-                    sock,
-                    max_buffer_size=2 * READ + resource_limits.FRAME,
-                    read_chunk_size=READ,
-                    max_write_buffer_size=resource_limits.UNREAD,
-                ),
-                self.core.now(),
-            )
-            self.clients[client] = self.idle[client] = True
-            self.core.loop.create_task(client.serve())
+            try:
+                self._serve(sock)
+            except OSError:  # it can't be set up: nothing of it was read
+                sock.close()
+
+    def _pause(self):
+        """Rests until the next look: the listener stays readable, and the loop would come back at once."""
+        self.deaf = True
+        self.core.loop.remove_reader(self.sock)
+
+    def _serve(self, sock):
+        """Serves a new connection. Raises OSError."""
+        sock.setblocking(False)
+        sockets.disable_delay(sock)
+        client = Client(
+            self,
+            Stream(
+                sock,
+                max_buffer_size=2 * READ + resource_limits.FRAME,
+                read_chunk_size=READ,
+                max_write_buffer_size=resource_limits.UNREAD,
+            ),
+            self.core.now(),
+        )
+        self.clients[client] = self.idle[client] = True
+        self.core.loop.create_task(client.serve())
 
     def _make_room(self):
         """Descriptors run short: the connection that has been idle longest goes, never one with an open
--- a/petrelwood/node/roster.py
+++ b/petrelwood/node/roster.py
@@ -4,6 +4,7 @@
 `decide.cluster.polling`. An answer counts if its sender, its id and its question are those that were asked,
 and it is whole and good; an older list changes nothing."""
 
+import errno
 import socket
 
 import dns.exception
@@ -23,6 +24,11 @@
 NAME = dns.name.from_text("_api._tcp.svc.local")
 MOST = 65_535  # bytes of a datagram
 STATES = {0: USABLE, 1: DRAINING}
+READS = 8  # datagrams in one turn of the loop
+# send(2) and recv(2): the socket is as good as before, and nothing was sent or received
+MOMENTARY = frozenset(
+    (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS, errno.ENOMEM, errno.ECONNREFUSED)
+)
 
 # The library imports a record type's module when the first record of it comes, when no descriptor may be left
 # to open the module's file.
@@ -112,22 +118,17 @@
             None,
             {"asked": 0, "good": 0, "unusable": 0, "old": 0},
         )
-        self.failed = False  # it was to be opened, and could not be
+        self.failed = False  # it is to be opened, and could not be or has failed
+        self.warned = False  # since the last good answer
+        self.receive_failures = 0  # since a datagram or a question
 
     def open(self):
         """Where that can't be done now, it is tried again when the roster is next to be asked."""
-        failed_before, self.failed = self.failed, False
+        self.failed = False
         try:
             self._connect()
         except OSError as fault:
-            self.close()
-            self.failed = True
-            if not failed_before:
-                self.log.warning(
-                    "the roster can't be asked",
-                    address=f"{self.address[0]}:{self.address[1]}",
-                    why=str(fault),
-                )
+            self._reopen_later(fault)
 
     def _connect(self):
         self.close()
@@ -146,7 +147,7 @@
         """The roster is at another address from now on; its numbers go on."""
         self.address = address
         self.asking.anew(self.core.now())
-        self.failed = False
+        self.warned = False
         self.open()
 
     def check(self, now):
@@ -156,20 +157,45 @@
             self.open()
         self.counts["asked"] += 1
         asked = self.asking.asks(now).to_bytes(2, "big") + self.question
+        self.receive_failures = 0
         if self.sock is not None:
+            self._send(asked)
+
+    def _send(self, asked):
+        try:
             try:
                 self.sock.send(asked)
-            except OSError:  # nobody there, or no room: it is asked again
-                pass
+            except ConnectionRefusedError:  # of the question before; this one was not sent
+                self.sock.send(asked)
+        except OSError as fault:  # it is asked again
+            if fault.errno not in MOMENTARY:
+                self._reopen_later(fault)
+
+    def _reopen_later(self, fault):
+        """The socket may never work again: the address that it is bound to may have gone. The next question
+        has another one."""
+        self.close()
+        self.failed = True
+        if not self.warned:
+            self.warned = True
+            self.log.warning(
+                "the roster can't be asked", address=f"{self.address[0]}:{self.address[1]}", why=str(fault)
+            )
 
     def _read(self):
-        for _ in range(8):
+        for _ in range(READS):
             try:
                 data = self.sock.recv(MOST)
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError:  # a refusal of what was sent before
+            except OSError as fault:  # a refusal of what was sent before
+                self.receive_failures += 1
+                # a question has one refusal: this would go on, as fast as the loop turns
+                if self.receive_failures > READS:
+                    self._reopen_later(fault)
+                    return
                 continue
+            self.receive_failures = 0
             self.take(data)
 
     def take(self, data):
@@ -204,6 +230,7 @@
 
     def _good(self, now):
         self.counts["good"] += 1
+        self.warned = False
         self.asking.good(now)
         if self.membership.alive(now):
             self.log.info("roster heard again")
--- a/petrelwood/node/stream.py
+++ b/petrelwood/node/stream.py
@@ -4,9 +4,13 @@
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream
 
+from petrelwood.links import sockets
+
 
 class Stream(IOStream):
-    def _try_inline_read(self):
+    """A connection of a client or to a worker."""
+
+    def _try_inline_read(self) -> None:
         """As in IOStream, but what is not in the buffer is waited for: one system call a read and not two."""
         pos = self._find_read_pos()
         if pos is not None:
@@ -14,3 +18,8 @@
             return
         self._check_closed()
         self._add_io_state(IOLoop.READ)
+
+    def set_nodelay(self, value: bool) -> None:
+        """As in IOStream, but a connection that can't be told so still serves."""
+        if value:
+            sockets.disable_delay(self.socket)
--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -103,6 +103,7 @@
 
     def _put(self, line, call):
         frame = self._hand(call)
+        call.begins = sockets.bytes_written(line.stream)
         call.line, line.open[call.act] = line, call
         connection_pool.remembers(line, call.act)
         self.lines.remove(line)  # the last used stands at the end
@@ -127,11 +128,12 @@
     def _connect(self):
         host, port = self.address
         try:
-            sock = sockets.fresh(host)
+            stream = Stream(
+                sockets.fresh(host), max_buffer_size=resource_limits.FRAME * 4, read_chunk_size=READ
+            )
         except OSError:  # no descriptor after all: nothing was sent
             self._end(self.waiting[0], send_outcome.of_crowding())
             return
-        stream = Stream(sock, max_buffer_size=resource_limits.FRAME * 4, read_chunk_size=READ)
         line = Line(stream, self.core.now())
         self.lines.append(line)
         self.connecting += 1
@@ -186,7 +188,7 @@
             self.counts["lost"] += 1
             self.core.note_loss(self.worker, why, len(line.open))
         for call in list(line.open.values()):
-            self._end(call, send_outcome.of_loss(send_outcome.HANDED))
+            self._lose(call, line.stream)
         line.open.clear()
         self.pump()
 
--- /dev/null
+++ b/tests/test_system_calls.py
@@ -0,0 +1,496 @@
+"""System calls of `petrelwood.node` that fail: its listener, its clients, its links to workers, its roster.
+
+Five things are judged wherever a call fails: nothing spins (the calls and turns of a loop that is left to
+itself are counted), no listener or link stays deaf once the fault is over, what never left is not aborted,
+the process goes on, and each activation has one answer."""
+
+import asyncio
+import contextlib
+import errno
+import unittest
+
+from node_site import ask
+from syscall_faults import (
+    Turns,
+    broken_write,
+    failed_connections,
+    failing,
+    interrupted,
+    local,
+    losing_accepts,
+    no_sockets,
+    peer,
+    short,
+)
+from test_crossings import Caller, Inside, Raw
+
+from petrelwood.links import sockets
+
+# accept(2): of the call itself, while the connection stays where it is
+ACCEPT_FAILS = (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPERM)
+# accept(2): errors that were pending on the new connection, which is gone with them
+ACCEPT_LOSES = (
+    errno.ECONNABORTED,
+    errno.ENETDOWN,
+    errno.EPROTO,
+    errno.ENOPROTOOPT,
+    errno.EHOSTDOWN,
+    errno.ENONET,
+    errno.EHOSTUNREACH,
+    errno.EOPNOTSUPP,
+    errno.ENETUNREACH,
+)
+SOCKET_FAILS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EACCES, errno.EPERM)
+CONNECT_FAILS = (
+    errno.EADDRNOTAVAIL,
+    errno.ENETUNREACH,
+    errno.EHOSTUNREACH,
+    errno.ECONNREFUSED,
+    errno.EAGAIN,
+    errno.EPERM,
+    errno.ENOBUFS,
+    errno.EINTR,
+)
+CONNECT_ENDS = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNREFUSED, errno.ECONNRESET)
+# how a connection shows itself as broken, to who reads and to who writes
+READ_BREAKS = (
+    errno.ECONNRESET,
+    errno.ETIMEDOUT,
+    errno.EHOSTUNREACH,
+    errno.ENETUNREACH,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+    errno.ENOTCONN,
+)
+WRITE_BREAKS = (
+    errno.EPIPE,
+    errno.ECONNRESET,
+    errno.ETIMEDOUT,
+    errno.EHOSTUNREACH,
+    errno.ENETUNREACH,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+    errno.EPERM,
+)
+# of a datagram that could not be sent, or that came back
+DATAGRAM_FAILS = (
+    errno.ECONNREFUSED,
+    errno.EMSGSIZE,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+    errno.EPERM,
+    errno.ENETUNREACH,
+    errno.EHOSTUNREACH,
+    errno.EADDRNOTAVAIL,
+    errno.EAGAIN,
+    errno.EINTR,
+)
+# of a socket that is as good as before
+MOMENTARY = (errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM, errno.ECONNREFUSED)
+IDLE = 12  # connections that rest
+TURNS = 300  # of a loop that never waits
+
+
+class Case(unittest.IsolatedAsyncioTestCase):
+    """Dispatchers in the test's loop, in which nothing may be called a defect."""
+
+    async def asyncSetUp(self):
+        self.unhandled = []
+        asyncio.get_running_loop().set_debug(False)
+        asyncio.get_running_loop().set_exception_handler(lambda _, context: self.unhandled.append(context))
+
+    def tearDown(self):
+        self.assertEqual(self.unhandled, [])
+
+    @contextlib.asynccontextmanager
+    async def site(self, *workers, **changes):
+        async with Inside(list(workers), **changes) as site:
+            yield site
+            self.assertEqual(site.node.pending.counts["defects"], 0, site.log)
+
+    async def served(self, site, worker, type_="single"):
+        """One more activation, of a client on a new connection."""
+        client = Caller(site.address)
+        self.addCleanup(client.sock.close)
+        fields = ask(fn=1)
+        number = client.call(fields, type_=type_)
+        await self.answered(site, client, number, worker, fields["call"])
+
+    async def failed(self, site, fault, times=1):
+        await site.until(lambda: fault.failed >= times)
+
+    async def has(self, site, client, number):
+        """A client has an answer."""
+        await site.until(lambda: number in client.read())
+
+    async def ended(self, site, client):
+        """A client's connection has ended with no answer."""
+        await site.until(lambda: client.read() == {} and client.ended)
+
+    async def answered(self, site, client, number, worker, call, body=b"x"):
+        """It reaches the worker, which answers it; the client has that answer."""
+
+        def sent():
+            return [run for run in worker.runs() if run[1]["req"] == call]
+
+        await site.until(sent)
+        worker.answer(sent()[0])
+        await self.has(site, client, number)
+        self.assertEqual((client.answers[number], len(sent())), (("completed", body), 1))
+
+
+class Listener(Case):
+    async def test_accept_fails_for_a_while(self):
+        """The connection waits meanwhile; nothing spins, and it is served once the fault is over."""
+        for error in ACCEPT_FAILS:
+            with self.subTest(errno.errorcode[error]):
+                worker = Raw("s-1")
+                async with self.site(worker) as site:
+                    looks, port = site.node.looks, site.address[1]
+                    with failing("accept", error, local(port), times=None) as fault:
+                        waiting = Caller(site.address)
+                        self.addCleanup(waiting.sock.close)
+                        number = waiting.call(fields := ask(fn=1), type_="single")
+                        await self.failed(site, fault)
+                        await site.turns(TURNS)
+                        pauses = 1 + site.node.looks - looks
+                        of_one = sockets.CONNECTION_FAULTS_IN_A_ROW if error == errno.EPERM else 1
+                        self.assertLessEqual(fault.calls, of_one * (1 + pauses))
+                    await self.answered(site, waiting, number, worker, fields["call"])
+                    await self.served(site, worker)
+
+    async def test_accept_fails_for_a_while_with_idle_clients(self):
+        """One that rests makes room for another connection; where that does not help, the others stay."""
+        for error in (errno.ENFILE, errno.EMFILE):
+            with self.subTest(errno.errorcode[error]):
+                worker = Raw("s-1")
+                async with self.site(worker) as site:
+                    idle = [Caller(site.address) for _ in range(IDLE)]
+                    for client in idle:
+                        self.addCleanup(client.sock.close)
+                    await site.until(lambda: len(site.node.front.clients) == IDLE)
+                    looks = site.node.looks
+                    with failing("accept", error, local(site.address[1]), times=None) as fault:
+                        waiting = Caller(site.address)
+                        self.addCleanup(waiting.sock.close)
+                        await self.failed(site, fault)
+                        await site.turns(TURNS)
+                        crowded_out = site.node.front.counts["crowded out"]
+                        self.assertLessEqual(crowded_out, 1 + site.node.looks - looks)
+                    number = waiting.call(fields := ask(fn=1), type_="single")
+                    await self.answered(site, waiting, number, worker, fields["call"])
+
+    async def test_accept_loses_a_connection(self):
+        """Its error says nothing of the others that wait: they are taken in the same turn."""
+        for error in ACCEPT_LOSES:
+            with self.subTest(errno.errorcode[error]):
+                worker = Raw("s-1")
+                async with self.site(worker) as site:
+                    looks = site.node.looks
+                    with losing_accepts(error, local(site.address[1])) as fault:
+                        lost, kept = Caller(site.address), Caller(site.address)
+                        self.addCleanup(lost.sock.close)
+                        self.addCleanup(kept.sock.close)
+                        number = kept.call(fields := ask(fn=1), type_="single")
+                        await self.failed(site, fault)
+                        self.assertEqual((fault.failed, site.node.front.counts["connections"]), (1, 1), looks)
+                    await self.answered(site, kept, number, worker, fields["call"])
+
+    async def test_a_new_connection_cannot_be_set_up(self):
+        """It is served without the option, or closed; those that come after it are served."""
+        for call, error in (
+            ("setsockopt", errno.EINVAL),
+            ("setsockopt", errno.ENOTCONN),
+            ("setsockopt", errno.ENOBUFS),
+            ("setsockopt", errno.ENOMEM),
+            ("setblocking", errno.ENOMEM),
+        ):
+            with self.subTest(call, error=errno.errorcode[error]):
+                worker = Raw("s-1")
+                async with self.site(worker) as site:
+                    client = Caller(site.address)
+                    self.addCleanup(client.sock.close)
+                    with failing(call, error, local(site.address[1])) as fault:
+                        number = client.call(fields := ask(fn=1), type_="single")
+                        await self.failed(site, fault)
+                        if call == "setsockopt":
+                            await self.answered(site, client, number, worker, fields["call"])
+                        else:
+                            await self.ended(site, client)
+                    await self.served(site, worker)
+                    self.assertFalse([c for c in site.node.front.clients if c.stream.closed()])
+
+
+class Clients(Case):
+    async def test_a_connection_breaks_as_it_is_read(self):
+        for error in READ_BREAKS:
+            with self.subTest(errno.errorcode[error]):
+                worker = Raw("s-1")
+                async with self.site(worker) as site:
+                    broken, stays = Caller(site.address), Caller(site.address)
+                    self.addCleanup(broken.sock.close)
+                    self.addCleanup(stays.sock.close)
+                    first = broken.call(ask(fn=1))
+                    await site.until(worker.runs)
+                    of_broken = local_to(broken)
+                    with failing("recv_into", error, of_broken, times=None) as fault:
+                        broken.call(ask(fn=1))
+                        await site.until(lambda: site.node.pending.counts["left"] == 1)
+                        await site.turns()
+                        self.assertLess(fault.calls, 4)
+                    self.assertEqual(len(site.node.front.clients), 1)
+                    number = stays.call(fields := ask(fn=2), type_="single")
+                    await self.answered(site, stays, number, worker, fields["call"])
+                    self.assertNotIn(first, broken.read())
+
+    async def test_a_connection_breaks_as_its_answer_is_written(self):
+        for error in WRITE_BREAKS:
+            for taken in (0, 5):
+                with self.subTest(errno.errorcode[error], taken=taken):
+                    worker = Raw("s-1")
+                    async with self.site(worker) as site:
+                        client = Caller(site.address)
+                        self.addCleanup(client.sock.close)
+                        client.call(ask(fn=1))
+                        await site.until(worker.runs)
+                        with broken_write(error, local_to(client), taken) as fault:
+                            worker.answer(worker.runs()[0])
+                            await site.until(lambda: not site.node.front.clients)
+                        self.assertEqual(fault.failed, 1)
+                        self.assertEqual(site.node.pending.counts["completed"], 1)
+                        await self.served(site, worker)
+
+    async def test_short_reads_and_writes(self):
+        """Byte by byte, from clients and to them, from workers and to them."""
+        worker = Raw("s-1")
+        async with self.site(worker) as site:
+            ports = local(site.address[1]), peer(worker.port)
+            with short(lambda sock, args: any(each(sock, args) for each in ports)) as calls:
+                for type_ in ("plain", "marked", "single"):
+                    mark = {"dedupe": "0" * 32} if type_ == "marked" else {}
+                    client = Caller(site.address)
+                    self.addCleanup(client.sock.close)
+                    number = client.call(fields := ask(fn=1, **mark), b"y" * 100, type_)
+                    await self.answered(site, client, number, worker, fields["call"], b"y" * 100)
+            self.assertGreater(calls.calls, 1000)
+
+    async def test_signals_interrupt_every_wait(self):
+        worker = Raw("s-1")
+        async with self.site(worker) as site:
+            with interrupted() as came:
+                for _ in range(20):
+                    await self.served(site, worker)
+            self.assertGreater(len(came), 5)
+
+
+class Workers(Case):
+    async def rejected(self, site, fault, type_="single"):
+        """An activation that can't leave is rejected, and not at the cost of many tries."""
+        client = Caller(site.address)
+        self.addCleanup(client.sock.close)
+        number = client.call(ask(fn=1, ttl=600), type_=type_)
+        await self.has(site, client, number)
+        self.assertEqual(client.answers[number][0], "Throttled")
+        self.assertLess(fault.calls, 16)
+
+    async def test_no_socket_for_a_connection(self):
+        for error in SOCKET_FAILS:
+            with self.subTest(errno.errorcode[error]):
+                first, second = Raw("s-1"), Raw("s-2")
+                async with self.site(first, second) as site:
+                    with no_sockets(error, times=None) as fault:
+                        await self.rejected(site, fault)
+                        fault.over()
+                        await self.either(site, first, second)
+
+    async def test_a_socket_that_cannot_be_connected(self):
+        for error in CONNECT_FAILS:
+            with self.subTest(errno.errorcode[error]):
+                first, second = Raw("s-1"), Raw("s-2")
+                async with self.site(first, second) as site:
+                    chosen = peer(first.port, second.port)
+                    with failing("connect", error, chosen, times=None) as fault:
+                        await self.rejected(site, fault)
+                        fault.over()
+                        await self.either(site, first, second)
+
+    async def test_a_connection_that_is_not_made(self):
+        for error in CONNECT_ENDS:
+            with self.subTest(errno.errorcode[error]):
+                first, second = Raw("s-1"), Raw("s-2")
+                async with self.site(first, second) as site:
+                    with failed_connections(error, (first.port, second.port), times=None) as fault:
+                        await self.rejected(site, fault)
+                        fault.over()
+                        await self.either(site, first, second)
+
+    async def test_one_connection_that_is_not_made(self):
+        """The next attempt goes on, at another worker or the same."""
+        for error in CONNECT_FAILS:
+            with self.subTest(errno.errorcode[error]):
+                first, second = Raw("s-1"), Raw("s-2")
+                async with self.site(first, second) as site:
+                    with failing("connect", error, peer(first.port, second.port)) as fault:
+                        await self.either(site, first, second)
+                    self.assertEqual(fault.failed, 1)
+
+    async def either(self, site, first, second):
+        """An activation that must not run twice is completed by one of the two."""
+        client = Caller(site.address)
+        self.addCleanup(client.sock.close)
+        number = client.call(fields := ask(fn=1), type_="single")
+
+        def runs():
+            return [(w, run) for w in (first, second) for run in w.runs() if run[1]["req"] == fields["call"]]
+
+        await site.until(lambda: runs() or number in client.read())
+        self.assertEqual(len(runs()), 1, client.answers)
+        worker, run = runs()[0]
+        worker.answer(run)
+        await self.has(site, client, number)
+        self.assertEqual(client.answers[number], ("completed", b"x"))
+        self.assertEqual(len(runs()), 1)
+
+    async def test_a_connection_without_its_option(self):
+        """A connection that can't be told to send at once sends."""
+        for error in (errno.EINVAL, errno.ENOBUFS, errno.ENOMEM, errno.ENOPROTOOPT, errno.ENOTCONN):
+            with self.subTest(errno.errorcode[error]):
+                worker = Raw("s-1")
+                async with self.site(worker) as site:
+                    with failing("setsockopt", error, peer(worker.port), times=None) as fault:
+                        await self.served(site, worker)
+                    self.assertTrue(0 < fault.failed < 5)
+
+    async def test_a_write_of_which_no_byte_is_taken(self):
+        """It provably never ran: the activation goes on, and is not aborted."""
+        for error in WRITE_BREAKS:
+            with self.subTest(errno.errorcode[error]):
+                first, second = Raw("s-1"), Raw("s-2")
+                async with self.site(first, second) as site:
+                    with broken_write(error, peer(first.port, second.port), begins=b'"FN"') as fault:
+                        await self.either(site, first, second)
+                    self.assertEqual(fault.failed, 1)
+
+    async def test_a_write_that_blocks_before_its_first_byte_and_then_fails(self):
+        """As above, a turn of the loop later."""
+        first, second = Raw("s-1"), Raw("s-2")
+        async with self.site(first, second) as site:
+            chosen = peer(first.port, second.port)
+            with (
+                broken_write(errno.ETIMEDOUT, chosen, begins=b'"FN"') as fault,
+                failing("send", errno.EAGAIN, chosen),
+            ):
+                await self.either(site, first, second)
+            self.assertEqual(fault.failed, 1)
+
+    async def test_a_write_of_which_some_bytes_are_taken(self):
+        """They may be all that a worker needs: what must not run twice is aborted, what may goes on."""
+        for error in WRITE_BREAKS:
+            with self.subTest(errno.errorcode[error]):
+                first, second = Raw("s-1"), Raw("s-2")
+                async with self.site(first, second) as site:
+                    chosen = peer(first.port, second.port)
+                    with broken_write(error, chosen, taken=7, begins=b'"FN"') as fault:
+                        client = Caller(site.address)
+                        self.addCleanup(client.sock.close)
+                        number = client.call(ask(fn=1), type_="single")
+                        await self.has(site, client, number)
+                        self.assertEqual((client.answers[number][0], fault.failed), ("Broken", 1))
+                    self.assertEqual(first.runs() + second.runs(), [])
+
+    async def test_a_connection_breaks_while_a_send_is_out(self):
+        for error in READ_BREAKS:
+            with self.subTest(errno.errorcode[error]):
+                worker = Raw("s-1")
+                async with self.site(worker) as site:
+                    client = Caller(site.address)
+                    self.addCleanup(client.sock.close)
+                    number = client.call(ask(fn=1), type_="single")
+                    await site.until(worker.runs)
+                    with failing("recv_into", error, peer(worker.port)) as fault:
+                        worker.answer(worker.runs()[0])
+                        await self.has(site, client, number)
+                    self.assertEqual((client.answers[number][0], fault.failed), ("Broken", 1))
+                    await self.served(site, worker)
+
+
+class Lists(Case):
+    async def test_a_question_that_is_not_sent(self):
+        """For a while, or for good on this socket, whose own address may have gone: it is asked anew."""
+        for error in DATAGRAM_FAILS:
+            with self.subTest(errno.errorcode[error]):
+                worker = Raw("s-1")
+                async with self.site(worker) as site:
+                    await site.until(lambda: site.node.roster.counts["good"])
+                    roster, first = site.node.roster, site.node.roster.sock
+                    with failing("send", error, same(first), times=None) as fault:
+                        before = roster.counts["asked"]
+                        if error in MOMENTARY:
+                            await self.failed(site, fault, 2)
+                            fault.over()
+                        await self.hears(site)
+                        self.assertLessEqual(fault.calls, 2 * (roster.counts["asked"] - before))
+
+    async def test_a_refusal_of_the_question_before(self):
+        """It is read by the next question, which then has not been sent: it is sent once more."""
+        worker = Raw("s-1")
+        async with self.site(worker) as site:
+            roster = site.node.roster
+            await site.until(lambda: roster.counts["good"])
+            asked, good = roster.counts["asked"], roster.counts["good"]
+            with failing("send", errno.ECONNREFUSED, same(roster.sock)) as fault:
+                await site.until(lambda: roster.counts["good"] > good)
+            self.assertEqual((roster.counts["asked"], fault.failed), (asked + 1, 1))
+
+    async def test_an_answer_that_is_not_received(self):
+        """A socket that can be read and never is: it is given up."""
+        for error in set(DATAGRAM_FAILS) - {errno.EAGAIN, errno.EINTR}:
+            with self.subTest(errno.errorcode[error]):
+                worker = Raw("s-1")
+                async with self.site(worker) as site:
+                    await site.until(lambda: site.node.roster.counts["good"])
+                    first = site.node.roster.sock
+                    with (
+                        failing("recv", error, same(first), times=None) as fault,
+                        Turns() as turns,
+                    ):
+                        await self.failed(site, fault)
+                        looks, before = site.node.looks, turns.count
+                        await asyncio.sleep(0.3)
+                        self.assertLess(turns.count - before, 12 * (site.node.looks - looks + 2))
+                        fault.over()
+                        await self.hears(site)
+
+    async def test_no_socket_to_ask_with(self):
+        for error in SOCKET_FAILS:
+            with self.subTest(errno.errorcode[error]):
+                worker = Raw("s-1")
+                async with self.site(worker) as site:
+                    with no_sockets(error, times=None) as fault:
+                        site.node.roster.moves(site.node.roster.address)
+                        await asyncio.sleep(0.2)
+                        self.assertLess(fault.calls, 8)
+                        fault.over()
+                        await self.hears(site)
+
+    async def hears(self, site):
+        """The dispatcher hears a change of the list."""
+        added = Raw("s-9")
+        self.addAsyncCleanup(added.close)
+        site.roster.tell(added)
+        await site.until(lambda: "s-9" in site.node.membership.members)
+
+
+def same(sock):
+    """Chooses one socket."""
+    return lambda each, _args: each is sock
+
+
+def local_to(client):
+    """Chooses the dispatcher's end of one client's connection."""
+    own = client.sock.getsockname()[1]
+    return peer(own)
+
+
+if __name__ == "__main__":
+    unittest.main()
