--- a/tests/test_configuration_servers.py
+++ b/tests/test_configuration_servers.py
@@ -15,8 +15,9 @@
 from test_handover import DispatcherCase
 
 from petrelwood.clocks import LoopClock
-from petrelwood.control import messages, server
-from petrelwood.decide.cluster import replicated_log as log
+from petrelwood.control import log_storage, messages
+from petrelwood.decide.cluster.log_records import MAX_TEXT_SIZE, Record, RecordKind, compress_text
+from petrelwood.decide.cluster.replicated_log import Replica
 from petrelwood.dispatch.configuration import ConfigurationFollower
 from petrelwood.links.rpc_client import CallFailed, RpcClient
 from petrelwood.settings.gateway import ConfigurationTerms
@@ -78,7 +79,7 @@
         return (self.folder / f"{name}.log").read_text()
 
     async def append(self, name, record):
-        client = RpcClient(self.addresses[name], messages.MOST)
+        client = RpcClient(self.addresses[name], messages.MAX_MESSAGE_SIZE)
         try:
             (slot,) = await client.call("append", [list(record)], 10)
             return slot
@@ -87,7 +88,7 @@
 
 
 def version(n):
-    return log.Record(f"r{n}", log.VERSION, 0, 0, log.packed(f"text {n}"))
+    return Record(f"r{n}", RecordKind.VERSION, 0, 0, compress_text(f"text {n}"))
 
 
 class Servers(unittest.IsolatedAsyncioTestCase):
@@ -146,7 +147,7 @@
         for n in (1, 2, 3):
             await self.group.append("c1", version(n))
         await self.group.kill("c5")
-        (self.folder / "c5" / server.FILE).unlink()
+        (self.folder / "c5" / log_storage.FILE).unlink()
         await self.group.start("c5")
         await self.until(lambda: "rejoined" in self.group.said("c5"))
         await self.group.kill("c3")
@@ -163,9 +164,9 @@
         slot = await decided(4)
         self.assertGreaterEqual(slot, 4)
         for name in ("c1", "c2", "c5"):  # all agree on each slot
-            client = RpcClient(self.group.addresses[name], messages.MOST)
+            client = RpcClient(self.group.addresses[name], messages.MAX_MESSAGE_SIZE)
             for _ in range(20 * PATIENT):
-                found = messages.extract(await client.call("catch-up", [0], 10))
+                found = messages.decode_extract(await client.call("catch-up", [0], 10))
                 if found.chosen >= slot:
                     break
                 await asyncio.sleep(0.05)
@@ -183,10 +184,10 @@
         self.assertEqual((self.folder / "other" / "1.off").read_text(), "d1: it did worse")
         await self.until(lambda: not one.unsent_call_offs)
         with self.assertRaisesRegex(CallFailed, "no version 9"):
-            await self.group.append("c1", log.Record("x", log.CALL_OFF, 9, 0, b"?"))
+            await self.group.append("c1", Record("x", RecordKind.REVOCATION, 9, 0, b"?"))
 
     async def test_what_can_not_be_read_is_an_error_and_the_server_goes_on(self):
-        client = RpcClient(self.group.addresses["c1"], messages.MOST)
+        client = RpcClient(self.group.addresses["c1"], messages.MAX_MESSAGE_SIZE)
         self.addCleanup(client.close)
         for method, params in (
             ("nonsense", []),
@@ -196,14 +197,14 @@
             ("append", [["id", "version", 0, 0]]),
             ("append", [["", "version", 0, 0, b""]]),
             ("append", [["id", "version", -1, 0, b""]]),
-            ("append", [["id", "version", 0, 0, b"x" * (log.DOCUMENT + 1)]]),
+            ("append", [["id", "version", 0, 0, b"x" * (MAX_TEXT_SIZE + 1)]]),
             ("prepare", [1, 1 << 63, "c1"]),
             ("accept", [1, 1, "c1", None]),
             ("learn", [0, 1, [[1]]]),
         ):
             with self.assertRaises(CallFailed, msg=(method, params)):
                 await client.call(method, params, 10)
-        raw = RpcClient(self.group.addresses["c1"], messages.MOST)
+        raw = RpcClient(self.group.addresses["c1"], messages.MAX_MESSAGE_SIZE)
         self.addCleanup(raw.close)
         await raw.call("read", [0], 10)
         await raw.stream.write(b"\xc1 this is no message")
@@ -230,9 +231,14 @@
         )
 
     def test_a_log_that_can_not_be_used_ends_the_start_with_one_line_and_status_2(self):
-        snapshot.write(self.folder / server.FILE, server.KIND, server.VERSION, log.Replica().durable())
+        snapshot.write(
+            self.folder / log_storage.FILE,
+            log_storage.KIND,
+            log_storage.VERSION,
+            Replica().durable_state(),
+        )
         held = self.serve("--new-log-after", "0")
-        (self.folder / server.FILE).write_bytes(b"half of a")
+        (self.folder / log_storage.FILE).write_bytes(b"half of a")
         broken = self.serve()
         for ended, words in ((held, "holds a log"), (broken, "can't be used")):
             self.assertEqual((ended.returncode, ended.stderr.count("\n")), (2, 1), ended.stderr)
