--- a/petrelwood/dispatch/handover/predecessor.py
+++ b/petrelwood/dispatch/handover/predecessor.py
@@ -146,7 +146,10 @@
         if not isinstance(hello, Hello):
             return "it did not greet"
         is_busy = self.machine.is_busy()
-        return handover.rejection_reason(hello.request, self.core.name, store.FORMAT, is_busy)
+        state = self.core.state
+        # what the successor must read: the newest format that stands in the folder
+        state_format = store.PLAIN_FORMAT if state is None else state.format
+        return handover.rejection_reason(hello.request, self.core.name, state_format, is_busy)
 
     async def _handle(self, channel: Channel, message: Message) -> None:
         now = self.core.now()
--- a/petrelwood/node/stream.py
+++ b/petrelwood/node/stream.py
@@ -23,3 +23,7 @@
         """As in IOStream, but a connection that can't be told so still serves."""
         if value:
             sockets.disable_delay(self.socket)
+
+    def unsent(self):
+        """Bytes that were written and that the machine has not taken yet."""
+        return len(self._write_buffer)
