--- a/petrelwood/dispatch/state_recovery.py
+++ b/petrelwood/dispatch/state_recovery.py
@@ -14,6 +14,7 @@
     RecentOrders,
     RecoverySchedule,
     entry_records,
+    forgotten_record,
 )
 
 SLICE = 250  # ids that are written before the loop goes on
@@ -69,7 +70,7 @@
 
     def _attempt(self, now: int) -> None:
         core = self.core
-        reopened = core.state.reopen(core.clock.wall())
+        reopened = core.state.reopen(core.record_time())
         if core.state.found:
             # another process had taken over, and what it wrote could not be read until now
             core.adopt(core.state)
@@ -77,10 +78,19 @@
             self._failed(now)
             return
         self.unwritten = iter(list(core.ledger.entries))
+        forgotten = forgotten_record(
+            core.ledger.newest_forgotten,
+            core.record_time(),
+            core.terms.types,
+            core.gateway.remember,
+            core.gateway.tolerance,
+        )
+        if forgotten is not None:
+            core.state.add(*forgotten)
         core.submit(self._write_slice)
 
     def _write_slice(self) -> None:
-        core, now, wall = self.core, self.core.now(), self.core.clock.wall()
+        core, now, wall = self.core, self.core.now(), self.core.record_time()
         if self.unwritten is None or core.state.failed:
             return
         keys = list(islice(self.unwritten, SLICE))
--- a/petrelwood/links/calls.py
+++ b/petrelwood/links/calls.py
@@ -8,15 +8,17 @@
 from collections import deque
 
 from petrelwood.decide.delivery import send_outcome
+from petrelwood.links import sockets
 
 
 class Call:
     """One send, order or probe. `tag` names it among those that are out; `line` is the connection that has
     it, where there are several; `until` (ns) is when a send's time is up, whether its activation still lives
     or not. `content` is what its frame is made of when it leaves, `size` the bytes that it counts for while
-    it waits."""
+    it waits, `begins` how many bytes were written on its connection before it, where that proves
+    something."""
 
-    __slots__ = ("kind", "act", "n", "fn", "at", "content", "size", "stage", "tag", "line", "until")
+    __slots__ = ("kind", "act", "n", "fn", "at", "content", "size", "stage", "tag", "line", "until", "begins")
 
     def __init__(self, kind, act, n, fn, at, content, size, tag, until=None):
         self.kind = kind
@@ -30,6 +32,7 @@
         self.tag = tag
         self.line = None
         self.until = until
+        self.begins = None
 
 
 class Calls:
@@ -91,6 +94,12 @@
         self.counts["sent"] += 1
         return frame
 
+    def _lose(self, call, stream):
+        """Ends a call whose connection is lost, or was never made (None)."""
+        taken = 0 if stream is None else sockets.bytes_taken(stream)
+        stage = send_outcome.reached(call.stage, call.begins, taken)
+        self._end(call, send_outcome.of_loss(stage))
+
     def _encode(self, call):
         """The bytes of a call."""
         raise NotImplementedError
--- a/petrelwood/store/state.py
+++ b/petrelwood/store/state.py
@@ -32,7 +32,7 @@
 
 import msgpack
 
-from petrelwood.decide.delivery.recovery import CLOSE, END, LIFE, ORDER, OUTAGE, TAKE
+from petrelwood.decide.delivery.recovery import CLOSE, END, LIFE, ORDER, OUTAGE, TAKE, least_age
 from petrelwood.store import tail
 
 FORMAT, OLDEST = 2, 1
@@ -77,10 +77,6 @@
     return records, whole, why
 
 
-def _last(records):
-    return max((record[1] for record in records), default=0)
-
-
 def read(folder):
     """(records of all segments in order, [(path, bytes dropped, why)]). Raises `Refused`."""
     records, dropped = [], []
@@ -145,11 +141,11 @@
         self._begin(wall)
 
     def _find(self, path, wall):
-        """Reads a segment of another life. Its last record is taken to be as old as the wall clock says; one
-        from ahead of that clock is no older than now."""
+        """Reads a segment of another life. Its last record is as old as is known for sure: a step of the wall
+        clock since then removes nothing early."""
         records = scan(path)[0]
         self.found += records
-        self.lasts[path] = self.now() - max(0, wall - _last(records))
+        self.lasts[path] = self.now() - least_age(records, wall, self.boot)
         self.formats[path] = records[0][4] if records and records[0][0] == LIFE else PLAIN_FORMAT
 
     @property
