--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -124,7 +124,7 @@
         if found.least_epoch is not None:
             younger = self.membership.clock_was(found.least_epoch, now)
             if younger:
-                self.soon(self._listed, younger, [], False)
+                self.submit(self._endpoints_changed, younger, [], False)
         if found.last:
             self.log.info(
                 "state found",
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -30,6 +30,7 @@
 from petrelwood.dispatch.rollout import VersionRollout, VersionSource
 from petrelwood.dispatch.settings_update import UpdateResult
 from petrelwood.emulate import script
+from petrelwood.emulate.disk import Disk
 from petrelwood.emulate.platform import Platform
 from petrelwood.store import versions
 from petrelwood.store.state import StateLog
@@ -412,6 +413,22 @@
                     self.assertEqual([age([one], now) for one in listed], [S, None])
                 self.assertEqual(m.clock_was(WALL + HOUR, now), [])  # that one was ahead
 
+    def test_a_dispatcher_that_finds_the_lesser_clock_after_its_list_tells_the_module_of_younger_workers(
+        self,
+    ):
+        platform, clock = Platform(stepped_day(), 1), clocks.VirtualClock(LATE)
+        ahead = types.SimpleNamespace(now=clock.now, wall=lambda: WALL + clock.now() + HOUR, at=clock.at)
+        ahead.steady_wall = ahead.wall
+        core = platform.make_core(platform.cores["d1"].gateway, ahead, random.Random(1), None)
+        with mock.patch.object(core, "links"):
+            told = [entry("new", WALL + LATE - S), entry("old")]
+            core.endpoints_changed(*core.membership.whole("e-1", told, LATE, ahead.wall()), True)
+            lives = [[recovery.LIFE, WALL + LATE - S, recovery.boot_mark("b1", WALL), 1, 1]]
+            with mock.patch.object(core, "brain") as brain:
+                core.adopt(Disk(lives, ahead.wall(), recovery.boot_mark("b1", WALL + HOUR), 2))
+        now, (listed,), whole = brain.listed.call_args.args
+        self.assertEqual((now, listed.worker, now - listed.booted, whole), (LATE, "new", S, False))
+
 
 class Names(unittest.TestCase):
     """What is named after the wall clock is named anew though that goes back to the same time."""
