--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -9,7 +9,6 @@
 never entered twice. A defect ends the activations it touched with an abort, never the others."""
 
 import traceback
-from collections import deque
 
 from petrelwood import ports
 from petrelwood.brain import Brain
@@ -23,11 +22,11 @@
 from petrelwood.decide.overload import intake as stage
 from petrelwood.decide.overload.backoff import Budget
 from petrelwood.decide.overload.intake import Intake
-from petrelwood.decide.overload.sliding_window import SlidingWindowCounter
+from petrelwood.dispatch.event_queue import EventQueue
+from petrelwood.dispatch.recent_answers import RecentAnswers
+from petrelwood.dispatch.state_recovery import LONGEST_BODY, StateRecovery
+from petrelwood.dispatch.worker_links import WorkerLinks
 
-MOST_IN_A_TURN = 10_000  # what follows from what, before the clock is let go on
-KEPT_BODY = 4096  # bytes of an answer that is kept for a retry after a restart
-WELL = 1_000_000_000  # ns of a bucket of answers that tell how well it does
 LOOK = 500_000_000  # ns between looks at storms
 REPEATS = 0.5  # repeated sends for each first one
 RECONNECTS = 32.0  # connections tried again at once, over all links
@@ -36,32 +35,32 @@
 class Core:
     """One dispatcher. It is the module's `ports.Outlet`. `clock` as in `clocks`; `chance` a seeded
     `random.Random`; `link(worker, address, core)` makes a link: `run`, `hold`, `probe`, `cancel`, `late`,
-    `withdraw`, `recall`, `owes`, `give_up`, which hear nothing but tells us `returned`, `held`, `probed`
-    through `soon`."""
+    `withdraw`, `recall`, `owes`, `give_up`. It calls `send_ended`, `load_order_ended`, `health_check_ended`
+    through `submit`."""
 
     slices = False  # whether forecasts are learnt a few functions at a time
 
     def __init__(self, gateway, clock, chance, link, log, brain=Brain, state=None):
-        self.gateway, self.log, self.name, self.clock, self.make_link = (
-            gateway,
-            log,
-            gateway.name,
-            clock,
-            link,
-        )
+        self.gateway = gateway
+        self.log = log
+        self.name = gateway.name
+        self.clock = clock
         self.now, self.limits, self.terms, start = clock.now, gateway.limits, gateway.terms, clock.now()
+        self.record_epoch = clock.steady_wall() - start  # what records' times are ahead of `now`
         self.chance = chance
         self.ledger, self.intake, prefix = self._stages()
         self.pending = PendingActivations(self.intake, self.ledger, prefix)
         self.membership = Membership(self.terms.orders.keep, gateway.workers.connect_within, chance.random)
-        self.links, self.flying, self.inbox, self.telling, self.touched = {}, {}, deque(), False, None
+        self.events = EventQueue(clock, self.defect, self._turn_ended)
+        self.links = WorkerLinks(lambda worker, address: link(worker, address, self))
+        self.sends_in_flight = {}  # (activation, number of the send) -> worker
         self.due_timer, self.due_at, self.rules = None, 0, {}
         self.repeats = Budget(REPEATS, max(16.0, self.limits.held / 64)) if gateway.damps else None
         self.reconnects = Budget(1.0, RECONNECTS, gateway.workers.connect_within) if gateway.damps else None
         self.clock.at(start + LOOK, self._look)
         self.counts = {"sends": 0, "orders": 0, "probes": 0, "refused_by_guard": 0, "over_budget": 0}
         self.brain = brain(start, self.terms, gateway.seed, self)
-        self.state, self.returning, self.unkept, self.retired, self.hears_end, self.tells_end = (
+        self.state, self.returning, self.unkept, self.retired, self.on_activation_end, self.on_answer = (
             None,
             None,
             {},
@@ -69,9 +68,10 @@
             None,
             None,
         )
-        # `unsure(now)`: whether another process may own what comes
-        self.unsure = None
-        self.goods, self.bads = SlidingWindowCounter(WELL, 11), SlidingWindowCounter(WELL, 11)
+        # `may_be_superseded(now)`: whether another process may own what comes
+        self.may_be_superseded = None
+        self.state_recovery = StateRecovery(self)
+        self.recent_answers = RecentAnswers()
         if state is not None:
             self.adopt(state)
         self.early, self.note = None, None  # `note(...)` of `store.history`, where one is kept
@@ -91,13 +91,19 @@
             wall,
         )
         intake = Intake(self.limits, gateway.timeouts, self.terms, ledger, self.chance.random, gateway.damps)
-        return ledger, intake, f"{self.name}-{wall // 1000:x}-"
+        # Two processes may begin at the same wall-clock time, as that clock may be stepped back, but not at
+        # the same monotonic time on one start of the machine.
+        return ledger, intake, f"{self.name}-{wall // 1000:x}-{self.now() // 1000:x}-"
+
+    def record_time(self):
+        """The wall-clock time as the state log has it: without steps since this process began."""
+        return self.now() + self.record_epoch
 
     # What an earlier life left, and what is kept of this one.
     def adopt(self, state, elsewhere=False):
         """Goes on from what earlier lives left. `state` as `store.state.StateLog`: `found`, `add`, `flush`,
         `stopped`, `durability`, `boot`. `elsewhere`: the life before still finishes what it took."""
-        now, wall, self.state = self.now(), self.clock.wall(), state
+        now, wall, self.state = self.now(), self.record_time(), state
         found = recovery.replay(self.state.found, wall, self.state.boot, self.state.durability == "machine")
         known = recovery.fill(
             self.ledger,
@@ -115,6 +121,10 @@
         if self.returning.begins_low and self.gateway.damps and not elsewhere:
             self.intake.concurrency_limit.begin(now)
         self.state.found = []
+        if found.least_epoch is not None:
+            younger = self.membership.clock_was(found.least_epoch, now)
+            if younger:
+                self.submit(self._endpoints_changed, younger, [], False)
         if found.last:
             self.log.info(
                 "state found",
@@ -126,10 +136,9 @@
             )
 
     # A hand-over: see `decide.cluster.handover`.
-    def well(self):
-        """(share of the last ten seconds' answers that completed something, of how many)"""
-        good, bad = self.goods.sum(self.now()), self.bads.sum(self.now())
-        return (good / (good + bad) if good + bad else 1.0), good + bad
+    def recent_completion(self):
+        """How the activations that were answered in the last ten seconds ended."""
+        return self.recent_answers.rate(self.now())
 
     @property
     def answered(self):
@@ -137,26 +146,27 @@
         counts = self.pending.counts
         return counts[COMPLETED], counts[ABORTED] + counts[REJECTED]
 
-    def give_way(self, hears_end):
-        """From now on nothing new is taken or loaded here; `hears_end(customer, id, outcome, sent, body)` is
-        told how what is on hand ends."""
-        self.intake.closing, self.retired, self.hears_end = True, True, hears_end
+    def stop_admitting(self, on_end):
+        """From now on nothing new is admitted or loaded here; `on_end(customer, id, outcome, sent, body)` is
+        called for each activation that ends."""
+        self.intake.closing, self.retired, self.on_activation_end = True, True, on_end
         if self.state is not None:
             self.state.flush()
 
-    def take_back(self):
-        """The one that followed has failed: what it took is known from its log, and this one takes again."""
+    def resume_admitting(self):
+        """The successor has failed: what it admitted is read from its log, and this process admits again."""
         if self.state is not None:
-            self.state.renew(self.clock.wall())
+            self.state.renew(self.record_time())
             self.adopt(self.state)
-        self.intake.closing, self.retired, self.hears_end = False, False, None
+        self.intake.closing, self.retired, self.on_activation_end = False, False, None
 
-    def heard_end(self, customer, id_, outcome, sent, body):
-        """The process before this one has finished an activation of its own."""
+    def note_predecessor_outcome(self, customer, id_, outcome, sent, body):
+        """The predecessor has finished an activation that it had in flight."""
         if self.ledger.heard((customer, id_), outcome, sent, body) and self.state is not None:
-            self.state.add(recovery.END, self.clock.wall(), customer, id_, outcome, sent, body)
+            self.state.add(recovery.END, self.record_time(), customer, id_, outcome, sent, body)
 
-    def old_is_gone(self):
+    def predecessor_gone(self):
+        """The predecessor has ended: the outcomes that it did not send are not known."""
         self.ledger.nobody_elsewhere()
 
     def _turn_away(self, act):
@@ -166,7 +176,7 @@
         """Notes a new activation; whether it may be told to the module at once. What must not run twice waits
         until its id is kept, and is turned away where it can't be."""
         self.state.add(
-            recovery.TAKE, self.clock.wall(), *act.key, self.ledger.entries[act.key].stamp, act.type
+            recovery.TAKE, self.record_time(), *act.key, self.ledger.entries[act.key].stamp, act.type
         )
         if not recovery.kept_first(self.terms.types[act.type].effect):
             return True
@@ -182,6 +192,11 @@
     def sync_soon(self):
         """For a dispatcher whose log is on a disk: calls `kept` when what was added is there."""
 
+    def sync_state(self, done):
+        """Makes the state log durable, then calls `done(durable)`; a dispatcher on a loop does it in a
+        thread."""
+        done(self.state.sync_task()())
+
     def kept(self, acts, good):
         """The ids of these activations are on the disk, or can't be."""
         for act_id in acts:
@@ -194,21 +209,21 @@
                 self._turn_away(act)
 
     def _begin(self, act):
-        self.touched.add(act.id)
+        self.events.touched.add(act.id)
         self.brain.activation(
             self.now(), act.id, act.fn, act.type, act.customer, act.due, act.lanes, act.work, act.load_time
         )
 
     def _ended(self, act, outcome, body):
         if outcome != LEFT:
-            (self.goods if outcome == COMPLETED else self.bads).add(self.now())
-            if self.tells_end is not None:
-                self.tells_end(outcome == COMPLETED)
-        kept = body if outcome == COMPLETED and body is not None and len(body) <= KEPT_BODY else None
-        if self.hears_end is not None:
-            self.hears_end(*act.key, outcome, act.sends > 0, kept)
+            self.recent_answers.record(self.now(), outcome == COMPLETED)
+            if self.on_answer is not None:
+                self.on_answer(outcome == COMPLETED)
+        kept = body if outcome == COMPLETED and body is not None and len(body) <= LONGEST_BODY else None
+        if self.on_activation_end is not None:
+            self.on_activation_end(*act.key, outcome, act.sends > 0, kept)
         if self.state is not None:
-            self.state.add(recovery.END, self.clock.wall(), *act.key, outcome, act.sends > 0, kept)
+            self.state.add(recovery.END, self.record_time(), *act.key, outcome, act.sends > 0, kept)
 
     def _begin_early(self, terms):
         calendar = Calendar(terms.slot, terms.season, terms.week, terms.events)
@@ -228,7 +243,7 @@
         self.clock.at(self.now() + terms.slot, self._early_turn)
 
     def _early_turn(self):
-        self.soon(self._plan)
+        self.submit(self._plan)
         self.clock.at(self.now() + self.gateway.early.slot, self._early_turn)
 
     def _look(self):
@@ -242,7 +257,8 @@
             )
             self.storm_changed(name, on)
         if self.state is not None:
-            self.state.tend(self.clock.wall())
+            self.state.tend(self.record_time())
+            self.state_recovery.check()
         self.clock.at(self.now() + LOOK, self._look)
 
     def storm_changed(self, name, on):
@@ -252,7 +268,7 @@
         if self.intake.storms.on("cold") or self.intake.concurrency_limit.holds_back:
             return  # guesses wait until what is asked for can be served
         orders = self.terms.orders
-        self.early.turn(self.now(), self.clock.wall(), 1e9 if not orders.period else orders.free)
+        self.early.turn(self.now(), self.clock.steady_wall(), 1e9 if not orders.period else orders.free)
 
     def apply(self, gateway):
         """A new version of the settings, of which all can act at once: customers' keys, functions, limits.
@@ -275,37 +291,24 @@
         return found
 
     # One thing after the other.
-    def soon(self, call, *args):
-        """Does it now, or after what is being done."""
-        self.inbox.append((call, args))
-        if not self.telling:
-            self._drain()
-
-    def _drain(self):
-        self.telling = True
-        try:
-            for _ in range(MOST_IN_A_TURN):
-                if not self.inbox:
-                    break
-                call, args = self.inbox.popleft()
-                self.touched = set()
-                try:
-                    call(*args)
-                except Exception as fault:
-                    self.defect(getattr(call, "__name__", "call"), fault, args)
-        finally:
-            self.telling = False
-            if self.state is not None:
-                self.state.flush()
-        if self.inbox:
-            self.clock.at(self.now(), self._drain)
-
-    def _tell_brain(self, what, *args):
-        getattr(self.brain, what)(self.now(), *args)
+    def submit(self, call, *args):
+        """Makes a call at once, or after the one that is being made."""
+        self.events.submit(call, args)
+
+    def _turn_ended(self):
+        if self.state is not None:
+            self.state.flush()
+
+    def endpoint_list_lost(self):
+        """Nothing is heard of the list of workers any more; the last one stays in use."""
+        self.submit(self._endpoint_list_lost)
+
+    def _endpoint_list_lost(self):
+        self.brain.list_lost(self.now())
 
     def defect(self, where, fault, args=()):
         """Ends what the failed call had touched, and goes on."""
-        touched = (self.touched or set()) | {a for a in args if isinstance(a, str) and a in self.pending.acts}
+        touched = self.events.touched | {a for a in args if isinstance(a, str) and a in self.pending.acts}
         at = traceback.extract_tb(fault.__traceback__)[-1]
         self.pending.counts["defects"] += 1
         self.log.error(
@@ -320,12 +323,12 @@
                     self.log.error("defect", where="left", fault=repr(second), act=act_id)
 
     # From the fronts.
-    def ask(self, ask, function, rule, body, exchange):
-        self.soon(self._ask, ask, function, rule, body, exchange)
+    def admit(self, ask, function, rule, body, exchange):
+        self.submit(self._admit, ask, function, rule, body, exchange)
 
-    def _ask(self, ask, function, rule, body, exchange):
+    def _admit(self, ask, function, rule, body, exchange):
         now, key = self.now(), (ask.customer, ask.id)
-        if self.unsure is not None and self.unsure(now):
+        if self.may_be_superseded is not None and self.may_be_superseded(now):
             exchange.answer(stage.REFUSE, retry_after=self.intake.come_back(now, *key), why=stage.CLOSING)
             return
         verdict = self.intake.ask(now, self.clock.wall(), ask)
@@ -342,28 +345,29 @@
             and not recovery.may_take(self.terms.types[ask.type].effect, self.state.stopped is None)
         ):
             self.ledger.ended(key, LEFT)
-            exchange.answer(
-                stage.REFUSE, retry_after=self.intake.come_back(now, *key), why="its id can't be kept now"
-            )
+            wait = self.intake.come_back(now, *key, self.state_recovery.rejected_for(now))
+            exchange.answer(stage.REFUSE, retry_after=wait, why="its id can't be kept now")
         elif verdict.what == stage.TAKE:
             act = self.pending.take(
                 now, key, ask, verdict.due, function, rule.lanes, body, exchange, rule.load_time, rule.work
             )
             exchange.act = act.id
-            self.touched.add(act.id)
+            self.events.touched.add(act.id)
             self._arm()
             if self.early is not None:
-                self.early.called(now, self.clock.wall(), function, rule.lanes, rule.load_time, ask.type)
+                self.early.called(
+                    now, self.clock.steady_wall(), function, rule.lanes, rule.load_time, ask.type
+                )
             if self.state is None or self._keep(act):
                 self._begin(act)
         else:
             exchange.answer(verdict.what, verdict.body, verdict.retry_after, verdict.why)
 
-    def left(self, act_id, exchange):
+    def client_left(self, act_id, exchange):
         """The client of an exchange hung up."""
-        self.soon(self._left, act_id, exchange)
+        self.submit(self._client_left, act_id, exchange)
 
-    def _left(self, act_id, exchange):
+    def _client_left(self, act_id, exchange):
         if self.pending.left(self.now(), act_id, exchange) == "end":
             act = self.pending.end(self.now(), act_id, LEFT)
             self._ended(act, LEFT, None)
@@ -374,7 +378,7 @@
         """It has ended: a send of it that waits in a link for a connection never leaves. Against sends after
         the end, also where nothing may be cancelled."""
         for n in sorted(act.out):
-            link = self.links.get(self.flying.get((act.id, n)))
+            link = self.links.get(self.sends_in_flight.get((act.id, n)))
             if link is not None:
                 link.withdraw(act.id, n)
 
@@ -402,7 +406,7 @@
         self.due_timer = None
         for act, late, whole in self.pending.overdue(self.now()):
             if whole:
-                self.soon(self._out_of_time, act.id)
+                self.submit(self._out_of_time, act.id)
             for exchange in late:
                 exchange.answer(ABORTED, why="the first try still runs", act=act.id)
         self._arm()
@@ -414,8 +418,8 @@
         if act is None:
             return
         for n in sorted(act.out):
-            self.links[self.flying[act_id, n]].late(act_id, n)
-        self.soon(self._overdue, act_id)
+            self.links[self.sends_in_flight[act_id, n]].late(act_id, n)
+        self.submit(self._overdue, act_id)
 
     def _overdue(self, act_id):
         if act_id in self.pending.acts:
@@ -425,9 +429,9 @@
             self.brain.left(self.now(), act_id)
 
     # From the links.
-    def returned(self, act_id, n, worker, code, note, body, at, gauge):
+    def send_ended(self, act_id, n, worker, code, note, body, at, gauge):
         now = self.now()
-        self.flying.pop((act_id, n), None)
+        self.sends_in_flight.pop((act_id, n), None)
         owed = self.pending.acts.get(act_id)
         owing = self.pending.returned(act_id, n)
         if owing and code == ports.COMPLETED:
@@ -436,7 +440,7 @@
             self.intake.storms.ran(now, note not in (0, ports.FOUND_WARM))
         if owed is not None and (self.early is not None or self.note is not None):
             self._learn(now, owed, worker, code, note, now - at)
-        self.touched.add(act_id)
+        self.events.touched.add(act_id)
         self.brain.answer(
             now, act_id, n, worker, code, note, act_id not in self.pending.acts, now - at, gauge
         )
@@ -451,7 +455,7 @@
                 self.early.missed(now, owed.fn, worker)
         if self.note is not None and code == ports.COMPLETED:
             self.note(
-                self.clock.wall(),
+                self.clock.steady_wall(),
                 owed.fn,
                 owed.customer,
                 self.terms.zone,
@@ -461,41 +465,26 @@
                 0 if warm else took,
             )
 
-    def held(self, worker, fn, code, copies):
+    def load_order_ended(self, worker, fn, code, copies):
         if self.early is not None:
             self.early.stands(self.now(), fn, worker, code == ports.COMPLETED)
         self.brain.stands(self.now(), worker, fn, code, copies)
 
-    def probed(self, worker, code, gauge):
+    def health_check_ended(self, worker, code, gauge):
         self.brain.probed(self.now(), worker, code, gauge)
 
-    def listed(self, entries, leaving, whole):
-        self.soon(self._listed, entries, leaving, whole)
-
-    def _listed(self, entries, leaving, whole):
-        for worker in leaving:
-            if worker in self.links:
-                self.links[worker].recall()
-        for entry in entries:
-            link, address = self.links.get(entry.worker), self.membership.address(entry.worker)
-            if link is not None and address is not None and link.address != address:
-                link.address = address  # first: what is lost makes room for new connections
-                link.give_up("the worker has moved")
-            if link is None and entry.usable:
-                self.links[entry.worker] = self.make_link(entry.worker, address, self)
-        self.brain.listed(self.now(), entries, whole)
-        self.let_links_go()
+    def endpoints_changed(self, entries, leaving, whole):
+        self.submit(self._endpoints_changed, entries, leaving, whole)
 
-    def let_links_go(self):
-        """Those of workers that have left the list and that owe nothing any more."""
-        for worker in [
-            w for w, link in self.links.items() if w not in self.membership.members and not link.owes()
-        ]:
-            self.links.pop(worker).give_up("it has left the list")
+    def _endpoints_changed(self, entries, leaving, whole):
+        self.links.drain(leaving)
+        self.links.connect(entries, self.membership)
+        self.brain.listed(self.now(), entries, whole)
+        self.links.release_unused(self.membership.members)
 
     # The module's outlet.
     def send(self, act, worker, limit):
-        self.touched.add(act)
+        self.events.touched.add(act)
         owed = self.pending.acts.get(act)
         n = self.pending.sent(act)
         if n is None:
@@ -504,18 +493,18 @@
         now, link = self.now(), self.links.get(worker)
         if link is None or not self.membership.usable(worker) or not self._warm_enough(worker, now):
             self.counts["refused_by_guard"] += 1
-            self.soon(self.returned, act, n, worker, ports.NOT_SENT, 0, b"", now, None)
+            self.submit(self.send_ended, act, n, worker, ports.NOT_SENT, 0, b"", now, None)
             return
         if self.repeats is not None:
             if not n:
-                self.repeats.first()
+                self.repeats.earn()
             # more are sent again than first: what fails is not helped by more
             elif not self.repeats.spend():
                 self.counts["over_budget"] += 1
-                self.soon(self.returned, act, n, worker, ports.NOT_SENT, 0, b"", now, None)
+                self.submit(self.send_ended, act, n, worker, ports.NOT_SENT, 0, b"", now, None)
                 return
         self.counts["sends"] += 1
-        self.flying[act, n] = worker
+        self.sends_in_flight[act, n] = worker
         self._hand(link, owed, n, owed.due - now)
 
     def _hand(self, link, owed, n, left):
@@ -524,13 +513,11 @@
     def _warm_enough(self, worker, now):
         if self.returning is None or now >= self.returning.cold_from:
             return True
-        booted = self.membership.members[worker].entry.booted
-        return self.returning.may_send(
-            now, bool(booted) and self.clock.wall() - booted < self.terms.guarantees.cold
-        )
+        booted = self.membership.members[worker].booted
+        return self.returning.may_send(now, bool(booted) and now - booted < self.terms.guarantees.cold)
 
     def reject(self, act, retry_after):
-        self.touched.add(act)
+        self.events.touched.add(act)
         owed = self.pending.acts.get(act)
         wait = (
             self.intake.come_back(self.now(), *owed.key, retry_after)
@@ -540,11 +527,11 @@
         self._finish(act, REJECTED, retry_after=wait)
 
     def abort(self, act):
-        self.touched.add(act)
+        self.events.touched.add(act)
         self._finish(act, ABORTED)
 
     def cancel(self, act, n):
-        link = self.links.get(self.flying.get((act, n)))
+        link = self.links.get(self.sends_in_flight.get((act, n)))
         if link is not None:
             link.cancel(act, n)
 
@@ -552,21 +539,32 @@
         link, rule = self.links.get(worker), self.rule(fn)
         if link is None or self.retired or not self.membership.usable(worker):
             self.counts["refused_by_guard"] += 1
-            self.stays(self.now())
-            self.soon(self.held, worker, fn, ports.NOT_SENT, 0)
+            self.order_not_sent(self.now())
+            self.submit(self.load_order_ended, worker, fn, ports.NOT_SENT, 0)
+            return
+        if not self._order_recorded(worker, fn, copies):
+            self.order_not_sent(self.now())
+            self.submit(self.load_order_ended, worker, fn, ports.NOT_SENT, 0)
             return
-        # before it goes out: it counts against the next life's ration
-        if self.state is not None:
-            self.state.add(recovery.ORDER, self.clock.wall(), worker, fn, copies)
-            self.state.flush()
         self.counts["orders"] += 1
         link.hold(fn, rule.lanes, copies)
 
-    def leaves(self, given):
+    def _order_recorded(self, worker, fn, copies):
+        """Whether a load order may go out: it counts against the next life's ration, so it is in the log
+        before."""
+        if self.state is None:
+            return True
+        self.state.add(recovery.ORDER, self.record_time(), worker, fn, copies)
+        if not self.state.flush():
+            return False
+        self.state_recovery.recent_orders.add(self.now(), worker, fn, copies)
+        return True
+
+    def may_send_order(self, given):
         """A link: an order that was given at `given` (ns) is about to leave. Whether it may."""
         return not hasattr(self.brain, "leaves") or self.brain.leaves(self.now(), given)
 
-    def stays(self, given):
+    def order_not_sent(self, given):
         """A link: it never will."""
         if hasattr(self.brain, "stays"):
             self.brain.stays(self.now(), given)
@@ -576,10 +574,10 @@
         if worker in self.links:
             self.links[worker].probe()
         else:
-            self.soon(self.probed, worker, ports.NO_CONNECTION, None)
+            self.submit(self.health_check_ended, worker, ports.NO_CONNECTION, None)
 
     def wake(self, mark, wait):
-        self.clock.at(self.now() + wait, self.soon, self._ring, mark)
+        self.clock.at(self.now() + wait, self.submit, self._ring, mark)
 
     def _ring(self, mark):
         self.brain.ring(self.now(), mark)
--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -8,6 +8,7 @@
 
 from petrelwood.brain import Brain
 from petrelwood.clocks import LoopClock
+from petrelwood.decide.delivery import recovery
 from petrelwood.dispatch.core import Core
 from petrelwood.links.roster import RosterLink
 from petrelwood.links.worker import WorkerLink
@@ -40,7 +41,7 @@
         """`follows`: another process still has the folders; `open_state` and `open_history` come later."""
         self.busy, self.checks, self.fronts, self.loop = {}, None, [], asyncio.get_running_loop()
         super().__init__(gateway, LoopClock(), Random(gateway.seed), self._link, log, brain)
-        self.syncing, self.told_lost = False, False
+        self.syncing = False
         if not follows:
             self.open_state()
         self.roster = RosterLink(
@@ -49,7 +50,7 @@
         self.history, self.ends, self.dumping, self.dumped, self.dump_at = None, None, None, [], 0
         if not follows:
             self.open_history()
-        self.listed_once, self.renew_at = asyncio.Event(), self.now() + RENEW
+        self.endpoints_known, self.renew_at = asyncio.Event(), self.now() + RENEW
         self.identities = [
             tls for tls in (gateway.tls, gateway.worker_tls, gateway.mqtt and gateway.mqtt.tls) if tls
         ]
@@ -61,26 +62,38 @@
             return
         self.syncing, acts = True, list(self.unkept)
         self.state.flush()
-        self.loop.run_in_executor(None, self.state.sync).add_done_callback(
-            lambda done: self._synced(acts, done)
-        )
+        self.sync_state(lambda durable: self._synced(acts, durable))
 
-    def _synced(self, acts, done):
-        self.syncing = False
-        good = not done.cancelled() and done.exception() is None and done.result()
-        self.soon(self.kept, acts, good)
-        self.sync_soon()
+    def _synced(self, acts, durable):
+        try:
+            self.kept(acts, durable and self.state.stopped is None)
+        finally:
+            self.syncing = False
+            self.sync_soon()
+
+    def sync_state(self, done):
+        """In a thread: the loop goes on meanwhile."""
+
+        def ended(future):
+            durable = not future.cancelled() and future.exception() is None and future.result()
+            self.submit(done, durable)
+
+        self.loop.run_in_executor(None, self.state.sync_task()).add_done_callback(ended)
 
     def open_state(self, elsewhere=False):
         """Raises `store.state.Refused` where the folder holds what this build can't read."""
         terms, longest = self.gateway.state, max(self.gateway.remember.values()) + 2 * self.gateway.tolerance
         if terms is None:
             return
+        mark = recovery.boot_mark(boot(), self.record_epoch)
         # hundreds of thousands of records are made, and all of them stay
         gc.disable()
         try:
             self.adopt(
-                StateLog(terms.folder, self.clock.wall(), boot(), longest, terms.durability), elsewhere
+                StateLog(
+                    terms.folder, self.record_time(), mark, longest, terms.durability, now=self.clock.now
+                ),
+                elsewhere,
             )
         finally:
             gc.enable()
@@ -111,7 +124,7 @@
             self.log.info("forecasts read", functions=self.early.forecast.restore(found[1]))
 
     def _early_ended(self, now, early, end, seconds, memory):
-        off = self.clock.wall() - now
+        off = self.clock.steady_wall() - now
         self.ends.note(
             early.asked + off,
             early.stood and early.stood + off,
@@ -160,11 +173,6 @@
     def _check(self):
         self.checks = self.loop.call_later(CHECK, self._check)
         now = self.now()
-        if self.state is not None and self.state.stopped and not self.told_lost:
-            self.told_lost = True
-            self.log.error(
-                "state can't be kept: what must not run twice is turned away", why=self.state.stopped
-            )
         for link in list(self.busy):
             if not link.check(now):
                 self.busy.pop(link, None)
@@ -181,13 +189,19 @@
                 self.history.flush()
                 if self.ends is not None:
                     self.ends.flush()
-                if self.history.stopped and not self.told_stop:
-                    self.told_stop = True
-                    self.log.warning("the history has stopped; dispatching goes on", why=self.history.stopped)
+                self._report_history()
         if self.membership.silent(now):
             self.log.warning("the list of workers is lost")
             self.roster.drop()
-            self.soon(self._tell_brain, "list_lost")
+            self.endpoint_list_lost()
+
+    def _report_history(self):
+        """Logs when the history stops, and when it goes on again."""
+        if self.history.stopped and not self.told_stop:
+            self.log.warning("the history has stopped; dispatching goes on", why=self.history.stopped)
+        elif self.told_stop and not self.history.stopped:
+            self.log.info("history recovered", lost=self.history.lost)
+        self.told_stop = bool(self.history.stopped)
 
     def storm_changed(self, name, on):
         for front in self.fronts:
@@ -196,9 +210,9 @@
     def active(self, link):
         self.busy[link] = True
 
-    def listed(self, entries, leaving, whole):
-        super().listed(entries, leaving, whole)
-        self.listed_once.set()
+    def endpoints_changed(self, entries, leaving, whole):
+        super().endpoints_changed(entries, leaving, whole)
+        self.endpoints_known.set()
 
     # The end.
     async def close(self):
@@ -215,7 +229,7 @@
         if self.history is not None:
             self.history.close()
         if self.state is not None:
-            self.state.close(self.clock.wall())
+            self.state.close(self.record_time())
         if self.ends is not None:
             self.ends.close()
             self._write_forecasts(list(self.early.forecast.dump()))
--- a/petrelwood/node/roster.py
+++ b/petrelwood/node/roster.py
@@ -4,6 +4,7 @@
 `decide.cluster.polling`. An answer counts if its sender, its id and its question are those that were asked,
 and it is whole and good; an older list changes nothing."""
 
+import errno
 import socket
 
 import dns.exception
@@ -23,6 +24,11 @@
 NAME = dns.name.from_text("_api._tcp.svc.local")
 MOST = 65_535  # bytes of a datagram
 STATES = {0: USABLE, 1: DRAINING}
+READS = 8  # datagrams in one turn of the loop
+# send(2) and recv(2): the socket is as good as before, and nothing was sent or received
+MOMENTARY = frozenset(
+    (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS, errno.ENOMEM, errno.ECONNREFUSED)
+)
 
 # The library imports a record type's module when the first record of it comes, when no descriptor may be left
 # to open the module's file.
@@ -96,13 +102,13 @@
 
 
 class DnsRoster:
-    """`core.listed(entries, leaving, whole)` hears of each list that is new."""
+    """`core.endpoints_changed(entries, leaving, whole)` hears of each list that is new."""
 
-    def __init__(self, address, membership, asking, core, log):
-        self.address, self.membership, self.asking, self.core, self.log = (
+    def __init__(self, address, membership, polling, core, log):
+        self.address, self.membership, self.polling, self.core, self.log = (
             address,
             membership,
-            asking,
+            polling,
             core,
             log,
         )
@@ -112,22 +118,17 @@
             None,
             {"asked": 0, "good": 0, "unusable": 0, "old": 0},
         )
-        self.failed = False  # it was to be opened, and could not be
+        self.failed = False  # it is to be opened, and could not be or has failed
+        self.warned = False  # since the last good answer
+        self.receive_failures = 0  # since a datagram or a question
 
     def open(self):
         """Where that can't be done now, it is tried again when the roster is next to be asked."""
-        failed_before, self.failed = self.failed, False
+        self.failed = False
         try:
             self._connect()
         except OSError as fault:
-            self.close()
-            self.failed = True
-            if not failed_before:
-                self.log.warning(
-                    "the roster can't be asked",
-                    address=f"{self.address[0]}:{self.address[1]}",
-                    why=str(fault),
-                )
+            self._reopen_later(fault)
 
     def _connect(self):
         self.close()
@@ -145,40 +146,67 @@
     def moves(self, address):
         """The roster is at another address from now on; its numbers go on."""
         self.address = address
-        self.asking.anew(self.core.now())
-        self.failed = False
+        self.polling.restart(self.core.now())
+        self.warned = False
         self.open()
 
     def check(self, now):
-        if self.sock is None and not self.failed or not self.asking.due(now):
+        if self.sock is None and not self.failed or not self.polling.is_due(now):
             return
         if self.failed:
             self.open()
         self.counts["asked"] += 1
-        asked = self.asking.asks(now).to_bytes(2, "big") + self.question
+        asked = self.polling.begin_query(now).to_bytes(2, "big") + self.question
+        self.receive_failures = 0
         if self.sock is not None:
+            self._send(asked)
+
+    def _send(self, asked):
+        try:
             try:
                 self.sock.send(asked)
-            except OSError:  # nobody there, or no room: it is asked again
-                pass
+            except ConnectionRefusedError:  # of the question before; this one was not sent
+                self.sock.send(asked)
+        except OSError as fault:  # it is asked again
+            if fault.errno not in MOMENTARY:
+                self._reopen_later(fault)
+
+    def _reopen_later(self, fault):
+        """The socket may never work again: the address that it is bound to may have gone. The next question
+        has another one."""
+        self.close()
+        self.failed = True
+        if not self.warned:
+            self.warned = True
+            self.log.warning(
+                "the roster can't be asked", address=f"{self.address[0]}:{self.address[1]}", why=str(fault)
+            )
 
     def _read(self):
-        for _ in range(8):
+        for _ in range(READS):
             try:
                 data = self.sock.recv(MOST)
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError:  # a refusal of what was sent before
+            except OSError as fault:  # a refusal of what was sent before
+                self.receive_failures += 1
+                # a question has one refusal: this would go on, as fast as the loop turns
+                if self.receive_failures > READS:
+                    self._reopen_later(fault)
+                    return
                 continue
+            self.receive_failures = 0
             self.take(data)
 
     def take(self, data):
         """One datagram."""
-        now = self.core.now()
-        if len(data) < 12 or not self.asking.answered(now, int.from_bytes(data[:2], "big")):
+        now, id_ = self.core.now(), int.from_bytes(data[:2], "big")
+        asked_at = self.polling.end_query(id_) if len(data) >= 12 else None
+        if asked_at is None:
             self.counts["unusable"] += 1
             return
         if data[2:] == self.last:  # nothing has changed: nothing is read
+            self.membership.confirmed(asked_at)
             self._good(now)
             return
         try:
@@ -194,12 +222,15 @@
         self.last = data[2:]
         self._good(now)
         if serial > self.membership.number:
-            self.core.listed(
+            self.core.endpoints_changed(
                 *self.membership.whole(f"dns-{serial}", entries, now, self.core.clock.wall()), True
             )
+        # an answer may come long after it was written, but not before it was asked for
+        self.membership.confirmed(asked_at)
 
     def _good(self, now):
         self.counts["good"] += 1
-        self.asking.good(now)
+        self.warned = False
+        self.polling.on_usable_answer(now)
         if self.membership.alive(now):
             self.log.info("roster heard again")
--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -18,8 +18,9 @@
 
 CHECK = 0.05  # seconds between looks at links, clients and the roster
 BEHIND = 100_000_000  # ns without a look, after which the loop was held up: two looks
-# turns of the loop in which nothing of a client is read, after which all is; turns at most
-QUIET, TURNS = 3, 64
+# turns of the loop in which nothing of a client is read, after which all is. Where something always comes,
+# what lay unread at the first turn has been read after as many and this long (ns), whatever followed
+QUIET, CATCH_UP = 3, 50_000_000
 TIDY = 20  # looks between two at connections that rest
 STANDING = 100  # looks between two log lines of what is believed
 UNKNOWN = Figures(1, 0, 0)
@@ -41,6 +42,7 @@
         )
         super().__init__(gateway, LoopClock(), Random(gateway.seed), self._link, log, brain)
         self.beat, self.turns, self.still, self.read, self.rings = self.now(), 0, 0, 0, []
+        self.held_up_at = 0  # when it was seen that the loop was held up
         self.front = Front(self, self.room, log)
         self.roster = DnsRoster(gateway.names, self.membership, RosterPolling(self.chance.random), self, log)
 
@@ -65,7 +67,7 @@
         """Whether an activation has this id, or a send of one that had it is still out, whose answer would be
         taken for the new one's: also another customer's, as workers know no more of it than the id."""
         return act_id in self.pending.acts or any(
-            (act_id, n) in self.flying for n in range(self.terms.allowed.sends)
+            (act_id, n) in self.sends_in_flight for n in range(self.terms.allowed.sends)
         )
 
     def may_send(self, act_id, link):
@@ -74,34 +76,40 @@
         owed = self.pending.acts.get(act_id)
         return owed is None or all(exchange.may_send(link) for exchange, _ in owed.waiting)
 
-    def _ask(self, ask, function, rule, body, exchange):
+    def _admit(self, ask, function, rule, body, exchange):
         if not exchange.waits():  # its client left between its reading and its turn
             return
         if self.is_open(ask.id):
             exchange.answer(intake.ABORT, why="an id that is open")
             return
-        super()._ask(ask, function, rule, body, exchange)
+        super()._admit(ask, function, rule, body, exchange)
 
     # After the loop was held up.
     def behind(self):
         """Whether what came while the loop was held up may still lie unread: a client's end or cancel, news
         of workers. Nothing leaves for a worker until it is read; what it takes back is then still here."""
         if not self.turns and self.now() - self.beat > BEHIND:
-            self.turns, self.still, self.read = TURNS, QUIET, self.front.reads
+            self.turns, self.still, self.read = QUIET, QUIET, self.front.reads
+            self.held_up_at = self.now()
             self.loop.call_soon(self._turn)
         return self.turns > 0
 
+    def arrived(self, now):
+        """When what is read now came, at the earliest: its client's time runs from then. Where the loop was
+        held up, it may have lain there as long."""
+        return now if now - self.beat <= BEHIND else self.beat
+
     def _turn(self):
-        self.turns -= 1
+        self.turns = max(1, self.turns - 1)
         self.still = self.still - 1 if self.read == self.front.reads else QUIET
         self.read = self.front.reads
-        if self.turns and self.still:
+        if self.still and (self.turns > 1 or self.now() - self.held_up_at < CATCH_UP):
             self.loop.call_soon(self._turn)
             return
         self.turns, self.beat = 0, self.now()
         rings, self.rings = self.rings, []
         for mark in rings:
-            self.soon(self._ring, mark)
+            self.submit(self._ring, mark)
         for link in list(self.busy):
             link.pump()
 
@@ -113,6 +121,12 @@
         else:
             super()._ring(mark)
 
+    def answer_due(self, now):
+        """What is due is answered before anything new is taken: a turn of the loop may be long."""
+        if self.due_timer is not None and self.due_at <= now:
+            self.due_timer.cancel()
+            self._due()
+
     # Descriptors of links, and their tags.
     def opened(self):
         self.lines += 1
@@ -157,7 +171,7 @@
             wall,
         )
         self.membership.alive(now)
-        self.listed(*listed, True)
+        self.endpoints_changed(*listed, True)
         self.front.open(self.gateway.listen)
         # asked again where it can't be asked now: what is known serves without it
         self.roster.open()
@@ -178,12 +192,12 @@
         if not self.looks % TIDY:
             for link in list(self.links.values()):
                 link.tidy(now)
-            self.let_links_go()
+            self.links.release_unused(self.membership.members)
         if not self.looks % STANDING:
             self.log.info("standing", **self.standing())
         if self.membership.silent(now):
             self.log.warning("the list of workers is lost")
-            self.soon(self._tell_brain, "list_lost")
+            self.endpoint_list_lost()
 
     def reload(self, gateway):
         """SIGHUP: only the roster's address can have changed while it runs."""
@@ -199,9 +213,11 @@
         self.began = False
         while not ends.over(self.now(), len(self.pending.acts), self.front.quiet()):
             self.intake.closing = ends.closed(self.now())
+            if ends.closed(self.now()) and not self.pending.acts:
+                self.front.close_resting()  # those that go on sending keep only themselves
             if ends.out_of_time(self.now()):
                 for act_id in sorted(self.pending.acts):
-                    self.soon(self._cut, act_id)
+                    self.submit(self._cut, act_id)
             await asyncio.sleep(CHECK / 5)
         # nothing comes between the look that found it quiet and this
         self.front.stop()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -12,13 +12,17 @@
 import tempfile
 import time
 import unittest
+from unittest.mock import Mock
 
 import rig
 from kept import compare
 from rig import KEY, Roster, Worker, answer
 
 from petrelwood.decide.cluster import handover
-from petrelwood.dispatch.handover import Channel
+from petrelwood.decide.cluster.completion import CompletionRate
+from petrelwood.dispatch.handover import messages
+from petrelwood.dispatch.handover.channel import Channel
+from petrelwood.dispatch.handover.successor import SuccessorProcess
 from petrelwood.standins.caller import Broken, Caller
 from petrelwood.store import versions
 
@@ -37,6 +41,7 @@
             "it gives back after the old had drained": "asked ready owns drained lost",
             "it hangs while it is watched": "asked ready owns +16 proven",
             "it dies once it is proven": "asked ready owns proven lost drained",
+            "it dies once all is over": "asked ready owns proven drained lost",
             "ready twice": "asked ready ready owns proven drained",
             "owns before go": "asked owns ready owns drained proven",
             "a second upgrade after a failed one": "asked lost asked ready owns proven drained",
@@ -49,19 +54,18 @@
                     now += int(step[1:]) * S
                     what = predecessor.check(now)
                 elif step == "lost":
-                    what = predecessor.lost(now, "it died")
-                elif step == "owns":
-                    what = predecessor.owns(now)
+                    what = predecessor.on_successor_lost("it died")
+                elif step in ("proven", "drained"):
+                    what = {"proven": predecessor.on_proven, "drained": predecessor.on_drained}[step]()
                 else:
                     what = {
-                        "asked": predecessor.asked,
-                        "ready": predecessor.ready,
-                        "proven": predecessor.is_proven,
-                        "drained": predecessor.is_drained,
+                        "asked": predecessor.on_request,
+                        "ready": predecessor.on_ready,
+                        "owns": predecessor.on_accepting,
                     }[step](now)
                 said.append(f"{step}{' -> ' + what if what else ''}")
-            why = f", {predecessor.why}" if predecessor.why else ""
-            lines.append(f"{name}: {', '.join(said)}; {predecessor.state}{why}")
+            why = f", {predecessor.reason}" if predecessor.reason else ""
+            lines.append(f"{name}: {', '.join(said)}; {predecessor.phase}{why}")
         for name, good, bad, before, end in (
             ("as good as before", 90, 10, (0.95, 200), 6),
             ("worse", 60, 40, (0.95, 200), 1),
@@ -69,50 +73,89 @@
             ("as bad as before", 10, 90, (0.2, 200), 6),
         ):
             successor = handover.Successor(0)
-            said = [successor.can_serve(0), successor.go(S, before)]
+            said = [successor.on_ready_to_serve(0), successor.on_go(S, CompletionRate(*before))]
             for _ in range(good):
-                successor.ended(True)
+                successor.record_answer(True)
             for _ in range(bad):
-                successor.ended(False)
+                successor.record_answer(False)
             said.append(successor.check(S + end * S))
             lines.append(
                 f"new one, {name}: {', '.join(map(str, said))}; "
-                f"{successor.state}{', ' + successor.why if successor.why else ''}"
+                f"{successor.phase}{', ' + successor.reason if successor.reason else ''}"
             )
         successor = handover.Successor(0)
+        said = [successor.on_ready_to_serve(0), successor.check(20 * S), successor.reason]
+        lines.append(f"new one, no word to go: {', '.join(said)}")
+        successor = handover.Successor(0)
         lines.append(
-            f"new one, no word to go: {successor.can_serve(0)}, {successor.check(20 * S)}, {successor.why}"
+            f"new one, the old one dies first: {successor.on_predecessor_lost()}, {successor.reason}"
         )
-        successor = handover.Successor(0)
-        lines.append(f"new one, the old one dies first: {successor.lost(S)}, {successor.why}")
         compare(self, "handover", lines)
 
     def test_who_may_take_over(self):
+        def reason(facts, busy):
+            request = handover.TakeoverRequest.from_message(facts)
+            return handover.rejection_reason(request, "d", 1, busy)
+
         good = {"name": "d", "reads": (1, 2), "protocol": 1}
-        self.assertIsNone(handover.refuses(good, "d", 1, False))
+        self.assertIsNone(reason(good, False))
         for more, busy, words in (
             ({"name": "e"}, False, "for gateway 'e'"),
             ({"reads": (2, 3)}, False, "reads state of format 2 to 3"),
             ({"protocol": 7}, False, "speaks hand-over 7"),
             ({}, True, "under way"),
         ):
-            self.assertIn(words, handover.refuses({**good, **more}, "d", 1, busy))
+            self.assertIn(words, reason({**good, **more}, busy))
 
 
 class Channels(unittest.IsolatedAsyncioTestCase):
     async def test_messages_of_many_tasks_stay_whole_and_in_their_order(self):
         loop, pair = asyncio.get_running_loop(), socket.socketpair(socket.AF_UNIX)
         ours, theirs = (Channel(sock, loop) for sock in pair)
-        told = [("end", "x", f"m{i}", "completed", True, bytes([i % 256]) * 4000) for i in range(400)]
-        tasks = [asyncio.ensure_future(ours.send(*message)) for message in told]
+        told = [
+            messages.ActivationEnded("x", f"m{i}", "completed", True, bytes([i % 256]) * 4000)
+            for i in range(400)
+        ]
+        tasks = [asyncio.ensure_future(ours.send(message)) for message in told]
         await asyncio.sleep(0)
         self.assertFalse(all(task.done() for task in tasks))  # more than the socket holds
         for message in told:
-            self.assertEqual(tuple(await asyncio.wait_for(theirs.receive(), 30)), message)
+            self.assertEqual(await asyncio.wait_for(theirs.receive(), 30), message)
         await asyncio.gather(*tasks)
         ours.close()
         theirs.close()
 
+    async def test_a_channel_that_is_closed_while_it_is_read_ends_without_an_error(self):
+        loop, pair = asyncio.get_running_loop(), socket.socketpair(socket.AF_UNIX)
+        faults = []
+        loop.set_exception_handler(lambda _, context: faults.append(context))
+        ours, theirs = (Channel(sock, loop) for sock in pair)
+        reading = asyncio.ensure_future(ours.receive())
+        await asyncio.sleep(0)
+        reading.cancel()
+        ours.close()
+        with self.assertRaises(asyncio.CancelledError):
+            await reading
+        theirs.close()
+        self.assertEqual(faults, [])
+
+
+class Followers(unittest.IsolatedAsyncioTestCase):
+    async def test_a_predecessor_that_dies_right_after_go_leaves_the_successor_alone_in_charge(self):
+        loop, pair = asyncio.get_running_loop(), socket.socketpair(socket.AF_UNIX)
+        successor, core, failures = SuccessorProcess("none", loop, "d"), Mock(), []
+        core.now = time.monotonic_ns
+        successor.connection = Channel(pair[0], loop)
+        successor.machine = handover.Successor(core.now())
+        successor.machine.on_ready_to_serve(core.now())
+        successor.machine.on_go(core.now(), CompletionRate(1.0, 0))
+        pair[1].close()
+        await asyncio.wait_for(successor.follow(core, Mock(), lambda: failures.append(1)), 30)
+        self.assertEqual(successor.machine.phase, handover.SuccessorPhase.PROVEN)
+        core.predecessor_gone.assert_called_once_with()
+        self.assertEqual(failures, [])
+        successor.close()
+
 
 class DispatcherCase(unittest.IsolatedAsyncioTestCase):
     """A real dispatcher process on loopback, with a worker and a roster on this test's loop."""
@@ -294,8 +337,8 @@
         hung.sock.setblocking(True)
         hung.sock.connect(str(self.folder / "d.sock"))
         hung.sock.setblocking(False)
-        await hung.send("hello", {"name": "d", "reads": (1, 1), "protocol": 1})
-        self.assertEqual((await asyncio.wait_for(hung.receive(), 30))[0], "offer")
+        await hung.send(messages.Hello(handover.TakeoverRequest("d", 1, (1, 1), None)))
+        self.assertIsInstance(await asyncio.wait_for(hung.receive(), 30), messages.Offer)
         # two at once: the second is told so
         second = await self.start("upgrade", ready=False)
         self.assertEqual(await asyncio.wait_for(second.wait(), 20), 1)
@@ -333,16 +376,16 @@
 
         self.assertEqual(await status("new-1"), 404)
         more = text + 'function "new-*" type="again" lanes=4\n'
-        await reload(more, '"event": "new settings"')
+        await reload(more, '"event": "settings applied"')
         self.assertEqual(await status("new-1"), 200)
         on_hand = asyncio.ensure_future(status("new-2"))
         await asyncio.sleep(0.01)
-        await reload(text, '"event": "new settings"')
+        await reload(text, '"event": "settings applied"')
         self.assertEqual((await on_hand, await status("new-1"), await status("again-1")), (200, 404, 200))
-        await reload(more.replace("lanes=4", 'lanes="x"'), "the new settings are wrong; nothing changes")
-        await reload(more.replace('"2s"', '"1s"'), "can act by an upgrade only; nothing changes")
+        await reload(more.replace("lanes=4", 'lanes="x"'), "new settings invalid; nothing changes")
+        await reload(more.replace('"2s"', '"1s"'), '"applicable": "by an upgrade"')
         self.assertEqual((await status("new-1"), await status("again-1")), (404, 200))
-        await reload(text, "the settings say what they said")
+        await reload(text, "settings unchanged")
         process.terminate()
         self.assertEqual(await asyncio.wait_for(process.wait(), 20), 0)
 
@@ -394,7 +437,7 @@
         versions.announce(
             folder, text.replace('action-timeout "2s"', 'action-timeout "1.9s"'), time.time_ns() - 600 * S
         )
-        await until(1, "a version is taken by an upgrade")
+        await until(1, "version needs an upgrade")
         await until(1, '"event": "the upgrade has proven itself"')
         self.assertEqual(await asyncio.wait_for(old.wait(), 30), 0)
         # The process that follows knows what it runs, and goes back as it came, while a worker drains.
@@ -407,7 +450,7 @@
         versions.call_off(folder, 1, "by hand")
         await asyncio.sleep(1)  # four times the grace
         had = len(self.worker.runs)
-        await until(2, "a version is taken by an upgrade")
+        await until(2, "version needs an upgrade")
         await until(2, '"event": "the upgrade has proven itself"')
         versions.announce(
             folder,
