--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -16,13 +16,11 @@
 from petrelwood.decide.delivery import recovery
 from petrelwood.decide.delivery.ledger import ABORTED, COMPLETED, LEFT, REJECTED, Ledger
 from petrelwood.decide.delivery.pending import PendingActivations
-from petrelwood.decide.forecasting.forecast import Calendar
-from petrelwood.decide.forecasting.planner import Prices
-from petrelwood.decide.forecasting.prefetch import EarlyLoads
 from petrelwood.decide.overload import intake as stage
 from petrelwood.decide.overload.backoff import Budget
 from petrelwood.decide.overload.intake import Intake
 from petrelwood.dispatch.event_queue import EventQueue
+from petrelwood.dispatch.load_forecasts import LoadForecasts
 from petrelwood.dispatch.recent_answers import RecentAnswers
 from petrelwood.dispatch.state_recovery import LONGEST_BODY, StateRecovery
 from petrelwood.dispatch.worker_links import WorkerLinks
@@ -74,9 +72,13 @@
         self.recent_answers = RecentAnswers()
         if state is not None:
             self.adopt(state)
-        self.early, self.note = None, None  # `note(...)` of `store.history`, where one is kept
+        self.record_execution = None  # `note` of `store.history.History`, where a history is kept
+        self.forecasts = None
         if gateway.early is not None and hasattr(self.brain, "wish"):
-            self._begin_early(gateway.early)
+            self.forecasts = LoadForecasts(
+                gateway.early, self.terms, clock, chance, wish=self._wish, sliced=self.slices
+            )
+            self._plan_next_slot()
 
     def _stages(self):
         """What an activation passes before the module: the ledger (or None), the intake, and what ids are
@@ -225,26 +227,15 @@
         if self.state is not None:
             self.state.add(recovery.END, self.record_time(), *act.key, outcome, act.sends > 0, kept)
 
-    def _begin_early(self, terms):
-        calendar = Calendar(terms.slot, terms.season, terms.week, terms.events)
-        orders = self.terms.orders
-        self.early = EarlyLoads(
-            calendar,
-            Prices(terms.fetch, terms.memory_price),
-            orders.keep,
-            self.terms.dispatchers,
-            self.chance.random,
-            lambda *wish: self.brain.wish(self.now(), *wish),
-            self.terms.zone,
-            terms.size,
-            terms.memory,
-            sliced=self.slices,
-        )
-        self.clock.at(self.now() + terms.slot, self._early_turn)
+    def _wish(self, function, lanes, load_time):
+        return self.brain.wish(self.now(), function, lanes, load_time)
+
+    def _plan_next_slot(self):
+        self.clock.at(self.now() + self.forecasts.slot, self._slot_ended)
 
-    def _early_turn(self):
-        self.submit(self._plan)
-        self.clock.at(self.now() + self.gateway.early.slot, self._early_turn)
+    def _slot_ended(self):
+        self.submit(self._plan_loads)
+        self._plan_next_slot()
 
     def _look(self):
         """Storms are looked at; what they change is decided in `decide.overload.intake` and at the fronts."""
@@ -264,11 +255,10 @@
     def storm_changed(self, name, on):
         """For a dispatcher that has fronts."""
 
-    def _plan(self):
+    def _plan_loads(self):
         if self.intake.storms.on("cold") or self.intake.concurrency_limit.holds_back:
             return  # guesses wait until what is asked for can be served
-        orders = self.terms.orders
-        self.early.turn(self.now(), self.clock.steady_wall(), 1e9 if not orders.period else orders.free)
+        self.forecasts.plan_slot()
 
     def apply(self, gateway):
         """A new version of the settings, of which all can act at once: customers' keys, functions, limits.
@@ -354,10 +344,8 @@
             exchange.act = act.id
             self.events.touched.add(act.id)
             self._arm()
-            if self.early is not None:
-                self.early.called(
-                    now, self.clock.steady_wall(), function, rule.lanes, rule.load_time, ask.type
-                )
+            if self.forecasts is not None:
+                self.forecasts.activation_admitted(now, function, rule, ask.type)
             if self.state is None or self._keep(act):
                 self._begin(act)
         else:
@@ -438,7 +426,7 @@
             self._finish(act_id, COMPLETED, body)
         if code == ports.COMPLETED and self.intake.damps:
             self.intake.storms.ran(now, note not in (0, ports.FOUND_WARM))
-        if owed is not None and (self.early is not None or self.note is not None):
+        if owed is not None and (self.forecasts is not None or self.record_execution is not None):
             self._learn(now, owed, worker, code, note, now - at)
         self.events.touched.add(act_id)
         self.brain.answer(
@@ -446,15 +434,15 @@
         )
 
     def _learn(self, now, owed, worker, code, note, took):
-        """What history and early loads want to know of a send's end."""
+        """What the history and the forecasts learn from a send's end."""
         warm = note in (0, ports.FOUND_WARM)
-        if self.early is not None:
+        if self.forecasts is not None:
             if code == ports.COMPLETED:
-                self.early.ran(now, owed.fn, worker, warm, took, 0 if warm else took)
+                self.forecasts.send_completed(now, owed.fn, worker, warm, took)
             elif code == ports.MISSING:
-                self.early.missed(now, owed.fn, worker)
-        if self.note is not None and code == ports.COMPLETED:
-            self.note(
+                self.forecasts.copy_missing(now, owed.fn, worker)
+        if self.record_execution is not None and code == ports.COMPLETED:
+            self.record_execution(
                 self.clock.steady_wall(),
                 owed.fn,
                 owed.customer,
@@ -466,8 +454,8 @@
             )
 
     def load_order_ended(self, worker, fn, code, copies):
-        if self.early is not None:
-            self.early.stands(self.now(), fn, worker, code == ports.COMPLETED)
+        if self.forecasts is not None:
+            self.forecasts.order_ended(self.now(), fn, worker, code == ports.COMPLETED)
         self.brain.stands(self.now(), worker, fn, code, copies)
 
     def health_check_ended(self, worker, code, gauge):
--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -10,18 +10,15 @@
 from petrelwood.clocks import LoopClock
 from petrelwood.decide.delivery import recovery
 from petrelwood.dispatch.core import Core
+from petrelwood.dispatch.forecast_storage import ForecastStorage
 from petrelwood.links.roster import RosterLink
 from petrelwood.links.worker import WorkerLink
-from petrelwood.store import snapshot
-from petrelwood.store.ends import Ends
 from petrelwood.store.history import History
 from petrelwood.store.state import StateLog
 
 CHECK = 0.05  # seconds between looks at links and lines that are not at rest
 LEARNT = 20  # functions whose forecasts are learnt at each look: about a twentieth of a core
 RENEW = 5_000_000_000  # ns between looks at certificates
-KEPT = 20  # slots between two times that forecasts are put on the disk
-FORECAST, VERSION = "forecast", 1
 
 
 def boot():
@@ -47,7 +44,8 @@
         self.roster = RosterLink(
             gateway.roster, self.membership, 4 * gateway.workers.connect_within, self, log
         )
-        self.history, self.ends, self.dumping, self.dumped, self.dump_at = None, None, None, [], 0
+        self.history = None
+        self.forecast_storage = None
         if not follows:
             self.open_history()
         self.endpoints_known, self.renew_at = asyncio.Event(), self.now() + RENEW
@@ -103,60 +101,11 @@
         if terms is None:
             return
         self.history = History(terms.folder, terms.most, terms.keep)
-        self.note, self.told_stop = self.history.note, False
-        if self.early is not None:
-            self._begin_keeping()
-
-    # Forecasts that survive, and the account that people read.
-    def _begin_keeping(self):
-        self.ends, self.forecast_file = (
-            Ends(self.gateway.history.folder),
-            self.history.folder / "forecast.snap",
-        )
-        self.early.account.told = self._early_ended
-        self.dump_at = self.now() + KEPT * self.gateway.early.slot
-        try:
-            found = snapshot.read(self.forecast_file, FORECAST, VERSION)
-        except (snapshot.Unreadable, OSError) as fault:
-            self.log.warning("forecasts are learnt anew", why=f"{self.forecast_file}: {fault}")
-            return
-        if found is not None:
-            self.log.info("forecasts read", functions=self.early.forecast.restore(found[1]))
-
-    def _early_ended(self, now, early, end, seconds, memory):
-        off = self.clock.steady_wall() - now
-        self.ends.note(
-            early.asked + off,
-            early.stood and early.stood + off,
-            now + off,
-            early.function,
-            early.hall,
-            early.worker,
-            end,
-            round(seconds, 6),
-            round(memory, 6),
-        )
-
-    def _keep_forecasts(self, now):
-        """A few functions in each look, then the file in a thread."""
-        if self.dumping is None:
-            if now < self.dump_at:
-                return
-            self.dump_at = now + KEPT * self.gateway.early.slot
-            self.dumping, self.dumped = self.early.forecast.dump(), []
-        for _ in range(LEARNT):
-            part = next(self.dumping, None)
-            if part is None:
-                parts, self.dumping, self.dumped = self.dumped, None, []
-                self.loop.run_in_executor(None, self._write_forecasts, parts)
-                return
-            self.dumped.append(part)
-
-    def _write_forecasts(self, parts):
-        try:
-            snapshot.write(self.forecast_file, FORECAST, VERSION, parts)
-        except OSError as fault:
-            self.log.warning("forecasts are not kept", why=f"{self.forecast_file}: {fault}")
+        self.record_execution, self.told_stop = self.history.note, False
+        if self.forecasts is not None:
+            self.forecast_storage = ForecastStorage(
+                terms.folder, self.forecasts, self.clock, self.loop, self.log
+            )
 
     def _link(self, worker, address, core):
         return WorkerLink(
@@ -178,17 +127,17 @@
                 self.busy.pop(link, None)
         for front in self.fronts:
             front.check(now)
-        if self.early is not None:
-            if not self.early.forecast.work(LEARNT) and self.ends is not None:
-                self._keep_forecasts(now)
+        if self.forecasts is not None:
+            if not self.forecasts.learn(LEARNT) and self.forecast_storage is not None:
+                self.forecast_storage.step(now)
         if now >= self.renew_at:
             self.renew_at = now + RENEW
             for tls in self.identities:
                 tls.renew(self.log)
             if self.history is not None:
                 self.history.flush()
-                if self.ends is not None:
-                    self.ends.flush()
+                if self.forecast_storage is not None:
+                    self.forecast_storage.flush()
                 self._report_history()
         if self.membership.silent(now):
             self.log.warning("the list of workers is lost")
@@ -198,7 +147,7 @@
     def _report_history(self):
         """Logs when the history stops, and when it goes on again."""
         if self.history.stopped and not self.told_stop:
-            self.log.warning("the history has stopped; dispatching goes on", why=self.history.stopped)
+            self.log.warning("history stopped; dispatching goes on", why=self.history.stopped)
         elif self.told_stop and not self.history.stopped:
             self.log.info("history recovered", lost=self.history.lost)
         self.told_stop = bool(self.history.stopped)
@@ -230,7 +179,6 @@
             self.history.close()
         if self.state is not None:
             self.state.close(self.record_time())
-        if self.ends is not None:
-            self.ends.close()
-            self._write_forecasts(list(self.early.forecast.dump()))
+        if self.forecast_storage is not None:
+            self.forecast_storage.close()
         await asyncio.sleep(CHECK)
--- /dev/null
+++ b/petrelwood/dispatch/forecast_storage.py
@@ -0,0 +1,98 @@
+"""Keeps forecasts over a restart, and the account of early loads that people read."""
+
+import asyncio
+from collections.abc import Iterator
+
+from petrelwood.decide.forecasting.account import EarlyLoad
+from petrelwood.dispatch.interfaces import Clock, Logger
+from petrelwood.dispatch.load_forecasts import LoadForecasts
+from petrelwood.store import snapshot
+from petrelwood.store.ends import Ends
+
+SNAPSHOT_FILE = "forecast.snap"
+SNAPSHOT_KIND = "forecast"
+SNAPSHOT_VERSION = 1
+SLOTS_PER_SNAPSHOT = 20
+FUNCTIONS_PER_STEP = 20  # put into a snapshot at a time, so that the loop goes on
+
+
+class ForecastStorage:
+    """Reads the forecasts of one dispatcher from a folder, and saves them there now and then."""
+
+    def __init__(
+        self,
+        folder: str,
+        forecasts: LoadForecasts,
+        clock: Clock,
+        loop: asyncio.AbstractEventLoop,
+        log: Logger,
+    ) -> None:
+        self.forecasts = forecasts
+        self.early = forecasts.early
+        self.clock = clock
+        self.loop = loop
+        self.log = log
+        self.account = Ends(folder)
+        self.file = self.account.path.with_name(SNAPSHOT_FILE)
+        self.next_snapshot = clock.now() + SLOTS_PER_SNAPSHOT * forecasts.slot
+        self.unsaved: Iterator[object] | None = None  # what is not in the snapshot yet that is being made
+        self.parts: list[object] = []
+        self.early.account.told = self._record_end
+        self._load()
+
+    def _load(self) -> None:
+        try:
+            found = snapshot.read(self.file, SNAPSHOT_KIND, SNAPSHOT_VERSION)
+        except (snapshot.Unreadable, OSError) as fault:
+            self.log.warning("forecast snapshot unreadable; learning anew", why=f"{self.file}: {fault}")
+            return
+        if found is not None:
+            functions = self.early.forecast.restore(found[1])
+            self.log.info("forecast snapshot loaded", functions=functions)
+
+    def _record_end(self, now: int, load: EarlyLoad, end: str, seconds: float, memory: float) -> None:
+        """An early load has ended. The account has wall-clock times."""
+        offset = self.clock.steady_wall() - now
+        self.account.note(
+            load.asked + offset,
+            load.stood and load.stood + offset,
+            now + offset,
+            load.function,
+            load.hall,
+            load.worker,
+            end,
+            round(seconds, 6),
+            round(memory, 6),
+        )
+
+    def step(self, now: int) -> None:
+        """Goes on with a snapshot when one is due: a few functions, and at last the file in a thread."""
+        if self.unsaved is None:
+            if now < self.next_snapshot:
+                return
+            self.next_snapshot = now + SLOTS_PER_SNAPSHOT * self.forecasts.slot
+            self.unsaved = self.early.forecast.dump()
+            self.parts = []
+        for _ in range(FUNCTIONS_PER_STEP):
+            part = next(self.unsaved, None)
+            if part is None:
+                self.unsaved = None
+                self.loop.run_in_executor(None, self._write, self.parts)
+                self.parts = []
+                return
+            self.parts.append(part)
+
+    def _write(self, parts: list[object]) -> None:
+        try:
+            snapshot.write(self.file, SNAPSHOT_KIND, SNAPSHOT_VERSION, parts)
+        except OSError as fault:
+            self.log.warning("saving the forecast snapshot failed", why=f"{self.file}: {fault}")
+
+    def flush(self) -> None:
+        """Writes what is known of ended loads."""
+        self.account.flush()
+
+    def close(self) -> None:
+        """Ends the account, and saves the forecasts as they are."""
+        self.account.close()
+        self._write(list(self.early.forecast.dump()))
--- a/petrelwood/emulate/foresight.py
+++ b/petrelwood/emulate/foresight.py
@@ -32,9 +32,9 @@
 
     def teach(self, core):
         """A dispatcher's early loads ask here, and know every function that will be called."""
-        early = core.early
-        if early is None:
+        if core.forecasts is None:
             return
+        early = core.forecasts.early
         early.expected = self.ahead
         for function, kind in self.types.items():
             rule = core.rule(function)
--- a/petrelwood/emulate/platform.py
+++ b/petrelwood/emulate/platform.py
@@ -305,8 +305,8 @@
             self._account_of(core)
 
     def _account_of(self, core):
-        if core.early is not None:
-            core.early.account.told = lambda now, early, end, seconds, memory: self.ends.note(
+        if core.forecasts is not None:
+            core.forecasts.early.account.told = lambda now, early, end, seconds, memory: self.ends.note(
                 early.asked, early.stood, now, early.function, early.hall, early.worker, end, seconds, memory
             )
 
--- a/petrelwood/emulate/result.py
+++ b/petrelwood/emulate/result.py
@@ -92,7 +92,7 @@
         "fallen": sum(n.machine.fallen for n in platform.nodes.values() if n.machine),
         "events": platform.events,
     }
-    early = [c.early for c in cores if c.early is not None]
+    early = [c.forecasts.early for c in cores if c.forecasts is not None]
     figures["early loads"] = sum(e.made for e in early)
     figures["early refused"] = sum(e.refused for e in early)
     for end in account.ENDS:
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -27,11 +27,13 @@
 from petrelwood.decide.delivery import recovery
 from petrelwood.decide.forecasting.forecast import Calendar, Forecast
 from petrelwood.decide.wall_clock import FOLLOWED, UnsteppedWallClock
+from petrelwood.dispatch.load_forecasts import LoadForecasts
 from petrelwood.dispatch.rollout import VersionRollout, VersionSource
 from petrelwood.dispatch.settings_update import UpdateResult
 from petrelwood.emulate import script
 from petrelwood.emulate.disk import Disk
 from petrelwood.emulate.platform import Platform
+from petrelwood.settings.gateway import EarlyTerms
 from petrelwood.store import versions
 from petrelwood.store.state import StateLog
 
@@ -483,8 +485,12 @@
         platform = Platform(stepped_day()._replace(early=True), 1)
         core = platform.cores["d1"]
         core.clock.step = HOUR
-        with mock.patch.object(core, "early") as early:
-            core._plan()
+        slots = EarlyTerms(10 * S, 86_400 * S, 7 * 86_400 * S, (), 0.0, 0.0, 0, 0)
+        core.forecasts = LoadForecasts(
+            slots, core.terms, core.clock, random.Random(1), wish=mock.Mock(), sliced=False
+        )
+        with mock.patch.object(core.forecasts, "early") as early:
+            core._plan_loads()
             self.assertEqual(early.turn.call_args.args[1], clocks.WALL)
 
 
--- a/tests/test_early.py
+++ b/tests/test_early.py
@@ -47,7 +47,7 @@
     async def test_a_function_that_is_called_is_held_ahead_once_its_copies_have_lapsed(self):
         await self.begin_early(Worker("w1"), Worker("w2"))
         await self.call(1.0)
-        early = self.core.early
+        early = self.core.forecasts.early
         await self.until(lambda: early.made >= 1)
         self.assertTrue([h for w in self.workers for h in w.holds if h[0] == "again-1"])
         self.assertEqual(early.plans > 3, True)
@@ -58,7 +58,7 @@
         self.roster.tell(w.entry("draining"))
         await self.until(lambda: not self.core.membership.usable("w1"))
         held = len(w.holds)
-        early = self.core.early
+        early = self.core.forecasts.early
         turns = early.plans
         await self.until(lambda: early.plans >= turns + 5)
         self.assertEqual(len(w.holds), held)
@@ -84,7 +84,7 @@
             self.core.history.flush()
             self.assertIn("No space left", self.core.history.stopped)
             self.core.renew_at = 0
-            await self.until(lambda: self.log.said("the history has stopped; dispatching goes on"))
+            await self.until(lambda: self.log.said("history stopped; dispatching goes on"))
             self.assertEqual((await self.post("again-1"))[0], 200)
 
     async def test_forecasts_survive_a_restart_and_a_broken_file_is_learnt_anew(self):
@@ -95,28 +95,28 @@
                 Worker("w1"), Worker("w2"), more=f'history {{{{ folder "{folder}/h" }}}}\n'
             )
             await self.call(1.0)
-            await self.until(lambda: self.core.early.made >= 1)
-            known = sorted(self.core.early.forecast.series)
+            await self.until(lambda: self.core.forecasts.early.made >= 1)
+            known = sorted(self.core.forecasts.early.forecast.series)
             await self.core.close()
             self.assertEqual(known, ["again-1"])
             rows = ends.read(f"{folder}/h")
             self.assertEqual({r["function"] for r in rows} <= {"again-1"}, True)
             again = type(self.core)(self.core.gateway, self.log)
-            self.assertEqual(sorted(again.early.forecast.series), known)
+            self.assertEqual(sorted(again.forecasts.early.forecast.series), known)
             self.assertEqual(
-                again.early.forecast.series["again-1"].dump(),
-                self.core.early.forecast.series["again-1"].dump(),
+                again.forecasts.early.forecast.series["again-1"].dump(),
+                self.core.forecasts.early.forecast.series["again-1"].dump(),
             )
             path = pathlib.Path(folder) / "h" / "forecast.snap"
             path.write_bytes(path.read_bytes()[:-3])
             with self.assertRaises(snapshot.Unreadable):
                 snapshot.read(path, "forecast", 1)
             third = type(self.core)(self.core.gateway, self.log)
-            self.assertEqual(third.early.forecast.series, {})
-            self.assertTrue(self.log.said("forecasts are learnt anew"))
+            self.assertEqual(third.forecasts.early.forecast.series, {})
+            self.assertTrue(self.log.said("forecast snapshot unreadable; learning anew"))
             for made in (again, third):
                 made.history.close()
-                made.ends.close()
+                made.forecast_storage.account.close()
 
     async def test_a_model_without_history_is_seen_and_a_date_that_does_not_come_loads_nothing(self):
         event = EARLY.replace(
@@ -125,7 +125,7 @@
         )
         await self.begin_early(w1 := Worker("w1"), w2 := Worker("w2"), early=event)
         await self.call(0.6, "again-1", 0.1)
-        forecast = self.core.early.forecast
+        forecast = self.core.forecasts.early.forecast
         self.assertNotIn("again-7", forecast.series)
         await self.call(0.6, "again-7", 0.005)  # nobody had ever called it
         await self.until(
@@ -135,8 +135,8 @@
                 > 4 * forecast.ahead(self.core.clock.wall(), "again-1")[0]
             )
         )
-        turns = self.core.early.plans
-        await self.until(lambda: self.core.early.plans >= turns + 10)
+        turns = self.core.forecasts.early.plans
+        await self.until(lambda: self.core.forecasts.early.plans >= turns + 10)
         self.assertEqual([h for w in (w1, w2) for h in w.holds if h[0].startswith("again-9")], [])
 
 
@@ -151,7 +151,7 @@
                 platform.clock.at(
                     draining,
                     lambda cores=platform.cores: seen.setdefault(
-                        "made", sum(c.early.made for c in cores.values())
+                        "made", sum(c.forecasts.early.made for c in cores.values())
                     ),
                 )
             platform.run()
