--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -12,6 +12,7 @@
 import unittest
 from unittest import mock
 
+import node_site
 import rig
 import test_mqtt
 
@@ -21,6 +22,7 @@
 from petrelwood.decide.cluster.log_records import Entry as LogEntry
 from petrelwood.decide.cluster.log_records import Extract, Record, RecordKind
 from petrelwood.decide.cluster.membership import DEPARTED, GONE, NEWS_DELAY, USABLE, Entry, Membership
+from petrelwood.decide.cluster.polling import RosterPolling
 from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announced, Rollout, turn
 from petrelwood.decide.cluster.version_watch import VersionWatch
 from petrelwood.decide.delivery import ledger as ids
@@ -31,6 +33,7 @@
 from petrelwood.dispatch.settings_update import UpdateResult
 from petrelwood.emulate import script
 from petrelwood.emulate.platform import Platform
+from petrelwood.node import roster
 from petrelwood.store import versions
 from petrelwood.store.state import StateLog
 
@@ -178,6 +181,45 @@
         self.assertLessEqual(len(m.departed), DEPARTED)
 
 
+class PlatformList(unittest.TestCase):
+    """The list by DNS, whose answers may come long after they were asked for."""
+
+    def ages(self, asked, comes, started, step):
+        """What is believed of a worker that `started` (s), first named by the answer to a question of `asked`
+        that comes at `comes`; answers before came each second."""
+        now, m = [0], Membership(5 * S, 100 * MS, lambda: 0.5)
+        stepped = types.SimpleNamespace(wall=lambda: WALL + now[0] + step)
+        core = types.SimpleNamespace(now=lambda: now[0], clock=stepped, endpoints_changed=mock.Mock())
+        asking = RosterPolling(iter(n / 65536 for n in range(100)).__next__)
+        link = roster.DnsRoster(("127.0.0.1", 1), m, asking, core, mock.Mock())
+        old = {"w1": (5050, "Ready", "east", 0)}
+
+        def comes_back(id_, serial, entries):
+            question = id_.to_bytes(2, "big") + link.question
+            link.take(node_site.answer(question, serial, entries))
+
+        for second in range(LATE // S, asked):
+            now[0] = second * S
+            comes_back(asking.begin_query(now[0]), 1, old)
+        now[0] = asked * S
+        id_ = asking.begin_query(now[0])
+        now[0] = int(comes * S)
+        told = (WALL + int(started * S)) // MS
+        comes_back(id_, 2, {**old, "w2": (5051, "Ready", "east", told)})
+        listed = core.endpoints_changed.call_args.args[0]
+        return [now[0] - one.booted for one in listed if one.worker == "w2"]
+
+    def test_an_answer_that_comes_late_brings_a_worker_that_is_as_old_as_told(self):
+        for step in (0, *STEPS):  # the clock was so from the start
+            expected = [4 * S] if step == 0 else [0] if step < 0 else [6 * S]
+            self.assertEqual(self.ages(1010, 1015, 1011, step), expected, step)
+
+    def test_an_answer_that_comes_at_once_brings_a_worker_no_older_than_the_one_before(self):
+        for step in (HOUR, 5 * S):
+            (found,) = self.ages(1010, 1010.05, 1009.9, step)
+            self.assertLessEqual(found, 1050 * MS)
+
+
 class RollOuts(unittest.IsolatedAsyncioTestCase):
     """A step neither skips a stage of a roll-out nor holds one."""
 
