--- a/petrelwood/decide/delivery/mqtt_topics.py
+++ b/petrelwood/decide/delivery/mqtt_topics.py
@@ -1,46 +1,56 @@
-"""What an MQTT message asks: which customer, function and patience, and where its answer may go.
+"""What an MQTT message asks for: which customer, function and type, and where its answer may go.
 
 Topics are `act/CUSTOMER/TYPE/FUNCTION`; the broker lets a customer's session publish under its own name only.
-An answer may go under `reply/CUSTOMER/` only, to a topic without wildcards: nobody's message makes this
-dispatcher publish where its sender may not."""
+An answer may go to a topic under `reply/CUSTOMER/` only, and to none with wildcards: no message makes this
+dispatcher publish where its sender may not.
+"""
 
 from typing import NamedTuple
 
-ACT, REPLY = "act", "reply"
+REQUEST_LEVEL = "act"
+RESPONSE_LEVEL = "reply"
+REQUEST_LEVELS = 4  # the levels of a request's topic
+FORBIDDEN_IN_RESPONSE_TOPIC = frozenset("+#\0")
 
 
 class TopicRequest(NamedTuple):
-    """What a topic and its properties say; `why` where it can't be an activation."""
+    """What a topic says; `rejection_reason` where it can't be an activation's."""
 
     customer: str
     type: str
     function: str
-    why: str = ""
+    rejection_reason: str = ""
 
 
-def filter_of(group, customer):
-    return f"$share/{group}/{ACT}/{customer}/+/+"
+def subscription_filter(group: str, customer: str) -> str:
+    """The shared subscription by which the dispatchers of a group get one customer's messages."""
+    return f"$share/{group}/{REQUEST_LEVEL}/{customer}/+/+"
 
 
-def asked(topic, customer):
-    parts = topic.split("/")
-    if len(parts) != 4 or parts[0] != ACT or parts[1] != customer or not parts[2] or not parts[3]:
-        return TopicRequest(customer, "", "", f"activations are published to {ACT}/{customer}/TYPE/FUNCTION")
-    return TopicRequest(customer, parts[2], parts[3])
+def parse_request(topic: str, customer: str) -> TopicRequest:
+    """What a message to this topic, from this customer's subscription, asks for."""
+    levels = topic.split("/")
+    well_formed = len(levels) == REQUEST_LEVELS and all(levels)
+    if not well_formed or levels[:2] != [REQUEST_LEVEL, customer]:
+        expected = f"{REQUEST_LEVEL}/{customer}/TYPE/FUNCTION"
+        return TopicRequest(customer, "", "", f"activations are published to {expected}")
+    _, _, type_name, function = levels
+    return TopicRequest(customer, type_name, function)
 
 
-def may_answer(topic, customer):
-    """Whether an answer may be published there."""
-    return (
-        topic.startswith(f"{REPLY}/{customer}/")
-        and len(topic) > len(f"{REPLY}/{customer}/")
-        and not (set(topic) & set("+#\0"))
-    )
+def is_allowed_response_topic(topic: str, customer: str) -> bool:
+    """Whether an answer to this customer's message may be published there."""
+    prefix = f"{RESPONSE_LEVEL}/{customer}/"
+    is_below = topic.startswith(prefix) and len(topic) > len(prefix)
+    return is_below and FORBIDDEN_IN_RESPONSE_TOPIC.isdisjoint(topic)
 
 
-def identity(response_topic, correlation, session, number):
-    """The id of a message in the ledger: the same for a client that asks again with the same Correlation
-    Data. A message without any has none, and each is an activation of its own."""
+def message_id(response_topic: str | None, correlation: bytes | None, session: str, number: int) -> str:
+    """The id of a message in the ledger: the same where a client asks again with the same Correlation Data.
+
+    A message without Correlation Data has no id of its own, and is an activation of its own each time: it is
+    named by the session and by its `number` there.
+    """
     if correlation is None:
         return f"mqtt:{session}:{number}"
     return f"mqtt:{response_topic or ''}:{correlation.hex()}"
--- a/petrelwood/decide/delivery/send_outcome.py
+++ b/petrelwood/decide/delivery/send_outcome.py
@@ -1,16 +1,28 @@
-"""What the end of a send proves. Rule 2 hangs on it.
+"""What the end of a send proves. Rule 2 (no effect twice) depends on it.
 
-A call passes three stages on its way out: WAITING in our own queue, HANDED to the socket, and ANSWERED. Only
-a call that never left our queue, or that the worker itself says it did not begin, provably never ran. Bytes
-that were handed over count as read, whatever became of the connection: half a frame on the wire may have been
-completed by bytes that are still in the kernel's hands."""
+A call passes three stages on its way out: it is queued here, written to the socket, and answered. Only a call
+that never left the queue, or that the worker itself says it did not begin, provably never ran. Bytes that
+were written count as read, whatever became of the connection: half a frame on the wire may have been
+completed by bytes that are still in the kernel's buffers.
+
+The results are the codes of `petrelwood.ports` for the end of a send.
+"""
+
+import enum
 
 from petrelwood import ports
 
-WAITING, HANDED, ANSWERED = range(3)
 
-# What a worker may answer instead of a result, and what it proves. Anything else it says proves nothing.
-SAID = {
+class SendStage(enum.IntEnum):
+    """How far a call has come on its way to a worker."""
+
+    QUEUED = 0
+    WRITTEN = 1
+    ANSWERED = 2
+
+
+# What a worker may answer instead of a result, and what it proves. Any other word proves nothing.
+_CODES_OF_ERRORS = {
     "full": ports.FULL,
     "missing": ports.MISSING,
     "draining": ports.FULL,
@@ -20,30 +32,31 @@
 }
 
 
-def of_error(word):
-    """The code of an error that a worker sent."""
-    return SAID.get(word, ports.ERROR)
+def of_error(word: object) -> str:
+    """The worker answered with an error."""
+    return _CODES_OF_ERRORS.get(word, ports.ERROR) if isinstance(word, str) else ports.ERROR
 
 
-def of_loss(stage):
+def of_loss(stage: SendStage) -> str:
     """The connection was lost, or never made."""
-    return ports.NO_CONNECTION if stage == WAITING else ports.RESET
+    return ports.NO_CONNECTION if stage == SendStage.QUEUED else ports.RESET
 
 
-def of_time(stage):
+def of_time(stage: SendStage) -> str:
     """Its time ran out."""
-    return ports.NOT_SENT if stage == WAITING else ports.TIMED_OUT
+    return ports.NOT_SENT if stage == SendStage.QUEUED else ports.TIMED_OUT
 
 
-def of_cancel(stage):
-    return ports.NOT_SENT if stage == WAITING else ports.CANCELLED
+def of_cancel(stage: SendStage) -> str:
+    """The dispatcher cancelled it."""
+    return ports.NOT_SENT if stage == SendStage.QUEUED else ports.CANCELLED
 
 
-def of_recall(stage):
-    """Taken back because its worker drains or is gone; None: too late, it takes its course."""
-    return ports.NOT_SENT if stage == WAITING else None
+def of_recall(stage: SendStage) -> str | None:
+    """It is recalled as its worker drains or is gone; None: it has left and takes its course."""
+    return ports.NOT_SENT if stage == SendStage.QUEUED else None
 
 
-def of_crowding():
-    """Our queue to the worker is over its bound: nothing was sent."""
+def of_crowding() -> str:
+    """The queue to the worker is over its bound: nothing was sent."""
     return ports.FULL
--- a/petrelwood/emulate/link.py
+++ b/petrelwood/emulate/link.py
@@ -53,7 +53,7 @@
 
     def __init__(self, kind, act, n, fn, at, args):
         self.kind, self.act, self.n, self.fn, self.at, self.args = kind, act, n, fn, at, args
-        self.stage, self.job, self.over = send_outcome.WAITING, None, False
+        self.stage, self.job, self.over = send_outcome.SendStage.QUEUED, None, False
 
 
 class Link:
@@ -113,7 +113,7 @@
 
     def withdraw(self, act, n):
         call = self.runs.get((act, n))
-        if call is not None and call.stage == send_outcome.WAITING:
+        if call is not None and call.stage == send_outcome.SendStage.QUEUED:
             self._end(call, send_outcome.of_recall(call.stage))
 
     def recall(self):
@@ -131,7 +131,7 @@
         now = self.core.now()
         decision = self.state.on_call(now)
         if decision is REJECT:
-            self._tell(call, send_outcome.of_loss(send_outcome.WAITING))
+            self._tell(call, send_outcome.of_loss(send_outcome.SendStage.QUEUED))
             return
         if self.state.phase is UP:
             self._hand(call)
@@ -173,7 +173,7 @@
                 self._hand(self.waiting.popleft())
 
     def _hand(self, call):
-        call.stage = send_outcome.HANDED
+        call.stage = send_outcome.SendStage.WRITTEN
         if call.kind == "run":  # the time that is left is told as it leaves
             mark, until, body = call.args
             call.args = (mark, until - self.core.now(), body)
@@ -254,7 +254,9 @@
         )
 
     def _tell_worker(self, call):
-        if call.stage == send_outcome.HANDED and not self.platform.is_cut(self.core.name, self.node.hall):
+        if call.stage == send_outcome.SendStage.WRITTEN and not self.platform.is_cut(
+            self.core.name, self.node.hall
+        ):
             self.platform.after(self.way(), self._cancels, call)
 
     def _cancels(self, call):
@@ -293,7 +295,7 @@
                 self.leave(self.node.machine)
 
     def _end(self, call, code, note=0, body=b"", gauge=None):
-        if call.stage == send_outcome.WAITING:
+        if call.stage == send_outcome.SendStage.QUEUED:
             self.waiting.remove(call)
         elif self.out.pop(id(call), None) is None:
             return
@@ -307,7 +309,7 @@
             self.runs.pop((call.act, call.n), None)
             core.submit(core.send_ended, call.act, call.n, self.worker, code, note, body, call.at, gauge)
         elif call.kind == "hold":
-            if call.stage == send_outcome.WAITING:
+            if call.stage == send_outcome.SendStage.QUEUED:
                 core.order_not_sent(call.at)
             core.submit(core.load_order_ended, self.worker, call.fn, code, note)
         else:
--- a/petrelwood/fronts/mqtt.py
+++ b/petrelwood/fronts/mqtt.py
@@ -177,7 +177,7 @@
                     mqtt.SUBSCRIBE,
                     self._id(),
                     props={},
-                    filters=[(mqtt_topics.filter_of(terms.group, self.customer), 2)],
+                    filters=[(mqtt_topics.subscription_filter(terms.group, self.customer), 2)],
                 )
             )
         if self.fresh and not first.present:
@@ -272,9 +272,9 @@
         now, core = self.front.core.now(), self.front.core
         self.counts["messages"] += 1
         self.counts["again"] += packet.dup
-        response, asked = packet.props.get("response_topic"), mqtt_topics.asked(topic, self.customer)
-        rule = core.rule(asked.function) if not asked.why else None
-        why = asked.why or (
+        response, asked = packet.props.get("response_topic"), mqtt_topics.parse_request(topic, self.customer)
+        rule = core.rule(asked.function) if not asked.rejection_reason else None
+        why = asked.rejection_reason or (
             "there is no such function"
             if rule is None
             else "the function is of another namespace type"
@@ -283,7 +283,7 @@
         )
         code = (
             mqtt.NOT_AUTHORIZED
-            if response is not None and not mqtt_topics.may_answer(response, self.customer)
+            if response is not None and not mqtt_topics.is_allowed_response_topic(response, self.customer)
             else 0
         )
         if why or code:
@@ -293,7 +293,7 @@
         if "message_expiry" in packet.props and not wait:
             wait = 1  # it has expired on its way
         self.number += 1
-        id_ = mqtt_topics.identity(response, packet.props.get("correlation_data"), self.client, self.number)
+        id_ = mqtt_topics.message_id(response, packet.props.get("correlation_data"), self.client, self.number)
         # nobody signs it: it only has to be newer than what came before, whatever the wall clock does
         newer = core.ledger.next_stamp((self.customer, id_), type_, core.clock.steady_wall())
         self.stamp = max(self.stamp + 1, newer)
@@ -453,7 +453,7 @@
                     mqtt.UNSUBSCRIBE,
                     self._id(),
                     props={},
-                    filters=[mqtt_topics.filter_of(self.terms.group, self.customer)],
+                    filters=[mqtt_topics.subscription_filter(self.terms.group, self.customer)],
                 )
             )
             try:
--- a/petrelwood/links/calls.py
+++ b/petrelwood/links/calls.py
@@ -26,7 +26,7 @@
         self.at = at
         self.content = content
         self.size = size
-        self.stage = send_outcome.WAITING
+        self.stage = send_outcome.SendStage.QUEUED
         self.tag = tag
         self.line = None
         self.until = until
@@ -54,7 +54,7 @@
     def _stop(self, act, n, proof):
         call = self.runs.get((act, n))
         if call is not None:
-            if call.stage == send_outcome.HANDED:
+            if call.stage == send_outcome.SendStage.WRITTEN:
                 self._notice_end(call)
             self._end(call, proof(call.stage))
 
@@ -62,7 +62,7 @@
         """Its activation has ended: what has not left yet never does. That needs nobody's leave, as a cancel
         does."""
         call = self.runs.get((act, n))
-        if call is not None and call.stage == send_outcome.WAITING:
+        if call is not None and call.stage == send_outcome.SendStage.QUEUED:
             self._end(call, send_outcome.of_recall(call.stage))
 
     def recall(self):
@@ -85,7 +85,7 @@
         it may have waited for as long as a connection takes to come up."""
         frame = self._encode(call)
         call.content = None
-        call.stage = send_outcome.HANDED
+        call.stage = send_outcome.SendStage.WRITTEN
         self.out[call.tag] = call
         self.waiting_bytes -= call.size
         self.counts["sent"] += 1
@@ -121,7 +121,7 @@
         """Tells the worker that a send need not be finished."""
 
     def _end(self, call, code, note=0, body=b"", gauge=None):
-        if call.stage == send_outcome.WAITING:
+        if call.stage == send_outcome.SendStage.QUEUED:
             try:
                 self.waiting.remove(call)
                 self.waiting_bytes -= call.size
@@ -132,9 +132,9 @@
         self._tell(call, code, note, body, gauge)
 
     def _tell(self, call, code, note=0, body=b"", gauge=None):
-        if call.kind == "hold" and call.stage == send_outcome.WAITING:
+        if call.kind == "hold" and call.stage == send_outcome.SendStage.QUEUED:
             self.core.order_not_sent(call.at)
-        call.stage = send_outcome.ANSWERED
+        call.stage = send_outcome.SendStage.ANSWERED
         if call.kind == "run":
             self.runs.pop((call.act, call.n), None)
             self.core.submit(
--- a/petrelwood/links/worker.py
+++ b/petrelwood/links/worker.py
@@ -52,7 +52,7 @@
             self.runs[act, n] = call
         decision = self.state.on_call(now)
         if decision is REJECT:
-            self._tell(call, send_outcome.of_loss(send_outcome.WAITING))
+            self._tell(call, send_outcome.of_loss(send_outcome.SendStage.QUEUED))
         elif self.waiting_bytes + call.size > self.terms.queue:
             self._tell(call, send_outcome.of_crowding())
         else:
--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -208,12 +208,12 @@
             line.timer = None
             self.connecting -= 1
             if self.waiting:  # one call for one connection that was not made
-                self._end(self.waiting[0], send_outcome.of_loss(send_outcome.WAITING))
+                self._end(self.waiting[0], send_outcome.of_loss(send_outcome.SendStage.QUEUED))
         if line.open or not line.up:
             self.counts["lost"] += 1
             self.core.note_loss(self.worker, why, len(line.open))
         for call in list(line.open.values()):
-            self._end(call, send_outcome.of_loss(send_outcome.HANDED))
+            self._end(call, send_outcome.of_loss(send_outcome.SendStage.WRITTEN))
         line.open.clear()
         self.pump()
 
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -266,8 +266,8 @@
             ("recall", send_outcome.of_recall),
         ):
             for stage_, word in (
-                (send_outcome.WAITING, "in our queue"),
-                (send_outcome.HANDED, "handed over"),
+                (send_outcome.SendStage.QUEUED, "in our queue"),
+                (send_outcome.SendStage.WRITTEN, "handed over"),
             ):
                 code = of(stage_)
                 lines.append(f"{name}, {word}: {code}, never ran {code in ports.NEVER_RAN}")
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -413,11 +413,15 @@
             ("act/x/t/f", 0),
             ("reply/x", 0),
         ):
-            self.assertEqual(mqtt_topics.may_answer(topic, "x"), bool(good), topic)
+            self.assertEqual(mqtt_topics.is_allowed_response_topic(topic, "x"), bool(good), topic)
 
     def test_what_a_topic_asks(self):
-        self.assertEqual(mqtt_topics.asked("act/x/t/f", "x"), mqtt_topics.TopicRequest("x", "t", "f"))
+        self.assertEqual(mqtt_topics.parse_request("act/x/t/f", "x"), mqtt_topics.TopicRequest("x", "t", "f"))
         for topic in ("act/y/t/f", "act/x/t", "act/x//f", "act/x/t/f/g", "reply/x/t/f"):
-            self.assertTrue(mqtt_topics.asked(topic, "x").why, topic)
-        self.assertEqual(mqtt_topics.identity("r", b"1", "s", 4), mqtt_topics.identity("r", b"1", "other", 9))
-        self.assertNotEqual(mqtt_topics.identity("r", None, "s", 4), mqtt_topics.identity("r", None, "s", 5))
+            self.assertTrue(mqtt_topics.parse_request(topic, "x").rejection_reason, topic)
+        self.assertEqual(
+            mqtt_topics.message_id("r", b"1", "s", 4), mqtt_topics.message_id("r", b"1", "other", 9)
+        )
+        self.assertNotEqual(
+            mqtt_topics.message_id("r", None, "s", 4), mqtt_topics.message_id("r", None, "s", 5)
+        )
