--- a/petrelwood/decide/delivery/send_outcome.py
+++ b/petrelwood/decide/delivery/send_outcome.py
@@ -3,7 +3,8 @@
 A call passes three stages on its way out: it is queued here, written to the socket, and answered. Only a call
 that never left the queue, or that the worker itself says it did not begin, provably never ran. Bytes that
 were written count as read, whatever became of the connection: half a frame on the wire may have been
-completed by bytes that are still in the kernel's buffers.
+completed by bytes that are still in the kernel's buffers. A call of which the kernel took no byte, and whose
+connection is lost, never left: it is as one that was queued.
 
 The results are the codes of `petrelwood.ports` for the end of a send.
 """
@@ -32,6 +33,17 @@
 }
 
 
+def reached(stage: SendStage, begins: int | None, taken: int) -> SendStage:
+    """The stage that a call had reached when its connection was lost.
+
+    `taken`: bytes written on the connection that the kernel took; `begins`: how many were written before the
+    call's own, or None where that is not known.
+    """
+    if stage == SendStage.WRITTEN and begins is not None and taken <= begins:
+        return SendStage.QUEUED
+    return stage
+
+
 def of_error(word: object) -> str:
     """The worker answered with an error."""
     return _CODES_OF_ERRORS.get(word, ports.ERROR) if isinstance(word, str) else ports.ERROR
--- a/petrelwood/node/front.py
+++ b/petrelwood/node/front.py
@@ -443,6 +443,8 @@
     def _accept(self):
         began = self.core.now()
         self.core.answer_due(began)
+        connection_faults = 0
+        made_room = False
         for _ in range(ACCEPTS):
             guest = self.full() and not self._make_room()
             if guest and len(self.clients) >= self.room.clients + GUESTS:
@@ -450,32 +452,47 @@
                 return
             try:
                 sock, _ = self.sock.accept()
-            except (BlockingIOError, InterruptedError, ConnectionAbortedError):
+            except (BlockingIOError, InterruptedError):
                 return
             except OSError as fault:
-                if fault.errno in (errno.EMFILE, errno.ENFILE) and self._make_room():
+                if fault.errno in sockets.CONNECTION_FAULTS:
+                    connection_faults += 1
+                    if connection_faults < sockets.CONNECTION_FAULTS_IN_A_ROW:
+                        continue
+                # Where one descriptor more did not help, another would not: the machine is out of them.
+                elif fault.errno in (errno.EMFILE, errno.ENFILE) and not made_room and self._make_room():
+                    made_room = True
                     continue
                 self._rest_listener()
                 return
+            connection_faults = 0
+            made_room = False
             self.counts["connections"] += 1
-            sock.setblocking(False)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            client = Client(
-                self,
-                Stream(
-                    sock,
-                    max_buffer_size=2 * READ + resource_limits.FRAME,
-                    read_chunk_size=READ,
-                    max_write_buffer_size=resource_limits.UNREAD + REFUSALS,
-                ),
-                self.core.now(),
-                guest,
-            )
-            self.clients[client] = self.idle[client] = True
-            self.core.loop.create_task(client.serve())
+            try:
+                self._serve(sock, guest)
+            except OSError:  # it can't be set up: nothing of it was read
+                sock.close()
             if self.core.now() - began > ACCEPTING:
                 return
 
+    def _serve(self, sock, guest):
+        """Serves a new connection. Raises OSError."""
+        sock.setblocking(False)
+        sockets.disable_delay(sock)
+        client = Client(
+            self,
+            Stream(
+                sock,
+                max_buffer_size=2 * READ + resource_limits.FRAME,
+                read_chunk_size=READ,
+                max_write_buffer_size=resource_limits.UNREAD + REFUSALS,
+            ),
+            self.core.now(),
+            guest,
+        )
+        self.clients[client] = self.idle[client] = True
+        self.core.loop.create_task(client.serve())
+
     def _make_room(self):
         """Descriptors run short: the connection that has been idle longest goes, never one with an open
         request."""
