--- a/tests/test_ration.py
+++ b/tests/test_ration.py
@@ -228,6 +228,7 @@
         self.wait(link, core)
         link.state.on_connected()
         link.state.on_greeting(90, "w", 1)
+        link.stream = types.SimpleNamespace(_total_write_index=0)
         link._write = written.append
         link._flush()
         self.told(core)
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -63,6 +63,8 @@
     def __init__(self, net):
         self.net, self.host, self.up, self.ended, self.rest = net, None, False, False, b""
         self.loop, self.coming, self.wait, self.last = asyncio.get_running_loop(), [], None, 0.0
+        # as `sockets.bytes_written` and `bytes_taken` read them; all that is written is taken at once
+        self._total_write_index = self._total_write_done_index = 0
 
     async def connect(self, address):
         self.host = self.net(address)
@@ -95,6 +97,7 @@
     def write(self, data):
         if self.ended:
             raise StreamClosedError()
+        self._total_write_index = self._total_write_done_index = self._total_write_index + len(data)
         self._later(self._arrives, data)
 
     def _later(self, call, *args):  # in order, both ways
