--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -43,7 +43,7 @@
 from petrelwood.bgp.heartbeats import EVERY
 from petrelwood.decide.cluster import membership
 from petrelwood.decide.cluster.link_state import LinkPhase
-from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announced, Rollout, dwell_for
+from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announcement, Rollout, dwell_for
 from petrelwood.decide.overload.sliding_window import SlidingWindowCounter
 from petrelwood.dispatch.health import HeartbeatReporter
 from petrelwood.links import rpc, sse
@@ -295,10 +295,10 @@
     for look in looks:
         while number < len(begins) and begins[number] <= look:
             number += 1
-            announced = [Announced(number, int(begins[number - 1] * SECOND), False)]
+            announced = [Announcement(number, int(begins[number - 1] * SECOND), False)]
             behind = begins[number - 1] if behind is None else behind
         for node in nodes:
-            node.look(int(look * SECOND), announced)
+            node.decide(int(look * SECOND), announced)
         has = sum(node.version == number for node in nodes)
         if has == dispatchers:
             reached.add(number)
--- a/benchmarks/scale/configuration_fleet.py
+++ b/benchmarks/scale/configuration_fleet.py
@@ -13,8 +13,8 @@
 from benchmarks.scale import size
 from petrelwood.control import messages
 from petrelwood.decide.cluster.log_records import Record, RecordKind, compress_text
-from petrelwood.decide.cluster.rollout import DWELL, Announced, Rollout, dwell_for
-from petrelwood.decide.cluster.version_watch import SECOND, CallOff, VersionWatch
+from petrelwood.decide.cluster.rollout import DWELL, Announcement, Rollout, dwell_for
+from petrelwood.decide.cluster.version_watch import SECOND, Revocation, VersionWatch
 from petrelwood.emulate.configuration_servers import World
 from petrelwood.links import rpc
 
@@ -68,7 +68,7 @@
         self.world = World(seed, servers=size.CONTROL_MACHINES, loss=0, twice=0, most_delay=DELAY)
         self.chance, self.drawn = Random(seed + 1).random, Random(seed + 2)
         self.dwell = dwell_for(WITHIN) if staged else DWELL
-        self.shared = None if staged else {}  # number -> Announced, of the folder that all read
+        self.shared = None if staged else {}  # number -> Announcement, of the folder that all read
         self.body = compress_text(settings_text(functions))
         self.calls = calls  # answers a second of each dispatcher
         self.split, self.bad, self.sizes, self.by_server = False, set(), {}, {}
@@ -88,13 +88,13 @@
 
     def _ask(self, one):
         now = self.world.now
-        for server in one.watch.due(now):
-            self.world.later(int(self.chance() * DELAY), self._asked, one, server, one.watch.known)
-        self.world.later(max(1, one.watch.next - now), self._ask, one)
+        for server in one.watch.servers_to_poll(now):
+            self.world.later(int(self.chance() * DELAY), self._asked, one, server, one.watch.position)
+        self.world.later(max(1, one.watch.next_round_at - now), self._ask, one)
 
     def _asked(self, one, server, known):
         if not self._reaches(one, server):
-            self.world.later(SECOND, one.watch.failed, server, self.world.now + SECOND)
+            self.world.later(SECOND, one.watch.on_failure, server, self.world.now + SECOND)
             return
         extract = self.world.servers[server].replica.extract(known, compact=True)
         size = self._size(extract)
@@ -114,25 +114,25 @@
 
     def _answered(self, one, server, extract):
         wall = self.world.now
-        for news in one.watch.answered(server, extract, self.world.now, wall):
-            if isinstance(news, CallOff):
+        for news in one.watch.on_answer(server, extract, self.world.now, wall):
+            if isinstance(news, Revocation):
                 if news.number in one.announced:
-                    one.announced[news.number] = one.announced[news.number]._replace(off=True)
+                    one.announced[news.number] = one.announced[news.number]._replace(is_called_off=True)
             else:
-                one.announced[news.number] = Announced(news.number, news.begun, False)
+                one.announced[news.number] = Announcement(news.number, news.begun, False)
 
     def _look(self, one):
         """Each second, as `dispatch.serve` does: answers counted, then what is announced."""
         share = BAD if one.rollout.version in self.bad else USUAL
         good = sum(self.drawn.random() < share for _ in range(self.calls))
         for completed in (True,) * good + (False,) * (self.calls - good):
-            one.rollout.ended(completed)
+            one.rollout.record_answer(completed)
         known = one.announced if self.shared is None else self.shared
-        verdict = one.rollout.look(self.world.now, list(known.values()))
+        verdict = one.rollout.decide(self.world.now, list(known.values()))
         if verdict is not None:
             self.world.later(APPLY, self._in_force, one, verdict[1])
-            if one.rollout.calls_off is not None:
-                self._call_off(one, one.rollout.calls_off)
+            if one.rollout.bad_version is not None:
+                self._call_off(one, one.rollout.bad_version)
         self.world.later(SECOND, self._look, one)
 
     def _in_force(self, one, number):
@@ -140,9 +140,9 @@
 
     def _call_off(self, one, number):
         if self.shared is not None:
-            self.shared[number] = self.shared[number]._replace(off=True)
+            self.shared[number] = self.shared[number]._replace(is_called_off=True)
             return
-        up = [server for server in one.watch.order if self._reaches(one, server)]
+        up = [server for server in one.watch.servers if self._reaches(one, server)]
         if up and not self.world.servers[up[0]].replica.is_revoked(number):
             record = Record(
                 f"off-{number}-{one.name}", RecordKind.REVOCATION, number, self.world.now, one.name.encode()
@@ -159,7 +159,7 @@
         now = self.world.now
         if self.shared is not None:
             number = len(self.shared) + 1
-            self.shared[number] = Announced(number, now, False)
+            self.shared[number] = Announcement(number, now, False)
         else:
             record = Record(f"v{now}", RecordKind.VERSION, 0, now, self.body)
             self.world.propose(server, record)
--- a/benchmarks/scale/configuration_real.py
+++ b/benchmarks/scale/configuration_real.py
@@ -86,7 +86,7 @@
             await client.call("append", [["v1", RecordKind.VERSION, 0, time.time_ns(), body]], 10)
             decided = time.monotonic() - begun
             client.close()
-            while min(f.watch.known for f in followers) < 1:
+            while min(f.watch.position for f in followers) < 1:
                 await asyncio.sleep(0.05)
             heard = time.monotonic() - begun
             await asyncio.sleep(max(0, seconds / 2 - heard))
--- a/petrelwood/cli/main.py
+++ b/petrelwood/cli/main.py
@@ -144,7 +144,7 @@
     try:
         handed = json.loads(rolled) if rolled else None
         if handed:
-            Rollout.resumed(described.name, handed)
+            Rollout.from_state(described.name, handed)
     except ValueError:
         raise click.BadParameter(
             "it is not what a process before has handed over", param_hint="--rolled"
--- a/petrelwood/decide/cluster/completion.py
+++ b/petrelwood/decide/cluster/completion.py
@@ -34,6 +34,16 @@
         else:
             self.failed += 1
 
+    def halve(self) -> None:
+        """Gives what was counted so far half of its weight."""
+        self.completed //= 2
+        self.failed //= 2
+
+    def restart(self, completed: int = 0, failed: int = 0) -> None:
+        """Counts from here on, beginning with so many."""
+        self.completed = completed
+        self.failed = failed
+
     def rate(self) -> CompletionRate:
         """The share that completed; all, where there was no answer yet."""
         if not self.answers:
--- a/petrelwood/decide/cluster/rollout.py
+++ b/petrelwood/decide/cluster/rollout.py
@@ -1,13 +1,12 @@
-"""A staged roll-out of a version over many dispatchers that do not talk: who takes it when, and when each
-goes back.
+"""A staged roll-out of a version over many dispatchers that do not talk: who applies it when, and rollback.
 
 A version is announced to all (how is not ours: a folder that all read, a push): its number, when it began,
 and whether anyone has called it off. Each dispatcher has a place in the order, drawn by a hash of its name
-and the version, so that no one is always first; stage by stage a larger part takes it. One that took it
-compares its answers with those before; where a smaller part completes it goes back by itself and says so,
-after which those whose turn has not come do not take it, and those that have it go back too. Of two versions
-at once the newer number counts for everyone, whatever came first; one that missed some goes to the newest at
-its turn.
+and the version, so that no one is always first; stage by stage a larger part applies it. One that applied it
+compares its answers with those before; where a smaller part completes it rolls back by itself and says so,
+after which those whose turn has not come do not apply it, and those that have it roll back too. Of two
+versions at once the newer number counts for everyone, whatever came first; one that missed some goes to the
+newest at its turn.
 
 Times are wall-clock ns, since all have to mean the same by them, but without the steps of this machine's
 clock (`decide.wall_clock`): a step neither skips a stage nor holds one. A version was announced before it is
@@ -17,130 +16,198 @@
 
 import hashlib
 import math
-from typing import NamedTuple
+from collections.abc import Iterable, Mapping, Sequence
+from enum import StrEnum
+from typing import Any, NamedTuple
+
+from petrelwood.decide.cluster.completion import NO_ANSWERS, CompletionCounter, CompletionRate
 
 SECOND = 1_000_000_000
 STAGES = (0.02, 0.1, 0.3, 1.0)  # parts of all dispatchers that have it by the end of each stage
-DWELL = 30 * SECOND
-# answers under the new version that say something; how much smaller a part may be completed
-FEW, WORSE = 30, 0.1
-SURE = 3.5  # deviations that chance may make, as it is looked at again and again
-# What a roll-out that is to end in time leaves for the last dispatchers: a round of questions to the
-# configuration servers, an answer, a look at the folder of versions, and taking it, each of them up to a
-# second.
+DWELL = 30 * SECOND  # between two stages
+LEAST_ANSWERS = 30  # answers under a version from which it is judged
+WORST_DROP = 0.1  # how much smaller a part may be completed than before
+DEVIATIONS = 3.5  # that chance may make, as it is looked at again and again
+LEAST_VARIANCE = 0.01  # of an answer
+USUAL_ANSWERS = 2000  # so many answers, more or less, is the usual rate of
+ROLLBACK_ANSWERS = 100  # so many answers the usual rate counts for after a rollback
+WATCHED_STAGES = 2  # over which one that applied it watches itself
+# What a roll-out that is to end in time leaves for the last dispatchers: a poll of the configuration servers,
+# an answer, a look at the folder of versions, and applying it, each of them up to a second.
 RESERVE = 4 * SECOND
 LEAST_WITHIN = 7 * SECOND  # a second for each stage but the last
 DEFAULT_WITHIN = RESERVE + (len(STAGES) - 1) * DWELL
-WATCHED = 2  # stages over which one that took it watches itself
-
 
-def dwell_for(within, stages=STAGES):
-    """The time between two stages, ns, for a version that is to be in force everywhere `within` ns."""
-    return (within - RESERVE) // (len(stages) - 1)
 
+class Announcement(NamedTuple):
+    """A version as it is announced to all dispatchers."""
 
-class Announced(NamedTuple):
     number: int
     begun: int  # wall-clock ns
-    off: bool  # somebody has called it off
+    is_called_off: bool
 
 
-def turn(name, version, stages=STAGES, dwell=DWELL):
-    """How long after its beginning a dispatcher takes a version, ns."""
-    place = (
-        int.from_bytes(hashlib.blake2b(f"{name}/{version}".encode(), digest_size=4).digest(), "big") / 2**32
-    )
-    return next(number for number, part in enumerate(stages) if place < part or part == stages[-1]) * dwell
+class RolloutAction(StrEnum):
+    """What a dispatcher has to do about a version."""
 
+    APPLY = "take"
+    ROLL_BACK = "back"
 
-class Rollout:
-    """One dispatcher's part. `version`: what it runs. Ask `look`; it says 'take' N, 'back' N or None, and
-    `calls_off` names the version that this dispatcher has found bad."""
 
-    def __init__(self, name, version, stages=STAGES, dwell=DWELL):
-        self.name, self.version, self.before, self.stages, self.dwell = name, version, None, stages, dwell
-        self.good = self.bad = 0
-        self.base, self.took_at, self.calls_off, self.refused = (1.0, 0), None, None, set()
-        self.seen_at = {}  # number of an announced version -> when it was first seen here
+class RolloutStep(NamedTuple):
+    """Apply a version, or roll back to one."""
+
+    action: RolloutAction
+    version: int
+
+
+def dwell_for(within: int, stages: Sequence[float] = STAGES) -> int:
+    """The time between two stages for a version that is to be in force everywhere `within` ns."""
+    return (within - RESERVE) // (len(stages) - 1)
+
 
-    def handed(self, ahead=0):
-        """What the process that follows must know to go on as this one, as plain values; see `resumed`.
-        `ahead`: what the system's wall clock, from which that process begins, is ahead of `look`'s."""
-        took_at = None if self.took_at is None else self.took_at + ahead
-        return [self.version, self.before, list(self.base), took_at, sorted(self.refused)]
+def stage_delay(name: str, version: int, stages: Sequence[float] = STAGES, dwell: int = DWELL) -> int:
+    """How long after its beginning a dispatcher applies a version."""
+    digest = hashlib.blake2b(f"{name}/{version}".encode(), digest_size=4).digest()
+    place = int.from_bytes(digest, "big") / 2**32
+    stage = next(number for number, part in enumerate(stages) if place < part or part == stages[-1])
+    return stage * dwell
+
+
+class Rollout:
+    """One dispatcher's part in the roll-outs, which runs `version` now."""
+
+    __slots__ = (
+        "answers",
+        "applied_at",
+        "bad_version",
+        "dwell",
+        "first_seen_at",
+        "name",
+        "previous_version",
+        "rejected",
+        "stages",
+        "usual",
+        "version",
+    )
+
+    def __init__(self, name: str, version: int, stages: Sequence[float] = STAGES, dwell: int = DWELL) -> None:
+        self.name = name
+        self.version = version
+        self.stages = stages
+        self.dwell = dwell
+        self.previous_version: int | None = None  # to roll back to
+        self.applied_at: int | None = None  # while the version is watched
+        self.answers = CompletionCounter()  # under the version
+        self.usual: CompletionRate = NO_ANSWERS  # under the one before
+        self.bad_version: int | None = None  # the last one that this dispatcher has found bad
+        self.rejected: set[int] = set()  # versions that are never applied here again
+        self.first_seen_at: dict[int, int] = {}  # announced version -> when it was first seen here
+
+    def to_state(self, clock_ahead: int = 0) -> list[object]:
+        """What a successor must know to go on as this dispatcher, as plain values; see `from_state`.
+
+        `clock_ahead`: what the system's wall clock, from which that process begins, is ahead of `decide`'s.
+        """
+        applied_at = None if self.applied_at is None else self.applied_at + clock_ahead
+        return [self.version, self.previous_version, list(self.usual), applied_at, sorted(self.rejected)]
 
     @classmethod
-    def resumed(cls, name, handed, stages=STAGES, dwell=DWELL):
-        """The same dispatcher's part in a process that an upgrade has begun: it watches from here on what it
-        took over with. Raises `ValueError` for what `handed` can't have said."""
+    def from_state(
+        cls, name: str, state: Sequence[Any], stages: Sequence[float] = STAGES, dwell: int = DWELL
+    ) -> "Rollout":
+        """The same dispatcher's part in a successor: it watches from here on what it took over with.
+
+        Raises ValueError for what `to_state` can't have made.
+        """
         try:
-            version, before, (share, seen), took_at, refused = handed
-            made = cls(name, int(version), stages, dwell)
-            made.before = None if before is None else int(before)
-            made.took_at = None if took_at is None else int(took_at)
-            made.base, made.refused = (float(share), int(seen)), {int(r) for r in refused}
-        except TypeError as fault:
-            raise ValueError(str(fault)) from None
-        return made
-
-    def could_not(self):
-        """What it said to do could not be done: the version that it was to take is refused here; one to go
-        back from stays, and is called off all the same. Returns the version that it is of now."""
-        if self.before is not None:
-            self.refused.add(self.version)
-            self.version, self.before, self.took_at = self.before, None, None
+            version, previous_version, (share, answers), applied_at, rejected = state
+            rollout = cls(name, int(version), stages, dwell)
+            rollout.previous_version = None if previous_version is None else int(previous_version)
+            rollout.applied_at = None if applied_at is None else int(applied_at)
+            rollout.usual = CompletionRate(float(share), int(answers))
+            rollout.rejected = {int(number) for number in rejected}
+        except TypeError as error:
+            raise ValueError(str(error)) from error
+        return rollout
+
+    def on_apply_failed(self) -> int:
+        """The step could not be taken; returns the version that this dispatcher runs now.
+
+        The version that it was to apply is rejected here; one to roll back from stays, and is called off all
+        the same.
+        """
+        if self.previous_version is not None:
+            self._leave_version()
         return self.version
 
-    def ended(self, completed):
-        """An answer of something that was taken."""
-        if completed:
-            self.good += 1
-        else:
-            self.bad += 1
-        if self.took_at is None and self.good + self.bad >= 2000:
-            self.good, self.bad = self.good // 2, self.bad // 2  # what is usual follows slowly
-
-    def _share(self):
-        seen = self.good + self.bad
-        return (self.good / seen if seen else 1.0), seen
-
-    def look(self, wall, announced):
-        """`wall`: the time, without steps. `announced`: all `Announced` versions that it knows of, in any
-        order."""
-        known = {a.number: a for a in announced}
-        self.seen_at = {number: self.seen_at.get(number, wall) for number in known}
-        mine = known.get(self.version)
-        if self.before is not None and mine is not None and mine.off:
-            return self._back()
-        if self.took_at is not None:
-            share, seen = self._share()
-            usual = self.base[0]
-            noise = SURE * math.sqrt(max(usual * (1 - usual), 0.01) / seen) if seen else 1.0
-            if seen >= FEW and self.base[1] >= FEW and share + noise < usual - WORSE:
-                self.calls_off = self.version
-                return self._back()
-            if wall - self.took_at >= WATCHED * self.dwell:
+    def record_answer(self, completed: bool) -> None:
+        """An activation that was admitted here got its answer."""
+        self.answers.record(completed)
+        if self.applied_at is None and self.answers.answers >= USUAL_ANSWERS:
+            self.answers.halve()  # what is usual follows slowly
+
+    def decide(self, wall: int, announcements: Sequence[Announcement]) -> RolloutStep | None:
+        """The next step, if one is due. `wall`: the time, without steps; `announcements`: in any order."""
+        known = {each.number: each for each in announcements}
+        self.first_seen_at = {number: self.first_seen_at.get(number, wall) for number in known}
+        if self._is_called_off(known):
+            return self._roll_back()
+        if self.applied_at is not None:
+            if self._is_worse():
+                self.bad_version = self.version
+                return self._roll_back()
+            if wall - self.applied_at >= WATCHED_STAGES * self.dwell:
                 # it stays, unless it is called off later: what is seen from now on is what is usual
-                self.took_at = None
-        newer = [
-            a for a in announced if a.number > self.version and not a.off and a.number not in self.refused
-        ]
+                self.applied_at = None
+        newest = self._newest(announcements)
+        if newest is None or wall < self._due_at(newest):
+            return None
+        return self._apply(newest.number, wall)
+
+    def _is_called_off(self, known: Mapping[int, Announcement]) -> bool:
+        current = known.get(self.version)
+        return self.previous_version is not None and current is not None and current.is_called_off
+
+    def _is_worse(self) -> bool:
+        now = self.answers.rate()
+        if now.answers < LEAST_ANSWERS or self.usual.answers < LEAST_ANSWERS:
+            return False
+        usual = self.usual.share
+        variance = max(usual * (1 - usual), LEAST_VARIANCE)
+        noise = DEVIATIONS * math.sqrt(variance / now.answers)
+        return now.share + noise < usual - WORST_DROP
+
+    def _newest(self, announcements: Iterable[Announcement]) -> Announcement | None:
+        """The newest version to go to, or None."""
+        newer = [each for each in announcements if each.number > self.version and not each.is_called_off]
         if not newer:
             return None
         newest = max(newer)
-        if any(a.number > newest.number and not a.off for a in announced):
-            # a newer one that was refused here still counts for the others
-            return None
-        begun = min(newest.begun, self.seen_at[newest.number])
-        if wall < begun + turn(self.name, newest.number, self.stages, self.dwell):
-            return None
-        if self.took_at is None:  # else it goes on from the one before that
-            self.before, self.base = self.version, self._share()
-        self.version, self.took_at, self.good, self.bad = newest.number, wall, 0, 0
-        return "take", self.version
-
-    def _back(self):
-        self.refused.add(self.version)
-        self.version, self.before, self.took_at = self.before, None, None
-        self.good, self.bad = int(self.base[0] * 100), 100 - int(self.base[0] * 100)
-        return "back", self.version
+        # one that was rejected here still counts for the others: nothing older is applied in its place
+        return None if newest.number in self.rejected else newest
+
+    def _due_at(self, announcement: Announcement) -> int:
+        begun = min(announcement.begun, self.first_seen_at[announcement.number])
+        return begun + stage_delay(self.name, announcement.number, self.stages, self.dwell)
+
+    def _apply(self, version: int, wall: int) -> RolloutStep:
+        if self.applied_at is None:  # else it goes on from the one before that
+            self.previous_version = self.version
+            self.usual = self.answers.rate()
+        self.version = version
+        self.applied_at = wall
+        self.answers.restart()
+        return RolloutStep(RolloutAction.APPLY, version)
+
+    def _roll_back(self) -> RolloutStep:
+        self._leave_version()
+        completed = int(self.usual.share * ROLLBACK_ANSWERS)
+        self.answers.restart(completed, ROLLBACK_ANSWERS - completed)
+        return RolloutStep(RolloutAction.ROLL_BACK, self.version)
+
+    def _leave_version(self) -> None:
+        self.rejected.add(self.version)
+        self.version = self.previous_version or 0
+        self.previous_version = None
+        self.applied_at = None
--- a/petrelwood/decide/cluster/version_watch.py
+++ b/petrelwood/decide/cluster/version_watch.py
@@ -1,27 +1,27 @@
-"""What a dispatcher knows of the configuration log, whom it asks for more, and when.
+"""What a dispatcher knows of the configuration log, which servers it polls for more, and when.
 
 A decided record is a fact, so one server that has it is enough: a dispatcher needs no quorum to read, and
-goes on with what it knows when no server answers at all (static stability). Each round it asks two servers:
+goes on with what it knows when no server answers at all (static stability). Each round it polls two servers:
 the first that works in its own order of preference, by rendezvous hashing of its name (Thaler and
-Ravishankar,
-1998), so that dispatchers spread evenly and a lost server's share spreads too; and one more in turn, so that
-a server that is cut off from the others is not the only one heard. Times in ns; `wall` is wall-clock time
-without the steps of this machine's clock (`decide.wall_clock`).
+Ravishankar, 1998), so that dispatchers spread evenly and a lost server's share spreads too; and one more in
+turn, so that a server that is cut off from the others is not the only one heard. Times in ns; `wall` is
+wall-clock time without the steps of this machine's clock (`decide.wall_clock`).
 """
 
 import hashlib
+from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from petrelwood.decide.cluster.log_records import RecordKind
+from petrelwood.decide.cluster.log_records import Extract, Record, RecordKind
 from petrelwood.decide.overload.backoff import Backoff
 
 SECOND = 1_000_000_000
-ROUND = SECOND  # between two rounds of questions
-JITTER = (
-    0.2  # part of a round by which it is drawn, so that dispatchers started together do not stay together
-)
-ANSWER_WITHIN = SECOND  # for one answer; a server that takes longer has failed
-AGAIN, AGAIN_MOST = SECOND, 30 * SECOND  # waits before a server that failed is asked again
+ROUND = SECOND  # between two rounds of polls
+JITTER = 0.2  # part of a round that is drawn: dispatchers started together do not stay together
+POLLED_EACH_ROUND = 2  # servers
+ANSWER_TIMEOUT = SECOND  # a server that takes longer has failed
+FIRST_BACKOFF = SECOND  # before a server that failed is polled again
+LONGEST_BACKOFF = 30 * SECOND
 
 
 class Version(NamedTuple):
@@ -32,68 +32,100 @@
     body: bytes  # see `log_records.decompress_text`
 
 
-class CallOff(NamedTuple):
-    number: int
-    why: str
-
+class Revocation(NamedTuple):
+    """A version was called off by some dispatcher."""
 
-def preference(name, servers):
-    """`servers` in this dispatcher's own order."""
+    number: int
+    reason: str
 
-    def weight(server):
-        return hashlib.blake2b(f"{name}/{server}".encode(), digest_size=8).digest()
 
-    return sorted(servers, key=weight)
+def preference(name: str, servers: Iterable[str]) -> list[str]:
+    """The servers in a dispatcher's own order."""
+    return sorted(
+        servers, key=lambda server: hashlib.blake2b(f"{name}/{server}".encode(), digest_size=8).digest()
+    )
 
 
 class VersionWatch:
-    """`known`: the last slot of the log that this dispatcher has taken in. `staged`: how long a roll-out
-    takes from its beginning to its last stage, ns."""
-
-    def __init__(self, name, servers, known, staged, chance):
-        self.order, self.known, self.staged, self.chance = preference(name, servers), known, staged, chance
-        self.backoff = {server: Backoff(AGAIN, AGAIN_MOST, chance) for server in self.order}
-        self.next, self.turn, self.heard = 0, 0, None
-        self.gaps = self.duplicates = 0
-
-    def due(self, now):
-        """The servers to ask now; none before the next round."""
-        if now < self.next:
+    """Follows the log for one dispatcher.
+
+    `position`: the last slot of the log that it has taken in; `rollout_time`: how long a roll-out takes from
+    its beginning to its last stage; `chance()` is drawn in [0, 1).
+    """
+
+    __slots__ = (
+        "backoffs",
+        "chance",
+        "duplicates",
+        "gaps",
+        "heard_at",
+        "next_round_at",
+        "position",
+        "rollout_time",
+        "second_server",
+        "servers",
+    )
+
+    def __init__(
+        self,
+        name: str,
+        servers: Iterable[str],
+        position: int,
+        rollout_time: int,
+        chance: Callable[[], float],
+    ) -> None:
+        self.servers = preference(name, servers)
+        self.position = position
+        self.rollout_time = rollout_time
+        self.chance = chance
+        self.backoffs = {server: Backoff(FIRST_BACKOFF, LONGEST_BACKOFF, chance) for server in self.servers}
+        self.next_round_at = 0
+        self.second_server = 0  # its place among those that work; the first is always polled
+        self.heard_at: int | None = None
+        self.gaps = 0  # answers that began after our position
+        self.duplicates = 0  # answers that ended before our position
+
+    def servers_to_poll(self, now: int) -> tuple[str, ...]:
+        """The servers to poll now; none before the next round."""
+        if now < self.next_round_at:
             return ()
-        self.next = now + int(ROUND * (1 - JITTER * self.chance()))
-        working = [server for server in self.order if self.backoff[server].may_retry(now)]
-        if len(working) < 2:
+        self.next_round_at = now + int(ROUND * (1 - JITTER * self.chance()))
+        working = [server for server in self.servers if self.backoffs[server].may_retry(now)]
+        if len(working) < POLLED_EACH_ROUND:
             return tuple(working)
-        self.turn = self.turn % (len(working) - 1) + 1
-        return (working[0], working[self.turn])
+        self.second_server = self.second_server % (len(working) - 1) + 1
+        return (working[0], working[self.second_server])
 
-    def failed(self, server, now):
+    def on_failure(self, server: str, now: int) -> None:
         """No answer in time, or none that can be read."""
-        self.backoff[server].failed(now)
+        self.backoffs[server].failed(now)
 
-    def answered(self, server, extract, now, wall):
-        """What is new in an answer: `Version` and `CallOff`, in the log's order."""
-        self.backoff[server].succeeded()
-        self.heard = now
-        if extract.since > self.known:
+    def on_answer(self, server: str, extract: Extract, now: int, wall: int) -> list[Version | Revocation]:
+        """What is new in an answer, in the log's order."""
+        self.backoffs[server].succeeded()
+        self.heard_at = now
+        if extract.since > self.position:
             self.gaps += 1
             return []
-        if extract.chosen <= self.known:
-            self.duplicates += extract.chosen < self.known
+        if extract.chosen <= self.position:
+            self.duplicates += extract.chosen < self.position
             return []
-        fresh = [self._news(slot, record, wall) for slot, record in extract.entries if slot > self.known]
-        self.known = extract.chosen
-        return [one for one in fresh if one is not None]
+        fresh = [self._event(slot, record, wall) for slot, record in extract.entries if slot > self.position]
+        self.position = extract.chosen
+        return [event for event in fresh if event is not None]
 
-    def _news(self, slot, record, wall):
+    def _event(self, slot: int, record: Record, wall: int) -> Version | Revocation | None:
         if record.kind == RecordKind.REVOCATION:
-            return CallOff(record.number, record.body.decode("utf-8", "replace"))
+            return Revocation(record.number, record.body.decode("utf-8", "replace"))
         if record.kind == RecordKind.VERSION:
-            return Version(slot, self._begins(record.begun, wall), record.body)
+            return Version(slot, self._begin_of_rollout(record.begun, wall), record.body)
         return None  # of a later build: not ours to act on
 
-    def _begins(self, begun, wall):
-        """A record may be decided long after it was proposed, or be heard of late. Its stages are over then,
-        and all who hear of it would take it together: so they begin when it is heard of. So they do where it
-        is dated ahead of this clock: it was proposed before it is heard of, and the clocks differ."""
-        return begun if 0 <= wall - begun <= self.staged else wall
+    def _begin_of_rollout(self, begun: int, wall: int) -> int:
+        """When the stages of a version begin for this dispatcher.
+
+        A record may be decided long after it was proposed, or be heard of late. Its stages are over then, and
+        all who hear of it would take it together: so they begin when it is heard of. So they do where it is
+        dated ahead of this clock: it was proposed before it is heard of, and the clocks differ.
+        """
+        return begun if 0 <= wall - begun <= self.rollout_time else wall
--- a/petrelwood/dispatch/configuration.py
+++ b/petrelwood/dispatch/configuration.py
@@ -19,9 +19,9 @@
 )
 from petrelwood.decide.cluster.rollout import STAGES, dwell_for
 from petrelwood.decide.cluster.version_watch import (
-    ANSWER_WITHIN,
+    ANSWER_TIMEOUT,
     SECOND,
-    CallOff,
+    Revocation,
     Version,
     VersionWatch,
 )
@@ -64,9 +64,9 @@
         """Polls the servers, round after round, until it is cancelled; then closes its connections."""
         try:
             while True:
-                for server in self.watch.due(self.clock.now()):
+                for server in self.watch.servers_to_poll(self.clock.now()):
                     self._start(self._poll(server))
-                await asyncio.sleep(max(0, self.watch.next - self.clock.now()) / SECOND)
+                await asyncio.sleep(max(0, self.watch.next_round_at - self.clock.now()) / SECOND)
         finally:
             for task in list(self.tasks):
                 task.cancel()
@@ -75,30 +75,30 @@
 
     async def _poll(self, server: str) -> None:
         try:
-            answer = await self.clients[server].call("read", [self.watch.known], ANSWER_WITHIN / SECOND)
+            answer = await self.clients[server].call("read", [self.watch.position], ANSWER_TIMEOUT / SECOND)
             extract = messages.decode_extract(answer)
         except (RpcError, MalformedMessageError) as fault:
-            self.watch.failed(server, self.clock.now())
+            self.watch.on_failure(server, self.clock.now())
             self.log.debug("configuration server poll failed", server=server, why=str(fault))
             return
         self._apply(server, extract)
 
     def _apply(self, server: str, extract: Extract) -> None:
         """Stores an answer. The position is stored last: what a kill cuts off is read again."""
-        position = self.watch.known
+        position = self.watch.position
         try:
-            for event in self.watch.answered(server, extract, self.clock.now(), self.clock.steady_wall()):
+            for event in self.watch.on_answer(server, extract, self.clock.now(), self.clock.steady_wall()):
                 self._store(event)
-            if self.watch.known != position:
-                versions.note_position(self.folder, self.watch.known)
+            if self.watch.position != position:
+                versions.note_position(self.folder, self.watch.position)
         except OSError as fault:
-            self.watch.known = position
+            self.watch.position = position
             self.log.error("storing a version failed; it will be read again", why=str(fault))
 
-    def _store(self, event: Version | CallOff) -> None:
+    def _store(self, event: Version | Revocation) -> None:
         """Puts one decided record into the folder. Raises OSError."""
-        if isinstance(event, CallOff):
-            versions.call_off(self.folder, event.number, event.why)
+        if isinstance(event, Revocation):
+            versions.call_off(self.folder, event.number, event.reason)
         else:
             try:
                 text = decompress_text(event.body)
@@ -106,7 +106,7 @@
                 self.log.error("version unreadable; skipped", number=event.number, why=str(fault))
                 return
             versions.receive(self.folder, event.number, text, event.begun)
-        self.log.info("version received", number=event.number, off=isinstance(event, CallOff))
+        self.log.info("version received", number=event.number, off=isinstance(event, Revocation))
 
     def call_off(self, number: int, why: str) -> None:
         """Reports to the servers that this dispatcher has found a version bad.
@@ -128,7 +128,7 @@
         )
         params = [messages.encode_record(record)]
         while number in self.unsent_call_offs:
-            for server in self.watch.order:
+            for server in self.watch.servers:
                 try:
                     await self.clients[server].call("append", params, APPEND_TIMEOUT)
                 except RpcError as fault:
--- a/petrelwood/dispatch/rollout.py
+++ b/petrelwood/dispatch/rollout.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from petrelwood.decide.cluster.rollout import Rollout
+from petrelwood.decide.cluster.rollout import Rollout, RolloutAction, RolloutStep
 from petrelwood.dispatch.interfaces import Logger
 from petrelwood.dispatch.settings_update import ReadSettings, SettingsUpdater, UpdateResult
 from petrelwood.dispatch.upgrade import Upgrader
@@ -87,21 +87,21 @@
             announced = await self.core.loop.run_in_executor(None, versions.announced, self.source.folder)
             completed_now, failed_now = self.core.answered
             for _ in range(completed_now - completed):
-                self.rollout.ended(True)
+                self.rollout.record_answer(True)
             for _ in range(failed_now - failed):
-                self.rollout.ended(False)
+                self.rollout.record_answer(False)
             completed, failed = completed_now, failed_now
             if self.upgrader.handing_over:
                 # the successor goes on with this
                 continue
-            verdict = self.rollout.look(self.core.clock.steady_wall(), announced)
-            if verdict is not None:
-                await self._carry_out(*verdict)
-
-    async def _carry_out(self, what: str, number: int) -> None:
-        """`what`: "take" a version, or go "back" to the one with this number."""
-        is_rollback = what != "take"
-        called_off: int | None = self.rollout.calls_off
+            step = self.rollout.decide(self.core.clock.steady_wall(), announced)
+            if step is not None:
+                await self._carry_out(step)
+
+    async def _carry_out(self, step: RolloutStep) -> None:
+        is_rollback = step.action is RolloutAction.ROLL_BACK
+        number = step.version
+        called_off = self.rollout.bad_version
         event = "rolling back to a version" if is_rollback else "applying a version"
         self.log.info(event, number=number, calls_off=called_off)
         # at once: the other dispatchers must not wait for what is done here
@@ -116,7 +116,7 @@
             result = UpdateResult.NOT_APPLIED
             reason = f"it is wrong: {fault}"
         if result is UpdateResult.NOT_APPLIED and not is_rollback:
-            self.rollout.could_not()
+            self.rollout.on_apply_failed()
             await self._call_off(number, reason)
 
     async def _apply(self, new: Gateway, is_rollback: bool) -> UpdateResult:
@@ -125,7 +125,7 @@
         while result is UpdateResult.NEEDS_UPGRADE:
             clock = self.core.clock
             ahead = clock.wall() - clock.steady_wall()
-            await self.upgrader.run(json.dumps(self.rollout.handed(ahead)))
+            await self.upgrader.run(json.dumps(self.rollout.to_state(ahead)))
             result = UpdateResult.NOT_APPLIED
             if is_rollback:
                 await asyncio.sleep(ROLLBACK_RETRY_INTERVAL)
--- a/petrelwood/dispatch/serve.py
+++ b/petrelwood/dispatch/serve.py
@@ -40,7 +40,7 @@
     read_settings: ReadSettings | None = None  # None: the settings can't change while it runs
     upgrade_command: UpgradeCommand | None = None  # None: it can't start an upgrade by itself
     own: Gateway | None = None  # what its own file says, where it runs a version
-    rollout_state: Sequence[Any] | None = None  # of the process before, by `Rollout.handed`
+    rollout_state: Sequence[Any] | None = None  # of the process before, by `Rollout.to_state`
 
 
 class DispatcherProcess:
@@ -71,8 +71,8 @@
 
     def _make_rollout(self, gateway: Gateway) -> Rollout:
         dwell = dwell_for(self.own.configuration.within) if self.own.configuration else DWELL
-        rollout: Rollout = (
-            Rollout.resumed(gateway.name, self.options.rollout_state, dwell=dwell)
+        rollout = (
+            Rollout.from_state(gateway.name, self.options.rollout_state, dwell=dwell)
             if self.options.rollout_state
             else Rollout(gateway.name, 0, dwell=dwell)
         )
--- a/petrelwood/store/versions.py
+++ b/petrelwood/store/versions.py
@@ -10,7 +10,7 @@
 import json
 import pathlib
 
-from petrelwood.decide.cluster.rollout import Announced
+from petrelwood.decide.cluster.rollout import Announcement
 from petrelwood.store.snapshot import put
 
 POSITION = "position"
@@ -24,7 +24,7 @@
         try:
             if path.stem.isdigit() and (folder / f"{path.stem}.kdl").exists():
                 found.append(
-                    Announced(
+                    Announcement(
                         int(path.stem),
                         int(json.loads(path.read_text())["begun"]),
                         (folder / f"{path.stem}.off").exists(),
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -13,7 +13,7 @@
 from petrelwood import clocks
 from petrelwood.decide.cluster.membership import DEPARTED, GONE, NEWS_DELAY, USABLE, Entry, Membership
 from petrelwood.decide.cluster.replicated_log import VERSION, Record
-from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announced, Rollout, turn
+from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announcement, Rollout, stage_delay
 from petrelwood.decide.cluster.version_watch import VersionWatch
 from petrelwood.decide.wall_clock import FOLLOWED, UnsteppedWallClock
 from petrelwood.dispatch.serve import Serving
@@ -188,29 +188,29 @@
         return taken
 
     async def test_stages_come_at_their_time(self):
-        name = next(f"d{n}" for n in range(100) if turn(f"d{n}", 2) == 2 * DWELL)
+        name = next(f"d{n}" for n in range(100) if stage_delay(f"d{n}", 2) == 2 * DWELL)
         for step in (0, *STEPS):
             taken = await self.roll(
-                step, 10 * S, 200 * S, Rollout(name, 0), [Announced(2, clocks.WALL, False)]
+                step, 10 * S, 200 * S, Rollout(name, 0), [Announcement(2, clocks.WALL, False)]
             )
             self.assertEqual(len(taken), 1, step)
             self.assertLessEqual(abs(taken[0] - 2 * DWELL // S), 1, step)
 
     def test_one_that_was_announced_by_a_clock_ahead_of_ours_begins_when_it_is_seen(self):
-        name = next(f"d{n}" for n in range(100) if turn(f"d{n}", 2) == DWELL)
-        rollout, told = Rollout(name, 0), [Announced(2, WALL + HOUR, False)]
-        looks = [at for at in range(0, 200) if rollout.look(WALL + at * S, told)]
+        name = next(f"d{n}" for n in range(100) if stage_delay(f"d{n}", 2) == DWELL)
+        rollout, told = Rollout(name, 0), [Announcement(2, WALL + HOUR, False)]
+        looks = [at for at in range(0, 200) if rollout.decide(WALL + at * S, told)]
         self.assertEqual(looks, [DWELL // S])
 
     def test_the_process_that_follows_watches_for_as_long(self):
         for step in STEPS:
             first = Rollout("d1", 0)
-            told = [Announced(2, WALL - len(STAGES) * DWELL, False)]
-            self.assertEqual(first.look(WALL, told), ("take", 2))
-            second = Rollout.resumed("d1", first.handed(step))  # begins from the stepped clock
-            second.look(WALL + step + 2 * DWELL - S, told)
+            told = [Announcement(2, WALL - len(STAGES) * DWELL, False)]
+            self.assertEqual(first.decide(WALL, told), ("take", 2))
+            second = Rollout.from_state("d1", first.to_state(step))  # begins from the stepped clock
+            second.decide(WALL + step + 2 * DWELL - S, told)
             self.assertIsNotNone(second.took_at)
-            second.look(WALL + step + 2 * DWELL, told)
+            second.decide(WALL + step + 2 * DWELL, told)
             self.assertIsNone(second.took_at)
 
     def test_a_record_dated_ahead_of_ours_begins_when_it_is_heard_of(self):
@@ -219,5 +219,5 @@
             extract = types.SimpleNamespace(
                 since=0, chosen=1, entries=[(1, Record("r", VERSION, 0, WALL + ahead, b""))]
             )
-            (version,) = watch.answered("c1", extract, 0, WALL)
+            (version,) = watch.on_answer("c1", extract, 0, WALL)
             self.assertEqual(version.begun, WALL)
--- a/tests/test_configuration_scale.py
+++ b/tests/test_configuration_scale.py
@@ -74,7 +74,7 @@
         self.assertLessEqual(found.in_force, WITHIN)
         # a server that had failed is asked again after 30 s at the latest; then the stages
         healed = found.decided
-        self.assertLessEqual(healed, version_watch.AGAIN_MOST / SECOND + WITHIN)
+        self.assertLessEqual(healed, version_watch.LONGEST_BACKOFF / SECOND + WITHIN)
 
     def test_changes_at_random_times_are_in_force_in_time_or_superseded_before(self):
         for seed in (1, 2):
--- a/tests/test_configuration_servers.py
+++ b/tests/test_configuration_servers.py
@@ -125,23 +125,23 @@
             if lost is not None:
                 await self.group.kill(lost)
             self.assertEqual(await self.group.append("c1", version(number)), number)
-            await self.until(lambda number=number: follower.watch.known == number)
+            await self.until(lambda number=number: follower.watch.position == number)
             self.assertEqual(versions.path_of(folder, number).read_text(), f"text {number}")
         await self.group.kill("c3")
         with self.assertRaisesRegex(RpcError, "no quorum"):
             await self.group.append("c1", version(4))
         late = self.follow(self.folder / "late")  # what was decided is still told
-        await self.until(lambda: late.watch.known == 3)
+        await self.until(lambda: late.watch.position == 3)
         self.assertEqual([a.number for a in versions.announced(self.folder / "late")], [3])
         await self.group.end()
         again = self.follow(folder)  # and kept where it was heard of
-        self.assertEqual((again.watch.known, len(versions.announced(folder))), (3, 3))
+        self.assertEqual((again.watch.position, len(versions.announced(folder))), (3, 3))
         # with a quorum back, the record that was left without one is decided once
         for name in ("c1", "c2", "c3"):
             await self.group.start(name)
         self.assertEqual(await self.group.append("c2", version(4)), 4)
         self.assertEqual(await self.group.append("c3", version(4)), 4)
-        await self.until(lambda: again.watch.known == 4)
+        await self.until(lambda: again.watch.position == 4)
 
     async def test_a_server_that_lost_its_disk_learns_and_votes_again(self):
         for n in (1, 2, 3):
@@ -177,10 +177,10 @@
     async def test_a_version_called_off_by_one_that_follows_is_called_off_for_all(self):
         one, other = self.follow(self.folder / "one"), self.follow(self.folder / "other")
         await self.group.append("c2", version(1))
-        await self.until(lambda: one.watch.known == other.watch.known == 1)
+        await self.until(lambda: one.watch.position == other.watch.position == 1)
         one.call_off(1, "it did worse")
-        await self.until(lambda: other.watch.known == 2)
-        self.assertTrue(versions.announced(self.folder / "other")[0].off)
+        await self.until(lambda: other.watch.position == 2)
+        self.assertTrue(versions.announced(self.folder / "other")[0].is_called_off)
         self.assertEqual((self.folder / "other" / "1.off").read_text(), "d1: it did worse")
         await self.until(lambda: not one.unsent_call_offs)
         with self.assertRaisesRegex(RpcError, "no version 9"):
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -5,7 +5,7 @@
 
 from kept import compare
 
-from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announced, Rollout, turn
+from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announcement, Rollout, stage_delay
 
 S = 10**9
 
@@ -26,15 +26,19 @@
     def play(self, begin, end, step=S, pace=5, sees=lambda node, at: True):
         for at in range(begin, end, step):
             told = [
-                a._replace(off=self.off.get(a.number, 1 << 62) <= at) for a in self.announced if a.begun <= at
+                a._replace(is_called_off=self.off.get(a.number, 1 << 62) <= at)
+                for a in self.announced
+                if a.begun <= at
             ]
             for node in self.nodes:
                 for _ in range(pace):
-                    node.ended(self.chance.random() < (0.5 if node.version in self.bad else self.share))
+                    node.record_answer(
+                        self.chance.random() < (0.5 if node.version in self.bad else self.share)
+                    )
                 if not sees(node, at):
                     continue
-                if node.look(at, told) and node.calls_off is not None:
-                    self.off.setdefault(node.calls_off, at + S)
+                if node.decide(at, told) and node.bad_version is not None:
+                    self.off.setdefault(node.bad_version, at + S)
             have = sum(n.version != 1 for n in self.nodes)
             self.most = max(self.most, sum(n.version in self.bad for n in self.nodes))
             if at % (10 * S) == 0:
@@ -47,14 +51,14 @@
 class Rollouts(unittest.TestCase):
     def test_a_good_version_goes_over_all_in_its_stages(self):
         world = World(100)
-        world.announced = [Announced(2, 20 * S, False)]
+        world.announced = [Announcement(2, 20 * S, False)]
         world.play(0, 200 * S)
         compare(self, "rollout_good", world.lines)
 
     def test_a_bad_one_reaches_the_first_stages_only_and_goes_back_by_itself(self):
         for seed in range(5):
             world = World(100, bad=[2], seed=seed)
-            world.announced = [Announced(2, 20 * S, False)]
+            world.announced = [Announcement(2, 20 * S, False)]
             world.play(0, 300 * S)
             self.assertEqual({n.version for n in world.nodes}, {1})
             self.assertLessEqual(world.most, 15)
@@ -67,61 +71,63 @@
             chance, node, off = random.Random(3), Rollout("d1", 0), False
             for at in range(0, 400 * S, S):
                 for _ in range(5):
-                    node.ended(chance.random() < (share if node.version == 2 else 0.97))
+                    node.record_answer(chance.random() < (share if node.version == 2 else 0.97))
                 was = node.version
-                node.look(at, [Announced(2, 20 * S, off)])
-                off = off or node.calls_off == 2
+                node.decide(at, [Announcement(2, 20 * S, off)])
+                off = off or node.bad_version == 2
                 if node.version != was or at == 40 * S:
-                    node = Rollout.resumed("d1", node.handed())
+                    node = Rollout.from_state("d1", node.to_state())
             self.assertEqual((node.version, off), (ends, ends == 0))
 
     def test_what_could_not_be_done_is_refused_and_a_newer_one_is_not(self):
         node = Rollout("d1", 0)
-        self.assertEqual(node.look(900 * S, [Announced(2, 0, False)]), ("take", 2))
-        self.assertEqual(node.could_not(), 0)
-        self.assertIsNone(node.look(901 * S, [Announced(2, 0, False)]))
-        self.assertEqual(node.look(902 * S, [Announced(2, 0, True), Announced(3, 0, False)]), ("take", 3))
+        self.assertEqual(node.decide(900 * S, [Announcement(2, 0, False)]), ("take", 2))
+        self.assertEqual(node.on_apply_failed(), 0)
+        self.assertIsNone(node.decide(901 * S, [Announcement(2, 0, False)]))
+        self.assertEqual(
+            node.decide(902 * S, [Announcement(2, 0, True), Announcement(3, 0, False)]), ("take", 3)
+        )
         for wrong in (7, [], [1, 2, 3, 4, 5], ["x", None, [1, 2], None, []], [1, None, [1.0, 5], None, 7]):
             with self.assertRaises(ValueError):
-                Rollout.resumed("d1", wrong)
+                Rollout.from_state("d1", wrong)
 
     def test_one_that_is_called_off_long_after_it_was_watched_is_left_all_the_same(self):
         for dwell in (S, DWELL):
             node, at = Rollout("d1", 0, dwell=dwell), 1000 * S
-            self.assertEqual(node.look(at, [Announced(2, 0, False)]), ("take", 2))
+            self.assertEqual(node.decide(at, [Announcement(2, 0, False)]), ("take", 2))
             for _ in range(100):
                 at += dwell
-                self.assertIsNone(node.look(at, [Announced(2, 0, False)]))
-            self.assertEqual(node.look(at, [Announced(2, 0, True)]), ("back", 0))
-            self.assertIsNone(node.look(at + S, [Announced(2, 0, True)]))
+                self.assertIsNone(node.decide(at, [Announcement(2, 0, False)]))
+            self.assertEqual(node.decide(at, [Announcement(2, 0, True)]), ("back", 0))
+            self.assertIsNone(node.decide(at + S, [Announcement(2, 0, True)]))
 
     def test_two_at_once_and_one_that_was_away_settle_on_the_newest(self):
         for seed in range(5):
             world = World(60, seed=seed)
-            world.announced = [Announced(3, 25 * S, False), Announced(2, 20 * S, False)]
+            world.announced = [Announcement(3, 25 * S, False), Announcement(2, 20 * S, False)]
             world.play(0, 400 * S, sees=lambda node, at: node.name != "d7" or at > 300 * S)
             self.assertEqual({n.version for n in world.nodes}, {3})
 
     def test_a_good_one_after_a_bad_one_is_taken(self):
         world = World(60, bad=[2])
-        world.announced = [Announced(2, 20 * S, False), Announced(3, 200 * S, False)]
+        world.announced = [Announcement(2, 20 * S, False), Announcement(3, 200 * S, False)]
         world.play(0, 500 * S)
         self.assertEqual({n.version for n in world.nodes}, {3})
 
     def test_noise_does_not_call_a_version_off(self):
         for seed in range(10):
             world = World(50, seed=seed, share=0.9)
-            world.announced = [Announced(2, 20 * S, False)]
+            world.announced = [Announcement(2, 20 * S, False)]
             world.play(0, 200 * S)
             self.assertEqual((world.off, {n.version for n in world.nodes}), ({}, {2}), seed)
 
     def test_the_order_is_another_for_each_version_and_the_parts_are_kept(self):
         names = [f"d{i}" for i in range(1000)]
         for version in (2, 3, 4):
-            turns = [turn(name, version) for name in names]
+            turns = [stage_delay(name, version) for name in names]
             for number, part in enumerate(STAGES):
                 self.assertAlmostEqual(sum(t <= number * DWELL for t in turns) / 1000, part, delta=0.04)
-        first = [{name for name in names if turn(name, version) == 0} for version in (2, 3, 4)]
+        first = [{name for name in names if stage_delay(name, version) == 0} for version in (2, 3, 4)]
         self.assertFalse(first[0] & first[1] & first[2])
 
 
--- a/tests/test_version_watch.py
+++ b/tests/test_version_watch.py
@@ -10,11 +10,11 @@
 from petrelwood.decide.cluster.log_records import Extract, Record, RecordKind, compress_text
 from petrelwood.decide.cluster.rollout import STAGES, dwell_for
 from petrelwood.decide.cluster.version_watch import (
-    AGAIN_MOST,
     JITTER,
+    LONGEST_BACKOFF,
     ROUND,
     SECOND,
-    CallOff,
+    Revocation,
     Version,
     VersionWatch,
     preference,
@@ -28,8 +28,8 @@
 WALL = 10**18
 
 
-def watch(name="d1", known=0, seed=1):
-    return VersionWatch(name, SERVERS, known, STAGED, random.Random(seed).random)
+def watch(name="d1", position=0, seed=1):
+    return VersionWatch(name, SERVERS, position, STAGED, random.Random(seed).random)
 
 
 def version(slot, begun=WALL):
@@ -44,39 +44,39 @@
     def test_what_is_new_comes_once_and_in_order(self):
         one = watch()
         off = (3, Record("r3", RecordKind.REVOCATION, 2, WALL, b"d9: it did worse"))
-        found = one.answered("c1", extract(0, version(2), off), 0, WALL)
-        self.assertEqual(found, [Version(2, WALL, b"2"), CallOff(2, "d9: it did worse")])
-        self.assertEqual(one.answered("c2", extract(0, version(2), off), 0, WALL), [])
-        self.assertEqual(one.known, 3)
+        found = one.on_answer("c1", extract(0, version(2), off), 0, WALL)
+        self.assertEqual(found, [Version(2, WALL, b"2"), Revocation(2, "d9: it did worse")])
+        self.assertEqual(one.on_answer("c2", extract(0, version(2), off), 0, WALL), [])
+        self.assertEqual(one.position, 3)
 
     def test_an_older_answer_that_comes_later_changes_nothing(self):
         one = watch()
-        one.answered("c1", extract(0, version(5)), 0, WALL)
-        self.assertEqual(one.answered("c2", extract(0, version(4)), 1, WALL), [])
-        self.assertEqual((one.known, one.duplicates), (5, 1))
+        one.on_answer("c1", extract(0, version(5)), 0, WALL)
+        self.assertEqual(one.on_answer("c2", extract(0, version(4)), 1, WALL), [])
+        self.assertEqual((one.position, one.duplicates), (5, 1))
 
     def test_a_gap_changes_nothing_and_is_asked_for_again(self):
-        one = watch(known=4)
-        self.assertEqual(one.answered("c1", extract(6, version(7)), 0, WALL), [])
-        self.assertEqual((one.known, one.gaps), (4, 1))
-        self.assertEqual([v.number for v in one.answered("c1", extract(4, version(7)), 0, WALL)], [7])
+        one = watch(position=4)
+        self.assertEqual(one.on_answer("c1", extract(6, version(7)), 0, WALL), [])
+        self.assertEqual((one.position, one.gaps), (4, 1))
+        self.assertEqual([v.number for v in one.on_answer("c1", extract(4, version(7)), 0, WALL)], [7])
 
     def test_records_of_other_kinds_are_passed_over(self):
         one = watch()
         for kind in (RecordKind.NO_OPERATION, "of a later build"):
-            slot = one.known + 1
+            slot = one.position + 1
             self.assertEqual(
-                one.answered("c1", extract(one.known, (slot, Record("x", kind, 0, 0, b""))), 0, WALL), []
+                one.on_answer("c1", extract(one.position, (slot, Record("x", kind, 0, 0, b""))), 0, WALL), []
             )
-            self.assertEqual(one.known, slot)
+            self.assertEqual(one.position, slot)
 
     def test_one_that_hears_of_it_within_its_stages_keeps_to_the_common_beginning(self):
-        (found,) = watch().answered("c1", extract(0, version(1, WALL - STAGED)), 0, WALL)
+        (found,) = watch().on_answer("c1", extract(0, version(1, WALL - STAGED)), 0, WALL)
         self.assertEqual(found.begun, WALL - STAGED)
 
     def test_one_decided_long_after_it_was_proposed_still_goes_stage_by_stage(self):
         """Else all would take it together: also one that is heard of after an hour apart."""
-        (found,) = watch().answered("c1", extract(0, version(1, WALL - 3600 * SECOND)), 0, WALL)
+        (found,) = watch().on_answer("c1", extract(0, version(1, WALL - 3600 * SECOND)), 0, WALL)
         self.assertEqual(found.begun, WALL)
 
 
@@ -84,40 +84,40 @@
     def test_two_servers_a_round_and_all_of_them_over_a_few(self):
         one, now, asked = watch(), 0, Counter()
         for _ in range(20):
-            servers = one.due(now)
+            servers = one.servers_to_poll(now)
             self.assertEqual(len(set(servers)), 2)
-            self.assertEqual(one.due(now), ())
-            self.assertGreaterEqual(one.next - now, ROUND * (1 - JITTER))
+            self.assertEqual(one.servers_to_poll(now), ())
+            self.assertGreaterEqual(one.next_round_at - now, ROUND * (1 - JITTER))
             asked.update(servers)
-            now = one.next
+            now = one.next_round_at
         self.assertEqual(set(asked), set(SERVERS))
-        self.assertEqual(asked[one.order[0]], 20)
+        self.assertEqual(asked[one.servers[0]], 20)
 
     def test_a_server_that_fails_is_left_out_for_longer_each_time_and_comes_back(self):
         one, now, asked = watch(), 0, []
-        first = one.order[0]
+        first = one.servers[0]
         for _ in range(300):
-            for server in one.due(now):
+            for server in one.servers_to_poll(now):
                 if server == first:
                     asked.append(now)
-                    one.failed(server, now)
+                    one.on_failure(server, now)
                 else:
-                    one.answered(server, extract(0), now, WALL)
-            now = one.next
+                    one.on_answer(server, extract(0), now, WALL)
+            now = one.next_round_at
         waits = [b - a for a, b in zip(asked, asked[1:], strict=False)]
         self.assertLess(len(asked), 30)
-        self.assertLessEqual(max(waits), AGAIN_MOST + ROUND)
-        one.answered(first, extract(0), now, WALL)
-        self.assertIn(first, one.due(one.next))
+        self.assertLessEqual(max(waits), LONGEST_BACKOFF + ROUND)
+        one.on_answer(first, extract(0), now, WALL)
+        self.assertIn(first, one.servers_to_poll(one.next_round_at))
 
     def test_without_any_server_it_goes_on_with_what_it_knows(self):
-        one, now = watch(known=7), 0
+        one, now = watch(position=7), 0
         for _ in range(100):
-            for server in one.due(now):
-                one.failed(server, now)
-            now = one.next
-        self.assertEqual(one.known, 7)
-        self.assertLess(max(b.not_before for b in one.backoff.values()), now + AGAIN_MOST)
+            for server in one.servers_to_poll(now):
+                one.on_failure(server, now)
+            now = one.next_round_at
+        self.assertEqual(one.position, 7)
+        self.assertLess(max(b.not_before for b in one.backoffs.values()), now + LONGEST_BACKOFF)
 
     def test_dispatchers_spread_and_a_lost_servers_share_spreads_too(self):
         names = [f"d{n}" for n in range(400)]
@@ -166,11 +166,11 @@
 
                 with patch.object(versions, "put", put):
                     follower._apply("127.0.0.1:1", answer)
-                self.assertEqual((follower.watch.known, versions.position(folder)), (0, 0), fails_at)
+                self.assertEqual((follower.watch.position, versions.position(folder)), (0, 0), fails_at)
                 self.assertEqual(len(versions.announced(folder)), int(fails_at >= 2))
             follower._apply("127.0.0.1:1", answer)
-            self.assertEqual((follower.watch.known, versions.position(folder)), (2, 2))
-            self.assertEqual([(a.number, a.off) for a in versions.announced(folder)], [(1, True)])
+            self.assertEqual((follower.watch.position, versions.position(folder)), (2, 2))
+            self.assertEqual([(a.number, a.is_called_off) for a in versions.announced(folder)], [(1, True)])
             self.assertEqual(versions.path_of(folder, 1).read_text(), "settings")
 
     async def test_a_version_that_is_damaged_is_passed_over_and_not_called_off(self):
@@ -180,7 +180,7 @@
             good = Record("r2", RecordKind.VERSION, 0, WALL, compress_text("settings"))
             answer = extract(0, (1, Record("r1", RecordKind.VERSION, 0, WALL, b"damaged")), (2, good))
             follower._apply("127.0.0.1:1", answer)
-            self.assertEqual((follower.watch.known, versions.position(folder)), (2, 2))
+            self.assertEqual((follower.watch.position, versions.position(folder)), (2, 2))
             self.assertEqual([a.number for a in versions.announced(folder)], [2])
             self.assertEqual(follower.unsent_call_offs, {})
 
