--- a/petrelwood/decide/cluster/rollout.py
+++ b/petrelwood/decide/cluster/rollout.py
@@ -141,6 +141,12 @@
             self._leave_version()
         return self.version
 
+    def on_apply_postponed(self) -> None:
+        """The version that was to be applied can't be read now: a later step asks for it again."""
+        version = self.version
+        self.on_apply_failed()
+        self.rejected.discard(version)
+
     def record_answer(self, completed: bool) -> None:
         """An activation that was admitted here got its answer."""
         self.answers.record(completed)
