--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -13,6 +13,8 @@
 import node_site
 import ration
 
+from petrelwood.node import service
+
 GRACE_S = 0.5  # a final answer may come so much later than the request's time
 ATTEMPTS = 3  # as `node_site.SETTINGS` allows
 BUSY_S, QUIET_S = 6.0, 600.0  # calls come for so long, then none
@@ -195,6 +197,77 @@
         self.assertGreater(self.served(world), 0.4)
 
 
+class Restarting(World):
+    """Six in ten of its workers are replaced in steps, while its dispatcher is killed and started again."""
+
+    STEPS, FROM_S, UNTIL_S = 4, 5.0, 10.0
+    KILLS_S = (5.4, 7.1, 8.8)
+
+    async def run(self):
+        self.steps(self.STEPS, self.FROM_S, self.UNTIL_S)
+        self.kills = 0
+        return await super().run()
+
+    def tell(self):
+        if not self.serial:
+            self.make_mortal()
+            for at in self.KILLS_S:
+                self.later(at, self.restart)
+        super().tell()
+
+    def make_mortal(self):
+        """Nothing that the dispatcher has put off is done once it is dead."""
+        clock, at = self.node.clock, self.node.clock.at
+        clock.dead = False
+        clock.at = lambda when, call, *args: at(when, lambda: clock.dead or call(*args))
+
+    def restart(self):
+        """What it held is lost with it; what it has sent arrives. The next one knows the list alone."""
+        old = self.node
+        old.clock.dead = True
+        old.events.running = True  # what is submitted only waits
+        old.checks.cancel()
+        for link in old.links.values():
+            link.waiting.clear()
+            for line in link.lines:
+                line.stream.close()
+        for exchange, _ in self.exchanges:
+            if exchange.ended is None and exchange.sent + self.case.lag / 1000 <= self.clock.loop.time():
+                exchange.ended, exchange.ended_at = "killed", self.clock.loop.time()
+        self.kills += 1
+        self.node = service.Node(old.gateway, ration.Log())
+        self.make_mortal()
+        super().tell()
+        self.node._check()
+
+
+class RestartsAndDrains(Faults):
+    def test_in_fleets_of_several_sizes(self):
+        for workers in (8, 36, 400):
+            with self.subTest(workers):
+                world = self.play(Worker, make=Restarting, workers=workers)
+                self.check(world)
+                self.assertEqual(world.kills, len(Restarting.KILLS_S))
+                gone = [host for host in world.hosts.values() if host.gone is not None]
+                self.assertGreaterEqual(len(gone), 0.4 * workers)
+                self.assertGreater(self.served(world), 0.5)
+
+    def test_a_dispatcher_that_forgets_what_drains_is_seen(self):
+        """Its list is whole for ever: nothing that is gone is ever taken off."""
+
+        class Forgetful(Restarting):
+            def tell(self):
+                gone = {port: host.gone for port, host in self.hosts.items() if host.gone is not None}
+                for port in gone:
+                    self.hosts[port].gone = None
+                super().tell()
+                for port, at in gone.items():
+                    self.hosts[port].gone = at
+
+        with self.assertRaises(AssertionError):
+            self.check(self.play(Worker, make=Forgetful, workers=36))
+
+
 class IdleConnections(Faults):
     def test_forgotten(self):
         world = self.play(ForgetsIdle, rate=20)
