--- a/petrelwood/store/versions.py
+++ b/petrelwood/store/versions.py
@@ -13,7 +13,7 @@
 import os
 import pathlib
 
-from petrelwood.decide.cluster.rollout import Announced
+from petrelwood.decide.cluster.rollout import Announcement
 from petrelwood.store.errors import VersionUnreadableError
 from petrelwood.store.snapshot import Files, put
 
@@ -24,7 +24,7 @@
 Folder = str | os.PathLike[str]
 
 
-def announced(folder: Folder) -> list[Announced]:
+def announced(folder: Folder) -> list[Announcement]:
     """All announced versions. What can't be read is not announced yet; a later look may find it."""
     folder = pathlib.Path(folder)
     found = []
@@ -33,7 +33,7 @@
             if path_of(folder, number).exists():
                 begun = int(json.loads((folder / f"{number}{BEGINNING}").read_text())["begun"])
                 called_off = (folder / f"{number}{CALL_OFF}").exists()
-                found.append(Announced(number, begun, called_off))
+                found.append(Announcement(number, begun, called_off))
         except (OSError, ValueError, KeyError, TypeError):
             continue
     return found
