--- a/petrelwood/decide/cluster/shutdown.py
+++ b/petrelwood/decide/cluster/shutdown.py
@@ -1,29 +1,38 @@
 """The end of a dispatcher that was told to stop: how long it still takes what comes, and when it cuts what is
-left. Times in ns."""
+left.
 
-MS = 1_000_000
-STILL = 700 * MS  # connections and requests still come so long, as the platform says;
-# and it kills no sooner than that and the longest action timeout, taken as this where it is longer
-LONGEST = 3_000 * MS
-# left for the last answers before it: so much, or that part of the timeout where it is less
-MARGIN, PART = 400 * MS, 4
+The platform may kill it as early as its longest action timeout, or `LONGEST_TIMEOUT` where that is longer,
+plus `STILL_ARRIVING` after SIGTERM. Times in ns."""
+
+MILLISECOND = 1_000_000
+STILL_ARRIVING = 700 * MILLISECOND  # connections and requests still come so long, as the platform says
+LONGEST_TIMEOUT = 3_000 * MILLISECOND
+# Left for the last answers before the kill: so much, or that part of the timeout where it is less.
+LONGEST_MARGIN = 400 * MILLISECOND
+MARGIN_PART = 4
 
 
 class Shutdown:
-    """`longest`: the longest action timeout."""
+    """One graceful shutdown.
+
+    `began` is when SIGTERM came, at the earliest; `longest` is the longest action timeout.
+    """
 
-    def __init__(self, now, longest):
-        rest = min(longest, LONGEST)
-        self.since, margin = now, min(MARGIN, rest // PART)
-        self.cut = STILL + rest - margin
-        self.last = self.cut + margin // 2
+    def __init__(self, began: int, longest: int) -> None:
+        timeout = min(longest, LONGEST_TIMEOUT)
+        margin = min(LONGEST_MARGIN, timeout // MARGIN_PART)
+        self.began = began
+        self.cut_after = STILL_ARRIVING + timeout - margin
+        self.end_after = self.cut_after + margin // 2
 
-    def closed(self, now):
-        return now - self.since >= STILL
+    def closed(self, now: int) -> bool:
+        """Whether nothing new is taken any more."""
+        return now - self.began >= STILL_ARRIVING
 
-    def out_of_time(self, now):
-        return now - self.since >= self.cut
+    def out_of_time(self, now: int) -> bool:
+        """Whether what is pending has to get its final answer now."""
+        return now - self.began >= self.cut_after
 
-    def over(self, now, owed, quiet):
+    def over(self, now: int, pending: int, quiet: bool) -> bool:
         """Whether the process may end."""
-        return self.closed(now) and not owed and quiet or now - self.since >= self.last
+        return self.closed(now) and not pending and quiet or now - self.began >= self.end_after
--- a/tests/test_always_answered.py
+++ b/tests/test_always_answered.py
@@ -52,7 +52,7 @@
         "import sys; from petrelwood.node import __main__ as node; "
         "from petrelwood.decide.cluster import shutdown; "
         "from petrelwood.decide.overload import resource_limits as limits; "
-        f"shutdown.LONGEST = limits.SILENT = limits.PART = {SLOW}_000_000_000; sys.exit(node.main())",
+        f"shutdown.LONGEST_TIMEOUT = limits.SILENT = limits.PART = {SLOW}_000_000_000; sys.exit(node.main())",
     )
 
     def __init__(self, workers):
--- /dev/null
+++ b/tests/test_shutdown.py
@@ -0,0 +1,158 @@
+"""SIGTERM while workers hang, and the kill as early as the platform may send it: the longest action timeout
+(3 s at most) plus 0.7 s later. Clients go on sending on their open connections until then.
+
+On the text before (668305e) the time until the kill ran from when the loop heard of the signal; see each test
+for what it fails on."""
+
+import asyncio
+import contextlib
+import signal
+import time
+import unittest
+from unittest import mock
+
+import msgpack
+from node_site import Client, Site, Worker, ask
+from test_crossings import Caller, Inside, Raw, held_up, settings
+
+from petrelwood.decide.cluster.shutdown import Shutdown
+from petrelwood.node import service
+
+SECOND = 1_000_000_000
+KINDS = ("plain", "marked", "single")
+STILL = 0.7  # s in which requests still come, and after which the longest timeout begins to run
+CROSSING = 0.05  # s in which a request may cross the close of its connection
+PATIENCE = 1.9  # of a client, in action timeouts
+EVERY = 0.02  # s between a client's requests
+
+
+def hangs(*_):
+    """A worker's script that says nothing, ever."""
+    return b""
+
+
+class Sender:
+    """A client that asks again and again on an open connection, and on a new one where it was closed."""
+
+    def __init__(self, site, timeout):
+        self.site, self.timeout = site, timeout
+        self.answers, self.unanswered, self.refused = [], [], 0
+
+    async def run(self, client, until):
+        """`client`: its open connection. Asks until that time (monotonic), then waits for what is open."""
+        number, waiting = 0, []
+        while time.monotonic() < until:
+            if client.task.done():
+                try:
+                    client = await Client(self.site.address).open()
+                except OSError:  # nobody listens any more: what is not taken is not lost
+                    self.refused += 1
+                    await asyncio.sleep(EVERY)
+                    continue
+            number += 1
+            fields = ask(fn=1 + number % 3, ttl=int(PATIENCE * self.timeout * 1000))
+            waiting.append(asyncio.ensure_future(self._one(client, fields, KINDS[number % 3])))
+            await asyncio.sleep(EVERY)
+        await asyncio.gather(*waiting)
+
+    async def _one(self, client, fields, kind):
+        began = time.monotonic()
+        word, _ = await client.begin(fields, type_=kind)
+        if word != "lost":
+            self.answers.append((began, time.monotonic() - began, word))
+        elif time.monotonic() - began > CROSSING:
+            self.unanswered.append(began)
+
+
+class TheKill(unittest.IsolatedAsyncioTestCase):
+    async def _dispatcher(self, timeout):
+        """Ends one whose longest action timeout that is, in s, at the earliest time that is allowed."""
+        workers = [Worker(f"s-{n}", hangs) for n in range(2)]
+        site = Site(workers, **settings(classes={"deadline": int(timeout * 1_000_000)}))
+        async with site:
+            senders = [Sender(site, timeout) for _ in range(4)]
+            clients = [await site.client() for _ in senders]
+            began = time.monotonic() + 0.3
+            killed = began + STILL + timeout
+            sending = [
+                asyncio.ensure_future(sender.run(client, killed))
+                for sender, client in zip(senders, clients, strict=True)
+            ]
+            await asyncio.sleep(began - time.monotonic())
+            site.process.terminate()
+            with contextlib.suppress(asyncio.TimeoutError):
+                await asyncio.wait_for(site.process.wait(), killed - time.monotonic())
+            status = site.process.returncode
+            if status is None:
+                site.process.send_signal(signal.SIGKILL)
+            await asyncio.gather(*sending)
+            for client in clients:
+                client.close()
+            answers = [answer for sender in senders for answer in sender.answers]
+            unanswered = [round(one - began, 3) for sender in senders for one in sender.unanswered]
+            return status, answers, unanswered, began
+
+    async def test_with_workers_that_hang_through_the_whole_of_it(self):
+        """Timeouts of 0.3, 1 and 3 s side by side. Fails on a dispatcher that cuts what is left only as it
+        is killed (no margin), and on one that reads nothing more once it takes nothing more."""
+        timeouts = (0.3, 1.0, 3.0)
+        ends = await asyncio.gather(*(self._dispatcher(timeout) for timeout in timeouts))
+        for timeout, (status, answers, unanswered, began) in zip(timeouts, ends, strict=True):
+            with self.subTest(timeout):
+                self.assertEqual(unanswered, [])
+                self.assertEqual(status, 0)  # it ended by itself before the kill
+                self.assertTrue(answers)
+                # in its time, and half a second more only earns nothing
+                self.assertLess(max(took for _, took, _ in answers), PATIENCE * timeout + 0.5)
+                late = {word for at, _, word in answers if at > began + STILL}
+                self.assertLessEqual(late, {"Throttled"})
+
+    async def test_a_signal_that_comes_while_the_loop_is_held_up(self):
+        """The time until the kill runs from the signal, not from when the loop hears of it. The text before
+        counted from the latter."""
+        made, moments = Shutdown, []
+
+        def shutdown(began, longest):
+            moments.append(began)
+            return made(began, longest)
+
+        async with Inside([Raw("s-1")]) as site:
+            with mock.patch.object(service.shutdown, "Shutdown", shutdown):
+                signalled = site.node.now()
+                held_up(0.4)
+                await site.node.close()
+        self.assertLessEqual(moments[0], signalled)
+
+    async def test_who_goes_on_sending_keeps_only_itself(self):
+        """One that never stops leaves no look at which all is quiet; who rests is closed meanwhile. The text
+        before closed nobody until all were quiet."""
+        async with Inside([Raw("s-1")]) as site:
+            chatty, rests = Caller(site.address), Caller(site.address)
+            rests.sock.sendall(msgpack.packb([0, 1, "health", [{}]]))
+            await site.until(rests.read)
+            with mock.patch.object(site.node.front, "quiet", lambda: False):
+                ending = asyncio.ensure_future(site.node.close())
+                await site.until(lambda: rests.read() is not None and rests.ended)
+                self.assertIsNotNone(site.node.front.sock)  # it still listens
+                await asyncio.wait_for(ending, 10)
+            chatty.close()
+
+
+class Times(unittest.TestCase):
+    def test_all_is_answered_and_over_before_the_earliest_kill(self):
+        for longest in (0.1, 0.3, 1, 2.9, 3, 60):
+            with self.subTest(longest):
+                kill = int(min(longest, 3) * SECOND) + 700_000_000
+                shutdown = Shutdown(0, int(longest * SECOND))
+                self.assertFalse(shutdown.closed(699_999_999))
+                self.assertTrue(shutdown.closed(700_000_000))
+                margin = min(100_000_000, int(longest * SECOND) // 8)
+                self.assertTrue(shutdown.out_of_time(kill - 2 * margin))
+                self.assertTrue(shutdown.over(kill - margin, 1, False))
+                self.assertFalse(shutdown.over(699_999_999, 0, True))
+                self.assertTrue(shutdown.over(700_000_000, 0, True))
+                self.assertFalse(shutdown.over(700_000_000, 1, True))
+
+
+if __name__ == "__main__":
+    unittest.main()
