--- a/petrelwood/node/front.py
+++ b/petrelwood/node/front.py
@@ -25,6 +25,9 @@
 READERS = 8  # kept for whoever sends next
 # connections taken in one turn of the loop, and ns that this may last: it keeps answers waiting
 ACCEPTS, ACCEPTING = 32, 3_000_000
+# connections that the machine accepts ahead of us, each perhaps with a request in it, which waits behind all
+# others: so many, and while the loop is late over and over
+QUEUE, SHORT_QUEUE = 128, 8
 GUESTS = 8  # connections beyond the room for clients: who asks on one is turned away, not closed
 REFUSALS = 16 * READ  # bytes of answers to what one reading may hold beyond a client's open requests
 UNTAKEN = 10_000_000_000  # ns that a client may leave answers unread, with no request open
@@ -395,6 +398,7 @@
     def __init__(self, core, room, log):
         self.core, self.room, self.log, self.sock = core, room, log, None
         self.readers, self.reads, self.deaf = [], 0, False  # `deaf`: the listener rests until the next look
+        self.shedding = False
         # all, and those without an open request, longest first
         self.clients, self.idle = {}, OrderedDict()
         self.counts = {
@@ -418,7 +422,7 @@
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.setblocking(False)
         self.sock.bind(address)
-        self.sock.listen(1024)
+        self.sock.listen(QUEUE)
         self.core.loop.add_reader(self.sock, self._accept)
 
     def stop(self):
@@ -430,6 +434,14 @@
         for client in list(self.clients):
             client.close()
 
+    def shed_connections(self, late):
+        """While the loop is late over and over, the machine turns away what could not be answered in time:
+        what it has not accepted has its other ways yet."""
+        if late != self.shedding and self.sock is not None:
+            self.shedding = late
+            self.sock.listen(SHORT_QUEUE if late else QUEUE)
+            self.log.info("connections are shed" if late else "connections are no longer shed")
+
     def full(self):
         """Whether there are as many clients as there is room for."""
         return len(self.clients) >= self.room.clients
@@ -443,7 +455,7 @@
     def _accept(self):
         began = self.core.now()
         self.core.answer_due(began)
-        for _ in range(ACCEPTS):
+        for _ in range(SHORT_QUEUE if self.shedding else ACCEPTS):
             guest = self.full() and not self._make_room()
             if guest and len(self.clients) >= self.room.clients + GUESTS:
                 self._rest_listener()
--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -21,6 +21,8 @@
 # turns of the loop in which nothing of a client is read, after which all is. Where something always comes,
 # what lay unread at the first turn has been read after as many and this long (ns), whatever followed
 QUIET, CATCH_UP = 3, 50_000_000
+# late looks, from which on connections are shed, until so many in a row are in time
+LATE_LOOKS, TIMELY_LOOKS = 3, 10
 TIDY = 20  # looks between two at connections that rest
 STANDING = 100  # looks between two log lines of what is believed
 UNKNOWN = Figures(1, 0, 0)
@@ -42,6 +44,9 @@
         )
         super().__init__(gateway, LoopClock(), Random(gateway.seed), self._link, log, brain)
         self.beat, self.turns, self.still, self.read, self.rings = self.now(), 0, 0, 0, []
+        self.last_look = self.now()
+        self.late_looks = 0  # since so many were in time, one after the other
+        self.timely_looks = 0  # in a row
         self.held_up_at = 0  # when it was seen that the loop was held up
         self.front = Front(self, self.room, log)
         self.roster = DnsRoster(gateway.names, self.membership, RosterPolling(self.chance.random), self, log)
@@ -181,6 +186,15 @@
     def _check(self):
         self.checks = self.loop.call_later(CHECK, self._check)
         now = self.now()
+        if now - self.last_look > BEHIND:
+            self.late_looks += 1
+            self.timely_looks = 0
+        else:
+            self.timely_looks += 1
+        self.last_look = now
+        if self.timely_looks >= TIMELY_LOOKS:
+            self.late_looks = 0
+        self.front.shed_connections(self.late_looks >= LATE_LOOKS)
         if not self.behind():
             self.beat = now
         self.roster.check(now)
@@ -209,7 +223,8 @@
         """SIGTERM: takes what still comes, then turns it away, answers all that it owes, and ends. It listens
         to the last: a connection that the machine has accepted may have a request in it, which a closed
         listener would lose."""
-        ends = shutdown.Shutdown(self.now(), max(self.gateway.timeouts.values()))
+        # the signal may have come while the loop was held up, and the time until the kill runs from then
+        ends = shutdown.Shutdown(self.arrived(self.now()), max(self.gateway.timeouts.values()))
         self.began = False
         while not ends.over(self.now(), len(self.pending.acts), self.front.quiet()):
             self.intake.closing = ends.closed(self.now())
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -7,6 +7,7 @@
 import asyncio
 import base64
 import contextlib
+import select
 import socket
 import time
 import unittest
@@ -19,6 +20,7 @@
 
 from petrelwood.decide.overload import resource_limits
 from petrelwood.node import front as node_front
+from petrelwood.node import service
 
 
 def wrongs(first, count):
@@ -295,6 +297,34 @@
             for client in (waits, *opened):
                 client.close()
 
+    async def test_connections_that_would_wait_too_long_are_not_accepted(self):
+        """While the loop is late over and over the machine accepts few ahead of us, and all again once it is
+        not. The text before had 1,024 wait in its queue, with their requests."""
+
+        def connected(socks):
+            poll = select.poll()
+            for sock in socks:
+                poll.register(sock, select.POLLOUT)
+            return len(poll.poll(100))
+
+        def connect(site):
+            socks = [socket.socket() for _ in range(100)]
+            for sock in socks:
+                self.addCleanup(sock.close)
+                sock.setblocking(False)
+                sock.connect_ex(site.address)
+            return socks
+
+        async with Inside([]) as site:
+            stop = self.strain(site, 0.15)
+            looks = site.node.looks
+            await site.until(lambda: site.node.looks > looks + 2 * service.LATE_LOOKS)
+            self.assertLessEqual(connected(connect(site)), 4 * node_front.SHORT_QUEUE)
+            stop()
+            await site.until(lambda: not site.node.front.shedding)
+            await site.turns()
+            self.assertEqual(connected(connect(site)), 100)
+
     async def test_accepting_does_not_keep_answers_waiting(self):
         """Connections that take long to accept: few of them in one turn. The text before took 32."""
         async with Inside([]) as site:
