--- a/petrelwood/cli/main.py
+++ b/petrelwood/cli/main.py
@@ -11,6 +11,7 @@
 
 import click
 
+from petrelwood.errors import StorageError
 from petrelwood.settings.document import BadFile
 
 EXAMPLES = {
@@ -144,7 +145,7 @@
     try:
         handed = json.loads(rolled) if rolled else None
         if handed:
-            Rollout.resumed(described.name, handed)
+            Rollout.from_state(described.name, handed)
     except ValueError:
         raise click.BadParameter(
             "it is not what a process before has handed over", param_hint="--rolled"
@@ -446,7 +447,7 @@
 def main():
     try:
         cli(prog_name="petrelwood", standalone_mode=True)
-    except BadFile as fault:
+    except (BadFile, StorageError) as fault:
         click.echo(f"petrelwood: {fault}", err=True)
         return 2
     except KeyboardInterrupt:
--- a/petrelwood/dispatch/rollout.py
+++ b/petrelwood/dispatch/rollout.py
@@ -10,13 +10,14 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from petrelwood.decide.cluster.rollout import Rollout
+from petrelwood.decide.cluster.rollout import Rollout, RolloutAction, RolloutStep
 from petrelwood.dispatch.interfaces import Logger
 from petrelwood.dispatch.settings_update import ReadSettings, SettingsUpdater, UpdateResult
 from petrelwood.dispatch.upgrade import Upgrader
 from petrelwood.settings.document import BadFile, read_whole
 from petrelwood.settings.gateway import Gateway
 from petrelwood.store import versions
+from petrelwood.store.errors import VersionUnreadableError
 
 if TYPE_CHECKING:
     from petrelwood.dispatch.dispatcher import Dispatcher
@@ -36,7 +37,10 @@
     read_settings: ReadSettings
 
     def read(self, number: int) -> Gateway:
-        """The settings of a version; 0 for the dispatcher's own. Raises `settings.document.BadFile`."""
+        """The settings of a version; 0 for the dispatcher's own.
+
+        Raises `settings.document.BadFile` and `store.errors.VersionUnreadableError`.
+        """
         if not number:
             return self.own
         return read_version(self.read_settings, self.own, self.folder, number)
@@ -45,9 +49,10 @@
 def read_version(read_settings: ReadSettings, own: Gateway, folder: str, number: int) -> Gateway:
     """The settings of a version for the dispatcher whose own file says `own`.
 
-    Raises `settings.document.BadFile`.
+    Raises `settings.document.BadFile` for what it says, and `store.errors.VersionUnreadableError` where the
+    folder does not give it.
     """
-    text = read_whole(versions.path_of(folder, number))
+    text = read_whole(versions.require_readable(folder, number))
     settings: Gateway = read_settings(text).as_of(own)
     return settings
 
@@ -75,6 +80,7 @@
         self.updater = updater
         self.upgrader = upgrader
         self.on_call_off = on_call_off
+        self.unwritten_call_offs: dict[int, str] = {}  # that the folder did not take yet
 
     async def run(self, answers_counted: tuple[int, int]) -> None:
         """Follows the folder until it is cancelled.
@@ -87,21 +93,22 @@
             announced = await self.core.loop.run_in_executor(None, versions.announced, self.source.folder)
             completed_now, failed_now = self.core.answered
             for _ in range(completed_now - completed):
-                self.rollout.ended(True)
+                self.rollout.record_answer(True)
             for _ in range(failed_now - failed):
-                self.rollout.ended(False)
+                self.rollout.record_answer(False)
             completed, failed = completed_now, failed_now
+            await self._write_call_offs()
             if self.upgrader.handing_over:
                 # the successor goes on with this
                 continue
-            verdict = self.rollout.look(self.core.clock.steady_wall(), announced)
-            if verdict is not None:
-                await self._carry_out(*verdict)
-
-    async def _carry_out(self, what: str, number: int) -> None:
-        """`what`: "take" a version, or go "back" to the one with this number."""
-        is_rollback = what != "take"
-        called_off: int | None = self.rollout.calls_off
+            step = self.rollout.decide(self.core.clock.steady_wall(), announced)
+            if step is not None:
+                await self._carry_out(step)
+
+    async def _carry_out(self, step: RolloutStep) -> None:
+        is_rollback = step.action is RolloutAction.ROLL_BACK
+        number = step.version
+        called_off = self.rollout.bad_version
         event = "rolling back to a version" if is_rollback else "applying a version"
         self.log.info(event, number=number, calls_off=called_off)
         # at once: the other dispatchers must not wait for what is done here
@@ -109,23 +116,41 @@
             await self._call_off(called_off, DID_WORSE)
         reason = NOT_APPLICABLE
         try:
-            new = await self.core.loop.run_in_executor(None, self.source.read, number)
+            new = await self._read(number, is_rollback)
             result = await self._apply(new, is_rollback)
+        except VersionUnreadableError as fault:
+            self.log.error("version can't be read; it is attempted again", why=str(fault))
+            self.rollout.on_apply_postponed()
+            return
         except BadFile as fault:
             self.log.error("version invalid", why=str(fault))
             result = UpdateResult.NOT_APPLIED
             reason = f"it is wrong: {fault}"
         if result is UpdateResult.NOT_APPLIED and not is_rollback:
-            self.rollout.could_not()
+            self.rollout.on_apply_failed()
             await self._call_off(number, reason)
 
+    async def _read(self, number: int, is_rollback: bool) -> Gateway:
+        """The settings of a version. What it goes back to is read until the folder gives it.
+
+        Raises as `VersionSource.read`.
+        """
+        while True:
+            try:
+                return await self.core.loop.run_in_executor(None, self.source.read, number)
+            except VersionUnreadableError as fault:
+                if not is_rollback:
+                    raise
+                self.log.error("version to go back to can't be read; it is attempted again", why=str(fault))
+                await asyncio.sleep(POLL_INTERVAL)
+
     async def _apply(self, new: Gateway, is_rollback: bool) -> UpdateResult:
         """Applies settings, by an upgrade where it must be: a version that is bad is left in any case."""
         result = self.updater.update(new, self.upgrader.available)
         while result is UpdateResult.NEEDS_UPGRADE:
             clock = self.core.clock
             ahead = clock.wall() - clock.steady_wall()
-            await self.upgrader.run(json.dumps(self.rollout.handed(ahead)))
+            await self.upgrader.run(json.dumps(self.rollout.to_state(ahead)))
             result = UpdateResult.NOT_APPLIED
             if is_rollback:
                 await asyncio.sleep(ROLLBACK_RETRY_INTERVAL)
@@ -134,6 +159,18 @@
 
     async def _call_off(self, number: int, why: str) -> None:
         """For whoever reads the same folder, and by the configuration servers for all others."""
-        reason = f"{self.updater.gateway.name}: {why}"
-        await self.core.loop.run_in_executor(None, versions.call_off, self.source.folder, number, reason)
         self.on_call_off(number, why)
+        self.unwritten_call_offs[number] = f"{self.updater.gateway.name}: {why}"
+        await self._write_call_offs()
+
+    async def _write_call_offs(self) -> None:
+        """Puts call-offs into the folder; those that it does not take are attempted again later."""
+        for number, reason in list(self.unwritten_call_offs.items()):
+            try:
+                await self.core.loop.run_in_executor(
+                    None, versions.call_off, self.source.folder, number, reason
+                )
+            except OSError as fault:
+                self.log.error("call-off not stored; it is attempted again", number=number, why=str(fault))
+                continue
+            del self.unwritten_call_offs[number]
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -12,6 +12,7 @@
 import unittest
 from unittest import mock
 
+import node_site
 import rig
 import test_mqtt
 
@@ -21,16 +22,21 @@
 from petrelwood.decide.cluster.log_records import Entry as LogEntry
 from petrelwood.decide.cluster.log_records import Extract, Record, RecordKind
 from petrelwood.decide.cluster.membership import DEPARTED, GONE, NEWS_DELAY, USABLE, Entry, Membership
-from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announced, Rollout, turn
+from petrelwood.decide.cluster.polling import RosterPolling
+from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announcement, Rollout, stage_delay
 from petrelwood.decide.cluster.version_watch import VersionWatch
 from petrelwood.decide.delivery import ledger as ids
 from petrelwood.decide.delivery import recovery
 from petrelwood.decide.forecasting.forecast import Calendar, Forecast
 from petrelwood.decide.wall_clock import FOLLOWED, UnsteppedWallClock
+from petrelwood.dispatch.load_forecasts import LoadForecasts
 from petrelwood.dispatch.rollout import VersionRollout, VersionSource
 from petrelwood.dispatch.settings_update import UpdateResult
 from petrelwood.emulate import script
+from petrelwood.emulate.disk import Disk
 from petrelwood.emulate.platform import Platform
+from petrelwood.node import roster
+from petrelwood.settings.gateway import EarlyTerms
 from petrelwood.store import versions
 from petrelwood.store.state import StateLog
 
@@ -178,6 +184,45 @@
         self.assertLessEqual(len(m.departed), DEPARTED)
 
 
+class PlatformList(unittest.TestCase):
+    """The list by DNS, whose answers may come long after they were asked for."""
+
+    def ages(self, asked, comes, started, step):
+        """What is believed of a worker that `started` (s), first named by the answer to a question of `asked`
+        that comes at `comes`; answers before came each second."""
+        now, m = [0], Membership(5 * S, 100 * MS, lambda: 0.5)
+        stepped = types.SimpleNamespace(wall=lambda: WALL + now[0] + step)
+        core = types.SimpleNamespace(now=lambda: now[0], clock=stepped, endpoints_changed=mock.Mock())
+        asking = RosterPolling(iter(n / 65536 for n in range(100)).__next__)
+        link = roster.DnsRoster(("127.0.0.1", 1), m, asking, core, mock.Mock())
+        old = {"w1": (5050, "Ready", "east", 0)}
+
+        def comes_back(id_, serial, entries):
+            question = id_.to_bytes(2, "big") + link.question
+            link.take(node_site.answer(question, serial, entries))
+
+        for second in range(LATE // S, asked):
+            now[0] = second * S
+            comes_back(asking.begin_query(now[0]), 1, old)
+        now[0] = asked * S
+        id_ = asking.begin_query(now[0])
+        now[0] = int(comes * S)
+        told = (WALL + int(started * S)) // MS
+        comes_back(id_, 2, {**old, "w2": (5051, "Ready", "east", told)})
+        listed = core.endpoints_changed.call_args.args[0]
+        return [now[0] - one.booted for one in listed if one.worker == "w2"]
+
+    def test_an_answer_that_comes_late_brings_a_worker_that_is_as_old_as_told(self):
+        for step in (0, *STEPS):  # the clock was so from the start
+            expected = [4 * S] if step == 0 else [0] if step < 0 else [6 * S]
+            self.assertEqual(self.ages(1010, 1015, 1011, step), expected, step)
+
+    def test_an_answer_that_comes_at_once_brings_a_worker_no_older_than_the_one_before(self):
+        for step in (HOUR, 5 * S):
+            (found,) = self.ages(1010, 1010.05, 1009.9, step)
+            self.assertLessEqual(found, 1050 * MS)
+
+
 class RollOuts(unittest.IsolatedAsyncioTestCase):
     """A step neither skips a stage of a roll-out nor holds one."""
 
@@ -208,37 +253,37 @@
         return taken
 
     async def test_stages_come_at_their_time(self):
-        name = next(f"d{n}" for n in range(100) if turn(f"d{n}", 2) == 2 * DWELL)
+        name = next(f"d{n}" for n in range(100) if stage_delay(f"d{n}", 2) == 2 * DWELL)
         for step in (0, *STEPS):
             taken = await self.roll(
-                step, 10 * S, 200 * S, Rollout(name, 0), [Announced(2, clocks.WALL, False)]
+                step, 10 * S, 200 * S, Rollout(name, 0), [Announcement(2, clocks.WALL, False)]
             )
             self.assertEqual(len(taken), 1, step)
             self.assertLessEqual(abs(taken[0] - 2 * DWELL // S), 1, step)
 
     def test_one_that_was_announced_by_a_clock_ahead_of_ours_begins_when_it_is_seen(self):
-        name = next(f"d{n}" for n in range(100) if turn(f"d{n}", 2) == DWELL)
-        rollout, told = Rollout(name, 0), [Announced(2, WALL + HOUR, False)]
-        looks = [at for at in range(0, 200) if rollout.look(WALL + at * S, told)]
+        name = next(f"d{n}" for n in range(100) if stage_delay(f"d{n}", 2) == DWELL)
+        rollout, told = Rollout(name, 0), [Announcement(2, WALL + HOUR, False)]
+        looks = [at for at in range(0, 200) if rollout.decide(WALL + at * S, told)]
         self.assertEqual(looks, [DWELL // S])
 
     def test_the_process_that_follows_watches_for_as_long(self):
         for step in STEPS:
             first = Rollout("d1", 0)
-            told = [Announced(2, WALL - len(STAGES) * DWELL, False)]
-            self.assertEqual(first.look(WALL, told), ("take", 2))
-            second = Rollout.resumed("d1", first.handed(step))  # begins from the stepped clock
-            second.look(WALL + step + 2 * DWELL - S, told)
-            self.assertIsNotNone(second.took_at)
-            second.look(WALL + step + 2 * DWELL, told)
-            self.assertIsNone(second.took_at)
+            told = [Announcement(2, WALL - len(STAGES) * DWELL, False)]
+            self.assertEqual(first.decide(WALL, told), ("take", 2))
+            second = Rollout.from_state("d1", first.to_state(step))  # begins from the stepped clock
+            second.decide(WALL + step + 2 * DWELL - S, told)
+            self.assertIsNotNone(second.applied_at)
+            second.decide(WALL + step + 2 * DWELL, told)
+            self.assertIsNone(second.applied_at)
 
     def test_a_record_dated_ahead_of_ours_begins_when_it_is_heard_of(self):
         for ahead in (HOUR, 5 * S):
             watch = VersionWatch("d1", ["c1", "c2"], 0, 90 * S, lambda: 0.5)
             record = Record("r", RecordKind.VERSION, 0, WALL + ahead, b"")
             extract = Extract(0, 1, (LogEntry(1, record),))
-            (version,) = watch.answered("c1", extract, 0, WALL)
+            (version,) = watch.on_answer("c1", extract, 0, WALL)
             self.assertEqual(version.begun, WALL)
 
 
@@ -412,6 +457,22 @@
                     self.assertEqual([age([one], now) for one in listed], [S, None])
                 self.assertEqual(m.clock_was(WALL + HOUR, now), [])  # that one was ahead
 
+    def test_a_dispatcher_that_finds_the_lesser_clock_after_its_list_tells_the_module_of_younger_workers(
+        self,
+    ):
+        platform, clock = Platform(stepped_day(), 1), clocks.VirtualClock(LATE)
+        ahead = types.SimpleNamespace(now=clock.now, wall=lambda: WALL + clock.now() + HOUR, at=clock.at)
+        ahead.steady_wall = ahead.wall
+        core = platform.make_core(platform.cores["d1"].gateway, ahead, random.Random(1), None)
+        with mock.patch.object(core, "links"):
+            told = [entry("new", WALL + LATE - S), entry("old")]
+            core.endpoints_changed(*core.membership.whole("e-1", told, LATE, ahead.wall()), True)
+            lives = [[recovery.LIFE, WALL + LATE - S, recovery.boot_mark("b1", WALL), 1, 1]]
+            with mock.patch.object(core, "brain") as brain:
+                core.adopt(Disk(lives, ahead.wall(), recovery.boot_mark("b1", WALL + HOUR), 2))
+        now, (listed,), whole = brain.listed.call_args.args
+        self.assertEqual((now, listed.worker, now - listed.booted, whole), (LATE, "new", S, False))
+
 
 class Names(unittest.TestCase):
     """What is named after the wall clock is named anew though that goes back to the same time."""
@@ -466,8 +527,12 @@
         platform = Platform(stepped_day()._replace(early=True), 1)
         core = platform.cores["d1"]
         core.clock.step = HOUR
-        with mock.patch.object(core, "early") as early:
-            core._plan()
+        slots = EarlyTerms(10 * S, 86_400 * S, 7 * 86_400 * S, (), 0.0, 0.0, 0, 0)
+        core.forecasts = LoadForecasts(
+            slots, core.terms, core.clock, random.Random(1), wish=mock.Mock(), sliced=False
+        )
+        with mock.patch.object(core.forecasts, "early") as early:
+            core._plan_loads()
             self.assertEqual(early.turn.call_args.args[1], clocks.WALL)
 
 
