--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -2,7 +2,6 @@
 spans of real time stay what they are."""
 
 import asyncio
-import functools
 import itertools
 import pathlib
 import random
@@ -568,18 +567,24 @@
     MOMENTS = ("under load", "before a worker starts", "before a restart", "after a worker started")
     SHARES = ("one", "half", "all")
 
+    @classmethod
+    def setUpClass(cls):
+        cls.unstepped = {}  # how requests end without a step, by share and moment
+
     def play(self, step, share, moment, platform=Platform):
         """(what breaks a rule, how the requests ended)."""
         day = platform(stepped_day(step, share, moment), 1).run()
         broken = [line for found in rules.judge(day.case()) for line in found.broken]
         return broken, [wish.ended for wish in day.clients.wishes]
 
-    @functools.cache  # noqa: B019
     def without(self, share, moment):
-        broken, ended = self.play(0, share, moment)
-        self.assertEqual(broken, [])
-        self.assertGreater(ended.count("completed"), 1000)
-        return ended
+        """How the requests end on the same day without a step; it is played once."""
+        if (share, moment) not in self.unstepped:
+            broken, ended = self.play(0, share, moment)
+            self.assertEqual(broken, [])
+            self.assertGreater(ended.count("completed"), 1000)
+            self.unstepped[share, moment] = ended
+        return self.unstepped[share, moment]
 
     def test_the_rules_hold(self):
         for share, moment, step in itertools.product(self.SHARES, self.MOMENTS, STEPS):
--- a/tests/test_store_recovery.py
+++ b/tests/test_store_recovery.py
@@ -143,7 +143,10 @@
 
             updater = SimpleNamespace(update=apply, gateway=SimpleNamespace(name="d"))
             upgrader = SimpleNamespace(available=False, handing_over=False)
-            settings = lambda text: SimpleNamespace(as_of=lambda own: read(text))  # noqa: E731
+
+            def settings(text):
+                return SimpleNamespace(as_of=lambda own: read(text))
+
             made = VersionRollout(
                 Rollout("d", 0),
                 VersionSource(str(self.folder), "own", settings),
@@ -268,7 +271,10 @@
                     folder = self.folder / f"{code}-{name}-{begins}-{lasts}"
                     self.time = 0
                     window = range(begins * SECOND, (begins + lasts) * SECOND)
-                    failing = lambda call: code if call == name and self.time in window else None  # noqa
+
+                    def failing(call, code=code, name=name, window=window):
+                        return code if call == name and self.time in window else None
+
                     made, _ = self.play(failing, folder)
                     self.time += 400 * SECOND
                     made.flush()
@@ -349,7 +355,11 @@
             for code in CODES:
                 folder = self.folder / f"{name}-{code}"
                 failing = [False]
-                files = FaultyFiles(lambda call: code if failing[0] and call == name else None, torn=True)  # noqa: B023
+
+                def fault(call, code=code, name=name, failing=failing):
+                    return code if failing[0] and call == name else None
+
+                files = FaultyFiles(fault, torn=True)
                 made = ends.Ends(folder, files=files, now=self.now, most=400)
                 for number in range(3):
                     made.note(number, 0, 0, *self.ROW)
