--- a/tests/cold_budget.py
+++ b/tests/cold_budget.py
@@ -61,6 +61,7 @@
     told: tuple = (0, 20)  # how long after a start the first and the last dispatcher is told
     gone_told: tuple = (0, 0)  # likewise after its end
     fresh: bool = False  # all dispatchers are restarted with the first workers and have learnt nothing
+    killed: tuple = ()  # all dispatchers are killed and started anew, so long after the first restart
     slow: float = 1.0  # the speed of those that restart, against the others
     tick: int = 10
     hints: bool = True  # clients tell roughly how much work an activation is
@@ -424,10 +425,18 @@
             for dispatcher in self.dispatchers:
                 dispatcher.begin()
 
+    def kill_dispatchers(self):
+        for dispatcher in self.dispatchers:
+            dispatcher.begin()
+            for book in self.books:
+                book.told.setdefault(dispatcher, self.now)
+
     def play(self):
         for dispatcher in self.dispatchers:
             self.later(int(self.chance.random() * SECOND), self.starts, dispatcher)
         self.restarts()
+        for after in self.case.killed:
+            self.later((self.case.warm_up + after) * MS, self.kill_dispatchers)
         c = self.case
         end = (c.warm_up + (c.steps - 1) * c.apart + c.cold) * MS
         while self.events and self.events[0][0] <= end:
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -70,6 +70,13 @@
                         sent += sum(book.total for book in world.books)
         self.assertGreater(sent, 1000)
 
+    def test_dispatchers_that_are_killed_while_workers_are_cold(self):
+        """Each new life draws its part of a window anew."""
+        for dispatchers, unequal in itertools.product((1, 4, 25), UNEQUAL.values()):
+            for killed in ((750,), (400, 900), tuple(range(500, 4000, 500))):
+                with self.subTest(f"{dispatchers} unequal {unequal}, {killed}"):
+                    self.check(dispatchers=dispatchers, unequal=unequal, killed=killed, **ALL, **SHORT)
+
     def test_without_hints_a_new_life_does_not_take_its_guess_for_the_usual_time(self):
         """The target latency is half of the mean work: a quarter of it is no guess of a work's time."""
         for dispatchers, seed, figures in (
