--- a/tests/test_rpc_client.py
+++ b/tests/test_rpc_client.py
@@ -163,7 +163,9 @@
 
     async def test_too_many_calls_without_an_answer_fail_at_once(self):
         calls = [asyncio.create_task(self.ask("silence")) for _ in range(rpc_client.MAX_OPEN_CALLS)]
-        await asyncio.sleep(0.05)
+        async with asyncio.timeout(PATIENT):
+            while self.client.messages < len(calls):
+                await asyncio.sleep(0.01)
         await self.fails_at_once()
         self.client.close()
         ends = await asyncio.gather(*calls, return_exceptions=True)
