--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -44,6 +44,7 @@
 from petrelwood.decide.cluster import membership
 from petrelwood.decide.cluster.link_state import LinkPhase
 from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announced, Rollout, dwell_for
+from petrelwood.decide.delivery.state_records import ActivationEnded, ActivationTaken
 from petrelwood.decide.overload.sliding_window import SlidingWindowCounter
 from petrelwood.dispatch.health import HeartbeatReporter
 from petrelwood.links import rpc, sse
@@ -52,7 +53,8 @@
 from petrelwood.node import roster as dns_roster
 from petrelwood.settings import comparison
 from petrelwood.settings import gateway as settings
-from petrelwood.store import state, versions
+from petrelwood.store import versions
+from petrelwood.store.state_log import StateLog
 
 TESTS = pathlib.Path(__file__).parents[1] / "tests"
 SECOND = 1_000_000_000
@@ -427,13 +429,13 @@
         rows = [], []
         for size in sizes:
             with tempfile.TemporaryDirectory() as folder:
-                log = state.StateLog(folder, WALL, "b", 600 * SECOND)
+                log = StateLog(folder, WALL, "b", 600 * SECOND)
                 begun = time.process_time()
                 for number in range(size):
                     name = f"msg_{number:026d}"
-                    log.add(state.TAKE, WALL + number, "customer", name, WALL, "once")
+                    log.add(ActivationTaken(WALL + number, "customer", name, WALL, "once"))
                     log.flush()
-                    log.add(state.END, WALL + number, "customer", name, "completed", True, b'{"ok":1}')
+                    log.add(ActivationEnded(WALL + number, "customer", name, "completed", True, b'{"ok":1}'))
                     log.flush()
                 rows[1].append((size, 1e3 * (time.process_time() - begun)))
                 log.close(WALL)
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -18,8 +18,11 @@
 from petrelwood.clocks import LoopClock
 from petrelwood.decide.delivery import recovery
 from petrelwood.decide.delivery.ledger import Ledger
+from petrelwood.decide.delivery.state_records import ActivationEnded, ActivationTaken
 from petrelwood.dispatch.core import Core
-from petrelwood.store import state, tail
+from petrelwood.store import state_segments
+from petrelwood.store.files import Files
+from petrelwood.store.state_log import StateLog
 
 WALL, S = 1_764_547_200 * 10**9, 10**9
 TYPES = {"once": ports.NamespaceType(S, ports.ONCE_ONLY, "all", 0)}
@@ -34,9 +37,9 @@
         ("an fsync for 32", 32, True, 9600),
     ):
         with tempfile.TemporaryDirectory() as folder:
-            log, begun = state.StateLog(folder, WALL, "b", 600 * S), time.perf_counter()
+            log, begun = StateLog(folder, WALL, "b", 600 * S), time.perf_counter()
             for i in range(count):
-                log.add(state.TAKE, WALL + i, "customer", f"msg_{i:026d}", WALL, "once")
+                log.add(ActivationTaken(WALL + i, "customer", f"msg_{i:026d}", WALL, "once"))
                 if not (i + 1) % group:
                     log.flush()
                     if sync:
@@ -50,17 +53,19 @@
     """Seconds from files to a filled ledger."""
     for count in (1_000, 10_000, 100_000, 400_000):
         with tempfile.TemporaryDirectory() as folder:
-            log = state.StateLog(folder, WALL, "b", 600 * S)
+            log = StateLog(folder, WALL, "b", 600 * S)
             for i in range(count):
-                log.add(state.TAKE, WALL + i, "customer", f"msg_{i:026d}", WALL, "once")
-                log.add(state.END, WALL + i, "customer", f"msg_{i:026d}", "completed", True, b'{"ok":1}')
+                log.add(ActivationTaken(WALL + i, "customer", f"msg_{i:026d}", WALL, "once"))
+                log.add(
+                    ActivationEnded(WALL + i, "customer", f"msg_{i:026d}", "completed", True, b'{"ok":1}')
+                )
                 if not i % 64:
                     log.flush()
             log.close(WALL + count)
             size = sum(p.stat().st_size for p in pathlib.Path(folder).iterdir())
             gc.disable()  # as `Dispatcher.open_state` does
             begun = time.perf_counter()
-            records, _ = state.read(folder)
+            records, _ = state_segments.read(folder)
             found = recovery.replay(records, WALL + S, "b", False)
             ledger = Ledger(500_000, 64_000_000, 300 * S, TYPES, {"once": 600 * S}, WALL + S)
             held = recovery.fill(ledger, found, 10 * S, WALL + S, TYPES, {"once": 600 * S}, 300 * S)
@@ -68,7 +73,7 @@
             print(f"{held:7d} ids, {size / 1e6:6.1f} MB: {time.perf_counter() - begun:6.3f} s")
 
 
-class _FullOnce(tail.Files):
+class _FullOnce(Files):
     """A disk whose next write fails, once."""
 
     full = False
@@ -95,7 +100,7 @@
 
     core = Running(GATEWAY, clock, random.Random(1), None, Log(), Recorded)
     with tempfile.TemporaryDirectory() as folder:
-        core.adopt(state.StateLog(folder, clock.wall(), "b", 1200 * S, durability, files))
+        core.adopt(StateLog(folder, clock.wall(), "b", 1200 * S, durability, files))
         now = clock.now()
         for number in range(count):
             core.ledger.restore(
@@ -109,7 +114,7 @@
                 b'{"ok":1}' if number % 2 else None,
             )
         files.full = True
-        core.state.add(state.TAKE, clock.wall(), "customer", "last", clock.wall(), "once")
+        core.state.add(ActivationTaken(clock.wall(), "customer", "last", clock.wall(), "once"))
         core.state.flush()
         begun = seen = time.perf_counter()
         longest = 0
@@ -121,7 +126,7 @@
             seen = at
         took = time.perf_counter() - begun
         size = sum(path.stat().st_size for path in pathlib.Path(folder).iterdir())
-        assert len(recovery.replay(state.read(folder)[0], clock.wall(), "b", False).ids) == count
+        assert len(recovery.replay(state_segments.read(folder)[0], clock.wall(), "b", False).ids) == count
         core.state.close(clock.wall())
     return took, longest, size
 
--- a/petrelwood/cli/kept.py
+++ b/petrelwood/cli/kept.py
@@ -21,26 +21,28 @@
     folder = click.argument("folder", type=click.Path(exists=True, file_okay=False))
 
     def read(path):
-        from petrelwood.store import state as store
+        from petrelwood.store import state_segments as store
+        from petrelwood.store.errors import StateUnreadableError
 
         try:
             return store.scan(path)
-        except store.Refused as fault:
+        except StateUnreadableError as fault:
             raise click.ClickException(str(fault)) from None
 
     @command(state, "ls")
     @folder
     def ls(folder):
         """The segments: epoch, time, records by kind, bytes."""
-        from petrelwood.store import state as store
+        from petrelwood.store import state_segments as store
+        from petrelwood.store.state_codec import STORED_NAMES
 
         for epoch, number, path in store.segments(folder):
             records, whole, why = read(path)
-            kinds = collections.Counter(record[0] for record in records)
-            begun = _shown(records[0][1]) if records else "-"
+            kinds = collections.Counter(type(record) for record in records)
+            begun = _shown(records[0].time) if records else "-"
             click.echo(
                 f"epoch {epoch:<4d} {number:<4d} {begun}  {path.stat().st_size:>10} bytes  "
-                + ", ".join(f"{kinds[k]} {k}" for k in store.SIZES if kinds[k])
+                + ", ".join(f"{kinds[kind]} {name}" for kind, name in STORED_NAMES.items() if kinds[kind])
                 + (f"; {why}" if why else "")
             )
 
@@ -54,13 +56,15 @@
     def show(folder, id_, customer, only_open, rows, as_json):
         """What a start would make of it: the last ids and how they ended."""
         from petrelwood.decide.delivery import ledger, recovery
-        from petrelwood.store import state as store
+        from petrelwood.decide.delivery.state_records import OutageEnded
+        from petrelwood.store import state_segments as store
+        from petrelwood.store.errors import StateUnreadableError
 
         try:
             records, _ = store.read(folder)
-        except store.Refused as fault:
+        except StateUnreadableError as fault:
             raise click.ClickException(str(fault)) from None
-        found = recovery.replay(records, max((r[1] for r in records), default=0), "", True)
+        found = recovery.replay(records, max((r.time for r in records), default=0), "", True)
         some = [
             k
             for k in found.ids.values()
@@ -87,6 +91,10 @@
             else:
                 click.echo(f"{_shown(known.last)}  {known.key[0]}/{known.key[1]}  {known.type}  {word}")
         if not as_json:
+            for record in records:
+                if isinstance(record, OutageEnded):
+                    since = _shown(record.failed_at)
+                    click.echo(f"{_shown(record.time)}  recovered, had failed since {since}: {record.cause}")
             click.echo(
                 f"{len(some)} ids, {len(found.orders)} load orders; the last life "
                 + ("ended in order" if found.in_order else "was cut short")
@@ -96,13 +104,14 @@
     @folder
     def verify(folder):
         """Reads everything: exit 0 if all is whole, else 1 and what is not."""
-        from petrelwood.store import state as store
+        from petrelwood.store import state_segments as store
+        from petrelwood.store.errors import StateUnreadableError
 
         wrong = []
         for _, _, path in store.segments(folder):
             try:
                 _, whole, why = store.scan(path)
-            except store.Refused as fault:
+            except StateUnreadableError as fault:
                 wrong.append(str(fault))
                 continue
             if why:
@@ -121,9 +130,9 @@
     def repair(folder):
         """Cuts segments where they end being whole, and puts aside what can't be read. No dispatcher may be
         running on it."""
-        from petrelwood.store import state as store
+        from petrelwood.store import state_segments as store
 
-        for path, size in store.repair(folder):
+        for path, size, _ in store.repair(folder):
             click.echo(f"{path}: {size} bytes " + ("put aside" if path.suffix == ".unreadable" else "cut"))
         click.echo("done")
 
@@ -132,10 +141,10 @@
     @click.option("--keep", default=1200.0, show_default=True, help="seconds that ids are remembered for")
     def compact(folder, keep):
         """Removes segments of which nothing is remembered any more. No dispatcher may be running on it."""
-        from petrelwood.store import state as store
+        from petrelwood.store import state_segments as store
 
         there = store.segments(folder)
-        lasts = {path: max((r[1] for r in read(path)[0]), default=0) for _, _, path in there}
+        lasts = {path: max((r.time for r in read(path)[0]), default=0) for _, _, path in there}
         newest, removed = max(lasts.values(), default=0), 0
         for _, _, path in there[:-1]:
             if lasts[path] < newest - keep * 1e9:
--- a/petrelwood/control/log_storage.py
+++ b/petrelwood/control/log_storage.py
@@ -6,6 +6,8 @@
 from petrelwood.control.errors import LogStorageError
 from petrelwood.decide.cluster.replicated_log import Replica
 from petrelwood.store import snapshot
+from petrelwood.store.errors import SnapshotError
+from petrelwood.store.files import Files
 
 KIND = "config-log"  # of the file
 VERSION = 1
@@ -15,9 +17,9 @@
 class LogStorage:
     """The log's file in a folder. `files`: what is done with files, for tests that make it fail."""
 
-    def __init__(self, folder: str | pathlib.Path, files: snapshot.Files | None = None) -> None:
+    def __init__(self, folder: str | pathlib.Path, files: Files | None = None) -> None:
         self.path = pathlib.Path(folder) / FILE
-        self._files = files or snapshot.Files()
+        self._files = files or Files()
 
     def open(self, new_after: int | None) -> Replica:
         """The replica that the folder holds; it does not vote if there is none, as the disk was lost.
@@ -28,7 +30,7 @@
             replica = self._read()
         except OSError as error:
             raise LogStorageError(f"{self.path} can't be read: {error.strerror}") from error
-        except (snapshot.Unreadable, ValueError, TypeError) as error:
+        except (SnapshotError, ValueError, TypeError) as error:
             raise LogStorageError(f"{self.path} can't be used: {error}") from error
         if new_after is None:
             return replica or Replica(votes_from=None)
--- a/petrelwood/decide/delivery/recovery.py
+++ b/petrelwood/decide/delivery/recovery.py
@@ -20,10 +20,15 @@
 
 from petrelwood import ports
 from petrelwood.decide.delivery.ledger import ABORTED, ELSEWHERE, RUNNING
+from petrelwood.decide.delivery.state_records import (
+    ActivationEnded,
+    ActivationTaken,
+    IncarnationEnded,
+    IncarnationStarted,
+    LoadOrdered,
+)
 
 SECOND = 1_000_000_000
-TAKE, END, ORDER, LIFE, CLOSE = "take", "end", "order", "life", "close"  # the kinds of `store.state`
-OUTAGE = "outage"  # the log had failed and was begun anew; it changes nothing of what was taken
 NEVER = -(1 << 60)  # so long ago that no window is open any more
 BACK = SECOND  # a wall clock this much behind the last record has gone back
 
@@ -79,21 +84,21 @@
 def _blocks(records, wall, boot):
     """The records by the clocks that stamped them."""
     name, epoch = _parsed(boot)
-    begins = [index for index, record in enumerate(records) if record[0] == LIFE]
+    begins = [index for index, record in enumerate(records) if isinstance(record, IncarnationStarted)]
     if not begins or begins[0]:
         begins.insert(0, 0)
     found, end, bound = [], len(records), wall
     for begin in reversed(begins):
         its_name, its_epoch = name, None
-        if begin < end and records[begin][0] == LIFE:
-            its_name, its_epoch = _parsed(records[begin][2])
+        if begin < end and isinstance(records[begin], IncarnationStarted):
+            its_name, its_epoch = _parsed(records[begin].boot)
         if its_name != name:
             found.append(_Block(begin, end, 0, bound))
         else:
             shift = epoch - its_epoch if epoch is not None and its_epoch is not None else 0
             found.append(_Block(begin, end, shift, None))
             if begin < end:
-                bound = min(bound, records[begin][1] + shift)
+                bound = min(bound, records[begin].time + shift)
         end = begin
     return reversed(found)
 
@@ -103,51 +108,56 @@
     newest = 0
     for block in _blocks(records, wall, boot):
         for record in records[block.begin : block.end]:
-            newest = max(newest, record[1] + block.shift if block.youngest is None else block.youngest)
+            newest = max(newest, record.time + block.shift if block.youngest is None else block.youngest)
     return max(0, wall - newest)
 
 
 def replay(records, wall, boot, durable):
-    """`records` as `store.state` has them, `boot` the mark of the machine's present start, `durable` whether
+    """`records` of the state log, `boot` the mark of the machine's present start, `durable` whether
     each was on the disk before its effect went out."""
     ids, orders, began, last, closed, boots = {}, [], None, 0, True, set()
     epoch, running, epochs = None, set(), []
     for block in _blocks(records, wall, boot):
         for record in records[block.begin : block.end]:
-            kind, written = record[0], record[1]
+            written = record.time
             at = written + block.shift if block.youngest is None else block.youngest
-            last, closed = max(last, at), kind == CLOSE
-            if kind == LIFE:
-                name, its_epoch = _parsed(record[2])
+            last, closed = max(last, at), isinstance(record, IncarnationEnded)
+            if isinstance(record, IncarnationStarted):
+                name, its_epoch = _parsed(record.boot)
                 boots.add(name)
                 if block.youngest is None and its_epoch is not None:
                     epochs.append(its_epoch)
                 # another life: what the one before left open stays open
-                if record[3] != epoch:
-                    epoch = record[3]
+                if record.epoch != epoch:
+                    epoch = record.epoch
                     for key in running:
                         ids[key].outcome, ids[key].sent = ABORTED, True
                     running = set()
                 began = written if began is None else began
-            elif kind == TAKE:
-                _, _, customer, id_, stamp, type_ = record
-                key = (customer, id_)
+            elif isinstance(record, ActivationTaken):
+                key = (record.customer, record.id)
                 old = ids.get(key)
                 first = at if block.youngest is None else NEVER
                 if old and old.sent:
                     first = old.first
                 ids[key] = PastActivation(
-                    key, stamp, stamp - written, type_, first, at, old.sent if old else False
+                    key,
+                    record.timestamp,
+                    record.timestamp - written,
+                    record.type,
+                    first,
+                    at,
+                    old.sent if old else False,
                 )
                 running.add(key)
-            elif kind == END:
-                _, _, customer, id_, outcome, sent, body = record
-                old = ids.get((customer, id_))
+            elif isinstance(record, ActivationEnded):
+                old = ids.get((record.customer, record.id))
                 if old is not None:
-                    old.outcome, old.sent, old.body, old.last = outcome, old.sent or sent, body, at
+                    old.outcome, old.sent = record.outcome, old.sent or record.sent
+                    old.body, old.last = record.body, at
                     running.discard(old.key)
-            elif kind == ORDER:
-                orders += [at] * record[4]
+            elif isinstance(record, LoadOrdered):
+                orders += [at] * record.copies
     name, its_epoch = _parsed(boot)
     same = boots <= {name}
     least = None if its_epoch is None else min([its_epoch, *epochs])
--- /dev/null
+++ b/petrelwood/decide/delivery/state_records.py
@@ -0,0 +1,64 @@
+"""The records of the state log: what an incarnation of a dispatcher tells the next one.
+
+How they are stored is known to `store.state_codec` alone. `time` is the wall-clock time in ns at which a
+record was made, without the steps of that clock since the incarnation began.
+"""
+
+from typing import NamedTuple
+
+
+class IncarnationStarted(NamedTuple):
+    """An incarnation begins a segment of its own; the first record of each segment."""
+
+    time: int
+    boot: str  # the mark of the machine's start, see `recovery.boot_mark`
+    epoch: int  # the number of the incarnation
+    format: int  # of the segment
+
+
+class ActivationTaken(NamedTuple):
+    """An activation is taken; recorded before its first send where it must not run twice."""
+
+    time: int
+    customer: str
+    id: str
+    timestamp: int  # the sender's wall clock
+    type: str  # namespace type
+
+
+class ActivationEnded(NamedTuple):
+    """An activation has its outcome."""
+
+    time: int
+    customer: str
+    id: str
+    outcome: str  # of `ledger`
+    sent: bool  # whether it may have run
+    body: bytes | None  # the answer, where it is short
+
+
+class LoadOrdered(NamedTuple):
+    """A load order is about to go out."""
+
+    time: int
+    worker: str
+    function: str
+    copies: int
+
+
+class IncarnationEnded(NamedTuple):
+    """The process ended in order, with nothing in flight."""
+
+    time: int
+
+
+class OutageEnded(NamedTuple):
+    """The log had failed, and holds all again that is remembered."""
+
+    time: int
+    failed_at: int
+    cause: str
+    attempts: int
+
+
+Record = IncarnationStarted | ActivationTaken | ActivationEnded | LoadOrdered | IncarnationEnded | OutageEnded
--- a/petrelwood/decide/delivery/state_rewrite.py
+++ b/petrelwood/decide/delivery/state_rewrite.py
@@ -14,7 +14,13 @@
 from petrelwood import ports
 from petrelwood.decide.delivery.ledger import ABORTED, RUNNING, Entry
 from petrelwood.decide.delivery.ledger import ELSEWHERE as RUNNING_ELSEWHERE
-from petrelwood.decide.delivery.recovery import END, ORDER, OUTAGE, TAKE
+from petrelwood.decide.delivery.state_records import (
+    ActivationEnded,
+    ActivationTaken,
+    LoadOrdered,
+    OutageEnded,
+    Record,
+)
 from petrelwood.decide.overload.backoff import Backoff
 
 MILLISECOND = 1_000_000
@@ -23,8 +29,6 @@
 LONGEST_DELAY = 10 * SECOND
 STABLE_AFTER = 60 * SECOND  # the log must hold so long before the delays begin at the first again
 
-Record = tuple[object, ...]
-
 
 class RecoverySchedule:
     """When a failed log is attempted again, and the history of its outage.
@@ -65,7 +69,7 @@
     def outage_record(self, now: int, wall: int) -> Record:
         """The outage, as the recovered log keeps it. The time at which it began is a span before now."""
         assert self.failed_at is not None
-        return (OUTAGE, wall, wall - (now - self.failed_at), self.cause, self.attempts)
+        return OutageEnded(wall, wall - (now - self.failed_at), self.cause, self.attempts)
 
     def recovered(self, now: int) -> int:
         """Ends the outage; how long it lasted."""
@@ -93,7 +97,7 @@
         """The orders as records of the state log."""
         self._prune(now)
         for at, worker, function, copies in self.orders:
-            yield (ORDER, wall - (now - at), worker, function, copies)
+            yield LoadOrdered(wall - (now - at), worker, function, copies)
 
     def _prune(self, now: int) -> None:
         while self.orders and now - self.orders[0][0] >= self.period:
@@ -111,13 +115,13 @@
     first = max(0, wall - (now - entry.first))
     # nothing from ahead of the clock; where the stamp keeps an id for longer, it is in the record too
     last = min(wall, max(first, wall - (now - (entry.until - remember[entry.type]))))
-    yield (TAKE, first, *key, entry.stamp, entry.type)
+    yield ActivationTaken(first, *key, entry.stamp, entry.type)
     if entry.state not in (RUNNING, RUNNING_ELSEWHERE):
         body = entry.body if entry.body is not None and len(entry.body) <= longest_body else None
-        yield (END, last, *key, entry.state, entry.sent, body)
+        yield ActivationEnded(last, *key, entry.state, entry.sent, body)
     elif entry.sent:
-        yield (END, last, *key, ABORTED, True, None)
-        yield (TAKE, last, *key, entry.stamp, entry.type)
+        yield ActivationEnded(last, *key, ABORTED, True, None)
+        yield ActivationTaken(last, *key, entry.stamp, entry.type)
 
 
 def forgotten_record(
@@ -134,5 +138,6 @@
     """
     for name, type_ in types.items():
         if newest_forgotten and type_.effect != ports.REPEATABLE:
-            return (TAKE, max(0, wall - remember[name] - 4 * tolerance), "", "", newest_forgotten, name)
+            old = max(0, wall - remember[name] - 4 * tolerance)
+            return ActivationTaken(old, "", "", newest_forgotten, name)
     return None
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -18,6 +18,7 @@
 from petrelwood.decide.delivery import recovery
 from petrelwood.decide.delivery.ledger import ABORTED, COMPLETED, LEFT, REJECTED, Ledger
 from petrelwood.decide.delivery.pending import PendingActivations
+from petrelwood.decide.delivery.state_records import ActivationEnded, ActivationTaken, LoadOrdered
 from petrelwood.decide.forecasting.forecast import Calendar
 from petrelwood.decide.forecasting.planner import Prices
 from petrelwood.decide.forecasting.prefetch import EarlyLoads
@@ -104,7 +105,8 @@
 
     # What an earlier life left, and what is kept of this one.
     def adopt(self, state, elsewhere=False):
-        """Goes on from what earlier lives left. `state` as `store.state.StateLog`: `found`, `add`, `flush`,
+        """Goes on from what earlier lives left. `state` as `store.state_log.StateLog`: `found`, `add`,
+        `flush`,
         `stopped`, `durability`, `boot`. `elsewhere`: the life before still finishes what it took."""
         now, wall, self.state = self.now(), self.record_time(), state
         found = recovery.replay(self.state.found, wall, self.state.boot, self.state.durability == "machine")
@@ -160,14 +162,14 @@
     def resume_admitting(self):
         """The successor has failed: what it admitted is read from its log, and this process admits again."""
         if self.state is not None:
-            self.state.renew(self.record_time())
+            self.state.take_over_again(self.record_time())
             self.adopt(self.state)
         self.intake.closing, self.retired, self.on_activation_end = False, False, None
 
     def note_predecessor_outcome(self, customer, id_, outcome, sent, body):
         """The predecessor has finished an activation that it had in flight."""
         if self.ledger.heard((customer, id_), outcome, sent, body) and self.state is not None:
-            self.state.add(recovery.END, self.record_time(), customer, id_, outcome, sent, body)
+            self.state.add(ActivationEnded(self.record_time(), customer, id_, outcome, sent, body))
 
     def predecessor_gone(self):
         """The predecessor has ended: the outcomes that it did not send are not known."""
@@ -179,9 +181,8 @@
     def _keep(self, act):
         """Notes a new activation; whether it may be told to the module at once. What must not run twice waits
         until its id is kept, and is turned away where it can't be."""
-        self.state.add(
-            recovery.TAKE, self.record_time(), *act.key, self.ledger.entries[act.key].stamp, act.type
-        )
+        stamp = self.ledger.entries[act.key].stamp
+        self.state.add(ActivationTaken(self.record_time(), *act.key, stamp, act.type))
         if not recovery.kept_first(self.terms.types[act.type].effect):
             return True
         if self.state.durability == "machine":
@@ -227,7 +228,7 @@
         if self.on_activation_end is not None:
             self.on_activation_end(*act.key, outcome, act.sends > 0, kept)
         if self.state is not None:
-            self.state.add(recovery.END, self.record_time(), *act.key, outcome, act.sends > 0, kept)
+            self.state.add(ActivationEnded(self.record_time(), *act.key, outcome, act.sends > 0, kept))
 
     def _begin_early(self, terms):
         calendar = Calendar(terms.slot, terms.season, terms.week, terms.events)
@@ -261,7 +262,7 @@
             )
             self.storm_changed(name, on)
         if self.state is not None:
-            self.state.tend(self.record_time())
+            self.state.check(self.record_time())
             self.state_recovery.check()
         self.clock.at(self.now() + LOOK, self._look)
 
@@ -591,7 +592,7 @@
         before."""
         if self.state is None:
             return True
-        self.state.add(recovery.ORDER, self.record_time(), worker, fn, copies)
+        self.state.add(LoadOrdered(self.record_time(), worker, fn, copies))
         if not self.state.flush():
             return False
         self.state_recovery.recent_orders.add(self.now(), worker, fn, copies)
--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -14,8 +14,9 @@
 from petrelwood.links.worker import WorkerLink
 from petrelwood.store import snapshot
 from petrelwood.store.ends import Ends
+from petrelwood.store.errors import SnapshotError
 from petrelwood.store.history import History
-from petrelwood.store.state import StateLog
+from petrelwood.store.state_log import StateLog
 
 CHECK = 0.05  # seconds between looks at links and lines that are not at rest
 LEARNT = 20  # functions whose forecasts are learnt at each look: about a twentieth of a core
@@ -81,7 +82,7 @@
         self.loop.run_in_executor(None, self.state.sync_task()).add_done_callback(ended)
 
     def open_state(self, elsewhere=False):
-        """Raises `store.state.Refused` where the folder holds what this build can't read."""
+        """Raises `store.errors.StateUnreadableError` where the folder holds what this build can't read."""
         terms, longest = self.gateway.state, max(self.gateway.remember.values()) + 2 * self.gateway.tolerance
         if terms is None:
             return
@@ -117,7 +118,7 @@
         self.dump_at = self.now() + KEPT * self.gateway.early.slot
         try:
             found = snapshot.read(self.forecast_file, FORECAST, VERSION)
-        except (snapshot.Unreadable, OSError) as fault:
+        except (SnapshotError, OSError) as fault:
             self.log.warning("forecasts are learnt anew", why=f"{self.forecast_file}: {fault}")
             return
         if found is not None:
--- a/petrelwood/dispatch/handover/predecessor.py
+++ b/petrelwood/dispatch/handover/predecessor.py
@@ -33,7 +33,7 @@
 )
 from petrelwood.dispatch.interfaces import Logger
 from petrelwood.links.local import Bound
-from petrelwood.store import state as store
+from petrelwood.store.state_segments import PLAIN_FORMAT
 
 if TYPE_CHECKING:
     from petrelwood.dispatch.dispatcher import Dispatcher
@@ -148,7 +148,7 @@
         is_busy = self.machine.is_busy()
         state = self.core.state
         # what the successor must read: the newest format that stands in the folder
-        state_format = store.PLAIN_FORMAT if state is None else state.format
+        state_format = PLAIN_FORMAT if state is None else state.format
         return handover.rejection_reason(hello.request, self.core.name, state_format, is_busy)
 
     async def _handle(self, channel: Channel, message: Message) -> None:
--- a/petrelwood/dispatch/handover/successor.py
+++ b/petrelwood/dispatch/handover/successor.py
@@ -31,7 +31,7 @@
     TakenBack,
 )
 from petrelwood.dispatch.interfaces import Logger
-from petrelwood.store import state as store
+from petrelwood.store.state_segments import NEWEST_FORMAT, OLDEST_FORMAT
 
 if TYPE_CHECKING:
     from petrelwood.dispatch.dispatcher import Dispatcher
@@ -67,7 +67,7 @@
     async def request(self, now: int) -> None:
         """Greets the predecessor and takes its listeners. Raises `HandoverError`."""
         self.connection = Channel(self._connect(), self.loop)
-        formats = (store.OLDEST, store.FORMAT)
+        formats = (OLDEST_FORMAT, NEWEST_FORMAT)
         request = TakeoverRequest(self.name, handover.PROTOCOL_VERSION, formats, os.getpid())
         await self.channel.send(Hello(request))
         try:
--- a/petrelwood/dispatch/serve.py
+++ b/petrelwood/dispatch/serve.py
@@ -28,7 +28,7 @@
 from petrelwood.fronts.webhook import Webhooks
 from petrelwood.settings.document import BadFile
 from petrelwood.settings.gateway import Gateway
-from petrelwood.store import state
+from petrelwood.store.errors import StateUnreadableError
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +87,7 @@
         self._handle_signals()
         try:
             await self._serve(stalls)
-        except (HandoverError, state.Refused) as fault:
+        except (HandoverError, StateUnreadableError) as fault:
             self.failed = str(fault)
             if self.successor is not None:
                 self.successor.close()
@@ -261,7 +261,7 @@
     """
     try:
         failed = asyncio.run(_serve(gateway, log, options or ServeOptions()))
-    except state.Refused as fault:
+    except StateUnreadableError as fault:
         failed = f"{fault}; see `petrelwood state verify` and `repair`"
     except OSError as fault:
         failed = f"can't listen on {gateway.listen[0]}:{gateway.listen[1]}: {fault.strerror}"
--- a/petrelwood/dispatch/state_recovery.py
+++ b/petrelwood/dispatch/state_recovery.py
@@ -1,8 +1,9 @@
 """Begins the state log anew after its disk failed, a slice at a time, so that the loop is never blocked.
 
 What is decided (when, and what is written) is in `decide.delivery.state_rewrite`; what a segment is, in
-`store.state`. While this goes on, records of what ends or begins meanwhile are added to the new segment like
-any others: an entry of the ledger is written as it stands when its turn comes, so the two never disagree.
+`store.state_segments`. While this goes on, records of what ends or begins meanwhile are added to the new
+segment like any others: an entry of the ledger is written as it stands when its turn comes, so the two never
+disagree.
 """
 
 from collections.abc import Iterator
@@ -86,7 +87,7 @@
             core.gateway.tolerance,
         )
         if forgotten is not None:
-            core.state.add(*forgotten)
+            core.state.add(forgotten)
         core.submit(self._write_slice)
 
     def _write_slice(self) -> None:
@@ -99,14 +100,14 @@
             if entry is None:
                 continue
             for record in entry_records(key, entry, now, wall, core.gateway.remember, LONGEST_BODY):
-                core.state.add(*record)
+                core.state.add(record)
         if keys:
             core.state.flush()
             core.clock.at(now + PAUSE, core.submit, self._write_slice)
             return
         for record in self.recent_orders.records(now, wall):
-            core.state.add(*record)
-        core.state.add(*self.schedule.outage_record(now, wall))
+            core.state.add(record)
+        core.state.add(self.schedule.outage_record(now, wall))
         core.state.flush()
         core.sync_state(self._synced)
 
--- a/petrelwood/lab/walk.py
+++ b/petrelwood/lab/walk.py
@@ -17,6 +17,7 @@
 
 from petrelwood import ports
 from petrelwood.decide.delivery import ledger, recovery
+from petrelwood.decide.delivery.state_records import ActivationEnded, ActivationTaken, IncarnationStarted
 
 SECOND = 1_000_000_000
 TOLERANCE = 300 * SECOND
@@ -80,7 +81,7 @@
     def kept(self):
         """Whether the record of what was taken is where the durability wants it."""
         there = self.disk if self.durability == "machine" else self.disk + self.system
-        return any(r[0] == recovery.TAKE and r[4] == self.taken_stamp for r in there)
+        return any(isinstance(r, ActivationTaken) and r.timestamp == self.taken_stamp for r in there)
 
     def may_send(self):
         return self.flaw in ("no log", "late log") or not recovery.kept_first(self.effect) or self.kept()
@@ -102,9 +103,9 @@
         found.remove((kind, *map(int, mark.split("."))))
         return tuple(found)
 
-    def note(self, *record):
+    def note(self, record):
         if self.flaw != "no log":
-            self.waiting += (list(record),)
+            self.waiting += (record,)
 
     def start(self):
         self.life, self.alive = self.life + 1, True
@@ -118,7 +119,7 @@
         if records and self.flaw != "no log":
             found = recovery.replay(records, wall, str(self.boot), self.durability == "machine")
             recovery.fill(self.ledger, found, self.now, wall, types, {"t": 2 * TOLERANCE}, TOLERANCE)
-        self.system += ([recovery.LIFE, wall, str(self.boot), self.life, 1],)
+        self.system += (IncarnationStarted(wall, str(self.boot), self.life, 1),)
         self.taken, self.sent = None, False
 
     def ask(self):
@@ -140,7 +141,7 @@
             self.tries += 1
             self.taken, self.taken_stamp, self.sent, entry.act = self.tries, stamp, False, "a"
             if recovery.kept_first(self.effect):
-                self.note(recovery.TAKE, self.now, *KEY, stamp, "t")
+                self.note(ActivationTaken(self.now, *KEY, stamp, "t"))
         elif verdict == ledger.AGAIN and not self.runs:
             self.broken = "told to be completed, and never ran"
 
@@ -179,7 +180,7 @@
         self.answered += ((self.life, self.taken),)
         self.ledger.ended(KEY, outcome, body, sent)
         if recovery.kept_first(self.effect):
-            self.note(recovery.END, self.now, *KEY, outcome, sent, body)
+            self.note(ActivationEnded(self.now, *KEY, outcome, sent, body))
         self.taken, self.sent = None, False
 
     def kill(self):
@@ -196,7 +197,7 @@
         entry = self.ledger.entries.get(KEY) if self.ledger is not None else None
         known = (entry.state, entry.stamp, entry.sent, entry.body) if entry else None
         records = tuple(
-            tuple((r[0], *r[2:]) for r in part) for part in (self.disk, self.system, self.waiting)
+            tuple((type(r).__name__, *r[1:]) for r in part) for part in (self.disk, self.system, self.waiting)
         )
         return (
             self.stamp,
--- a/petrelwood/store/ends.py
+++ b/petrelwood/store/ends.py
@@ -10,7 +10,10 @@
 import msgpack
 
 from petrelwood.decide.overload.backoff import Backoff
-from petrelwood.store import tail
+from petrelwood.store import append_log
+from petrelwood.store.append_log import AppendLog
+from petrelwood.store.errors import LogFormatError, LogWriteError
+from petrelwood.store.files import Files
 
 FIRST_DELAY = 5_000_000_000  # ns after a fault until it begins anew; doubled up to the longest
 LONGEST_DELAY = 300_000_000_000
@@ -26,15 +29,15 @@
         self.path, self.most, self.files, self.stopped = (
             pathlib.Path(folder) / "early.log",
             most,
-            files or tail.Files(),
+            files or Files(),
             None,
         )
         self.log = None
         try:
             self.path.parent.mkdir(parents=True, exist_ok=True)
-            self.log = tail.Log(self.path, self.files, most)
-            self.log.records = []
-        except (tail.Failed, tail.Refused, OSError) as fault:
+            self.log = AppendLog(self.path, self.files, most)
+            self.log.payloads = []
+        except (LogWriteError, LogFormatError, OSError) as fault:
             self._stop(fault)
 
     def _stop(self, fault):
@@ -49,7 +52,7 @@
             self.files.replace(str(self.path), str(self.path.with_name("early-old.log")))
         except FileNotFoundError:
             pass
-        self.log = tail.Log(self.path, self.files, self.most)
+        self.log = AppendLog(self.path, self.files, self.most)
 
     def note(self, *row):
         """A row in the order of `FIELDS`."""
@@ -60,7 +63,7 @@
                 self.log.sync()
                 self._begin()
                 self.log.append(msgpack.packb(row))
-        except (tail.Failed, tail.Refused, OSError) as fault:
+        except (LogWriteError, LogFormatError, OSError) as fault:
             self._stop(fault)
 
     def flush(self):
@@ -72,14 +75,14 @@
                 self._begin()
                 self.stopped = None
                 self.backoff.succeeded()
-        except (tail.Failed, tail.Refused, OSError) as fault:
+        except (LogWriteError, LogFormatError, OSError) as fault:
             self._stop(fault)
 
     def close(self):
         if self.log is not None:
             try:
                 self.log.close()
-            except (tail.Failed, OSError) as fault:
+            except (LogWriteError, OSError) as fault:
                 self.stopped = self.stopped or str(fault)
 
 
@@ -89,7 +92,7 @@
     for name in ("early-old.log", "early.log"):
         path = pathlib.Path(folder) / name
         if path.exists():
-            for record in tail.scan(path.read_bytes())[0]:
+            for record in append_log.scan(path.read_bytes())[0]:
                 row = msgpack.unpackb(record)
                 if len(row) == len(FIELDS):
                     rows.append(dict(zip(FIELDS, row, strict=True)))
--- a/petrelwood/store/history.py
+++ b/petrelwood/store/history.py
@@ -1,9 +1,9 @@
 """The history of use: what was called, when, cold or warm, how long it waited. Columns, by day, compressed.
 
-Rows are noted in memory and written to a tail (`store.tail`) in groups; when a group of `ROLL` rows or a new
-day is full, a Parquet file of it is written beside, renamed, and only then the tail begins anew. So a kill at
-any byte loses no more than what was noted since the last flush, and what was dropped is said. A file that is
-renamed while its tail still stands is known by the tail's number, so no row counts twice.
+Rows are noted in memory and written to a tail (`store.append_log`) in groups; when a group of `ROLL` rows or
+a new day is full, a Parquet file of it is written beside, renamed, and only then the tail begins anew. So a
+kill at any byte loses no more than what was noted since the last flush, and what was dropped is said. A file
+that is renamed while its tail still stands is known by the tail's number, so no row counts twice.
 
 A full or failing disk stops the history, never the dispatching: `stopped` tells why. The failed tail is given
 up, as nobody can tell what of it is on the disk; its rows stand in memory, and what is noted meanwhile beside
@@ -18,7 +18,10 @@
 import pyarrow.parquet
 
 from petrelwood.decide.overload.backoff import Backoff
-from petrelwood.store import tail
+from petrelwood.store import append_log
+from petrelwood.store.append_log import AppendLog
+from petrelwood.store.errors import LogFormatError, LogWriteError
+from petrelwood.store.files import Files
 
 FIRST_DELAY = (
     5_000_000_000  # ns after a fault until the history is attempted again; doubled up to the longest
@@ -62,14 +65,14 @@
             pathlib.Path(folder),
             most,
             keep,
-            files or tail.Files(),
+            files or Files(),
         )
         self.group, self.roll, self.stopped, self.names, self.rows = group, roll, None, {}, []
         self.dropped, self.lost, self.noted, self.log, self.since = 0, 0, 0, None, 0
         self.number, self.opened, self.unremoved = 0, False, []
         try:
             self._open()
-        except (tail.Failed, tail.Refused, OSError) as fault:
+        except (LogWriteError, LogFormatError, OSError) as fault:
             self._stop(fault)
 
     def _stop(self, fault):
@@ -91,7 +94,7 @@
             else:
                 self.log.abandon()
                 self._seal_rows()
-        except (tail.Failed, tail.Refused, OSError) as fault:
+        except (LogWriteError, LogFormatError, OSError) as fault:
             self._stop(fault)
             return
         self.stopped = None
@@ -114,13 +117,13 @@
             if number == self.number and number not in {n for n, _ in done}:
                 continue  # the one that goes on
             # a seal that a kill has cut short: it is finished
-            _, rows = replayed(tail.scan(path.read_bytes())[0])
+            _, rows = replayed(append_log.scan(path.read_bytes())[0])
             self._write_days([r for r in rows if (number, day_of(r[0])) not in done], number)
             self.files.remove(str(path))
             self.number = max(self.number, number + 1)
-        self.log = tail.Log(self.folder / f"tail-{self.number:08d}.log", self.files)
-        self.dropped = self.log.dropped
-        self.names, self.rows = replayed(self.log.records)
+        self.log = AppendLog(self.folder / f"tail-{self.number:08d}.log", self.files)
+        self.dropped = self.log.dropped_size
+        self.names, self.rows = replayed(self.log.payloads)
         self.opened = True
 
     def _name(self, text):
@@ -168,14 +171,14 @@
                     for row in self.rows[-self.since :]
                 )
                 if not self.log.append(b"r" + packed):
-                    raise tail.Failed("the tail is full")
+                    raise LogWriteError("the tail is full")
                 self.log.flush()
                 self.since = 0
             if sync:
                 self.log.sync()
             if len(self.rows) >= self.roll or len(self.names) > 60_000:
                 self.seal()
-        except (tail.Failed, OSError) as fault:
+        except (LogWriteError, OSError) as fault:
             self._stop(fault)
 
     def seal(self):
@@ -193,7 +196,7 @@
         self.number += 1
         path = self.folder / f"tail-{self.number:08d}.log"
         self.unremoved.append(path)  # unless it can be begun
-        self.log = tail.Log(path, self.files)
+        self.log = AppendLog(path, self.files)
         self.unremoved.remove(path)
         old.abandon()
         self.unremoved.append(old.path)
@@ -264,7 +267,7 @@
                 self.log.close()
             elif self.log is not None:
                 self.log.abandon()
-        except (tail.Failed, OSError) as fault:
+        except (LogWriteError, OSError) as fault:
             self._stop(fault)
 
 
@@ -301,7 +304,7 @@
     done = sealed(folder)
     for path in sorted(folder.glob("tail-*.log")):
         number = int(path.stem.split("-")[1])
-        _, rows = replayed(tail.scan(path.read_bytes())[0])
+        _, rows = replayed(append_log.scan(path.read_bytes())[0])
         rows = [r for r in rows if since <= r[0] < until and (number, day_of(r[0])) not in done]
         tables.append(
             pyarrow.table(
@@ -329,8 +332,8 @@
             wrong.append(f"{path}: holds rows of {', '.join(sorted(days))}")
     for path in sorted(pathlib.Path(folder).glob("tail-*.log")):
         try:
-            _, whole, why = tail.scan(path.read_bytes())
-        except tail.Refused as fault:
+            _, whole, why = append_log.scan(path.read_bytes())
+        except LogFormatError as fault:
             wrong.append(f"{path}: {fault}")
             continue
         if why:
--- /dev/null
+++ b/petrelwood/store/state_segments.py
@@ -0,0 +1,118 @@
+"""The segments of the state log: files of records that follow each other.
+
+    folder/state-EPOCH-NUMBER.log
+
+Each is a `store.append_log`, whose records `store.state_codec` knows. The first record of a segment is
+`IncarnationStarted`, with the segment's format. Only segments begun after an outage have `OUTAGE_FORMAT`:
+builds that know no outages go on reading all others.
+"""
+
+import os
+import pathlib
+from typing import NamedTuple
+
+from petrelwood.decide.delivery.state_records import IncarnationStarted, Record
+from petrelwood.store import append_log
+from petrelwood.store.errors import LogFormatError, RecordError, StateUnreadableError
+from petrelwood.store.state_codec import decode
+
+PLAIN_FORMAT = 1
+OUTAGE_FORMAT = 2
+OLDEST_FORMAT = PLAIN_FORMAT
+NEWEST_FORMAT = OUTAGE_FORMAT
+
+Folder = str | os.PathLike[str]
+
+
+class Segment(NamedTuple):
+    """One file; they sort in the order in which they were written."""
+
+    epoch: int
+    number: int
+    path: pathlib.Path
+
+
+class SegmentScan(NamedTuple):
+    """What a segment holds."""
+
+    records: list[Record]
+    valid_size: int  # bytes up to the end of the last whole record
+    damage: str | None  # why it ends there, where bytes follow
+
+    @property
+    def format(self) -> int:
+        """The segment's format."""
+        first = self.records[0] if self.records else None
+        return first.format if isinstance(first, IncarnationStarted) else PLAIN_FORMAT
+
+
+class Damage(NamedTuple):
+    """What a segment has after its last whole record, or all of it where it is no segment."""
+
+    path: pathlib.Path
+    size: int
+    reason: str
+
+
+def segment_path(folder: pathlib.Path, epoch: int, number: int) -> pathlib.Path:
+    """Where a segment stands."""
+    return folder / f"state-{epoch:06d}-{number:08d}.log"
+
+
+def segments(folder: Folder) -> list[Segment]:
+    """All segments, in the order in which they were written."""
+    found = []
+    for path in pathlib.Path(folder).glob("state-*-*.log"):
+        _, epoch, *rest = path.stem.split("-")
+        if len(rest) == 1 and epoch.isdigit() and rest[0].isdigit():
+            found.append(Segment(int(epoch), int(rest[0]), path))
+    return sorted(found)
+
+
+def scan(path: pathlib.Path) -> SegmentScan:
+    """Reads one segment. Raises `StateUnreadableError`."""
+    try:
+        payloads, valid_size, damage = append_log.scan(path.read_bytes())
+        found = SegmentScan([decode(payload) for payload in payloads], valid_size, damage)
+    except (LogFormatError, RecordError) as error:
+        raise StateUnreadableError(f"{path}: {error}") from error
+    except OSError as error:
+        raise StateUnreadableError(f"{path} can't be read: {error.strerror or error}") from error
+    if not OLDEST_FORMAT <= found.format <= NEWEST_FORMAT:
+        known = f"this build reads {OLDEST_FORMAT} to {NEWEST_FORMAT}"
+        raise StateUnreadableError(f"{path}: its format is {found.format}; {known}")
+    return found
+
+
+def read(folder: Folder) -> tuple[list[Record], list[Damage]]:
+    """The records of all segments in order, and what of them is not whole. Raises `StateUnreadableError`."""
+    records: list[Record] = []
+    damages = []
+    for segment in segments(folder):
+        found = scan(segment.path)
+        records += found.records
+        if found.damage:
+            size = segment.path.stat().st_size - found.valid_size
+            damages.append(Damage(segment.path, size, found.damage))
+    return records, damages
+
+
+def repair(folder: Folder) -> list[Damage]:
+    """Cuts each segment after its last whole record, and puts aside what is no segment.
+
+    No dispatcher may be writing. Returns what was cut or put aside, with its new path.
+    """
+    repaired = []
+    for segment in segments(folder):
+        data = segment.path.read_bytes()
+        try:
+            _, valid_size, damage = append_log.scan(data)
+        except LogFormatError as error:
+            aside = segment.path.with_suffix(".unreadable")
+            segment.path.rename(aside)
+            repaired.append(Damage(aside, len(data), str(error)))
+            continue
+        if damage:
+            os.truncate(segment.path, valid_size)
+            repaired.append(Damage(segment.path, len(data) - valid_size, damage))
+    return repaired
--- a/petrelwood/store/versions.py
+++ b/petrelwood/store/versions.py
@@ -9,13 +9,15 @@
 position that says so: after a fall of the machine nothing that was read is missing.
 """
 
+import contextlib
 import json
 import os
 import pathlib
 
 from petrelwood.decide.cluster.rollout import Announced
 from petrelwood.store.errors import VersionUnreadableError
-from petrelwood.store.snapshot import Files, put
+from petrelwood.store.files import Files
+from petrelwood.store.snapshot import put
 
 POSITION = "position"
 MOST_VERSIONS = 16  # that stay in a folder that the configuration servers fill
@@ -80,10 +82,8 @@
 
 def _remove(path: pathlib.Path, files: Files) -> None:
     """What can't be removed now is removed with a later version: it only takes room."""
-    try:
+    with contextlib.suppress(OSError):
         files.remove(str(path))
-    except OSError:
-        pass
 
 
 def position(folder: Folder) -> int:
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -25,6 +25,10 @@
 from petrelwood.decide.cluster.version_watch import VersionWatch
 from petrelwood.decide.delivery import ledger as ids
 from petrelwood.decide.delivery import recovery
+from petrelwood.decide.delivery.state_records import (
+    ActivationTaken,
+    LoadOrdered,
+)
 from petrelwood.decide.forecasting.forecast import Calendar, Forecast
 from petrelwood.decide.wall_clock import FOLLOWED, UnsteppedWallClock
 from petrelwood.dispatch.rollout import VersionRollout, VersionSource
@@ -32,7 +36,7 @@
 from petrelwood.emulate import script
 from petrelwood.emulate.platform import Platform
 from petrelwood.store import versions
-from petrelwood.store.state import StateLog
+from petrelwood.store.state_log import StateLog
 
 S, MS = 1_000_000_000, 1_000_000
 HOUR, WALL = 3600 * S, 1_700_000_000 * S
@@ -310,10 +314,10 @@
         """Writes one id of each type that may have run, and four orders a second apart."""
         log = self.log(0)
         for type_ in TYPES:
-            log.add(recovery.TAKE, self.now + WALL, "x", type_, self.now + WALL, type_)
+            log.add(ActivationTaken(self.now + WALL, "x", type_, self.now + WALL, type_))
         for second in range(4):
             self.now = LATE + second * S
-            log.add(recovery.ORDER, self.now + WALL, "w1", "f", 1)
+            log.add(LoadOrdered(self.now + WALL, "w1", "f", 1))
         log.flush()
 
     def second_life(self, after, step, **how):
@@ -363,7 +367,7 @@
             self.now += S
             second = self.log(step, machine)
             self.now += S
-            second.roll(self.now + self.epoch)
+            second.begin_next_segment(self.now + self.epoch)
             _, ledger, _ = self.second_life(S, step, machine=machine)
             self.assertIn(("x", ONCE), ledger.entries, (step, machine))
 
@@ -390,7 +394,7 @@
     def test_a_log_of_a_build_that_kept_no_offset_is_read_by_the_wall_clock(self):
         self.folder.mkdir(exist_ok=True)
         log = StateLog(self.folder, WALL + self.now, "b1", HOUR)
-        log.add(recovery.TAKE, WALL + self.now, "x", ONCE, WALL + self.now, ONCE)
+        log.add(ActivationTaken(WALL + self.now, "x", ONCE, WALL + self.now, ONCE))
         log.flush()
         for after, remembered in ((REMEMBERED - S, True), (2 * S, False)):
             found, ledger, _ = self.second_life(after, 0)
--- a/tests/test_configuration_disk.py
+++ b/tests/test_configuration_disk.py
@@ -36,6 +36,7 @@
 from petrelwood.emulate.configuration_servers import SECOND, World
 from petrelwood.links.rpc_client import RpcClient, RpcError
 from petrelwood.store import snapshot
+from petrelwood.store.files import Files
 
 SEEDS = 24
 CALLS = ("open", "write", "sync", "close", "replace", "sync_folder")
@@ -46,7 +47,7 @@
     """The process ends here."""
 
 
-class FailingFiles(snapshot.Files):
+class FailingFiles(Files):
     """Files of which one call fails, so many times; None: until `failing` is None. Writes are short.
 
     `kill_after`: bytes after which the process is killed in the midst of a write.
@@ -62,9 +63,9 @@
             self.failed += 1
             raise OSError(self.number, os.strerror(self.number))
 
-    def open(self, path):
+    def create(self, path, mode=0o600):
         self._call("open")
-        return super().open(path)
+        return super().create(path, mode)
 
     def write(self, handle, data):
         if self.kill_after is not None:
@@ -131,7 +132,7 @@
 
     def begun(self):
         """A log in which slot 1 is promised and accepted and which a restart finds."""
-        durable = self.durable(snapshot.Files(), 0)
+        durable = self.durable(Files(), 0)
         self.assertEqual(
             durable.answer(Accept(1, Ballot(1, "a"), version(1)), 0),
             Accepted(),
--- a/tests/test_early.py
+++ b/tests/test_early.py
@@ -16,6 +16,7 @@
 from petrelwood.emulate.platform import Platform
 from petrelwood.settings import document, gateway
 from petrelwood.store import history
+from petrelwood.store.errors import SnapshotError
 
 EARLY = (
     'early {{ slot "100ms"; season "2s"; weeks #false; fetch-price "1ms"; memory-price 0.0; '
@@ -109,7 +110,7 @@
             )
             path = pathlib.Path(folder) / "h" / "forecast.snap"
             path.write_bytes(path.read_bytes()[:-3])
-            with self.assertRaises(snapshot.Unreadable):
+            with self.assertRaises(SnapshotError):
                 snapshot.read(path, "forecast", 1)
             third = type(self.core)(self.core.gateway, self.log)
             self.assertEqual(third.early.forecast.series, {})
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -15,9 +15,18 @@
 from petrelwood.audit import rules
 from petrelwood.decide.delivery import recovery
 from petrelwood.decide.delivery.ledger import ABORTED, AGAIN, COMPLETED, LEFT, REJECTED, RUNNING, Ledger
+from petrelwood.decide.delivery.state_records import (
+    ActivationEnded,
+    ActivationTaken,
+    IncarnationEnded,
+    IncarnationStarted,
+    LoadOrdered,
+)
 from petrelwood.emulate import script
 from petrelwood.emulate.platform import Platform
-from petrelwood.store import state, tail
+from petrelwood.store import append_log, files, state_segments
+from petrelwood.store.errors import StateUnreadableError
+from petrelwood.store.state_log import StateLog
 
 S, WALL = 10**9, 1_764_547_200 * 10**9
 TYPES = {
@@ -38,7 +47,7 @@
         return self.time
 
 
-class Files(tail.Files):
+class Files(files.Files):
     """Fails at the n-th call that could: `full` writes nothing, `torn` a part, `sync` fails to make
     durable."""
 
@@ -69,7 +78,7 @@
         self.folder = pathlib.Path(folder.name)
 
     def log(self, wall=WALL, boot="b1", files=None, **more):
-        made = state.StateLog(self.folder, wall, boot, 600 * S, files=files, **more)
+        made = StateLog(self.folder, wall, boot, 600 * S, files=files, **more)
         self.addCleanup(
             lambda: (
                 made.log and made.files.close(made.log.handle) if made.log and not made.log.failed else None
@@ -81,7 +90,7 @@
 class Logs(Case):
     def written(self, log, count=20, wall=WALL):
         for i in range(count):
-            log.add(state.TAKE, wall + i, "x", f"m{i}", wall, "once")
+            log.add(ActivationTaken(wall + i, "x", f"m{i}", wall, "once"))
             log.flush()
         return log
 
@@ -90,9 +99,9 @@
         data, seen = path.read_bytes(), []
         for size in range(len(data) + 1):
             path.write_bytes(data[:size])
-            records, _ = state.read(self.folder)
+            records, _ = state_segments.read(self.folder)
             seen.append(len(records))
-            self.assertEqual([r[3] for r in records[1:]], [f"m{i}" for i in range(max(0, len(records) - 1))])
+            self.assertEqual([r.id for r in records[1:]], [f"m{i}" for i in range(max(0, len(records) - 1))])
         self.assertEqual((seen[0], seen[-1]), (0, 21))
         self.assertEqual(seen, sorted(seen))
 
@@ -100,60 +109,62 @@
         self.written(self.log())
         second = self.log(WALL + S)
         self.assertEqual((second.epoch, len(second.found)), (2, 21))
-        second.add(state.END, WALL + S, "x", "m1", COMPLETED, True, b"done")
+        second.add(ActivationEnded(WALL + S, "x", "m1", COMPLETED, True, b"done"))
         second.flush()
         third = self.log(WALL + 2 * S)
-        self.assertEqual([r[0] for r in third.found[21:]], [state.LIFE, state.END])
+        self.assertEqual([type(r) for r in third.found[21:]], [IncarnationStarted, ActivationEnded])
 
     def test_old_segments_go_and_what_is_remembered_stays(self):
         now = Monotonic()
         log = self.log(now=now)
         for minute in range(60):
             now.time, wall = minute * 60 * S, WALL + minute * 60 * S
-            log.tend(wall)
-            log.add(state.TAKE, wall, "x", f"m{minute}", wall, "once")
+            log.check(wall)
+            log.add(ActivationTaken(wall, "x", f"m{minute}", wall, "once"))
             log.flush()
-        records, _ = state.read(self.folder)
-        kept = {r[3] for r in records if r[0] == state.TAKE}
+        records, _ = state_segments.read(self.folder)
+        kept = {r.id for r in records if isinstance(r, ActivationTaken)}
         self.assertTrue({f"m{m}" for m in range(50, 60)} <= kept, kept)
         self.assertLess(len(kept), 20)
-        self.assertLess(len(state.segments(self.folder)), 8)
+        self.assertLess(len(state_segments.segments(self.folder)), 8)
 
     def test_a_step_of_the_wall_clock_removes_nothing_early(self):
         """Segments written in this life, and found ones, under steps in both directions."""
         for step in (3600 * S, -3600 * S, 5 * S, -5 * S):
             with self.subTest(step=step), tempfile.TemporaryDirectory() as folder:
                 now = Monotonic(1000 * S)
-                first = state.StateLog(folder, WALL, "b1", 600 * S, now=now)
-                first.add(state.TAKE, WALL, "x", "found", WALL, "once")
+                first = StateLog(folder, WALL, "b1", 600 * S, now=now)
+                first.add(ActivationTaken(WALL, "x", "found", WALL, "once"))
                 first.close(WALL)
-                log = state.StateLog(folder, WALL + S, "b1", 600 * S, now=now)
-                log.add(state.TAKE, WALL + S, "x", "own", WALL, "once")
+                log = StateLog(folder, WALL + S, "b1", 600 * S, now=now)
+                log.add(ActivationTaken(WALL + S, "x", "own", WALL, "once"))
                 for now.time in (1001 * S, 1400 * S):
-                    log.tend(WALL + now.time - 1000 * S + step)
-                    log.roll(WALL + now.time - 1000 * S + step)
-                    taken = {r[3] for r in state.read(folder)[0] if r[0] == state.TAKE}
+                    log.check(WALL + now.time - 1000 * S + step)
+                    log.begin_next_segment(WALL + now.time - 1000 * S + step)
+                    taken = {r.id for r in state_segments.read(folder)[0] if isinstance(r, ActivationTaken)}
                     self.assertEqual(taken, {"found", "own"})
                 # what was sealed last has its age from then on
                 now.time = 2001 * S
-                log.roll(WALL + now.time - 1000 * S + step)
-                self.assertEqual([r for r in state.read(folder)[0] if r[0] == state.TAKE], [])
+                log.begin_next_segment(WALL + now.time - 1000 * S + step)
+                self.assertEqual(
+                    [r for r in state_segments.read(folder)[0] if isinstance(r, ActivationTaken)], []
+                )
                 log.close(WALL)
 
     def test_a_failing_disk_is_told_once_and_nothing_is_said_to_be_kept_after(self):
         for how in ("full", "torn", "sync"):
             for at in range(1, 8):
                 with tempfile.TemporaryDirectory() as folder:
-                    log = state.StateLog(folder, WALL, "b1", 600 * S, files=Files(at, how))
+                    log = StateLog(folder, WALL, "b1", 600 * S, files=Files(at, how))
                     kept = []
                     for i in range(10):
-                        log.add(state.TAKE, WALL + i, "x", f"m{i}", WALL, "once")
+                        log.add(ActivationTaken(WALL + i, "x", f"m{i}", WALL, "once"))
                         if log.flush() and log.sync():
                             kept.append(f"m{i}")
                     self.assertIsNotNone(log.stopped)
-                    there = {r[3] for r in state.read(folder)[0] if r[0] == state.TAKE}
+                    there = {r.id for r in state_segments.read(folder)[0] if isinstance(r, ActivationTaken)}
                     self.assertTrue(set(kept) <= there, (how, at, kept, there))
-                    self.assertFalse(log.add(state.TAKE, WALL, "x", "more", WALL, "once"))
+                    self.assertFalse(log.add(ActivationTaken(WALL, "x", "more", WALL, "once")))
                     if log.log is not None:
                         log.files.close(log.log.handle)
 
@@ -162,21 +173,21 @@
         path = log.log.path
         import msgpack
 
-        path.write_bytes(tail.MARK + tail.frame(msgpack.packb([state.LIFE, WALL, "b", 1, 9])))
-        with self.assertRaises(state.Refused) as caught:
-            state.read(self.folder)
+        path.write_bytes(append_log.MARK + append_log.frame(msgpack.packb(["life", WALL, "b", 1, 9])))
+        with self.assertRaises(StateUnreadableError) as caught:
+            state_segments.read(self.folder)
         self.assertIn("its format is 9; this build reads 1 to 2", str(caught.exception))
-        path.write_bytes(tail.MARK + tail.frame(msgpack.packb(["new kind", 1, 2])))
-        with self.assertRaises(state.Refused):
-            state.read(self.folder)
+        path.write_bytes(append_log.MARK + append_log.frame(msgpack.packb(["new kind", 1, 2])))
+        with self.assertRaises(StateUnreadableError):
+            state_segments.read(self.folder)
         # whole, only unknown: left for a build that knows it
-        self.assertEqual(len(state.repair(self.folder)), 0)
+        self.assertEqual(len(state_segments.repair(self.folder)), 0)
         path.write_bytes(b"something else")
-        self.assertEqual([p.suffix for p, _ in state.repair(self.folder)], [".unreadable"])
+        self.assertEqual([found.path.suffix for found in state_segments.repair(self.folder)], [".unreadable"])
 
     def test_the_commands(self):
         log = self.written(self.log(), 3)
-        log.add(state.END, WALL + 9, "x", "m1", COMPLETED, True, b"{}")
+        log.add(ActivationEnded(WALL + 9, "x", "m1", COMPLETED, True, b"{}"))
         log.flush()
 
         def run(*args):
@@ -198,7 +209,7 @@
 
 
 class Returns(unittest.TestCase):
-    LIFE = ["life", WALL, "b1", 1, 1]
+    LIFE = IncarnationStarted(WALL, "b1", 1, 1)
 
     def story(self, records, wall, boot="b1", durable=False):
         """What a later life at `wall` makes of an id that comes again with a newer stamp."""
@@ -219,18 +230,12 @@
                 (LEFT, False),
             ):
                 id_ = f"{type_}, {outcome or 'no outcome'}{', sent' if sent else ''}"
-                records.append(["take", at, "x", id_, at, type_])
+                records.append(ActivationTaken(at, "x", id_, at, type_))
                 if outcome:
                     records.append(
-                        [
-                            "end",
-                            at + S,
-                            "x",
-                            id_,
-                            outcome,
-                            sent,
-                            b"kept" if outcome == COMPLETED else None,
-                        ]
+                        ActivationEnded(
+                            at + S, "x", id_, outcome, sent, b"kept" if outcome == COMPLETED else None
+                        )
                     )
         for wall, word in (
             (WALL + 10 * S, "5 s later"),
@@ -247,8 +252,8 @@
     def test_replays_signed_before_the_restart(self):
         records = [
             self.LIFE,
-            ["take", WALL + S, "x", "m1", WALL, "once"],
-            ["end", WALL + 2 * S, "x", "m1", COMPLETED, True, b"r"],
+            ActivationTaken(WALL + S, "x", "m1", WALL, "once"),
+            ActivationEnded(WALL + 2 * S, "x", "m1", COMPLETED, True, b"r"),
         ]
         lines = []
         for word, wall, boot, durable in (
@@ -272,7 +277,7 @@
     def test_orders_and_cold_windows_of_the_life_before(self):
         guarantees = ports.Guarantees(S, 8 * S, 0.25, 2.5, S)
         orders = ports.LoadOrders(True, True, 8 * S, 6, 0.4, 5 * S)
-        records = [self.LIFE] + [["order", WALL + i * S, "w1", "f", 1] for i in range(10)]
+        records = [self.LIFE] + [LoadOrdered(WALL + i * S, "w1", "f", 1) for i in range(10)]
         for wall, count, cold_after in (
             (WALL + 10 * S, 4, S),
             (WALL + 9 * S, 5, S),
@@ -287,7 +292,7 @@
             self.assertEqual(
                 (back.may_send(50 * S, True), back.may_send(50 * S, False)), (cold_after == 0, True)
             )
-        found, _ = self.story(records + [["close", WALL + 10 * S]], WALL + 11 * S)
+        found, _ = self.story(records + [IncarnationEnded(WALL + 10 * S)], WALL + 11 * S)
         self.assertFalse(recovery.Recovery(found, 0, WALL + 11 * S, guarantees, orders).begins_low)
 
     def test_no_order_of_damage_raises(self):
@@ -295,10 +300,10 @@
         records = [self.LIFE] + [
             chance.choice(
                 [
-                    ["take", WALL + i, "x", f"m{i % 9}", WALL, chance.choice([*TYPES, "gone"])],
-                    ["end", WALL + i, "x", f"m{i % 9}", ABORTED, True, None],
-                    ["order", WALL + i, "w", "f", 1],
-                    ["close", WALL + i],
+                    ActivationTaken(WALL + i, "x", f"m{i % 9}", WALL, chance.choice([*TYPES, "gone"])),
+                    ActivationEnded(WALL + i, "x", f"m{i % 9}", ABORTED, True, None),
+                    LoadOrdered(WALL + i, "w", "f", 1),
+                    IncarnationEnded(WALL + i),
                     self.LIFE,
                 ]
             )
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -6,14 +6,15 @@
 import tempfile
 import unittest
 
-from petrelwood.store import history, snapshot, tail
+from petrelwood.store import append_log, files, history, snapshot
+from petrelwood.store.errors import LogFormatError, LogWriteError, SnapshotError
 
 DAY = 86_400 * 10**9
 MIDNIGHT = 24 * 60  # minutes
 T0 = 1_764_547_200 * 10**9  # a midnight
 
 
-class Faulty(tail.Files):
+class Faulty(files.Files):
     """Fails at the n-th call that could, in a drawn way."""
 
     def __init__(self, at, how):
@@ -53,7 +54,7 @@
 
 class Tail(Case):
     def test_a_kill_at_every_byte_keeps_all_records_that_were_whole(self):
-        log, chance = tail.Log(self.path / "a.log"), random.Random(1)
+        log, chance = append_log.AppendLog(self.path / "a.log"), random.Random(1)
         payloads = [chance.randbytes(chance.randrange(0, 40)) for _ in range(30)]
         ends = []
         for payload in payloads:
@@ -64,15 +65,17 @@
         data = (self.path / "a.log").read_bytes()
         for size in range(len(data) + 1):
             (self.path / "b.log").write_bytes(data[:size])
-            again = tail.Log(self.path / "b.log")
+            again = append_log.AppendLog(self.path / "b.log")
             whole = sum(end <= size for end in ends)
-            self.assertEqual(again.records, payloads[:whole])
+            self.assertEqual(again.payloads, payloads[:whole])
             self.assertTrue(again.append(b"after"))
             again.close()
-            self.assertEqual(tail.Log(self.path / "b.log").records, payloads[:whole] + [b"after"])
+            self.assertEqual(
+                append_log.AppendLog(self.path / "b.log").payloads, payloads[:whole] + [b"after"]
+            )
 
     def test_every_flipped_bit_is_seen(self):
-        log = tail.Log(self.path / "a.log")
+        log = append_log.AppendLog(self.path / "a.log")
         for i in range(5):
             log.append(b"payload %d" % i)
         log.close()
@@ -81,9 +84,9 @@
             flipped = bytearray(data)
             flipped[bit // 8] ^= 1 << bit % 8
             try:
-                records, _, why = tail.scan(bytes(flipped))
-            except tail.Refused:
-                self.assertLess(bit // 8, len(tail.MARK))
+                records, _, why = append_log.scan(bytes(flipped))
+            except LogFormatError:
+                self.assertLess(bit // 8, len(append_log.MARK))
                 continue
             self.assertEqual(records, whole[: len(records)])
             self.assertTrue(why)
@@ -91,14 +94,14 @@
 
     def test_another_format_is_refused_and_left_alone(self):
         (self.path / "a.log").write_bytes(b"ptw-log\x02 of a later build")
-        with self.assertRaises(tail.Refused):
-            tail.Log(self.path / "a.log")
+        with self.assertRaises(LogFormatError):
+            append_log.AppendLog(self.path / "a.log")
         self.assertEqual((self.path / "a.log").read_bytes(), b"ptw-log\x02 of a later build")
 
     def test_after_a_failed_sync_nothing_more_is_taken(self):
-        log = tail.Log(self.path / "a.log", Faulty(3, "full"))
+        log = append_log.AppendLog(self.path / "a.log", Faulty(3, "full"))
         log.append(b"1")
-        with self.assertRaises(tail.Failed):
+        with self.assertRaises(LogWriteError):
             log.sync()
         self.assertFalse(log.append(b"2"))
         log.sync()  # tried no more, and raises no more
@@ -132,7 +135,7 @@
         """The files as they stand after each call that changes them, opened by a new life that goes on."""
         shots = []
 
-        class Shots(tail.Files):
+        class Shots(files.Files):
             def _shot(self):
                 shots.append(
                     (
@@ -160,9 +163,9 @@
         self.fill(made, 200, MIDNIGHT - 100)
         made.close()
         self.assertGreater(len(shots), 80)
-        for number, (files, noted) in enumerate(shots):
+        for number, (shot, noted) in enumerate(shots):
             where = self.path / f"again{number}"
-            for name, data in files.items():
+            for name, data in shot.items():
                 (where / name).parent.mkdir(parents=True, exist_ok=True)
                 (where / name).write_bytes(data)
             again = history.History(where, group=5, roll=60)
@@ -213,7 +216,7 @@
         self.assertIn(str(hit), history.verify(self.path)[0])
 
 
-class FaultyParts(snapshot.Files):
+class FaultyParts(files.Files):
     """Fails at the n-th call; `short`: writes one byte at a time instead."""
 
     def __init__(self, at, short=False):
@@ -265,9 +268,9 @@
             for bit in range(8):
                 hit = bytearray(data)
                 hit[at] ^= 1 << bit
-                with self.assertRaises(snapshot.Unreadable):
+                with self.assertRaises(SnapshotError):
                     snapshot.unpack(bytes(hit), "test", 1)
-            with self.assertRaises(snapshot.Unreadable):
+            with self.assertRaises(SnapshotError):
                 snapshot.unpack(data[:at], "test", 1)
 
     def test_another_kind_and_a_build_ahead_are_told_apart(self):
@@ -275,7 +278,7 @@
             (snapshot.pack("other", 1, 0), "holds other, not test"),
             (snapshot.pack("test", 3, 0), "version is 3; this build reads 1 to 2"),
         ):
-            with self.assertRaises(snapshot.Unreadable) as caught:
+            with self.assertRaises(SnapshotError) as caught:
                 snapshot.unpack(data, "test", 2)
             self.assertIn(words, str(caught.exception))
         self.assertIsNone(snapshot.read(self.path / "none.snap", "test", 1))
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -13,6 +13,12 @@
 from petrelwood.clocks import VirtualClock
 from petrelwood.decide.delivery import recovery
 from petrelwood.decide.delivery.ledger import ABORTED, COMPLETED, REJECTED, RUNNING
+from petrelwood.decide.delivery.state_records import (
+    ActivationEnded,
+    ActivationTaken,
+    LoadOrdered,
+    OutageEnded,
+)
 from petrelwood.decide.overload import intake as stage
 from petrelwood.decide.overload.intake import Ask
 from petrelwood.dispatch import state_recovery
@@ -20,7 +26,9 @@
 from petrelwood.emulate import script
 from petrelwood.emulate.platform import Platform
 from petrelwood.settings import gateway
-from petrelwood.store import ends, history, snapshot, state, tail, versions
+from petrelwood.store import ends, files, history, snapshot, state_log, state_segments, versions
+from petrelwood.store.errors import StateUnreadableError
+from petrelwood.store.state_log import StateLog
 
 SECOND = 10**9
 WALL = 1_764_547_200 * SECOND
@@ -52,7 +60,7 @@
 GATEWAY = read_settings()
 
 
-class FaultyFiles(snapshot.Files):
+class FaultyFiles(files.Files):
     """Files of which some calls fail. `fails(name)` returns an errno, or None where the call may go on;
     `torn`: a write that fails has written a part."""
 
@@ -67,7 +75,11 @@
 
     def open(self, path):
         self._check("open")
-        return tail.Files.open(self, path)
+        return super().open(path)
+
+    def create(self, path, mode=0o600):
+        self._check("open")
+        return super().create(path, mode)
 
     def write(self, handle, data):
         try:
@@ -103,14 +115,6 @@
         super().sync_folder(path)
 
 
-class PutFiles(FaultyFiles):
-    """As `FaultyFiles`, for snapshots: their files are opened for a new value."""
-
-    def open(self, path):
-        self._check("open")
-        return snapshot.Files.open(self, path)
-
-
 class Log:
     """A log that keeps what it is told."""
 
@@ -166,7 +170,7 @@
         self.log = Log()
         self.core = Core(GATEWAY, self.clock, Random(1), None, self.log, Recorded)
         self.files = files or FaultyFiles()
-        self.state = state.StateLog(
+        self.state = StateLog(
             folder or self.folder / "state",
             self.clock.wall(),
             "b1",
@@ -215,7 +219,7 @@
 
     def after_a_kill(self, folder=None, boot="b1"):
         """What the next incarnation makes of the folder as it stands."""
-        records, _ = state.read(folder or self.folder / "state")
+        records, _ = state_segments.read(folder or self.folder / "state")
         return recovery.replay(records, self.clock.wall(), boot, self.state.durability == "machine")
 
     def assert_owed(self, found, taken=None):
@@ -253,7 +257,7 @@
                     self.complete(acted.act)
             until[0] = clock.now() + (lasts or 3600 * SECOND)
             # the segment is rolled, so that each kind of call has its turn
-            self.state.roll(clock.wall())
+            self.state.begin_next_segment(clock.wall())
             rejected = 0
             for _ in range(30):
                 exchange = self.ask()
@@ -282,12 +286,12 @@
                 entry = self.core.ledger.entries["x", id_]
                 if stopped is None and entry.state != RUNNING:
                     self.assertEqual(found.ids["x", id_].outcome, entry.state, (id_, act))
-            outages = [record for record in state.read(folder)[0] if record[0] == state.OUTAGE]
+            outages = [record for record in state_segments.read(folder)[0] if isinstance(record, OutageEnded)]
             self.assertEqual(len(self.log.said("state log failed")), int(rejected > 0 or bool(outages)))
             if rejected and stopped is None:
                 self.assertEqual(len(self.log.said("state log recovered")), 1)
                 self.assertEqual(len(outages), 1)
-                _, ended, began, cause, attempts = outages[0]
+                ended, began, cause, attempts = outages[0]
                 self.assertTrue(began < ended and attempts >= 1 and os.strerror(code) in cause)
             self.state.close(clock.wall())
             return rejected > 0
@@ -322,7 +326,7 @@
         self.assertLess(len(attempts), 140)
         self.assertGreaterEqual(attempts[-1], 5)
         # a segment that was given up does not stay
-        self.assertLessEqual(len(state.segments(self.folder / "state")), 2)
+        self.assertLessEqual(len(state_segments.segments(self.folder / "state")), 2)
         for pause, least in ((10, 5.0), (61, 0.1)):
             failing[0] = False
             self.wait(15)
@@ -423,9 +427,13 @@
         self.wait(2)
         self.assertIsNone(self.state.stopped)
         # the first segment is gone, the order is not, and it is as old as it was
-        orders = [record for record in state.read(self.folder / "state")[0] if record[0] == state.ORDER]
-        self.assertEqual([record[2:] for record in orders], [["w1", "again-1", 2]])
-        self.assertLessEqual(abs(orders[0][1] - (self.clock.wall() - self.clock.now())), SECOND)
+        orders = [
+            record
+            for record in state_segments.read(self.folder / "state")[0]
+            if isinstance(record, LoadOrdered)
+        ]
+        self.assertEqual([record[1:] for record in orders], [("w1", "again-1", 2)])
+        self.assertLessEqual(abs(orders[0].time - (self.clock.wall() - self.clock.now())), SECOND)
         self.core.hold("w1", "again-4", 1)
         self.assertEqual(len(sent), 2)
 
@@ -435,12 +443,12 @@
         self.ask()
         failed_log = self.state.log
         task = self.state.sync_task()
-        self.state.roll(self.clock.wall())
+        self.state.begin_next_segment(self.clock.wall())
         self.assertIsNotNone(failed_log.handle)
         self.assertTrue(task())
         self.assertIsNone(failed_log.handle)
         task = self.state.sync_task()
-        self.state._stop("as a write that failed")
+        self.state._fail("as a write that failed")
         self.wait(30)
         self.assertIsNotNone(self.state.stopped)
         self.assertFalse(task())
@@ -451,19 +459,17 @@
         self.start()
         first = self.ask().act
         self.core.stop_admitting(None)
-        successor = state.StateLog(
-            self.folder / "state", self.clock.wall(), "b1", 600 * SECOND, now=self.clock.now
-        )
-        successor.add(state.TAKE, self.clock.wall(), "x", "theirs", self.clock.wall(), "once")
+        successor = StateLog(self.folder / "state", self.clock.wall(), "b1", 600 * SECOND, now=self.clock.now)
+        successor.add(ActivationTaken(self.clock.wall(), "x", "theirs", self.clock.wall(), "once"))
         successor.flush()
-        path, scan = successor.log.path, state.scan
+        path, scan = successor.log.path, state_log.scan
 
         def unreadable(which):
             if which == path:
-                raise state.Refused(f"{which} can't be read: Input/output error")
+                raise StateUnreadableError(f"{which} can't be read: Input/output error")
             return scan(which)
 
-        state.scan = unreadable
+        state_log.scan = unreadable
         try:
             self.core.resume_admitting()
             self.complete(first)
@@ -471,7 +477,7 @@
             self.wait(20)
             self.assertEqual(self.ask(id_="theirs").verdict, stage.REFUSE)
         finally:
-            state.scan = scan
+            state_log.scan = scan
         self.wait(20)
         self.assertIsNone(self.state.stopped)
         self.number += 1000
@@ -596,7 +602,7 @@
         self.assertIsNone(self.state.stopped)
         before = self.core.ledger.entries
         # the recovered segment alone: what this life wrote before is gone
-        self.assertEqual(len(state.segments(self.folder / "state")), 1)
+        self.assertEqual(len(state_segments.segments(self.folder / "state")), 1)
         self.start(clock=self.clock)
         after = self.core.ledger.entries
         for key, entry in before.items():
@@ -638,15 +644,17 @@
         failing[0] = False
         self.wait(5)
         self.assertEqual(self.state.format, 2)
-        self.state.roll(self.clock.wall())
-        formats = [state.scan(path)[0][0][4] for _, _, path in state.segments(self.folder / "state")]
+        self.state.begin_next_segment(self.clock.wall())
+        formats = [
+            state_segments.scan(path).format for _, _, path in state_segments.segments(self.folder / "state")
+        ]
         self.assertEqual(formats, [2, 1])
         self.wait(601)
-        self.state.roll(self.clock.wall())
+        self.state.begin_next_segment(self.clock.wall())
         self.assertEqual(self.state.format, 1)
 
     def test_the_state_of_the_text_before_is_read(self):
-        records, dropped = state.read(STORED / "state")
+        records, dropped = state_segments.read(STORED / "state")
         self.assertEqual(dropped, [])
         found = recovery.replay(records, WALL + 20, "b1", False)
         self.assertEqual(
@@ -678,15 +686,15 @@
         )
 
     def test_the_stored_bytes_are_those_of_the_text_before(self):
-        log = state.StateLog(self.folder / "state", WALL, "b1", 600 * SECOND)
-        log.add(state.TAKE, WALL + 1, "x", "open", WALL, "once")
-        log.add(state.TAKE, WALL + 2, "x", "done", WALL, "once")
-        log.add(state.END, WALL + 3, "x", "done", COMPLETED, True, b'{"ok":1}')
-        log.add(state.TAKE, WALL + 4, "x", "rejected", WALL, "all")
-        log.add(state.END, WALL + 5, "x", "rejected", REJECTED, False, None)
-        log.add(state.ORDER, WALL + 6, "w1", "f", 2)
-        log.roll(WALL + 7)
-        log.add(state.TAKE, WALL + 8, "y", "later", WALL, "again")
+        log = StateLog(self.folder / "state", WALL, "b1", 600 * SECOND)
+        log.add(ActivationTaken(WALL + 1, "x", "open", WALL, "once"))
+        log.add(ActivationTaken(WALL + 2, "x", "done", WALL, "once"))
+        log.add(ActivationEnded(WALL + 3, "x", "done", COMPLETED, True, b'{"ok":1}'))
+        log.add(ActivationTaken(WALL + 4, "x", "rejected", WALL, "all"))
+        log.add(ActivationEnded(WALL + 5, "x", "rejected", REJECTED, False, None))
+        log.add(LoadOrdered(WALL + 6, "w1", "f", 2))
+        log.begin_next_segment(WALL + 7)
+        log.add(ActivationTaken(WALL + 8, "y", "later", WALL, "again"))
         log.close(WALL + 9)
         for before in sorted((STORED / "state").iterdir()):
             self.assertEqual((self.folder / "state" / before.name).read_bytes(), before.read_bytes())
@@ -731,7 +739,7 @@
                     return errno.ENOSPC if call == failing and any(a <= now < b for a, b in outages) else None
 
                 files = FaultyFiles(fails, torn=True)
-                log = state.StateLog(
+                log = StateLog(
                     pathlib.Path(folder) / described.name,
                     clock.wall(),
                     "emulated",
--- a/tests/test_store_recovery.py
+++ b/tests/test_store_recovery.py
@@ -9,7 +9,7 @@
 from types import SimpleNamespace
 from unittest.mock import patch
 
-from test_store_faults import FaultyFiles, Log, PutFiles
+from test_store_faults import FaultyFiles, Log
 
 from petrelwood.decide.cluster.rollout import Rollout
 from petrelwood.dispatch import rollout as rollout_module
@@ -56,14 +56,14 @@
         versions.note_position(folder, 3, files)
 
     def test_each_call_fails_once_and_what_is_announced_is_whole(self):
-        count = PutFiles()
+        count = FaultyFiles()
         self.receive(count, self.folder / "all")
         self.assertGreater(len(count.calls), 25)
         for code in CODES:
             for number in range(1, len(count.calls) + 1):
                 folder = self.folder / f"{code}-{number}"
                 with self.assertRaises(OSError):
-                    self.receive(PutFiles(nth(number, code), torn=True), folder)
+                    self.receive(FaultyFiles(nth(number, code), torn=True), folder)
                 for one in versions.announced(folder):
                     self.assertEqual(
                         versions.path_of(folder, one.number).read_text(), ("one", "two")[one.number - 1]
@@ -72,7 +72,7 @@
                     self.assertEqual([one.off for one in versions.announced(folder)], [False, True])
                 # nothing half written stays, and the next round has all
                 self.assertEqual([path.name for path in folder.glob(".*")], [])
-                self.receive(PutFiles(), folder)
+                self.receive(FaultyFiles(), folder)
                 self.assertEqual(versions.position(folder), 3)
                 self.assertEqual(
                     [tuple(one)[::2] for one in versions.announced(folder)], [(1, False), (2, True)]
@@ -80,19 +80,19 @@
 
     def test_a_call_off_is_durable_before_the_position(self):
         """On the text before it was not: after a fall of the machine the position could stand without it."""
-        files = PutFiles()
+        files = FaultyFiles()
         (self.folder / "v").mkdir()
         versions.call_off(self.folder / "v", 1, "bad", files)
-        self.assertEqual(files.calls, ["write", "sync", "close", "replace", "sync_folder"])
+        self.assertEqual(files.calls, ["open", "write", "sync", "close", "replace", "sync_folder"])
 
     def test_a_folder_that_cannot_be_listed_has_no_versions_for_now(self):
-        self.receive(PutFiles(), self.folder)
+        self.receive(FaultyFiles(), self.folder)
         with patch.object(os, "listdir", side_effect=OSError(errno.EIO, "Input/output error")):
             self.assertEqual(versions.announced(self.folder), [])
         self.assertEqual(len(versions.announced(self.folder)), 2)
 
     def test_old_versions_that_cannot_be_removed_go_later(self):
-        files = PutFiles(lambda name: errno.EIO if name == "remove" else None)
+        files = FaultyFiles(lambda name: errno.EIO if name == "remove" else None)
         for number in range(1, 20):
             versions.receive(self.folder, number, "text", WALL, files)
         self.assertEqual(len(versions.announced(self.folder)), 19)
@@ -100,7 +100,7 @@
         self.assertEqual([one.number for one in versions.announced(self.folder)], list(range(5, 21)))
 
     def test_a_version_that_cannot_be_read_is_told_from_a_bad_one(self):
-        self.receive(PutFiles(), self.folder)
+        self.receive(FaultyFiles(), self.folder)
         path = versions.path_of(self.folder, 1)
         self.assertEqual(versions.require_readable(self.folder, 1), path)
         with patch.object(pathlib.Path, "read_bytes", side_effect=OSError(errno.EIO, "Input/output error")):
@@ -387,7 +387,9 @@
                 for last in (number, 99):
                     snapshot.write(path, "test", 1, "old")
                     with self.assertRaises(OSError):
-                        snapshot.write(path, "test", 1, "new", PutFiles(nth(number, code, last), torn=True))
+                        snapshot.write(
+                            path, "test", 1, "new", FaultyFiles(nth(number, code, last), torn=True)
+                        )
                     self.assertIn(snapshot.read(path, "test", 1)[1], ("old", "new"))
                     snapshot.write(path, "test", 1, "newer")
                     self.assertEqual(snapshot.read(path, "test", 1), (1, "newer"))
