--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -43,10 +43,10 @@
 from petrelwood.bgp.heartbeats import EVERY
 from petrelwood.decide.cluster import membership
 from petrelwood.decide.cluster.link_state import LinkPhase
-from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announced, Rollout, dwell_for
+from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announcement, Rollout, dwell_for
 from petrelwood.decide.delivery.state_records import ActivationEnded, ActivationTaken
-from petrelwood.decide.overload.sliding_window import SlidingWindowCounter
 from petrelwood.dispatch.health import HeartbeatReporter
+from petrelwood.dispatch.recent_answers import RecentAnswers
 from petrelwood.links import rpc, sse
 from petrelwood.links.roster import READ, RosterLink
 from petrelwood.links.worker import WorkerLink
@@ -297,10 +297,10 @@
     for look in looks:
         while number < len(begins) and begins[number] <= look:
             number += 1
-            announced = [Announced(number, int(begins[number - 1] * SECOND), False)]
+            announced = [Announcement(number, int(begins[number - 1] * SECOND), False)]
             behind = begins[number - 1] if behind is None else behind
         for node in nodes:
-            node.look(int(look * SECOND), announced)
+            node.decide(int(look * SECOND), announced)
         has = sum(node.version == number for node in nodes)
         if has == dispatchers:
             reached.add(number)
@@ -395,7 +395,7 @@
         entries = [membership.entry(roster_entry(n)) for n in range(workers)]
         self.membership.whole("e-1", entries, SECOND, WALL)
         self.intake = Intake(False)
-        self.goods = self.bads = SlidingWindowCounter(SECOND, 11)
+        self.recent_answers = RecentAnswers()
         self.state, self.retired = None, False
 
     def now(self):
