--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -390,8 +390,8 @@
 
     def __init__(self, workers):
         self.membership = membership.Membership(PERIOD, SECOND, random.Random(1).random)
-        entries = [membership.entry(roster_entry(n)) for n in range(workers)]
-        self.membership.whole("e-1", entries, SECOND, WALL)
+        entries = [membership.decode_endpoint(roster_entry(n)) for n in range(workers)]
+        self.membership.apply_list("e-1", entries, SECOND, WALL)
         self.intake = Intake(False)
         self.recent_answers = RecentAnswers()
         self.state, self.retired = None, False
--- a/benchmarks/scale/parts.py
+++ b/benchmarks/scale/parts.py
@@ -113,13 +113,13 @@
     """A whole list as the roster tells it."""
     names = zones()
     return [
-        membership.Entry(
+        membership.Endpoint(
             worker_name(n),
             (f"10.{n >> 16 & 255}.{n >> 8 & 255}.{n & 255}", 7000),
             names[n % len(names)],
             n // size.ASSUMED_WORKERS_A_RACK,
             WALL // SECOND * SECOND,
-            membership.USABLE,
+            membership.EndpointState.USABLE,
         )
         for n in range(count)
     ]
@@ -140,7 +140,7 @@
 def hear_list(dispatcher, told):
     """Tells a core a whole list."""
     now, wall = dispatcher.now(), dispatcher.clock.wall()
-    dispatcher.endpoints_changed(*dispatcher.membership.whole("e-1", told, now, wall), True)
+    dispatcher.endpoints_changed(*dispatcher.membership.apply_list("e-1", told, now, wall), True)
 
 
 # Placement.
@@ -345,7 +345,7 @@
 def read_event_list(data):
     """The membership's entries of its bytes, as a dispatcher reads them."""
     ((_, text, _),) = sse.Events().feed(data)
-    return [membership.entry(one) for one in orjson.loads(text)]
+    return [membership.decode_endpoint(one) for one in orjson.loads(text)]
 
 
 def dns_list(told):
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -124,7 +124,7 @@
             self.intake.concurrency_limit.begin(now)
         self.state.found = []
         if found.least_epoch is not None:
-            younger = self.membership.clock_was(found.least_epoch, now)
+            younger = self.membership.correct_clock(found.least_epoch, now)
             if younger:
                 self.submit(self._endpoints_changed, younger, [], False)
         if found.last:
@@ -479,7 +479,7 @@
             self.log.error("a send after the final answer was held back", act=act, worker=worker)
             return
         now, link = self.now(), self.links.get(worker)
-        if link is None or not self.membership.usable(worker) or not self._warm_enough(worker, now):
+        if link is None or not self.membership.is_usable(worker) or not self._warm_enough(worker, now):
             self.counts["refused_by_guard"] += 1
             self.submit(self.send_ended, act, n, worker, ports.NOT_SENT, 0, b"", now, None)
             return
@@ -525,7 +525,7 @@
 
     def hold(self, worker, fn, copies):
         link, rule = self.links.get(worker), self.rule(fn)
-        if link is None or self.retired or not self.membership.usable(worker):
+        if link is None or self.retired or not self.membership.is_usable(worker):
             self.counts["refused_by_guard"] += 1
             self.order_not_sent(self.now())
             self.submit(self.load_order_ended, worker, fn, ports.NOT_SENT, 0)
--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -139,7 +139,7 @@
                 if self.forecast_storage is not None:
                     self.forecast_storage.flush()
                 self._report_history()
-        if self.membership.silent(now):
+        if self.membership.is_newly_lost(now):
             self.log.warning("the list of workers is lost")
             self.roster.drop()
             self.endpoint_list_lost()
--- a/petrelwood/dispatch/health.py
+++ b/petrelwood/dispatch/health.py
@@ -42,8 +42,8 @@
         membership = core.membership
         return HealthReport(
             closing=core.intake.closing,
-            listed=now - membership.heard if membership.lost else 0,
-            usable=sum(1 for worker in membership.members if membership.usable(worker)),
+            listed=now - membership.heard_at if membership.is_lost else 0,
+            usable=sum(1 for worker in membership.members if membership.is_usable(worker)),
             good=core.recent_answers.completed.sum(now),
             bad=core.recent_answers.failed.sum(now),
             stalled=self.stalls.sum(now),
--- a/petrelwood/dispatch/worker_links.py
+++ b/petrelwood/dispatch/worker_links.py
@@ -60,7 +60,7 @@
         """Makes links to workers that are new and usable, and moves those whose address has changed."""
         for entry in entries:
             link = self.get(entry.worker)
-            address = membership.address(entry.worker)
+            address = membership.address_of(entry.worker)
             if link is None:
                 if entry.usable:
                     self[entry.worker] = self.make_link(entry.worker, address)
--- a/petrelwood/emulate/platform.py
+++ b/petrelwood/emulate/platform.py
@@ -92,7 +92,7 @@
             self.nodes[name].machine.stand(map(self.model, standing[name]))
             self.saw("worker", who="operator", worker=name, zone=hall, cell=cell)
         self.roster_late, self.number, self.closed, self.news = day.roster_late, 0, False, []
-        self.entries = {name: self._entry(name, membership.USABLE) for name in self.nodes}
+        self.entries = {name: self._entry(name, membership.EndpointState.USABLE) for name in self.nodes}
         self.disks = {}  # what each dispatcher has kept, over its lives
         self.cores, self.lives, self.halls, self.known = {}, {}, {}, {}
         # what each dispatcher's wall clock is stepped by; when the roster was last heard anew
@@ -156,18 +156,18 @@
 
     def _entry(self, name, state):
         node = self.nodes[name]
-        return membership.Entry(name, (name, 1), node.hall, node.cell, node.booted, state)
+        return membership.Endpoint(name, (name, 1), node.hall, node.cell, node.booted, state)
 
     def _restart(self, name, down):
         self.nodes[name].stop()
-        self._news(name, membership.GONE)
+        self._news(name, membership.EndpointState.GONE)
         self.after(down, self._back, name)
 
     def _back(self, name):
         node = self.nodes[name]
         node.start(self.clock.wall())
         self.saw("up", who=name, booted=node.booted)
-        self._news(name, membership.USABLE)
+        self._news(name, membership.EndpointState.USABLE)
 
     # The roster.
     def _news(self, name, state):
@@ -179,7 +179,7 @@
             return
         self.number += 1
         self.entries[entry.worker] = entry
-        if entry.state == membership.GONE:
+        if entry.state == membership.EndpointState.GONE:
             del self.entries[entry.worker]
         for name in self.day.dispatchers if not self.day.ask_every else ():
             self.after(
@@ -190,25 +190,25 @@
         core = self.cores.get(name)
         if core is None or self.lives[name] != life or name in self.stale:
             return
-        follows, now = core.membership.event(f"e-{number}"), self.clock.now()
-        if follows == "old":
+        follows, now = core.membership.order_of(f"e-{number}"), self.clock.now()
+        if follows is membership.EventOrder.OLD:
             return
         # news overtook each other: the whole list is asked for
-        if follows == "gap":
+        if follows is membership.EventOrder.GAP:
             self._list(name, list(self.entries.values()))
             return
         self.saw(
             "told", who="roster", to=name, kind="change", entries=[(entry.worker, entry.state, entry.booted)]
         )
         self._comments(core, now)
-        listed, leaving = core.membership.change(f"e-{number}", [entry], now, core.clock.wall())
+        listed, leaving = core.membership.apply_change(f"e-{number}", [entry], now, core.clock.wall())
         core.endpoints_changed(listed, leaving, False)
 
     def _comments(self, core, now):
         """The roster's stream carries a comment each second, the last of which came before this."""
         last = now // SECOND * SECOND
         if last > self.roster_back + 50 * MS:  # what was held back is told first
-            core.membership.confirmed(max(last, core.membership.complete_at or 0))
+            core.membership.on_complete(max(last, core.membership.complete_at or 0))
 
     def _asks(self, name, life):
         """A dispatcher asks for the list. Askings are served one after the other; one that would wait too
@@ -250,7 +250,7 @@
             kind="list",
             entries=[(e.worker, e.state, e.booted) for e in entries],
         )
-        listed, leaving = core.membership.whole(
+        listed, leaving = core.membership.apply_list(
             f"e-{self.number}", entries, self.clock.now(), core.clock.wall()
         )
         core.endpoints_changed(listed, leaving, True)
@@ -416,8 +416,8 @@
 
     def _on_drain(self, t, nodes):
         for node in nodes:
-            self._news(node.name, membership.DRAINING)
-            self.after(t.span, self._news, node.name, membership.USABLE)
+            self._news(node.name, membership.EndpointState.DRAINING)
+            self.after(t.span, self._news, node.name, membership.EndpointState.USABLE)
 
     def _each(self, t, nodes, begin, end):
         """Begins and ends it at each of the nodes, in their present life only."""
--- a/petrelwood/links/roster.py
+++ b/petrelwood/links/roster.py
@@ -11,11 +11,20 @@
 import orjson
 from tornado.iostream import IOStream, StreamClosedError
 
-from petrelwood.decide.cluster.membership import entry
+from petrelwood.decide.cluster.membership import EventOrder, MalformedEndpointError, decode_endpoint
 from petrelwood.links import sockets
 from petrelwood.links.sse import Events
 
 READ = 65_536
+# what ends a connection; it is made again
+FAULTS = (
+    TimeoutError,
+    StreamClosedError,
+    OSError,
+    ValueError,
+    httptools.HttpParserError,
+    MalformedEndpointError,
+)
 
 
 class RosterLink:
@@ -49,7 +58,7 @@
             why = "the stream ended"
             try:
                 await self._follow()
-            except (TimeoutError, StreamClosedError, OSError, ValueError, httptools.HttpParserError) as fault:
+            except FAULTS as fault:
                 why = str(fault) or repr(fault)
             finally:
                 self.drop()
@@ -61,7 +70,7 @@
         host, port = self.address
         self.stream, self.events = IOStream(sockets.fresh(host)), Events()
         self.current = False
-        parser, resume = httptools.HttpResponseParser(self), self.membership.resume
+        parser, resume = httptools.HttpResponseParser(self), self.membership.resume_after
         await asyncio.wait_for(self.stream.connect(self.address), self.within)
         await self.stream.write(
             (
@@ -73,7 +82,7 @@
         )
         while True:
             data = await self.stream.read_bytes(READ, partial=True)
-            if self.membership.alive(self.core.now()):
+            if self.membership.on_heard(self.core.now()):
                 self.log.info("roster heard again")
             parser.feed_data(data)
             status = parser.get_status_code()
@@ -84,10 +93,10 @@
         now = self.core.now()
         for kind, data, id_ in self.events.feed(chunk):
             if kind in ("list", "change"):
-                self._event(kind, [entry(raw) for raw in orjson.loads(data)], id_, now)
+                self._event(kind, [decode_endpoint(raw) for raw in orjson.loads(data)], id_, now)
                 self.current = True
         if self.current:  # also by a comment: what would have changed would have come before it
-            self.membership.confirmed(now)
+            self.membership.on_complete(now)
 
     def on_message_complete(self):
         self.drop()
@@ -95,13 +104,13 @@
     def _event(self, kind, entries, id_, now):
         if kind == "list":
             self.lists += 1
-            listed, leaving = self.membership.whole(id_, entries, now, self.core.clock.wall())
+            listed, leaving = self.membership.apply_list(id_, entries, now, self.core.clock.wall())
             self.core.endpoints_changed(listed, leaving, True)
             return
-        follows = self.membership.event(id_)
-        if follows == "next":
-            listed, leaving = self.membership.change(id_, entries, now, self.core.clock.wall())
+        follows = self.membership.order_of(id_)
+        if follows is EventOrder.NEXT:
+            listed, leaving = self.membership.apply_change(id_, entries, now, self.core.clock.wall())
             self.core.endpoints_changed(listed, leaving, False)
-        elif follows == "gap":
-            self.membership.forget()
+        elif follows is EventOrder.GAP:
+            self.membership.forget_position()
             raise ValueError(f"a gap in the list before {id_}")
--- a/petrelwood/node/roster.py
+++ b/petrelwood/node/roster.py
@@ -17,13 +17,13 @@
 import dns.rdataclass
 import dns.rdatatype
 
-from petrelwood.decide.cluster.membership import DRAINING, USABLE, Entry
+from petrelwood.decide.cluster.membership import Endpoint, EndpointState
 from petrelwood.links import sockets
 from petrelwood.node.told import MS
 
 NAME = dns.name.from_text("_api._tcp.svc.local")
 MOST = 65_535  # bytes of a datagram
-STATES = {0: USABLE, 1: DRAINING}
+STATES = {0: EndpointState.USABLE, 1: EndpointState.DRAINING}
 READS = 8  # datagrams in one turn of the loop
 # send(2) and recv(2): the socket is as good as before, and nothing was sent or received
 MOMENTARY = frozenset(
@@ -89,7 +89,7 @@
     if one.target not in hosts or text is None or len(labels) < 3 or one.priority not in STATES:
         raise Unusable(f"it does not tell of {one.target}")
     try:
-        return Entry(
+        return Endpoint(
             labels[0].decode(),
             (hosts[one.target], one.port),
             labels[1].decode(),
@@ -206,7 +206,7 @@
             self.counts["unusable"] += 1
             return
         if data[2:] == self.last:  # nothing has changed: nothing is read
-            self.membership.confirmed(asked_at)
+            self.membership.on_complete(asked_at)
             self._good(now)
             return
         try:
@@ -223,14 +223,14 @@
         self._good(now)
         if serial > self.membership.number:
             self.core.endpoints_changed(
-                *self.membership.whole(f"dns-{serial}", entries, now, self.core.clock.wall()), True
+                *self.membership.apply_list(f"dns-{serial}", entries, now, self.core.clock.wall()), True
             )
         # an answer may come long after it was written, but not before it was asked for
-        self.membership.confirmed(asked_at)
+        self.membership.on_complete(asked_at)
 
     def _good(self, now):
         self.counts["good"] += 1
         self.warned = False
         self.polling.on_usable_answer(now)
-        if self.membership.alive(now):
+        if self.membership.on_heard(now):
             self.log.info("roster heard again")
--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -164,13 +164,13 @@
             if whole:
                 known.clear()
             known.update((e.worker, e) for e in entries)
-        listed = self.membership.whole(
+        listed = self.membership.apply_list(
             f"dns-{self.gateway.number}",
-            [e for e in known.values() if e.state != told.membership.GONE],
+            [e for e in known.values() if e.state != told.membership.EndpointState.GONE],
             now,
             wall,
         )
-        self.membership.alive(now)
+        self.membership.on_heard(now)
         self.endpoints_changed(*listed, True)
         self.front.open(self.gateway.listen)
         # asked again where it can't be asked now: what is known serves without it
@@ -195,7 +195,7 @@
             self.links.release_unused(self.membership.members)
         if not self.looks % STANDING:
             self.log.info("standing", **self.standing())
-        if self.membership.silent(now):
+        if self.membership.is_newly_lost(now):
             self.log.warning("the list of workers is lost")
             self.endpoint_list_lost()
 
--- a/petrelwood/node/told.py
+++ b/petrelwood/node/told.py
@@ -27,7 +27,11 @@
 }
 EFFECTS = {"repeatable": ports.REPEATABLE, "by_key": ports.DEDUPLICATED, "once": ports.ONCE_ONLY}
 SCOPES = ("all", "zone", "cell")
-STATES = {"Ready": membership.USABLE, "Terminating": membership.DRAINING, "Gone": membership.GONE}
+STATES = {
+    "Ready": membership.EndpointState.USABLE,
+    "Terminating": membership.EndpointState.DRAINING,
+    "Gone": membership.EndpointState.GONE,
+}
 NAME, LISTEN, FILE = "PROXY_NAME", "PROXY_LISTEN", "PROXY_CONFIG"
 
 
@@ -194,8 +198,8 @@
 
 
 def entry(raw):
-    """A `membership.Entry` of an endpoint."""
-    return membership.Entry(
+    """A `membership.Endpoint` of an endpoint."""
+    return membership.Endpoint(
         raw["name"],
         address(raw["address"]),
         raw.get("zone") or "",
--- a/petrelwood/standins/roster.py
+++ b/petrelwood/standins/roster.py
@@ -1,7 +1,7 @@
 """A stand-in roster: pushes who is usable, draining or gone by server-sent events, late by script.
 
-News of workers comes on standard input, a JSON object a line: an entry as `decide.cluster.membership.entry`
-reads it."""
+News of workers comes on standard input, a JSON object a line: an entry as
+`decide.cluster.membership.decode_endpoint` reads it."""
 
 import asyncio
 import time
@@ -21,7 +21,7 @@
 
 class ChangeLog:
     """The list of workers and its last changes, from which each reader is told what it lacks. Entries are as
-    `decide.cluster.membership.entry` reads them; a reader names what it has as `EPOCH-NUMBER`."""
+    `decide.cluster.membership.decode_endpoint` reads them; a reader names what it has as `EPOCH-NUMBER`."""
 
     def __init__(self, epoch, kept=KEPT):
         self.epoch, self.number, self.entries = epoch, 0, {}
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -6,7 +6,7 @@
 from petrelwood import ports
 from petrelwood.brain import Brain, Copy
 from petrelwood.cli.logs import open_log
-from petrelwood.decide.cluster.membership import Membership
+from petrelwood.decide.cluster.membership import ListChange, Membership
 from petrelwood.decide.delivery import send_outcome
 from petrelwood.dispatch import serve
 from petrelwood.dispatch.dispatcher import Dispatcher
@@ -66,13 +66,13 @@
         # claims of all that was lost that it never ran
         send_outcome.of_loss = lambda stage: ports.NO_CONNECTION
     elif name == "ignores drains":
-        Membership.usable = lambda self, worker: True
-        take = Membership._take
+        Membership.is_usable = lambda self, worker: True
+        take = Membership._apply
 
         def usable(self, entries, now, wall):
-            return [e._replace(usable=True) for e in take(self, entries, now, wall)[0]], []
+            return ListChange([e._replace(usable=True) for e in take(self, entries, now, wall).listed], [])
 
-        Membership._take = usable
+        Membership._apply = usable
     elif name == "floods":
         return Floods
     elif name == "orders":
--- a/tests/ration.py
+++ b/tests/ration.py
@@ -218,9 +218,9 @@
             if w.gone is None
         ]
         node = self.node
-        node.membership.alive(node.now())
+        node.membership.on_heard(node.now())
         node.endpoints_changed(
-            *node.membership.whole(f"dns-{self.serial}", entries, node.now(), node.clock.wall()), True
+            *node.membership.apply_list(f"dns-{self.serial}", entries, node.now(), node.clock.wall()), True
         )
 
     def replace(self, part=0.6):
--- a/tests/test_always_answered.py
+++ b/tests/test_always_answered.py
@@ -137,7 +137,7 @@
             site.roster.tell(old, "Gone")
             site.roster.tell(new)
             site.roster.spoil = None
-            await site.until(lambda: site.node.membership.usable("s-2"))
+            await site.until(lambda: site.node.membership.is_usable("s-2"))
             self.assertEqual(await word(site, client, client.call(ask(fn=1, ttl=30_000))), "completed")
             client.close()
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -21,7 +21,13 @@
 from petrelwood.control.appending import new_identity
 from petrelwood.decide.cluster.log_records import Entry as LogEntry
 from petrelwood.decide.cluster.log_records import Extract, Record, RecordKind
-from petrelwood.decide.cluster.membership import DEPARTED, GONE, NEWS_DELAY, USABLE, Entry, Membership
+from petrelwood.decide.cluster.membership import (
+    MOST_DEPARTED,
+    NEWS_DELAY,
+    Endpoint,
+    EndpointState,
+    Membership,
+)
 from petrelwood.decide.cluster.polling import RosterPolling
 from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announcement, Rollout, stage_delay
 from petrelwood.decide.cluster.version_watch import VersionWatch
@@ -54,8 +60,8 @@
 ONCE, KEY = "once", ("x", "m1")
 
 
-def entry(worker, booted=0, state=USABLE):
-    return Entry(worker, ("127.0.0.1", 1), "north", 0, booted, state)
+def entry(worker, booted=0, state=EndpointState.USABLE):
+    return Endpoint(worker, ("127.0.0.1", 1), "north", 0, booted, state)
 
 
 def age(listed, now):
@@ -115,73 +121,73 @@
     def test_a_worker_that_starts_after_a_step_is_as_old_as_it_is(self):
         for step in STEPS:
             m = self.membership()
-            m.whole("e-1", [entry("old")], LATE, WALL + LATE)
+            m.apply_list("e-1", [entry("old")], LATE, WALL + LATE)
             now = LATE + 60 * S
-            listed, _ = m.change("e-2", [entry("new", WALL + now - 200 * MS)], now, WALL + now + step)
+            listed, _ = m.apply_change("e-2", [entry("new", WALL + now - 200 * MS)], now, WALL + now + step)
             self.assertEqual(age(listed, now), 200 * MS, step)
 
     def test_one_that_restarts_after_a_step_is_as_old_as_it_is(self):
         for step in STEPS:
             m = self.membership()
-            m.whole("e-1", [entry("one", WALL)], LATE, WALL + LATE)
+            m.apply_list("e-1", [entry("one", WALL)], LATE, WALL + LATE)
             now = LATE + 60 * S
-            listed, _ = m.whole("e-9", [entry("one", WALL + now - 200 * MS)], now, WALL + now + step)
+            listed, _ = m.apply_list("e-9", [entry("one", WALL + now - 200 * MS)], now, WALL + now + step)
             self.assertEqual(age(listed, now), 200 * MS, step)
 
     def test_where_our_clock_was_ahead_from_the_start_a_new_worker_is_no_older_than_the_last_list(self):
         for step in (HOUR, 5 * S):
             m = self.membership()
-            m.whole("e-1", [entry("old")], LATE, WALL + LATE + step)
-            m.confirmed(LATE + 59 * S)
+            m.apply_list("e-1", [entry("old")], LATE, WALL + LATE + step)
+            m.on_complete(LATE + 59 * S)
             now = LATE + 60 * S
-            listed, _ = m.change("e-2", [entry("new", WALL + now - 200 * MS)], now, WALL + now + step)
+            listed, _ = m.apply_change("e-2", [entry("new", WALL + now - 200 * MS)], now, WALL + now + step)
             self.assertLessEqual(age(listed, now), S, step)
 
     def test_where_our_clock_was_behind_from_the_start_a_new_worker_is_cold(self):
         m, now = self.membership(), LATE + 60 * S
-        m.whole("e-1", [entry("old")], LATE, WALL + LATE - HOUR)
-        listed, _ = m.change("e-2", [entry("new", WALL + now - 200 * MS)], now, WALL + now - HOUR)
+        m.apply_list("e-1", [entry("old")], LATE, WALL + LATE - HOUR)
+        listed, _ = m.apply_change("e-2", [entry("new", WALL + now - 200 * MS)], now, WALL + now - HOUR)
         self.assertEqual(age(listed, now), 0)
 
     def test_an_old_worker_on_the_first_list_is_as_old_as_told(self):
         for old in (3 * S, 20 * S, 10 * HOUR):  # also older than this machine's monotonic clock
             m = self.membership()
-            listed, _ = m.whole("e-1", [entry("one", WALL + LATE - old)], LATE, WALL + LATE)
+            listed, _ = m.apply_list("e-1", [entry("one", WALL + LATE - old)], LATE, WALL + LATE)
             self.assertEqual(age(listed, LATE), old)
 
     def test_one_that_starts_while_the_list_is_silent_is_as_old_as_told(self):
         m = self.membership()
-        m.whole("e-1", [entry("old")], LATE, WALL + LATE)
-        m.alive(LATE + S)
+        m.apply_list("e-1", [entry("old")], LATE, WALL + LATE)
+        m.on_heard(LATE + S)
         now = LATE + 300 * S
-        m.silent(now - S)
-        m.alive(now)
-        listed, _ = m.whole("e-4", [entry("new", WALL + now - 200 * S)], now, WALL + now + HOUR)
+        m.is_newly_lost(now - S)
+        m.on_heard(now)
+        listed, _ = m.apply_list("e-4", [entry("new", WALL + now - 200 * S)], now, WALL + now + HOUR)
         self.assertEqual(age(listed, now), 200 * S)
 
     def test_news_that_comes_late_is_believed(self):
         m = self.membership()
-        m.whole("e-1", [entry("old")], LATE, WALL + LATE)
-        m.confirmed(LATE + 60 * S)
+        m.apply_list("e-1", [entry("old")], LATE, WALL + LATE)
+        m.on_complete(LATE + 60 * S)
         now = LATE + 60 * S + 250 * MS
-        listed, _ = m.change("e-2", [entry("new", WALL + now - NEWS_DELAY)], now, WALL + now)
+        listed, _ = m.apply_change("e-2", [entry("new", WALL + now - NEWS_DELAY)], now, WALL + now)
         self.assertEqual(age(listed, now), NEWS_DELAY)
 
     def test_one_that_leaves_the_list_and_comes_back_is_as_old_as_it_was(self):
         for back in ("e-3", "f-1"):
             m, booted = self.membership(), WALL + LATE - 30 * S
-            m.whole("e-1", [entry("one", booted)], LATE, WALL + LATE)
-            m.change("e-2", [entry("one", booted, GONE)], LATE + S, WALL + LATE + S)
+            m.apply_list("e-1", [entry("one", booted)], LATE, WALL + LATE)
+            m.apply_change("e-2", [entry("one", booted, EndpointState.GONE)], LATE + S, WALL + LATE + S)
             now = LATE + 2 * S
-            tells = m.change if back == "e-3" else m.whole
+            tells = m.apply_change if back == "e-3" else m.apply_list
             listed, _ = tells(back, [entry("one", booted)], now, WALL + now + HOUR)
             self.assertEqual(age(listed, now), 32 * S)
 
     def test_what_is_remembered_of_those_that_left_is_bounded(self):
         m = self.membership()
-        for number in range(DEPARTED + 100):
-            m.whole(f"e-{number}", [entry(f"w{number}", WALL)], LATE + number, WALL + LATE + number)
-        self.assertLessEqual(len(m.departed), DEPARTED)
+        for number in range(MOST_DEPARTED + 100):
+            m.apply_list(f"e-{number}", [entry(f"w{number}", WALL)], LATE + number, WALL + LATE + number)
+        self.assertLessEqual(len(m.departed), MOST_DEPARTED)
 
 
 class PlatformList(unittest.TestCase):
@@ -448,14 +454,14 @@
                 m, now = Membership(5 * S, 100 * MS, lambda: 0.5), LATE
                 told = [entry("new", WALL + now - S), entry("old")]
                 if listed_first:
-                    m.whole("e-1", told, now, WALL + now + step)
-                    (changed,) = m.clock_was(WALL, now)
+                    m.apply_list("e-1", told, now, WALL + now + step)
+                    (changed,) = m.correct_clock(WALL, now)
                     self.assertEqual(now - changed.booted, S)
                 else:
-                    self.assertEqual(m.clock_was(WALL, now), [])
-                    listed, _ = m.whole("e-1", told, now, WALL + now + step)
+                    self.assertEqual(m.correct_clock(WALL, now), [])
+                    listed, _ = m.apply_list("e-1", told, now, WALL + now + step)
                     self.assertEqual([age([one], now) for one in listed], [S, None])
-                self.assertEqual(m.clock_was(WALL + HOUR, now), [])  # that one was ahead
+                self.assertEqual(m.correct_clock(WALL + HOUR, now), [])  # that one was ahead
 
     def test_a_dispatcher_that_finds_the_lesser_clock_after_its_list_tells_the_module_of_younger_workers(
         self,
@@ -466,7 +472,7 @@
         core = platform.make_core(platform.cores["d1"].gateway, ahead, random.Random(1), None)
         with mock.patch.object(core, "links"):
             told = [entry("new", WALL + LATE - S), entry("old")]
-            core.endpoints_changed(*core.membership.whole("e-1", told, LATE, ahead.wall()), True)
+            core.endpoints_changed(*core.membership.apply_list("e-1", told, LATE, ahead.wall()), True)
             lives = [[recovery.LIFE, WALL + LATE - S, recovery.boot_mark("b1", WALL), 1, 1]]
             with mock.patch.object(core, "brain") as brain:
                 core.adopt(Disk(lives, ahead.wall(), recovery.boot_mark("b1", WALL + HOUR), 2))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -923,7 +923,7 @@
             worker.answer(worker.runs()[0])
             site.roster.transport.sendto(told_[-1], site.node.roster.sock.getsockname())
             held_up()
-            await site.until(lambda: not site.node.membership.usable("s-1"))
+            await site.until(lambda: not site.node.membership.is_usable("s-1"))
             await site.turns()
             self.assertEqual(len(worker.runs()), 1)
             client.close()
@@ -1097,7 +1097,8 @@
             roster.tell(new)
             roster.tell(old, "Terminating")
             await site.until(
-                lambda: site.node.membership.usable("s-2") and not site.node.membership.usable("s-1"), 12
+                lambda: site.node.membership.is_usable("s-2") and not site.node.membership.is_usable("s-1"),
+                12,
             )
 
     async def test_a_silence_under_which_workers_change(self):
@@ -1123,10 +1124,10 @@
             entries, site.roster.entries = site.roster.entries, {}
             before = site.node.roster.counts["old"]
             await site.until(lambda: site.node.roster.counts["old"] > before)
-            self.assertTrue(site.node.membership.usable("s-1"))
+            self.assertTrue(site.node.membership.is_usable("s-1"))
             site.roster.serial, site.roster.entries = serial, entries
-            await site.until(lambda: site.node.membership.usable("s-2"))
-            self.assertFalse(site.node.membership.usable("s-1"))
+            await site.until(lambda: site.node.membership.is_usable("s-2"))
+            self.assertFalse(site.node.membership.is_usable("s-1"))
             ran, number = len(old.runs), client.call(ask(fn=1))
             await site.until(lambda: number in client.read())
             self.assertEqual((client.answers[number][0], len(old.runs)), ("completed", ran))
@@ -1141,9 +1142,9 @@
             good, entries = site.node.roster.counts["good"], site.roster.entries
             site.roster.entries = {"s-2": entries["s-2"]}
             await site.until(lambda: site.node.roster.counts["good"] > good + 1)
-            self.assertTrue(site.node.membership.usable("s-1"))
+            self.assertTrue(site.node.membership.is_usable("s-1"))
             site.roster.serial += 1
-            await site.until(lambda: not site.node.membership.usable("s-1"))
+            await site.until(lambda: not site.node.membership.is_usable("s-1"))
 
     async def test_a_configuration_that_is_half_written_when_its_signal_comes(self):
         async with Site([Worker("s-1")]) as site:
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -297,7 +297,7 @@
 
 
 def entry(worker, state="usable", booted=0):
-    return membership.entry(
+    return membership.decode_endpoint(
         {"worker": worker, "address": "127.0.0.1:1", "zone": "n", "state": state, "booted": booted}
     )
 
@@ -308,27 +308,27 @@
 
         def say(what, pair=((), ())):
             listed = [f"{e.worker} {'up' if e.usable else 'down'} since {e.booted / S:g}" for e in pair[0]]
-            lines.append(f"{what}: {', '.join(listed) or '-'}; leaving {pair[1]}; resume {m.resume}")
+            lines.append(f"{what}: {', '.join(listed) or '-'}; leaving {pair[1]}; resume {m.resume_after}")
 
         say("nothing yet")
-        say("list", m.whole("e-4", [entry("a"), entry("b"), entry("c", booted=WALL - S)], 9 * S, WALL))
+        say("list", m.apply_list("e-4", [entry("a"), entry("b"), entry("c", booted=WALL - S)], 9 * S, WALL))
         for id_ in ("e-5", "e-4", "e-7", "f-5", "e-x"):
-            say(f"{id_} is {m.event(id_)}")
-        say("a drains", m.change("e-5", [entry("a", "draining")], 10 * S, WALL + S))
-        say("told again", m.change("e-6", [entry("a", "draining")], 11 * S, WALL + 2 * S))
+            say(f"{id_} is {m.order_of(id_)}")
+        say("a drains", m.apply_change("e-5", [entry("a", "draining")], 10 * S, WALL + S))
+        say("told again", m.apply_change("e-6", [entry("a", "draining")], 11 * S, WALL + 2 * S))
         say(
             "clock stepped, c is told again",
-            m.change("e-7", [entry("c", booted=WALL - S)], 12 * S, WALL + 900 * S),
+            m.apply_change("e-7", [entry("c", booted=WALL - S)], 12 * S, WALL + 900 * S),
         )
-        say("c restarted", m.change("e-8", [entry("c", booted=WALL + 2 * S)], 13 * S, WALL + 4 * S))
-        say("a is gone", m.change("e-9", [entry("a", "gone")], 14 * S, WALL))
-        say("a list without b", m.whole("f-1", [entry("c", booted=WALL + 2 * S)], 15 * S, WALL))
-        m.forget()
-        say(f"after a gap f-2 is {m.event('f-2')}")
-        m.alive(15 * S)
+        say("c restarted", m.apply_change("e-8", [entry("c", booted=WALL + 2 * S)], 13 * S, WALL + 4 * S))
+        say("a is gone", m.apply_change("e-9", [entry("a", "gone")], 14 * S, WALL))
+        say("a list without b", m.apply_list("f-1", [entry("c", booted=WALL + 2 * S)], 15 * S, WALL))
+        m.forget_position()
+        say(f"after a gap f-2 is {m.order_of('f-2')}")
+        m.on_heard(15 * S)
         lines.append(
-            f"lost after 4 s {m.silent(19 * S)}, 5 s {m.silent(20 * S)}, said again {m.silent(21 * S)}, "
-            f"heard again {m.alive(22 * S)}"
+            f"lost after 4 s {m.is_newly_lost(19 * S)}, 5 s {m.is_newly_lost(20 * S)}, "
+            f"said again {m.is_newly_lost(21 * S)}, heard again {m.on_heard(22 * S)}"
         )
         compare(self, "membership", lines)
 
@@ -341,5 +341,5 @@
             {"worker": 3, "address": "h:1", "state": "gone"},
             {"worker": "a", "address": 7, "state": "gone"},
         ):
-            with self.assertRaises(ValueError):
-                membership.entry(raw)
+            with self.assertRaises(membership.MalformedEndpointError):
+                membership.decode_endpoint(raw)
--- a/tests/test_early.py
+++ b/tests/test_early.py
@@ -56,7 +56,7 @@
         await self.begin_early(w := Worker("w1"))
         await self.call(0.6)
         self.roster.tell(w.entry("draining"))
-        await self.until(lambda: not self.core.membership.usable("w1"))
+        await self.until(lambda: not self.core.membership.is_usable("w1"))
         held = len(w.holds)
         early = self.core.forecasts.early
         turns = early.plans
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -220,8 +220,8 @@
             (
                 41,
                 [
-                    membership.Entry("s-1", ("127.0.0.1", 5050), "east", 1, 0, "usable"),
-                    membership.Entry(
+                    membership.Endpoint("s-1", ("127.0.0.1", 5050), "east", 1, 0, "usable"),
+                    membership.Endpoint(
                         "s-2", ("127.0.0.1", 5051), "west", 1, 1_700_000_000_123 * MS, "draining"
                     ),
                 ],
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -349,7 +349,7 @@
         self.roster.tell(w.entry("draining"), skip=3)
         await self.until(lambda: len(self.roster.asked) == 3)
         self.assertIsNone(self.roster.asked[-1])
-        await self.until(lambda: not self.core.membership.usable("w1"))
+        await self.until(lambda: not self.core.membership.is_usable("w1"))
         status, _ = await self.post()
         self.assertEqual((status, w.runs), (503, []))
 
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -409,7 +409,7 @@
         sent = []
         link = type("Link", (), {"hold": lambda self, *order: sent.append(order), "owes": lambda self: False})
         self.core.links["w1"] = link()
-        self.core.membership.usable = lambda worker: True
+        self.core.membership.is_usable = lambda worker: True
         held = []
         self.core.load_order_ended = lambda *answer: held.append(answer[2])
         self.core.hold("w1", "again-1", 2)
