--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -16,13 +16,12 @@
 from petrelwood.decide.delivery import recovery
 from petrelwood.decide.delivery.ledger import ActivationState, Ledger
 from petrelwood.decide.delivery.pending import PendingActivations
-from petrelwood.decide.forecasting.forecast import Calendar
-from petrelwood.decide.forecasting.planner import Prices
-from petrelwood.decide.forecasting.prefetch import EarlyLoads
+from petrelwood.decide.delivery.state_records import ActivationEnded, ActivationTaken, LoadOrdered
 from petrelwood.decide.overload import intake as stage
 from petrelwood.decide.overload.backoff import Budget
 from petrelwood.decide.overload.intake import Intake
 from petrelwood.dispatch.event_queue import EventQueue
+from petrelwood.dispatch.load_forecasts import LoadForecasts
 from petrelwood.dispatch.recent_answers import RecentAnswers
 from petrelwood.dispatch.state_recovery import LONGEST_BODY, StateRecovery
 from petrelwood.dispatch.worker_links import WorkerLinks
@@ -74,9 +73,13 @@
         self.recent_answers = RecentAnswers()
         if state is not None:
             self.adopt(state)
-        self.early, self.note = None, None  # `note(...)` of `store.history`, where one is kept
+        self.record_execution = None  # `note` of `store.history.History`, where a history is kept
+        self.forecasts = None
         if gateway.early is not None and hasattr(self.brain, "wish"):
-            self._begin_early(gateway.early)
+            self.forecasts = LoadForecasts(
+                gateway.early, self.terms, clock, chance, wish=self._wish, sliced=self.slices
+            )
+            self._plan_next_slot()
 
     def _stages(self):
         """What an activation passes before the module: the ledger (or None), the intake, and what ids are
@@ -101,7 +104,8 @@
 
     # What an earlier life left, and what is kept of this one.
     def adopt(self, state, elsewhere=False):
-        """Goes on from what earlier lives left. `state` as `store.state.StateLog`: `found`, `add`, `flush`,
+        """Goes on from what earlier lives left. `state` as `store.state_log.StateLog`: `found`, `add`,
+        `flush`,
         `stopped`, `durability`, `boot`. `elsewhere`: the life before still finishes what it took."""
         now, wall, self.state = self.now(), self.record_time(), state
         found = recovery.replay(self.state.found, wall, self.state.boot, self.state.durability == "machine")
@@ -122,7 +126,7 @@
             self.intake.concurrency_limit.begin(now)
         self.state.found = []
         if found.least_epoch is not None:
-            younger = self.membership.clock_was(found.least_epoch, now)
+            younger = self.membership.correct_clock(found.least_epoch, now)
             if younger:
                 self.submit(self._endpoints_changed, younger, [], False)
         if found.last:
@@ -158,14 +162,14 @@
     def resume_admitting(self):
         """The successor has failed: what it admitted is read from its log, and this process admits again."""
         if self.state is not None:
-            self.state.renew(self.record_time())
+            self.state.take_over_again(self.record_time())
             self.adopt(self.state)
         self.intake.closing, self.retired, self.on_activation_end = False, False, None
 
     def note_predecessor_outcome(self, customer, id_, outcome, sent, body):
         """The predecessor has finished an activation that it had in flight."""
         if self.ledger.end_elsewhere((customer, id_), outcome, sent, body) and self.state is not None:
-            self.state.add(recovery.END, self.record_time(), customer, id_, outcome, sent, body)
+            self.state.add(ActivationEnded(self.record_time(), customer, id_, outcome, sent, body))
 
     def predecessor_gone(self):
         """The predecessor has ended: the outcomes that it did not send are not known."""
@@ -179,9 +183,8 @@
     def _keep(self, act):
         """Notes a new activation; whether it may be told to the module at once. What must not run twice waits
         until its id is kept, and is turned away where it can't be."""
-        self.state.add(
-            recovery.TAKE, self.record_time(), *act.key, self.ledger.entries[act.key].timestamp, act.type
-        )
+        stamp = self.ledger.entries[act.key].timestamp
+        self.state.add(ActivationTaken(self.record_time(), *act.key, stamp, act.type))
         if not recovery.kept_first(self.terms.types[act.type].effect):
             return True
         if self.state.durability == "machine":
@@ -231,28 +234,17 @@
         if self.on_activation_end is not None:
             self.on_activation_end(*act.key, outcome, act.sends > 0, kept)
         if self.state is not None:
-            self.state.add(recovery.END, self.record_time(), *act.key, outcome, act.sends > 0, kept)
-
-    def _begin_early(self, terms):
-        calendar = Calendar(terms.slot, terms.season, terms.week, terms.events)
-        orders = self.terms.orders
-        self.early = EarlyLoads(
-            calendar,
-            Prices(terms.fetch, terms.memory_price),
-            orders.keep,
-            self.terms.dispatchers,
-            self.chance.random,
-            lambda *wish: self.brain.wish(self.now(), *wish),
-            self.terms.zone,
-            terms.size,
-            terms.memory,
-            sliced=self.slices,
-        )
-        self.clock.at(self.now() + terms.slot, self._early_turn)
+            self.state.add(ActivationEnded(self.record_time(), *act.key, outcome, act.sends > 0, kept))
+
+    def _wish(self, function, lanes, load_time):
+        return self.brain.wish(self.now(), function, lanes, load_time)
+
+    def _plan_next_slot(self):
+        self.clock.at(self.now() + self.forecasts.slot, self._slot_ended)
 
-    def _early_turn(self):
-        self.submit(self._plan)
-        self.clock.at(self.now() + self.gateway.early.slot, self._early_turn)
+    def _slot_ended(self):
+        self.submit(self._plan_loads)
+        self._plan_next_slot()
 
     def _look(self):
         """Storms are looked at; what they change is decided in `decide.overload.intake` and at the fronts."""
@@ -265,18 +257,17 @@
             )
             self.storm_changed(name, on)
         if self.state is not None:
-            self.state.tend(self.record_time())
+            self.state.check(self.record_time())
             self.state_recovery.check()
         self.clock.at(self.now() + LOOK, self._look)
 
     def storm_changed(self, name, on):
         """For a dispatcher that has fronts."""
 
-    def _plan(self):
+    def _plan_loads(self):
         if self.intake.storms.on("cold") or self.intake.concurrency_limit.holds_back:
             return  # guesses wait until what is asked for can be served
-        orders = self.terms.orders
-        self.early.turn(self.now(), self.clock.steady_wall(), 1e9 if not orders.period else orders.free)
+        self.forecasts.plan_slot()
 
     def apply(self, gateway):
         """A new version of the settings, of which all can act at once: customers' keys, functions, limits.
@@ -362,10 +353,8 @@
             exchange.act = act.id
             self.events.touched.add(act.id)
             self._arm()
-            if self.early is not None:
-                self.early.called(
-                    now, self.clock.steady_wall(), function, rule.lanes, rule.load_time, ask.type
-                )
+            if self.forecasts is not None:
+                self.forecasts.activation_admitted(now, function, rule, ask.type)
             if self.state is None or self._keep(act):
                 self._begin(act)
         else:
@@ -446,7 +435,7 @@
             self._finish(act_id, ActivationState.COMPLETED, body)
         if code == ports.COMPLETED and self.intake.damps:
             self.intake.storms.ran(now, note not in (0, ports.FOUND_WARM))
-        if owed is not None and (self.early is not None or self.note is not None):
+        if owed is not None and (self.forecasts is not None or self.record_execution is not None):
             self._learn(now, owed, worker, code, note, now - at)
         self.events.touched.add(act_id)
         self.brain.answer(
@@ -454,15 +443,15 @@
         )
 
     def _learn(self, now, owed, worker, code, note, took):
-        """What history and early loads want to know of a send's end."""
+        """What the history and the forecasts learn from a send's end."""
         warm = note in (0, ports.FOUND_WARM)
-        if self.early is not None:
+        if self.forecasts is not None:
             if code == ports.COMPLETED:
-                self.early.ran(now, owed.fn, worker, warm, took, 0 if warm else took)
+                self.forecasts.send_completed(now, owed.fn, worker, warm, took)
             elif code == ports.MISSING:
-                self.early.missed(now, owed.fn, worker)
-        if self.note is not None and code == ports.COMPLETED:
-            self.note(
+                self.forecasts.copy_missing(now, owed.fn, worker)
+        if self.record_execution is not None and code == ports.COMPLETED:
+            self.record_execution(
                 self.clock.steady_wall(),
                 owed.fn,
                 owed.customer,
@@ -474,8 +463,8 @@
             )
 
     def load_order_ended(self, worker, fn, code, copies):
-        if self.early is not None:
-            self.early.stands(self.now(), fn, worker, code == ports.COMPLETED)
+        if self.forecasts is not None:
+            self.forecasts.order_ended(self.now(), fn, worker, code == ports.COMPLETED)
         self.brain.stands(self.now(), worker, fn, code, copies)
 
     def health_check_ended(self, worker, code, gauge):
@@ -499,7 +488,7 @@
             self.log.error("a send after the final answer was held back", act=act, worker=worker)
             return
         now, link = self.now(), self.links.get(worker)
-        if link is None or not self.membership.usable(worker) or not self._warm_enough(worker, now):
+        if link is None or not self.membership.is_usable(worker) or not self._warm_enough(worker, now):
             self.counts["refused_by_guard"] += 1
             self.submit(self.send_ended, act, n, worker, ports.NOT_SENT, 0, b"", now, None)
             return
@@ -545,7 +534,7 @@
 
     def hold(self, worker, fn, copies):
         link, rule = self.links.get(worker), self.rule(fn)
-        if link is None or self.retired or not self.membership.usable(worker):
+        if link is None or self.retired or not self.membership.is_usable(worker):
             self.counts["refused_by_guard"] += 1
             self.order_not_sent(self.now())
             self.submit(self.load_order_ended, worker, fn, ports.NOT_SENT, 0)
@@ -562,7 +551,7 @@
         before."""
         if self.state is None:
             return True
-        self.state.add(recovery.ORDER, self.record_time(), worker, fn, copies)
+        self.state.add(LoadOrdered(self.record_time(), worker, fn, copies))
         if not self.state.flush():
             return False
         self.state_recovery.recent_orders.add(self.now(), worker, fn, copies)
