--- a/petrelwood/node/front.py
+++ b/petrelwood/node/front.py
@@ -458,8 +458,7 @@
         connection_faults = 0
         made_room = False
         for _ in range(SHORT_QUEUE if self.shedding else ACCEPTS):
-            guest = self.full() and not self._make_room()
-            if guest and len(self.clients) >= self.room.clients + GUESTS:
+            if len(self.clients) >= self.room.clients + GUESTS and not self._make_room():
                 self._rest_listener()
                 return
             try:
@@ -480,6 +479,7 @@
             connection_faults = 0
             made_room = False
             self.counts["connections"] += 1
+            guest = self.full() and not self._make_room()
             try:
                 self._serve(sock, guest)
             except OSError:  # it can't be set up: nothing of it was read
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -141,6 +141,18 @@
                 self.assertEqual(client.answers[1][0], "completed")
                 client.close()
 
+    async def test_room_is_made_only_for_who_has_come(self):
+        """As many as there is room for: none of them is closed. Fails on a front that makes room before it
+        accepts, as the one of 1a9d409 did."""
+        async with Inside([]) as site:
+            site.node.room.clients = 2
+            clients = [Caller(site.address) for _ in range(2)]
+            await site.until(lambda: len(site.node.front.clients) == 2)
+            await site.turns()
+            self.assertEqual(site.node.front.counts["crowded out"], 0)
+            for client in clients:
+                client.close()
+
     async def test_more_than_room_and_guests_wait_to_be_accepted(self):
         """Guests that say nothing fill what is spare; who comes then is answered when one of them is closed.
         The text before closed it. The loop does not come back to the listener meanwhile."""
