--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -146,9 +146,11 @@
         accepts, as the one of 1a9d409 did."""
         async with Inside([]) as site:
             site.node.room.clients = 2
-            clients = [Caller(site.address) for _ in range(2)]
-            await site.until(lambda: len(site.node.front.clients) == 2)
-            await site.turns()
+            clients = []
+            for number in (1, 2):
+                clients.append(Caller(site.address))
+                await site.until(lambda number=number: site.node.front.counts["connections"] == number)
+                await site.turns()
             self.assertEqual(site.node.front.counts["crowded out"], 0)
             for client in clients:
                 client.close()
