--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -14,7 +14,7 @@
 from petrelwood import ports
 from petrelwood.audit import rules
 from petrelwood.decide.delivery import recovery
-from petrelwood.decide.delivery.ledger import ABORTED, AGAIN, COMPLETED, LEFT, REJECTED, RUNNING, Ledger
+from petrelwood.decide.delivery.ledger import ActivationState, Ledger, LedgerVerdict
 from petrelwood.decide.delivery.state_records import (
     ActivationEnded,
     ActivationTaken,
@@ -109,7 +109,7 @@
         self.written(self.log())
         second = self.log(WALL + S)
         self.assertEqual((second.epoch, len(second.found)), (2, 21))
-        second.add(ActivationEnded(WALL + S, "x", "m1", COMPLETED, True, b"done"))
+        second.add(ActivationEnded(WALL + S, "x", "m1", ActivationState.COMPLETED, True, b"done"))
         second.flush()
         third = self.log(WALL + 2 * S)
         self.assertEqual([type(r) for r in third.found[21:]], [IncarnationStarted, ActivationEnded])
@@ -187,7 +187,7 @@
 
     def test_the_commands(self):
         log = self.written(self.log(), 3)
-        log.add(ActivationEnded(WALL + 9, "x", "m1", COMPLETED, True, b"{}"))
+        log.add(ActivationEnded(WALL + 9, "x", "m1", ActivationState.COMPLETED, True, b"{}"))
         log.flush()
 
         def run(*args):
@@ -223,18 +223,23 @@
         for type_ in TYPES:
             for outcome, sent in (
                 (None, None),
-                (COMPLETED, True),
-                (REJECTED, False),
-                (ABORTED, True),
-                (LEFT, True),
-                (LEFT, False),
+                (ActivationState.COMPLETED, True),
+                (ActivationState.REJECTED, False),
+                (ActivationState.ABORTED, True),
+                (ActivationState.CLIENT_LEFT, True),
+                (ActivationState.CLIENT_LEFT, False),
             ):
                 id_ = f"{type_}, {outcome or 'no outcome'}{', sent' if sent else ''}"
                 records.append(ActivationTaken(at, "x", id_, at, type_))
                 if outcome:
                     records.append(
                         ActivationEnded(
-                            at + S, "x", id_, outcome, sent, b"kept" if outcome == COMPLETED else None
+                            at + S,
+                            "x",
+                            id_,
+                            outcome,
+                            sent,
+                            b"kept" if outcome == ActivationState.COMPLETED else None,
                         )
                     )
         for wall, word in (
@@ -245,15 +250,18 @@
             _, ledger = self.story(records, wall)
             lines.append(word)
             for (_, id_), entry in list(ledger.entries.items()):
-                verdict, entry = ledger.ask(50 * S, wall, ("x", id_), max(wall, at) + 2 * S, entry.type)
-                lines.append(f"    {id_}: {verdict}{' ' + entry.body.decode() if verdict == AGAIN else ''}")
+                verdict, entry = ledger.admit(
+                    50 * S, wall, ("x", id_), max(wall, at) + 2 * S, entry.type_name
+                )
+                result = f" {entry.result.decode()}" if verdict == LedgerVerdict.REPEAT_RESULT else ""
+                lines.append(f"    {id_}: {verdict}{result}")
         compare(self, "state_ids", lines)
 
     def test_replays_signed_before_the_restart(self):
         records = [
             self.LIFE,
             ActivationTaken(WALL + S, "x", "m1", WALL, "once"),
-            ActivationEnded(WALL + 2 * S, "x", "m1", COMPLETED, True, b"r"),
+            ActivationEnded(WALL + 2 * S, "x", "m1", ActivationState.COMPLETED, True, b"r"),
         ]
         lines = []
         for word, wall, boot, durable in (
@@ -264,7 +272,7 @@
         ):
             found, ledger = self.story(records, wall, boot, durable)
             asked = [
-                ledger.ask(50 * S, wall, ("x", id_), stamp, "once")[0]
+                ledger.admit(50 * S, wall, ("x", id_), stamp, "once")[0]
                 for id_, stamp in (("m1", WALL), ("m2", WALL + S), ("m3", wall + S))
             ]
             lines.append(
@@ -301,7 +309,7 @@
             chance.choice(
                 [
                     ActivationTaken(WALL + i, "x", f"m{i % 9}", WALL, chance.choice([*TYPES, "gone"])),
-                    ActivationEnded(WALL + i, "x", f"m{i % 9}", ABORTED, True, None),
+                    ActivationEnded(WALL + i, "x", f"m{i % 9}", ActivationState.ABORTED, True, None),
                     LoadOrdered(WALL + i, "w", "f", 1),
                     IncarnationEnded(WALL + i),
                     self.LIFE,
@@ -313,7 +321,7 @@
             some = [r for r in records if chance.random() < 0.7]
             chance.shuffle(some)
             found, ledger = self.story(some, WALL + chance.randrange(-100, 100) * S)
-            self.assertTrue(all(entry.state != RUNNING for entry in ledger.entries.values()))
+            self.assertTrue(all(entry.state != ActivationState.RUNNING for entry in ledger.entries.values()))
 
 
 class Lives(unittest.TestCase):
