--- a/tests/test_configuration_disk.py
+++ b/tests/test_configuration_disk.py
@@ -225,6 +225,32 @@
             Promise,
         )
 
+    def test_a_kill_at_each_byte_of_the_write_after_a_failure_leaves_the_log_before_it(self):
+        self.begun()
+        before = self.on_disk()
+        size = len(snapshot.pack(log_storage.KIND, log_storage.VERSION, before))
+        for after in range(0, size, 3):
+            files = FailingFiles("sync", 1)
+            durable = self.durable(files)
+            self.assertEqual(durable.answer(Prepare(1, Ballot(2, "b")), 0), NotVoting())
+            files.kill_after = after
+            with self.assertRaises(Killed):
+                durable.retry(SECOND)
+            self.assertEqual(self.on_disk(), before, after)
+
+    def test_a_kill_at_each_call_of_a_write_leaves_the_log_before_it_or_the_one_after(self):
+        for call in CALLS:
+            with self.subTest(call), tempfile.TemporaryDirectory() as folder:
+                self.folder = pathlib.Path(folder)
+                self.begun()
+                before = self.on_disk()
+                durable = self.durable(snapshot.Files())
+                with mock.patch.object(snapshot.Files, call, side_effect=Killed):
+                    with self.assertRaises(Killed):
+                        durable.answer(Prepare(1, Ballot(2, "b")), 0)
+                is_renamed = call == "sync_folder"
+                self.assertEqual(self.on_disk(), durable.replica.durable_state() if is_renamed else before)
+
     def test_a_file_that_failed_is_not_written_to_again(self):
         self.begun()
         files = FailingFiles("sync", 1)
