--- a/petrelwood/control/connection.py
+++ b/petrelwood/control/connection.py
@@ -41,7 +41,8 @@
         self._stream.set_nodelay(True)
         reader = rpc.Reader(MAX_MESSAGE_SIZE)
         while True:
-            data = await asyncio.wait_for(self._stream.read_bytes(READ_SIZE, partial=True), IDLE_TIMEOUT)
+            async with asyncio.timeout(IDLE_TIMEOUT):
+                data = await self._stream.read_bytes(READ_SIZE, partial=True)
             self.last_read = time.monotonic_ns()
             try:
                 messages = reader.feed(data)
--- a/petrelwood/control/server.py
+++ b/petrelwood/control/server.py
@@ -67,11 +67,11 @@
     def close(self) -> None:
         """Closes all listeners and connections, and ends all that is on its way."""
         self.stop()
+        self._tasks.cancel()
+        self._appender.close()
         self.peers.close()
         for connection in list(self._connections):
             connection.close()
-        self._appender.close()
-        self._tasks.cancel()
 
     # The disk.
     def disk_failed(self, error: OSError, retry_in: int) -> None:
--- a/petrelwood/links/rpc_client.py
+++ b/petrelwood/links/rpc_client.py
@@ -37,7 +37,9 @@
         """The result of a call that is answered `within` seconds. Raises `RpcError`."""
         received = self._received
         try:
-            return await asyncio.wait_for(self._call(method, params), within)
+            # not `wait_for`, which loses a cancellation that comes as the call ends
+            async with asyncio.timeout(within):
+                return await self._call(method, params)
         except TimeoutError as error:
             if received == self._received:
                 self._drop_silent_connection()
--- a/tests/test_rpc_client.py
+++ b/tests/test_rpc_client.py
@@ -1,6 +1,7 @@
 """A client of MessagePack-RPC whose system calls fail: each call ends in time, and the next one works."""
 
 import asyncio
+import contextlib
 import errno
 import gc
 import os
@@ -161,6 +162,24 @@
         self.assertEqual(await self.ask(), [1])
         self.assertEqual(self.server.connections, 1)
 
+    async def test_a_cancellation_that_comes_as_the_call_ends_is_not_lost(self):
+        ends = []
+
+        async def caller():
+            while True:
+                with contextlib.suppress(RpcError):
+                    await self.ask("silence")
+                ends.append("went on")
+                await asyncio.sleep(0)
+
+        task = asyncio.create_task(caller())
+        await asyncio.sleep(0.05)
+        self.client.close()  # its call fails in the turn in which it is cancelled
+        await asyncio.sleep(0)
+        task.cancel()
+        await asyncio.wait([task], timeout=0.2)
+        self.assertTrue(task.cancelled(), ends)
+
     async def test_too_many_calls_without_an_answer_fail_at_once(self):
         calls = [asyncio.create_task(self.ask("silence")) for _ in range(rpc_client.MAX_OPEN_CALLS)]
         await asyncio.sleep(0.05)
