--- a/benchmarks/scale/configuration.py
+++ b/benchmarks/scale/configuration.py
@@ -82,16 +82,16 @@
     last = None
     for lost in range(size.CONTROL_MACHINES + 1):
         if lost:
-            fleet.world.crash(f"c{size.CONTROL_MACHINES + 1 - lost}")
+            fleet.cluster.crash(f"c{size.CONTROL_MACHINES + 1 - lost}")
         number = fleet.publish() if lost < size.CONTROL_MACHINES else None
-        begun = fleet.world.now
+        begun = fleet.cluster.now
         fleet.forget_counts()
         fleet.run(25)
         last = number or last
-        seconds = (fleet.world.now - begun) / SECOND
+        seconds = (fleet.cluster.now - begun) / SECOND
         rows.append(measured(f"{lost} servers lost", fleet, number, seconds, since, fleet.running(last)))
-    for name in fleet.world.names:
-        fleet.world.start(name)
+    for name in fleet.cluster.names:
+        fleet.cluster.start(name)
     fleet.run(40)  # servers that had failed are asked again after 30 s at the latest
     number = fleet.publish()
     fleet.forget_counts()
@@ -106,7 +106,7 @@
     number = fleet.publish()
     fleet.run(25)
     fleet.forget_counts()
-    fleet.published[number] = fleet.decided[number] = fleet.world.now
+    fleet.published[number] = fleet.decided[number] = fleet.cluster.now
     for one in fleet.dispatchers:
         one.announced.clear()
         one.force.clear()
@@ -126,7 +126,7 @@
     assert {one.region for one in had} == {0} and smaller is None
     first = fleet.in_force(larger, had)
     fleet.set_split(False)
-    begun = fleet.world.now
+    begun = fleet.cluster.now
     fleet.run(60)
     result = measured("a region away", fleet, larger, seconds + 65, since, len(had) / dispatchers)
     healed = (max(one.force[larger] for one in fleet.dispatchers) - begun) / SECOND
@@ -139,8 +139,8 @@
     fleet, draws = Fleet(dispatchers, seed, staged, calls=1), Random(seed)
     at = 0.0
     while (at := at + draws.expovariate(1 / gap)) < seconds:
-        fleet.run(max(0.0, at - fleet.world.now / SECOND))
-        fleet.publish(draws.choice(fleet.world.names))
+        fleet.run(max(0.0, at - fleet.cluster.now / SECOND))
+        fleet.publish(draws.choice(fleet.cluster.names))
     fleet.run(110)
     numbers, limit = sorted(fleet.published), WITHIN / SECOND
     within = ever = 0
--- a/benchmarks/scale/configuration_fleet.py
+++ b/benchmarks/scale/configuration_fleet.py
@@ -15,7 +15,7 @@
 from petrelwood.decide.cluster.log_records import Record, RecordKind, compress_text
 from petrelwood.decide.cluster.rollout import DWELL, Announced, Rollout, dwell_for
 from petrelwood.decide.cluster.version_watch import SECOND, CallOff, VersionWatch
-from petrelwood.emulate.configuration_servers import World
+from petrelwood.emulate.configuration_servers import Cluster, Network
 from petrelwood.links import rpc
 
 WITHIN = int(size.CONFIGURATION_IN_FORCE_WITHIN * SECOND)
@@ -50,7 +50,7 @@
     def restart(self, known):
         """The process begins; `known`: the position in its folder, 0 for an empty one."""
         dwell = self.fleet.dwell
-        self.watch = VersionWatch(self.name, self.fleet.world.names, known, 3 * dwell, self.fleet.chance)
+        self.watch = VersionWatch(self.name, self.fleet.cluster.names, known, 3 * dwell, self.fleet.chance)
         self.rollout = Rollout(self.name, 0, dwell=dwell)
 
 
@@ -65,7 +65,7 @@
         functions=FEW_FUNCTIONS,
         calls=CALLS_A_DISPATCHER,
     ):
-        self.world = World(seed, servers=size.CONTROL_MACHINES, loss=0, twice=0, most_delay=DELAY)
+        self.cluster = Cluster(seed, servers=size.CONTROL_MACHINES, network=Network(0, 0, DELAY))
         self.chance, self.drawn = Random(seed + 1).random, Random(seed + 2)
         self.dwell = dwell_for(WITHIN) if staged else DWELL
         self.shared = None if staged else {}  # number -> Announced, of the folder that all read
@@ -75,33 +75,33 @@
         self.published, self.decided = {}, {}  # record id -> when; version -> when
         self.dispatchers = [Dispatcher(self, number) for number in range(dispatchers)]
         for one in self.dispatchers:
-            self.world.later(int(self.chance() * SECOND), self._ask, one)
-            self.world.later(int(self.chance() * SECOND), self._look, one)
-        for name in self.world.names:
-            self.world.later(int(self.chance() * SECOND), self._catch_up, name)
+            self.cluster.schedule(int(self.chance() * SECOND), self._ask, one)
+            self.cluster.schedule(int(self.chance() * SECOND), self._look, one)
+        for name in self.cluster.names:
+            self.cluster.schedule(int(self.chance() * SECOND), self._catch_up, name)
 
     # What happens by itself.
     def _reaches(self, one, server):
-        return self.world.servers[server].up and (
+        return self.cluster.servers[server].up and (
             not self.split or (one.region == 0) == (server in FIRST_REGION)
         )
 
     def _ask(self, one):
-        now = self.world.now
+        now = self.cluster.now
         for server in one.watch.due(now):
-            self.world.later(int(self.chance() * DELAY), self._asked, one, server, one.watch.known)
-        self.world.later(max(1, one.watch.next - now), self._ask, one)
+            self.cluster.schedule(int(self.chance() * DELAY), self._asked, one, server, one.watch.known)
+        self.cluster.schedule(max(1, one.watch.next - now), self._ask, one)
 
     def _asked(self, one, server, known):
         if not self._reaches(one, server):
-            self.world.later(SECOND, one.watch.failed, server, self.world.now + SECOND)
+            self.cluster.schedule(SECOND, one.watch.failed, server, self.cluster.now + SECOND)
             return
-        extract = self.world.servers[server].replica.extract(known, compact=True)
+        extract = self.cluster.servers[server].replica.extract(known, compact=True)
         size = self._size(extract)
         one.messages, one.bytes = one.messages + 2, one.bytes + size
-        second = (server, self.world.now // SECOND)
+        second = (server, self.cluster.now // SECOND)
         self.by_server[second] = self.by_server.get(second, 0) + size
-        self.world.later(int(self.chance() * DELAY), self._answered, one, server, extract)
+        self.cluster.schedule(int(self.chance() * DELAY), self._answered, one, server, extract)
 
     def _size(self, extract):
         key = (extract.since, extract.chosen, len(extract.entries))
@@ -113,8 +113,8 @@
         return self.sizes[key]
 
     def _answered(self, one, server, extract):
-        wall = self.world.now
-        for news in one.watch.answered(server, extract, self.world.now, wall):
+        wall = self.cluster.now
+        for news in one.watch.answered(server, extract, self.cluster.now, wall):
             if isinstance(news, CallOff):
                 if news.number in one.announced:
                     one.announced[news.number] = one.announced[news.number]._replace(off=True)
@@ -128,52 +128,52 @@
         for completed in (True,) * good + (False,) * (self.calls - good):
             one.rollout.ended(completed)
         known = one.announced if self.shared is None else self.shared
-        verdict = one.rollout.look(self.world.now, list(known.values()))
+        verdict = one.rollout.look(self.cluster.now, list(known.values()))
         if verdict is not None:
-            self.world.later(APPLY, self._in_force, one, verdict[1])
+            self.cluster.schedule(APPLY, self._in_force, one, verdict[1])
             if one.rollout.calls_off is not None:
                 self._call_off(one, one.rollout.calls_off)
-        self.world.later(SECOND, self._look, one)
+        self.cluster.schedule(SECOND, self._look, one)
 
     def _in_force(self, one, number):
-        one.force.setdefault(number, self.world.now)
+        one.force.setdefault(number, self.cluster.now)
 
     def _call_off(self, one, number):
         if self.shared is not None:
             self.shared[number] = self.shared[number]._replace(off=True)
             return
         up = [server for server in one.watch.order if self._reaches(one, server)]
-        if up and not self.world.servers[up[0]].replica.is_revoked(number):
+        if up and not self.cluster.servers[up[0]].replica.is_revoked(number):
             record = Record(
-                f"off-{number}-{one.name}", RecordKind.REVOCATION, number, self.world.now, one.name.encode()
+                f"off-{number}-{one.name}", RecordKind.REVOCATION, number, self.cluster.now, one.name.encode()
             )
-            self.world.propose(up[0], record)
+            self.cluster.propose(up[0], record)
 
     def _catch_up(self, name):
-        self.world.catch_up(name, self.world.chance.choice(self.world.names))
-        self.world.later(SECOND, self._catch_up, name)
+        self.cluster.catch_up(name, self.cluster.random.choice(self.cluster.names))
+        self.cluster.schedule(SECOND, self._catch_up, name)
 
     # What a scenario does.
     def publish(self, server="c1", bad=False):
         """A version on its way; its number once it is decided, None where there is no quorum."""
-        now = self.world.now
+        now = self.cluster.now
         if self.shared is not None:
             number = len(self.shared) + 1
             self.shared[number] = Announced(number, now, False)
         else:
             record = Record(f"v{now}", RecordKind.VERSION, 0, now, self.body)
-            self.world.propose(server, record)
-            while record.id not in self.world.told and self.world.now < now + 5 * SECOND:
-                self.world.run(SECOND // 100)
-            number = self.world.told.get(record.id)
+            self.cluster.propose(server, record)
+            while record.id not in self.cluster.reported and self.cluster.now < now + 5 * SECOND:
+                self.cluster.run(SECOND // 100)
+            number = self.cluster.reported.get(record.id)
         if number is not None:
-            self.published[number], self.decided[number] = now, self.world.now
+            self.published[number], self.decided[number] = now, self.cluster.now
             if bad:
                 self.bad.add(number)
         return number
 
     def run(self, seconds):
-        self.world.run(int(seconds * SECOND))
+        self.cluster.run(int(seconds * SECOND))
 
     def in_force(self, number, among=None):
         """Seconds from publishing until the last dispatcher had it."""
@@ -193,4 +193,4 @@
     def set_split(self, split):
         """The regions lose each other, or find each other again."""
         self.split = split
-        self.world.sides = dict.fromkeys(FIRST_REGION, 1) if split else {}
+        self.cluster.partition = dict.fromkeys(FIRST_REGION, 1) if split else {}
--- a/petrelwood/control/log_storage.py
+++ b/petrelwood/control/log_storage.py
@@ -2,6 +2,7 @@
 
 import contextlib
 import pathlib
+from typing import Any
 
 from petrelwood.control.errors import LogStorageError
 from petrelwood.decide.cluster.replicated_log import Replica
@@ -48,7 +49,7 @@
         found = snapshot.read(self.path, KIND, VERSION)
         return None if found is None else Replica.from_durable_state(found[1])
 
-    def save(self, value: object) -> None:
+    def save(self, value: list[Any]) -> None:
         """Puts the log in place of the one before. Raises OSError; a restart then finds either of them."""
         try:
             snapshot.write(self.path, KIND, VERSION, value, self._files)
--- a/petrelwood/decide/cluster/durable_replica.py
+++ b/petrelwood/decide/cluster/durable_replica.py
@@ -9,7 +9,7 @@
 """
 
 from collections.abc import Callable, Mapping
-from typing import Protocol
+from typing import Any, Protocol
 
 from petrelwood.decide.cluster.log_proposal import MS
 from petrelwood.decide.cluster.log_records import Extract, Learn, Message, NotVoting, Reply
@@ -19,7 +19,7 @@
 
 FIRST_RETRY = 100 * MS
 LONGEST_RETRY = 5_000 * MS
-Save = Callable[[object], None]
+Save = Callable[[list[Any]], None]
 
 
 class DiskFailedError(UnavailableError):
--- a/petrelwood/emulate/configuration_servers.py
+++ b/petrelwood/emulate/configuration_servers.py
@@ -1,169 +1,247 @@
-"""Configuration servers in virtual time, on a network that loses, doubles, delays and reorders.
+"""Configuration servers in virtual time, on a network that loses, duplicates, delays and reorders.
 
 Servers crash, lose their disks, and can't write to them for a while. The replicas, what makes them durable,
-and the proposers are those that serve. One seeded generator draws all troubles. The book that judges is kept
-apart from the replicas: what each one ever held as decided in a slot, what each author was told, and whether
-what a server promised or accepted was on its disk.
+and the proposers are those that serve. One seeded generator draws all faults. What judges is kept apart from
+the replicas: what each one ever held as decided in a slot, what each author was told, and whether what a
+server promised or accepted was on its disk.
 """
 
 import errno
 import heapq
 import os
+from collections.abc import Callable
+from dataclasses import dataclass
+from enum import Enum
+from functools import partial
 from random import Random
+from typing import Any
 
 from petrelwood.decide.cluster.durable_replica import DiskFailedError, DurableReplica
 from petrelwood.decide.cluster.log_proposal import MS, Proposal, Proposer
-from petrelwood.decide.cluster.log_records import Accepted, Promise, Record, RecordKind, compress_text
+from petrelwood.decide.cluster.log_records import (
+    Accept,
+    Accepted,
+    Learn,
+    Message,
+    Promise,
+    Record,
+    RecordKind,
+    Reply,
+    compress_text,
+)
 from petrelwood.decide.cluster.replicated_log import Replica, majority
 
 SECOND = 1000 * MS
+CHECK_INTERVAL = 20 * MS  # between two looks at a proposal
+IN_TIME_SHARE = 0.9  # of the messages; the others may come very late
+LATE = 20  # times the usual delay
+MOST_DOWN = 2  # servers that crash at a time
+# What a fault is, by a draw in [0, 1) that lies below these.
+RESTART = 0.3
+CRASH = 0.4
+START_ALL = 0.6
+LOSE_DISK = 0.75
+PARTITION = 0.8
 
 
-class Server:
-    """One server: what is on its disk, and what only its process knows.
+class DiskFault(Enum):
+    """How a disk fails that can't be written to."""
 
-    `fault`: what its disk does at present. None: it writes; "before": it fails and the old value stands;
-    "after": it fails, and yet the new value stands, as when the folder is not made durable.
-    """
+    OLD_VALUE_STANDS = "the write fails"
+    NEW_VALUE_STANDS = "the write fails and yet the value is there, as when a folder is not made durable"
+
+
+@dataclass(frozen=True, slots=True)
+class Network:
+    """What the network does to messages between two servers."""
+
+    loss: float = 0.1  # of messages
+    duplicates: float = 0.1  # of messages
+    most_delay: int = 80 * MS
 
-    def __init__(self, name):
-        self.name, self.disk, self.up, self.life = name, Replica().durable_state(), False, 0
-        self.durable = self.replica = self.proposer = self.append = self.fault = None
-        self.failures = self.recoveries = 0
 
-    def save(self, value):
-        if self.fault != "before":
+class Server:
+    """One server: what is on its disk, and what only its process knows."""
+
+    durable: DurableReplica
+    proposer: Proposer
+
+    def __init__(self, name: str) -> None:
+        self.name = name
+        self.disk = Replica().durable_state()
+        self.disk_fault: DiskFault | None = None
+        self.disk_failures = 0
+        self.disk_recoveries = 0
+        self.up = False
+        self.incarnation = 0
+        self.replica = Replica()
+        self.proposal: Proposal | None = None
+
+    def save(self, value: list[Any]) -> None:
+        """Writes to the disk; see `DurableReplica`."""
+        if self.disk_fault is not DiskFault.OLD_VALUE_STANDS:
             self.disk = value
-        if self.fault is not None:
+        if self.disk_fault is not None:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
-    def disk_failed(self, error, retry_in):
-        self.failures += 1
+    def disk_failed(self, error: OSError, retry_in: int) -> None:
+        """Counts failures; see `DiskObserver`."""
+        self.disk_failures += 1
+
+    def disk_recovered(self, outage: int) -> None:
+        """Counts recoveries; see `DiskObserver`."""
+        self.disk_recoveries += 1
 
-    def disk_recovered(self, outage):
-        self.recoveries += 1
+    @property
+    def lacks_vote(self) -> bool:
+        """Whether it has lost its disk and does not vote yet."""
+        return self.replica.votes_from is None or self.replica.lacks_slots()
 
 
-class World:
-    """`replica` and `durable`: the classes that are judged; tests hand in broken ones. `disk_faults`: the
-    part of the troubles that makes a disk fail or mends it."""
+class Cluster:
+    """All servers, the network between them, and what judges them.
+
+    `replica_type` and `durable_type`: the classes that are judged; tests hand in broken ones. `disk_faults`:
+    the share of the faults drawn that makes a disk fail or mends it.
+    """
 
     def __init__(
         self,
-        seed,
-        servers=5,
-        loss=0.1,
-        twice=0.1,
-        most_delay=80 * MS,
-        replica=Replica,
-        durable=DurableReplica,
-        disk_faults=0,
-    ):
-        self.chance, self.loss, self.twice = Random(seed), loss, twice
-        self.most_delay, self.replica, self.durable = most_delay, replica, durable
+        seed: int,
+        servers: int = 5,
+        network: Network | None = None,
+        replica_type: type[Replica] = Replica,
+        durable_type: type[DurableReplica] = DurableReplica,
+        disk_faults: float = 0,
+    ) -> None:
+        self.random = Random(seed)
+        self.network = network or Network()
         self.disk_faults = disk_faults
-        self.names = [f"c{n}" for n in range(1, servers + 1)]
+        self.names = [f"c{number}" for number in range(1, servers + 1)]
         self.servers = {name: Server(name) for name in self.names}
-        self.now, self.events, self.count, self.sides = 0, [], 0, {}
-        self.decided, self.told, self.faults, self.records = {}, {}, [], 0
+        self.partition: dict[str, int] = {}  # server -> its side; none: all reach each other
+        self.now = 0
+        self.decided: dict[int, str] = {}  # slot -> the id of its record, as any replica ever had it
+        self.reported: dict[str, int] = {}  # record id -> the slot that its author was told
+        self.violations: list[str] = []
+        self._replica_type = replica_type
+        self._durable_type = durable_type
+        self._records = 0
+        self._events: list[tuple[int, int, Callable[..., object], tuple[Any, ...]]] = []
+        self._scheduled = 0
         for name in self.names:
             self.start(name)
 
     # Time and the network.
-    def later(self, wait, call, *args):
-        self.count += 1
-        heapq.heappush(self.events, (self.now + wait, self.count, call, args))
+    def schedule(self, wait: int, call: Callable[..., object], *args: Any) -> None:
+        """Makes a call once so much time has passed."""
+        self._scheduled += 1
+        heapq.heappush(self._events, (self.now + wait, self._scheduled, call, args))
 
-    def run(self, span):
+    def run(self, span: int) -> None:
+        """Lets so much time pass."""
         until = self.now + span
-        while self.events and self.events[0][0] <= until:
-            self.now, _, call, args = heapq.heappop(self.events)
+        while self._events and self._events[0][0] <= until:
+            self.now, _, call, args = heapq.heappop(self._events)
             call(*args)
         self.now = until
 
-    def hears(self, one, other):
-        """Whether a message passes: both on one side of the split, and not lost."""
-        return self.sides.get(one) == self.sides.get(other) and self.chance.random() >= self.loss
+    def _passes(self, one: str, other: str) -> bool:
+        """Whether a message gets from one server to another."""
+        together = self.partition.get(one) == self.partition.get(other)
+        return together and self.random.random() >= self.network.loss
 
-    def pass_on(self, one, other, call, *args):
-        for _ in range(1 + (self.chance.random() < self.twice)):
+    def _deliver(self, one: str, other: str, call: Callable[..., object], *args: Any) -> None:
+        for _ in range(1 + (self.random.random() < self.network.duplicates)):
             if one == other:
-                self.later(0, call, *args)
+                self.schedule(0, call, *args)
                 return
-            if self.hears(one, other):
-                most = self.most_delay * (1 if self.chance.random() < 0.9 else 20)  # some come very late
-                self.later(int(self.chance.random() * most), call, *args)
+            if self._passes(one, other):
+                late = 1 if self.random.random() < IN_TIME_SHARE else LATE
+                self.schedule(int(self.random.random() * self.network.most_delay * late), call, *args)
 
     # The life of a server.
-    def start(self, name):
+    def start(self, name: str) -> None:
+        """Starts a server, or starts it again, with what is on its disk."""
         server = self.servers[name]
-        server.life += 1
-        server.up, server.replica = True, self.replica.from_durable_state(server.disk)
-        server.durable = self.durable(server.replica, server.save, self.chance.random, server)
-        server.proposer, server.append = Proposer(f"{name}.{server.life}"), None
-
-    def crash(self, name):
+        server.incarnation += 1
+        server.up = True
+        server.replica = self._replica_type.from_durable_state(server.disk)
+        server.durable = self._durable_type(server.replica, server.save, self.random.random, server)
+        server.proposer = Proposer(f"{name}.{server.incarnation}")
+        server.proposal = None
+
+    def crash(self, name: str) -> None:
+        """Ends a server; what its memory held is gone."""
         self.servers[name].up = False
 
-    def lose_disk(self, name):
+    def lose_disk(self, name: str) -> None:
+        """Empties a server's disk."""
         self.servers[name].disk = Replica(votes_from=None).durable_state()
 
-    def keep(self, server):
-        """What has changed goes to the disk, and into the book."""
+    def _save(self, server: Server) -> None:
+        """Writes what has changed, and notes what is decided."""
         server.durable.save_changes(self.now)
-        self.note(server.replica)
+        self._observe(server.replica)
 
-    def note(self, replica):
+    def _observe(self, replica: Replica) -> None:
         for slot, record in replica.records.items():
             known = self.decided.setdefault(slot, record.id)
             if known != record.id:
-                self.faults.append(f"slot {slot} is decided as {known} and as {record.id}")
+                self.violations.append(f"slot {slot} is decided as {known} and as {record.id}")
 
-    def rejoin(self, name):
+    def rejoin(self, name: str) -> None:
         """What a server without a vote does now and then."""
-        server, answers = self.servers[name], {}
+        server = self.servers[name]
         if not server.up:
             return
+        voted_in = {}
         for other in self.names:
-            if other != name and self.servers[other].up and self.hears(name, other):
-                voted_in = self.servers[other].replica.voted_in()
-                if voted_in is not None:
-                    answers[other] = voted_in
-        server.durable.rejoin(answers, len(self.names), self.now)
-        self.keep(server)
+            if other != name and self.servers[other].up and self._passes(name, other):
+                slot = self.servers[other].replica.voted_in()
+                if slot is not None:
+                    voted_in[other] = slot
+        server.durable.rejoin(voted_in, len(self.names), self.now)
+        self._save(server)
         if server.replica.lacks_slots():
-            self.propose(name, self.record(RecordKind.NO_OPERATION))
+            self.propose(name, self.new_record(RecordKind.NO_OPERATION))
 
-    def catch_up(self, name, other):
+    def catch_up(self, name: str, other: str) -> None:
         """Anti-entropy: what the one lacks is read from the other."""
-        one, other_one = self.servers[name], self.servers[other]
-        if one.up and other_one.up and self.hears(name, other):
-            one.durable.learn(other_one.replica.extract(one.replica.chosen), self.now)
-            self.note(one.replica)
+        server = self.servers[name]
+        source = self.servers[other]
+        if server.up and source.up and self._passes(name, other):
+            server.durable.learn(source.replica.extract(server.replica.chosen), self.now)
+            self._observe(server.replica)
 
     # Proposals.
-    def record(self, kind=RecordKind.VERSION):
-        self.records += 1
-        return Record(f"r{self.records}", kind, 0, self.now, compress_text(f"text {self.records}"))
+    def new_record(self, kind: RecordKind = RecordKind.VERSION) -> Record:
+        """A record that no server has seen yet."""
+        self._records += 1
+        return Record(f"r{self._records}", kind, 0, self.now, compress_text(f"text {self._records}"))
 
-    def propose(self, name, record):
+    def propose(self, name: str, record: Record) -> None:
+        """A server proposes a record, unless it is down or another one is on its way there."""
         server = self.servers[name]
-        if not server.up or server.append is not None:
+        if not server.up or server.proposal is not None:
             return
-        life, box = server.life, []
-
-        def send(to, message):
-            self.pass_on(name, to, self.arrive, name, life, to, message, box)
-
-        append = Proposal(
-            server.replica, server.proposer, self.names, record, self.now, self.chance.random, send
+        incarnation = server.incarnation
+        started: list[Proposal] = []
+        send = partial(self._send, name, incarnation, started)
+        proposal = Proposal(
+            server.replica, server.proposer, self.names, record, self.now, self.random.random, send
         )
-        box.append(append)
-        server.append = append
-        self.keep(server)
-        self.tick(name, life, append)
+        started.append(proposal)
+        server.proposal = proposal
+        self._save(server)
+        self._check(name, incarnation, proposal)
 
-    def arrive(self, name, life, to, message, box):
+    def _send(self, name: str, incarnation: int, started: list[Proposal], to: str, message: Message) -> None:
+        self._deliver(name, to, self._arrive, name, incarnation, to, message, started)
+
+    def _arrive(
+        self, name: str, incarnation: int, to: str, message: Message, started: list[Proposal]
+    ) -> None:
         server = self.servers[to]
         if not server.up:
             return
@@ -171,104 +249,120 @@
             reply = server.durable.answer(message, self.now)
         except DiskFailedError:
             return
-        self.note(server.replica)
-        self.judge_reply(server, message, reply)
-        self.pass_on(to, name, self.replied, name, life, to, message, reply, box)
+        self._observe(server.replica)
+        self._judge_reply(server, message, reply)
+        self._deliver(to, name, self._replied, name, incarnation, to, message, reply, started)
 
-    def judge_reply(self, server, message, reply):
-        """What leaves is what a restart at this moment would remember."""
-        if not isinstance(reply, Promise | Accepted):
-            return
-        disk = Replica.from_durable_state(server.disk)
-        kept = disk.chosen >= message.slot or disk.promised >= message.ballot
-        if isinstance(reply, Accepted) and disk.chosen < message.slot:
-            kept = kept and (disk.accepted, disk.record) == (message.ballot, message.record)
-        if not kept:
-            self.faults.append(f"{server.name} replied {reply} and does not have it on its disk")
-
-    def replied(self, name, life, to, message, reply, box):
+    def _replied(
+        self,
+        name: str,
+        incarnation: int,
+        to: str,
+        message: Message,
+        reply: Reply,
+        started: list[Proposal],
+    ) -> None:
         server = self.servers[name]
-        if server.up and server.life == life and box:
-            box[0].handle_reply(to, message, reply, self.now)
-            self.keep(server)
-            self.ended(server, box[0])
+        if server.up and server.incarnation == incarnation and started:
+            started[0].handle_reply(to, message, reply, self.now)
+            self._save(server)
+            self._note_end(server, started[0])
 
-    def tick(self, name, life, append):
+    def _check(self, name: str, incarnation: int, proposal: Proposal) -> None:
         server = self.servers[name]
-        if not server.up or server.life != life or server.append is not append:
+        if not server.up or server.incarnation != incarnation or server.proposal is not proposal:
             return
-        append.check(self.now)
+        proposal.check(self.now)
         server.durable.retry(self.now)
-        self.ended(server, append)
-        self.later(20 * MS, self.tick, name, life, append)
+        self._note_end(server, proposal)
+        self.schedule(CHECK_INTERVAL, self._check, name, incarnation, proposal)
 
-    def ended(self, server, append):
-        if append.decided_slot is not None:
-            known = self.told.setdefault(append.record.id, append.decided_slot)
-            if known != append.decided_slot:
-                self.faults.append(f"{append.record.id} was told {known} and {append.decided_slot}")
-        if append.ended and server.append is append:
-            server.append = None
+    def _note_end(self, server: Server, proposal: Proposal) -> None:
+        record_id, slot = proposal.record.id, proposal.decided_slot
+        if slot is not None and self.reported.setdefault(record_id, slot) != slot:
+            self.violations.append(f"{record_id} was told {self.reported[record_id]} and {slot}")
+        if proposal.ended and server.proposal is proposal:
+            server.proposal = None
 
     # Judging.
-    def judge(self):
-        """All that is wrong now."""
-        slots = {}
+    def _judge_reply(self, server: Server, message: Message, reply: Reply) -> None:
+        """What leaves is what a restart at this moment would remember."""
+        if isinstance(message, Learn) or not isinstance(reply, Promise | Accepted):
+            return
+        disk = Replica.from_durable_state(server.disk)
+        if disk.chosen >= message.slot:
+            return
+        durable = disk.promised >= message.ballot
+        if isinstance(message, Accept):
+            durable = durable and (disk.accepted, disk.record) == (message.ballot, message.record)
+        if not durable:
+            self.violations.append(f"{server.name} replied {reply} and does not have it on its disk")
+
+    def judge(self) -> list[str]:
+        """All that is wrong up to now."""
+        slots: dict[str, int] = {}
         for slot, record_id in self.decided.items():
             if record_id in slots:
-                self.faults.append(f"{record_id} is decided in slots {slots[record_id]} and {slot}")
+                self.violations.append(f"{record_id} is decided in slots {slots[record_id]} and {slot}")
             slots[record_id] = slot
-        for record_id, slot in self.told.items():
+        for record_id, slot in self.reported.items():
             if self.decided.get(slot) != record_id:
-                self.faults.append(f"{record_id} was told slot {slot}, which holds {self.decided.get(slot)}")
-        return self.faults
+                held = self.decided.get(slot)
+                self.violations.append(f"{record_id} was told slot {slot}, which holds {held}")
+        return self.violations
 
-    def trouble(self, disks):
+    # Faults.
+    def inject_fault(self, with_disks: bool) -> None:
         """One thing goes wrong or is mended; never more than a minority of disks is lost at a time."""
-        name, what = self.chance.choice(self.names), self.chance.random()
+        name = self.random.choice(self.names)
+        draw = self.random.random()
         server = self.servers[name]
-        if self.disk_faults and self.chance.random() < self.disk_faults:
-            server.fault = self.chance.choice(("before", "after", None, None))
-        down = sum(not s.up for s in self.servers.values())
-        if what < 0.3:  # restarted at once: what only its memory held is gone
+        if self.disk_faults and self.random.random() < self.disk_faults:
+            server.disk_fault = self.random.choice((*DiskFault, None, None))
+        self._inject(name, draw, with_disks)
+        if server.up:
+            self.catch_up(name, self.random.choice(self.names))
+        for other in self.names:
+            if self.servers[other].up and self.servers[other].lacks_vote:
+                self.rejoin(other)
+
+    def _inject(self, name: str, draw: float, with_disks: bool) -> None:
+        down = sum(not server.up for server in self.servers.values())
+        minority = len(self.names) - majority(len(self.names))
+        if draw < RESTART:
             self.start(name)
-        elif what < 0.4 and down < 2:
+        elif draw < CRASH and down < MOST_DOWN:
             self.crash(name)
-        elif what < 0.6:
-            for other in self.names:
-                if not self.servers[other].up:
-                    self.start(other)
-        elif what < 0.75 and disks and self.blank() < len(self.names) - majority(len(self.names)):
+        elif draw < START_ALL:
+            self._start_all()
+        elif draw < LOSE_DISK and with_disks and self._without_vote() < minority:
             self.lose_disk(name)
             self.start(name)
-        elif what < 0.8:
-            self.sides = {n: self.chance.randrange(2) for n in self.names}
+        elif draw < PARTITION:
+            self.partition = {each: self.random.randrange(2) for each in self.names}
         else:
-            self.sides = {}
-        if server.up:
-            self.catch_up(name, self.chance.choice(self.names))
-        for other in self.names:
-            if self.servers[other].up and (
-                self.servers[other].replica.votes_from is None or self.servers[other].replica.lacks_slots()
-            ):
-                self.rejoin(other)
+            self.partition = {}
 
-    def blank(self):
-        """How many servers have lost their disk and do not vote yet."""
-        return sum(s.replica.votes_from is None or s.replica.lacks_slots() for s in self.servers.values())
-
-    def heal(self, seconds=20):
-        """All is up and hears all, for long enough to settle."""
-        self.sides, self.loss = {}, 0
+    def _start_all(self) -> None:
         for name in self.names:
-            self.servers[name].fault = None
             if not self.servers[name].up:
                 self.start(name)
+
+    def _without_vote(self) -> int:
+        """How many servers have lost their disk and do not vote yet."""
+        return sum(server.lacks_vote for server in self.servers.values())
+
+    def heal(self, seconds: int = 20) -> None:
+        """Mends all, and gives the servers time to settle."""
+        self.partition = {}
+        self.network = Network(0, self.network.duplicates, self.network.most_delay)
+        for server in self.servers.values():
+            server.disk_fault = None
+        self._start_all()
         for _ in range(seconds):
             for name in self.names:
-                server = self.servers[name]
-                server.durable.retry(self.now)
-                if server.replica.votes_from is None or server.replica.lacks_slots():
+                self.servers[name].durable.retry(self.now)
+                if self.servers[name].lacks_vote:
                     self.rejoin(name)
-                self.catch_up(name, self.chance.choice(self.names))
+                self.catch_up(name, self.random.choice(self.names))
             self.run(SECOND)
--- a/tests/test_configuration_disk.py
+++ b/tests/test_configuration_disk.py
@@ -33,7 +33,7 @@
     RecordKind,
 )
 from petrelwood.decide.cluster.replicated_log import Replica
-from petrelwood.emulate.configuration_servers import SECOND, World
+from petrelwood.emulate.configuration_servers import SECOND, Cluster, DiskFault, Network
 from petrelwood.links.rpc_client import RpcClient, RpcError
 from petrelwood.store import snapshot
 
@@ -280,36 +280,36 @@
     def test_no_slot_is_decided_twice_and_no_promise_leaves_before_it_is_durable(self):
         failures = recoveries = decided = 0
         for seed in range(SEEDS):
-            world = troubled(seed, disks=seed % 2 == 1, disk_faults=0.5)
-            self.assertEqual(world.judge(), [], seed)
-            failures += sum(one.failures for one in world.servers.values())
-            recoveries += sum(one.recoveries for one in world.servers.values())
-            decided += len(world.told)
+            cluster = troubled(seed, disks=seed % 2 == 1, disk_faults=0.5)
+            self.assertEqual(cluster.judge(), [], seed)
+            failures += sum(one.disk_failures for one in cluster.servers.values())
+            recoveries += sum(one.disk_recoveries for one in cluster.servers.values())
+            decided += len(cluster.reported)
         self.assertGreater(min(failures, recoveries, decided), SEEDS)
 
     def test_afterwards_all_of_them_vote_again(self):
         for seed in range(SEEDS // 3):
-            world = troubled(seed, disks=False, disk_faults=0.5)
-            self.assertFalse(any(one.durable.failed for one in world.servers.values()))
-            record = world.record()
-            world.propose("c1", record)
-            world.heal(5)
-            self.assertNotIn(None, {one.replica.slot_of(record.id) for one in world.servers.values()}, seed)
+            cluster = troubled(seed, disks=False, disk_faults=0.5)
+            self.assertFalse(any(one.durable.failed for one in cluster.servers.values()))
+            record = cluster.new_record()
+            cluster.propose("c1", record)
+            cluster.heal(5)
+            self.assertNotIn(None, {one.replica.slot_of(record.id) for one in cluster.servers.values()}, seed)
 
     def test_the_judge_finds_one_that_replies_before_it_is_durable(self):
-        world = troubled(1, disks=False, disk_faults=0.5, durable=Eager)
-        self.assertTrue(any("not have it on its disk" in fault for fault in world.judge()))
+        cluster = troubled(1, disks=False, disk_faults=0.5, durable_type=Eager)
+        self.assertTrue(any("not have it on its disk" in fault for fault in cluster.judge()))
 
     def test_with_two_of_five_disks_failing_records_are_decided_and_with_three_none(self):
         for failing, slot in ((2, 1), (3, None)):
-            world = World(1, loss=0, twice=0)
-            for name in world.names[5 - failing :]:
-                world.servers[name].fault = "before"
-            record = world.record()
-            world.propose("c1", record)
-            world.run(6 * SECOND)
-            self.assertEqual(world.told.get(record.id), slot)
-            self.assertEqual(world.judge(), [])
+            cluster = Cluster(1, network=Network(0, 0))
+            for name in cluster.names[5 - failing :]:
+                cluster.servers[name].disk_fault = DiskFault.OLD_VALUE_STANDS
+            record = cluster.new_record()
+            cluster.propose("c1", record)
+            cluster.run(6 * SECOND)
+            self.assertEqual(cluster.reported.get(record.id), slot)
+            self.assertEqual(cluster.judge(), [])
 
 
 class Process(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_finished.py
+++ b/tests/test_finished.py
@@ -19,6 +19,7 @@
     "petrelwood/decide/cluster/log_proposal.py",
     "petrelwood/decide/cluster/log_records.py",
     "petrelwood/decide/cluster/replicated_log.py",
+    "petrelwood/emulate/configuration_servers.py",
     "petrelwood/errors.py",
     "petrelwood/links/listener.py",
     "petrelwood/links/rpc_client.py",
--- a/tests/test_replicated_log.py
+++ b/tests/test_replicated_log.py
@@ -23,7 +23,7 @@
     decompress_text,
 )
 from petrelwood.decide.cluster.replicated_log import RETAINED_RECORDS, RETAINED_TEXTS, Replica
-from petrelwood.emulate.configuration_servers import SECOND, World
+from petrelwood.emulate.configuration_servers import SECOND, Cluster, Network
 
 SEEDS = 24
 
@@ -40,16 +40,16 @@
 
 
 def troubled(seed, disks, replica=Replica, steps=100, **more):
-    """A world after many troubles and proposals, all mended at the end."""
-    world = World(seed, replica=replica, **more)
+    """A cluster after many troubles and proposals, all mended at the end."""
+    cluster = Cluster(seed, replica_type=replica, **more)
     for _ in range(steps):
         for _ in range(2):
-            world.propose(world.chance.choice(world.names), world.record())
-        if world.chance.random() < 0.4:
-            world.trouble(disks)
-        world.run(int(world.chance.random() * 200 * MS))
-    world.heal()
-    return world
+            cluster.propose(cluster.random.choice(cluster.names), cluster.new_record())
+        if cluster.random.random() < 0.4:
+            cluster.inject_fault(disks)
+        cluster.run(int(cluster.random.random() * 200 * MS))
+    cluster.heal()
+    return cluster
 
 
 class Forgetful(Replica):
@@ -75,108 +75,108 @@
     def test_no_slot_is_decided_twice_and_nothing_told_is_lost(self):
         decided = 0
         for seed in range(SEEDS):
-            world = troubled(seed, disks=False)
-            self.assertEqual(world.judge(), [], seed)
-            decided += len(world.told)
+            cluster = troubled(seed, disks=False)
+            self.assertEqual(cluster.judge(), [], seed)
+            decided += len(cluster.reported)
         self.assertGreater(decided, 10 * SEEDS)  # it was not quiet
 
     def test_also_while_disks_are_lost_one_after_the_other(self):
         for seed in range(SEEDS):
-            world = troubled(seed, disks=True)
-            self.assertEqual(world.judge(), [], seed)
+            cluster = troubled(seed, disks=True)
+            self.assertEqual(cluster.judge(), [], seed)
 
     def test_after_all_of_it_a_record_is_decided_and_all_servers_have_it(self):
         for seed in range(SEEDS // 3):
-            world = troubled(seed, disks=True)
-            record = world.record()
-            world.propose("c1", record)
-            world.heal(5)
-            slots = {s.replica.slot_of(record.id) for s in world.servers.values()}
+            cluster = troubled(seed, disks=True)
+            record = cluster.new_record()
+            cluster.propose("c1", record)
+            cluster.heal(5)
+            slots = {s.replica.slot_of(record.id) for s in cluster.servers.values()}
             self.assertEqual(len(slots), 1, seed)
             self.assertNotIn(None, slots, seed)
 
     def crossing(self, replica, disk_lost):
         """Three of five accept a record; the third restarts before it learns that it is decided, and with the
         two that knew nothing proposes another one for the same slot."""
-        world = World(1, loss=0, twice=0, most_delay=10 * MS, replica=replica)
-        world.crash("c4")
-        world.crash("c5")
-        world.propose("c1", world.record())
-        third = world.servers["c3"]
+        cluster = Cluster(1, network=Network(0, 0, 10 * MS), replica_type=replica)
+        cluster.crash("c4")
+        cluster.crash("c5")
+        cluster.propose("c1", cluster.new_record())
+        third = cluster.servers["c3"]
         for _ in range(1000):
-            world.run(MS // 10)
+            cluster.run(MS // 10)
             if third.replica.record is not None:
                 break
         self.assertEqual(third.replica.chosen, 0)
-        world.sides = {"c1": 1, "c2": 1}  # its own acceptance is on its way; nothing else passes
+        cluster.partition = {"c1": 1, "c2": 1}  # its own acceptance is on its way; nothing else passes
         if disk_lost:
-            world.lose_disk("c3")
-        world.start("c3")
-        world.run(SECOND)  # what was on its way to the two finds them down
-        self.assertEqual(world.told, {"r1": 1})
-        world.start("c4")
-        world.start("c5")
-        world.propose("c5", world.record())
-        world.run(6 * SECOND)
-        world.heal(10)
-        return world
+            cluster.lose_disk("c3")
+        cluster.start("c3")
+        cluster.run(SECOND)  # what was on its way to the two finds them down
+        self.assertEqual(cluster.reported, {"r1": 1})
+        cluster.start("c4")
+        cluster.start("c5")
+        cluster.propose("c5", cluster.new_record())
+        cluster.run(6 * SECOND)
+        cluster.heal(10)
+        return cluster
 
     def test_what_was_accepted_is_proposed_again_after_a_restart(self):
-        world = self.crossing(Replica, disk_lost=False)
-        self.assertEqual(world.judge(), [])
-        self.assertEqual(world.told, {"r1": 1, "r2": 2})
+        cluster = self.crossing(Replica, disk_lost=False)
+        self.assertEqual(cluster.judge(), [])
+        self.assertEqual(cluster.reported, {"r1": 1, "r2": 2})
         self.assertNotEqual(self.crossing(Forgetful, disk_lost=False).judge(), [])  # the judge can fail
 
     def test_a_server_that_lost_its_disk_does_not_vote_where_it_may_have(self):
-        world = self.crossing(Replica, disk_lost=True)
-        self.assertEqual(world.judge(), [])
+        cluster = self.crossing(Replica, disk_lost=True)
+        self.assertEqual(cluster.judge(), [])
         self.assertNotEqual(self.crossing(Hasty, disk_lost=True).judge(), [])  # the judge can fail
 
 
 class Quorum(unittest.TestCase):
-    def append(self, world, name):
-        record = world.record()
-        world.propose(name, record)
-        world.run(6 * SECOND)
+    def append(self, cluster, name):
+        record = cluster.new_record()
+        cluster.propose(name, record)
+        cluster.run(6 * SECOND)
         return record
 
     def test_a_minority_decides_nothing_and_says_so_and_the_majority_goes_on(self):
-        world = World(3, loss=0)
-        world.sides = {"c1": 1, "c2": 1}
-        lost, found = self.append(world, "c1"), self.append(world, "c3")
-        self.assertNotIn(lost.id, world.told)
-        self.assertEqual(world.told[found.id], 1)
-        world.heal(3)
-        self.assertEqual(world.servers["c1"].replica.slot_of(found.id), 1)
-        self.assertIsNone(world.servers["c1"].append)
+        cluster = Cluster(3, network=Network(loss=0))
+        cluster.partition = {"c1": 1, "c2": 1}
+        lost, found = self.append(cluster, "c1"), self.append(cluster, "c3")
+        self.assertNotIn(lost.id, cluster.reported)
+        self.assertEqual(cluster.reported[found.id], 1)
+        cluster.heal(3)
+        self.assertEqual(cluster.servers["c1"].replica.slot_of(found.id), 1)
+        self.assertIsNone(cluster.servers["c1"].proposal)
 
     def test_with_servers_lost_one_by_one_two_of_five_may_go(self):
-        world = World(4, loss=0)
+        cluster = Cluster(4, network=Network(loss=0))
         for gone, decides in (("c5", True), ("c4", True), ("c3", False), ("c2", False)):
-            world.crash(gone)
-            self.assertEqual(self.append(world, "c1").id in world.told, decides, gone)
-        self.assertEqual(world.servers["c1"].replica.chosen, 2)  # what was decided is still told to who asks
+            cluster.crash(gone)
+            self.assertEqual(self.append(cluster, "c1").id in cluster.reported, decides, gone)
+        self.assertEqual(cluster.servers["c1"].replica.chosen, 2)  # what was decided can still be read
 
     def test_a_record_of_a_minority_that_is_found_later_is_decided_once(self):
         """Appended again under its id after it was said to have failed."""
-        world = World(5, loss=0)
-        world.sides = {"c1": 1, "c2": 1}
-        record = self.append(world, "c1")
-        world.heal(1)
-        world.propose("c3", record)
-        world.propose("c1", record)
-        world.heal(3)
-        self.assertEqual(len([r for r in world.decided.values() if r == record.id]), 1)
-        self.assertEqual(world.judge(), [])
+        cluster = Cluster(5, network=Network(loss=0))
+        cluster.partition = {"c1": 1, "c2": 1}
+        record = self.append(cluster, "c1")
+        cluster.heal(1)
+        cluster.propose("c3", record)
+        cluster.propose("c1", record)
+        cluster.heal(3)
+        self.assertEqual(len([r for r in cluster.decided.values() if r == record.id]), 1)
+        self.assertEqual(cluster.judge(), [])
 
     def test_two_proposers_at_once_both_come_through(self):
         for seed in range(10):
-            world = World(seed, loss=0, most_delay=50 * MS)
-            records = [world.record() for _ in world.names]
-            for name, record in zip(world.names, records, strict=True):
-                world.propose(name, record)
-            world.run(6 * SECOND)
-            self.assertEqual(sorted(world.told.values()), [1, 2, 3, 4, 5], seed)
+            cluster = Cluster(seed, network=Network(loss=0, most_delay=50 * MS))
+            records = [cluster.new_record() for _ in cluster.names]
+            for name, record in zip(cluster.names, records, strict=True):
+                cluster.propose(name, record)
+            cluster.run(6 * SECOND)
+            self.assertEqual(sorted(cluster.reported.values()), [1, 2, 3, 4, 5], seed)
 
 
 class Votes(unittest.TestCase):
