--- a/petrelwood/decide/overload/deadlines.py
+++ b/petrelwood/decide/overload/deadlines.py
@@ -1,18 +1,28 @@
 """How long an activation may take, and when its answer must leave.
 
 The client's patience never lengthens the namespace type's action timeout. A part of it is kept for the way
-back: an answer counts when the client has it, not when it is written."""
+back: an answer counts when the client has it, not when it is written.
+"""
+
+from typing import NamedTuple
 
 WAY_BACK = 1 / 16  # of the patience, for the answer's way to the client
-LEAST = 1 / 50  # of the action timeout; with less left nothing can be done in time
+LEAST_TIME = 1 / 50  # of the action timeout; with less left nothing can be done in time
+
+
+class Deadline(NamedTuple):
+    """When an activation has to be over; ns of our clock."""
+
+    due: int  # when the answer must be decided
+    client_leaves: int
 
 
-def due(came, wait, timeout):
-    """(when the answer must be decided, when the client is gone); ns. `wait` 0: the client told none."""
+def deadline(arrived: int, wait: int, timeout: int) -> Deadline:
+    """The deadline of an activation; `wait` is the client's patience, 0 where it told none."""
     patience = min(wait, timeout) if wait else timeout
-    return came + patience - int(patience * WAY_BACK), came + patience
+    return Deadline(arrived + patience - int(patience * WAY_BACK), arrived + patience)
 
 
-def hopeless(now, due_, timeout):
-    """Whether so little is left that nothing should begin."""
-    return due_ - now < timeout * LEAST
+def is_hopeless(now: int, due: int, timeout: int) -> bool:
+    """Whether so little time is left that nothing should begin."""
+    return due - now < timeout * LEAST_TIME
--- a/petrelwood/decide/overload/intake.py
+++ b/petrelwood/decide/overload/intake.py
@@ -82,7 +82,7 @@
         self.retry_policy, self.storms = retry_budget.RetryPolicy(max(64, limits.ledger // 16)), Storms()
 
     def ask(self, now, wall, ask):
-        due, gone = deadlines.due(ask.came, ask.wait, self.timeouts[ask.type])
+        due, gone = deadlines.deadline(ask.came, ask.wait, self.timeouts[ask.type])
         known = self.ledger.entries.get((ask.customer, ask.id))
         joins = known is not None and (
             known.state != ledger_module.ActivationState.REJECTED or ask.stamp <= known.timestamp
@@ -97,7 +97,7 @@
         if not joins:  # a retry of what is known costs no room
             why = (
                 self._room(ask.customer)
-                or (NO_TIME if deadlines.hopeless(now, due, self.timeouts[ask.type]) else None)
+                or (NO_TIME if deadlines.is_hopeless(now, due, self.timeouts[ask.type]) else None)
                 or (self.damps and self._more_than_can_be(now, ask, due, how))
             )
             if why:
@@ -152,13 +152,13 @@
             self.by_customer.get(ask.customer, 0) * 2 * max(1, len(self.by_customer))
             < self.concurrency_limit.limit
         )
-        if not self.concurrency_limit.room(self.held) and not (quiet and len(self.by_customer) > 1):
+        if not self.concurrency_limit.has_capacity(self.held) and not (quiet and len(self.by_customer) > 1):
             return TOO_MANY
-        if not quiet and self.throughput.too_late(now, self.held, due):
+        if not quiet and self.throughput.is_too_late(now, self.held, due):
             return TOO_MANY
         if (
             how == retry_budget.EARLY
-            and self.concurrency_limit.holds_back
+            and self.concurrency_limit.is_reduced
             and (
                 self.retry_policy.since(now, ask.customer, ask.id) > self.terms.types[ask.type].target_latency
             )
@@ -167,7 +167,7 @@
             return TOO_EARLY
         if (
             how == retry_budget.EARLY
-            and (self.storms.on("repeats") or self.concurrency_limit.holds_back)
+            and (self.storms.on("repeats") or self.concurrency_limit.is_reduced)
             and not self.retry_policy.may(ask.customer)
         ):
             return TOO_EARLY
@@ -198,10 +198,10 @@
         else:
             del self.by_customer[customer]
         self.usual += (stayed - self.usual) // 64
-        self.throughput.ended(now)
+        self.throughput.record_answer(now)
         if outcome != ledger_module.ActivationState.REJECTED:
             patient = max(self.terms.types[type_name].target_latency, self.timeouts[type_name] // 2)
-            self.concurrency_limit.ended(
+            self.concurrency_limit.record_answer(
                 outcome == ledger_module.ActivationState.COMPLETED and stayed <= patient
             )
 
@@ -209,7 +209,7 @@
         """Asked a few times a second: the symptoms that have changed, as `storm.Storms.look` tells them."""
         if not self.damps:
             return []
-        self.concurrency_limit.look(now, self.held)
+        self.concurrency_limit.update(now, self.held)
         return self.storms.look(now)
 
     def figures(self):
@@ -228,7 +228,9 @@
         """When one that was turned away should come back: drawn over as long as what is held will take;
         longer each time for one that does not wait so long."""
         most, fullness = self.terms.allowed.max_retry_after, self.held / max(1, self.limits.held)
-        wait = self.throughput.come_back(now, self.held, self.concurrency_limit.limit) if self.damps else None
+        wait = (
+            self.throughput.retry_after(now, self.held, self.concurrency_limit.limit) if self.damps else None
+        )
         wait = (
             max(least, self.usual) * (1 + min(3.0, 4 * fullness))
             if wait is None
--- a/petrelwood/decide/overload/sliding_window.py
+++ b/petrelwood/decide/overload/sliding_window.py
@@ -1,30 +1,47 @@
-"""Counts over time: buckets in a ring, of which the oldest fall out. Times in ns."""
+"""Counts over the last while: buckets in a ring, of which the oldest fall out. Times in ns."""
 
 
 class SlidingWindowCounter:
-    def __init__(self, width, count):
-        self.width, self.buckets, self.last = width, [0] * count, None
+    """Counts events in `count` buckets of `width` each."""
 
-    def _pass(self, now):
-        at = now // self.width
-        if self.last is None or at - self.last >= len(self.buckets):
-            self.buckets = [0] * len(self.buckets)
-        else:
-            for gone in range(self.last + 1, at + 1):
-                self.buckets[gone % len(self.buckets)] = 0
-        if self.last is None or at > self.last:
-            self.last = at
+    __slots__ = ("buckets", "last", "width")
+
+    def __init__(self, width: int, count: int) -> None:
+        self.width = width
+        self.buckets = [0] * count
+        self.last: int | None = None  # number of the bucket that fills
+
+    @property
+    def span(self) -> int:
+        """The time that all buckets cover."""
+        return self.width * len(self.buckets)
 
-    def add(self, now, count=1):
-        self._pass(now)
-        self.buckets[self.last % len(self.buckets)] += count
+    def add(self, now: int, count: int = 1) -> None:
+        """Counts events that happen now."""
+        last = self._advance(now)  # which may put other buckets there
+        self.buckets[last % len(self.buckets)] += count
 
-    def sum(self, now):
-        self._pass(now)
+    def sum(self, now: int) -> int:
+        """The events of the window, with those of the bucket that still fills."""
+        self._advance(now)
         return sum(self.buckets)
 
-    def whole(self, now):
+    def ended_buckets(self, now: int) -> list[int]:
         """The buckets that have ended, oldest first: the one that still fills is left out."""
-        self._pass(now)
+        last = self._advance(now)
         size = len(self.buckets)
-        return [self.buckets[(self.last + 1 + i) % size] for i in range(size - 1)]
+        return [self.buckets[(last + 1 + i) % size] for i in range(size - 1)]
+
+    def _advance(self, now: int) -> int:
+        """Empties the buckets that have fallen out; the number of the one that fills."""
+        current = now // self.width
+        last = self.last
+        if last is None or current - last >= len(self.buckets):
+            self.buckets = [0] * len(self.buckets)
+        else:
+            for emptied in range(last + 1, current + 1):
+                self.buckets[emptied % len(self.buckets)] = 0
+        if last is None or current > last:
+            last = current
+        self.last = last
+        return last
--- a/petrelwood/decide/overload/storm.py
+++ b/petrelwood/decide/overload/storm.py
@@ -127,13 +127,13 @@
 
     def _values(self, now):
         asks = self.asks.sum(now)
-        enough, window = asks >= FEW, len(self.asks.buckets) * self.asks.width / SECOND
+        enough, window = asks >= FEW, self.asks.span / SECOND
         usual = max(self.usual or 0.0, FEW / window)
         sends = self.sends.sum(now)
         return {
             "repeats": self.repeats.sum(now) / asks if enough else 0.0,
             "surge": asks / window / usual if enough and self.usual is not None else 0.0,
-            "synchrony": dispersion(self.fine.whole(now)) if enough else 0.0,
+            "synchrony": dispersion(self.fine.ended_buckets(now)) if enough else 0.0,
             "reconnects": self.connects.sum(now) / max(asks, FEW),
             "cold": self.colds.sum(now) / sends if sends >= FEW else 0.0,
         }
--- a/petrelwood/decide/overload/throughput.py
+++ b/petrelwood/decide/overload/throughput.py
@@ -1,38 +1,49 @@
-"""What can be served: how long what is held will take, and when those turned away should come back.
+"""What can be served: how long what is held will take, and when those that were rejected should retry.
 
 By Little's law what is held, over the pace at which answers leave, is the time that one more will stay. It is
-believed only where enough is held for it to mean a queue and not a lull."""
+believed only where enough is held for it to mean a queue and not a lull.
+"""
 
 from petrelwood.decide.overload.sliding_window import SlidingWindowCounter
 
 SECOND = 1_000_000_000
-WINDOW, BUCKETS = SECOND // 4, 17  # four seconds and the one that fills
+BUCKET = SECOND // 4
+BUCKETS = 17  # four seconds and the one that fills
+LEAST_QUEUE = 2
+FREE_PART = 0.25  # of the bound, that has to be free before a retry finds capacity
 
 
 class ThroughputEstimate:
     """`enough`: activations held from which a queue is believed. Times in ns."""
 
-    def __init__(self, enough):
-        self.enough, self.left = max(2, enough), SlidingWindowCounter(WINDOW, BUCKETS)
+    __slots__ = ("answers", "enough")
 
-    def ended(self, now):
+    def __init__(self, enough: int) -> None:
+        self.enough = max(LEAST_QUEUE, enough)
+        self.answers = SlidingWindowCounter(BUCKET, BUCKETS)
+
+    def record_answer(self, now: int) -> None:
         """One that was held has its answer, whatever it is."""
-        self.left.add(now)
+        self.answers.add(now)
 
-    def stay(self, now, held):
-        """How long one more would stay, ns; None where nothing is known or there is no queue."""
+    def expected_stay(self, now: int, held: int) -> int | None:
+        """How long one more would stay; None where nothing is known or there is no queue."""
         if held < self.enough:
             return None
-        ended = sum(self.left.whole(now))
-        return held * WINDOW * (BUCKETS - 1) // ended if ended else None
+        answered = sum(self.answers.ended_buckets(now))
+        return held * BUCKET * (BUCKETS - 1) // answered if answered else None
 
-    def too_late(self, now, held, due):
+    def is_too_late(self, now: int, held: int, due: int) -> bool:
         """Whether one more could not be answered in time any more."""
-        stay = self.stay(now, held)
+        stay = self.expected_stay(now, held)
         return stay is not None and now + stay > due
 
-    def come_back(self, now, held, limit):
-        """How long until there should be room again, ns: until what is over three quarters of the bound has
-        left; None where nothing is known."""
-        stay = self.stay(now, held)
-        return None if stay is None else int(stay * max(0.25, 1 - 0.75 * min(limit, held) / held))
+    def retry_after(self, now: int, held: int, limit: float) -> int | None:
+        """How long until there should be capacity again; None where nothing is known.
+
+        That is until what is over three quarters of the bound has left.
+        """
+        stay = self.expected_stay(now, held)
+        if stay is None:
+            return None
+        return int(stay * max(FREE_PART, 1 - (1 - FREE_PART) * min(limit, held) / held))
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -123,7 +123,7 @@
         if self.returning.orders and hasattr(self.brain, "resumed"):
             self.brain.resumed(now, self.returning.orders)
         if self.returning.begins_low and self.gateway.damps and not elsewhere:
-            self.intake.concurrency_limit.begin(now)
+            self.intake.concurrency_limit.start_slowly(now)
         self.state.found = []
         if found.least_epoch is not None:
             younger = self.membership.correct_clock(found.least_epoch, now)
@@ -265,7 +265,7 @@
         """For a dispatcher that has fronts."""
 
     def _plan_loads(self):
-        if self.intake.storms.on("cold") or self.intake.concurrency_limit.holds_back:
+        if self.intake.storms.on("cold") or self.intake.concurrency_limit.is_reduced:
             return  # guesses wait until what is asked for can be served
         self.forecasts.plan_slot()
 
@@ -278,7 +278,7 @@
             gateway.limits,
             gateway.limits,
         )
-        self.intake.concurrency_limit.bound(gateway.limits.held)
+        self.intake.concurrency_limit.set_most(gateway.limits.held)
 
     def rule(self, function):
         """The rule of a function, looked up once."""
--- a/petrelwood/fronts/mqtt.py
+++ b/petrelwood/fronts/mqtt.py
@@ -309,7 +309,7 @@
             packet.payload,
             terms.target_latency,
         )
-        due, _ = deadlines.due(now, wait, core.gateway.timeouts[type_])
+        due = deadlines.deadline(now, wait, core.gateway.timeouts[type_]).due
         self.deliveries.published(
             now,
             packet.id,
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -183,10 +183,10 @@
         b.compare(self)
 
     def test_patience_never_lengthens_the_action_timeout(self):
-        self.assertEqual(deadlines.due(0, 9 * S, 4 * S), deadlines.due(0, 0, 4 * S))
-        due, gone = deadlines.due(S, 2 * S, 4 * S)
+        self.assertEqual(deadlines.deadline(0, 9 * S, 4 * S), deadlines.deadline(0, 0, 4 * S))
+        due, gone = deadlines.deadline(S, 2 * S, 4 * S)
         self.assertTrue(S < due < gone == 3 * S)
-        self.assertTrue(deadlines.hopeless(due, due, 4 * S))
+        self.assertTrue(deadlines.is_hopeless(due, due, 4 * S))
 
 
 class DutyCases(unittest.TestCase):
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -88,7 +88,9 @@
         ring = SlidingWindowCounter(10, 3)
         for at in (1, 12, 25):
             ring.add(at)
-        self.assertEqual((ring.sum(29), ring.whole(29), ring.sum(35), ring.sum(1000)), (3, [1, 1], 2, 0))
+        self.assertEqual(
+            (ring.sum(29), ring.ended_buckets(29), ring.sum(35), ring.sum(1000)), (3, [1, 1], 2, 0)
+        )
 
 
 class Hints(unittest.TestCase):
@@ -160,8 +162,8 @@
         while now < seconds * S:
             back_now, back = int(back), back - int(back)
             for _ in range(int(offered / 20) + back_now):
-                if (limit is None or limit.room(len(todo))) and not (
-                    pace and pace.too_late(now, len(todo), now + patience)
+                if (limit is None or limit.has_capacity(len(todo))) and not (
+                    pace and pace.is_too_late(now, len(todo), now + patience)
                 ):
                     todo.append(now)
             work += able / 20
@@ -170,12 +172,12 @@
                 in_time += good
                 back += 0 if good else repeats
                 if limit is not None:
-                    limit.ended(good)
+                    limit.record_answer(good)
                 if pace is not None:
-                    pace.ended(now)
+                    pace.record_answer(now)
             work = min(work, 1.0)
             if limit is not None:
-                limit.look(now, len(todo))
+                limit.update(now, len(todo))
             now += step
         return in_time / seconds, len(todo)
 
@@ -205,28 +207,28 @@
 
     def test_it_stays_open_where_answers_are_good_and_begins_low_after_a_start(self):
         limit, steps = ConcurrencyLimit(1000, 8, S), []
-        limit.begin(0)
+        limit.start_slowly(0)
         for second in range(1, 40):
             for _ in range(20):
-                limit.ended(True)
-            limit.look(second * S, 5)
+                limit.record_answer(True)
+            limit.update(second * S, 5)
             steps.append(int(limit.limit))
-        self.assertEqual((steps[0], steps[-1], limit.holds_back), (78, 1000, False), steps)
+        self.assertEqual((steps[0], steps[-1], limit.is_reduced), (78, 1000, False), steps)
         for second in range(40, 160):
             for _ in range(20):
-                limit.ended(False)
-            limit.look(second * S, 500)
+                limit.record_answer(False)
+            limit.update(second * S, 500)
         self.assertEqual(int(limit.limit), 8)
 
     def test_a_queue_is_told_from_a_lull(self):
         pace = ThroughputEstimate(20)
         for at in range(50):
-            pace.ended(at * S // 10)
-        self.assertIsNone(pace.stay(5 * S, 5))  # few are held: nothing is believed
-        self.assertAlmostEqual(pace.stay(5 * S, 40) / S, 4.0, delta=0.3)
-        self.assertTrue(pace.too_late(5 * S, 40, 8 * S))
-        self.assertFalse(pace.too_late(5 * S, 40, 10 * S))
-        self.assertIsNone(pace.stay(60 * S, 40))  # nothing has left for long: nothing is known
+            pace.record_answer(at * S // 10)
+        self.assertIsNone(pace.expected_stay(5 * S, 5))  # few are held: nothing is believed
+        self.assertAlmostEqual(pace.expected_stay(5 * S, 40) / S, 4.0, delta=0.3)
+        self.assertTrue(pace.is_too_late(5 * S, 40, 8 * S))
+        self.assertFalse(pace.is_too_late(5 * S, 40, 10 * S))
+        self.assertIsNone(pace.expected_stay(60 * S, 40))  # nothing has left for long: nothing is known
 
 
 class Doors(unittest.TestCase):
