--- a/petrelwood/brain.py
+++ b/petrelwood/brain.py
@@ -34,7 +34,7 @@
 MIX, MASK, LONG = 0x9E3779B1, 0xFFFFFFFF, 1 << 50        # spread the bits of a hash; long ago
 
 
-class Ring:                                             # counts over the last `span`, in buckets used in turn
+class SlidingCount:                           # counts over the last `span`, in buckets used in turn
     def __init__(self, span):
         self.width, self.counts, self.slot = max(1, -(-span // SLOTS)), [0] * (SLOTS + 1), 0
 
@@ -60,14 +60,16 @@
 class Worker:                              # `lost`: sends without hope; `latest`: when its last answered left
     def __init__(self, entry, now):
         self.id, self.hash, self.out, self.lost = entry.worker, crc32(entry.worker.encode()), {}, {}
-        self.heard, self.cap, self.rest, self.silent, self.loading = now, Cap(), 0, False, 0
-        self.report, self.out_then, self.read, self.asked = None, 0, now - LONG, now - LONG
-        self.pace, self.silences, self.slot, self.room, self.packed, self.latest = 1.0, 0, -1, 0, 0, 0
+        self.cap = ConcurrencyLimit()
+        self.heard, self.ejected_until, self.silent, self.loading = now, 0, False, 0
+        self.report, self.out_at_report, self.read, self.asked = None, 0, now - LONG, now - LONG
+        self.loads_full_until = 0
+        self.pace, self.silences, self.slot, self.room, self.latest = 1.0, 0, -1, 0, 0
         _, self.zone, self.cell, self.booted, self.usable = entry
         self.turn = False, 0                    # its place where our own order counts: our zone first
 
 
-class Cap:                                              # how many sends at once: None is no cap
+class ConcurrencyLimit:                       # how many sends at once: None is no cap
     def __init__(self):
         self.most, self.cut_at = None, 0
 
@@ -84,7 +86,7 @@
 class Copy:                                             # what is believed of a function's copy on one worker
     def __init__(self, worker, now):
         self.worker, self.busy, self.loading, self.seen = worker, 0, 0, now
-        self.renewed, self.errors, self.shut = now, 0, 0
+        self.renewed, self.errors, self.closed_until = now, 0, 0
 
 
 class Function:
@@ -92,8 +94,8 @@
     What waits no longer is passed over when its turn comes: no event walks over all that is held."""
     def __init__(self, key):
         self.key, self.lanes, self.held, self.copies, self.called = key, 1, deque(), {}, 0
-        self.late, self.ends, self.waits, self.grown = deque(), [], 0, -LONG
-        self.service, self.load_time, self.pause, self.recent, self.missed = 0, 0, 0, 0, -LONG
+        self.late, self.ends, self.waits, self.grown_at = deque(), [], 0, -LONG
+        self.service, self.load_time, self.pause, self.recent, self.missed_at = 0, 0, 0, 0, -LONG
         self.hash, self.tight, self.real = crc32(f"{key}".encode()), False, False   # real: a worker knows it
 
     def first(self):                                     # of what waits: the one that waits longest
@@ -112,11 +114,12 @@
         self.waits, act.held = self.waits - act.held, False
 
 
-class Act:
+class Activation:
     def __init__(self, id_, fn, type_, due, born, work, lanes):
         self.id, self.fn, self.type, self.due, self.born, self.work = id_, fn, type_, due, born, work
         self.sends, self.out, self.held, self.beyond = [], 0, False, False   # beyond its customer's share
-        self.bound, self.full = None, ()                 # first send, unless none may have run; who was full
+        self.first_attempt = None                        # unless none may have run
+        self.full = ()                                   # workers that were
         self.right, self.lanes = None, lanes             # to load orders: False is not yet, True counted
         self.target = min(type_.target_latency + int(type_.stretch * work), type_.timeout or LONG)
 
@@ -124,7 +127,7 @@
         return False
 
 
-class Send:
+class Attempt:
     def __init__(self, act, copy, at):
         self.act, self.n, self.worker, self.copy, self.at = act, len(act.sends), copy.worker, copy, at
         self.cold, self.open, self.ran, self.ahead = bool(copy.loading), True, True, len(copy.worker.out)
@@ -139,17 +142,20 @@
         self.look = min(self.target, terms.guarantees.ask_within) if terms.asks else self.target
         self.sweep = max(terms.tick, self.look // 50)
         self.usual, self.mean, self.mean_report = self.target // 4, 1.0, None
-        self.hint, self.told, self.took = 0, self.target / 8, self.target / 8
+        self.hint, self.mean_hint, self.mean_time = 0, self.target / 8, self.target / 8
         self.answers, self.answer_time = 0, 0        # those completed here, their mean time
         cold, period = terms.guarantees.cold, terms.orders.period or 1
-        self.done, self.warm_time = Ring(cold), Ring(cold)    # of warm workers: answers, their time in all
-        self.taken, self.loads, self.ripe = Ring(period), Ring(period), deque()
+        self.done = SlidingCount(cold)                   # answers of warm workers,
+        self.warm_time = SlidingCount(cold)              # and their time in all
+        self.taken, self.loads, self.ripe = SlidingCount(period), SlidingCount(period), deque()
         self.buckets = {} if terms.beyond >= 1 else {
             c: [1, now, SLACK / 1e9 / terms.dispatchers * q] for c, q in terms.quotas.items()}
-        self.fleet, self.hashes, self.warm, self.owing, self.out_now, self.spreading = [], [], 1, {}, 0, []
+        self.owing_answers = {}                          # workers with sends out
+        self.fleet, self.hashes, self.warm, self.out_now, self.spreading = [], [], 1, 0, []
         self.warming_up, self.orders = [], {}            # of the fleet; by function: its first in hash order
         self.turned = self.slow = 0.0                    # the part that is turned away at once; of answers
-        self.salt, self.cap, self.asked, self.pace = int(self.chance() * MASK), Cap(), now - LONG, 1.0
+        self.cap = ConcurrencyLimit()
+        self.salt, self.asked, self.pace = int(self.chance() * MASK), now - LONG, 1.0
         self.next_wake, self.spread_after, self.next_look, self.next_tidy = LONG << 12, now, now, now
         self._wake(now, self.sweep)
 
@@ -161,12 +167,13 @@
         for entry in entries:
             worker = self.workers.setdefault(entry.worker, Worker(entry, now))
             if entry.booted != worker.booted:
-                self._forget(worker)
-                worker.rest, worker.cap, worker.silent, worker.pace = 0, Cap(), False, 1.0
+                self._forget_copies(worker)
+                worker.cap = ConcurrencyLimit()
+                worker.ejected_until, worker.silent, worker.pace = 0, False, 1.0
             _, worker.zone, worker.cell, worker.booted, worker.usable = entry
             worker.turn = worker.zone != self.terms.zone, (worker.hash ^ self.salt) * MIX & MASK
         for worker in (w for w in self.fleet if not w.usable):
-            self._forget(worker)
+            self._forget_copies(worker)
         self.fleet = [w for w in self.workers.values() if w.usable]
         self.hashes = [w.hash for w in self.fleet]
         self.warming_up = [w for w in self.fleet if not self._warm(w, now)]
@@ -176,7 +183,7 @@
     def list_lost(self, now):
         self.asked = now - self.terms.guarantees.ask_within // 2 + int(self.chance() * self.look)
 
-    def _forget(self, worker):
+    def _forget_copies(self, worker):
         for fn in self.functions.values():
             fn.copies.pop(worker.id, None)
 
@@ -186,7 +193,7 @@
         self.recent.append(fn)
         if len(self.recent) > RECENT:
             self.recent.popleft().recent -= 1
-        act = self.acts[act_id] = Act(act_id, fn, self.terms.types[type_name], due, now, work, lanes)
+        act = self.acts[act_id] = Activation(act_id, fn, self.terms.types[type_name], due, now, work, lanes)
         act.beyond = self._beyond_share(customer, now)
         self.hint += (work - self.hint) / len(self.recent)   # mean hint of what comes, as far as one is told
         self._hold(act, now)
@@ -221,7 +228,7 @@
         if act := self.acts.get(act_id):
             self.taken.add(act.born, -1 if act.right else 0)
             act.right = None
-            self._over(act_id)
+            self._finish(act_id)
 
     def cut(self, now, act_id):
         """This dispatcher ends, and its time with it. The caller stops what is still out."""
@@ -229,24 +236,24 @@
             act.due = now
             self._give_up(act, now)
 
-    def _over(self, act_id):
+    def _finish(self, act_id):
         act = self.acts.pop(act_id)
         act.fn.drop(act)
-        self._drop_sends(act)
+        self._cancel_attempts(act)
 
     def begun(self, now, act_id, n, worker_id):
         if act_id in self.acts:
             self.acts[act_id].due, self.workers[worker_id].heard = 1 << 62, now
 
-    def _drop_sends(self, act):
+    def _cancel_attempts(self, act):
         for send in act.sends:                           # no client waits for it any more
             if send.open and self.terms.allowed.cancel:
                 self.out.cancel(act.id, send.n)
-        self._parted(act)
+        self._break_cycle(act)
 
-    def _parted(self, act):          # act and sends name each other: left to the collector, thousands pile up
+    def _break_cycle(self, act):     # act and sends name each other: left to the collector, thousands pile up
         if not act.out:
-            act.sends, act.bound = (), None
+            act.sends, act.first_attempt = (), None
 
     def _give_up(self, act, now):
         """The final answer, at once, unless a send is out: a rejection where no effect can follow."""
@@ -255,31 +262,31 @@
         if act.out or self.acts.pop(act.id, None) is None:
             return
         act.right = act.right or None                    # too soon to count
-        if (not act.bound or type_.effect == ports.REPEATABLE
+        if (not act.first_attempt or type_.effect == ports.REPEATABLE
                 or type_.effect == ports.DEDUPLICATED and type_.scope == "all"):
             wait = (fn.service or self.usual) * (fn.waits + 1) // max(1, len(fn.copies) * fn.lanes)
             self.out.reject(act.id, min(wait, self.terms.allowed.max_retry_after)
                             if self.terms.allowed.retry_after else 0)
         else:
             self.out.abort(act.id)
-        self._drop_sends(act)
+        self._cancel_attempts(act)
 
     def _may_send(self, act, now):
         """Whether the rules and what is allowed leave the activation another send anywhere."""
         if (len(act.sends) >= self.terms.allowed.sends or act.out and not self.terms.allowed.overlap
-                or act.due - now <= max(self._need(act) // 2, 2 * self.sweep)):
+                or act.due - now <= max(self._expected_time(act) // 2, 2 * self.sweep)):
             return False
-        if act.bound is None or act.type.effect == ports.REPEATABLE:
+        if act.first_attempt is None or act.type.effect == ports.REPEATABLE:
             return True
-        return act.type.effect == ports.DEDUPLICATED and now < act.bound.at + act.type.window
+        return act.type.effect == ports.DEDUPLICATED and now < act.first_attempt.at + act.type.window
 
-    def _fits(self, act, worker):
+    def _may_run_on(self, act, worker):
         """Whether the worker is new to the activation, and in the group that the rules bind it to."""
         if any(s.worker is worker and s.ran for s in act.sends):
             return False
-        if act.bound is None or act.type.effect == ports.REPEATABLE or act.type.scope == "all":
+        if act.first_attempt is None or act.type.effect == ports.REPEATABLE or act.type.scope == "all":
             return True
-        return getattr(worker, act.type.scope) == getattr(act.bound.worker, act.type.scope)
+        return getattr(worker, act.type.scope) == getattr(act.first_attempt.worker, act.type.scope)
 
     def _hold(self, act, now, front=False):
         fn = act.fn = self.functions.setdefault(act.fn.key, act.fn)
@@ -294,9 +301,9 @@
 
     def _ends(self, act):
         """When it is to be given up unless it is sent before, by what is known now."""
-        at = act.due - max(self._need(act) // 2, 2 * self.sweep)
-        if act.bound and act.type.effect == ports.DEDUPLICATED:
-            at = min(at, act.bound.at + act.type.window)
+        at = act.due - max(self._expected_time(act) // 2, 2 * self.sweep)
+        if act.first_attempt and act.type.effect == ports.DEDUPLICATED:
+            at = min(at, act.first_attempt.at + act.type.window)
         return at if act.out else min(at, self._half(act) + 1)
 
     def _half(self, act):            # held unsent until then: its answer is there by half of its time
@@ -310,11 +317,11 @@
     def _flow_all(self, now):
         for fn in list(self.waiting.values()):
             self._flow(fn, now)
-        for fn in [f for f in self.waiting.values() if f.late or f.grown == now]:
+        for fn in [f for f in self.waiting.values() if f.late or f.grown_at == now]:
             self._flow(fn, now, True)
 
-    def _lesser(self, act, now):     # late, or beyond a share: flows after all fresh work
-        return act.beyond or now - act.born + self._need(act) > act.target
+    def _is_lesser(self, act, now):  # late, or beyond a share: flows after all fresh work
+        return act.beyond or now - act.born + self._expected_time(act) > act.target
 
     def _flow(self, fn, now, spare=False):
         """Sends to free lanes, gives up what is out of time, then adds copies, or rejects at the limit."""
@@ -327,7 +334,8 @@
         limit = max(FEW, int(LIMIT * len(self.fleet)))
         while fn.waits and now >= fn.pause:
             known = [c for c in fn.copies.values()
-                     if not c.worker.silent and now >= c.worker.rest and not self._jammed(c.worker)]
+                     if not c.worker.silent and now >= c.worker.ejected_until
+                     and not self._is_jammed(c.worker)]
             lanes = sum(fn.lanes if c.loading else c.busy for c in known)
             if fn.waits <= BACKLOG * lanes or fn.copies and now - fn.first().born < self.target * LAG:
                 break
@@ -342,7 +350,7 @@
         if not fn.waits:
             self.waiting.pop(fn.key, None)
 
-    def _jammed(self, worker):
+    def _is_jammed(self, worker):
         """It bears one send of ours and that late, where the fleet does not: copies there are of no use."""
         return (worker.cap.most or 2) <= 1 and worker.pace > CROWDED * max(1.0, self.pace)
 
@@ -368,7 +376,7 @@
                 act = queue.popleft()
                 if not act.held:
                     continue
-                if not spare and self._lesser(act, now):
+                if not spare and self._is_lesser(act, now):
                     fn.late.append(act)
                 elif self._may_send(act, now):
                     copy = self._lane(fn, act, now)
@@ -399,8 +407,9 @@
             if not copy.busy and not copy.loading and now - copy.seen > self.terms.orders.keep:
                 del fn.copies[worker.id]
                 continue
-            if (copy.busy >= act.lanes or now < copy.shut or not self._open(worker, now)
-                    or copy.loading and not self.terms.orders.loads_on_send or not self._fits(act, worker)):
+            if (copy.busy >= act.lanes or now < copy.closed_until or not self._open(worker, now)
+                    or copy.loading and not self.terms.orders.loads_on_send
+                    or not self._may_run_on(act, worker)):
                 continue
             load = self._load(worker, now) + (worker.zone != self.terms.zone)
             if best is None or load < best_load:
@@ -413,7 +422,7 @@
         fresh, pace = max(0, 1 - (now - worker.read) / (self.terms.orders.keep or 1)), worker.pace / self.pace
         if self.mean_report and worker.report is not None:
             pace *= worker.report / self.mean_report
-        return self.mean * (1 + (pace - 1) * fresh) + len(worker.out) - worker.out_then * fresh
+        return self.mean * (1 + (pace - 1) * fresh) + len(worker.out) - worker.out_at_report * fresh
 
     def _wanted(self, fn):           # on how many workers others need it: by our own mix, doubted while new
         others = SPREAD * len(self.fleet) * (1 - 1 / self.dispatchers)
@@ -423,7 +432,7 @@
         """One more copy, on the less loaded of the first two in hash order that hold none. What others need
         too begins anywhere among so many, our zone first: or all, each with a little, take the same."""
         o = self.terms.orders
-        may_miss = now - fn.missed > o.keep and self.terms.allowed.sends > 1     # a miss uses up a send
+        may_miss = now - fn.missed_at > o.keep and self.terms.allowed.sends > 1     # a miss uses up a send
         guess = (not fn.copies and (o.loads_on_send or may_miss)
                  or act is not None and o.loads_on_send and not o.allowed)       # nothing else brings one
         may = not self.cap.full(self.out_now) if guess else self._may_order(now)
@@ -436,7 +445,8 @@
         copy = Copy(worker, now)
         if fn.copies:
             self.spreading.append((copy, now + 2 * max(self.target, fn.load_time)))
-        fn.copies[worker.id], fn.grown, copy.loading = copy, now, max(1, now) * (o.loads_on_send or not guess)
+        fn.copies[worker.id], fn.grown_at = copy, now
+        copy.loading = max(1, now) * (o.loads_on_send or not guess)
         if guess:                                        # another dispatcher's copy may stand there
             fn.drop(act)
             self._send(act, copy, now)
@@ -444,8 +454,9 @@
 
     def _first_two(self, fn, act, now):
         return list(islice((
-            w for w in self._order_of(fn) if w.id not in fn.copies and w.loading < 2 and now >= w.packed
-            and self._open(w, now) and (act is None or self._fits(act, w) and w not in act.full)), 2))
+            w for w in self._order_of(fn)
+            if w.id not in fn.copies and w.loading < 2 and now >= w.loads_full_until
+            and self._open(w, now) and (act is None or self._may_run_on(act, w) and w not in act.full)), 2))
 
     def wish(self, now, key, lanes, load_time):
         """The planner's wish for one copy ahead of a call: the worker that it is ordered on, or None. Never
@@ -489,7 +500,7 @@
 
     def _open(self, worker, now):
         """Whether the worker may be given anything: listed, neither resting nor silent, within its cap."""
-        return (worker.usable and not worker.silent and now >= worker.rest
+        return (worker.usable and not worker.silent and now >= worker.ejected_until
                 and not worker.cap.full(len(worker.out)) and self._cold_room(worker, now) > 0)
 
     def _warm(self, worker, now):
@@ -510,12 +521,13 @@
         return worker.room
 
     def _send(self, act, copy, now):
-        worker, send = copy.worker, Send(act, copy, now)
+        worker, send = copy.worker, Attempt(act, copy, now)
         act.sends.append(send)
         self._ripen(now, act)
-        act.out, act.bound = act.out + 1, act.bound or send
+        act.out, act.first_attempt = act.out + 1, act.first_attempt or send
         copy.busy, copy.seen = copy.busy + 1, now
-        worker.out[act.id, send.n], self.owing[worker.id], self.out_now = send, worker, self.out_now + 1
+        self.owing_answers[worker.id] = worker
+        worker.out[act.id, send.n], self.out_now = send, self.out_now + 1
         worker.loading, worker.room = worker.loading + send.cold, worker.room - 1
         self.out.send(act.id, worker.id, 0)
 
@@ -556,7 +568,7 @@
 
     def _read(self, worker, report, now):
         if report:
-            worker.out_then, worker.read = len(worker.out), now
+            worker.out_at_report, worker.read = len(worker.out), now
             if "running" in report or "waiting" in report:               # what is not told is not none
                 worker.report = sum(report.get(k, 0) for k in ("running", "waiting", "loads", "cores"))
             elif "cores" in report:
@@ -564,11 +576,11 @@
             if worker.report is not None:
                 self.mean_report = (15 * (self.mean_report or worker.report) + worker.report) / 16
 
-    def _need(self, act):                                # its usual time, by its own hint where there is one
-        return int(act.work * self.took / self.told) if act.work else (act.fn.service or self.usual)
+    def _expected_time(self, act):                       # its usual time, by its own hint where there is one
+        return int(act.work * self.mean_time / self.mean_hint) if act.work else (act.fn.service or self.usual)
 
     def _late(self, act):                                # an answer that took so long is slow
-        return max(CROWDED * self._need(act), act.target // 3)
+        return max(CROWDED * self._expected_time(act), act.target // 3)
 
     def answer(self, now, act_id, n, worker_id, code, note, over, took, report):
         worker = self.workers.get(worker_id)
@@ -582,7 +594,8 @@
             self._released(send)
         if code in NEVER_RAN:
             send.ran = False
-            act.bound = act.bound if any(s.ran for s in act.sends) else None     # even if disproved
+            if not any(s.ran for s in act.sends):        # even if disproved
+                act.first_attempt = None
         fn.real = fn.real or code in (COMPLETED, ports.MISSING)
         self._ripen(now, act)
         self._read(worker, report, now)
@@ -594,14 +607,14 @@
             self._failed(now, send, code, note)
         if over:
             if act_id in self.acts:
-                self._over(act_id)
+                self._finish(act_id)
         elif self.acts.get(act_id) is act and not act.out:
             if self._may_send(act, now):
                 self._hold(act, now, front=True)
             else:
                 self._give_up(act, now)
         elif act_id not in self.acts:
-            self._parted(act)
+            self._break_cycle(act)
         self._flow(fn, now)
 
     def _released(self, send):
@@ -622,9 +635,9 @@
             fn.service = int(fn.service + (took - fn.service) * 8 * part) if fn.service else took
             self.usual = int(self.usual + (took - self.usual) * part)
             if send.act.work:
-                self.told += (send.act.work - self.told) * part
-                self.took += (took - self.took) * part
-            self._pace(worker, took, self._need(send.act), now)
+                self.mean_hint += (send.act.work - self.mean_hint) * part
+                self.mean_time += (took - self.mean_time) * part
+            self._pace(worker, took, self._expected_time(send.act), now)
         if not send.cold and note < ports.BEGAN_LOAD:
             self._slow(took > self._late(send.act), send, now)
 
@@ -637,7 +650,7 @@
 
     def _slow(self, slow, send, now):
         """Most answers slow: it is not single workers. Fewer sends at once, and the rest waits here."""
-        if slow and self._jammed(send.worker):           # what it is known for tells nothing of the fleet
+        if slow and self._is_jammed(send.worker):        # what it is known for tells nothing of the fleet
             return
         self.slow += (slow - self.slow) / 16
         least = max(1.0, 2 * len(self.fleet) / self.dispatchers)                  # two sends for each worker
@@ -658,9 +671,9 @@
         if note == ports.LOAD_FAILED:
             self._load_failed(fn, now)
         if code == ports.MISSING:
-            fn.missed = now
+            fn.missed_at = now
             return
-        copy.shut = now + ((fn.service or self.usual) << min(copy.errors, 6))
+        copy.closed_until = now + ((fn.service or self.usual) << min(copy.errors, 6))
         copy.errors += 1
         if code == ports.FULL or not send.cold and now - send.at > self._late(send.act):
             self._slow(True, send, now)
@@ -669,8 +682,8 @@
             worker.pace, worker.read, fn.tight = min(8, worker.pace * 2), now, True
             worker.cap.answered(True, len(worker.out) - 1, now, now)
         if code in (ports.RESET, ports.NO_CONNECTION):
-            worker.rest = now + self.target // 4
-            self._forget(worker)
+            worker.ejected_until = now + self.target // 4
+            self._forget_copies(worker)
 
     def stands(self, now, worker_id, key, code, copies):
         worker, fn = self.workers.get(worker_id), self.functions.get(key)
@@ -686,7 +699,7 @@
         elif copy and copy.loading:
             fn.copies.pop(worker_id).loading = 0
             if code in (ports.FULL, ports.NOT_SENT):     # its own loads wait, or it never left us
-                worker.packed, fn.pause = now + self.target // 2, now + int(self.target * LAG)
+                worker.loads_full_until, fn.pause = now + self.target // 2, now + int(self.target * LAG)
             else:
                 self._load_failed(fn, now)
         self._flow(fn, now)
@@ -722,7 +735,7 @@
         self.mean += (self.out_now * self.dispatchers / max(1, len(self.fleet)) - self.mean) / 16
         self.warming_up = [w for w in self.warming_up if not self._warm(w, now)]
         self.warm = len(self.fleet) - len(self.warming_up)
-        for worker in list(self.owing.values()):
+        for worker in list(self.owing_answers.values()):
             self._watch(worker, now)
         if self.terms.asks and now - self.asked > g.ask_within // 2:
             self.asked = now
@@ -734,30 +747,30 @@
     def _watch(self, worker, now):
         """Who owes answers and gives none gets nothing new; what it holds a second send if it may repeat."""
         if not worker.out:
-            del self.owing[worker.id]
+            del self.owing_answers[worker.id]
             if worker.silent:                            # tried again later each time, by one send
                 worker.silent, worker.silences, worker.cap.most = False, min(worker.silences + 1, 4), 1.0
-                worker.rest = now + (self.target << worker.silences)
+                worker.ejected_until = now + (self.target << worker.silences)
             return
         first = next(iter(worker.out.values()))
         usual = 6 * (first.act.fn.service or self.usual) + self._loads(first)
         if now - max(worker.heard, first.at) > max(usual, self.target):
             worker.silent = True
             for send in list(worker.out.values()):
-                self._again(send.act, now)
+                self._hedge(send.act, now)
             return
         for key, send in list(worker.out.items()):       # overtaken by far: the answer is lost, the lane not
             if send.at + self.target > worker.latest:
                 break
-            if send.at + 6 * self._need(send.act) + self._loads(send) < worker.latest:
+            if send.at + 6 * self._expected_time(send.act) + self._loads(send) < worker.latest:
                 worker.lost[key] = worker.out.pop(key)
                 self._released(send)
-                self._again(send.act, now)
+                self._hedge(send.act, now)
 
     def _loads(self, send):                              # what a send that began a load is given for it
         return 3 * send.cold * (send.act.fn.load_time or self.target)
 
-    def _again(self, act, now):
+    def _hedge(self, act, now):
         if (self.acts.get(act.id) is act and act.out == 1 and not act.held
                 and act.type.effect != ports.ONCE_ONLY and self._may_send(act, now)):
             self._hold(act, now, front=True)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -3,7 +3,7 @@
 from desk import MS, Desk, worker
 
 from petrelwood import ports
-from petrelwood.brain import Ring
+from petrelwood.brain import SlidingCount
 
 
 class OrdinaryPath(unittest.TestCase):
@@ -317,7 +317,7 @@
         d.end(self)
 
     def test_a_ring_takes_back_what_it_still_holds(self):
-        ring = Ring(1200)
+        ring = SlidingCount(1200)
         ring.add(100)
         ring.add(900)
         ring.add(100, -1)
