--- a/petrelwood/dispatch/forecast_storage.py
+++ b/petrelwood/dispatch/forecast_storage.py
@@ -8,6 +8,7 @@
 from petrelwood.dispatch.load_forecasts import LoadForecasts
 from petrelwood.store import snapshot
 from petrelwood.store.ends import Ends
+from petrelwood.store.errors import SnapshotError
 
 SNAPSHOT_FILE = "forecast.snap"
 SNAPSHOT_KIND = "forecast"
@@ -43,7 +44,7 @@
     def _load(self) -> None:
         try:
             found = snapshot.read(self.file, SNAPSHOT_KIND, SNAPSHOT_VERSION)
-        except (snapshot.Unreadable, OSError) as fault:
+        except (SnapshotError, OSError) as fault:
             self.log.warning("forecast snapshot unreadable; learning anew", why=f"{self.file}: {fault}")
             return
         if found is not None:
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -20,12 +20,23 @@
 from petrelwood.control.appending import new_identity
 from petrelwood.decide.cluster.log_records import Entry as LogEntry
 from petrelwood.decide.cluster.log_records import Extract, Record, RecordKind
-from petrelwood.decide.cluster.membership import DEPARTED, GONE, NEWS_DELAY, USABLE, Entry, Membership
+from petrelwood.decide.cluster.membership import (
+    MOST_DEPARTED,
+    NEWS_DELAY,
+    Endpoint,
+    EndpointState,
+    Membership,
+)
 from petrelwood.decide.cluster.polling import RosterPolling
 from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announcement, Rollout, stage_delay
 from petrelwood.decide.cluster.version_watch import VersionWatch
 from petrelwood.decide.delivery import ledger as ids
 from petrelwood.decide.delivery import recovery
+from petrelwood.decide.delivery.state_records import (
+    ActivationTaken,
+    IncarnationStarted,
+    LoadOrdered,
+)
 from petrelwood.decide.forecasting.forecast import Calendar, Forecast
 from petrelwood.decide.wall_clock import FOLLOWED, UnsteppedWallClock
 from petrelwood.dispatch.load_forecasts import LoadForecasts
@@ -37,7 +48,7 @@
 from petrelwood.node import roster
 from petrelwood.settings.gateway import EarlyTerms
 from petrelwood.store import versions
-from petrelwood.store.state import StateLog
+from petrelwood.store.state_log import StateLog
 
 S, MS = 1_000_000_000, 1_000_000
 HOUR, WALL = 3600 * S, 1_700_000_000 * S
@@ -53,8 +64,8 @@
 ONCE, KEY = "once", ("x", "m1")
 
 
-def entry(worker, booted=0, state=USABLE):
-    return Entry(worker, ("127.0.0.1", 1), "north", 0, booted, state)
+def entry(worker, booted=0, state=EndpointState.USABLE):
+    return Endpoint(worker, ("127.0.0.1", 1), "north", 0, booted, state)
 
 
 def age(listed, now):
@@ -114,73 +125,73 @@
     def test_a_worker_that_starts_after_a_step_is_as_old_as_it_is(self):
         for step in STEPS:
             m = self.membership()
-            m.whole("e-1", [entry("old")], LATE, WALL + LATE)
+            m.apply_list("e-1", [entry("old")], LATE, WALL + LATE)
             now = LATE + 60 * S
-            listed, _ = m.change("e-2", [entry("new", WALL + now - 200 * MS)], now, WALL + now + step)
+            listed, _ = m.apply_change("e-2", [entry("new", WALL + now - 200 * MS)], now, WALL + now + step)
             self.assertEqual(age(listed, now), 200 * MS, step)
 
     def test_one_that_restarts_after_a_step_is_as_old_as_it_is(self):
         for step in STEPS:
             m = self.membership()
-            m.whole("e-1", [entry("one", WALL)], LATE, WALL + LATE)
+            m.apply_list("e-1", [entry("one", WALL)], LATE, WALL + LATE)
             now = LATE + 60 * S
-            listed, _ = m.whole("e-9", [entry("one", WALL + now - 200 * MS)], now, WALL + now + step)
+            listed, _ = m.apply_list("e-9", [entry("one", WALL + now - 200 * MS)], now, WALL + now + step)
             self.assertEqual(age(listed, now), 200 * MS, step)
 
     def test_where_our_clock_was_ahead_from_the_start_a_new_worker_is_no_older_than_the_last_list(self):
         for step in (HOUR, 5 * S):
             m = self.membership()
-            m.whole("e-1", [entry("old")], LATE, WALL + LATE + step)
-            m.confirmed(LATE + 59 * S)
+            m.apply_list("e-1", [entry("old")], LATE, WALL + LATE + step)
+            m.on_complete(LATE + 59 * S)
             now = LATE + 60 * S
-            listed, _ = m.change("e-2", [entry("new", WALL + now - 200 * MS)], now, WALL + now + step)
+            listed, _ = m.apply_change("e-2", [entry("new", WALL + now - 200 * MS)], now, WALL + now + step)
             self.assertLessEqual(age(listed, now), S, step)
 
     def test_where_our_clock_was_behind_from_the_start_a_new_worker_is_cold(self):
         m, now = self.membership(), LATE + 60 * S
-        m.whole("e-1", [entry("old")], LATE, WALL + LATE - HOUR)
-        listed, _ = m.change("e-2", [entry("new", WALL + now - 200 * MS)], now, WALL + now - HOUR)
+        m.apply_list("e-1", [entry("old")], LATE, WALL + LATE - HOUR)
+        listed, _ = m.apply_change("e-2", [entry("new", WALL + now - 200 * MS)], now, WALL + now - HOUR)
         self.assertEqual(age(listed, now), 0)
 
     def test_an_old_worker_on_the_first_list_is_as_old_as_told(self):
         for old in (3 * S, 20 * S, 10 * HOUR):  # also older than this machine's monotonic clock
             m = self.membership()
-            listed, _ = m.whole("e-1", [entry("one", WALL + LATE - old)], LATE, WALL + LATE)
+            listed, _ = m.apply_list("e-1", [entry("one", WALL + LATE - old)], LATE, WALL + LATE)
             self.assertEqual(age(listed, LATE), old)
 
     def test_one_that_starts_while_the_list_is_silent_is_as_old_as_told(self):
         m = self.membership()
-        m.whole("e-1", [entry("old")], LATE, WALL + LATE)
-        m.alive(LATE + S)
+        m.apply_list("e-1", [entry("old")], LATE, WALL + LATE)
+        m.on_heard(LATE + S)
         now = LATE + 300 * S
-        m.silent(now - S)
-        m.alive(now)
-        listed, _ = m.whole("e-4", [entry("new", WALL + now - 200 * S)], now, WALL + now + HOUR)
+        m.is_newly_lost(now - S)
+        m.on_heard(now)
+        listed, _ = m.apply_list("e-4", [entry("new", WALL + now - 200 * S)], now, WALL + now + HOUR)
         self.assertEqual(age(listed, now), 200 * S)
 
     def test_news_that_comes_late_is_believed(self):
         m = self.membership()
-        m.whole("e-1", [entry("old")], LATE, WALL + LATE)
-        m.confirmed(LATE + 60 * S)
+        m.apply_list("e-1", [entry("old")], LATE, WALL + LATE)
+        m.on_complete(LATE + 60 * S)
         now = LATE + 60 * S + 250 * MS
-        listed, _ = m.change("e-2", [entry("new", WALL + now - NEWS_DELAY)], now, WALL + now)
+        listed, _ = m.apply_change("e-2", [entry("new", WALL + now - NEWS_DELAY)], now, WALL + now)
         self.assertEqual(age(listed, now), NEWS_DELAY)
 
     def test_one_that_leaves_the_list_and_comes_back_is_as_old_as_it_was(self):
         for back in ("e-3", "f-1"):
             m, booted = self.membership(), WALL + LATE - 30 * S
-            m.whole("e-1", [entry("one", booted)], LATE, WALL + LATE)
-            m.change("e-2", [entry("one", booted, GONE)], LATE + S, WALL + LATE + S)
+            m.apply_list("e-1", [entry("one", booted)], LATE, WALL + LATE)
+            m.apply_change("e-2", [entry("one", booted, EndpointState.GONE)], LATE + S, WALL + LATE + S)
             now = LATE + 2 * S
-            tells = m.change if back == "e-3" else m.whole
+            tells = m.apply_change if back == "e-3" else m.apply_list
             listed, _ = tells(back, [entry("one", booted)], now, WALL + now + HOUR)
             self.assertEqual(age(listed, now), 32 * S)
 
     def test_what_is_remembered_of_those_that_left_is_bounded(self):
         m = self.membership()
-        for number in range(DEPARTED + 100):
-            m.whole(f"e-{number}", [entry(f"w{number}", WALL)], LATE + number, WALL + LATE + number)
-        self.assertLessEqual(len(m.departed), DEPARTED)
+        for number in range(MOST_DEPARTED + 100):
+            m.apply_list(f"e-{number}", [entry(f"w{number}", WALL)], LATE + number, WALL + LATE + number)
+        self.assertLessEqual(len(m.departed), MOST_DEPARTED)
 
 
 class PlatformList(unittest.TestCase):
@@ -294,22 +305,26 @@
 
     def test_a_step_after_the_check_of_a_timestamp_lengthens_nothing(self):
         ledger = self.ledger()
-        _, entry = ledger.ask(LATE, WALL - HOUR, KEY, WALL, ONCE)
-        self.assertEqual(entry.until, LATE + 3 * TOLERANCE)
-        _, entry = ledger.ask(LATE, WALL + HOUR, ("x", "m2"), WALL, ONCE)
-        self.assertEqual(entry.until, LATE + REMEMBERED)
+        _, entry = ledger.admit(LATE, WALL - HOUR, KEY, WALL, ONCE)
+        self.assertEqual(entry.remembered_until, LATE + 3 * TOLERANCE)
+        _, entry = ledger.admit(LATE, WALL + HOUR, ("x", "m2"), WALL, ONCE)
+        self.assertEqual(entry.remembered_until, LATE + REMEMBERED)
 
     def test_what_is_played_back_after_a_step_to_before_it_was_forgotten(self):
-        for type_, verdict in ((ONCE, ids.BEFORE), ("all", ids.BEFORE), ("again", ids.RUN)):
+        for type_, verdict in (
+            (ONCE, ids.LedgerVerdict.SIGNED_TOO_EARLY),
+            ("all", ids.LedgerVerdict.SIGNED_TOO_EARLY),
+            ("again", ids.LedgerVerdict.RUN),
+        ):
             ledger = self.ledger()
-            ledger.ask(LATE, WALL, KEY, WALL, type_)
-            ledger.ended(KEY, ids.COMPLETED, b"{}", True)
+            ledger.admit(LATE, WALL, KEY, WALL, type_)
+            ledger.end(KEY, ids.ActivationState.COMPLETED, b"{}", True)
             now = LATE + HOUR
             ledger.prune(now)
             self.assertEqual(ledger.entries, {})
             # the clock is back at the time of the first request: its timestamp is within the tolerance
-            self.assertEqual(ledger.ask(now, WALL, KEY, WALL, type_)[0], verdict)
-            self.assertEqual(ledger.ask(now, WALL, ("x", "m2"), WALL + 1, type_)[0], ids.RUN)
+            self.assertEqual(ledger.admit(now, WALL, KEY, WALL, type_)[0], verdict)
+            self.assertEqual(ledger.admit(now, WALL, ("x", "m2"), WALL + 1, type_)[0], ids.LedgerVerdict.RUN)
 
     def test_no_honest_sender_is_turned_away_where_no_clock_is_stepped(self):
         ledger, chance, now = self.ledger(), random.Random(5), LATE
@@ -317,19 +332,19 @@
             now += int(chance.expovariate(2) * S)
             wall = WALL + now
             stamp = wall + chance.randint(-TOLERANCE, TOLERANCE)
-            verdict, _ = ledger.ask(now, wall, ("x", f"m{number}"), stamp, chance.choice(list(TYPES)))
-            self.assertEqual(verdict, ids.RUN)
-            ledger.ended(("x", f"m{number}"), ids.COMPLETED, b"", True)
+            verdict, _ = ledger.admit(now, wall, ("x", f"m{number}"), stamp, chance.choice(list(TYPES)))
+            self.assertEqual(verdict, ids.LedgerVerdict.RUN)
+            ledger.end(("x", f"m{number}"), ids.ActivationState.COMPLETED, b"", True)
         self.assertGreater(ledger.newest_forgotten, 0)
 
     def test_what_nobody_signs_is_newer_than_all_that_is_known(self):
         ledger = self.ledger()
-        ledger.ask(LATE, WALL, KEY, WALL, ONCE)
-        self.assertEqual(ledger.next_stamp(KEY, ONCE, WALL - HOUR), WALL + 1)
-        ledger.ended(KEY, ids.COMPLETED, b"{}", True)
+        ledger.admit(LATE, WALL, KEY, WALL, ONCE)
+        self.assertEqual(ledger.next_timestamp(KEY, ONCE, WALL - HOUR), WALL + 1)
+        ledger.end(KEY, ids.ActivationState.COMPLETED, b"{}", True)
         ledger.prune(LATE + HOUR)
-        self.assertEqual(ledger.next_stamp(KEY, ONCE, WALL - HOUR), WALL + 1)
-        self.assertEqual(ledger.next_stamp(KEY, ONCE, WALL + HOUR), WALL + HOUR)
+        self.assertEqual(ledger.next_timestamp(KEY, ONCE, WALL - HOUR), WALL + 1)
+        self.assertEqual(ledger.next_timestamp(KEY, ONCE, WALL + HOUR), WALL + HOUR)
 
 
 class Restarts(unittest.TestCase):
@@ -354,10 +369,10 @@
         """Writes one id of each type that may have run, and four orders a second apart."""
         log = self.log(0)
         for type_ in TYPES:
-            log.add(recovery.TAKE, self.now + WALL, "x", type_, self.now + WALL, type_)
+            log.add(ActivationTaken(self.now + WALL, "x", type_, self.now + WALL, type_))
         for second in range(4):
             self.now = LATE + second * S
-            log.add(recovery.ORDER, self.now + WALL, "w1", "f", 1)
+            log.add(LoadOrdered(self.now + WALL, "w1", "f", 1))
         log.flush()
 
     def second_life(self, after, step, **how):
@@ -371,15 +386,15 @@
         return found, ledger, recovery.Recovery(found, self.now, wall, self.GUARANTEES, self.ORDERS)
 
     def verdict(self, ledger, type_):
-        return ledger.ask(self.now, self.now + self.epoch, ("x", type_), WALL + 10 * HOUR, type_)[0]
+        return ledger.admit(self.now, self.now + self.epoch, ("x", type_), WALL + 10 * HOUR, type_)[0]
 
     def test_on_the_same_start_of_the_machine_all_spans_are_exact(self):
         for step in (0, *STEPS):
             for after, orders, waits, window in (
-                (S // 2, 4, S, ids.RUN),
-                (2 * S + S // 2, 3, 0, ids.RUN),
-                (WINDOW - 4 * S, 0, 0, ids.RUN),
-                (WINDOW - 2 * S, 0, 0, ids.UNKNOWN),
+                (S // 2, 4, S, ids.LedgerVerdict.RUN),
+                (2 * S + S // 2, 3, 0, ids.LedgerVerdict.RUN),
+                (WINDOW - 4 * S, 0, 0, ids.LedgerVerdict.RUN),
+                (WINDOW - 2 * S, 0, 0, ids.LedgerVerdict.MAY_HAVE_RUN),
             ):
                 with self.subTest(step=step, after=after):
                     self.setUp()
@@ -388,8 +403,8 @@
                     self.assertFalse(found.clock_back)
                     self.assertEqual((back.orders, back.cold_from - self.now), (orders, waits))
                     self.assertEqual(self.verdict(ledger, "all"), window)
-                    self.assertEqual(self.verdict(ledger, ONCE), ids.UNKNOWN)
-                    self.assertEqual(self.verdict(ledger, "again"), ids.RUN)
+                    self.assertEqual(self.verdict(ledger, ONCE), ids.LedgerVerdict.MAY_HAVE_RUN)
+                    self.assertEqual(self.verdict(ledger, "again"), ids.LedgerVerdict.RUN)
 
     def test_an_id_is_remembered_for_its_time_over_a_step_and_a_restart(self):
         for step in STEPS:
@@ -407,7 +422,7 @@
             self.now += S
             second = self.log(step, machine)
             self.now += S
-            second.roll(self.now + self.epoch)
+            second.begin_next_segment(self.now + self.epoch)
             _, ledger, _ = self.second_life(S, step, machine=machine)
             self.assertIn(("x", ONCE), ledger.entries, (step, machine))
 
@@ -417,9 +432,9 @@
             self.first_life()
             _, ledger, back = self.second_life(S, step, machine="b2")
             self.assertEqual((back.orders, back.cold_from - self.now), (4, S), step)
-            self.assertEqual(self.verdict(ledger, "all"), ids.UNKNOWN)
-            self.assertEqual(self.verdict(ledger, ONCE), ids.UNKNOWN)
-            self.assertGreaterEqual(ledger.entries["x", ONCE].until, self.now + REMEMBERED)
+            self.assertEqual(self.verdict(ledger, "all"), ids.LedgerVerdict.MAY_HAVE_RUN)
+            self.assertEqual(self.verdict(ledger, ONCE), ids.LedgerVerdict.MAY_HAVE_RUN)
+            self.assertGreaterEqual(ledger.entries["x", ONCE].remembered_until, self.now + REMEMBERED)
 
     def test_a_life_before_a_new_start_of_the_machine_is_older_than_the_one_after_it(self):
         self.first_life()
@@ -428,13 +443,13 @@
         began = self.now
         found, ledger, back = self.second_life(9 * S, -HOUR, machine="b2")
         self.assertEqual((back.orders, back.cold_from), (0, self.now))
-        self.assertEqual(ledger.entries["x", ONCE].until, began + REMEMBERED)
+        self.assertEqual(ledger.entries["x", ONCE].remembered_until, began + REMEMBERED)
         self.assertFalse(found.same_machine_start)
 
     def test_a_log_of_a_build_that_kept_no_offset_is_read_by_the_wall_clock(self):
         self.folder.mkdir(exist_ok=True)
         log = StateLog(self.folder, WALL + self.now, "b1", HOUR)
-        log.add(recovery.TAKE, WALL + self.now, "x", ONCE, WALL + self.now, ONCE)
+        log.add(ActivationTaken(WALL + self.now, "x", ONCE, WALL + self.now, ONCE))
         log.flush()
         for after, remembered in ((REMEMBERED - S, True), (2 * S, False)):
             found, ledger, _ = self.second_life(after, 0)
@@ -447,14 +462,14 @@
                 m, now = Membership(5 * S, 100 * MS, lambda: 0.5), LATE
                 told = [entry("new", WALL + now - S), entry("old")]
                 if listed_first:
-                    m.whole("e-1", told, now, WALL + now + step)
-                    (changed,) = m.clock_was(WALL, now)
+                    m.apply_list("e-1", told, now, WALL + now + step)
+                    (changed,) = m.correct_clock(WALL, now)
                     self.assertEqual(now - changed.booted, S)
                 else:
-                    self.assertEqual(m.clock_was(WALL, now), [])
-                    listed, _ = m.whole("e-1", told, now, WALL + now + step)
+                    self.assertEqual(m.correct_clock(WALL, now), [])
+                    listed, _ = m.apply_list("e-1", told, now, WALL + now + step)
                     self.assertEqual([age([one], now) for one in listed], [S, None])
-                self.assertEqual(m.clock_was(WALL + HOUR, now), [])  # that one was ahead
+                self.assertEqual(m.correct_clock(WALL + HOUR, now), [])  # that one was ahead
 
     def test_a_dispatcher_that_finds_the_lesser_clock_after_its_list_tells_the_module_of_younger_workers(
         self,
@@ -465,8 +480,8 @@
         core = platform.make_core(platform.cores["d1"].gateway, ahead, random.Random(1), None)
         with mock.patch.object(core, "links"):
             told = [entry("new", WALL + LATE - S), entry("old")]
-            core.endpoints_changed(*core.membership.whole("e-1", told, LATE, ahead.wall()), True)
-            lives = [[recovery.LIFE, WALL + LATE - S, recovery.boot_mark("b1", WALL), 1, 1]]
+            core.endpoints_changed(*core.membership.apply_list("e-1", told, LATE, ahead.wall()), True)
+            lives = [IncarnationStarted(WALL + LATE - S, recovery.boot_mark("b1", WALL), 1, 1)]
             with mock.patch.object(core, "brain") as brain:
                 core.adopt(Disk(lives, ahead.wall(), recovery.boot_mark("b1", WALL + HOUR), 2))
         now, (listed,), whole = brain.listed.call_args.args
