--- a/petrelwood/cli/past.py
+++ b/petrelwood/cli/past.py
@@ -62,7 +62,7 @@
     @click.option("--rows", type=click.IntRange(1), default=20, show_default=True)
     def show(folder, since, until, function, rows):
         """The last rows, or those of one function, and a count by how they went."""
-        from petrelwood.store import history as store
+        from petrelwood.store import history_files as store
 
         table = store.read(folder, since, until)
         if function:
@@ -84,7 +84,7 @@
         """All rows of a time as one file."""
         import pyarrow.parquet
 
-        from petrelwood.store import history as store
+        from petrelwood.store import history_files as store
 
         table = store.read(folder, since, until)
         pyarrow.parquet.write_table(table, to, compression="zstd")
@@ -98,7 +98,8 @@
         import pyarrow
         import pyarrow.parquet
 
-        from petrelwood.store import history as store
+        from petrelwood.store import history_files as store
+        from petrelwood.store.history import History
 
         try:
             table = pyarrow.parquet.read_table(file)
@@ -107,7 +108,7 @@
         wanted = [name for name, _ in store.COLUMNS]
         if sorted(table.column_names) != sorted(wanted):
             raise click.ClickException(f"{file} has other columns: {', '.join(table.column_names)}")
-        made = store.History(folder)
+        made = History(folder)
         for row in table.select(wanted).to_pylist():
             made.note(
                 row["at"],
@@ -128,9 +129,9 @@
     @click.argument("folder", type=click.Path(exists=True, file_okay=False))
     def compact(folder):
         """One file a day. No dispatcher may be writing to the folder."""
-        from petrelwood.store import history as store
+        from petrelwood.store.history import History
 
-        made = store.History(folder)
+        made = History(folder)
         before, after = made.compact()
         made.close()
         click.echo(f"{before} files became {after}")
@@ -139,7 +140,7 @@
     @click.argument("folder", type=click.Path(exists=True, file_okay=False))
     def verify(folder):
         """Reads everything: exit 0 if all is whole, else 1 and what is wrong."""
-        from petrelwood.store import history as store
+        from petrelwood.store import history_files as store
 
         wrong = store.verify(folder)
         for line in wrong:
--- a/petrelwood/decide/delivery/recovery.py
+++ b/petrelwood/decide/delivery/recovery.py
@@ -16,6 +16,7 @@
   it, close every window of deduplication and keep ids for their whole time from now on."""
 
 import operator
+from collections.abc import Sequence
 from typing import NamedTuple
 
 from petrelwood import ports
@@ -26,6 +27,7 @@
     IncarnationEnded,
     IncarnationStarted,
     LoadOrdered,
+    Record,
 )
 
 SECOND = 1_000_000_000
@@ -103,7 +105,7 @@
     return reversed(found)
 
 
-def least_age(records, wall, boot):
+def least_age(records: Sequence[Record], wall: int, boot: str) -> int:
     """How long ago the newest of a segment's records was written, at the least."""
     newest = 0
     for block in _blocks(records, wall, boot):
--- a/petrelwood/dispatch/forecast_storage.py
+++ b/petrelwood/dispatch/forecast_storage.py
@@ -7,7 +7,7 @@
 from petrelwood.dispatch.interfaces import Clock, Logger
 from petrelwood.dispatch.load_forecasts import LoadForecasts
 from petrelwood.store import snapshot
-from petrelwood.store.ends import Ends
+from petrelwood.store.early_load_log import EarlyLoadEnd, EarlyLoadLog
 from petrelwood.store.errors import SnapshotError
 
 SNAPSHOT_FILE = "forecast.snap"
@@ -33,7 +33,7 @@
         self.clock = clock
         self.loop = loop
         self.log = log
-        self.account = Ends(folder)
+        self.account = EarlyLoadLog(folder)
         self.file = self.account.path.with_name(SNAPSHOT_FILE)
         self.next_snapshot = clock.now() + SLOTS_PER_SNAPSHOT * forecasts.slot
         self.unsaved: Iterator[object] | None = None  # what is not in the snapshot yet that is being made
@@ -54,16 +54,18 @@
     def _record_end(self, now: int, load: EarlyLoad, end: str, seconds: float, memory: float) -> None:
         """An early load has ended. The account has wall-clock times."""
         offset = self.clock.steady_wall() - now
-        self.account.note(
-            load.asked + offset,
-            load.stood and load.stood + offset,
-            now + offset,
-            load.function,
-            load.hall,
-            load.worker,
-            end,
-            round(seconds, 6),
-            round(memory, 6),
+        self.account.record(
+            EarlyLoadEnd(
+                load.asked + offset,
+                load.stood and load.stood + offset,
+                now + offset,
+                load.function,
+                load.hall,
+                load.worker,
+                end,
+                round(seconds, 6),
+                round(memory, 6),
+            )
         )
 
     def step(self, now: int) -> None:
--- a/petrelwood/emulate/platform.py
+++ b/petrelwood/emulate/platform.py
@@ -21,7 +21,7 @@
 from petrelwood.emulate.streams import Stream
 from petrelwood.emulate.traffic import Clients
 from petrelwood.settings import gateway as settings
-from petrelwood.store.ends import Ends
+from petrelwood.store.early_load_log import EarlyLoadEnd, EarlyLoadLog
 
 SECOND, MS = 1_000_000_000, 1_000_000
 KEY = "whsec_" + "A" * 43 + "="
@@ -300,15 +300,20 @@
 
     def keep_account(self, folder):
         """Writes the ends of all dispatchers' early loads to a folder, as a running dispatcher does."""
-        self.ends = Ends(folder)
+        self.ends = EarlyLoadLog(folder)
         for core in self.cores.values():
             self._account_of(core)
 
     def _account_of(self, core):
         if core.forecasts is not None:
-            core.forecasts.early.account.told = lambda now, early, end, seconds, memory: self.ends.note(
-                early.asked, early.stood, now, early.function, early.hall, early.worker, end, seconds, memory
+            core.forecasts.early.account.told = self._early_ended
+
+    def _early_ended(self, now, load, end, seconds, memory):
+        self.ends.record(
+            EarlyLoadEnd(
+                load.asked, load.stood, now, load.function, load.hall, load.worker, end, seconds, memory
             )
+        )
 
     def _kill(self, name, down):
         core = self.cores.pop(name, None)
--- a/petrelwood/lab/past.py
+++ b/petrelwood/lab/past.py
@@ -5,14 +5,14 @@
 import numpy
 
 from petrelwood.decide.forecasting import account, forecast
-from petrelwood.store import ends, history
+from petrelwood.store import early_load_log, history_files
 
 SECOND = 10**9
 
 
 def counts(folder, slot):
     """(functions, matrix of calls by function and slot, the first slot) of a whole history."""
-    table = history.read(folder)
+    table = history_files.read(folder)
     if not len(table):
         return [], numpy.zeros((0, 0), dtype=int), 0
     slots = numpy.asarray(table["at"].to_numpy()) // slot
@@ -129,15 +129,15 @@
 
 def account(folder, by, most, chart=None):
     """Lines of the account that the ends of early loads make: the whole, then the worst of each group."""
-    rows, groups = ends.read(folder), collections.defaultdict(list)
+    rows, groups = early_load_log.read(folder), collections.defaultdict(list)
     for row in rows:
-        key = f"{row['asked'] // (3600 * SECOND) % 24:02d}h" if by == "hour" else row[by]
+        key = f"{row.asked // (3600 * SECOND) % 24:02d}h" if by == "hour" else getattr(row, by)
         groups[key].append(row)
     yield (
         f"{'':24s} {'loads':>6s} {'saved s':>9s} {'spent s':>9s} {'balance':>9s} {'GB s':>8s}  how they ended"
     )
     yield _sum("all", rows)
-    for key, some in sorted(groups.items(), key=lambda g: sum(r["seconds"] for r in g[1]))[:most]:
+    for key, some in sorted(groups.items(), key=lambda g: sum(r.seconds for r in g[1]))[:most]:
         yield _sum(key, some)
     if chart and rows:
         _time_line(rows, chart)
@@ -145,12 +145,12 @@
 
 
 def _sum(name, rows):
-    seen = collections.Counter(row["end"] for row in rows)
-    saved = sum(max(0.0, row["seconds"]) for row in rows)
-    spent = sum(max(0.0, -row["seconds"]) for row in rows)
+    seen = collections.Counter(row.end for row in rows)
+    saved = sum(max(0.0, row.seconds) for row in rows)
+    spent = sum(max(0.0, -row.seconds) for row in rows)
     return (
         f"{name:24s} {len(rows):6d} {saved:9.1f} {spent:9.1f} {saved - spent:+9.1f} "
-        f"{sum(r['memory'] for r in rows):8.1f}  "
+        f"{sum(r.memory for r in rows):8.1f}  "
         + ", ".join(f"{end} {seen[end]}" for end in account.ENDS if seen[end])
     )
 
@@ -162,16 +162,16 @@
     matplotlib.use("Agg")
     import matplotlib.pyplot as plt
 
-    called = [name for name, _ in collections.Counter(row["function"] for row in rows).most_common(most)]
-    spots, first = {name: i for i, name in enumerate(called)}, min(row["asked"] for row in rows)
+    called = [name for name, _ in collections.Counter(row.function for row in rows).most_common(most)]
+    spots, first = {name: i for i, name in enumerate(called)}, min(row.asked for row in rows)
     figure, axes = plt.subplots(figsize=(11, 1 + 0.17 * len(called)))
     for row in rows:
-        if row["function"] in spots:
+        if row.function in spots:
             axes.barh(
-                spots[row["function"]],
-                (row["ended"] - row["asked"]) / SECOND,
-                left=(row["asked"] - first) / SECOND,
-                color=COLORS[row["end"]],
+                spots[row.function],
+                (row.ended - row.asked) / SECOND,
+                left=(row.asked - first) / SECOND,
+                color=COLORS[row.end],
                 height=0.8,
             )
     axes.set_yticks(range(len(called)), called, fontsize=6)
--- a/petrelwood/store/append_log.py
+++ b/petrelwood/store/append_log.py
@@ -91,8 +91,11 @@
         self._waiting: list[bytes] = []
         self._waiting_size = 0
         data = self.path.read_bytes() if self.path.exists() else b""
-        self.payloads, self.size, self.damage = scan(data)
-        self.dropped_size = len(data) - self.size
+        found = scan(data)
+        self.payloads = found.payloads
+        self.size = found.valid_size
+        self.damage = found.damage
+        self.dropped_size = len(data) - found.valid_size
         try:
             self._open()
         except OSError as error:
--- a/petrelwood/store/history.py
+++ b/petrelwood/store/history.py
@@ -1,341 +1,236 @@
 """The history of use: what was called, when, cold or warm, how long it waited. Columns, by day, compressed.
 
-Rows are noted in memory and written to a tail (`store.append_log`) in groups; when a group of `ROLL` rows or
-a new day is full, a Parquet file of it is written beside, renamed, and only then the tail begins anew. So a
-kill at any byte loses no more than what was noted since the last flush, and what was dropped is said. A file
-that is renamed while its tail still stands is known by the tail's number, so no row counts twice.
+Rows are noted in memory and written to a tail in groups; when a tail has enough rows, files of columns are
+made of it, and only then a new tail begins. So a kill at any byte loses no more than what was noted since the
+last flush. What stands in a folder is known to `store.history_files`.
 
 A full or failing disk stops the history, never the dispatching: `stopped` tells why. The failed tail is given
 up, as nobody can tell what of it is on the disk; its rows stand in memory, and what is noted meanwhile beside
-them, up to `ROLL` rows. With backoff they become files of that tail's number and a new tail begins."""
+them, up to as many again. With backoff they become files of that tail's number and a new tail begins.
+"""
 
-import datetime
+import os
 import pathlib
-import struct
-import time
-
-import pyarrow
-import pyarrow.parquet
+from collections.abc import Callable
+from time import monotonic_ns
 
 from petrelwood.decide.overload.backoff import Backoff
-from petrelwood.store import append_log
+from petrelwood.store import append_log, history_files
 from petrelwood.store.append_log import AppendLog
 from petrelwood.store.errors import LogFormatError, LogWriteError
 from petrelwood.store.files import Files
+from petrelwood.store.history_files import Row, Sealed, day_of, tail_path
 
-FIRST_DELAY = (
-    5_000_000_000  # ns after a fault until the history is attempted again; doubled up to the longest
-)
-LONGEST_DELAY = 300_000_000_000
-ROLL = 50_000  # rows of one file
-GROUP = 256  # rows noted before they are written
-ROW = struct.Struct("<qHHHBIII")
-COLUMNS = (
-    ("at", pyarrow.int64()),
-    ("function", pyarrow.string()),
-    ("customer", pyarrow.string()),
-    ("hall", pyarrow.string()),
-    ("how", pyarrow.uint8()),
-    ("waited_us", pyarrow.uint32()),
-    ("took_us", pyarrow.uint32()),
-    ("load_us", pyarrow.uint32()),
-)
-WARM, COLD, JOINED, NEVER = range(4)  # how: found a copy, began a load, waited for one, was not completed
-
-
-def day_of(at):
-    return datetime.datetime.fromtimestamp(at / 1e9, datetime.UTC).strftime("%Y-%m-%d")
+SECOND = 1_000_000_000
+FIRST_DELAY = 5 * SECOND  # after a fault until the history is attempted again; doubled up to the longest
+LONGEST_DELAY = 300 * SECOND
+ROWS_OF_A_TAIL = 50_000
+ROWS_OF_A_GROUP = 256  # noted before they are written
+MOST_NAMES = 60_000  # of a tail, whose numbers have two bytes
+MOST_BYTES = 1 << 30
+MOST_DAYS = 60
+LONGEST_US = 0xFFFFFFFF  # the longest time that a row keeps: 71 minutes
+MICROSECOND = 1000  # ns
 
 
 class History:
-    """`most`: bytes on disk; `keep`: days. Times are wall-clock ns."""
+    """The history in one folder, of which it keeps `most` bytes and `keep` days.
+
+    `stopped`: why nothing is written now, or None; `noted`: how many rows were; `lost`: how many were
+    dropped, as the disk had failed for too long. `now` is the monotonic clock.
+    """
 
     def __init__(
         self,
-        folder,
-        most=1 << 30,
-        keep=60,
-        files=None,
-        group=GROUP,
-        roll=ROLL,
-        now=time.monotonic_ns,
-    ):
-        self.now, self.backoff = now, Backoff(FIRST_DELAY, LONGEST_DELAY, lambda: 1.0)
-        self.folder, self.most, self.keep, self.files = (
-            pathlib.Path(folder),
-            most,
-            keep,
-            files or Files(),
-        )
-        self.group, self.roll, self.stopped, self.names, self.rows = group, roll, None, {}, []
-        self.dropped, self.lost, self.noted, self.log, self.since = 0, 0, 0, None, 0
-        self.number, self.opened, self.unremoved = 0, False, []
+        folder: str | os.PathLike[str],
+        most: int = MOST_BYTES,
+        keep: int = MOST_DAYS,
+        files: Files | None = None,
+        group: int = ROWS_OF_A_GROUP,
+        roll: int = ROWS_OF_A_TAIL,
+        now: Callable[[], int] = monotonic_ns,
+    ) -> None:
+        self.folder = pathlib.Path(folder)
+        self.most = most
+        self.keep = keep
+        self.files = files or Files()
+        self.group = group
+        self.roll = roll
+        self.now = now
+        self.backoff = Backoff(FIRST_DELAY, LONGEST_DELAY, lambda: 1.0)
+        self.stopped: str | None = None
+        self.noted = 0
+        self.lost = 0
+        self.log: AppendLog | None = None  # the tail; None until it was opened for the first time
+        self.number = 0  # the tail's
+        self.rows: list[Row] = []  # all of the tail
+        self._numbers: dict[str, int] = {}  # of the tail's names
+        self._unflushed = 0  # rows, the last ones
+        self._unremoved: list[pathlib.Path] = []  # tails of which nothing is needed any more
         try:
             self._open()
-        except (LogWriteError, LogFormatError, OSError) as fault:
-            self._stop(fault)
+        except (LogWriteError, LogFormatError, OSError) as error:
+            self._stop(error)
 
-    def _stop(self, fault):
-        self.stopped = str(fault)
+    def _stop(self, error: Exception) -> None:
+        self.stopped = str(error)
         self.backoff.failed(self.now())
 
-    def _recover(self):
-        """After a fault, once that is due: the rows of the tail that failed become files, and a new one
-        begins."""
-        if not self.backoff.may_retry(self.now()):
-            return
-        try:
-            if not self.opened:
-                noted, self.rows, self.names = self.rows, [], {}
-                try:
-                    self._open()
-                finally:
-                    self.rows += noted
-            else:
-                self.log.abandon()
-                self._seal_rows()
-        except (LogWriteError, LogFormatError, OSError) as fault:
-            self._stop(fault)
-            return
-        self.stopped = None
-        self.backoff.succeeded()
-
-    def _tails(self):
-        return sorted(self.folder.glob("tail-*.log"))
-
-    def _open(self):
-        """Finds the tail; rows that a file already has are not taken again."""
+    # Opening.
+    def _open(self) -> None:
+        """Finds the tail; a seal that a kill has cut short is finished."""
         self.folder.mkdir(parents=True, exist_ok=True)
         for part in self.folder.glob("**/*.part"):
             part.unlink()
-        done = sealed(self.folder)
-        self.number = max(
-            [n for n, _ in done] + [int(p.stem.split("-")[1]) for p in self._tails()], default=1
-        )
-        for path in self._tails():
-            number = int(path.stem.split("-")[1])
-            if number == self.number and number not in {n for n, _ in done}:
-                continue  # the one that goes on
-            # a seal that a kill has cut short: it is finished
-            _, rows = replayed(append_log.scan(path.read_bytes())[0])
-            self._write_days([r for r in rows if (number, day_of(r[0])) not in done], number)
-            self.files.remove(str(path))
-            self.number = max(self.number, number + 1)
-        self.log = AppendLog(self.folder / f"tail-{self.number:08d}.log", self.files)
-        self.dropped = self.log.dropped_size
-        self.names, self.rows = replayed(self.log.payloads)
-        self.opened = True
-
-    def _name(self, text):
-        number = self.names.get(text)
-        if number is None:
-            number = self.names[text] = len(self.names)
-            self.log.append(b"n" + struct.pack("<H", number) + text.encode("utf-8"))
-        return number
-
-    def note(self, at, function, customer, hall, how, waited, took, load):
-        """One activation's end; ns, as large as 71 minutes are kept. Cheap: most calls only append to a
-        list."""
+        done = history_files.sealed(self.folder)
+        there = history_files.tails(self.folder)
+        self.number = max([one.number for one in done] + [number for number, _ in there], default=1)
+        sealed_numbers = {one.number for one in done}
+        for number, path in there:
+            if number != self.number or number in sealed_numbers:
+                self._finish_seal(number, path, done)
+                self.number = max(self.number, number + 1)
+        log = AppendLog(tail_path(self.folder, self.number), self.files)
+        self._numbers, found = history_files.decode(log.payloads)
+        self.rows = found + self.rows
+        self.log = log
+
+    def _finish_seal(self, number: int, path: pathlib.Path, done: set[Sealed]) -> None:
+        _, rows = history_files.decode(append_log.scan(path.read_bytes()).payloads)
+        self._write_days([row for row in rows if Sealed(number, day_of(row.at)) not in done], number)
+        self.files.remove(str(path))
+
+    # Noting.
+    def note(
+        self, at: int, function: str, customer: str, hall: str, how: int, waited: int, took: int, load: int
+    ) -> None:
+        """Notes one execution; times in ns. Cheap: most calls only append to a list."""
         if self.stopped is not None and len(self.rows) >= 2 * self.roll:
             self.lost += 1
             return
-        row = (
+        row = Row(
             at,
             function,
             customer,
             hall,
             how,
-            min(waited // 1000, 0xFFFFFFFF),
-            min(took // 1000, 0xFFFFFFFF),
-            min(load // 1000, 0xFFFFFFFF),
+            min(waited // MICROSECOND, LONGEST_US),
+            min(took // MICROSECOND, LONGEST_US),
+            min(load // MICROSECOND, LONGEST_US),
         )
         self.rows.append(row)
         self.noted += 1
-        self.since += 1
-        if self.since >= self.group and self.stopped is None:
+        self._unflushed += 1
+        if self._unflushed >= self.group and self.stopped is None:
             self.flush()
 
-    def flush(self, sync=False):
-        """Writes what was noted; when enough stands, a file of columns is made of it. After a fault the
-        history is begun again when that is due."""
+    def flush(self, sync: bool = False) -> None:
+        """Writes what was noted, and makes files of columns when the tail has enough rows.
+
+        After a fault the history is begun again when that is due. With `sync` it is durable then.
+        """
         if self.stopped is not None:
             self._recover()
-        if self.stopped is not None:
+        if self.stopped is not None or self.log is None:
             return
-        if self.unremoved:
+        if self._unremoved:
             self._remove_old()
         try:
-            if self.since:
-                packed = b"".join(
-                    ROW.pack(row[0], self._name(row[1]), self._name(row[2]), self._name(row[3]), *row[4:])
-                    for row in self.rows[-self.since :]
-                )
-                if not self.log.append(b"r" + packed):
-                    raise LogWriteError("the tail is full")
-                self.log.flush()
-                self.since = 0
+            self._write_rows(self.log)
             if sync:
                 self.log.sync()
-            if len(self.rows) >= self.roll or len(self.names) > 60_000:
+            if len(self.rows) >= self.roll or len(self._numbers) > MOST_NAMES:
                 self.seal()
-        except (LogWriteError, OSError) as fault:
-            self._stop(fault)
+        except (LogWriteError, LogFormatError, OSError) as error:
+            self._stop(error)
 
-    def seal(self):
-        """The rows become files, one a day; the tail begins anew."""
-        self.log.sync()
-        self._seal_rows()
+    def _write_rows(self, log: AppendLog) -> None:
+        if not self._unflushed:
+            return
+        rows = self.rows[-self._unflushed :]
+        if not log.append(history_files.encode_rows(rows, self._number_of)):
+            raise LogWriteError(f"{log.path}: it is full")
+        log.flush()
+        self._unflushed = 0
+
+    def _number_of(self, name: str) -> int:
+        """The number of a name in the tail, which is told there before it is used."""
+        number = self._numbers.get(name)
+        if number is None:
+            number = self._numbers[name] = len(self._numbers)
+            if self.log is not None:
+                self.log.append(history_files.encode_name(number, name))
+        return number
 
-    def _seal_rows(self):
-        old = self.log
-        for day in sorted({day_of(row[0]) for row in self.rows}):
-            self._write_days([row for row in self.rows if day_of(row[0]) == day], self.number)
+    # From tails to files of columns.
+    def seal(self) -> None:
+        """The rows become files of columns, one a day; a new tail begins."""
+        if self.log is not None:
+            self.log.sync()
+            self._seal_rows(self.log)
+
+    def _seal_rows(self, old: AppendLog) -> None:
+        for day in sorted({day_of(row.at) for row in self.rows}):
+            history_files.write_day(
+                self.folder, [row for row in self.rows if day_of(row.at) == day], self.number, self.files
+            )
             # a file of this day and number is enough for a start to pass over the tail's rows of it
-            self.rows = [row for row in self.rows if day_of(row[0]) != day]
-        self.names, self.since = {}, 0
+            self.rows = [row for row in self.rows if day_of(row.at) != day]
+        self._numbers = {}
+        self._unflushed = 0
         self.number += 1
-        path = self.folder / f"tail-{self.number:08d}.log"
-        self.unremoved.append(path)  # unless it can be begun
+        path = tail_path(self.folder, self.number)
+        self._unremoved.append(path)  # unless it can be begun
         self.log = AppendLog(path, self.files)
-        self.unremoved.remove(path)
+        self._unremoved.remove(path)
         old.abandon()
-        self.unremoved.append(old.path)
+        self._unremoved.append(old.path)
         self._remove_old()
 
-    def _remove_old(self):
-        """What can't be removed now only takes room; it is tried again."""
+    def _write_days(self, rows: list[Row], number: int) -> None:
+        for day in sorted({day_of(row.at) for row in rows}):
+            some = [row for row in rows if day_of(row.at) == day]
+            history_files.write_day(self.folder, some, number, self.files)
+
+    def _remove_old(self) -> None:
+        """What can't be removed now only takes room; it is attempted again."""
         try:
-            while self.unremoved:
-                if self.unremoved[-1].exists():
-                    self.files.remove(str(self.unremoved[-1]))
-                self.unremoved.pop()
-            self.retain()
+            while self._unremoved:
+                if self._unremoved[-1].exists():
+                    self.files.remove(str(self._unremoved[-1]))
+                self._unremoved.pop()
+            history_files.retain(self.folder, self.keep, self.most)
         except OSError:
-            pass
-
-    def _write_days(self, rows, number):
-        for day in sorted({day_of(row[0]) for row in rows}):
-            some = sorted(row for row in rows if day_of(row[0]) == day)
-            target = self.folder / f"day={day}" / f"rows-{some[0][0]:020d}-{number}.parquet"
-            target.parent.mkdir(exist_ok=True)
-            self._write(some, target)
-
-    def _write(self, rows, target):
-        part = target.with_suffix(".part")
-        columns = {
-            name: pyarrow.array([row[i] for row in rows], type_) for i, (name, type_) in enumerate(COLUMNS)
-        }
-        pyarrow.parquet.write_table(pyarrow.table(columns), part, compression="zstd")
-        self.files.replace(str(part), str(target))
-
-    def retain(self):
-        """Forgets the oldest days: those over `keep`, then whatever is over the bound on disk."""
-        days = sorted(self.folder.glob("day=*"))
-        sizes = {day: sum(p.stat().st_size for p in day.iterdir()) for day in days}
-        while days and (len(days) > self.keep or sum(sizes[d] for d in days) > self.most):
-            if len(days) == 1:
-                break
-            oldest = days.pop(0)
-            for path in oldest.iterdir():
-                path.unlink()
-            oldest.rmdir()
-
-    def compact(self):
-        """One file for each day; (files before, files after). Parts are written beside and renamed."""
-        before = after = 0
-        for day in sorted(self.folder.glob("day=*")):
-            paths = sorted(day.glob("rows-*.parquet"))
-            before += len(paths)
-            after += min(1, len(paths))
-            if len(paths) < 2:
-                continue
-            table = pyarrow.concat_tables([pyarrow.parquet.read_table(p) for p in paths]).sort_by("at")
-            highest = max(int(p.stem.split("-")[2]) for p in paths)
-            part = day / "whole.part"
-            pyarrow.parquet.write_table(table, part, compression="zstd")
-            target = day / f"rows-{table['at'][0].as_py():020d}-{highest}.parquet"
-            self.files.replace(str(part), str(target))
-            for path in paths:
-                if path != target:
-                    self.files.remove(str(path))
-        return before, after
+            return
 
-    def close(self):
-        self.flush(sync=True)
+    def _recover(self) -> None:
+        """After a fault, once that is due: the rows become files of columns, and a new tail begins."""
+        if not self.backoff.may_retry(self.now()):
+            return
         try:
-            if self.log is not None and self.stopped is None:
-                self.log.close()
-            elif self.log is not None:
+            if self.log is None:
+                self._open()
+            else:
                 self.log.abandon()
-        except (LogWriteError, OSError) as fault:
-            self._stop(fault)
-
-
-def replayed(records):
-    """(names with their numbers, rows) of a tail's records."""
-    names, by, rows = {}, {}, []
-    for record in records:
-        kind, body = record[:1], record[1:]
-        if kind == b"n":
-            name, number = body[2:].decode("utf-8"), struct.unpack("<H", body[:2])[0]
-            names[name], by[number] = number, name
-        elif kind == b"r":
-            for when, fn, customer, hall, how, waited, took, load in ROW.iter_unpack(body):
-                rows.append((when, by[fn], by[customer], by[hall], how, waited, took, load))
-    return names, rows
-
-
-def sealed(folder):
-    """{(tail's number, day)} whose rows stand in a file of their own. Compacted files carry their highest
-    number."""
-    return {
-        (int(p.stem.split("-")[2]), p.parent.name[4:])
-        for p in pathlib.Path(folder).glob("day=*/rows-*-*.parquet")
-    }
-
-
-def read(folder, since=0, until=1 << 62):
-    """All rows of a folder with `since <= at < until`, as a table sorted by time, the tail's among them."""
-    folder = pathlib.Path(folder)
-    tables = [
-        pyarrow.parquet.read_table(p, filters=[("at", ">=", since), ("at", "<", until)])
-        for p in sorted(folder.glob("day=*/rows-*.parquet"))
-    ]
-    done = sealed(folder)
-    for path in sorted(folder.glob("tail-*.log")):
-        number = int(path.stem.split("-")[1])
-        _, rows = replayed(append_log.scan(path.read_bytes())[0])
-        rows = [r for r in rows if since <= r[0] < until and (number, day_of(r[0])) not in done]
-        tables.append(
-            pyarrow.table(
-                {name: pyarrow.array([r[i] for r in rows], type_) for i, (name, type_) in enumerate(COLUMNS)}
-            )
-        )
-    if not tables:
-        return pyarrow.table({name: pyarrow.array([], type_) for name, type_ in COLUMNS})
-    return pyarrow.concat_tables(tables).sort_by("at")
+                self._seal_rows(self.log)
+        except (LogWriteError, LogFormatError, OSError) as error:
+            self._stop(error)
+            return
+        self.stopped = None
+        self.backoff.succeeded()
 
+    def compact(self) -> tuple[int, int]:
+        """Makes one file of each day's; how many files there were, and are."""
+        return history_files.compact(self.folder, self.files)
 
-def verify(folder):
-    """What is wrong with a folder, a line each; empty if nothing is."""
-    wrong = []
-    for path in sorted(pathlib.Path(folder).glob("day=*/rows-*.parquet")):
-        try:
-            table = pyarrow.parquet.read_table(path)
-        except (OSError, pyarrow.ArrowException) as fault:
-            wrong.append(f"{path}: {str(fault).splitlines()[0]}")
-            continue
-        days = (
-            {day_of(at) for at in (table["at"][0].as_py(), table["at"][-1].as_py())} if len(table) else set()
-        )
-        if days - {path.parent.name[4:]}:
-            wrong.append(f"{path}: holds rows of {', '.join(sorted(days))}")
-    for path in sorted(pathlib.Path(folder).glob("tail-*.log")):
+    def close(self) -> None:
+        """Writes what was noted, makes it durable, and closes the tail."""
+        self.flush(sync=True)
+        if self.log is None:
+            return
         try:
-            _, whole, why = append_log.scan(path.read_bytes())
-        except LogFormatError as fault:
-            wrong.append(f"{path}: {fault}")
-            continue
-        if why:
-            wrong.append(f"{path}: {why}, {path.stat().st_size - whole} bytes after it")
-    return wrong
+            if self.stopped is None:
+                self.log.close()
+        except LogWriteError as error:
+            self._stop(error)
+        self.log.abandon()
--- a/petrelwood/store/state_segments.py
+++ b/petrelwood/store/state_segments.py
@@ -72,8 +72,8 @@
 def scan(path: pathlib.Path) -> SegmentScan:
     """Reads one segment. Raises `StateUnreadableError`."""
     try:
-        payloads, valid_size, damage = append_log.scan(path.read_bytes())
-        found = SegmentScan([decode(payload) for payload in payloads], valid_size, damage)
+        log = append_log.scan(path.read_bytes())
+        found = SegmentScan([decode(payload) for payload in log.payloads], log.valid_size, log.damage)
     except (LogFormatError, RecordError) as error:
         raise StateUnreadableError(f"{path}: {error}") from error
     except OSError as error:
@@ -106,13 +106,13 @@
     for segment in segments(folder):
         data = segment.path.read_bytes()
         try:
-            _, valid_size, damage = append_log.scan(data)
+            found = append_log.scan(data)
         except LogFormatError as error:
             aside = segment.path.with_suffix(".unreadable")
             segment.path.rename(aside)
             repaired.append(Damage(aside, len(data), str(error)))
             continue
-        if damage:
-            os.truncate(segment.path, valid_size)
-            repaired.append(Damage(segment.path, len(data) - valid_size, damage))
+        if found.damage:
+            os.truncate(segment.path, found.valid_size)
+            repaired.append(Damage(segment.path, len(data) - found.valid_size, found.damage))
     return repaired
--- a/petrelwood/store/versions.py
+++ b/petrelwood/store/versions.py
@@ -21,7 +21,9 @@
 
 POSITION = "position"
 MOST_VERSIONS = 16  # that stay in a folder that the configuration servers fill
-SETTINGS, BEGINNING, CALL_OFF = ".kdl", ".json", ".off"  # the endings of a version's files
+SETTINGS = ".kdl"  # the endings of a version's files
+BEGINNING = ".json"
+CALL_OFF = ".off"
 
 Folder = str | os.PathLike[str]
 
--- a/tests/test_early.py
+++ b/tests/test_early.py
@@ -15,7 +15,7 @@
 from petrelwood.emulate import result, script
 from petrelwood.emulate.platform import Platform
 from petrelwood.settings import document, gateway
-from petrelwood.store import history
+from petrelwood.store import history, history_files
 from petrelwood.store.errors import SnapshotError
 
 EARLY = (
@@ -72,7 +72,7 @@
             for i in range(30):
                 self.assertEqual((await self.post(f"again-{i % 3}"))[0], 200)
             self.core.history.flush(sync=True)
-            table = history.read(f"{folder}/h")
+            table = history_files.read(f"{folder}/h")
             self.assertEqual(len(table), 30)
             self.assertEqual(set(table["function"].to_pylist()), {"again-0", "again-1", "again-2"})
 
@@ -89,7 +89,7 @@
             self.assertEqual((await self.post("again-1"))[0], 200)
 
     async def test_forecasts_survive_a_restart_and_a_broken_file_is_learnt_anew(self):
-        from petrelwood.store import ends, snapshot
+        from petrelwood.store import early_load_log, snapshot
 
         with tempfile.TemporaryDirectory() as folder:
             await self.begin_early(
@@ -100,8 +100,8 @@
             known = sorted(self.core.forecasts.early.forecast.series)
             await self.core.close()
             self.assertEqual(known, ["again-1"])
-            rows = ends.read(f"{folder}/h")
-            self.assertEqual({r["function"] for r in rows} <= {"again-1"}, True)
+            rows = early_load_log.read(f"{folder}/h")
+            self.assertEqual({row.function for row in rows} <= {"again-1"}, True)
             again = type(self.core)(self.core.gateway, self.log)
             self.assertEqual(sorted(again.forecasts.early.forecast.series), known)
             self.assertEqual(
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -6,7 +6,7 @@
 import tempfile
 import unittest
 
-from petrelwood.store import append_log, files, history, snapshot
+from petrelwood.store import append_log, files, history, history_files, snapshot
 from petrelwood.store.errors import LogFormatError, LogWriteError, SnapshotError
 
 DAY = 86_400 * 10**9
@@ -113,20 +113,20 @@
             made.note(T0 + i * 60 * 10**9, f"f{i % 7}", "x", "n", i % 3, 1000 * i, 2000, 0)
 
     def ids(self, table=None):
-        table = table if table is not None else history.read(self.path)
+        table = table if table is not None else history_files.read(self.path)
         return [(at - T0) // (60 * 10**9) for at in table["at"].to_pylist()]
 
     def test_rows_come_back_over_files_days_and_the_tail(self):
         made = history.History(self.path, group=8, roll=700)
         self.fill(made, 3000)
         made.close()
-        table = history.read(self.path)
+        table = history_files.read(self.path)
         self.assertEqual(self.ids(table), list(range(3000)))
         self.assertEqual(table["function"].to_pylist()[:8], ["f0", "f1", "f2", "f3", "f4", "f5", "f6", "f0"])
         self.assertEqual(len(list(self.path.glob("day=*"))), 2)
-        self.assertEqual(history.verify(self.path), [])
+        self.assertEqual(history_files.verify(self.path), [])
         self.assertEqual(
-            self.ids(history.read(self.path, T0 + 600 * 10**9, T0 + 1200 * 10**9)), list(range(10, 20))
+            self.ids(history_files.read(self.path, T0 + 600 * 10**9, T0 + 1200 * 10**9)), list(range(10, 20))
         )
         before, after = history.History(self.path).compact()
         self.assertEqual((before > after, after, self.ids()), (True, 2, list(range(3000))))
@@ -172,7 +172,7 @@
             self.assertIsNone(again.stopped)
             rows = [(r[0] - T0) // (60 * 10**9) for r in again.rows]
             again.close()
-            found = self.ids(history.read(where))
+            found = self.ids(history_files.read(where))
             self.assertEqual(
                 found, list(range(MIDNIGHT - 100, MIDNIGHT - 100 + len(found))), f"shot {number}"
             )
@@ -187,11 +187,11 @@
                 self.fill(made, 150)
                 made.close()
                 stopped += made.stopped is not None
-                found = self.ids(history.read(where))
+                found = self.ids(history_files.read(where))
                 self.assertEqual(found, list(range(len(found))), f"{how} at {at}")
                 if how == "short":
                     self.assertEqual((made.stopped, len(found)), (None, 150))
-                self.assertEqual([w for w in history.verify(where) if "tail" not in w], [])
+                self.assertEqual([w for w in history_files.verify(where) if "tail" not in w], [])
         self.assertGreater(stopped, 60)
 
     def test_days_and_bytes_are_bounded_oldest_first(self):
@@ -201,11 +201,13 @@
                 made.note(T0 + day * DAY + i * 10**9, "f", "x", "n", 0, 0, 0, 0)
         made.close()
         days = sorted(p.name for p in self.path.glob("day=*"))
-        self.assertEqual((len(days), days[-1]), (3, "day=" + history.day_of(T0 + 7 * DAY)))
+        self.assertEqual((len(days), days[-1]), (3, "day=" + history_files.day_of(T0 + 7 * DAY)))
         small = history.History(self.path, keep=99, most=1, group=8, roll=200)
         for i in range(200):
             small.note(T0 + 9 * DAY + i * 10**9, "f", "x", "n", 0, 0, 0, 0)
-        self.assertEqual([p.name for p in self.path.glob("day=*")], ["day=" + history.day_of(T0 + 9 * DAY)])
+        self.assertEqual(
+            [p.name for p in self.path.glob("day=*")], ["day=" + history_files.day_of(T0 + 9 * DAY)]
+        )
 
     def test_a_damaged_file_is_named(self):
         made = history.History(self.path, group=8, roll=100)
@@ -213,7 +215,7 @@
         made.close()
         hit = sorted(self.path.glob("day=*/rows-*"))[0]
         hit.write_bytes(hit.read_bytes()[:-20])
-        self.assertIn(str(hit), history.verify(self.path)[0])
+        self.assertIn(str(hit), history_files.verify(self.path)[0])
 
 
 class FaultyParts(files.Files):
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -26,7 +26,15 @@
 from petrelwood.emulate import script
 from petrelwood.emulate.platform import Platform
 from petrelwood.settings import gateway
-from petrelwood.store import ends, files, history, snapshot, state_log, state_segments, versions
+from petrelwood.store import (
+    early_load_log,
+    files,
+    history_files,
+    snapshot,
+    state_log,
+    state_segments,
+    versions,
+)
 from petrelwood.store.errors import StateUnreadableError
 from petrelwood.store.state_log import StateLog
 
@@ -677,13 +685,11 @@
             [tuple(one) for one in versions.announced(folder)], [(7, WALL, False), (8, WALL + SECOND, True)]
         )
         self.assertEqual(versions.position(folder), 12)
-        table = history.read(STORED / "history")
+        table = history_files.read(STORED / "history")
         self.assertEqual(table["function"].to_pylist(), [f"f{number % 2}" for number in range(11)])
-        self.assertEqual(history.verify(STORED / "history"), [])
-        (row,) = ends.read(STORED / "history")
-        self.assertEqual(
-            (row["function"], row["end"], row["seconds"], row["memory"]), ("f1", "used", 0.25, 1.5)
-        )
+        self.assertEqual(history_files.verify(STORED / "history"), [])
+        (row,) = early_load_log.read(STORED / "history")
+        self.assertEqual((row.function, row.end, row.seconds, row.memory), ("f1", "used", 0.25, 1.5))
 
     def test_the_stored_bytes_are_those_of_the_text_before(self):
         log = StateLog(self.folder / "state", WALL, "b1", 600 * SECOND)
--- a/tests/test_store_recovery.py
+++ b/tests/test_store_recovery.py
@@ -16,7 +16,8 @@
 from petrelwood.dispatch.rollout import VersionRollout, VersionSource
 from petrelwood.dispatch.settings_update import UpdateResult
 from petrelwood.settings.document import BadFile
-from petrelwood.store import ends, history, snapshot, versions
+from petrelwood.store import early_load_log, history, history_files, snapshot, versions
+from petrelwood.store.early_load_log import EarlyLoadEnd, EarlyLoadLog
 from petrelwood.store.errors import VersionUnreadableError
 
 SECOND = 10**9
@@ -231,7 +232,7 @@
 
 class Histories(Case):
     def ids(self, folder):
-        return [(at - WALL) // MINUTE for at in history.read(folder)["at"].to_pylist()]
+        return [(at - WALL) // MINUTE for at in history_files.read(folder)["at"].to_pylist()]
 
     def play(self, fails, folder, rows=250, **more):
         """Notes a row each minute over two days, looking each so often, as the dispatcher does."""
@@ -257,7 +258,7 @@
             self.assertIsNone(made.stopped)
             made.close()
             self.assertEqual(self.ids(folder), list(range(1300, 1550)), number)
-            self.assertEqual(history.verify(folder), [], number)
+            self.assertEqual(history_files.verify(folder), [], number)
             # another life goes on with it
             again = history.History(folder, group=8, roll=60)
             again.note(WALL + 1550 * MINUTE, "f", "x", "n", 0, 1, 2, 3)
@@ -284,7 +285,7 @@
                     self.assertEqual(len(found), len(set(found)))
                     self.assertEqual(len(found) + made.lost, 250, (name, begins, lasts))
                     self.assertTrue(lost or not made.lost, (name, begins, lasts, made.lost))
-                    self.assertEqual(history.verify(folder), [])
+                    self.assertEqual(history_files.verify(folder), [])
 
     def test_a_kill_after_each_call_of_a_recovery_doubles_nothing(self):
         shots = []
@@ -360,28 +361,28 @@
                     return code if failing[0] and call == name else None
 
                 files = FaultyFiles(fault, torn=True)
-                made = ends.Ends(folder, files=files, now=self.now, most=400)
+                made = EarlyLoadLog(folder, files=files, now=self.now, largest=400)
                 for number in range(3):
-                    made.note(number, 0, 0, *self.ROW)
+                    made.record(EarlyLoadEnd(number, 0, 0, *self.ROW))
                 made.flush()
                 failing[0] = True
                 for number in range(3, 20):
-                    made.note(number, 0, 0, *self.ROW)
+                    made.record(EarlyLoadEnd(number, 0, 0, *self.ROW))
                     made.flush()
                 self.assertEqual(made.stopped is not None, name != "sync" or made.backoff.failures > 0)
                 failing[0] = False
                 self.time += 400 * SECOND
                 made.flush()
                 self.assertIsNone(made.stopped)
-                made.note(20, 0, 0, *self.ROW)
+                made.record(EarlyLoadEnd(20, 0, 0, *self.ROW))
                 made.close()
-                asked = [row["asked"] for row in ends.read(folder)]
+                asked = [row.asked for row in early_load_log.read(folder)]
                 self.assertEqual(asked, sorted(set(asked)))
                 self.assertEqual(asked[-1], 20)
 
     def test_it_backs_off(self):
         files = FaultyFiles(lambda name: errno.EIO)
-        made = ends.Ends(self.folder, files=files, now=self.now)
+        made = EarlyLoadLog(self.folder, files=files, now=self.now)
         for _ in range(1000):
             self.time += 5 * SECOND
             made.flush()
