--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -168,8 +168,12 @@
         """Takes nothing new, answers all that is owed, and ends."""
         self.intake.closing = True
         for front in self.fronts:
-            front.stop()
+            front.drain()
+        # those that go on sending are not waited for longer than the longest request may take
+        last = self.now() + max(self.gateway.timeouts.values())
         while self.pending.acts or not all(front.quiet() for front in self.fronts):
+            if not self.pending.acts and self.now() >= last:
+                break
             await asyncio.sleep(CHECK / 5)
         for front in self.fronts:
             front.close_idle()
--- a/petrelwood/fronts/mqtt.py
+++ b/petrelwood/fronts/mqtt.py
@@ -481,6 +481,10 @@
     def storm_changed(self, name, on):
         """Sessions are few, and their windows follow the answers: nothing to do."""
 
+    def drain(self):
+        """The process ends."""
+        self.stop()
+
     def stop(self):
         # A broker that is away is not waited for any longer than a client waits.
         self.ends = self.core.now() + max(self.core.gateway.timeouts.values())
--- a/petrelwood/fronts/webhook.py
+++ b/petrelwood/fronts/webhook.py
@@ -18,6 +18,7 @@
 from petrelwood.decide.overload import admission, intake
 from petrelwood.fronts import problem
 from petrelwood.fronts.signing import Verifier
+from petrelwood.links import sockets as link_sockets
 from petrelwood.links.listener import Listener
 
 SECOND = 1_000_000_000
@@ -79,12 +80,7 @@
     def respond(self, status, body, kind, act=None, retry_after=0, last=False):
         if self.reply is not None:
             return
-        line = self.line
-        self.last = (
-            self.last
-            or last
-            or (line.leaving and line.now is None and bool(line.waiting) and line.waiting[-1] is self)
-        )
+        self.last = self.last or last
         head = [
             b"HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n"
             % (status, problem.TITLES[status].encode(), kind, len(body))
@@ -93,11 +89,14 @@
             head.append(b"Activation-Id: %s\r\n" % act.encode())
         if retry_after:
             head.append(b"Retry-After: %d\r\n" % -(-retry_after // SECOND))
-        if self.last:
-            head.append(b"Connection: close\r\n")
-        self.reply = b"".join(head) + b"\r\n" + body
+        self.reply = (b"".join(head), body)
         self.line.flush()
 
+    def encoded(self):
+        """The bytes of its answer."""
+        head, body = self.reply
+        return head + (b"Connection: close\r\n\r\n" if self.last else b"\r\n") + body
+
 
 class Line:
     """One connection. It is also what httptools calls back."""
@@ -115,6 +114,7 @@
         self.unread, self.unread_by = deque(), 0
         # the process gives way: each answer is the line's last
         self.leaving = False
+        self.feeding = False  # what has come is being read: answers wait until all of it was
         self.deadline, self.shaking = time.monotonic_ns() + self.limits.head_within, front.tls
         stream.set_close_callback(self.gone)
 
@@ -123,12 +123,17 @@
             while not self.closing:
                 data = await self.stream.read_bytes(READ, partial=True)
                 self._shaken()
+                self.feeding = True
                 try:
                     self.parser.feed_data(data)
                 except httptools.HttpParserUpgrade:
                     self._wrong(400, "no other protocol is spoken here")
                 except httptools.HttpParserError as fault:
                     self._wrong(400, f"not HTTP/1.1: {fault}")
+                finally:
+                    self.feeding = False
+                if self.waiting:
+                    self.flush()
                 if len(self.waiting) > self.limits.pipeline or self.unread:
                     # who does not read what was asked for asks for nothing more
                     self.reading = False
@@ -228,16 +233,19 @@
         exchange, self.now = self.now, None
         self.deadline = 0
         self._let_go(exchange)
-        exchange.last = exchange.last or self.leaving or not self.parser.should_keep_alive()
+        # one that leaves is told so with the last answer, behind which nothing waits
+        exchange.last = exchange.last or not self.parser.should_keep_alive()
         if exchange.reply is None:
             self.front.handle(exchange)
 
     def flush(self):
-        """Writes the answers that are ready, in the order of the requests."""
+        """Writes the answers that are ready, in the order of the requests. Where the process gives way, the
+        one behind which nothing has come is told to be the last."""
         out = []
-        while self.waiting and self.waiting[0].reply is not None:
+        while not self.feeding and self.waiting and self.waiting[0].reply is not None:
             exchange = self.waiting.popleft()
-            out.append(exchange.reply)
+            exchange.last = exchange.last or self.leaving and self.now is None and not self.waiting
+            out.append(exchange.encoded())
             if exchange.last:  # what was sent after it is not answered
                 self.closing = True
                 self._drop()
@@ -391,6 +399,7 @@
             return
         stream.set_nodelay(True)
         line = Line(self, stream, address)
+        line.leaving = self.core.intake.closing
         self.lines.add(line)
         await line.serve()
 
@@ -411,13 +420,22 @@
         for line in list(self.lines):
             line.slow(now)
 
-    @staticmethod
-    def quiet():
-        """Answers are written as they are made: nothing is owed here."""
-        return True
+    def drain(self):
+        """The process ends: what still comes is turned away, and told that it was its line's last. It listens
+        to the last, as a connection that the machine has accepted may have a request in it."""
+        for line in self.lines:
+            line.leaving = True
+
+    def quiet(self):
+        """Whether all answers have gone out, and all that has come was read: connections, requests, ends."""
+        streams = [line.stream for line in self.lines if not line.stream.closed()]
+        if any(stream.writing() for stream in streams):
+            return False
+        return not link_sockets.readable([*self._sockets.values(), *(stream.socket for stream in streams)])
 
     def close_idle(self):
-        """At the end: lines on which nothing is owed are closed."""
+        """At the end: nobody listens any more, and lines on which nothing is owed are closed."""
+        self.stop()
         for line in list(self.lines):
             if not line.waiting:
                 line.stream.close()
--- a/petrelwood/links/sockets.py
+++ b/petrelwood/links/sockets.py
@@ -2,7 +2,9 @@
 
 import contextlib
 import errno
+import select
 import socket
+from collections.abc import Iterable
 
 from tornado.iostream import IOStream
 
@@ -32,6 +34,15 @@
     return socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, kind)
 
 
+def readable(socks: Iterable[socket.socket]) -> list[int]:
+    """Descriptors of those of which the kernel has something that nobody has read: bytes, an end, a
+    connection."""
+    poll = select.poll()
+    for sock in socks:
+        poll.register(sock, select.POLLIN)
+    return [number for number, _ in poll.poll(0)]
+
+
 def bytes_written(stream: IOStream) -> int:
     """Bytes that were written on a stream so far, whether the kernel took them or not."""
     written: int = stream._total_write_index
--- a/petrelwood/node/front.py
+++ b/petrelwood/node/front.py
@@ -7,7 +7,6 @@
 import errno
 import functools
 import math
-import select
 import socket
 from collections import OrderedDict
 from typing import NamedTuple
@@ -42,15 +41,6 @@
 PARTS = rpc.Parts(resource_limits.BODY, resource_limits.TEXT, resource_limits.MEMBERS)
 
 
-def pending(socks):
-    """Those of `socks` (their descriptors) of which the machine has something that nobody has read: bytes, an
-    end, a connection."""
-    poll = select.poll()
-    for sock in socks:
-        poll.register(sock, select.POLLIN)
-    return [number for number, _ in poll.poll(0)]
-
-
 class Figures(NamedTuple):
     """What a request tells of its function and its work, as `settings.gateway.FunctionRule` has it."""
 
@@ -288,7 +278,7 @@
             self.coming is None
             or self.coming.done()
             or not self.stream.closed()
-            and bool(pending((self.stream.socket,)))
+            and bool(sockets.readable((self.stream.socket,)))
         )
 
     def at_rest(self):
@@ -552,6 +542,6 @@
             c.coming is None or c.coming.done() for c in self.clients
         ):
             return False
-        return self.sock is None or not pending(
+        return self.sock is None or not sockets.readable(
             [self.sock, *(c.stream.socket for c in self.clients if not c.stream.closed())]
         )
--- /dev/null
+++ b/tests/test_serve_shutdown.py
@@ -0,0 +1,117 @@
+"""The graceful shutdown of `serve` answers each request that the machine had accepted: in the listen queue,
+on an open connection, behind another one, while a worker hangs.
+
+Each test failed on the text before (668305e), which stopped listening at once and looked at no connection
+before it closed it, or names the broken dispatcher that it fails on."""
+
+import asyncio
+import socket
+import time
+import unittest
+
+from rig import Case, Worker, later, never
+
+
+class Client:
+    """A plain connection: what it sends is with the machine at once."""
+
+    def __init__(self, address):
+        self.sock = socket.create_connection(address)
+        self.sock.setblocking(False)
+        self.data, self.ended = b"", None
+
+    def send(self, message):
+        self.sock.send(message)
+
+    def read(self):
+        """Takes what is there; the statuses of the answers so far."""
+        try:
+            while self.ended is None:
+                data = self.sock.recv(65536)
+                self.data += data
+                if not data:
+                    self.ended = "end"
+        except BlockingIOError:
+            pass
+        except ConnectionError:
+            self.ended = "reset"
+        return [int(part[:3]) for part in self.data.split(b"HTTP/1.1 ")[1:]]
+
+
+class GracefulShutdown(Case):
+    def clients(self, count):
+        made = [Client(self.address) for _ in range(count)]
+        for client in made:
+            self.addCleanup(client.sock.close)
+        return made
+
+    async def _all_end(self, *clients):
+        await self.until(lambda: all(client.read() is not None and client.ended for client in clients))
+
+    async def test_requests_that_the_machine_has_accepted(self):
+        """In the listen queue, and unread on an open connection, as the last of what is owed is answered."""
+        await self.begin(Worker("w1", later(0.2)))
+        (opened,) = self.clients(1)
+        opened.send(self.message())
+        await self.until(opened.read)
+        (busy,) = self.clients(1)
+        busy.send(self.message())
+        await self.until(lambda: self.core.pending.acts)
+        ending = asyncio.ensure_future(self.core.close())
+        await asyncio.sleep(0)
+        (queued,) = self.clients(1)
+        queued.send(self.message())
+        opened.send(self.message())
+        time.sleep(0.3)  # the worker's answer comes meanwhile, too
+        await asyncio.wait_for(ending, 30)
+        await self._all_end(opened, busy, queued)
+        self.assertEqual(opened.read()[0], 200)
+        self.assertEqual(busy.read(), [200])
+        for client in (opened, queued):
+            self.assertEqual((client.read()[-1], client.ended), (503, "end"))
+        self.assertEqual(len(opened.read()), 2)
+
+    async def test_requests_behind_one_that_is_out(self):
+        """All on one connection: each has its answer, the last one tells that it ends."""
+        await self.begin(Worker("w1", later(0.3)))
+        (client,) = self.clients(1)
+        client.send(self.message())
+        await self.until(lambda: self.core.pending.acts)
+        ending = asyncio.ensure_future(self.core.close())
+        await asyncio.sleep(0.02)
+        client.send(self.message() + self.message())
+        await asyncio.sleep(0.02)
+        client.send(self.message())
+        await asyncio.wait_for(ending, 30)
+        await self._all_end(client)
+        self.assertEqual(client.read(), [200, 503, 503, 503])
+        self.assertEqual(client.data.count(b"Connection: close"), 1)
+
+    async def test_a_worker_that_hangs_while_clients_go_on_sending(self):
+        """It ends by itself within the longest action timeout and 0.7 s: the earliest kill. Fails where what
+        is pending is waited for without a deadline."""
+        await self.begin(Worker("w1", never))
+        (out,) = self.clients(1)
+        out.send(self.message("once-1"))
+        await self.until(lambda: self.core.pending.acts)
+        began = time.monotonic()
+        ending = asyncio.ensure_future(self.core.close())
+        senders = []
+        while not ending.done():
+            try:
+                (client,) = self.clients(1)
+            except ConnectionError:
+                break
+            client.send(self.message())
+            senders.append(client)
+            await asyncio.sleep(0.02)
+        await asyncio.wait_for(ending, 30)
+        self.assertLess(time.monotonic() - began, 2.7)
+        await self._all_end(out, *senders[:-1])  # the last may cross the end
+        self.assertEqual(out.read(), [504])
+        self.assertEqual({tuple(client.read()) for client in senders[:-1]}, {(503,)})
+        self.assertGreater(len(senders), 20)
+
+
+if __name__ == "__main__":
+    unittest.main()
