--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -68,7 +68,7 @@
             records, _ = state_segments.read(folder)
             found = recovery.replay(records, WALL + S, "b", False)
             ledger = Ledger(500_000, 64_000_000, 300 * S, TYPES, {"once": 600 * S}, WALL + S)
-            held = recovery.fill(ledger, found, 10 * S, WALL + S, TYPES, {"once": 600 * S}, 300 * S)
+            held = recovery.restore_ledger(ledger, found, 10 * S, WALL + S)
             gc.enable()
             print(f"{held:7d} ids, {size / 1e6:6.1f} MB: {time.perf_counter() - begun:6.3f} s")
 
--- a/petrelwood/cli/kept.py
+++ b/petrelwood/cli/kept.py
@@ -67,12 +67,12 @@
         found = recovery.replay(records, max((r.time for r in records), default=0), "", True)
         some = [
             k
-            for k in found.ids.values()
+            for k in found.activations.values()
             if (id_ is None or k.key[1] == id_)
             and customer in (None, k.key[0])
             and (not only_open or k.outcome == ledger.ActivationState.RUNNING)
         ]
-        some.sort(key=lambda k: k.last)
+        some.sort(key=lambda k: k.last_at)
         for known in some[-rows:]:
             word = (
                 "may have run, no outcome kept"
@@ -85,23 +85,25 @@
                         {
                             "customer": known.key[0],
                             "id": known.key[1],
-                            "type": known.type,
-                            "at": known.last,
+                            "type": known.type_name,
+                            "at": known.last_at,
                             "outcome": known.outcome,
-                            "sent": known.sent,
+                            "sent": known.may_have_run,
                         }
                     )
                 )
             else:
-                click.echo(f"{_shown(known.last)}  {known.key[0]}/{known.key[1]}  {known.type}  {word}")
+                click.echo(
+                    f"{_shown(known.last_at)}  {known.key[0]}/{known.key[1]}  {known.type_name}  {word}"
+                )
         if not as_json:
             for record in records:
                 if isinstance(record, OutageEnded):
                     since = _shown(record.failed_at)
                     click.echo(f"{_shown(record.time)}  recovered, had failed since {since}: {record.cause}")
             click.echo(
-                f"{len(some)} ids, {len(found.orders)} load orders; the last life "
-                + ("ended in order" if found.in_order else "was cut short")
+                f"{len(some)} ids, {len(found.order_times)} load orders; the last life "
+                + ("ended in order" if found.ended_in_order else "was cut short")
             )
 
     @command(state, "verify")
--- a/petrelwood/decide/delivery/recovery.py
+++ b/petrelwood/decide/delivery/recovery.py
@@ -1,234 +1,318 @@
-"""What a dispatcher that comes back may do with what it finds, and what must be kept before an effect goes
-out.
+"""What a dispatcher that restarts may do with the state it finds, and what is recorded before an effect.
 
 Derived rule by rule (`docs/state.md`): before the first send of an activation that must not run twice its id
-must be kept; nothing else has to be. An id without an outcome may have run. Orders of the last window count
-against the ration of this life. What a cold worker was sent in the window that the restart fell into is not
-known, so it gets nothing for one window.
+must be recorded; nothing else has to be. An id without an outcome may have run. Load orders of the last
+period count against the quota of this incarnation. What a cold worker was sent in the window that the restart
+fell into is not known, so it gets nothing for one window.
 
 Records carry wall-clock times, which span real time only as far as the clock is known:
 
-- Of an earlier life on the same start of the machine all spans are exact: each life names the machine's start
-  together with its offset from the monotonic clock (`boot_mark`), which runs on from one process to the next.
-- Of a life before the machine started anew only the order is known: its records count as no older than the
-  first life after them, and its windows of deduplication as closed.
+- Of an earlier incarnation on the same start of the machine all spans are exact: each names the machine's
+  start together with its offset from the monotonic clock (`boot_mark`), which runs on from one process to the
+  next.
+- Of one before the machine started anew only the order is known: its records count as no older than the first
+  incarnation after them, and its windows of deduplication as closed.
 - Logs of builds that kept no offset are read by the wall clock. One that went back, or records from ahead of
-  it, close every window of deduplication and keep ids for their whole time from now on."""
+  it, close every window of deduplication and keep ids for their whole time from now on.
+"""
 
 import operator
+from collections.abc import Iterator, Sequence
+from dataclasses import dataclass, field
 from typing import NamedTuple
 
 from petrelwood import ports
-from petrelwood.decide.delivery.ledger import ActivationState, LedgerEntry
+from petrelwood.decide.delivery.ledger import ActivationState, Key, Ledger, LedgerEntry
 from petrelwood.decide.delivery.state_records import (
     ActivationEnded,
     ActivationTaken,
     IncarnationEnded,
     IncarnationStarted,
     LoadOrdered,
+    Record,
 )
 
 SECOND = 1_000_000_000
-NEVER = -(1 << 60)  # so long ago that no window is open any more
-BACK = SECOND  # a wall clock this much behind the last record has gone back
+LONG_AGO = -(1 << 60)  # so long ago that no window is open any more
+CLOCK_TOLERANCE = SECOND  # a wall clock this much behind the last record has gone back
+_OUTCOMES = {state.value: state for state in ActivationState}
 
 
-def boot_mark(name, epoch):
-    """What names the machine's start in the log: the system's name for it, and what our wall clock is ahead
-    of the monotonic one."""
-    return f"{name} {epoch}" if name else ""
-
-
-def _parsed(mark):
-    """(name, epoch) of a `boot_mark`; epoch None where a build before this one wrote it."""
-    name, _, epoch = mark.partition(" ")
-    return name, int(epoch) if epoch.lstrip("-").isdigit() else None
+class BootMark(NamedTuple):
+    """What names a start of the machine, and how far the wall clock was ahead of the monotonic one."""
 
+    name: str
+    epoch: int | None  # ns; None: a build before this one wrote the mark
 
-class PastActivation:
-    """One id that an earlier life had. Times are those of `RecoveredState`; `ahead`: how far its newest
-    timestamp was ahead of the clock that took it; `outcome`: ActivationState.RUNNING where none was kept."""
-
-    __slots__ = ("key", "stamp", "ahead", "type", "first", "last", "outcome", "sent", "body")
-
-    def __init__(self, key, stamp, ahead, type_, first, last, sent):
-        self.key, self.stamp, self.ahead = key, stamp, ahead
-        self.type, self.first, self.last = type_, first, last
-        self.outcome, self.sent, self.body = ActivationState.RUNNING, sent, None
 
+def boot_mark(name: str, epoch: int) -> str:
+    """The mark of the machine's start in the log; `name` is the system's for it, "" where it tells none."""
+    return f"{name} {epoch}" if name else ""
 
-class RecoveredState(NamedTuple):
-    """What the records come to. Times are ns of this life's wall clock, but `began`: that is compared with
-    the senders' timestamps, and stays as it was written."""
 
-    ids: dict  # key -> PastActivation
-    orders: list  # when they went out, the newest last
-    began: int  # from when on nothing can be missing; 0: this life's own start
-    last: int  # the newest record's time
-    in_order: bool  # the last life ended owing nothing
-    clock_back: bool
-    same_machine_start: bool
-    least_epoch: int | None  # of the lives on this start of the machine and of this one; None: not known
+def _parse_boot_mark(mark: str) -> BootMark:
+    name, _, epoch = mark.partition(" ")
+    return BootMark(name, int(epoch) if epoch.lstrip("-").isdigit() else None)
 
 
 class _Block(NamedTuple):
-    """Records that one clock stamped, by their places, and how their times are read: `shift` is added; or
-    all count as of `youngest`, where that is not None: the machine has started anew since."""
+    """Records that one clock stamped, by their places, and how their times are read.
+
+    `shift` is added; or all count as of `youngest`, where that is not None: the machine has started anew
+    since.
+    """
 
     begin: int
     end: int
     shift: int
     youngest: int | None
 
+    def time_of(self, record: Record) -> int:
+        """When a record of this block was made, on this incarnation's wall clock."""
+        return record.time + self.shift if self.youngest is None else self.youngest
 
-def _blocks(records, wall, boot):
-    """The records by the clocks that stamped them."""
-    name, epoch = _parsed(boot)
+
+def _blocks(records: Sequence[Record], wall: int, boot: str) -> Iterator[_Block]:
+    """The records by the clocks that stamped them, in their order."""
+    mark = _parse_boot_mark(boot)
     begins = [index for index, record in enumerate(records) if isinstance(record, IncarnationStarted)]
     if not begins or begins[0]:
         begins.insert(0, 0)
-    found, end, bound = [], len(records), wall
+    found: list[_Block] = []
+    end = len(records)
+    next_began = wall
     for begin in reversed(begins):
-        its_name, its_epoch = name, None
-        if begin < end and isinstance(records[begin], IncarnationStarted):
-            its_name, its_epoch = _parsed(records[begin].boot)
-        if its_name != name:
-            found.append(_Block(begin, end, 0, bound))
+        first = records[begin] if begin < end else None
+        its_mark = BootMark(mark.name, None)
+        if isinstance(first, IncarnationStarted):
+            its_mark = _parse_boot_mark(first.boot)
+        if its_mark.name != mark.name:
+            found.append(_Block(begin, end, 0, next_began))
         else:
-            shift = epoch - its_epoch if epoch is not None and its_epoch is not None else 0
-            found.append(_Block(begin, end, shift, None))
-            if begin < end:
-                bound = min(bound, records[begin].time + shift)
+            block = _Block(begin, end, _shift(its_mark.epoch, mark.epoch), None)
+            found.append(block)
+            if first is not None:
+                next_began = min(next_began, block.time_of(first))
         end = begin
     return reversed(found)
 
 
-def least_age(records, wall, boot):
+def _shift(its_epoch: int | None, own_epoch: int | None) -> int:
+    """What is added to the times of an earlier incarnation, so that they are on this one's wall clock."""
+    return 0 if its_epoch is None or own_epoch is None else own_epoch - its_epoch
+
+
+def least_age(records: Sequence[Record], wall: int, boot: str) -> int:
     """How long ago the newest of a segment's records was written, at the least."""
     newest = 0
     for block in _blocks(records, wall, boot):
-        for record in records[block.begin : block.end]:
-            newest = max(newest, record.time + block.shift if block.youngest is None else block.youngest)
+        newest = max(newest, *map(block.time_of, records[block.begin : block.end]), 0)
     return max(0, wall - newest)
 
 
-def replay(records, wall, boot, durable):
-    """`records` of the state log, `boot` the mark of the machine's present start, `durable` whether
-    each was on the disk before its effect went out."""
-    ids, orders, began, last, closed, boots = {}, [], None, 0, True, set()
-    epoch, running, epochs = None, set(), []
-    for block in _blocks(records, wall, boot):
+@dataclass(slots=True, eq=False)
+class RecoveredActivation:
+    """One id that an earlier incarnation had. Times are those of `RecoveredState`, but for the timestamp."""
+
+    key: Key
+    timestamp: int  # the newest that it came with, wall-clock ns of its sender
+    ahead: int  # how far that was ahead of the clock that took it
+    type_name: str
+    first_at: int
+    last_at: int
+    outcome: ActivationState = ActivationState.RUNNING  # RUNNING: none was recorded
+    may_have_run: bool = False
+    result: bytes | None = None
+
+
+@dataclass(slots=True, eq=False)
+class RecoveredState:
+    """What the records come to.
+
+    Times are ns of this incarnation's wall clock, but for `complete_since`: that is compared with the
+    senders' timestamps, and stays as it was written.
+    """
+
+    activations: dict[Key, RecoveredActivation] = field(default_factory=dict)
+    order_times: list[int] = field(default_factory=list)  # of load orders, the newest last
+    complete_since: int = 0  # from when on nothing can be missing; 0: this incarnation's own start
+    last_record_at: int = 0
+    ended_in_order: bool = True  # the last incarnation ended with nothing in flight
+    clock_went_back: bool = False
+    same_machine_start: bool = True
+    # of the incarnations on this start of the machine, and of this one; None: not known
+    least_epoch: int | None = None
+
+
+class _Replay:
+    """Reads the records of a state log, oldest first."""
+
+    def __init__(self) -> None:
+        self.state = RecoveredState()
+        self.machine_starts: set[str] = set()
+        self.epochs: list[int] = []
+        self.began: int | None = None
+        self._incarnation: int | None = None
+        self._running: set[Key] = set()
+
+    def read(self, block: _Block, records: Sequence[Record]) -> None:
+        """The records of one block."""
+        state = self.state
         for record in records[block.begin : block.end]:
-            written = record.time
-            at = written + block.shift if block.youngest is None else block.youngest
-            last, closed = max(last, at), isinstance(record, IncarnationEnded)
-            if isinstance(record, IncarnationStarted):
-                name, its_epoch = _parsed(record.boot)
-                boots.add(name)
-                if block.youngest is None and its_epoch is not None:
-                    epochs.append(its_epoch)
-                # another life: what the one before left open stays open
-                if record.epoch != epoch:
-                    epoch = record.epoch
-                    for key in running:
-                        ids[key].outcome, ids[key].sent = ActivationState.ABORTED, True
-                    running = set()
-                began = written if began is None else began
-            elif isinstance(record, ActivationTaken):
-                key = (record.customer, record.id)
-                old = ids.get(key)
-                first = at if block.youngest is None else NEVER
-                if old and old.sent:
-                    first = old.first
-                ids[key] = PastActivation(
-                    key,
-                    record.timestamp,
-                    record.timestamp - written,
-                    record.type,
-                    first,
-                    at,
-                    old.sent if old else False,
-                )
-                running.add(key)
+            at = block.time_of(record)
+            state.last_record_at = max(state.last_record_at, at)
+            if isinstance(record, ActivationTaken):
+                self._activation_taken(record, at, block)
             elif isinstance(record, ActivationEnded):
-                old = ids.get((record.customer, record.id))
-                if old is not None:
-                    old.outcome, old.sent = record.outcome, old.sent or record.sent
-                    old.body, old.last = record.body, at
-                    running.discard(old.key)
+                self._activation_ended(record, at)
             elif isinstance(record, LoadOrdered):
-                orders += [at] * record.copies
-    name, its_epoch = _parsed(boot)
-    same = boots <= {name}
-    least = None if its_epoch is None else min([its_epoch, *epochs])
-    back = bool(last) and wall < last - BACK
+                state.order_times += [at] * record.copies
+            elif isinstance(record, IncarnationStarted):
+                self._incarnation_started(record, block)
+        if block.end > block.begin:
+            state.ended_in_order = isinstance(records[block.end - 1], IncarnationEnded)
+
+    def _incarnation_started(self, record: IncarnationStarted, block: _Block) -> None:
+        mark = _parse_boot_mark(record.boot)
+        self.machine_starts.add(mark.name)
+        if block.youngest is None and mark.epoch is not None:
+            self.epochs.append(mark.epoch)
+        if self.began is None:
+            self.began = record.time
+        if record.epoch == self._incarnation:
+            return
+        # another incarnation: what the one before left open stays open
+        self._incarnation = record.epoch
+        for key in self._running:
+            open_ = self.state.activations[key]
+            open_.outcome = ActivationState.ABORTED
+            open_.may_have_run = True
+        self._running = set()
+
+    def _activation_taken(self, record: ActivationTaken, at: int, block: _Block) -> None:
+        key = (record.customer, record.id)
+        made = RecoveredActivation(
+            key=key,
+            timestamp=record.timestamp,
+            ahead=record.timestamp - record.time,
+            type_name=record.type,
+            first_at=at if block.youngest is None else LONG_AGO,
+            last_at=at,
+        )
+        old = self.state.activations.get(key)
+        if old is not None and old.may_have_run:
+            made.first_at = old.first_at
+            made.may_have_run = True
+        self.state.activations[key] = made
+        self._running.add(key)
+
+    def _activation_ended(self, record: ActivationEnded, at: int) -> None:
+        known = self.state.activations.get((record.customer, record.id))
+        if known is None:
+            return
+        outcome = _OUTCOMES.get(record.outcome)
+        # what a later build may have called it proves nothing to this one
+        known.outcome = ActivationState.ABORTED if outcome is None else outcome
+        known.may_have_run = known.may_have_run or record.sent or outcome is None
+        known.result = record.body
+        known.last_at = at
+        self._running.discard(known.key)
+
+
+def replay(records: Sequence[Record], wall: int, boot: str, durable: bool) -> RecoveredState:
+    """What the records of a state log come to.
+
+    `boot` is the mark of the machine's present start; `durable` whether each record was on the disk before
+    its effect went out.
+    """
+    reader = _Replay()
+    for block in _blocks(records, wall, boot):
+        reader.read(block, records)
+    state = reader.state
+    mark = _parse_boot_mark(boot)
+    state.same_machine_start = reader.machine_starts <= {mark.name}
+    state.least_epoch = None if mark.epoch is None else min([mark.epoch, *reader.epochs])
+    state.clock_went_back = bool(state.last_record_at) and wall < state.last_record_at - CLOCK_TOLERANCE
     # After the machine itself fell, the last records may be gone unless each was on the disk first.
-    whole = began is not None and (same or durable) and not back
-    return RecoveredState(ids, orders, began if whole else 0, last, closed, back, same, least)
+    is_complete = (state.same_machine_start or durable) and not state.clock_went_back
+    if reader.began is not None and is_complete:
+        state.complete_since = reader.began
+    return state
 
 
-def fill(ledger, found, now, wall, types, remember, tolerance, elsewhere=False):
-    """Puts what was found into a ledger; how many ids it holds then. What had no outcome counts as sent:
-    nobody can tell; or, with `elsewhere`, another process still finishes it. What runs here stays as it
-    is."""
-    rows = []
-    for key, known in found.ids.items():
-        if known.type not in types:
-            continue
-        age = 0 if found.clock_back else max(0, wall - known.last)
-        until = now - age + max(remember[known.type], min(known.ahead, tolerance) + 2 * tolerance)
-        here = ledger.entries.get(key)
-        if here is not None and here.state == ActivationState.RUNNING:
-            continue
-        if until > now:
-            rows.append((until, key, known))
-        elif here is None:
-            ledger.note_forgotten(known.stamp)
+def restore_ledger(
+    ledger: Ledger, state: RecoveredState, now: int, wall: int, elsewhere: bool = False
+) -> int:
+    """Puts what was found into a ledger; how many ids it holds then.
+
+    What had no outcome may have run: nobody can tell; or, with `elsewhere`, another process still finishes
+    it. What runs here stays as it is.
+    """
+    rows = list(_remembered(ledger, state, now, wall))
     rows.sort(key=operator.itemgetter(0, 1))
     for _, _, known in rows[: -ledger.max_entries]:
-        ledger.note_forgotten(known.stamp)
+        ledger.note_forgotten(known.timestamp)
     for until, key, known in rows[-ledger.max_entries :]:
-        running = known.outcome == ActivationState.RUNNING
-        first = NEVER if found.clock_back else now - (wall - known.first)
-        state = (
-            (ActivationState.RUNNING_ELSEWHERE if elsewhere else ActivationState.ABORTED)
-            if running
-            else known.outcome
-        )
-        entry = LedgerEntry(known.stamp, known.type, first, until, state, known.body)
-        entry.may_have_run = running or known.sent
+        first_at = LONG_AGO if state.clock_went_back else now - (wall - known.first_at)
+        entry = LedgerEntry(known.timestamp, known.type_name, first_at, until, known.outcome, known.result)
+        entry.may_have_run = known.may_have_run
+        if known.outcome == ActivationState.RUNNING:
+            entry.state = ActivationState.RUNNING_ELSEWHERE if elsewhere else ActivationState.ABORTED
+            entry.may_have_run = True
         ledger.restore(key, entry)
-    if found.began:
-        ledger.complete_since = min(ledger.complete_since, found.began // SECOND * SECOND)
+    if state.complete_since:
+        complete_since = state.complete_since // SECOND * SECOND
+        ledger.complete_since = min(ledger.complete_since, complete_since)
     return len(ledger.entries)
 
 
-class Recovery:
-    """The first moments of a life that follows another. Times in ns of our own clock."""
+def _remembered(
+    ledger: Ledger, state: RecoveredState, now: int, wall: int
+) -> Iterator[tuple[int, Key, RecoveredActivation]]:
+    """What is still to be remembered, with the time until which it is; the ledger notes the others."""
+    for key, known in state.activations.items():
+        if known.type_name not in ledger.types:
+            continue
+        present = ledger.entries.get(key)
+        if present is not None and present.state == ActivationState.RUNNING:
+            continue
+        age = 0 if state.clock_went_back else max(0, wall - known.last_at)
+        ahead = min(known.ahead, ledger.tolerance)
+        until = now - age + max(ledger.remember[known.type_name], ahead + 2 * ledger.tolerance)
+        if until > now:
+            yield until, key, known
+        elif present is None:
+            ledger.note_forgotten(known.timestamp)
 
-    def __init__(self, found, now, wall, guarantees, orders):
-        self.orders = sum(1 for at in found.orders if found.clock_back or wall - at < max(1, orders.period))
-        after_another = bool(found.last)
-        self.cold_from = (
-            now + guarantees.fall
-            if after_another
-            and not (found.last and wall - found.last > guarantees.fall and not found.clock_back)
-            else now
-        )
-        self.begins_low = after_another and not found.in_order
 
-    def may_send(self, now, cold):
-        """Whether a worker that is still cold may be sent anything: the window of its budget that we fell
-        into is over."""
-        return not cold or now >= self.cold_from
+class RestartLimits:
+    """What an incarnation that follows another may not do yet. Times in ns of our own clock."""
+
+    def __init__(
+        self,
+        state: RecoveredState,
+        now: int,
+        wall: int,
+        guarantees: ports.Guarantees,
+        orders: ports.LoadOrders,
+    ) -> None:
+        follows_another = bool(state.last_record_at)
+        period = max(1, orders.period)
+        is_long_ago = wall - state.last_record_at > guarantees.fall and not state.clock_went_back
+        self.recent_orders = sum(state.clock_went_back or wall - at < period for at in state.order_times)
+        self.cold_workers_from = now + guarantees.fall if follows_another and not is_long_ago else now
+        self.starts_slowly = follows_another and not state.ended_in_order
+
+    def may_send(self, now: int, is_cold: bool) -> bool:
+        """Whether a worker may be sent anything: a cold one only after the window the restart fell into."""
+        return not is_cold or now >= self.cold_workers_from
 
 
-def may_take(effect, keeps):
-    """Whether an activation may be taken while the log keeps records, or has failed: then only what may run
-    twice."""
-    return keeps or effect == ports.REPEATABLE
+def may_admit(effect: str, log_records: bool) -> bool:
+    """Whether an activation may be admitted; where the log has failed, only what may run twice."""
+    return log_records or effect == ports.REPEATABLE
 
 
-def kept_first(effect):
-    """Whether its id must be kept before its first send goes out."""
+def is_recorded_first(effect: str) -> bool:
+    """Whether its id must be recorded before its first send goes out."""
     return effect != ports.REPEATABLE
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -109,34 +109,25 @@
         `stopped`, `durability`, `boot`. `elsewhere`: the life before still finishes what it took."""
         now, wall, self.state = self.now(), self.record_time(), state
         found = recovery.replay(self.state.found, wall, self.state.boot, self.state.durability == "machine")
-        known = recovery.fill(
-            self.ledger,
-            found,
-            now,
-            wall,
-            self.terms.types,
-            self.gateway.remember,
-            self.gateway.tolerance,
-            elsewhere,
-        )
-        self.returning = recovery.Recovery(found, now, wall, self.terms.guarantees, self.terms.orders)
-        if self.returning.orders and hasattr(self.brain, "resumed"):
-            self.brain.resumed(now, self.returning.orders)
-        if self.returning.begins_low and self.gateway.damps and not elsewhere:
+        known = recovery.restore_ledger(self.ledger, found, now, wall, elsewhere)
+        self.returning = recovery.RestartLimits(found, now, wall, self.terms.guarantees, self.terms.orders)
+        if self.returning.recent_orders and hasattr(self.brain, "resumed"):
+            self.brain.resumed(now, self.returning.recent_orders)
+        if self.returning.starts_slowly and self.gateway.damps and not elsewhere:
             self.intake.concurrency_limit.begin(now)
         self.state.found = []
         if found.least_epoch is not None:
             younger = self.membership.correct_clock(found.least_epoch, now)
             if younger:
                 self.submit(self._endpoints_changed, younger, [], False)
-        if found.last:
+        if found.last_record_at:
             self.log.info(
                 "state found",
                 ids=known,
-                orders=self.returning.orders,
-                in_order=found.in_order,
-                whole=bool(found.began),
-                clock_back=found.clock_back,
+                orders=self.returning.recent_orders,
+                in_order=found.ended_in_order,
+                whole=bool(found.complete_since),
+                clock_back=found.clock_went_back,
             )
 
     # A hand-over: see `decide.cluster.handover`.
@@ -185,7 +176,7 @@
         until its id is kept, and is turned away where it can't be."""
         stamp = self.ledger.entries[act.key].timestamp
         self.state.add(ActivationTaken(self.record_time(), *act.key, stamp, act.type))
-        if not recovery.kept_first(self.terms.types[act.type].effect):
+        if not recovery.is_recorded_first(self.terms.types[act.type].effect):
             return True
         if self.state.durability == "machine":
             self.unkept[act.id] = act
@@ -341,7 +332,7 @@
         elif (
             verdict.what == stage.TAKE
             and self.state is not None
-            and not recovery.may_take(self.terms.types[ask.type].effect, self.state.stopped is None)
+            and not recovery.may_admit(self.terms.types[ask.type].effect, self.state.stopped is None)
         ):
             self.ledger.end(key, ActivationState.CLIENT_LEFT)
             wait = self.intake.come_back(now, *key, self.state_recovery.rejected_for(now))
@@ -508,7 +499,7 @@
         link.run(owed.id, n, owed.fn, f"{owed.key[0]}/{owed.key[1]}", left, owed.lanes, owed.body)
 
     def _warm_enough(self, worker, now):
-        if self.returning is None or now >= self.returning.cold_from:
+        if self.returning is None or now >= self.returning.cold_workers_from:
             return True
         booted = self.membership.members[worker].booted
         return self.returning.may_send(now, bool(booted) and now - booted < self.terms.guarantees.cold)
--- a/petrelwood/lab/walk.py
+++ b/petrelwood/lab/walk.py
@@ -84,7 +84,9 @@
         return any(isinstance(r, ActivationTaken) and r.timestamp == self.taken_stamp for r in there)
 
     def may_send(self):
-        return self.flaw in ("no log", "late log") or not recovery.kept_first(self.effect) or self.kept()
+        return (
+            self.flaw in ("no log", "late log") or not recovery.is_recorded_first(self.effect) or self.kept()
+        )
 
     # What then happens.
     def step(self, what):
@@ -118,7 +120,7 @@
         records = [] if self.flaw == "forgets" else [*self.disk, *self.system]
         if records and self.flaw != "no log":
             found = recovery.replay(records, wall, str(self.boot), self.durability == "machine")
-            recovery.fill(self.ledger, found, self.now, wall, types, {"t": 2 * TOLERANCE}, TOLERANCE)
+            recovery.restore_ledger(self.ledger, found, self.now, wall)
         self.system += (IncarnationStarted(wall, str(self.boot), self.life, 1),)
         self.taken, self.sent = None, False
 
@@ -140,7 +142,7 @@
                 self.broken = "taken twice at a time"
             self.tries += 1
             self.taken, self.taken_stamp, self.sent, entry.activation_id = self.tries, stamp, False, "a"
-            if recovery.kept_first(self.effect):
+            if recovery.is_recorded_first(self.effect):
                 self.note(ActivationTaken(self.now, *KEY, stamp, "t"))
         elif verdict == ledger.LedgerVerdict.REPEAT_RESULT and not self.runs:
             self.broken = "told to be completed, and never ran"
@@ -179,7 +181,7 @@
             self.broken = "answered twice"
         self.answered += ((self.life, self.taken),)
         self.ledger.end(KEY, outcome, body, sent)
-        if recovery.kept_first(self.effect):
+        if recovery.is_recorded_first(self.effect):
             self.note(ActivationEnded(self.now, *KEY, outcome, sent, body))
         self.taken, self.sent = None, False
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -382,8 +382,8 @@
         wall = self.now + self.epoch
         found = recovery.replay(log.found, wall, log.boot, False)
         ledger = ids.Ledger(10_000, 10_000, TOLERANCE, TYPES, REMEMBER, wall)
-        recovery.fill(ledger, found, self.now, wall, TYPES, REMEMBER, TOLERANCE)
-        return found, ledger, recovery.Recovery(found, self.now, wall, self.GUARANTEES, self.ORDERS)
+        recovery.restore_ledger(ledger, found, self.now, wall)
+        return found, ledger, recovery.RestartLimits(found, self.now, wall, self.GUARANTEES, self.ORDERS)
 
     def verdict(self, ledger, type_):
         return ledger.admit(self.now, self.now + self.epoch, ("x", type_), WALL + 10 * HOUR, type_)[0]
@@ -400,8 +400,8 @@
                     self.setUp()
                     self.first_life()
                     found, ledger, back = self.second_life(after, step)
-                    self.assertFalse(found.clock_back)
-                    self.assertEqual((back.orders, back.cold_from - self.now), (orders, waits))
+                    self.assertFalse(found.clock_went_back)
+                    self.assertEqual((back.recent_orders, back.cold_workers_from - self.now), (orders, waits))
                     self.assertEqual(self.verdict(ledger, "all"), window)
                     self.assertEqual(self.verdict(ledger, ONCE), ids.LedgerVerdict.MAY_HAVE_RUN)
                     self.assertEqual(self.verdict(ledger, "again"), ids.LedgerVerdict.RUN)
@@ -431,7 +431,7 @@
             self.setUp()
             self.first_life()
             _, ledger, back = self.second_life(S, step, machine="b2")
-            self.assertEqual((back.orders, back.cold_from - self.now), (4, S), step)
+            self.assertEqual((back.recent_orders, back.cold_workers_from - self.now), (4, S), step)
             self.assertEqual(self.verdict(ledger, "all"), ids.LedgerVerdict.MAY_HAVE_RUN)
             self.assertEqual(self.verdict(ledger, ONCE), ids.LedgerVerdict.MAY_HAVE_RUN)
             self.assertGreaterEqual(ledger.entries["x", ONCE].remembered_until, self.now + REMEMBERED)
@@ -442,7 +442,7 @@
         self.log(HOUR, machine="b2")
         began = self.now
         found, ledger, back = self.second_life(9 * S, -HOUR, machine="b2")
-        self.assertEqual((back.orders, back.cold_from), (0, self.now))
+        self.assertEqual((back.recent_orders, back.cold_workers_from), (0, self.now))
         self.assertEqual(ledger.entries["x", ONCE].remembered_until, began + REMEMBERED)
         self.assertFalse(found.same_machine_start)
 
@@ -454,7 +454,7 @@
         for after, remembered in ((REMEMBERED - S, True), (2 * S, False)):
             found, ledger, _ = self.second_life(after, 0)
             self.assertEqual(("x", ONCE) in ledger.entries, remembered)
-            self.assertTrue(found.same_machine_start and found.began)
+            self.assertTrue(found.same_machine_start and found.complete_since)
 
     def test_workers_are_as_old_as_the_lesser_of_two_clocks_says(self):
         for step in (HOUR, 5 * S):
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -215,7 +215,7 @@
         """What a later life at `wall` makes of an id that comes again with a newer stamp."""
         found = recovery.replay(records, wall, boot, durable)
         ledger = Ledger(100, 1000, 300 * S, TYPES, REMEMBER, wall)
-        recovery.fill(ledger, found, 50 * S, wall, TYPES, REMEMBER, 300 * S)
+        recovery.restore_ledger(ledger, found, 50 * S, wall)
         return found, ledger
 
     def test_what_may_be_done_with_each_id(self):
@@ -278,7 +278,7 @@
             lines.append(
                 f"{word}: a replay of m1 {asked[0]}, m2 signed before {asked[1]}, "
                 f"m3 signed after {asked[2]}; "
-                f"{'whole' if found.began else 'doubted'}"
+                f"{'whole' if found.complete_since else 'doubted'}"
             )
         compare(self, "state_replays", lines)
 
@@ -293,15 +293,16 @@
             (WALL - 60 * S, 10, S),
         ):
             found, _ = self.story(records, wall)
-            back = recovery.Recovery(found, 50 * S, wall, guarantees, orders)
+            back = recovery.RestartLimits(found, 50 * S, wall, guarantees, orders)
             self.assertEqual(
-                (back.orders, back.cold_from - 50 * S, back.begins_low), (count, cold_after, True)
+                (back.recent_orders, back.cold_workers_from - 50 * S, back.starts_slowly),
+                (count, cold_after, True),
             )
             self.assertEqual(
                 (back.may_send(50 * S, True), back.may_send(50 * S, False)), (cold_after == 0, True)
             )
         found, _ = self.story(records + [IncarnationEnded(WALL + 10 * S)], WALL + 11 * S)
-        self.assertFalse(recovery.Recovery(found, 0, WALL + 11 * S, guarantees, orders).begins_low)
+        self.assertFalse(recovery.RestartLimits(found, 0, WALL + 11 * S, guarantees, orders).starts_slowly)
 
     def test_no_order_of_damage_raises(self):
         chance = random.Random(2)
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -225,7 +225,7 @@
     def assert_owed(self, found, taken=None):
         """No id that may have run could run again."""
         for id_ in self.taken if taken is None else taken:
-            known = found.ids.get(("x", id_))
+            known = found.activations.get(("x", id_))
             self.assertIsNotNone(known, id_)
             if id_ in self.taken and known.outcome == ActivationState.REJECTED:
                 self.fail(f"{id_} would run again")
@@ -285,7 +285,7 @@
             for id_, act in self.taken.items():
                 entry = self.core.ledger.entries["x", id_]
                 if stopped is None and entry.state != ActivationState.RUNNING:
-                    self.assertEqual(found.ids["x", id_].outcome, entry.state, (id_, act))
+                    self.assertEqual(found.activations["x", id_].outcome, entry.state, (id_, act))
             outages = [record for record in state_segments.read(folder)[0] if isinstance(record, OutageEnded)]
             self.assertEqual(len(self.log.said("state log failed")), int(rejected > 0 or bool(outages)))
             if rejected and stopped is None:
@@ -401,8 +401,8 @@
         ended = 0
         for (_, id_), entry in self.core.ledger.entries.items():
             if id_ in self.taken:
-                self.assertEqual(found.ids["x", id_].outcome, entry.state)
-                self.assertEqual(found.ids["x", id_].body, entry.result)
+                self.assertEqual(found.activations["x", id_].outcome, entry.state)
+                self.assertEqual(found.activations["x", id_].result, entry.result)
                 ended += entry.state == ActivationState.COMPLETED
         self.assertGreater(ended, 8)
         self.assertGreater(len(acts), 900)
@@ -483,7 +483,7 @@
         self.number += 1000
         self.assertEqual(self.ask(id_="theirs").verdict, stage.ABORT)
         self.assertIn(self.ask().act, self.core.brain.began)
-        self.assertEqual(self.after_a_kill().ids["x", "m1"].outcome, ActivationState.COMPLETED)
+        self.assertEqual(self.after_a_kill().activations["x", "m1"].outcome, ActivationState.COMPLETED)
 
 
 class Kills(Gateway):
@@ -549,7 +549,7 @@
                     (where / name).write_bytes(files_then.get(name, b"") + data[:cut])
                 found = self.after_a_kill(where)
                 for id_, outcome in states.items():
-                    known = found.ids[("x", id_)].outcome
+                    known = found.activations[("x", id_)].outcome
                     # what it knows is true; what it does not know counts as may have run
                     self.assertIn(known, (outcome, ActivationState.RUNNING))
                 kills += 1
@@ -570,7 +570,7 @@
         self.assertIsNone(self.state.stopped)
         found = self.after_a_kill()
         self.assertEqual(
-            {id_: found.ids["x", id_].outcome for id_ in self.taken},
+            {id_: found.activations["x", id_].outcome for id_ in self.taken},
             {id_: self.core.ledger.entries["x", id_].state for id_ in self.taken},
         )
 
@@ -662,7 +662,10 @@
         self.assertEqual(dropped, [])
         found = recovery.replay(records, WALL + 20, "b1", False)
         self.assertEqual(
-            {key: (known.outcome, known.sent, known.body, known.type) for key, known in found.ids.items()},
+            {
+                key: (known.outcome, known.may_have_run, known.result, known.type_name)
+                for key, known in found.activations.items()
+            },
             {
                 ("x", "open"): (ActivationState.RUNNING, False, None, "once"),
                 ("x", "done"): (ActivationState.COMPLETED, True, b'{"ok":1}', "once"),
@@ -670,7 +673,9 @@
                 ("y", "later"): (ActivationState.RUNNING, False, None, "again"),
             },
         )
-        self.assertEqual((found.orders, found.in_order, found.began), ([WALL + 6] * 2, True, WALL))
+        self.assertEqual(
+            (found.order_times, found.ended_in_order, found.complete_since), ([WALL + 6] * 2, True, WALL)
+        )
 
     def test_other_folders_of_the_text_before_are_read(self):
         self.assertEqual(
