--- a/petrelwood/links/roster.py
+++ b/petrelwood/links/roster.py
@@ -71,7 +71,9 @@
         self.stream, self.events = IOStream(sockets.fresh(host)), Events()
         self.current = False
         parser, resume = httptools.HttpResponseParser(self), self.membership.resume_after
-        await asyncio.wait_for(self.stream.connect(self.address), self.within)
+        # not `wait_for`, which loses a cancellation that comes as the connection is closed
+        async with asyncio.timeout(self.within):
+            await self.stream.connect(self.address)
         await self.stream.write(
             (
                 f"GET /workers HTTP/1.1\r\nHost: {host}:{port}\r\nAccept: text/event-stream\r\n"
