--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -14,8 +14,9 @@
 from petrelwood.brain import Brain
 from petrelwood.decide.cluster.membership import Membership
 from petrelwood.decide.delivery import recovery
-from petrelwood.decide.delivery.ledger import ABORTED, COMPLETED, LEFT, REJECTED, Ledger
+from petrelwood.decide.delivery.ledger import ActivationState, Ledger
 from petrelwood.decide.delivery.pending import PendingActivations
+from petrelwood.decide.delivery.state_records import ActivationEnded, ActivationTaken, LoadOrdered
 from petrelwood.decide.overload import intake as stage
 from petrelwood.decide.overload.backoff import Budget
 from petrelwood.decide.overload.intake import Intake
@@ -103,38 +104,30 @@
 
     # What an earlier life left, and what is kept of this one.
     def adopt(self, state, elsewhere=False):
-        """Goes on from what earlier lives left. `state` as `store.state.StateLog`: `found`, `add`, `flush`,
+        """Goes on from what earlier lives left. `state` as `store.state_log.StateLog`: `found`, `add`,
+        `flush`,
         `stopped`, `durability`, `boot`. `elsewhere`: the life before still finishes what it took."""
         now, wall, self.state = self.now(), self.record_time(), state
         found = recovery.replay(self.state.found, wall, self.state.boot, self.state.durability == "machine")
-        known = recovery.fill(
-            self.ledger,
-            found,
-            now,
-            wall,
-            self.terms.types,
-            self.gateway.remember,
-            self.gateway.tolerance,
-            elsewhere,
-        )
-        self.returning = recovery.Recovery(found, now, wall, self.terms.guarantees, self.terms.orders)
-        if self.returning.orders and hasattr(self.brain, "resumed"):
-            self.brain.resumed(now, self.returning.orders)
-        if self.returning.begins_low and self.gateway.damps and not elsewhere:
+        known = recovery.restore_ledger(self.ledger, found, now, wall, elsewhere)
+        self.returning = recovery.RestartLimits(found, now, wall, self.terms.guarantees, self.terms.orders)
+        if self.returning.recent_orders and hasattr(self.brain, "resumed"):
+            self.brain.resumed(now, self.returning.recent_orders)
+        if self.returning.starts_slowly and self.gateway.damps and not elsewhere:
             self.intake.concurrency_limit.begin(now)
         self.state.found = []
         if found.least_epoch is not None:
-            younger = self.membership.clock_was(found.least_epoch, now)
+            younger = self.membership.correct_clock(found.least_epoch, now)
             if younger:
                 self.submit(self._endpoints_changed, younger, [], False)
-        if found.last:
+        if found.last_record_at:
             self.log.info(
                 "state found",
                 ids=known,
-                orders=self.returning.orders,
-                in_order=found.in_order,
-                whole=bool(found.began),
-                clock_back=found.clock_back,
+                orders=self.returning.recent_orders,
+                in_order=found.ended_in_order,
+                whole=bool(found.complete_since),
+                clock_back=found.clock_went_back,
             )
 
     # A hand-over: see `decide.cluster.handover`.
@@ -146,7 +139,9 @@
     def answered(self):
         """(completed, not completed) since the start."""
         counts = self.pending.counts
-        return counts[COMPLETED], counts[ABORTED] + counts[REJECTED]
+        return counts[ActivationState.COMPLETED], counts[ActivationState.ABORTED] + counts[
+            ActivationState.REJECTED
+        ]
 
     def stop_admitting(self, on_end):
         """From now on nothing new is admitted or loaded here; `on_end(customer, id, outcome, sent, body)` is
@@ -158,29 +153,30 @@
     def resume_admitting(self):
         """The successor has failed: what it admitted is read from its log, and this process admits again."""
         if self.state is not None:
-            self.state.renew(self.record_time())
+            self.state.take_over_again(self.record_time())
             self.adopt(self.state)
         self.intake.closing, self.retired, self.on_activation_end = False, False, None
 
     def note_predecessor_outcome(self, customer, id_, outcome, sent, body):
         """The predecessor has finished an activation that it had in flight."""
-        if self.ledger.heard((customer, id_), outcome, sent, body) and self.state is not None:
-            self.state.add(recovery.END, self.record_time(), customer, id_, outcome, sent, body)
+        if self.ledger.end_elsewhere((customer, id_), outcome, sent, body) and self.state is not None:
+            self.state.add(ActivationEnded(self.record_time(), customer, id_, outcome, sent, body))
 
     def predecessor_gone(self):
         """The predecessor has ended: the outcomes that it did not send are not known."""
-        self.ledger.nobody_elsewhere()
+        self.ledger.abandon_elsewhere()
 
     def _turn_away(self, act):
-        self._finish(act.id, REJECTED, retry_after=self.intake.come_back(self.now(), *act.key))
+        self._finish(
+            act.id, ActivationState.REJECTED, retry_after=self.intake.come_back(self.now(), *act.key)
+        )
 
     def _keep(self, act):
         """Notes a new activation; whether it may be told to the module at once. What must not run twice waits
         until its id is kept, and is turned away where it can't be."""
-        self.state.add(
-            recovery.TAKE, self.record_time(), *act.key, self.ledger.entries[act.key].stamp, act.type
-        )
-        if not recovery.kept_first(self.terms.types[act.type].effect):
+        stamp = self.ledger.entries[act.key].timestamp
+        self.state.add(ActivationTaken(self.record_time(), *act.key, stamp, act.type))
+        if not recovery.is_recorded_first(self.terms.types[act.type].effect):
             return True
         if self.state.durability == "machine":
             self.unkept[act.id] = act
@@ -217,15 +213,19 @@
         )
 
     def _ended(self, act, outcome, body):
-        if outcome != LEFT:
-            self.recent_answers.record(self.now(), outcome == COMPLETED)
+        if outcome != ActivationState.CLIENT_LEFT:
+            self.recent_answers.record(self.now(), outcome == ActivationState.COMPLETED)
             if self.on_answer is not None:
-                self.on_answer(outcome == COMPLETED)
-        kept = body if outcome == COMPLETED and body is not None and len(body) <= LONGEST_BODY else None
+                self.on_answer(outcome == ActivationState.COMPLETED)
+        kept = (
+            body
+            if outcome == ActivationState.COMPLETED and body is not None and len(body) <= LONGEST_BODY
+            else None
+        )
         if self.on_activation_end is not None:
             self.on_activation_end(*act.key, outcome, act.sends > 0, kept)
         if self.state is not None:
-            self.state.add(recovery.END, self.record_time(), *act.key, outcome, act.sends > 0, kept)
+            self.state.add(ActivationEnded(self.record_time(), *act.key, outcome, act.sends > 0, kept))
 
     def _wish(self, function, lanes, load_time):
         return self.brain.wish(self.now(), function, lanes, load_time)
@@ -248,7 +248,7 @@
             )
             self.storm_changed(name, on)
         if self.state is not None:
-            self.state.tend(self.record_time())
+            self.state.check(self.record_time())
             self.state_recovery.check()
         self.clock.at(self.now() + LOOK, self._look)
 
@@ -306,7 +306,7 @@
         )
         for act_id in sorted(touched):
             if act_id in self.pending.acts:
-                self._finish(act_id, ABORTED, why="a defect in the dispatcher")
+                self._finish(act_id, ActivationState.ABORTED, why="a defect in the dispatcher")
                 try:
                     self.brain.left(self.now(), act_id)
                 except Exception as second:
@@ -332,9 +332,9 @@
         elif (
             verdict.what == stage.TAKE
             and self.state is not None
-            and not recovery.may_take(self.terms.types[ask.type].effect, self.state.stopped is None)
+            and not recovery.may_admit(self.terms.types[ask.type].effect, self.state.stopped is None)
         ):
-            self.ledger.ended(key, LEFT)
+            self.ledger.end(key, ActivationState.CLIENT_LEFT)
             wait = self.intake.come_back(now, *key, self.state_recovery.rejected_for(now))
             exchange.answer(stage.REFUSE, retry_after=wait, why="its id can't be kept now")
         elif verdict.what == stage.TAKE:
@@ -357,8 +357,8 @@
 
     def _client_left(self, act_id, exchange):
         if self.pending.left(self.now(), act_id, exchange) == "end":
-            act = self.pending.end(self.now(), act_id, LEFT)
-            self._ended(act, LEFT, None)
+            act = self.pending.end(self.now(), act_id, ActivationState.CLIENT_LEFT)
+            self._ended(act, ActivationState.CLIENT_LEFT, None)
             self._withdraw(act)
             self.brain.left(self.now(), act_id)
 
@@ -396,7 +396,7 @@
             if whole:
                 self.submit(self._out_of_time, act.id)
             for exchange in late:
-                exchange.answer(ABORTED, why="the first try still runs", act=act.id)
+                exchange.answer(ActivationState.ABORTED, why="the first try still runs", act=act.id)
         self._arm()
 
     def _out_of_time(self, act_id):
@@ -413,7 +413,7 @@
         if act_id in self.pending.acts:
             self.pending.counts["overdue"] += 1
             self.log.error("overdue", act=act_id, sends=self.pending.acts[act_id].sends)
-            self._finish(act_id, ABORTED, why="out of time")
+            self._finish(act_id, ActivationState.ABORTED, why="out of time")
             self.brain.left(self.now(), act_id)
 
     # From the links.
@@ -423,7 +423,7 @@
         owed = self.pending.acts.get(act_id)
         owing = self.pending.returned(act_id, n)
         if owing and code == ports.COMPLETED:
-            self._finish(act_id, COMPLETED, body)
+            self._finish(act_id, ActivationState.COMPLETED, body)
         if code == ports.COMPLETED and self.intake.damps:
             self.intake.storms.ran(now, note not in (0, ports.FOUND_WARM))
         if owed is not None and (self.forecasts is not None or self.record_execution is not None):
@@ -479,7 +479,7 @@
             self.log.error("a send after the final answer was held back", act=act, worker=worker)
             return
         now, link = self.now(), self.links.get(worker)
-        if link is None or not self.membership.usable(worker) or not self._warm_enough(worker, now):
+        if link is None or not self.membership.is_usable(worker) or not self._warm_enough(worker, now):
             self.counts["refused_by_guard"] += 1
             self.submit(self.send_ended, act, n, worker, ports.NOT_SENT, 0, b"", now, None)
             return
@@ -499,7 +499,7 @@
         link.run(owed.id, n, owed.fn, f"{owed.key[0]}/{owed.key[1]}", left, owed.lanes, owed.body)
 
     def _warm_enough(self, worker, now):
-        if self.returning is None or now >= self.returning.cold_from:
+        if self.returning is None or now >= self.returning.cold_workers_from:
             return True
         booted = self.membership.members[worker].booted
         return self.returning.may_send(now, bool(booted) and now - booted < self.terms.guarantees.cold)
@@ -512,11 +512,11 @@
             if retry_after and owed is not None
             else 0
         )
-        self._finish(act, REJECTED, retry_after=wait)
+        self._finish(act, ActivationState.REJECTED, retry_after=wait)
 
     def abort(self, act):
         self.events.touched.add(act)
-        self._finish(act, ABORTED)
+        self._finish(act, ActivationState.ABORTED)
 
     def cancel(self, act, n):
         link = self.links.get(self.sends_in_flight.get((act, n)))
@@ -525,7 +525,7 @@
 
     def hold(self, worker, fn, copies):
         link, rule = self.links.get(worker), self.rule(fn)
-        if link is None or self.retired or not self.membership.usable(worker):
+        if link is None or self.retired or not self.membership.is_usable(worker):
             self.counts["refused_by_guard"] += 1
             self.order_not_sent(self.now())
             self.submit(self.load_order_ended, worker, fn, ports.NOT_SENT, 0)
@@ -542,7 +542,7 @@
         before."""
         if self.state is None:
             return True
-        self.state.add(recovery.ORDER, self.record_time(), worker, fn, copies)
+        self.state.add(LoadOrdered(self.record_time(), worker, fn, copies))
         if not self.state.flush():
             return False
         self.state_recovery.recent_orders.add(self.now(), worker, fn, copies)
--- a/petrelwood/lab/walk.py
+++ b/petrelwood/lab/walk.py
@@ -17,6 +17,7 @@
 
 from petrelwood import ports
 from petrelwood.decide.delivery import ledger, recovery
+from petrelwood.decide.delivery.state_records import ActivationEnded, ActivationTaken, IncarnationStarted
 
 SECOND = 1_000_000_000
 TOLERANCE = 300 * SECOND
@@ -80,10 +81,12 @@
     def kept(self):
         """Whether the record of what was taken is where the durability wants it."""
         there = self.disk if self.durability == "machine" else self.disk + self.system
-        return any(r[0] == recovery.TAKE and r[4] == self.taken_stamp for r in there)
+        return any(isinstance(r, ActivationTaken) and r.timestamp == self.taken_stamp for r in there)
 
     def may_send(self):
-        return self.flaw in ("no log", "late log") or not recovery.kept_first(self.effect) or self.kept()
+        return (
+            self.flaw in ("no log", "late log") or not recovery.is_recorded_first(self.effect) or self.kept()
+        )
 
     # What then happens.
     def step(self, what):
@@ -102,9 +105,9 @@
         found.remove((kind, *map(int, mark.split("."))))
         return tuple(found)
 
-    def note(self, *record):
+    def note(self, record):
         if self.flaw != "no log":
-            self.waiting += (list(record),)
+            self.waiting += (record,)
 
     def start(self):
         self.life, self.alive = self.life + 1, True
@@ -117,8 +120,8 @@
         records = [] if self.flaw == "forgets" else [*self.disk, *self.system]
         if records and self.flaw != "no log":
             found = recovery.replay(records, wall, str(self.boot), self.durability == "machine")
-            recovery.fill(self.ledger, found, self.now, wall, types, {"t": 2 * TOLERANCE}, TOLERANCE)
-        self.system += ([recovery.LIFE, wall, str(self.boot), self.life, 1],)
+            recovery.restore_ledger(self.ledger, found, self.now, wall)
+        self.system += (IncarnationStarted(wall, str(self.boot), self.life, 1),)
         self.taken, self.sent = None, False
 
     def ask(self):
@@ -133,15 +136,15 @@
         # The client's clock goes with ours, a second for each time it signs.
         stamp = (1000 + 10 * number) * SECOND
         self.now = max(self.now, stamp)
-        verdict, entry = self.ledger.ask(self.now, self.now, KEY, stamp, "t")
-        if verdict == ledger.RUN:
+        verdict, entry = self.ledger.admit(self.now, self.now, KEY, stamp, "t")
+        if verdict == ledger.LedgerVerdict.RUN:
             if self.taken is not None:
                 self.broken = "taken twice at a time"
             self.tries += 1
-            self.taken, self.taken_stamp, self.sent, entry.act = self.tries, stamp, False, "a"
-            if recovery.kept_first(self.effect):
-                self.note(recovery.TAKE, self.now, *KEY, stamp, "t")
-        elif verdict == ledger.AGAIN and not self.runs:
+            self.taken, self.taken_stamp, self.sent, entry.activation_id = self.tries, stamp, False, "a"
+            if recovery.is_recorded_first(self.effect):
+                self.note(ActivationTaken(self.now, *KEY, stamp, "t"))
+        elif verdict == ledger.LedgerVerdict.REPEAT_RESULT and not self.runs:
             self.broken = "told to be completed, and never ran"
 
     def log(self):
@@ -165,21 +168,21 @@
     def ran(self, mark):
         self.net = self._without(("ran", mark))
         if (self.life, self.taken) == tuple(map(int, mark.split("."))):
-            self._ends(ledger.COMPLETED, True, b"done")
+            self._ends(ledger.ActivationState.COMPLETED, True, b"done")
 
     def time_out(self):
-        self._ends(ledger.ABORTED, True)
+        self._ends(ledger.ActivationState.ABORTED, True)
 
     def reject(self):
-        self._ends(ledger.REJECTED, False)
+        self._ends(ledger.ActivationState.REJECTED, False)
 
     def _ends(self, outcome, sent, body=None):
         if (self.life, self.taken) in self.answered:
             self.broken = "answered twice"
         self.answered += ((self.life, self.taken),)
-        self.ledger.ended(KEY, outcome, body, sent)
-        if recovery.kept_first(self.effect):
-            self.note(recovery.END, self.now, *KEY, outcome, sent, body)
+        self.ledger.end(KEY, outcome, body, sent)
+        if recovery.is_recorded_first(self.effect):
+            self.note(ActivationEnded(self.now, *KEY, outcome, sent, body))
         self.taken, self.sent = None, False
 
     def kill(self):
@@ -194,9 +197,9 @@
     def state(self):
         """What tells two states apart, times aside."""
         entry = self.ledger.entries.get(KEY) if self.ledger is not None else None
-        known = (entry.state, entry.stamp, entry.sent, entry.body) if entry else None
+        known = (entry.state, entry.timestamp, entry.may_have_run, entry.result) if entry else None
         records = tuple(
-            tuple((r[0], *r[2:]) for r in part) for part in (self.disk, self.system, self.waiting)
+            tuple((type(r).__name__, *r[1:]) for r in part) for part in (self.disk, self.system, self.waiting)
         )
         return (
             self.stamp,
@@ -210,7 +213,7 @@
             self.sent,
             self.kills,
             self.life,
-            bool(self.ledger and self.ledger.began > 1000 * SECOND),
+            bool(self.ledger and self.ledger.complete_since > 1000 * SECOND),
         )
 
 
--- a/tests/test_early.py
+++ b/tests/test_early.py
@@ -15,7 +15,8 @@
 from petrelwood.emulate import result, script
 from petrelwood.emulate.platform import Platform
 from petrelwood.settings import document, gateway
-from petrelwood.store import history
+from petrelwood.store import history, history_files
+from petrelwood.store.errors import SnapshotError
 
 EARLY = (
     'early {{ slot "100ms"; season "2s"; weeks #false; fetch-price "1ms"; memory-price 0.0; '
@@ -56,7 +57,7 @@
         await self.begin_early(w := Worker("w1"))
         await self.call(0.6)
         self.roster.tell(w.entry("draining"))
-        await self.until(lambda: not self.core.membership.usable("w1"))
+        await self.until(lambda: not self.core.membership.is_usable("w1"))
         held = len(w.holds)
         early = self.core.forecasts.early
         turns = early.plans
@@ -71,7 +72,7 @@
             for i in range(30):
                 self.assertEqual((await self.post(f"again-{i % 3}"))[0], 200)
             self.core.history.flush(sync=True)
-            table = history.read(f"{folder}/h")
+            table = history_files.read(f"{folder}/h")
             self.assertEqual(len(table), 30)
             self.assertEqual(set(table["function"].to_pylist()), {"again-0", "again-1", "again-2"})
 
@@ -88,7 +89,7 @@
             self.assertEqual((await self.post("again-1"))[0], 200)
 
     async def test_forecasts_survive_a_restart_and_a_broken_file_is_learnt_anew(self):
-        from petrelwood.store import ends, snapshot
+        from petrelwood.store import early_load_log, snapshot
 
         with tempfile.TemporaryDirectory() as folder:
             await self.begin_early(
@@ -99,8 +100,8 @@
             known = sorted(self.core.forecasts.early.forecast.series)
             await self.core.close()
             self.assertEqual(known, ["again-1"])
-            rows = ends.read(f"{folder}/h")
-            self.assertEqual({r["function"] for r in rows} <= {"again-1"}, True)
+            rows = early_load_log.read(f"{folder}/h")
+            self.assertEqual({row.function for row in rows} <= {"again-1"}, True)
             again = type(self.core)(self.core.gateway, self.log)
             self.assertEqual(sorted(again.forecasts.early.forecast.series), known)
             self.assertEqual(
@@ -109,7 +110,7 @@
             )
             path = pathlib.Path(folder) / "h" / "forecast.snap"
             path.write_bytes(path.read_bytes()[:-3])
-            with self.assertRaises(snapshot.Unreadable):
+            with self.assertRaises(SnapshotError):
                 snapshot.read(path, "forecast", 1)
             third = type(self.core)(self.core.gateway, self.log)
             self.assertEqual(third.forecasts.early.forecast.series, {})
--- a/tests/test_store_recovery.py
+++ b/tests/test_store_recovery.py
@@ -9,14 +9,15 @@
 from types import SimpleNamespace
 from unittest.mock import patch
 
-from test_store_faults import FaultyFiles, Log, PutFiles
+from test_store_faults import FaultyFiles, Log
 
 from petrelwood.decide.cluster.rollout import Rollout
 from petrelwood.dispatch import rollout as rollout_module
 from petrelwood.dispatch.rollout import VersionRollout, VersionSource
 from petrelwood.dispatch.settings_update import UpdateResult
 from petrelwood.settings.document import BadFile
-from petrelwood.store import ends, history, snapshot, versions
+from petrelwood.store import early_load_log, history, history_files, snapshot, versions
+from petrelwood.store.early_load_log import EarlyLoadEnd, EarlyLoadLog
 from petrelwood.store.errors import VersionUnreadableError
 
 SECOND = 10**9
@@ -56,14 +57,14 @@
         versions.note_position(folder, 3, files)
 
     def test_each_call_fails_once_and_what_is_announced_is_whole(self):
-        count = PutFiles()
+        count = FaultyFiles()
         self.receive(count, self.folder / "all")
         self.assertGreater(len(count.calls), 25)
         for code in CODES:
             for number in range(1, len(count.calls) + 1):
                 folder = self.folder / f"{code}-{number}"
                 with self.assertRaises(OSError):
-                    self.receive(PutFiles(nth(number, code), torn=True), folder)
+                    self.receive(FaultyFiles(nth(number, code), torn=True), folder)
                 for one in versions.announced(folder):
                     self.assertEqual(
                         versions.path_of(folder, one.number).read_text(), ("one", "two")[one.number - 1]
@@ -72,7 +73,7 @@
                     self.assertEqual([one.is_called_off for one in versions.announced(folder)], [False, True])
                 # nothing half written stays, and the next round has all
                 self.assertEqual([path.name for path in folder.glob(".*")], [])
-                self.receive(PutFiles(), folder)
+                self.receive(FaultyFiles(), folder)
                 self.assertEqual(versions.position(folder), 3)
                 self.assertEqual(
                     [tuple(one)[::2] for one in versions.announced(folder)], [(1, False), (2, True)]
@@ -80,19 +81,19 @@
 
     def test_a_call_off_is_durable_before_the_position(self):
         """On the text before it was not: after a fall of the machine the position could stand without it."""
-        files = PutFiles()
+        files = FaultyFiles()
         (self.folder / "v").mkdir()
         versions.call_off(self.folder / "v", 1, "bad", files)
-        self.assertEqual(files.calls, ["write", "sync", "close", "replace", "sync_folder"])
+        self.assertEqual(files.calls, ["open", "write", "sync", "close", "replace", "sync_folder"])
 
     def test_a_folder_that_cannot_be_listed_has_no_versions_for_now(self):
-        self.receive(PutFiles(), self.folder)
+        self.receive(FaultyFiles(), self.folder)
         with patch.object(os, "listdir", side_effect=OSError(errno.EIO, "Input/output error")):
             self.assertEqual(versions.announced(self.folder), [])
         self.assertEqual(len(versions.announced(self.folder)), 2)
 
     def test_old_versions_that_cannot_be_removed_go_later(self):
-        files = PutFiles(lambda name: errno.EIO if name == "remove" else None)
+        files = FaultyFiles(lambda name: errno.EIO if name == "remove" else None)
         for number in range(1, 20):
             versions.receive(self.folder, number, "text", WALL, files)
         self.assertEqual(len(versions.announced(self.folder)), 19)
@@ -100,7 +101,7 @@
         self.assertEqual([one.number for one in versions.announced(self.folder)], list(range(5, 21)))
 
     def test_a_version_that_cannot_be_read_is_told_from_a_bad_one(self):
-        self.receive(PutFiles(), self.folder)
+        self.receive(FaultyFiles(), self.folder)
         path = versions.path_of(self.folder, 1)
         self.assertEqual(versions.require_readable(self.folder, 1), path)
         with patch.object(pathlib.Path, "read_bytes", side_effect=OSError(errno.EIO, "Input/output error")):
@@ -231,7 +232,7 @@
 
 class Histories(Case):
     def ids(self, folder):
-        return [(at - WALL) // MINUTE for at in history.read(folder)["at"].to_pylist()]
+        return [(at - WALL) // MINUTE for at in history_files.read(folder)["at"].to_pylist()]
 
     def play(self, fails, folder, rows=250, **more):
         """Notes a row each minute over two days, looking each so often, as the dispatcher does."""
@@ -257,7 +258,7 @@
             self.assertIsNone(made.stopped)
             made.close()
             self.assertEqual(self.ids(folder), list(range(1300, 1550)), number)
-            self.assertEqual(history.verify(folder), [], number)
+            self.assertEqual(history_files.verify(folder), [], number)
             # another life goes on with it
             again = history.History(folder, group=8, roll=60)
             again.note(WALL + 1550 * MINUTE, "f", "x", "n", 0, 1, 2, 3)
@@ -284,7 +285,7 @@
                     self.assertEqual(len(found), len(set(found)))
                     self.assertEqual(len(found) + made.lost, 250, (name, begins, lasts))
                     self.assertTrue(lost or not made.lost, (name, begins, lasts, made.lost))
-                    self.assertEqual(history.verify(folder), [])
+                    self.assertEqual(history_files.verify(folder), [])
 
     def test_a_kill_after_each_call_of_a_recovery_doubles_nothing(self):
         shots = []
@@ -360,28 +361,28 @@
                     return code if failing[0] and call == name else None
 
                 files = FaultyFiles(fault, torn=True)
-                made = ends.Ends(folder, files=files, now=self.now, most=400)
+                made = EarlyLoadLog(folder, files=files, now=self.now, largest=400)
                 for number in range(3):
-                    made.note(number, 0, 0, *self.ROW)
+                    made.record(EarlyLoadEnd(number, 0, 0, *self.ROW))
                 made.flush()
                 failing[0] = True
                 for number in range(3, 20):
-                    made.note(number, 0, 0, *self.ROW)
+                    made.record(EarlyLoadEnd(number, 0, 0, *self.ROW))
                     made.flush()
                 self.assertEqual(made.stopped is not None, name != "sync" or made.backoff.failures > 0)
                 failing[0] = False
                 self.time += 400 * SECOND
                 made.flush()
                 self.assertIsNone(made.stopped)
-                made.note(20, 0, 0, *self.ROW)
+                made.record(EarlyLoadEnd(20, 0, 0, *self.ROW))
                 made.close()
-                asked = [row["asked"] for row in ends.read(folder)]
+                asked = [row.asked for row in early_load_log.read(folder)]
                 self.assertEqual(asked, sorted(set(asked)))
                 self.assertEqual(asked[-1], 20)
 
     def test_it_backs_off(self):
         files = FaultyFiles(lambda name: errno.EIO)
-        made = ends.Ends(self.folder, files=files, now=self.now)
+        made = EarlyLoadLog(self.folder, files=files, now=self.now)
         for _ in range(1000):
             self.time += 5 * SECOND
             made.flush()
@@ -397,7 +398,9 @@
                 for last in (number, 99):
                     snapshot.write(path, "test", 1, "old")
                     with self.assertRaises(OSError):
-                        snapshot.write(path, "test", 1, "new", PutFiles(nth(number, code, last), torn=True))
+                        snapshot.write(
+                            path, "test", 1, "new", FaultyFiles(nth(number, code, last), torn=True)
+                        )
                     self.assertIn(snapshot.read(path, "test", 1)[1], ("old", "new"))
                     snapshot.write(path, "test", 1, "newer")
                     self.assertEqual(snapshot.read(path, "test", 1), (1, "newer"))
