--- a/petrelwood/lab/walk.py
+++ b/petrelwood/lab/walk.py
@@ -84,7 +84,9 @@
         return any(isinstance(r, ActivationTaken) and r.timestamp == self.taken_stamp for r in there)
 
     def may_send(self):
-        return self.flaw in ("no log", "late log") or not recovery.kept_first(self.effect) or self.kept()
+        return (
+            self.flaw in ("no log", "late log") or not recovery.is_recorded_first(self.effect) or self.kept()
+        )
 
     # What then happens.
     def step(self, what):
@@ -118,7 +120,7 @@
         records = [] if self.flaw == "forgets" else [*self.disk, *self.system]
         if records and self.flaw != "no log":
             found = recovery.replay(records, wall, str(self.boot), self.durability == "machine")
-            recovery.fill(self.ledger, found, self.now, wall, types, {"t": 2 * TOLERANCE}, TOLERANCE)
+            recovery.restore_ledger(self.ledger, found, self.now, wall)
         self.system += (IncarnationStarted(wall, str(self.boot), self.life, 1),)
         self.taken, self.sent = None, False
 
@@ -134,15 +136,15 @@
         # The client's clock goes with ours, a second for each time it signs.
         stamp = (1000 + 10 * number) * SECOND
         self.now = max(self.now, stamp)
-        verdict, entry = self.ledger.ask(self.now, self.now, KEY, stamp, "t")
-        if verdict == ledger.RUN:
+        verdict, entry = self.ledger.admit(self.now, self.now, KEY, stamp, "t")
+        if verdict == ledger.LedgerVerdict.RUN:
             if self.taken is not None:
                 self.broken = "taken twice at a time"
             self.tries += 1
-            self.taken, self.taken_stamp, self.sent, entry.act = self.tries, stamp, False, "a"
-            if recovery.kept_first(self.effect):
+            self.taken, self.taken_stamp, self.sent, entry.activation_id = self.tries, stamp, False, "a"
+            if recovery.is_recorded_first(self.effect):
                 self.note(ActivationTaken(self.now, *KEY, stamp, "t"))
-        elif verdict == ledger.AGAIN and not self.runs:
+        elif verdict == ledger.LedgerVerdict.REPEAT_RESULT and not self.runs:
             self.broken = "told to be completed, and never ran"
 
     def log(self):
@@ -166,20 +168,20 @@
     def ran(self, mark):
         self.net = self._without(("ran", mark))
         if (self.life, self.taken) == tuple(map(int, mark.split("."))):
-            self._ends(ledger.COMPLETED, True, b"done")
+            self._ends(ledger.ActivationState.COMPLETED, True, b"done")
 
     def time_out(self):
-        self._ends(ledger.ABORTED, True)
+        self._ends(ledger.ActivationState.ABORTED, True)
 
     def reject(self):
-        self._ends(ledger.REJECTED, False)
+        self._ends(ledger.ActivationState.REJECTED, False)
 
     def _ends(self, outcome, sent, body=None):
         if (self.life, self.taken) in self.answered:
             self.broken = "answered twice"
         self.answered += ((self.life, self.taken),)
-        self.ledger.ended(KEY, outcome, body, sent)
-        if recovery.kept_first(self.effect):
+        self.ledger.end(KEY, outcome, body, sent)
+        if recovery.is_recorded_first(self.effect):
             self.note(ActivationEnded(self.now, *KEY, outcome, sent, body))
         self.taken, self.sent = None, False
 
@@ -195,7 +197,7 @@
     def state(self):
         """What tells two states apart, times aside."""
         entry = self.ledger.entries.get(KEY) if self.ledger is not None else None
-        known = (entry.state, entry.stamp, entry.sent, entry.body) if entry else None
+        known = (entry.state, entry.timestamp, entry.may_have_run, entry.result) if entry else None
         records = tuple(
             tuple((type(r).__name__, *r[1:]) for r in part) for part in (self.disk, self.system, self.waiting)
         )
@@ -211,7 +213,7 @@
             self.sent,
             self.kills,
             self.life,
-            bool(self.ledger and self.ledger.began > 1000 * SECOND),
+            bool(self.ledger and self.ledger.complete_since > 1000 * SECOND),
         )
 
 
