--- a/petrelwood/control/server.py
+++ b/petrelwood/control/server.py
@@ -81,7 +81,8 @@
 
     def disk_recovered(self, outage: int) -> None:
         """Logs that the log is written again; see `DiskObserver`."""
-        self._log.info("log written again; voting", outage_ms=outage // MS, chosen=self.replica.chosen)
+        votes_from = self.replica.votes_from  # None: it lost its disk, too, and has not rejoined yet
+        self._log.info("log written again", outage_ms=outage // MS, votes_from=votes_from)
 
     async def _watch_disk(self) -> None:
         while True:
