--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -45,6 +45,7 @@
 from petrelwood.decide.cluster.link_state import LinkPhase
 from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announcement, Rollout, dwell_for
 from petrelwood.decide.delivery.state_records import ActivationEnded, ActivationTaken
+from petrelwood.dispatch.handover.hooks import HandoverHooks
 from petrelwood.dispatch.health import HeartbeatReporter
 from petrelwood.dispatch.recent_answers import RecentAnswers
 from petrelwood.links import rpc, sse
@@ -396,7 +397,7 @@
         self.membership.apply_list("e-1", entries, SECOND, WALL)
         self.intake = Intake(False)
         self.recent_answers = RecentAnswers()
-        self.state, self.retired = None, False
+        self.durable_state, self.handover = None, HandoverHooks()
 
     def now(self):
         return 2 * SECOND
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -100,11 +100,11 @@
         super().__init__(*arguments)
 
     def submit(self, call, *arguments):
-        what = flows.TIMERS if call.__name__ == "_ring" else flows.CALLS
+        what = flows.TIMERS if call.__name__ == "timer_fired" else flows.CALLS
         self.processor.measure(what, super().submit, call, *arguments)
 
-    def _look(self):
-        self.processor.measure(flows.TIMERS, super()._look)
+    def _check_storms(self):
+        self.processor.measure(flows.TIMERS, super()._check_storms)
 
 
 class RosterStream:
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -114,20 +114,20 @@
                 b'{"ok":1}' if number % 2 else None,
             )
         files.full = True
-        core.state.add(ActivationTaken(clock.wall(), "customer", "last", clock.wall(), "once"))
-        core.state.flush()
+        core.durable_state.log.add(ActivationTaken(clock.wall(), "customer", "last", clock.wall(), "once"))
+        core.durable_state.log.flush()
         begun = seen = time.perf_counter()
         longest = 0
-        while core.state.stopped is not None:
+        while core.durable_state.log.stopped is not None:
             await asyncio.sleep(0)
             at = time.perf_counter()
-            if core.state.rewriting or core.state.stopped is None:
+            if core.durable_state.log.rewriting or core.durable_state.log.stopped is None:
                 longest = max(longest, at - seen)
             seen = at
         took = time.perf_counter() - begun
         size = sum(path.stat().st_size for path in pathlib.Path(folder).iterdir())
         assert len(recovery.replay(state_segments.read(folder)[0], clock.wall(), "b", False).ids) == count
-        core.state.close(clock.wall())
+        core.durable_state.log.close(clock.wall())
     return took, longest, size
 
 
--- /dev/null
+++ b/petrelwood/dispatch/activations.py
@@ -0,0 +1,217 @@
+"""Activations from their admission to the one final answer.
+
+    front -> intake (capacity, retry or replay, deadline) -> pending activations -> module -> link -> worker
+
+and back. An activation ends once: with an answer, or because its client left and it need not go on.
+"""
+
+from typing import TYPE_CHECKING, Protocol
+
+from petrelwood.decide.delivery.ledger import ABORTED, COMPLETED, LEFT, REJECTED
+from petrelwood.decide.delivery.pending import PendingActivation
+from petrelwood.decide.overload import intake as intake_stage
+from petrelwood.decide.overload.intake import Ask, Verdict
+from petrelwood.dispatch.interfaces import Rule, Timer
+from petrelwood.dispatch.state_recovery import LONGEST_BODY
+
+if TYPE_CHECKING:
+    from petrelwood.dispatch.core import Core
+    from petrelwood.dispatch.durable_state import DurableState
+
+Key = tuple[str, str]
+"""The customer of an activation, and the id that the customer gave it."""
+
+
+class Exchange(Protocol):
+    """One request of a client, at a front."""
+
+    act: str | None  # the id of the activation that it waits for
+
+    def answer(
+        self, outcome: str, body: bytes = b"", retry_after: int = 0, why: str = "", act: str | None = None
+    ) -> object:
+        """Gives the client its final answer. `retry_after`: ns, 0 where it is not told."""
+
+
+class Activations:
+    """The activations of one dispatcher."""
+
+    def __init__(self, core: "Core") -> None:
+        self.core = core
+        self.now = core.now
+        self.intake = core.intake
+        self.pending = core.pending
+        self.deadline_timer: Timer | None = None
+        self.next_deadline = 0
+
+    def admit(self, ask: Ask, function: str, rule: Rule, body: bytes, exchange: Exchange) -> None:
+        """Takes a request in, or answers it at once."""
+        core = self.core
+        now = self.now()
+        key = (ask.customer, ask.id)
+        hooks = core.handover
+        if hooks.may_be_superseded is not None and hooks.may_be_superseded(now):
+            retry_after = self.intake.come_back(now, *key)
+            exchange.answer(intake_stage.REFUSE, retry_after=retry_after, why=intake_stage.CLOSING)
+            return
+        verdict = self.intake.ask(now, core.clock.wall(), ask)
+        if verdict.what == intake_stage.TAKE:
+            state = core.durable_state
+            if state is not None and not state.can_admit(ask.type):
+                self._reject_for_outage(now, key, state, exchange)
+            else:
+                self._take(now, key, ask, verdict, function, rule, body, exchange)
+        elif verdict.what == intake_stage.JOIN:
+            self._join(now, key, verdict, exchange)
+        else:
+            exchange.answer(verdict.what, verdict.body, verdict.retry_after, verdict.why)
+
+    def _join(self, now: int, key: Key, verdict: Verdict, exchange: Exchange) -> None:
+        """A retry waits for the answer of the attempt that is in flight."""
+        act = self.pending.by_key.get(key)
+        if act is not None and self.pending.join(now, key, verdict.due, exchange):
+            exchange.act = act.id
+            self._set_deadline_timer()
+            return
+        exchange.answer(intake_stage.ABORT, why="an earlier try may have run and must not run again")
+
+    def _reject_for_outage(self, now: int, key: Key, state: "DurableState", exchange: Exchange) -> None:
+        """Its id can't be made durable, and it must not run twice."""
+        core = self.core
+        core.known_ids.ended(key, LEFT)
+        retry_after = self.intake.come_back(now, *key, state.reject(now))
+        exchange.answer(intake_stage.REFUSE, retry_after=retry_after, why="its id can't be kept now")
+
+    def _take(
+        self,
+        now: int,
+        key: Key,
+        ask: Ask,
+        verdict: Verdict,
+        function: str,
+        rule: Rule,
+        body: bytes,
+        exchange: Exchange,
+    ) -> None:
+        core = self.core
+        act = self.pending.take(
+            now, key, ask, verdict.due, function, rule.lanes, body, exchange, rule.load_time, rule.work
+        )
+        exchange.act = act.id
+        core.events.touched.add(act.id)
+        self._set_deadline_timer()
+        if core.forecasts is not None:
+            core.forecasts.activation_admitted(now, function, rule, ask.type)
+        if core.durable_state is None or core.durable_state.record_admitted(act):
+            self.begin(act)
+
+    def begin(self, act: PendingActivation) -> None:
+        """Hands an activation to the module."""
+        self.core.events.touched.add(act.id)
+        self.core.brain.activation(
+            self.now(), act.id, act.fn, act.type, act.customer, act.due, act.lanes, act.work, act.load_time
+        )
+
+    def reject(self, act: PendingActivation) -> None:
+        """Rejects an activation that the module has not heard of."""
+        self.finish(act.id, REJECTED, retry_after=self.intake.come_back(self.now(), *act.key))
+
+    def client_left(self, act_id: str, exchange: Exchange) -> None:
+        """A client hung up; the activation ends unless others wait for it, or it has to go on."""
+        if self.pending.left(self.now(), act_id, exchange) == "end":
+            act = self.pending.end(self.now(), act_id, LEFT)
+            self._record_end(act, LEFT, None)
+            self.core.links.withdraw(act.id, act.out)
+            self.core.brain.left(self.now(), act_id)
+
+    def finish(
+        self, act_id: str, outcome: str, body: bytes | None = None, retry_after: int = 0, why: str = ""
+    ) -> None:
+        """Gives an activation its final answer."""
+        act = self.pending.end(self.now(), act_id, outcome, body)
+        if act is None:
+            self.core.log.error("second final answer suppressed", act=act_id, outcome=outcome)
+            return
+        self._record_end(act, outcome, body)
+        self.core.links.withdraw(act.id, act.out)
+        for exchange, _ in act.waiting:
+            exchange.answer(outcome, body or b"", retry_after, why, act.id)
+
+    def _record_end(self, act: PendingActivation, outcome: str, body: bytes | None) -> None:
+        core = self.core
+        hooks = core.handover
+        if outcome != LEFT:
+            core.recent_answers.record(self.now(), outcome == COMPLETED)
+            if hooks.on_answer is not None:
+                hooks.on_answer(outcome == COMPLETED)
+        if hooks.on_activation_end is None and core.durable_state is None:
+            return
+        cached = body if outcome == COMPLETED and body is not None and len(body) <= LONGEST_BODY else None
+        if hooks.on_activation_end is not None:
+            customer, id_ = act.key
+            hooks.on_activation_end(customer, id_, outcome, act.sends > 0, cached)
+        if core.durable_state is not None:
+            core.durable_state.record_ended(act.key, outcome, act.sends > 0, cached)
+
+    # Deadlines.
+    def _set_deadline_timer(self) -> None:
+        due = self.pending.next_due()
+        if due is None or self.deadline_timer is not None and self.next_deadline <= due:
+            return
+        if self.deadline_timer is not None:
+            self.deadline_timer.cancel()
+        self.next_deadline = due
+        self.deadline_timer = self.core.clock.at(due, self._answer_overdue)
+
+    def answer_due(self, now: int) -> None:
+        """Answers what is overdue without waiting for the timer."""
+        if self.deadline_timer is not None and self.next_deadline <= now:
+            self.deadline_timer.cancel()
+            self._answer_overdue()
+
+    def _answer_overdue(self) -> None:
+        self.deadline_timer = None
+        for act, late, whole in self.pending.overdue(self.now()):
+            if whole:
+                self.core.submit(self.time_out, act.id)
+            for exchange in late:
+                exchange.answer(ABORTED, why="the first try still runs", act=act.id)
+        self._set_deadline_timer()
+
+    def time_out(self, act_id: str) -> None:
+        """The sends of an activation time out, of which the module makes an answer.
+
+        If it does not, there is one all the same.
+        """
+        act = self.pending.acts.get(act_id)
+        if act is not None:
+            self.core.links.time_out(act_id, act.out)
+            self.core.submit(self._abort_overdue, act_id)
+
+    def _abort_overdue(self, act_id: str) -> None:
+        act = self.pending.acts.get(act_id)
+        if act is not None:
+            self.pending.counts["overdue"] += 1
+            self.core.log.error("overdue", act=act_id, sends=act.sends)
+            self.finish(act_id, ABORTED, why="out of time")
+            self.core.brain.left(self.now(), act_id)
+
+    # Sends.
+    def send_ended(self, act_id: str, attempt: int, code: str, body: bytes) -> PendingActivation | None:
+        """A send has ended, and its activation with it if it completed; the activation, if it was open."""
+        act: PendingActivation | None = self.pending.acts.get(act_id)
+        is_owed = self.pending.returned(act_id, attempt)
+        if is_owed and code == COMPLETED:
+            self.finish(act_id, COMPLETED, body)
+        return act
+
+    def abort_defective(self, act_id: str) -> None:
+        """Aborts an activation that a defect of this program has touched."""
+        core = self.core
+        if act_id not in self.pending.acts:
+            return
+        self.finish(act_id, ABORTED, why="a defect in the dispatcher")
+        try:
+            core.brain.left(self.now(), act_id)
+        except Exception as fault:
+            core.log.error("defect", where="left", fault=repr(fault), act=act_id)
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -1,90 +1,107 @@
-"""What a dispatcher does between its fronts and its links: it tells the module what happens and carries out
-what it decides. Free of I/O: the clock and the links are handed in, so that the emulator drives this very
-code.
+"""The core of a dispatcher: it tells the decision module what happens, and carries out what that decides.
 
-    front -> signature -> intake (room, retry or replay, patience) -> pending activations -> module
-          -> link -> worker
-
-and back. What happens while the module is being told of something is told after that, in order: the module is
-never entered twice. A defect ends the activations it touched with an abort, never the others."""
+Free of I/O: the clock and the links are handed in, so that the emulator drives this very code. Each part has
+a module of its own: activations from admission to answer, the module's outlet, links to workers, the durable
+state, load forecasts, and the queue through which all of it passes one call after the other. A defect ends
+the activations that it touched with an abort, never the others.
+"""
 
 import traceback
+from collections.abc import Callable
+from dataclasses import asdict
+from random import Random
+from typing import Any
 
 from petrelwood import ports
 from petrelwood.brain import Brain
+from petrelwood.decide.cluster.completion import CompletionRate
 from petrelwood.decide.cluster.membership import Membership
-from petrelwood.decide.delivery import recovery
-from petrelwood.decide.delivery.ledger import ABORTED, COMPLETED, LEFT, REJECTED, Ledger
-from petrelwood.decide.delivery.pending import PendingActivations
-from petrelwood.decide.delivery.state_records import ActivationEnded, ActivationTaken, LoadOrdered
-from petrelwood.decide.overload import intake as stage
+from petrelwood.decide.delivery.ledger import ABORTED, COMPLETED, REJECTED, Ledger
+from petrelwood.decide.delivery.pending import PendingActivation, PendingActivations
 from petrelwood.decide.overload.backoff import Budget
-from petrelwood.decide.overload.intake import Intake
-from petrelwood.dispatch.event_queue import EventQueue
+from petrelwood.decide.overload.intake import Ask, Intake
+from petrelwood.dispatch.activations import Activations, Exchange
+from petrelwood.dispatch.durable_state import DurableState
+from petrelwood.dispatch.event_queue import Arguments, Call, EventQueue
+from petrelwood.dispatch.handover.hooks import ActivationEndHandler, HandoverHooks
+from petrelwood.dispatch.interfaces import Clock, Logger, Rule
 from petrelwood.dispatch.load_forecasts import LoadForecasts
+from petrelwood.dispatch.outlet import ModuleOutlet
 from petrelwood.dispatch.recent_answers import RecentAnswers
-from petrelwood.dispatch.state_recovery import LONGEST_BODY, StateRecovery
-from petrelwood.dispatch.worker_links import WorkerLinks
-
-LOOK = 500_000_000  # ns between looks at storms
-REPEATS = 0.5  # repeated sends for each first one
-RECONNECTS = 32.0  # connections tried again at once, over all links
+from petrelwood.dispatch.worker_links import Address, WorkerLink, WorkerLinks
+from petrelwood.ports import Listed
+from petrelwood.settings.gateway import FunctionRule, Gateway
+from petrelwood.store.state_log import StateLog
 
+STORM_CHECK_INTERVAL = 500_000_000  # ns
+RECONNECTS_AT_ONCE = 32.0  # over all links
+MOST_CACHED_RULES = 100_000
 
-class Core:
-    """One dispatcher. It is the module's `ports.Outlet`. `clock` as in `clocks`; `chance` a seeded
-    `random.Random`; `link(worker, address, core)` makes a link: `run`, `hold`, `probe`, `cancel`, `late`,
-    `withdraw`, `recall`, `owes`, `give_up`. It calls `send_ended`, `load_order_ended`, `health_check_ended`
-    through `submit`."""
+MakeLink = Callable[[str, Address | None, "Core"], WorkerLink]
+"""Makes the link to a worker at an address."""
 
-    slices = False  # whether forecasts are learnt a few functions at a time
 
-    def __init__(self, gateway, clock, chance, link, log, brain=Brain, state=None):
+class Core:
+    """One dispatcher.
+
+    `chance` is its one source of random numbers. `state` is the log that it goes on from, if there is one
+    already.
+    """
+
+    learns_in_slices = False  # whether forecasts are learnt a few functions at a time
+
+    def __init__(
+        self,
+        gateway: Gateway,
+        clock: Clock,
+        chance: Random,
+        link: MakeLink,
+        log: Logger,
+        brain: Callable[[int, ports.Terms, int, ports.Outlet], Any] = Brain,
+        state: StateLog | None = None,
+    ) -> None:
         self.gateway = gateway
-        self.log = log
         self.name = gateway.name
+        self.limits = gateway.limits
+        self.terms = gateway.terms
+        self.log = log
         self.clock = clock
-        self.now, self.limits, self.terms, start = clock.now, gateway.limits, gateway.terms, clock.now()
-        self.record_epoch = clock.steady_wall() - start  # what records' times are ahead of `now`
+        self.now = clock.now
         self.chance = chance
-        self.ledger, self.intake, prefix = self._stages()
-        self.pending = PendingActivations(self.intake, self.ledger, prefix)
-        self.membership = Membership(self.terms.orders.keep, gateway.workers.connect_within, chance.random)
+        self.record_epoch = clock.steady_wall() - clock.now()  # what `record_time` is ahead of `now`
+        self.ledger, self.intake, id_prefix = self._make_stages()
+        self.pending = PendingActivations(self.intake, self.ledger, id_prefix)
+        self._make_connections(link)
         self.events = EventQueue(clock, self.defect, self._turn_ended)
-        self.links = WorkerLinks(lambda worker, address: link(worker, address, self))
-        self.sends_in_flight = {}  # (activation, number of the send) -> worker
-        self.due_timer, self.due_at, self.rules = None, 0, {}
-        self.repeats = Budget(REPEATS, max(16.0, self.limits.held / 64)) if gateway.damps else None
-        self.reconnects = Budget(1.0, RECONNECTS, gateway.workers.connect_within) if gateway.damps else None
-        self.clock.at(start + LOOK, self._look)
-        self.counts = {"sends": 0, "orders": 0, "probes": 0, "refused_by_guard": 0, "over_budget": 0}
-        self.brain = brain(start, self.terms, gateway.seed, self)
-        self.state, self.returning, self.unkept, self.retired, self.on_activation_end, self.on_answer = (
-            None,
-            None,
-            {},
-            False,
-            None,
-            None,
-        )
-        # `may_be_superseded(now)`: whether another process may own what comes
-        self.may_be_superseded = None
-        self.state_recovery = StateRecovery(self)
+        self.rules: dict[str, FunctionRule | None] = {}
         self.recent_answers = RecentAnswers()
+        self.handover = HandoverHooks()
+        # `note` of `store.history.History`, where a history is kept
+        self.record_execution: Callable[..., object] | None = None
+        self.durable_state: DurableState | None = None
+        self.forecasts: LoadForecasts | None = None
+        self.activations = Activations(self)
+        self.outlet = ModuleOutlet(self)
+        clock.at(clock.now() + STORM_CHECK_INTERVAL, self._check_storms)
+        self.brain = brain(clock.now(), self.terms, gateway.seed, self.outlet)
         if state is not None:
             self.adopt(state)
-        self.record_execution = None  # `note` of `store.history.History`, where a history is kept
-        self.forecasts = None
-        if gateway.early is not None and hasattr(self.brain, "wish"):
-            self.forecasts = LoadForecasts(
-                gateway.early, self.terms, clock, chance, wish=self._wish, sliced=self.slices
-            )
-            self._plan_next_slot()
+        self._begin_forecasts()
 
-    def _stages(self):
-        """What an activation passes before the module: the ledger (or None), the intake, and what ids are
-        made from (or None)."""
-        gateway, wall = self.gateway, self.clock.wall()
+    def _make_connections(self, link: MakeLink) -> None:
+        """What the core has to do with workers."""
+        gateway = self.gateway
+        connect_timeout = gateway.workers.connect_within
+        self.membership = Membership(self.terms.orders.keep, connect_timeout, self.chance.random)
+        self.links = WorkerLinks(lambda worker, address: link(worker, address, self))
+        self.reconnects: Budget | None = None
+        if gateway.damps:
+            self.reconnects = Budget(1.0, RECONNECTS_AT_ONCE, connect_timeout)
+
+    def _make_stages(self) -> tuple[Ledger | None, Intake, str | None]:
+        """What an activation passes before the module: the ledger, the intake, and the prefix of its id."""
+        gateway = self.gateway
+        wall = self.clock.wall()
         ledger = Ledger(
             self.limits.ledger,
             self.limits.results,
@@ -98,482 +115,274 @@
         # the same monotonic time on one start of the machine.
         return ledger, intake, f"{self.name}-{wall // 1000:x}-{self.now() // 1000:x}-"
 
-    def record_time(self):
-        """The wall-clock time as the state log has it: without steps since this process began."""
-        return self.now() + self.record_epoch
+    # One call after the other.
+    def submit(self, call: Call, *args: Any) -> None:
+        """Makes a call at once, or after the one that is being made."""
+        self.events.submit(call, args)
 
-    # What an earlier life left, and what is kept of this one.
-    def adopt(self, state, elsewhere=False):
-        """Goes on from what earlier lives left. `state` as `store.state_log.StateLog`: `found`, `add`,
-        `flush`,
-        `stopped`, `durability`, `boot`. `elsewhere`: the life before still finishes what it took."""
-        now, wall, self.state = self.now(), self.record_time(), state
-        found = recovery.replay(self.state.found, wall, self.state.boot, self.state.durability == "machine")
-        known = recovery.fill(
-            self.ledger,
-            found,
-            now,
-            wall,
-            self.terms.types,
-            self.gateway.remember,
-            self.gateway.tolerance,
-            elsewhere,
+    def _turn_ended(self) -> None:
+        if self.durable_state is not None:
+            self.durable_state.log.flush()
+
+    def defect(self, where: str, fault: Exception, args: Arguments = ()) -> None:
+        """Aborts the activations that a failed call has touched, and goes on."""
+        acts = self.pending.acts
+        touched = self.events.touched | {arg for arg in args if isinstance(arg, str) and arg in acts}
+        place = traceback.extract_tb(fault.__traceback__)[-1]
+        self.pending.counts["defects"] += 1
+        self.log.error(
+            "defect",
+            where=where,
+            at=f"{place.filename}:{place.lineno}",
+            fault=repr(fault),
+            aborted=len(touched),
         )
-        self.returning = recovery.Recovery(found, now, wall, self.terms.guarantees, self.terms.orders)
-        if self.returning.orders and hasattr(self.brain, "resumed"):
-            self.brain.resumed(now, self.returning.orders)
-        if self.returning.begins_low and self.gateway.damps and not elsewhere:
-            self.intake.concurrency_limit.begin(now)
-        self.state.found = []
-        if found.least_epoch is not None:
-            younger = self.membership.correct_clock(found.least_epoch, now)
-            if younger:
-                self.submit(self._endpoints_changed, younger, [], False)
-        if found.last:
-            self.log.info(
-                "state found",
-                ids=known,
-                orders=self.returning.orders,
-                in_order=found.in_order,
-                whole=bool(found.began),
-                clock_back=found.clock_back,
-            )
+        for act_id in sorted(touched):
+            self.activations.abort_defective(act_id)
+
+    # The durable state.
+    @property
+    def known_ids(self) -> Ledger:
+        """The ledger, of a dispatcher that has one."""
+        if self.ledger is None:
+            raise TypeError("this dispatcher knows nothing of earlier activations")
+        return self.ledger
+
+    def record_time(self) -> int:
+        """The wall-clock time as the log of state has it: without steps since this process began."""
+        return self.now() + self.record_epoch
+
+    def adopt(self, log: StateLog, predecessor_runs: bool = False) -> None:
+        """Goes on from what the incarnations before have left in a log.
+
+        `predecessor_runs`: the one before still finishes what it has in flight.
+        """
+        if self.durable_state is None:
+            self.durable_state = DurableState(self, self.known_ids, log)
+        self.durable_state.adopt(log, predecessor_runs)
+
+    def sync_state(self, done: Callable[[bool], object]) -> None:
+        """Syncs the log of state, then calls `done(durable)`; a dispatcher on a loop does it in a thread."""
+        if self.durable_state is not None:
+            done(self.durable_state.log.sync_task()())
+
+    def is_warm_enough(self, worker: str, now: int) -> bool:
+        """Whether a worker may be sent anything: soon after a restart, cold ones may not."""
+        return self.durable_state is None or self.durable_state.is_warm_enough(worker, now)
+
+    def clock_offset_found(self, least_epoch: int) -> None:
+        """A process before has seen the wall clock at this offset: workers may be younger than thought."""
+        younger = self.membership.correct_clock(least_epoch, self.now())
+        if younger:
+            self.submit(self._endpoints_changed, younger, [], False)
 
     # A hand-over: see `decide.cluster.handover`.
-    def recent_completion(self):
-        """How the activations that were answered in the last ten seconds ended."""
+    def recent_completion(self) -> CompletionRate:
+        """How the activations ended that were answered in the last ten seconds."""
         return self.recent_answers.rate(self.now())
 
     @property
-    def answered(self):
-        """(completed, not completed) since the start."""
+    def answered(self) -> tuple[int, int]:
+        """How many activations have completed, and how many have not, since the start."""
         counts = self.pending.counts
         return counts[COMPLETED], counts[ABORTED] + counts[REJECTED]
 
-    def stop_admitting(self, on_end):
-        """From now on nothing new is admitted or loaded here; `on_end(customer, id, outcome, sent, body)` is
-        called for each activation that ends."""
-        self.intake.closing, self.retired, self.on_activation_end = True, True, on_end
-        if self.state is not None:
-            self.state.flush()
+    def stop_admitting(self, on_end: ActivationEndHandler) -> None:
+        """Admits and loads nothing new from now on; `on_end` is called for each activation that ends."""
+        self.intake.closing = True
+        self.handover.retired = True
+        self.handover.on_activation_end = on_end
+        if self.durable_state is not None:
+            self.durable_state.log.flush()
 
-    def resume_admitting(self):
+    def resume_admitting(self) -> None:
         """The successor has failed: what it admitted is read from its log, and this process admits again."""
-        if self.state is not None:
-            self.state.take_over_again(self.record_time())
-            self.adopt(self.state)
-        self.intake.closing, self.retired, self.on_activation_end = False, False, None
-
-    def note_predecessor_outcome(self, customer, id_, outcome, sent, body):
+        if self.durable_state is not None:
+            self.durable_state.take_over_again()
+        self.intake.closing = False
+        self.handover.retired = False
+        self.handover.on_activation_end = None
+
+    def note_predecessor_outcome(
+        self, customer: str, id_: str, outcome: str, sent: bool, body: bytes | None
+    ) -> None:
         """The predecessor has finished an activation that it had in flight."""
-        if self.ledger.heard((customer, id_), outcome, sent, body) and self.state is not None:
-            self.state.add(ActivationEnded(self.record_time(), customer, id_, outcome, sent, body))
+        key = (customer, id_)
+        if self.known_ids.heard(key, outcome, sent, body) and self.durable_state is not None:
+            self.durable_state.record_ended(key, outcome, sent, body)
 
-    def predecessor_gone(self):
+    def predecessor_gone(self) -> None:
         """The predecessor has ended: the outcomes that it did not send are not known."""
-        self.ledger.nobody_elsewhere()
-
-    def _turn_away(self, act):
-        self._finish(act.id, REJECTED, retry_after=self.intake.come_back(self.now(), *act.key))
-
-    def _keep(self, act):
-        """Notes a new activation; whether it may be told to the module at once. What must not run twice waits
-        until its id is kept, and is turned away where it can't be."""
-        stamp = self.ledger.entries[act.key].stamp
-        self.state.add(ActivationTaken(self.record_time(), *act.key, stamp, act.type))
-        if not recovery.kept_first(self.terms.types[act.type].effect):
-            return True
-        if self.state.durability == "machine":
-            self.unkept[act.id] = act
-            self.sync_soon()
-            return False
-        if self.state.flush():
-            return True
-        self._turn_away(act)
-        return False
-
-    def sync_soon(self):
-        """For a dispatcher whose log is on a disk: calls `kept` when what was added is there."""
-
-    def sync_state(self, done):
-        """Makes the state log durable, then calls `done(durable)`; a dispatcher on a loop does it in a
-        thread."""
-        done(self.state.sync_task()())
-
-    def kept(self, acts, good):
-        """The ids of these activations are on the disk, or can't be."""
-        for act_id in acts:
-            act = self.unkept.pop(act_id, None)
-            if act is None or act_id not in self.pending.acts:
-                continue
-            if good:
-                self._begin(act)
-            else:
-                self._turn_away(act)
-
-    def _begin(self, act):
-        self.events.touched.add(act.id)
-        self.brain.activation(
-            self.now(), act.id, act.fn, act.type, act.customer, act.due, act.lanes, act.work, act.load_time
-        )
-
-    def _ended(self, act, outcome, body):
-        if outcome != LEFT:
-            self.recent_answers.record(self.now(), outcome == COMPLETED)
-            if self.on_answer is not None:
-                self.on_answer(outcome == COMPLETED)
-        kept = body if outcome == COMPLETED and body is not None and len(body) <= LONGEST_BODY else None
-        if self.on_activation_end is not None:
-            self.on_activation_end(*act.key, outcome, act.sends > 0, kept)
-        if self.state is not None:
-            self.state.add(ActivationEnded(self.record_time(), *act.key, outcome, act.sends > 0, kept))
+        self.known_ids.nobody_elsewhere()
 
-    def _wish(self, function, lanes, load_time):
-        return self.brain.wish(self.now(), function, lanes, load_time)
+    # Storms, forecasts and settings.
+    def _check_storms(self) -> None:
+        """What a storm changes is decided in `decide.overload.intake` and at the fronts."""
+        for name, on, value in self.intake.look(self.now()):
+            report = self.log.warning if on else self.log.info
+            event = "storm started" if on else "storm ended"
+            report(event, symptom=name, value=round(value, 2), held=self.intake.held)
+            self.storm_changed(name, on)
+        if self.durable_state is not None:
+            self.durable_state.check()
+        self.clock.at(self.now() + STORM_CHECK_INTERVAL, self._check_storms)
 
-    def _plan_next_slot(self):
-        self.clock.at(self.now() + self.forecasts.slot, self._slot_ended)
+    def storm_changed(self, name: str, on: bool) -> None:
+        """A symptom has begun or ended; for a dispatcher that has fronts."""
 
-    def _slot_ended(self):
-        self.submit(self._plan_loads)
+    def _begin_forecasts(self) -> None:
+        terms = self.gateway.early
+        if terms is None or not hasattr(self.brain, "wish"):
+            return
+        self.forecasts = LoadForecasts(
+            terms, self.terms, self.clock, self.chance, wish=self._wish, sliced=self.learns_in_slices
+        )
         self._plan_next_slot()
 
-    def _look(self):
-        """Storms are looked at; what they change is decided in `decide.overload.intake` and at the fronts."""
-        for name, on, value in self.intake.look(self.now()):
-            (self.log.warning if on else self.log.info)(
-                "a storm begins" if on else "a storm is over",
-                symptom=name,
-                value=round(value, 2),
-                held=self.intake.held,
-            )
-            self.storm_changed(name, on)
-        if self.state is not None:
-            self.state.check(self.record_time())
-            self.state_recovery.check()
-        self.clock.at(self.now() + LOOK, self._look)
+    def _wish(self, function: str, lanes: int, load_time: int) -> str | None:
+        worker: str | None = self.brain.wish(self.now(), function, lanes, load_time)
+        return worker
 
-    def storm_changed(self, name, on):
-        """For a dispatcher that has fronts."""
+    def _plan_next_slot(self) -> None:
+        if self.forecasts is not None:
+            self.clock.at(self.now() + self.forecasts.slot, self._slot_ended)
 
-    def _plan_loads(self):
+    def _slot_ended(self) -> None:
+        self.submit(self._plan_loads)
+        self._plan_next_slot()
+
+    def _plan_loads(self) -> None:
         if self.intake.storms.on("cold") or self.intake.concurrency_limit.holds_back:
             return  # guesses wait until what is asked for can be served
-        self.forecasts.plan_slot()
-
-    def apply(self, gateway):
-        """A new version of the settings, of which all can act at once: customers' keys, functions, limits.
-        What is on hand keeps its times, and its customer until it has its answer."""
-        self.gateway, self.rules, self.limits, self.intake.limits = (
-            gateway,
-            {},
-            gateway.limits,
-            gateway.limits,
-        )
-        self.intake.concurrency_limit.bound(gateway.limits.held)
-
-    def rule(self, function):
-        """The rule of a function, looked up once."""
-        found = self.rules.get(function, self)
-        if found is self:
-            found = self.gateway.rule(function)
-            if len(self.rules) < 100_000:
-                self.rules[function] = found
-        return found
-
-    # One thing after the other.
-    def submit(self, call, *args):
-        """Makes a call at once, or after the one that is being made."""
-        self.events.submit(call, args)
+        if self.forecasts is not None:
+            self.forecasts.plan_slot()
 
-    def _turn_ended(self):
-        if self.state is not None:
-            self.state.flush()
+    def apply(self, gateway: Gateway) -> None:
+        """Takes new settings that can act at once: customers' keys, functions, limits.
 
-    def endpoint_list_lost(self):
-        """Nothing is heard of the list of workers any more; the last one stays in use."""
-        self.submit(self._endpoint_list_lost)
-
-    def _endpoint_list_lost(self):
-        self.brain.list_lost(self.now())
+        What is in flight keeps its deadline, and its customer until it has its answer.
+        """
+        self.gateway = gateway
+        self.rules = {}
+        self.limits = gateway.limits
+        self.intake.limits = gateway.limits
+        self.intake.concurrency_limit.bound(gateway.limits.held)
 
-    def defect(self, where, fault, args=()):
-        """Ends what the failed call had touched, and goes on."""
-        touched = self.events.touched | {a for a in args if isinstance(a, str) and a in self.pending.acts}
-        at = traceback.extract_tb(fault.__traceback__)[-1]
-        self.pending.counts["defects"] += 1
-        self.log.error(
-            "defect", where=where, at=f"{at.filename}:{at.lineno}", fault=repr(fault), aborted=len(touched)
-        )
-        for act_id in sorted(touched):
-            if act_id in self.pending.acts:
-                self._finish(act_id, ABORTED, why="a defect in the dispatcher")
-                try:
-                    self.brain.left(self.now(), act_id)
-                except Exception as second:
-                    self.log.error("defect", where="left", fault=repr(second), act=act_id)
+    def rule(self, function: str) -> FunctionRule | None:
+        """The rule of a function, looked up once; None where it may not be called."""
+        try:
+            return self.rules[function]
+        except KeyError:
+            rule: FunctionRule | None = self.gateway.rule(function)
+            if len(self.rules) < MOST_CACHED_RULES:
+                self.rules[function] = rule
+            return rule
 
     # From the fronts.
-    def admit(self, ask, function, rule, body, exchange):
+    def admit(self, ask: Ask, function: str, rule: Rule, body: bytes, exchange: Exchange) -> None:
+        """A request has come, and is who it says it is."""
         self.submit(self._admit, ask, function, rule, body, exchange)
 
-    def _admit(self, ask, function, rule, body, exchange):
-        now, key = self.now(), (ask.customer, ask.id)
-        if self.may_be_superseded is not None and self.may_be_superseded(now):
-            exchange.answer(stage.REFUSE, retry_after=self.intake.come_back(now, *key), why=stage.CLOSING)
-            return
-        verdict = self.intake.ask(now, self.clock.wall(), ask)
-        if verdict.what == stage.JOIN:
-            act = self.pending.by_key.get(key)
-            if act is not None and self.pending.join(now, key, verdict.due, exchange):
-                exchange.act = act.id
-                self._arm()
-                return
-            exchange.answer(stage.ABORT, why="an earlier try may have run and must not run again")
-        elif (
-            verdict.what == stage.TAKE
-            and self.state is not None
-            and not recovery.may_take(self.terms.types[ask.type].effect, self.state.stopped is None)
-        ):
-            self.ledger.ended(key, LEFT)
-            wait = self.intake.come_back(now, *key, self.state_recovery.rejected_for(now))
-            exchange.answer(stage.REFUSE, retry_after=wait, why="its id can't be kept now")
-        elif verdict.what == stage.TAKE:
-            act = self.pending.take(
-                now, key, ask, verdict.due, function, rule.lanes, body, exchange, rule.load_time, rule.work
-            )
-            exchange.act = act.id
-            self.events.touched.add(act.id)
-            self._arm()
-            if self.forecasts is not None:
-                self.forecasts.activation_admitted(now, function, rule, ask.type)
-            if self.state is None or self._keep(act):
-                self._begin(act)
-        else:
-            exchange.answer(verdict.what, verdict.body, verdict.retry_after, verdict.why)
-
-    def client_left(self, act_id, exchange):
+    def _admit(self, ask: Ask, function: str, rule: Rule, body: bytes, exchange: Exchange) -> None:
+        self.activations.admit(ask, function, rule, body, exchange)
+
+    def client_left(self, act_id: str, exchange: Exchange) -> None:
         """The client of an exchange hung up."""
         self.submit(self._client_left, act_id, exchange)
 
-    def _client_left(self, act_id, exchange):
-        if self.pending.left(self.now(), act_id, exchange) == "end":
-            act = self.pending.end(self.now(), act_id, LEFT)
-            self._ended(act, LEFT, None)
-            self._withdraw(act)
-            self.brain.left(self.now(), act_id)
-
-    def _withdraw(self, act):
-        """It has ended: a send of it that waits in a link for a connection never leaves. Against sends after
-        the end, also where nothing may be cancelled."""
-        for n in sorted(act.out):
-            link = self.links.get(self.sends_in_flight.get((act.id, n)))
-            if link is not None:
-                link.withdraw(act.id, n)
-
-    def _finish(self, act_id, outcome, body=None, retry_after=0, why=""):
-        act = self.pending.end(self.now(), act_id, outcome, body)
-        if act is None:
-            self.log.error("a second final answer was held back", act=act_id, outcome=outcome)
-            return
-        self._ended(act, outcome, body)
-        self._withdraw(act)
-        for exchange, _ in act.waiting:
-            exchange.answer(outcome, body or b"", retry_after, why, act.id)
-
-    # Deadlines.
-    def _arm(self):
-        due = self.pending.next_due()
-        if due is None or self.due_timer is not None and self.due_at <= due:
-            return
-        if self.due_timer is not None:
-            self.due_timer.cancel()
-        self.due_at = due
-        self.due_timer = self.clock.at(due, self._due)
-
-    def _due(self):
-        self.due_timer = None
-        for act, late, whole in self.pending.overdue(self.now()):
-            if whole:
-                self.submit(self._out_of_time, act.id)
-            for exchange in late:
-                exchange.answer(ABORTED, why="the first try still runs", act=act.id)
-        self._arm()
-
-    def _out_of_time(self, act_id):
-        """Its sends time out, of which the module makes an answer; if it does not, there is one all the
-        same."""
-        act = self.pending.acts.get(act_id)
-        if act is None:
-            return
-        for n in sorted(act.out):
-            self.links[self.sends_in_flight[act_id, n]].late(act_id, n)
-        self.submit(self._overdue, act_id)
-
-    def _overdue(self, act_id):
-        if act_id in self.pending.acts:
-            self.pending.counts["overdue"] += 1
-            self.log.error("overdue", act=act_id, sends=self.pending.acts[act_id].sends)
-            self._finish(act_id, ABORTED, why="out of time")
-            self.brain.left(self.now(), act_id)
+    def _client_left(self, act_id: str, exchange: Exchange) -> None:
+        self.activations.client_left(act_id, exchange)
 
     # From the links.
-    def send_ended(self, act_id, n, worker, code, note, body, at, gauge):
+    def send_ended(
+        self,
+        act_id: str,
+        attempt: int,
+        worker: str,
+        code: str,
+        note: int,
+        body: bytes,
+        sent_at: int,
+        gauge: dict[str, float] | None,
+    ) -> None:
+        """A send has ended with a `code` of `ports`; `gauge`: the worker's load report, if it sent one."""
         now = self.now()
-        self.sends_in_flight.pop((act_id, n), None)
-        owed = self.pending.acts.get(act_id)
-        owing = self.pending.returned(act_id, n)
-        if owing and code == ports.COMPLETED:
-            self._finish(act_id, COMPLETED, body)
+        self.links.in_flight.pop((act_id, attempt), None)
+        act = self.activations.send_ended(act_id, attempt, code, body)
         if code == ports.COMPLETED and self.intake.damps:
             self.intake.storms.ran(now, note not in (0, ports.FOUND_WARM))
-        if owed is not None and (self.forecasts is not None or self.record_execution is not None):
-            self._learn(now, owed, worker, code, note, now - at)
+        if act is not None and (self.forecasts is not None or self.record_execution is not None):
+            self._learn(now, act, worker, code, note, now - sent_at)
         self.events.touched.add(act_id)
-        self.brain.answer(
-            now, act_id, n, worker, code, note, act_id not in self.pending.acts, now - at, gauge
-        )
+        has_ended = act_id not in self.pending.acts
+        self.brain.answer(now, act_id, attempt, worker, code, note, has_ended, now - sent_at, gauge)
 
-    def _learn(self, now, owed, worker, code, note, took):
-        """What the history and the forecasts learn from a send's end."""
+    def _learn(self, now: int, act: PendingActivation, worker: str, code: str, note: int, took: int) -> None:
+        """What the history and the forecasts learn from the end of a send."""
         warm = note in (0, ports.FOUND_WARM)
         if self.forecasts is not None:
             if code == ports.COMPLETED:
-                self.forecasts.send_completed(now, owed.fn, worker, warm, took)
+                self.forecasts.send_completed(now, act.fn, worker, warm, took)
             elif code == ports.MISSING:
-                self.forecasts.copy_missing(now, owed.fn, worker)
+                self.forecasts.copy_missing(now, act.fn, worker)
         if self.record_execution is not None and code == ports.COMPLETED:
             self.record_execution(
                 self.clock.steady_wall(),
-                owed.fn,
-                owed.customer,
+                act.fn,
+                act.customer,
                 self.terms.zone,
                 note & 3,
-                now - took - owed.came,
+                now - took - act.came,
                 took,
                 0 if warm else took,
             )
 
-    def load_order_ended(self, worker, fn, code, copies):
+    def transmit(self, link: WorkerLink, act: PendingActivation, attempt: int, time_left: int) -> None:
+        """Hands a send to a link."""
+        mark = f"{act.key[0]}/{act.key[1]}"
+        link.run(act.id, attempt, act.fn, mark, time_left, act.lanes, act.body)
+
+    def may_send_order(self, given: int) -> bool:
+        """Whether a load order that was given at `given` may leave now."""
+        return not hasattr(self.brain, "leaves") or bool(self.brain.leaves(self.now(), given))
+
+    def order_not_sent(self, given: int) -> None:
+        """A load order that was given at `given` will never leave."""
+        if hasattr(self.brain, "stays"):
+            self.brain.stays(self.now(), given)
+
+    def load_order_ended(self, worker: str, function: str, code: str, copies: int) -> None:
+        """A load order has ended; the worker has so many copies."""
         if self.forecasts is not None:
-            self.forecasts.order_ended(self.now(), fn, worker, code == ports.COMPLETED)
-        self.brain.stands(self.now(), worker, fn, code, copies)
+            self.forecasts.order_ended(self.now(), function, worker, code == ports.COMPLETED)
+        self.brain.stands(self.now(), worker, function, code, copies)
 
-    def health_check_ended(self, worker, code, gauge):
+    def health_check_ended(self, worker: str, code: str, gauge: dict[str, float] | None) -> None:
+        """A health check has ended."""
         self.brain.probed(self.now(), worker, code, gauge)
 
-    def endpoints_changed(self, entries, leaving, whole):
+    def timer_fired(self, mark: str) -> None:
+        """A time has passed that the module waited for."""
+        self.brain.ring(self.now(), mark)
+
+    # From the endpoint list.
+    def endpoints_changed(self, entries: list[Listed], leaving: list[str], whole: bool) -> None:
+        """Workers have changed; `leaving` drain or are gone, `whole`: `entries` are all there are."""
         self.submit(self._endpoints_changed, entries, leaving, whole)
 
-    def _endpoints_changed(self, entries, leaving, whole):
+    def _endpoints_changed(self, entries: list[Listed], leaving: list[str], whole: bool) -> None:
         self.links.drain(leaving)
         self.links.connect(entries, self.membership)
         self.brain.listed(self.now(), entries, whole)
         self.links.release_unused(self.membership.members)
 
-    # The module's outlet.
-    def send(self, act, worker, limit):
-        self.events.touched.add(act)
-        owed = self.pending.acts.get(act)
-        n = self.pending.sent(act)
-        if n is None:
-            self.log.error("a send after the final answer was held back", act=act, worker=worker)
-            return
-        now, link = self.now(), self.links.get(worker)
-        if link is None or not self.membership.is_usable(worker) or not self._warm_enough(worker, now):
-            self.counts["refused_by_guard"] += 1
-            self.submit(self.send_ended, act, n, worker, ports.NOT_SENT, 0, b"", now, None)
-            return
-        if self.repeats is not None:
-            if not n:
-                self.repeats.earn()
-            # more are sent again than first: what fails is not helped by more
-            elif not self.repeats.spend():
-                self.counts["over_budget"] += 1
-                self.submit(self.send_ended, act, n, worker, ports.NOT_SENT, 0, b"", now, None)
-                return
-        self.counts["sends"] += 1
-        self.sends_in_flight[act, n] = worker
-        self._hand(link, owed, n, owed.due - now)
-
-    def _hand(self, link, owed, n, left):
-        link.run(owed.id, n, owed.fn, f"{owed.key[0]}/{owed.key[1]}", left, owed.lanes, owed.body)
-
-    def _warm_enough(self, worker, now):
-        if self.returning is None or now >= self.returning.cold_from:
-            return True
-        booted = self.membership.members[worker].booted
-        return self.returning.may_send(now, bool(booted) and now - booted < self.terms.guarantees.cold)
-
-    def reject(self, act, retry_after):
-        self.events.touched.add(act)
-        owed = self.pending.acts.get(act)
-        wait = (
-            self.intake.come_back(self.now(), *owed.key, retry_after)
-            if retry_after and owed is not None
-            else 0
-        )
-        self._finish(act, REJECTED, retry_after=wait)
-
-    def abort(self, act):
-        self.events.touched.add(act)
-        self._finish(act, ABORTED)
-
-    def cancel(self, act, n):
-        link = self.links.get(self.sends_in_flight.get((act, n)))
-        if link is not None:
-            link.cancel(act, n)
-
-    def hold(self, worker, fn, copies):
-        link, rule = self.links.get(worker), self.rule(fn)
-        if link is None or self.retired or not self.membership.is_usable(worker):
-            self.counts["refused_by_guard"] += 1
-            self.order_not_sent(self.now())
-            self.submit(self.load_order_ended, worker, fn, ports.NOT_SENT, 0)
-            return
-        if not self._order_recorded(worker, fn, copies):
-            self.order_not_sent(self.now())
-            self.submit(self.load_order_ended, worker, fn, ports.NOT_SENT, 0)
-            return
-        self.counts["orders"] += 1
-        link.hold(fn, rule.lanes, copies)
-
-    def _order_recorded(self, worker, fn, copies):
-        """Whether a load order may go out: it counts against the next life's ration, so it is in the log
-        before."""
-        if self.state is None:
-            return True
-        self.state.add(LoadOrdered(self.record_time(), worker, fn, copies))
-        if not self.state.flush():
-            return False
-        self.state_recovery.recent_orders.add(self.now(), worker, fn, copies)
-        return True
-
-    def may_send_order(self, given):
-        """A link: an order that was given at `given` (ns) is about to leave. Whether it may."""
-        return not hasattr(self.brain, "leaves") or self.brain.leaves(self.now(), given)
-
-    def order_not_sent(self, given):
-        """A link: it never will."""
-        if hasattr(self.brain, "stays"):
-            self.brain.stays(self.now(), given)
-
-    def probe(self, worker):
-        self.counts["probes"] += 1
-        if worker in self.links:
-            self.links[worker].probe()
-        else:
-            self.submit(self.health_check_ended, worker, ports.NO_CONNECTION, None)
-
-    def wake(self, mark, wait):
-        self.clock.at(self.now() + wait, self.submit, self._ring, mark)
-
-    def _ring(self, mark):
-        self.brain.ring(self.now(), mark)
+    def endpoint_list_lost(self) -> None:
+        """Nothing is heard of the list of workers any more; the last one stays in use."""
+        self.submit(self._endpoint_list_lost)
 
-    def subscribe(self):
-        """The roster pushes: there is nothing to ask for."""
+    def _endpoint_list_lost(self) -> None:
+        self.brain.list_lost(self.now())
 
-    def figures(self):
+    def figures(self) -> dict[str, Any]:
         """What is counted, for logs and tests."""
-        return {**self.pending.counts, **self.counts, **self.intake.figures()}
+        return {**self.pending.counts, **asdict(self.outlet.counts), **self.intake.figures()}
--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -1,184 +1,200 @@
-"""The running dispatcher: the core on a loop, with its links to workers and the roster, its fronts, its
-end."""
+"""The running dispatcher: the core on an event loop, with its links, roster, fronts and folders."""
 
 import asyncio
 import gc
 import pathlib
+from collections.abc import Callable
 from random import Random
+from typing import Any
 
 from petrelwood.brain import Brain
 from petrelwood.clocks import LoopClock
 from petrelwood.decide.delivery import recovery
 from petrelwood.dispatch.core import Core
 from petrelwood.dispatch.forecast_storage import ForecastStorage
+from petrelwood.dispatch.interfaces import Logger
+from petrelwood.dispatch.worker_links import Address
 from petrelwood.links.roster import RosterLink
 from petrelwood.links.worker import WorkerLink
+from petrelwood.ports import Listed
+from petrelwood.settings.gateway import Gateway
 from petrelwood.store.history import History
 from petrelwood.store.state_log import StateLog
 
-CHECK = 0.05  # seconds between looks at links and lines that are not at rest
-LEARNT = 20  # functions whose forecasts are learnt at each look: about a twentieth of a core
-RENEW = 5_000_000_000  # ns between looks at certificates
+CHECK_INTERVAL = 0.05  # seconds between checks of links and lines that are not at rest
+DRAIN_CHECK_INTERVAL = CHECK_INTERVAL / 5  # seconds
+LEARNT_PER_CHECK = 20  # functions whose forecasts are learnt: about a twentieth of a core
+RENEWAL_INTERVAL = 5_000_000_000  # ns between looks at certificates
+ROSTER_TIMEOUTS = 4  # connect timeouts until a roster that does not answer is given up
+BOOT_ID = pathlib.Path("/proc/sys/kernel/random/boot_id")
 
 
-def boot():
-    """What names this start of the machine; "" where the system does not tell."""
+def machine_boot_id() -> str:
+    """What names this start of the machine; empty where the system does not tell."""
     try:
-        return pathlib.Path("/proc/sys/kernel/random/boot_id").read_text().strip()
+        return BOOT_ID.read_text().strip()
     except OSError:
         return ""
 
 
 class Dispatcher(Core):
-    """One dispatcher on the running loop."""
-
-    slices = True
-
-    def __init__(self, gateway, log, brain=Brain, follows=False):
-        """`follows`: another process still has the folders; `open_state` and `open_history` come later."""
-        self.busy, self.checks, self.fronts, self.loop = {}, None, [], asyncio.get_running_loop()
-        super().__init__(gateway, LoopClock(), Random(gateway.seed), self._link, log, brain)
-        self.syncing = False
+    """One dispatcher on the running loop.
+
+    `follows`: another process still has the folders; `open_state` and `open_history` are called later.
+    """
+
+    learns_in_slices = True
+
+    def __init__(
+        self, gateway: Gateway, log: Logger, brain: Callable[..., Any] = Brain, follows: bool = False
+    ) -> None:
+        self.loop = asyncio.get_running_loop()
+        self.busy: dict[WorkerLink, bool] = {}  # links that are not at rest
+        self.fronts: list[Any] = []
+        self.checks: asyncio.TimerHandle | None = None
+        super().__init__(gateway, LoopClock(), Random(gateway.seed), self._make_link, log, brain)
+        self.history: History | None = None
+        self.history_has_stopped = False
+        self.forecast_storage: ForecastStorage | None = None
+        roster_timeout = ROSTER_TIMEOUTS * gateway.workers.connect_within
+        self.roster = RosterLink(gateway.roster, self.membership, roster_timeout, self, log)
+        self.endpoints_known = asyncio.Event()
+        self.renew_at = self.now() + RENEWAL_INTERVAL
+        mqtt_identity = gateway.mqtt.tls if gateway.mqtt is not None else None
+        identities: list[Any] = [gateway.tls, gateway.worker_tls, mqtt_identity]
+        self.identities = [identity for identity in identities if identity]
         if not follows:
             self.open_state()
-        self.roster = RosterLink(
-            gateway.roster, self.membership, 4 * gateway.workers.connect_within, self, log
-        )
-        self.history = None
-        self.forecast_storage = None
-        if not follows:
             self.open_history()
-        self.endpoints_known, self.renew_at = asyncio.Event(), self.now() + RENEW
-        self.identities = [
-            tls for tls in (gateway.tls, gateway.worker_tls, gateway.mqtt and gateway.mqtt.tls) if tls
-        ]
-
-    # State on the disk, where a record counts only once it is there.
-    def sync_soon(self):
-        """One sync at a time, in a thread; what comes meanwhile is the next one's."""
-        if self.syncing or not self.unkept:
-            return
-        self.syncing, acts = True, list(self.unkept)
-        self.state.flush()
-        self.sync_state(lambda durable: self._synced(acts, durable))
 
-    def _synced(self, acts, durable):
-        try:
-            self.kept(acts, durable and self.state.stopped is None)
-        finally:
-            self.syncing = False
-            self.sync_soon()
+    def _make_link(self, worker: str, address: Address | None, core: Core) -> WorkerLink:
+        return WorkerLink(
+            worker, address, self.gateway.workers, self.chance.random, core, self.log, self.gateway.worker_tls
+        )
 
-    def sync_state(self, done):
-        """In a thread: the loop goes on meanwhile."""
+    # Folders.
+    def sync_state(self, done: Callable[[bool], object]) -> None:
+        """Syncs the log of state in a thread, then calls `done(durable)`; the loop goes on meanwhile."""
+        if self.durable_state is None:
+            return
 
-        def ended(future):
+        def _report(future: asyncio.Future[bool]) -> None:
             durable = not future.cancelled() and future.exception() is None and future.result()
             self.submit(done, durable)
 
-        self.loop.run_in_executor(None, self.state.sync_task()).add_done_callback(ended)
+        sync = self.durable_state.log.sync_task()
+        self.loop.run_in_executor(None, sync).add_done_callback(_report)
+
+    def open_state(self, predecessor_runs: bool = False) -> None:
+        """Goes on from the log of state. Raises `store.errors.StateUnreadableError`.
 
-    def open_state(self, elsewhere=False):
-        """Raises `store.errors.StateUnreadableError` where the folder holds what this build can't read."""
-        terms, longest = self.gateway.state, max(self.gateway.remember.values()) + 2 * self.gateway.tolerance
+        `predecessor_runs`: the process before still finishes what it has in flight.
+        """
+        terms = self.gateway.state
         if terms is None:
             return
-        mark = recovery.boot_mark(boot(), self.record_epoch)
+        longest = max(self.gateway.remember.values()) + 2 * self.gateway.tolerance
+        mark = recovery.boot_mark(machine_boot_id(), self.record_epoch)
         # hundreds of thousands of records are made, and all of them stay
         gc.disable()
         try:
-            self.adopt(
-                StateLog(
-                    terms.folder, self.record_time(), mark, longest, terms.durability, now=self.clock.now
-                ),
-                elsewhere,
+            log = StateLog(
+                terms.folder, self.record_time(), mark, longest, terms.durability, now=self.clock.now
             )
+            self.adopt(log, predecessor_runs)
         finally:
             gc.enable()
 
-    def open_history(self):
+    def open_history(self) -> None:
+        """Opens the history of executions, and the storage of forecasts beside it."""
         terms = self.gateway.history
         if terms is None:
             return
         self.history = History(terms.folder, terms.most, terms.keep)
-        self.record_execution, self.told_stop = self.history.note, False
+        self.record_execution = self.history.note
         if self.forecasts is not None:
             self.forecast_storage = ForecastStorage(
                 terms.folder, self.forecasts, self.clock, self.loop, self.log
             )
 
-    def _link(self, worker, address, core):
-        return WorkerLink(
-            worker, address, self.gateway.workers, self.chance.random, core, self.log, self.gateway.worker_tls
-        )
-
-    async def sleep_until(self, when):
-        await asyncio.sleep(max(0, when - self.now()) / 1e9)
-
-    def open(self):
+    # While it runs.
+    def open(self) -> None:
+        """Begins to hear of workers, and to check what is not at rest."""
         self.roster.open()
-        self.checks = self.loop.call_later(CHECK, self._check)
+        self.checks = self.loop.call_later(CHECK_INTERVAL, self._check)
 
-    def _check(self):
-        self.checks = self.loop.call_later(CHECK, self._check)
+    def _check(self) -> None:
+        self.checks = self.loop.call_later(CHECK_INTERVAL, self._check)
         now = self.now()
         for link in list(self.busy):
             if not link.check(now):
                 self.busy.pop(link, None)
         for front in self.fronts:
             front.check(now)
-        if self.forecasts is not None:
-            if not self.forecasts.learn(LEARNT) and self.forecast_storage is not None:
-                self.forecast_storage.step(now)
+        has_learnt = self.forecasts is None or not self.forecasts.learn(LEARNT_PER_CHECK)
+        if has_learnt and self.forecast_storage is not None:
+            self.forecast_storage.step(now)
         if now >= self.renew_at:
-            self.renew_at = now + RENEW
-            for tls in self.identities:
-                tls.renew(self.log)
-            if self.history is not None:
-                self.history.flush()
-                if self.forecast_storage is not None:
-                    self.forecast_storage.flush()
-                self._report_history()
+            self.renew_at = now + RENEWAL_INTERVAL
+            self._renew()
         if self.membership.is_newly_lost(now):
-            self.log.warning("the list of workers is lost")
+            self.log.warning("endpoint list lost")
             self.roster.drop()
             self.endpoint_list_lost()
 
-    def _report_history(self):
+    def _renew(self) -> None:
+        """Reads certificates that have changed, and writes what people read."""
+        for identity in self.identities:
+            identity.renew(self.log)
+        if self.forecast_storage is not None:
+            self.forecast_storage.flush()
+        if self.history is not None:
+            self.history.flush()
+            self._report_history(self.history)
+
+    def _report_history(self, history: History) -> None:
         """Logs when the history stops, and when it goes on again."""
-        if self.history.stopped and not self.told_stop:
-            self.log.warning("history stopped; dispatching goes on", why=self.history.stopped)
-        elif self.told_stop and not self.history.stopped:
-            self.log.info("history recovered", lost=self.history.lost)
-        self.told_stop = bool(self.history.stopped)
+        if history.stopped and not self.history_has_stopped:
+            self.log.warning("history stopped; dispatching goes on", why=history.stopped)
+        elif self.history_has_stopped and not history.stopped:
+            self.log.info("history recovered", lost=history.lost)
+        self.history_has_stopped = bool(history.stopped)
+
+    async def sleep_until(self, when: int) -> None:
+        """Waits for a time of the monotonic clock."""
+        await asyncio.sleep(max(0, when - self.now()) / 1e9)
 
-    def storm_changed(self, name, on):
+    def storm_changed(self, name: str, on: bool) -> None:
+        """Tells the fronts of a symptom that has begun or ended."""
         for front in self.fronts:
             front.storm_changed(name, on)
 
-    def active(self, link):
+    def active(self, link: WorkerLink) -> None:
+        """A link is not at rest any more."""
         self.busy[link] = True
 
-    def endpoints_changed(self, entries, leaving, whole):
+    def endpoints_changed(self, entries: list[Listed], leaving: list[str], whole: bool) -> None:
+        """Workers have changed."""
         super().endpoints_changed(entries, leaving, whole)
         self.endpoints_known.set()
 
     # The end.
-    async def close(self):
-        """Takes nothing new, answers all that is owed, and ends."""
+    async def close(self) -> None:
+        """Admits nothing new, answers all that is in flight, and ends."""
         self.intake.closing = True
         for front in self.fronts:
             front.stop()
         while self.pending.acts or not all(front.quiet() for front in self.fronts):
-            await asyncio.sleep(CHECK / 5)
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL)
         for front in self.fronts:
             front.close_idle()
         self.roster.close()
-        self.checks.cancel()
+        if self.checks is not None:
+            self.checks.cancel()
         if self.history is not None:
             self.history.close()
-        if self.state is not None:
-            self.state.close(self.record_time())
+        if self.durable_state is not None:
+            self.durable_state.log.close(self.record_time())
         if self.forecast_storage is not None:
             self.forecast_storage.close()
-        await asyncio.sleep(CHECK)
+        await asyncio.sleep(CHECK_INTERVAL)
--- a/petrelwood/dispatch/handover/predecessor.py
+++ b/petrelwood/dispatch/handover/predecessor.py
@@ -146,9 +146,9 @@
         if not isinstance(hello, Hello):
             return "it did not greet"
         is_busy = self.machine.is_busy()
-        state = self.core.state
+        state = self.core.durable_state
         # what the successor must read: the newest format that stands in the folder
-        state_format = PLAIN_FORMAT if state is None else state.format
+        state_format = PLAIN_FORMAT if state is None else state.log.format
         return handover.rejection_reason(hello.request, self.core.name, state_format, is_busy)
 
     async def _handle(self, channel: Channel, message: Message) -> None:
--- a/petrelwood/dispatch/handover/successor.py
+++ b/petrelwood/dispatch/handover/successor.py
@@ -112,7 +112,7 @@
         """
         self.on_failure = on_failure
         self.last_check = core.now()
-        core.may_be_superseded = self._may_be_superseded
+        core.handover.may_be_superseded = self._may_be_superseded
         outcomes = self.loop.create_task(self._receive_outcomes(core, log))
         try:
             await self.channel.send(Owns())
--- a/petrelwood/dispatch/health.py
+++ b/petrelwood/dispatch/health.py
@@ -47,7 +47,7 @@
             good=core.recent_answers.completed.sum(now),
             bad=core.recent_answers.failed.sum(now),
             stalled=self.stalls.sum(now),
-            keeps=core.state is None or core.state.stopped is None,
+            keeps=core.durable_state is None or core.durable_state.log.stopped is None,
         )
 
     def _note_stall(self, now: int) -> None:
@@ -67,7 +67,7 @@
 
     def send_now(self) -> None:
         """Sends a heartbeat out of turn, as at the beginning of a graceful shutdown."""
-        if not self.core.retired:
+        if not self.core.handover.retired:
             self.sender.send(self.report())
 
     def close(self) -> None:
--- a/petrelwood/dispatch/interfaces.py
+++ b/petrelwood/dispatch/interfaces.py
@@ -45,3 +45,19 @@
 
 RandomFraction = Callable[[], float]
 """Draws a number in [0, 1)."""
+
+
+class Rule(Protocol):
+    """What is known of a function: `settings.gateway.FunctionRule`, or what a request says of it."""
+
+    @property
+    def lanes(self) -> int:
+        """Activations that one copy runs at a time."""
+
+    @property
+    def load_time(self) -> int:
+        """The usual time of a load in ns; 0: not known."""
+
+    @property
+    def work(self) -> int:
+        """The usual work of an activation in ns; 0: not known."""
--- a/petrelwood/dispatch/load_forecasts.py
+++ b/petrelwood/dispatch/load_forecasts.py
@@ -7,8 +7,8 @@
 from petrelwood.decide.forecasting.forecast import Calendar
 from petrelwood.decide.forecasting.planner import Prices
 from petrelwood.decide.forecasting.prefetch import EarlyLoads
-from petrelwood.dispatch.interfaces import Clock
-from petrelwood.settings.gateway import EarlyTerms, FunctionRule
+from petrelwood.dispatch.interfaces import Clock, Rule
+from petrelwood.settings.gateway import EarlyTerms
 
 UNLIMITED_ORDERS = 1e9  # of one slot, where load orders have no ration
 
@@ -53,7 +53,7 @@
         """Orders the loads that pay off in the next slot."""
         self.early.turn(self.clock.now(), self.clock.steady_wall(), self.orders_per_slot)
 
-    def activation_admitted(self, now: int, function: str, rule: FunctionRule, type_: str) -> None:
+    def activation_admitted(self, now: int, function: str, rule: Rule, type_: str) -> None:
         """A call has come."""
         self.early.called(now, self.clock.steady_wall(), function, rule.lanes, rule.load_time, type_)
 
--- a/petrelwood/dispatch/serve.py
+++ b/petrelwood/dispatch/serve.py
@@ -71,12 +71,11 @@
 
     def _make_rollout(self, gateway: Gateway) -> Rollout:
         dwell = dwell_for(self.own.configuration.within) if self.own.configuration else DWELL
-        rollout = (
+        return (
             Rollout.from_state(gateway.name, self.options.rollout_state, dwell=dwell)
             if self.options.rollout_state
             else Rollout(gateway.name, 0, dwell=dwell)
         )
-        return rollout
 
     def _start(self, work: Coroutine[object, object, None]) -> None:
         self.tasks.append(self.core.loop.create_task(work))
@@ -147,9 +146,9 @@
         self.core.fronts.append(self.front)
         if self.successor is not None:
             await self.successor.take_over(self.core.now)
-            self.core.open_state(elsewhere=True)
+            self.core.open_state(predecessor_runs=True)
             host, port = self.front.follow(self.successor.listeners)
-            self.core.on_answer = self.successor.machine.record_answer
+            self.core.handover.on_answer = self.successor.machine.record_answer
             self._start(self._follow(self.successor))
         else:
             host, port = self.front.open(self.gateway.listen)
@@ -231,16 +230,16 @@
         """Until the predecessor is gone; then this process has all."""
         await successor.follow(self.core, self.log, lambda: self._hand_back(successor))
         if self.failed is None:
-            self.core.on_answer = None
-            self.core.may_be_superseded = None
+            self.core.handover.on_answer = None
+            self.core.handover.may_be_superseded = None
             self.core.open_history()
             self._open_exclusive()
 
     def _hand_back(self, successor: SuccessorProcess) -> None:
         self.failed = successor.machine.reason
         self.front.pause()
-        if self.core.state is not None:
-            self.core.state.flush()
+        if self.core.durable_state is not None:
+            self.core.durable_state.log.flush()
         self._start(self._give_back_and_end(successor, successor.machine.reason))
 
     async def _give_back_and_end(self, successor: SuccessorProcess, why: str) -> None:
--- a/petrelwood/dispatch/state_recovery.py
+++ b/petrelwood/dispatch/state_recovery.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterator
 from itertools import islice
-from typing import Any
+from typing import TYPE_CHECKING
 
 from petrelwood.decide.delivery.state_rewrite import (
     MILLISECOND,
@@ -18,16 +18,21 @@
     forgotten_record,
 )
 
+if TYPE_CHECKING:
+    from petrelwood.dispatch.durable_state import DurableState
+
 SLICE = 250  # ids that are written before the loop goes on
 PAUSE = 4 * MILLISECOND  # between two slices
 LONGEST_BODY = 4096  # bytes of an answer that is kept for a retry after a restart
 
 
 class StateRecovery:
-    """The recovery of one dispatcher's state log. `core`: `dispatch.core.Core`, whose `state` it recovers."""
+    """The recovery of the log of one dispatcher's durable state."""
 
-    def __init__(self, core: Any) -> None:
-        self.core = core
+    def __init__(self, durable_state: "DurableState") -> None:
+        self.durable_state = durable_state
+        self.core = durable_state.core
+        core = self.core
         self.schedule = RecoverySchedule(core.chance.random)
         self.recent_orders = RecentOrders(core.terms.orders.period)
         self.unwritten: Iterator[tuple[str, str]] | None = None  # ids that wait for their slice
@@ -35,7 +40,7 @@
 
     def check(self) -> None:
         """Called a few times a second: notices a failure, and begins the log anew when that is due."""
-        state, now = self.core.state, self.core.now()
+        state, now = self.durable_state.log, self.core.now()
         if state.stopped is None or self.unwritten is not None and not state.failed:
             return
         if not self.schedule.in_outage or self.unwritten is not None:
@@ -51,7 +56,7 @@
     def _failed(self, now: int) -> None:
         first = not self.schedule.in_outage
         self.unwritten = None
-        cause = self.core.state.stopped
+        cause = self.durable_state.log.stopped or ""
         delay = self.schedule.failed(now, cause)
         self.core.clock.at(now + delay, self.core.submit, self.check)
         if first:
@@ -71,57 +76,59 @@
 
     def _attempt(self, now: int) -> None:
         core = self.core
-        reopened = core.state.reopen(core.record_time())
-        if core.state.found:
+        reopened = self.durable_state.log.reopen(core.record_time())
+        if self.durable_state.log.found:
             # another process had taken over, and what it wrote could not be read until now
-            core.adopt(core.state)
+            self.durable_state.adopt(self.durable_state.log)
         if not reopened:
             self._failed(now)
             return
-        self.unwritten = iter(list(core.ledger.entries))
+        self.unwritten = iter(list(self.durable_state.ledger.entries))
         forgotten = forgotten_record(
-            core.ledger.newest_forgotten,
+            self.durable_state.ledger.newest_forgotten,
             core.record_time(),
             core.terms.types,
             core.gateway.remember,
             core.gateway.tolerance,
         )
         if forgotten is not None:
-            core.state.add(forgotten)
+            self.durable_state.log.add(forgotten)
         core.submit(self._write_slice)
 
     def _write_slice(self) -> None:
-        core, now, wall = self.core, self.core.now(), self.core.record_time()
-        if self.unwritten is None or core.state.failed:
+        core = self.core
+        now = core.now()
+        wall = core.record_time()
+        if self.unwritten is None or self.durable_state.log.failed:
             return
         keys = list(islice(self.unwritten, SLICE))
         for key in keys:
-            entry = core.ledger.entries.get(key)
+            entry = self.durable_state.ledger.entries.get(key)
             if entry is None:
                 continue
             for record in entry_records(key, entry, now, wall, core.gateway.remember, LONGEST_BODY):
-                core.state.add(record)
+                self.durable_state.log.add(record)
         if keys:
-            core.state.flush()
+            self.durable_state.log.flush()
             core.clock.at(now + PAUSE, core.submit, self._write_slice)
             return
         for record in self.recent_orders.records(now, wall):
-            core.state.add(record)
-        core.state.add(self.schedule.outage_record(now, wall))
-        core.state.flush()
+            self.durable_state.log.add(record)
+        self.durable_state.log.add(self.schedule.outage_record(now, wall))
+        self.durable_state.log.flush()
         core.sync_state(self._synced)
 
     def _synced(self, durable: bool) -> None:
-        if not durable or self.unwritten is None or self.core.state.failed:
+        if not durable or self.unwritten is None or self.durable_state.log.failed:
             return  # `check` sees to it
         self.unwritten = None
-        self.core.state.resume()
+        self.durable_state.log.resume()
         attempts = self.schedule.attempts
         lasted = self.schedule.recovered(self.core.now())
         self.core.log.warning(
             "state log recovered",
             after=round(lasted / 1e9, 2),
             attempts=attempts,
-            ids=len(self.core.ledger.entries),
+            ids=len(self.durable_state.ledger.entries),
             rejected=self.rejected,
         )
--- a/petrelwood/dispatch/worker_links.py
+++ b/petrelwood/dispatch/worker_links.py
@@ -7,6 +7,8 @@
 from petrelwood.ports import Listed
 
 Address = tuple[str, int]
+Send = tuple[str, int]
+"""The id of an activation, and the number of one of its sends."""
 
 
 class WorkerLink(Protocol):
@@ -18,6 +20,11 @@
 
     address: Address
 
+    def run(
+        self, activation: str, attempt: int, function: str, mark: str, left: int, lanes: int, body: bytes
+    ) -> object:
+        """Sends an activation; `mark`: what the worker tells repeats by, `left`: ns until its deadline."""
+
     def hold(self, function: str, lanes: int, copies: int) -> object:
         """Orders the worker to have so many copies of a function."""
 
@@ -49,6 +56,7 @@
     def __init__(self, make_link: Callable[[str, Address | None], WorkerLink]) -> None:
         super().__init__()
         self.make_link = make_link
+        self.in_flight: dict[Send, str] = {}  # the worker of each send that has not ended
 
     def drain(self, workers: Iterable[str]) -> None:
         """These workers drain or are gone: nothing more leaves for them."""
@@ -73,3 +81,29 @@
         unused = [worker for worker, link in self.items() if worker not in members and not link.owes()]
         for worker in unused:
             self.pop(worker).give_up("it has left the list")
+
+    # Sends that are in flight.
+    def withdraw(self, activation: str, attempts: Iterable[int]) -> None:
+        """The activation has ended: a send of it that waits in a link for a connection never leaves.
+
+        Against sends after the end, also where nothing may be cancelled.
+        """
+        for attempt in sorted(attempts):
+            link = self._link_of(activation, attempt)
+            if link is not None:
+                link.withdraw(activation, attempt)
+
+    def time_out(self, activation: str, attempts: Iterable[int]) -> None:
+        """The deadline of the activation has passed."""
+        for attempt in sorted(attempts):
+            self[self.in_flight[activation, attempt]].late(activation, attempt)
+
+    def cancel(self, activation: str, attempt: int) -> None:
+        """Asks the worker to end a send, if it is in flight."""
+        link = self._link_of(activation, attempt)
+        if link is not None:
+            link.cancel(activation, attempt)
+
+    def _link_of(self, activation: str, attempt: int) -> WorkerLink | None:
+        worker = self.in_flight.get((activation, attempt))
+        return None if worker is None else self.get(worker)
--- a/petrelwood/emulate/result.py
+++ b/petrelwood/emulate/result.py
@@ -2,6 +2,7 @@
 between."""
 
 import collections
+from dataclasses import asdict
 
 from petrelwood.decide.forecasting import account
 
@@ -65,7 +66,7 @@
     cores = list(platform.cores.values())
     counts = collections.Counter()
     for core in cores:
-        counts.update(core.counts)
+        counts.update(asdict(core.outlet.counts))
         counts.update({f"pending {k}": v for k, v in core.pending.counts.items()})
     share = [a / b for a, b in windows.values() if b > 0]
     figures = {
--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -51,7 +51,7 @@
         self.front = Front(self, self.room, log)
         self.roster = DnsRoster(gateway.names, self.membership, RosterPolling(self.chance.random), self, log)
 
-    def _stages(self):
+    def _make_stages(self):
         usual = min(t.target_latency for t in self.terms.types.values()) // 4
         return None, CapacityIntake(self.room, usual), None
 
@@ -62,8 +62,8 @@
         """What is known of a function comes with each request."""
         return UNKNOWN
 
-    def _hand(self, link, owed, n, left):
-        link.run(owed, n, left)
+    def transmit(self, link, act, attempt, time_left):
+        link.run(act, attempt, time_left)
 
     def serves(self):
         return self.began and not self.intake.closing
@@ -72,7 +72,7 @@
         """Whether an activation has this id, or a send of one that had it is still out, whose answer would be
         taken for the new one's: also another customer's, as workers know no more of it than the id."""
         return act_id in self.pending.acts or any(
-            (act_id, n) in self.sends_in_flight for n in range(self.terms.allowed.sends)
+            (act_id, n) in self.links.in_flight for n in range(self.terms.allowed.sends)
         )
 
     def may_send(self, act_id, link):
@@ -114,23 +114,21 @@
         self.turns, self.beat = 0, self.now()
         rings, self.rings = self.rings, []
         for mark in rings:
-            self.submit(self._ring, mark)
+            self.submit(self.timer_fired, mark)
         for link in list(self.busy):
             link.pump()
 
-    def _ring(self, mark):
+    def timer_fired(self, mark):
         """What the module makes of time that has passed, it makes once it knows what has come in that
         time."""
         if self.behind():
             self.rings.append(mark)
         else:
-            super()._ring(mark)
+            super().timer_fired(mark)
 
     def answer_due(self, now):
         """What is due is answered before anything new is taken: a turn of the loop may be long."""
-        if self.due_timer is not None and self.due_at <= now:
-            self.due_timer.cancel()
-            self._due()
+        self.activations.answer_due(now)
 
     # Descriptors of links, and their tags.
     def opened(self):
@@ -210,7 +208,7 @@
         if not self.looks % STANDING:
             self.log.info("standing", **self.standing())
         if self.membership.is_newly_lost(now):
-            self.log.warning("the list of workers is lost")
+            self.log.warning("endpoint list lost")
             self.endpoint_list_lost()
 
     def reload(self, gateway):
@@ -284,7 +282,7 @@
         is due."""
         if act_id in self.pending.acts:
             self.brain.cut(self.now(), act_id)
-            self._out_of_time(act_id)
+            self.activations.time_out(act_id)
 
     def figures(self):
         return {
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -9,7 +9,7 @@
 from petrelwood.decide.cluster.membership import ListChange, Membership
 from petrelwood.decide.delivery import send_outcome
 from petrelwood.dispatch import serve
-from petrelwood.dispatch.dispatcher import Dispatcher
+from petrelwood.dispatch.activations import Activations
 from petrelwood.settings import gateway
 
 
@@ -29,7 +29,7 @@
 
     def answer(self, now, act_id, n, worker_id, *rest):
         super().answer(now, act_id, n, worker_id, *rest)
-        core, link = self.out, self.out.links[worker_id]
+        core, link = self.out.core, self.out.links[worker_id]
         core.loop.call_later(1.0, link.run, act_id, n + 1, "applicant-1", "mittelland/late", 10**9, 4, b"{}")
 
 
@@ -58,7 +58,7 @@
 def break_rule(name):
     """The module to run, after the program has been spoilt."""
     if name == "forgets":
-        Dispatcher._overdue = lambda self, act_id: None
+        Activations._abort_overdue = lambda self, act_id: None
         return Drops
     if name == "chases":
         return Chases
--- a/tests/test_always_answered.py
+++ b/tests/test_always_answered.py
@@ -106,7 +106,7 @@
         worker = Worker("s-1")
         async with Inside([], **LONG, familyInfo={"keep": 300_000}) as site:
             site.roster.spoil = silent
-            await site.until(lambda: any("list of workers is lost" in line for line in site.log))
+            await site.until(lambda: any("endpoint list lost" in line for line in site.log))
             client = Caller(site.address)
             early = client.call(ask(fn=1, ttl=600))
             self.assertEqual(await word(site, client, early), "Throttled")
@@ -146,7 +146,7 @@
         forgets its workers when the list is lost."""
         async with Inside([Worker("s-1")], **LONG, familyInfo={"keep": 300_000}) as site:
             site.roster.spoil = silent
-            await site.until(lambda: any("list of workers is lost" in line for line in site.log))
+            await site.until(lambda: any("endpoint list lost" in line for line in site.log))
             client = Caller(site.address)
             for _ in range(3):
                 self.assertEqual(await word(site, client, client.call(ask(fn=1, ttl=30_000))), "completed")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -386,7 +386,7 @@
                         any(
                             line.open and line.stream.writing()
                             for line in site.node.links["s-1"].lines
-                            if site.node.sends_in_flight
+                            if site.node.links.in_flight
                         )
                         if site.node.links
                         else False
@@ -411,13 +411,13 @@
         ) as site:
             node, client = site.node, Caller(site.address)
             number = client.call(fields := ask(fn=1, ttl=3900))
-            await site.until(lambda: node.sends_in_flight)
-            (act, n), worker = next(iter(node.sends_in_flight.items()))
+            await site.until(lambda: node.links.in_flight)
+            (act, n), worker = next(iter(node.links.in_flight.items()))
             # it went to the narrow one first: the other is its second
             if worker == "s-2":
-                node.submit(node.send, act, "s-1", 0)
+                node.submit(node.outlet.send, act, "s-1", 0)
             else:
-                node.submit(node.send, act, "s-2", 0)
+                node.submit(node.outlet.send, act, "s-2", 0)
             await site.until(slow.runs)
             self.assertTrue(node.links["s-2"].waiting)
             slow.answer(slow.runs()[0])
@@ -427,7 +427,7 @@
             client.call(ask(fn=3, ttl=3900))
             narrow.opens()
             await site.turns()
-            node.submit(node.hold, "s-2", f"{4:016x}", 1)
+            node.submit(node.outlet.hold, "s-2", f"{4:016x}", 1)
             await site.until(narrow.orders)  # the way is open now
             self.assertNotIn(fields["call"], [said["req"] for _, said in narrow.runs()])
             client.close()
@@ -630,7 +630,7 @@
             worker.answer(worker.runs()[0])
             await site.until(two.read)
             self.assertNotEqual(two.answers[number][0], "completed")
-            await site.until(lambda: not site.node.sends_in_flight)
+            await site.until(lambda: not site.node.links.in_flight)
             number = two.call({**fields, "org": "bolt"}, b"of bolt")
             self.assertEqual(await site.second(two, number, worker), ("completed", b"of bolt"))
             two.close()
@@ -849,7 +849,7 @@
             site.roster.tell(loud)
             site.roster.tell(silent, "Gone")
             await site.until(lambda: "s-1" not in site.node.links)
-            self.assertFalse(link.owes() or link.lines or site.node.sends_in_flight)
+            self.assertFalse(link.owes() or link.lines or site.node.links.in_flight)
             # not allowed
             self.assertEqual([said["type"] for _, said in silent.read() if said["type"] == "KILL"], [])
             client = Caller(site.address)
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -137,11 +137,11 @@
     async def test_a_storm_is_told_in_the_log_and_ends_there(self):
         await self.begin(Worker("w1", later(0.01)))
         until = asyncio.get_running_loop().time() + 30
-        while not self.log.said("a storm begins"):
+        while not self.log.said("storm started"):
             self.assertLess(asyncio.get_running_loop().time(), until)
             await asyncio.gather(
                 *(self.caller.call(self.message(id_="same", stamp=self.stamp), 30) for _ in range(10))
             )
-        self.assertIn("repeats", [more["symptom"] for more in self.log.said("a storm begins")])
-        await self.until(lambda: "repeats" in [m["symptom"] for m in self.log.said("a storm is over")], 15)
+        self.assertIn("repeats", [more["symptom"] for more in self.log.said("storm started")])
+        await self.until(lambda: "repeats" in [m["symptom"] for m in self.log.said("storm ended")], 15)
         self.assertFalse(self.core.intake.storms.on("repeats"))
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -155,8 +155,8 @@
             link.give_up("killed")
         core.roster.close()
         core.checks.cancel()
-        if core.due_timer is not None:
-            core.due_timer.cancel()
+        if core.activations.deadline_timer is not None:
+            core.activations.deadline_timer.cancel()
         self.cores.remove(core)
 
     async def asyncTearDown(self):
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -400,7 +400,7 @@
         await self.begin(w := Worker("w1", never), brain=Late)
         with self.assertRaises(asyncio.TimeoutError):
             await self.caller.call(self.message("again-1", "m"), 0.1)
-        await self.until(lambda: self.core.log.said("a send after the final answer was held back"))
+        await self.until(lambda: self.core.log.said("send after the final answer suppressed"))
         self.assertEqual(len(w.runs), 1)
 
 
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -180,8 +180,6 @@
             now=self.clock.now,
             **more,
         )
-        # as `Dispatcher` has it, without the thread
-        self.core.sync_soon = lambda: self.core.kept(list(self.core.unkept), self.state.sync())
         self.core.adopt(self.state)
         self.taken = {}  # what must not run twice and has begun: id -> activation
         self.number = 0
@@ -416,12 +414,12 @@
         self.core.membership.is_usable = lambda worker: True
         held = []
         self.core.load_order_ended = lambda *answer: held.append(answer[2])
-        self.core.hold("w1", "again-1", 2)
+        self.core.outlet.hold("w1", "again-1", 2)
         self.assertEqual(len(sent), 1)
         failing[0] = True
-        self.core.hold("w1", "again-2", 1)
+        self.core.outlet.hold("w1", "again-2", 1)
         self.wait(1)
-        self.core.hold("w1", "again-3", 1)
+        self.core.outlet.hold("w1", "again-3", 1)
         self.assertEqual((len(sent), held), (1, [ports.NOT_SENT] * 2))
         failing[0] = False
         self.wait(2)
@@ -434,7 +432,7 @@
         ]
         self.assertEqual([record[1:] for record in orders], [("w1", "again-1", 2)])
         self.assertLessEqual(abs(orders[0].time - (self.clock.wall() - self.clock.now())), SECOND)
-        self.core.hold("w1", "again-4", 1)
+        self.core.outlet.hold("w1", "again-4", 1)
         self.assertEqual(len(sent), 2)
 
     def test_a_segment_under_an_fsync_is_not_closed(self):
@@ -497,7 +495,7 @@
             self.complete(act)
         for act in acts[4:6]:
             self.core.pending.sent(act)
-            self.core.submit(self.core.abort, act)
+            self.core.submit(self.core.outlet.abort, act)
 
     def snapshot_of(self, folder):
         return {path.name: path.read_bytes() for path in folder.iterdir()}
@@ -587,10 +585,10 @@
             if number % 4 == 1:
                 self.complete(act, b"x" * (10 if number % 8 == 1 else 5000))
             elif number % 4 == 2:
-                self.core.submit(self.core.reject, act, 0)
+                self.core.submit(self.core.outlet.reject, act, 0)
             elif number % 4 == 3:
                 self.core.pending.sent(act)
-                self.core.submit(self.core.abort, act)
+                self.core.submit(self.core.outlet.abort, act)
                 self.wait(0.5)
                 self.number += 5000
                 self.ask(type_, f"m{number + 1}")  # asked again
@@ -755,7 +753,7 @@
             platform = OnFiles(day, seed).run()
             broken = [line for found in rules.judge(platform.case()) for line in found.broken]
             completed = sum(wish.ended == "completed" for wish in platform.clients.wishes)
-            recovered = sum(bool(core.state_recovery.schedule.recovered_at) for _, core in logs)
+            recovered = sum(bool(core.durable_state.state_recovery.schedule.recovered_at) for _, core in logs)
             for log, _ in logs:
                 if log.log is not None:
                     log.log.abandon()
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -119,16 +119,16 @@
                 async with Inside(workers, permissions=CONNECTS) as site:
                     client, node = Caller(site.address), site.node
                     client.call(fields := ask(fn=1, ttl=TTL))
-                    await site.until(lambda node=node: node.sends_in_flight)
-                    (act, _), name = next(iter(node.sends_in_flight.items()))
+                    await site.until(lambda node=node: node.links.in_flight)
+                    (act, _), name = next(iter(node.links.in_flight.items()))
                     first, second = workers if name == "s-1" else workers[::-1]
                     await site.until(first.runs)
                     with late.hold():
                         node.links[second.name].give_up("the test has its connections come up late")
-                        node.submit(node.send, act, second.name, 0)
+                        node.submit(node.outlet.send, act, second.name, 0)
                         if how == "turned away":
                             first.answer(first.runs()[0], type="SHED")
-                            await site.until(lambda node=node, act=act: (act, 0) not in node.sends_in_flight)
+                            await site.until(lambda node=node, act=act: (act, 0) not in node.links.in_flight)
                         await site.until(lambda args=(node, second.name): waits_for_a_connection(*args))
                     jump(node, 1000)
                     late.come_up()
