--- a/petrelwood/dispatch/activations.py
+++ b/petrelwood/dispatch/activations.py
@@ -7,7 +7,7 @@
 
 from typing import TYPE_CHECKING, Protocol
 
-from petrelwood.decide.delivery.ledger import ABORTED, COMPLETED, LEFT, REJECTED
+from petrelwood.decide.delivery.ledger import ActivationState
 from petrelwood.decide.delivery.pending import PendingActivation
 from petrelwood.decide.overload import intake as intake_stage
 from petrelwood.decide.overload.intake import Ask, Verdict
@@ -18,6 +18,12 @@
     from petrelwood.dispatch.core import Core
     from petrelwood.dispatch.durable_state import DurableState
 
+# Looked up once: a member of an enum takes longer to find than a name of the module.
+ABORTED = ActivationState.ABORTED
+CLIENT_LEFT = ActivationState.CLIENT_LEFT
+COMPLETED = ActivationState.COMPLETED
+REJECTED = ActivationState.REJECTED
+
 Key = tuple[str, str]
 """The customer of an activation, and the id that the customer gave it."""
 
@@ -78,7 +84,7 @@
     def _reject_for_outage(self, now: int, key: Key, state: "DurableState", exchange: Exchange) -> None:
         """Its id can't be made durable, and it must not run twice."""
         core = self.core
-        core.known_ids.ended(key, LEFT)
+        core.known_ids.end(key, CLIENT_LEFT)
         retry_after = self.intake.come_back(now, *key, state.reject(now))
         exchange.answer(intake_stage.REFUSE, retry_after=retry_after, why="its id can't be kept now")
 
@@ -119,13 +125,18 @@
     def client_left(self, act_id: str, exchange: Exchange) -> None:
         """A client hung up; the activation ends unless others wait for it, or it has to go on."""
         if self.pending.left(self.now(), act_id, exchange) == "end":
-            act = self.pending.end(self.now(), act_id, LEFT)
-            self._record_end(act, LEFT, None)
+            act = self.pending.end(self.now(), act_id, CLIENT_LEFT)
+            self._record_end(act, CLIENT_LEFT, None)
             self.core.links.withdraw(act.id, act.out)
             self.core.brain.left(self.now(), act_id)
 
     def finish(
-        self, act_id: str, outcome: str, body: bytes | None = None, retry_after: int = 0, why: str = ""
+        self,
+        act_id: str,
+        outcome: ActivationState,
+        body: bytes | None = None,
+        retry_after: int = 0,
+        why: str = "",
     ) -> None:
         """Gives an activation its final answer."""
         act = self.pending.end(self.now(), act_id, outcome, body)
@@ -137,10 +148,10 @@
         for exchange, _ in act.waiting:
             exchange.answer(outcome, body or b"", retry_after, why, act.id)
 
-    def _record_end(self, act: PendingActivation, outcome: str, body: bytes | None) -> None:
+    def _record_end(self, act: PendingActivation, outcome: ActivationState, body: bytes | None) -> None:
         core = self.core
         hooks = core.handover
-        if outcome != LEFT:
+        if outcome != CLIENT_LEFT:
             core.recent_answers.record(self.now(), outcome == COMPLETED)
             if hooks.on_answer is not None:
                 hooks.on_answer(outcome == COMPLETED)
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -16,7 +16,7 @@
 from petrelwood.brain import Brain
 from petrelwood.decide.cluster.completion import CompletionRate
 from petrelwood.decide.cluster.membership import Membership
-from petrelwood.decide.delivery.ledger import ABORTED, COMPLETED, REJECTED, Ledger
+from petrelwood.decide.delivery.ledger import ActivationState, Ledger
 from petrelwood.decide.delivery.pending import PendingActivation, PendingActivations
 from petrelwood.decide.overload.backoff import Budget
 from petrelwood.decide.overload.intake import Ask, Intake
@@ -185,7 +185,8 @@
     def answered(self) -> tuple[int, int]:
         """How many activations have completed, and how many have not, since the start."""
         counts = self.pending.counts
-        return counts[COMPLETED], counts[ABORTED] + counts[REJECTED]
+        failed = counts[ActivationState.ABORTED] + counts[ActivationState.REJECTED]
+        return counts[ActivationState.COMPLETED], failed
 
     def stop_admitting(self, on_end: ActivationEndHandler) -> None:
         """Admits and loads nothing new from now on; `on_end` is called for each activation that ends."""
@@ -204,16 +205,16 @@
         self.handover.on_activation_end = None
 
     def note_predecessor_outcome(
-        self, customer: str, id_: str, outcome: str, sent: bool, body: bytes | None
+        self, customer: str, id_: str, outcome: ActivationState, sent: bool, body: bytes | None
     ) -> None:
         """The predecessor has finished an activation that it had in flight."""
         key = (customer, id_)
-        if self.known_ids.heard(key, outcome, sent, body) and self.durable_state is not None:
+        if self.known_ids.end_elsewhere(key, outcome, sent, body) and self.durable_state is not None:
             self.durable_state.record_ended(key, outcome, sent, body)
 
     def predecessor_gone(self) -> None:
         """The predecessor has ended: the outcomes that it did not send are not known."""
-        self.known_ids.nobody_elsewhere()
+        self.known_ids.abandon_elsewhere()
 
     # Storms, forecasts and settings.
     def _check_storms(self) -> None:
--- a/petrelwood/dispatch/durable_state.py
+++ b/petrelwood/dispatch/durable_state.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from petrelwood.decide.delivery import recovery
-from petrelwood.decide.delivery.ledger import Ledger
+from petrelwood.decide.delivery.ledger import ActivationState, Ledger
 from petrelwood.decide.delivery.pending import PendingActivation
 from petrelwood.decide.delivery.state_records import ActivationEnded, ActivationTaken, LoadOrdered
 from petrelwood.dispatch.state_recovery import StateRecovery
@@ -96,7 +96,7 @@
         """
         core = self.core
         customer, id_ = act.key
-        timestamp = self.ledger.entries[act.key].stamp
+        timestamp = self.ledger.entries[act.key].timestamp
         self.log.add(ActivationTaken(core.record_time(), customer, id_, timestamp, act.type))
         if not recovery.kept_first(core.terms.types[act.type].effect):
             return True
@@ -137,7 +137,9 @@
                 activations.reject(act)
 
     # What ends, and what is ordered.
-    def record_ended(self, key: tuple[str, str], outcome: str, sent: bool, body: bytes | None) -> None:
+    def record_ended(
+        self, key: tuple[str, str], outcome: ActivationState, sent: bool, body: bytes | None
+    ) -> None:
         """Records how an activation ended. `body`: the answer, where it is short enough to be cached."""
         self.log.add(ActivationEnded(self.core.record_time(), *key, outcome, sent, body))
 
--- a/petrelwood/dispatch/handover/hooks.py
+++ b/petrelwood/dispatch/handover/hooks.py
@@ -3,7 +3,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-ActivationEndHandler = Callable[[str, str, str, bool, bytes | None], object]
+from petrelwood.decide.delivery.ledger import ActivationState
+
+ActivationEndHandler = Callable[[str, str, ActivationState, bool, bytes | None], object]
 """Called with the customer, the id, the outcome, whether it was sent, and the answer if it is cached."""
 
 
--- a/petrelwood/dispatch/handover/predecessor.py
+++ b/petrelwood/dispatch/handover/predecessor.py
@@ -14,6 +14,7 @@
 
 from petrelwood.decide.cluster import handover
 from petrelwood.decide.cluster.handover import PredecessorAction, PredecessorPhase
+from petrelwood.decide.delivery.ledger import ActivationState
 from petrelwood.dispatch.errors import HandoverError, HandoverRejectedError
 from petrelwood.dispatch.handover.channel import Channel
 from petrelwood.dispatch.handover.messages import (
@@ -183,7 +184,7 @@
         self.on_hand_over()
 
     def _activation_ended(
-        self, customer: str, id_: str, outcome: str, sent: bool, body: bytes | None
+        self, customer: str, id_: str, outcome: ActivationState, sent: bool, body: bytes | None
     ) -> None:
         self._start(self._send(ActivationEnded(customer, id_, outcome, sent, body)))
 
--- a/petrelwood/dispatch/outlet.py
+++ b/petrelwood/dispatch/outlet.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from petrelwood import ports
-from petrelwood.decide.delivery.ledger import ABORTED, REJECTED
+from petrelwood.decide.delivery.ledger import ActivationState
 from petrelwood.decide.overload.backoff import Budget
 
 if TYPE_CHECKING:
@@ -84,12 +84,12 @@
         if retry_after and activation is not None:
             customer, id_ = activation.key
             wait = core.intake.come_back(self.now(), customer, id_, retry_after)
-        core.activations.finish(act, REJECTED, retry_after=wait)
+        core.activations.finish(act, ActivationState.REJECTED, retry_after=wait)
 
     def abort(self, act: str) -> None:
         """Aborts an activation, which may have run."""
         self.core.events.touched.add(act)
-        self.core.activations.finish(act, ABORTED)
+        self.core.activations.finish(act, ActivationState.ABORTED)
 
     def cancel(self, act: str, n: int) -> None:
         """Asks the worker to end the send number `n` of an activation."""
