--- a/petrelwood/dispatch/durable_state.py
+++ b/petrelwood/dispatch/durable_state.py
@@ -28,7 +28,7 @@
         self.ledger = ledger
         self.log = log
         self.state_recovery = StateRecovery(self)
-        self.restart: recovery.Recovery | None = None  # what still follows from the incarnations before
+        self.restart: recovery.RestartLimits | None = None  # what still follows from the incarnations before
         self.unsynced: dict[str, PendingActivation] = {}  # by id; they begin once their record is synced
         self.syncing = False
 
@@ -42,38 +42,29 @@
         time = core.record_time()
         self.log = log
         found = recovery.replay(log.found, time, log.boot, log.durability == SURVIVES_MACHINE)
-        known = recovery.fill(
-            self.ledger,
-            found,
-            now,
-            time,
-            core.terms.types,
-            core.gateway.remember,
-            core.gateway.tolerance,
-            predecessor_runs,
-        )
+        known = recovery.restore_ledger(self.ledger, found, now, time, predecessor_runs)
         log.found = []
-        self.restart = recovery.Recovery(found, now, time, core.terms.guarantees, core.terms.orders)
-        if self.restart.orders and hasattr(core.brain, "resumed"):
-            core.brain.resumed(now, self.restart.orders)
-        if self.restart.begins_low and core.gateway.damps and not predecessor_runs:
+        self.restart = recovery.RestartLimits(found, now, time, core.terms.guarantees, core.terms.orders)
+        if self.restart.recent_orders and hasattr(core.brain, "resumed"):
+            core.brain.resumed(now, self.restart.recent_orders)
+        if self.restart.starts_slowly and core.gateway.damps and not predecessor_runs:
             core.intake.concurrency_limit.begin(now)
         if found.least_epoch is not None:
             core.clock_offset_found(found.least_epoch)
-        if found.last:
+        if found.last_record_at:
             core.log.info(
                 "state recovered",
                 ids=known,
-                orders=self.restart.orders,
-                in_order=found.in_order,
-                whole=bool(found.began),
-                clock_back=found.clock_back,
+                orders=self.restart.recent_orders,
+                in_order=found.ended_in_order,
+                whole=bool(found.complete_since),
+                clock_back=found.clock_went_back,
             )
 
     def is_warm_enough(self, worker: str, now: int) -> bool:
         """Whether a worker may be sent anything so soon after the restart: cold ones have to wait."""
         restart = self.restart
-        if restart is None or now >= restart.cold_from:
+        if restart is None or now >= restart.cold_workers_from:
             return True
         booted = self.core.membership.members[worker].booted
         is_cold = bool(booted) and now - booted < self.core.terms.guarantees.cold
@@ -83,7 +74,7 @@
     def can_admit(self, type_: str) -> bool:
         """Whether an activation of this type may be admitted: not in an outage if it must not run twice."""
         effect = self.core.terms.types[type_].effect
-        return bool(recovery.may_take(effect, self.log.stopped is None))
+        return bool(recovery.may_admit(effect, self.log.stopped is None))
 
     def reject(self, now: int) -> int:
         """Notes that an activation is rejected for the outage; the time (ns) until that may be over."""
@@ -98,7 +89,7 @@
         customer, id_ = act.key
         timestamp = self.ledger.entries[act.key].timestamp
         self.log.add(ActivationTaken(core.record_time(), customer, id_, timestamp, act.type))
-        if not recovery.kept_first(core.terms.types[act.type].effect):
+        if not recovery.is_recorded_first(core.terms.types[act.type].effect):
             return True
         if self.log.durability == SURVIVES_MACHINE:
             self.unsynced[act.id] = act
