--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -183,8 +183,12 @@
         """Admits nothing new, answers all that is in flight, and ends."""
         self.intake.closing = True
         for front in self.fronts:
-            front.stop()
+            front.drain()
+        # clients that go on sending are not waited for longer than the longest request may take
+        latest = self.now() + max(self.gateway.timeouts.values())
         while self.pending.acts or not all(front.quiet() for front in self.fronts):
+            if not self.pending.acts and self.now() >= latest:
+                break
             await asyncio.sleep(DRAIN_CHECK_INTERVAL)
         for front in self.fronts:
             front.close_idle()
