--- a/petrelwood/decide/delivery/mqtt_acknowledgement.py
+++ b/petrelwood/decide/delivery/mqtt_acknowledgement.py
@@ -1,290 +1,384 @@
-"""When a message is acknowledged, when its activation begins, and what a lost session means. Free of I/O.
+"""When an MQTT message is acknowledged, when its activation begins, and what a lost session means.
 
-An acknowledgement tells the broker that it will never have to deliver the message again. What that must prove
-depends on what may happen if two dispatchers get the same message:
+Free of I/O. An acknowledgement tells the broker that it will never have to deliver the message again. What
+that must prove depends on what may happen if two dispatchers get the same message:
 
 - **Repeatable**: acknowledged last, together with the answer. If this dispatcher dies before that, the broker
-delivers the
-  message again, here or elsewhere, and it runs again; nobody's answer is lost.
+  delivers the message again, here or elsewhere, and it runs again; nobody's answer is lost.
 - **Once-only and deduplicated**: acknowledged first, and begun only once that is *proved*: the broker can't
-deliver it
-  again. For QoS 2 the broker's PUBREL proves it. For QoS 1 it is a PINGREQ written after the PUBACK: the
-  broker reads in
-  order, so its PINGRESP says that it has read the PUBACK. As every dispatcher keeps to this, a message that
-  comes again
-  was never begun anywhere. If this dispatcher dies after the proof, the activation is lost with it, and runs
-  never twice.
+  deliver it again. For QoS 2 the broker's PUBREL proves it. For QoS 1 it is a PINGREQ written after the
+  PUBACK: the broker reads in order, so its PINGRESP says that it has read the PUBACK. As every dispatcher
+  keeps to this, a message that comes again was never begun anywhere. If this dispatcher dies after the proof,
+  the activation is lost with it, and never runs twice.
   Where the connection breaks before the proof, QoS 2 is settled by what the broker sends next. For QoS 1 the
-  standard
-  lets the broker hand the message to another dispatcher or not: one that does not come again is never begun
-  here and an
-  abort is owed, though another may answer it too. Whoever wants exactly one answer publishes these with QoS
-  2.
+  standard lets the broker hand the message to another dispatcher or not: one that does not come again is
+  never begun here and an abort is due, though another may answer it too. Whoever wants exactly one answer
+  publishes these with QoS 2.
 - **QoS 0** is never delivered again: it begins at once.
 
-Deliveries beyond the window (`Window`) wait unacknowledged and not begun: the broker holds what is behind
-them."""
+Deliveries beyond the window (`DeliveryWindow`) are queued, unacknowledged and not begun: the broker holds
+what is behind them.
+"""
 
+import enum
 from collections import OrderedDict, deque
+from dataclasses import dataclass
+from typing import Any, Protocol
 
 from petrelwood import ports
+from petrelwood.decide.delivery.delivery_window import DeliveryWindow
 
-HELD, PROVING, RUNNING, READY, DONE = "held", "proving", "running", "ready", "done"
-LAST, FIRST, NONE = "last", "first", "none"
+# qualities of service
+AT_MOST_ONCE = 0
+AT_LEAST_ONCE = 1
+EXACTLY_ONCE = 2
 
 
-def plan(effect, qos):
-    """When to acknowledge: LAST, FIRST or NONE."""
-    if not qos:
-        return NONE
-    return LAST if effect == ports.REPEATABLE else FIRST
+class DeliveryState(enum.Enum):
+    """How far a message is."""
 
+    QUEUED = enum.auto()  # not acknowledged and not begun
+    PROVING = enum.auto()  # acknowledged; not begun before that is proved
+    RUNNING = enum.auto()
+    ANSWER_READY = enum.auto()  # the answer is kept until the message comes again
+    DONE = enum.auto()
 
+
+class AcknowledgementPlan(enum.Enum):
+    """When a message is acknowledged."""
+
+    LAST = enum.auto()  # with its answer
+    FIRST = enum.auto()  # before it begins
+    NONE = enum.auto()
+
+
+def plan_of(effect: str, qos: int) -> AcknowledgementPlan:
+    """When to acknowledge a message of this quality of service that asks for this effect."""
+    if qos == AT_MOST_ONCE:
+        return AcknowledgementPlan.NONE
+    return AcknowledgementPlan.LAST if effect == ports.REPEATABLE else AcknowledgementPlan.FIRST
+
+
+@dataclass(slots=True, eq=False)
 class Delivery:
-    """One message of a broker's. `id` is its packet identifier, None once the broker knows it no more."""
+    """One message of a broker's."""
+
+    packet_id: int | None  # None once the broker knows it no more
+    qos: int
+    plan: AcknowledgementPlan
+    due: int  # when it must have begun, ns
+    fingerprint: object  # tells its message from another under the same packet identifier
+    message: Any  # the caller's own
+    state: DeliveryState = DeliveryState.QUEUED
+    answered_on: int = 0  # the connection on which its answer left
+    is_doubted: bool = False  # the broker may have given it to another dispatcher
 
-    __slots__ = ("id", "qos", "plan", "state", "due", "mark", "what", "doubted", "given")
 
-    def __init__(self, id_, qos, plan_, due, mark, what):
-        self.id, self.qos, self.plan, self.state, self.due, self.what = id_, qos, plan_, HELD, due, what
-        # tells its message from another under the same number
-        self.mark = mark
-        self.given = 0  # the connection on which its answer left
-        self.doubted = False  # whether the broker may have given it to another
+class DeliveryActions(Protocol):
+    """Carries out what `Deliveries` decides, in the same turn."""
 
+    def acknowledge(self, packet_id: int, qos: int) -> None:
+        """Sends a PUBACK or PUBREC."""
 
-class Window:
-    """How many activations of one session may be under way: it grows by one for each window of answers in
-    time, and is cut by a fifth, once for each usual answer's time, when one is late or turned away."""
+    def complete(self, packet_id: int) -> None:
+        """Sends a PUBCOMP."""
 
-    def __init__(self, least, most):
-        self.least, self.most, self.size, self.cut_at = least, most, float(min(most, 4 * least)), 0
+    def ping(self) -> None:
+        """Sends a PINGREQ."""
 
-    def ended(self, now, well, took):
-        if well:
-            self.size = min(self.most, self.size + 1 / self.size)
-        elif now >= self.cut_at:
-            self.size, self.cut_at = max(self.least, self.size * 0.8), now + took
+    def begin(self, delivery: Delivery) -> None:
+        """Its activation begins."""
 
-    def room(self, under_way):
-        return under_way < int(self.size)
+    def reject(self, delivery: Delivery) -> None:
+        """It is rejected, and never ran."""
+
+    def abort(self, delivery: Delivery) -> None:
+        """It never ran here, and may run elsewhere: its sender gets an abort."""
+
+    def answer(self, delivery: Delivery, with_acknowledgement: bool) -> None:
+        """Sends the answer that was kept for it."""
+
+    def discard(self, delivery: Delivery) -> None:
+        """Another dispatcher has it: no answer from here."""
 
 
 class Deliveries:
-    """The messages of one session. `out` acts on what is decided, in the same turn: `ack(id, qos)`,
-    `comp(id)`, `ping()`, `begin(delivery)`, `turn_away(delivery)` (rejected, it never ran),
-    `owes_abort(delivery)`, `give(delivery)` (the answer that was kept for it) and `moved(delivery)` (another
-    has it: no answer from here)."""
-
-    def __init__(self, window, out):
-        self.window, self.out = window, out
-        # by packet identifier; begun and not yet answered
-        self.known, self.under_way = OrderedDict(), set()
-        self.held, self.unproved, self.in_ping, self.pings = deque(), [], [], 0
-        self.closing, self.resumed, self.connected, self.connection = False, False, True, 0
+    """The messages of one session. Times in ns."""
+
+    def __init__(self, window: DeliveryWindow, actions: DeliveryActions) -> None:
+        self.window = window
+        self.actions = actions
+        self.by_packet_id: OrderedDict[int, Delivery] = OrderedDict()
+        self.in_flight: set[Delivery] = set()  # begun and not yet answered
+        self.queued: deque[Delivery] = deque()
+        self.pings = 0  # PINGREQs without an answer
+        self._unproved: list[Delivery] = []  # acknowledged since the last PINGREQ
+        self._in_ping: list[Delivery] = []  # acknowledged before it
+        self._closing = False
+        self._resuming = False  # until the broker has delivered again what is still ours
+        self._is_connected = True
+        self._connection = 0
 
     # From the broker.
-    def published(self, now, id_, qos, dup, effect, due, mark, what):
-        """A message has come; `what` is the caller's own, `mark` the same for the same message. Returns its
-        delivery, or None where it is known."""
-        old = self.known.get(id_) if qos else None
-        if old is not None and old.mark != mark:  # the broker gives its number to another message
-            self._forgotten(now, old)
-        elif old is not None:
-            if qos == 2 and old.plan == FIRST and old.state == PROVING:
-                self.out.ack(id_, 2)  # our PUBREC was lost: it was not begun
-                return None
-            if dup and old.state == HELD:
-                return None
-            if dup and qos == 1 and old.plan == FIRST and old.state == PROVING:
-                old.doubted = False
-                self._unprove(old)  # our PUBACK was lost: it was not begun
-                self._acknowledge(old)
-                return None
-            if dup and old.plan == LAST:
-                old.doubted = False
-                if old.state == READY or old.state == DONE and old.given != self.connection:
-                    self._give(old)  # what left on an earlier connection was lost with it
-                # or it still runs here: the answer will acknowledge it
-                return None
-            if dup and old.state == DONE:
-                if old.given != self.connection:
-                    self._turn_away(old)
+    def on_publish(
+        self,
+        now: int,
+        packet_id: int,
+        qos: int,
+        is_duplicate: bool,
+        effect: str,
+        due: int,
+        fingerprint: object,
+        message: object,
+    ) -> Delivery | None:
+        """A message has come; its delivery, or None where it is known.
+
+        `message` is the caller's own, `fingerprint` the same for the same message.
+        """
+        known = self.by_packet_id.get(packet_id) if qos else None
+        if known is not None:
+            is_same = known.fingerprint == fingerprint
+            if is_same and self._comes_again(known, qos, is_duplicate):
                 return None
-            self._forgotten(now, old)
-        delivery = Delivery(id_ if qos else None, qos, plan(effect, qos), due, mark, what)
+            self._packet_id_reused(known)
+        plan = plan_of(effect, qos)
+        delivery = Delivery(packet_id if qos else None, qos, plan, due, fingerprint, message)
         if qos:
-            self.known[id_] = delivery
-        self.held.append(delivery)
-        self._flow(now)
+            self.by_packet_id[packet_id] = delivery
+        self.queued.append(delivery)
+        self._begin_queued(now)
         return delivery
 
-    def released(self, now, id_):
-        """PUBREL: the broker will never deliver it again."""
-        delivery = self.known.get(id_)
-        self.out.comp(id_)
-        if delivery is None or delivery.qos != 2:
+    def _comes_again(self, known: Delivery, qos: int, is_duplicate: bool) -> bool:
+        """A message that is known has come again; whether that settles it."""
+        is_proving = known.state is DeliveryState.PROVING
+        if qos == EXACTLY_ONCE and is_proving:
+            self.actions.acknowledge(_packet_id(known), qos)  # our PUBREC was lost: it was not begun
+            return True
+        if not is_duplicate:
+            return False
+        if is_proving:
+            known.is_doubted = False
+            self._withdraw_proof(known)  # our PUBACK was lost: it was not begun
+            self._acknowledge(known)
+        elif known.plan is AcknowledgementPlan.LAST and known.state is not DeliveryState.QUEUED:
+            self._repeatable_comes_again(known)
+        elif known.state is DeliveryState.DONE:
+            if known.answered_on != self._connection:
+                self._reject(known)
+        else:
+            return known.state is DeliveryState.QUEUED
+        return True
+
+    def _repeatable_comes_again(self, known: Delivery) -> None:
+        known.is_doubted = False
+        is_lost = known.state is DeliveryState.DONE and known.answered_on != self._connection
+        if is_lost or known.state is DeliveryState.ANSWER_READY:
+            self._answer(known)  # what left on an earlier connection was lost with it
+        # or it still runs here: the answer will acknowledge it
+
+    def on_pubrel(self, packet_id: int) -> None:
+        """The broker will never deliver this message again (QoS 2)."""
+        delivery = self.by_packet_id.get(packet_id)
+        self.actions.complete(packet_id)
+        if delivery is None or delivery.qos != EXACTLY_ONCE:
             return
-        if delivery.state == PROVING:
+        if delivery.state is DeliveryState.PROVING:
             self._begin(delivery)
-        elif delivery.state == DONE:
-            self._drop(delivery)
+        elif delivery.state is DeliveryState.DONE:
+            self._forget(delivery)
 
-    def ponged(self, now):
-        """PINGRESP: all that was acknowledged before that PINGREQ is proved."""
+    def on_pingresp(self) -> None:
+        """All that was acknowledged before that PINGREQ is proved."""
         if self.pings:
             self.pings -= 1
-        if self.resumed:
-            self.resumed = False
-            for delivery in [d for d in self.known.values() if d.state == DONE and d.qos == 1]:
-                self._drop(delivery)
-            for delivery in [d for d in self.known.values() if d.doubted]:
-                self._drop(delivery)
-                delivery.id = None
-                self.under_way.discard(delivery)
-                (self.out.owes_abort if delivery.state == PROVING else self.out.moved)(delivery)
-        proved, self.in_ping = self.in_ping, []
+        if self._resuming:
+            self._resuming = False
+            self._resumed()
+        proved, self._in_ping = self._in_ping, []
         for delivery in proved:
-            if delivery.state == PROVING:
-                self._drop(delivery)
+            if delivery.state is DeliveryState.PROVING:
+                self._forget(delivery)
                 self._begin(delivery)
         self._prove()
 
+    def _resumed(self) -> None:
+        """The broker has delivered again what is still ours: what is doubted is with another dispatcher."""
+        for delivery in list(self.by_packet_id.values()):
+            if delivery.state is DeliveryState.DONE and delivery.qos == AT_LEAST_ONCE:
+                self._forget(delivery)
+        for delivery in [known for known in self.by_packet_id.values() if known.is_doubted]:
+            self._forget(delivery)
+            delivery.packet_id = None
+            self.in_flight.discard(delivery)
+            if delivery.state is DeliveryState.PROVING:
+                self.actions.abort(delivery)
+            else:
+                self.actions.discard(delivery)
+
     # From the core.
-    def answered(self, now, delivery, well, took):
-        """Its activation has its final answer: `out.give` sends it, now or when the message comes again."""
-        self.under_way.discard(delivery)
-        self.window.ended(now, well, took)
-        if delivery.plan == LAST and delivery.id is not None and (not self.connected or delivery.doubted):
-            delivery.state = READY
+    def on_answer(self, now: int, delivery: Delivery, in_time: bool, took: int) -> None:
+        """Its activation has its final answer, which is sent now or when the message comes again."""
+        self.in_flight.discard(delivery)
+        self.window.on_answer(now, in_time, took)
+        is_acknowledged_last = delivery.plan is AcknowledgementPlan.LAST and delivery.packet_id is not None
+        if is_acknowledged_last and (not self._is_connected or delivery.is_doubted):
+            delivery.state = DeliveryState.ANSWER_READY
         else:
-            self._give(delivery)
-        self._flow(now)
-
-    def _give(self, delivery):
-        """The answer, and with it the acknowledgement where that is still owed."""
-        owed, delivery.state, delivery.given = (
-            delivery.plan == LAST and delivery.id is not None,
-            DONE,
-            self.connection,
-        )
-        if owed and delivery.qos == 1 and not self.resumed:
-            # after a break it may still be on its way to us again
-            self._drop(delivery)
-        self.out.give(delivery, owed)
-
-    def sweep(self, now):
-        """Turns away at once what can't begin in time any more: it never ran."""
-        late = [d for d in self.held if now >= d.due]
-        for delivery in late:
-            self.held.remove(delivery)
-            self._turn_away(delivery)
-        self._flow(now)
-
-    def close(self, now):
-        """Nothing more begins: what is held is turned away."""
-        self.closing = True
-        while self.held:
-            self._turn_away(self.held.popleft())
-
-    def idle(self):
-        """Whether nothing is under way or waits for proof."""
-        return (
-            not self.under_way and not self.held and not any(d.state == PROVING for d in self.known.values())
-        )
+            self._answer(delivery)
+        self._begin_queued(now)
+
+    def reject_expired(self, now: int) -> None:
+        """Rejects at once what can't begin in time any more: it never ran."""
+        expired = [delivery for delivery in self.queued if now >= delivery.due]
+        for delivery in expired:
+            self.queued.remove(delivery)
+            self._reject(delivery)
+        self._begin_queued(now)
+
+    def close(self) -> None:
+        """Nothing more begins: what is queued is rejected."""
+        self._closing = True
+        while self.queued:
+            self._reject(self.queued.popleft())
+
+    def is_idle(self) -> bool:
+        """Whether nothing is in flight or waits for proof."""
+        is_proving = any(known.state is DeliveryState.PROVING for known in self.by_packet_id.values())
+        return not self.in_flight and not self.queued and not is_proving
 
     # The connection.
-    def lost(self):
-        """The connection is lost; what runs goes on, what waits for its turn may come again."""
-        self.in_ping, self.unproved, self.pings, self.connected = [], [], 0, False
-        for delivery in list(self.held):
-            if delivery.qos == 1:  # the broker delivers it again, here or elsewhere
-                self._drop(delivery)
-                self.held.remove(delivery)
-
-    def resume(self, now, present):
-        """Connected again. Where the broker has kept the session it first delivers again what is still ours
-        and not acknowledged; a PINGREQ after that tells when it is through. What did not come again may be
-        with another dispatcher: what runs here ends without an answer, and for what waited for proof an abort
-        is owed. The same holds for all where the broker has not kept the session."""
-        self.resumed, self.connected, self.connection = False, True, self.connection + 1
-        proving = [d for d in self.known.values() if d.state == PROVING]
-        if present:
-            for delivery in self.known.values():
-                delivery.doubted = (
-                    delivery.plan == LAST and delivery.qos == 1 and delivery.state in (RUNNING, READY)
-                )
-                delivery.doubted = delivery.doubted or delivery.qos == 1 and delivery.state == PROVING
-            self.unproved, self.in_ping, self.resumed, self.pings = [], [], True, 1
-            self.out.ping()
+    def on_connection_lost(self) -> None:
+        """What runs goes on, what is queued may come again."""
+        self._in_ping = []
+        self._unproved = []
+        self.pings = 0
+        self._is_connected = False
+        for delivery in list(self.queued):
+            if delivery.qos == AT_LEAST_ONCE:  # the broker delivers it again, here or elsewhere
+                self._forget(delivery)
+                self.queued.remove(delivery)
+
+    def on_connected(self, session_present: bool) -> None:
+        """Connected again.
+
+        Where the broker has kept the session it first delivers again what is still ours and not
+        acknowledged; a PINGREQ after that tells when it is through. What did not come again may be with
+        another dispatcher: what runs here ends without an answer, and for what waited for proof an abort is
+        due. The same holds for all where the broker has not kept the session.
+        """
+        self._resuming = session_present
+        self._is_connected = True
+        self._connection += 1
+        if session_present:
+            for delivery in self.by_packet_id.values():
+                delivery.is_doubted = _may_be_elsewhere(delivery)
+            self._unproved = []
+            self._in_ping = []
+            self.pings = 1
+            self.actions.ping()
             return
-        for delivery in list(self.known.values()):
-            self._drop(delivery)
-            delivery.id = None
-            if delivery.plan == LAST and delivery.state in (RUNNING, READY):
-                self.under_way.discard(delivery)
-                self.out.moved(delivery)
-        self.held = deque(d for d in self.held if d.id is None and not d.qos)
-        for delivery in proving:
-            self.out.owes_abort(delivery)
+        known = list(self.by_packet_id.values())
+        for delivery in known:
+            self._forget(delivery)
+            delivery.packet_id = None
+            if delivery.plan is AcknowledgementPlan.LAST and _is_begun(delivery):
+                self.in_flight.discard(delivery)
+                self.actions.discard(delivery)
+        self.queued = deque(delivery for delivery in self.queued if not delivery.qos)
+        for delivery in known:
+            if delivery.state is DeliveryState.PROVING:
+                self.actions.abort(delivery)
 
     # What follows.
-    def _flow(self, now):
-        while self.held and not self.closing and self.window.room(len(self.under_way) + self._proving()):
-            if self.held[0].plan == FIRST and not self.connected:
+    def _begin_queued(self, now: int) -> None:
+        while self.queued and not self._closing and self.window.has_room(self._in_flight_or_proving()):
+            if self.queued[0].plan is AcknowledgementPlan.FIRST and not self._is_connected:
                 return
-            delivery = self.held.popleft()
+            delivery = self.queued.popleft()
             if now >= delivery.due:
-                self._turn_away(delivery)
-            elif delivery.plan == FIRST:
+                self._reject(delivery)
+            elif delivery.plan is AcknowledgementPlan.FIRST:
                 self._acknowledge(delivery)
             else:
                 self._begin(delivery)
 
-    def _proving(self):
-        return len(self.unproved) + len(self.in_ping)
+    def _in_flight_or_proving(self) -> int:
+        return len(self.in_flight) + len(self._unproved) + len(self._in_ping)
 
-    def _acknowledge(self, delivery):
-        delivery.state = PROVING
-        self.out.ack(delivery.id, delivery.qos)
-        if delivery.qos == 1:
-            self.unproved.append(delivery)
+    def _acknowledge(self, delivery: Delivery) -> None:
+        delivery.state = DeliveryState.PROVING
+        self.actions.acknowledge(_packet_id(delivery), delivery.qos)
+        if delivery.qos == AT_LEAST_ONCE:
+            self._unproved.append(delivery)
             self._prove()
 
-    def _prove(self):
-        if self.unproved and not self.pings:
-            self.in_ping, self.unproved, self.pings = self.unproved, [], 1
-            self.out.ping()
-
-    def _unprove(self, delivery):
-        for waits in (self.unproved, self.in_ping):
-            if delivery in waits:
-                waits.remove(delivery)
-
-    def _begin(self, delivery):
-        delivery.state = RUNNING
-        if delivery.plan == FIRST and delivery.qos == 2:
-            self._drop(delivery)
-        self.under_way.add(delivery)
-        self.out.begin(delivery)
+    def _prove(self) -> None:
+        if self._unproved and not self.pings:
+            self._in_ping = self._unproved
+            self._unproved = []
+            self.pings = 1
+            self.actions.ping()
+
+    def _withdraw_proof(self, delivery: Delivery) -> None:
+        for waiting in (self._unproved, self._in_ping):
+            if delivery in waiting:
+                waiting.remove(delivery)
+
+    def _begin(self, delivery: Delivery) -> None:
+        delivery.state = DeliveryState.RUNNING
+        if delivery.plan is AcknowledgementPlan.FIRST and delivery.qos == EXACTLY_ONCE:
+            self._forget(delivery)
+        self.in_flight.add(delivery)
+        self.actions.begin(delivery)
+
+    def _answer(self, delivery: Delivery) -> None:
+        """The answer, and with it the acknowledgement where that is still due."""
+        with_acknowledgement = delivery.plan is AcknowledgementPlan.LAST and delivery.packet_id is not None
+        delivery.state = DeliveryState.DONE
+        delivery.answered_on = self._connection
+        if with_acknowledgement and delivery.qos == AT_LEAST_ONCE and not self._resuming:
+            # after a break it may still be on its way to us again
+            self._forget(delivery)
+        self.actions.answer(delivery, with_acknowledgement)
 
-    def _turn_away(self, delivery):
+    def _reject(self, delivery: Delivery) -> None:
         """Acknowledged with its rejection: it never ran."""
-        if delivery.qos == 1 and not self.resumed:
-            self._drop(delivery)
-        delivery.state, delivery.given = DONE, self.connection
-        self.out.turn_away(delivery)
+        if delivery.qos == AT_LEAST_ONCE and not self._resuming:
+            self._forget(delivery)
+        delivery.state = DeliveryState.DONE
+        delivery.answered_on = self._connection
+        self.actions.reject(delivery)
 
-    def _forgotten(self, now, old):
+    def _packet_id_reused(self, old: Delivery) -> None:
         """Its number stands for another message now: the broker has done with it, or has lost it."""
-        self._drop(old)
-        if old.state == PROVING:
-            self._unprove(old)
+        self._forget(old)
+        if old.state is DeliveryState.PROVING:
+            self._withdraw_proof(old)
             self._begin(old)  # done with it: that is proof
-        elif old.state == HELD:
-            self.held.remove(old)
-        old.id = None
+        elif old.state is DeliveryState.QUEUED:
+            self.queued.remove(old)
+        old.packet_id = None
+
+    def _forget(self, delivery: Delivery) -> None:
+        if delivery.packet_id is not None and self.by_packet_id.get(delivery.packet_id) is delivery:
+            del self.by_packet_id[delivery.packet_id]
+
+
+def _packet_id(delivery: Delivery) -> int:
+    """The packet identifier of a delivery that the broker knows."""
+    assert delivery.packet_id is not None
+    return delivery.packet_id
+
+
+def _is_begun(delivery: Delivery) -> bool:
+    """Whether it runs here or has run, and its answer has not left."""
+    return delivery.state in (DeliveryState.RUNNING, DeliveryState.ANSWER_READY)
+
 
-    def _drop(self, delivery):
-        if delivery.id is not None and self.known.get(delivery.id) is delivery:
-            del self.known[delivery.id]
+def _may_be_elsewhere(delivery: Delivery) -> bool:
+    """Whether the broker may have given it to another dispatcher while the connection was broken."""
+    if delivery.qos != AT_LEAST_ONCE:
+        return False
+    is_repeatable = delivery.plan is AcknowledgementPlan.LAST
+    return delivery.state is DeliveryState.PROVING or (is_repeatable and _is_begun(delivery))
--- a/petrelwood/fronts/mqtt.py
+++ b/petrelwood/fronts/mqtt.py
@@ -12,6 +12,7 @@
 from tornado.iostream import IOStream, SSLIOStream, StreamClosedError
 
 from petrelwood.decide.delivery import mqtt_acknowledgement, mqtt_topics
+from petrelwood.decide.delivery.delivery_window import DeliveryWindow
 from petrelwood.decide.overload import deadlines, intake
 from petrelwood.decide.overload.backoff import Backoff
 from petrelwood.links import packets as mqtt
@@ -72,7 +73,7 @@
         self.answer_is = (body, props)
         now = self.session.front.core.now()
         took = now - self.ask.came
-        self.session.deliveries.answered(
+        self.session.deliveries.on_answer(
             now, self.delivery, status == "completed" and took <= self.target, took
         )
 
@@ -83,7 +84,7 @@
     def __init__(self, front, customer):
         self.front, self.customer, core = front, customer, front.core
         self.terms, self.client = front.terms, f"{core.name}.{customer}"
-        self.window = mqtt_acknowledgement.Window(self.terms.window_least, self.terms.window_most)
+        self.window = DeliveryWindow(self.terms.window_least, self.terms.window_most)
         self.deliveries = mqtt_acknowledgement.Deliveries(self.window, self)
         self.backoff = Backoff(
             self.terms.comeback_first, self.terms.comeback_most, core.chance.random, full=True
@@ -131,7 +132,7 @@
         if self.up:
             self.up = False
             self.counts["lost"] += 1
-        self.deliveries.lost()
+        self.deliveries.on_connection_lost()
 
     def _leave(self, code):
         self._write(mqtt.Packet(mqtt.DISCONNECT, code=code))
@@ -184,7 +185,7 @@
             self.fresh = False  # the broker remembers nothing of an earlier life
         elif self.fresh:  # what an earlier life has begun to send is let go
             self._write(*(mqtt.Packet(mqtt.PUBREL, id_) for id_ in range(1, IDS + 1)))
-        self.front.core.submit(self.deliveries.resume, self.front.core.now(), bool(first.present))
+        self.front.core.submit(self.deliveries.on_connected, bool(first.present))
         self._resend(bool(first.present))
         while True:
             data = await self.stream.read_bytes(READ, partial=True)
@@ -213,7 +214,7 @@
 
     def check(self, now):
         """Asked now and then: keep-alive, and what waits too long."""
-        self.front.core.submit(self.deliveries.sweep, now)
+        self.front.core.submit(self.deliveries.reject_expired, now)
         if not self.up:
             return
         if now - self.heard > self.terms.keep_alive:
@@ -230,7 +231,7 @@
         if packet.type == mqtt.PUBLISH:
             self.front.core.submit(self._published, packet)
         elif packet.type == mqtt.PUBREL:
-            self.front.core.submit(self.deliveries.released, now, packet.id)
+            self.front.core.submit(self.deliveries.on_pubrel, packet.id)
         elif packet.type == mqtt.PINGRESP:
             self.front.core.submit(self._ponged, now)
         elif packet.type in (mqtt.PUBACK, mqtt.PUBCOMP):
@@ -259,7 +260,7 @@
         if self.fresh:
             self.fresh = False
             self._done(0, 0)
-        self.deliveries.ponged(now)
+        self.deliveries.on_pingresp()
 
     def _published(self, packet):
         topic, alias = packet.topic, packet.props.get("topic_alias")
@@ -310,7 +311,7 @@
             terms.target_latency,
         )
         due, _ = deadlines.due(now, wait, core.gateway.timeouts[type_])
-        self.deliveries.published(
+        self.deliveries.on_publish(
             now,
             packet.id,
             packet.qos,
@@ -335,51 +336,51 @@
             )
 
     # What is decided of deliveries.
-    def ack(self, id_, qos):
-        self._write(mqtt.Packet(mqtt.PUBACK if qos == 1 else mqtt.PUBREC, id_))
+    def acknowledge(self, packet_id, qos):
+        self._write(mqtt.Packet(mqtt.PUBACK if qos == 1 else mqtt.PUBREC, packet_id))
 
-    def comp(self, id_):
-        self._write(mqtt.Packet(mqtt.PUBCOMP, id_))
+    def complete(self, packet_id):
+        self._write(mqtt.Packet(mqtt.PUBCOMP, packet_id))
 
     def ping(self):
         self._write(mqtt.Packet(mqtt.PINGREQ))
 
     def begin(self, delivery):
-        message = delivery.what
+        message = delivery.message
         message.delivery = delivery
         self.front.core.admit(message.ask, message.function, message.rule, message.body, message)
 
-    def turn_away(self, delivery):
-        message = delivery.what
+    def reject(self, delivery):
+        message = delivery.message
         message.delivery = delivery
         message.answer_is = (
             orjson.dumps({"status": "rejected", "detail": intake.NO_TIME}),
             [("status", "rejected")],
         )
-        self.give(delivery, bool(delivery.qos))
+        self.answer(delivery, bool(delivery.qos))
 
-    def owes_abort(self, delivery):
+    def abort(self, delivery):
         self.counts["aborts_owed"] += 1
-        message = delivery.what
+        message = delivery.message
         message.answer_is = (orjson.dumps({"status": "aborted", "detail": ENDED}), [("status", "aborted")])
-        self.give(delivery, False)
+        self.answer(delivery, False)
 
-    def moved(self, delivery):
+    def discard(self, delivery):
         """Another dispatcher has the message: what runs here ends without an answer."""
         self.counts["moved"] += 1
-        message = delivery.what
+        message = delivery.message
         if message.answer_is is None and message.act is not None:
             message.answer_is = (b"", [])
             self.front.core.client_left(message.act, message)
 
-    def give(self, delivery, owed):
+    def answer(self, delivery, with_acknowledgement):
         """The answer, and in the same write the acknowledgement that is owed with it: the broker has both or,
         where the connection breaks, at most the first."""
-        message, packets = delivery.what, []
+        message, packets = delivery.message, []
         if message.response is not None and message.answer_is[1]:
-            packets += self._answer(message, 1 if owed else 2)
-        if owed and delivery.id is not None:
-            packets.append(mqtt.Packet(mqtt.PUBACK if delivery.qos == 1 else mqtt.PUBREC, delivery.id))
+            packets += self._answer(message, 1 if with_acknowledgement else 2)
+        if with_acknowledgement and delivery.packet_id is not None:
+            packets.append(mqtt.Packet(mqtt.PUBACK if delivery.qos == 1 else mqtt.PUBREC, delivery.packet_id))
         if packets and self.up:
             self._write(*packets)
 
@@ -460,7 +461,7 @@
                 await asyncio.wait_for(self.draining, self.terms.connect_within / 1e9)
             except TimeoutError:
                 pass
-        self.front.core.submit(self.deliveries.close, self.front.core.now())
+        self.front.core.submit(self.deliveries.close)
 
 
 class Mqtt:
@@ -496,7 +497,7 @@
             and self.stopping.done()
             and (
                 self.core.now() >= self.ends
-                or all(s.deliveries.idle() and not s.unsent and not s.answers for s in self.sessions)
+                or all(s.deliveries.is_idle() and not s.unsent and not s.answers for s in self.sessions)
             )
         )
 
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -10,6 +10,7 @@
 from petrelwood import ports
 from petrelwood.clocks import VirtualClock
 from petrelwood.decide.delivery import mqtt_acknowledgement, mqtt_topics
+from petrelwood.decide.delivery.delivery_window import DeliveryWindow
 from petrelwood.emulate.broker import Broker
 from petrelwood.links import packets as mqtt
 
@@ -22,44 +23,46 @@
 
     def __init__(self, kept, most=4):
         self.now, self.lines, self.kept, self.begun = 0, [], kept, []
-        self.deliveries = mqtt_acknowledgement.Deliveries(mqtt_acknowledgement.Window(1, most), self)
+        self.deliveries = mqtt_acknowledgement.Deliveries(DeliveryWindow(1, most), self)
 
     def say(self, text):
         self.lines.append(f"{self.now / S:5.1f}  {text}")
 
-    def ack(self, id_, qos):
-        self.say(f"    {'PUBACK' if qos == 1 else 'PUBREC'} {id_}")
+    def acknowledge(self, packet_id, qos):
+        self.say(f"    {'PUBACK' if qos == 1 else 'PUBREC'} {packet_id}")
 
-    def comp(self, id_):
-        self.say(f"    PUBCOMP {id_}")
+    def complete(self, packet_id):
+        self.say(f"    PUBCOMP {packet_id}")
 
     def ping(self):
         self.say("    PINGREQ")
 
     def begin(self, delivery):
         self.begun.append(delivery)
-        self.say(f"    begin {delivery.what}")
+        self.say(f"    begin {delivery.message}")
 
-    def turn_away(self, delivery):
-        self.say(f"    turn away {delivery.what}")
+    def reject(self, delivery):
+        self.say(f"    turn away {delivery.message}")
 
-    def give(self, delivery, owed):
-        self.say(f"    answer {delivery.what}" + (" with its acknowledgement" if owed else ""))
+    def answer(self, delivery, with_acknowledgement):
+        self.say(
+            f"    answer {delivery.message}" + (" with its acknowledgement" if with_acknowledgement else "")
+        )
 
-    def moved(self, delivery):
-        self.say(f"    {delivery.what} has moved: no answer")
+    def discard(self, delivery):
+        self.say(f"    {delivery.message} has moved: no answer")
 
-    def owes_abort(self, delivery):
-        self.say(f"    abort {delivery.what}")
+    def abort(self, delivery):
+        self.say(f"    abort {delivery.message}")
 
     def publish(self, id_, qos, what, effect=ports.ONCE_ONLY, dup=False, due=100):
         self.say(f"PUBLISH {id_} qos {qos}{' DUP' if dup else ''} {what} ({effect})")
-        self.deliveries.published(self.now, id_, qos, dup, effect, due * S, what, what)
+        self.deliveries.on_publish(self.now, id_, qos, dup, effect, due * S, what, what)
 
     def done(self, what, well=True):
         self.say(f"{what} is done")
-        found = next(d for d in self.begun if d.what == what)
-        self.deliveries.answered(self.now, found, well, S)
+        found = next(d for d in self.begun if d.message == what)
+        self.deliveries.on_answer(self.now, found, well, S)
 
     def then(self, text, call, *args):
         self.say(text)
@@ -76,15 +79,15 @@
         n.done("a")
         n.publish(2, 2, "b", ports.REPEATABLE)
         n.done("b")
-        n.then("PUBREL 2", d.released, n.now, 2)
+        n.then("PUBREL 2", d.on_pubrel, 2)
         n.publish(3, 1, "c")
-        n.then("PINGRESP", d.ponged, n.now)
+        n.then("PINGRESP", d.on_pingresp)
         n.done("c")
         n.publish(4, 2, "d")
-        n.then("PUBREL 4", d.released, n.now, 4)
+        n.then("PUBREL 4", d.on_pubrel, 4)
         n.done("d")
         n.publish(5, 1, "e", ports.DEDUPLICATED)
-        n.then("PINGRESP", d.ponged, n.now)
+        n.then("PINGRESP", d.on_pingresp)
         n.done("e")
         compare(self, n.kept, n.lines)
 
@@ -93,12 +96,12 @@
         d = n.deliveries
         n.publish(1, 2, "kept")
         n.publish(2, 2, "again")
-        n.then("connection lost", d.lost)
-        n.then("resumed", d.resume, n.now, True)
-        n.then("PUBREL 1", d.released, n.now, 1)
+        n.then("connection lost", d.on_connection_lost)
+        n.then("resumed", d.on_connected, True)
+        n.then("PUBREL 1", d.on_pubrel, 1)
         n.publish(2, 2, "again", dup=True)
-        n.then("PUBREL 2", d.released, n.now, 2)
-        n.then("PINGRESP", d.ponged, n.now)
+        n.then("PUBREL 2", d.on_pubrel, 2)
+        n.then("PINGRESP", d.on_pingresp)
         n.done("kept")
         n.done("again")
         compare(self, n.kept, n.lines)
@@ -108,11 +111,11 @@
         d = n.deliveries
         n.publish(1, 1, "read")
         n.publish(2, 1, "unread")
-        n.then("connection lost", d.lost)
-        n.then("resumed", d.resume, n.now, True)
+        n.then("connection lost", d.on_connection_lost)
+        n.then("resumed", d.on_connected, True)
         n.publish(2, 1, "unread", dup=True)
-        n.then("PINGRESP", d.ponged, n.now)
-        n.then("PINGRESP", d.ponged, n.now)
+        n.then("PINGRESP", d.on_pingresp)
+        n.then("PINGRESP", d.on_pingresp)
         n.done("unread")
         compare(self, n.kept, n.lines)
 
@@ -122,10 +125,10 @@
         n.publish(1, 1, "proving")
         n.publish(2, 1, "running", ports.REPEATABLE)
         n.publish(3, 2, "proving2")
-        n.then("connection lost", d.lost)
-        n.then("connected, no session", d.resume, n.now, False)
+        n.then("connection lost", d.on_connection_lost)
+        n.then("connected, no session", d.on_connected, False)
         n.publish(1, 1, "another")
-        n.then("PINGRESP", d.ponged, n.now)
+        n.then("PINGRESP", d.on_pingresp)
         n.done("another")
         compare(self, n.kept, n.lines)
 
@@ -135,13 +138,13 @@
         n.publish(1, 1, "comes again", ports.REPEATABLE)
         n.publish(2, 1, "moved", ports.REPEATABLE)
         n.publish(3, 1, "still runs", ports.REPEATABLE)
-        n.then("connection lost", d.lost)
+        n.then("connection lost", d.on_connection_lost)
         n.done("comes again")
         n.done("moved")
-        n.then("resumed", d.resume, n.now, True)
+        n.then("resumed", d.on_connected, True)
         n.publish(1, 1, "comes again", ports.REPEATABLE, dup=True)
         n.publish(3, 1, "still runs", ports.REPEATABLE, dup=True)
-        n.then("PINGRESP", d.ponged, n.now)
+        n.then("PINGRESP", d.on_pingresp)
         n.done("still runs")
         compare(self, n.kept, n.lines)
 
@@ -151,14 +154,14 @@
         for i in range(1, 6):
             n.publish(i, 1, f"m{i}", ports.REPEATABLE, due=5 if i == 4 else 100)
         n.now = 6 * S
-        n.then("sweep", d.sweep, n.now)
+        n.then("sweep", d.reject_expired, n.now)
         n.done("m1")
         n.now = 8 * S
         n.done("m2", well=False)
         n.say(f"window {d.window.size:.2f}")
-        n.then("drain", d.close, n.now)
+        n.then("drain", d.close)
         n.done("m3")
-        n.say(f"idle {d.idle()}")
+        n.say(f"idle {d.is_idle()}")
         compare(self, n.kept, n.lines)
 
 
@@ -171,7 +174,7 @@
 
     def begin_anew(self):
         self.deliveries, self.running, self.answers = (
-            mqtt_acknowledgement.Deliveries(mqtt_acknowledgement.Window(2, 6), self),
+            mqtt_acknowledgement.Deliveries(DeliveryWindow(2, 6), self),
             [],
             {},
         )
@@ -200,7 +203,7 @@
             )
         if self.fresh:  # what an earlier life has begun to send is let go
             self.there.append([mqtt.Packet(mqtt.PUBREL, id_) for id_ in IDS])
-        self.deliveries.resume(0, bool(first.present))
+        self.deliveries.on_connected(bool(first.present))
         for id_, packet in list(self.answers.items()):
             if packet is None:
                 self.there.append([mqtt.Packet(mqtt.PUBREL, id_)])
@@ -217,12 +220,12 @@
         self.there.clear()
         self.here.clear()
         self.walk.broker.gone(session, self.life, False)
-        self.deliveries.lost()
+        self.deliveries.on_connection_lost()
         if kill:
-            self.walk.killed.update(d.what for d in self.deliveries.known.values())
-            self.walk.killed.update(d.what for d in self.running)
+            self.walk.killed.update(d.message for d in self.deliveries.by_packet_id.values())
+            self.walk.killed.update(d.message for d in self.running)
             self.walk.killed.update(p.topic[2:] for p in self.answers.values() if p)
-            self.walk.killed.update(d.what for d, _ in self.unsent)
+            self.walk.killed.update(d.message for d, _ in self.unsent)
             self.begin_anew()
 
     def step_there(self):
@@ -237,14 +240,14 @@
         if p.type == mqtt.PUBLISH:
             what = p.topic[4:]
             effect = ports.REPEATABLE if what.startswith("r") else ports.ONCE_ONLY
-            self.deliveries.published(0, p.id, p.qos, bool(p.dup), effect, 10**15, what, what)
+            self.deliveries.on_publish(0, p.id, p.qos, bool(p.dup), effect, 10**15, what, what)
         elif p.type == mqtt.PUBREL:
-            self.deliveries.released(0, p.id)
+            self.deliveries.on_pubrel(p.id)
         elif p.type == mqtt.PINGRESP:
             while self.here and self.here[0].type == mqtt.PUBCOMP:
                 self.step_here()
             self.fresh = False  # the broker has let go of the numbers
-            self.deliveries.ponged(0)
+            self.deliveries.on_pingresp()
             self.send_unsent()
         elif p.type == mqtt.PUBREC:
             if p.id in self.answers:
@@ -258,60 +261,60 @@
     def step_done(self):
         if self.running:
             delivery = self.running.pop(self.walk.chance.randrange(len(self.running)))
-            self.deliveries.answered(0, delivery, True, S)
+            self.deliveries.on_answer(0, delivery, True, S)
 
     def _send(self, *packets):
         if self.session is not None:
             self.there.append(list(packets))
 
-    def ack(self, id_, qos):
-        self._send(mqtt.Packet(mqtt.PUBACK if qos == 1 else mqtt.PUBREC, id_))
+    def acknowledge(self, packet_id, qos):
+        self._send(mqtt.Packet(mqtt.PUBACK if qos == 1 else mqtt.PUBREC, packet_id))
 
-    def comp(self, id_):
-        self._send(mqtt.Packet(mqtt.PUBCOMP, id_))
+    def complete(self, packet_id):
+        self._send(mqtt.Packet(mqtt.PUBCOMP, packet_id))
 
     def ping(self):
         self._send(mqtt.Packet(mqtt.PINGREQ))
 
     def begin(self, delivery):
-        self.walk.begun[delivery.what] += 1
+        self.walk.begun[delivery.message] += 1
         self.running.append(delivery)
 
-    def moved(self, delivery):
+    def discard(self, delivery):
         if delivery in self.running:
             self.running.remove(delivery)
 
-    def owes_abort(self, delivery):
-        self.walk.aborted.add(delivery.what)
-        self.give(delivery, False)
+    def abort(self, delivery):
+        self.walk.aborted.add(delivery.message)
+        self.answer(delivery, False)
 
-    def turn_away(self, delivery):
-        self.give(delivery, bool(delivery.qos))
+    def reject(self, delivery):
+        self.answer(delivery, bool(delivery.qos))
 
     def send_unsent(self):
         unsent, self.unsent = self.unsent, []
         for args in unsent:
-            self.give(*args)
+            self.answer(*args)
 
-    def give(self, delivery, owed):
-        if self.fresh and not owed:
-            self.unsent.append((delivery, owed))
+    def answer(self, delivery, with_acknowledgement):
+        if self.fresh and not with_acknowledgement:
+            self.unsent.append((delivery, with_acknowledgement))
             return
         id_ = next(i for i in IDS if i not in self.answers)
         answer = mqtt.Packet(
             mqtt.PUBLISH,
             id_,
-            topic="r/" + delivery.what,
+            topic="r/" + delivery.message,
             payload=b"",
-            qos=1 if owed else 2,
+            qos=1 if with_acknowledgement else 2,
             dup=0,
             retain=0,
             props={},
         )
         self.answers[answer.id] = answer
         packets = [answer]
-        if owed and delivery.id is not None:
-            packets.append(mqtt.Packet(mqtt.PUBACK if delivery.qos == 1 else mqtt.PUBREC, delivery.id))
+        if with_acknowledgement and delivery.packet_id is not None:
+            packets.append(mqtt.Packet(mqtt.PUBACK if delivery.qos == 1 else mqtt.PUBREC, delivery.packet_id))
         self._send(*packets)
 
 
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -12,6 +12,7 @@
 from tornado.iostream import IOStream, StreamClosedError
 from tornado.testing import bind_unused_port
 
+from petrelwood.decide.delivery.mqtt_acknowledgement import DeliveryState
 from petrelwood.dispatch.dispatcher import Dispatcher
 from petrelwood.fronts.mqtt import Mqtt
 from petrelwood.links import packets as mqtt
@@ -231,7 +232,7 @@
         session = self.cores[0].fronts[0].sessions[0]
         seen = 0
         while len(self.client.answers) < 40:
-            seen = max(seen, len(session.deliveries.known))
+            seen = max(seen, len(session.deliveries.by_packet_id))
             await asyncio.sleep(0.01)
         self.assertLessEqual(seen, 8)
         self.assertTrue({a[0][0] for a in self.client.answers.values()} <= {"completed", "rejected"})
@@ -253,12 +254,14 @@
         await self.begin(w := Worker("w1"), dispatchers=2)
         core = self.cores[0]
         session = core.fronts[0].sessions[0]
-        session.deliveries.released = lambda now, id_: None  # its PUBRELs are never read
+        session.deliveries.on_pubrel = lambda packet_id: None  # its PUBRELs are never read
         names = [b"%d" % i for i in range(6)]
         for name in names:
             self.client.ask("once-1", name, 2)
-        await self.until(lambda: any(d.state == "proving" for d in session.deliveries.known.values()))
-        held = {d.what.correlation for d in session.deliveries.known.values()}
+        await self.until(
+            lambda: any(d.state is DeliveryState.PROVING for d in session.deliveries.by_packet_id.values())
+        )
+        held = {d.message.correlation for d in session.deliveries.by_packet_id.values()}
         self.kill(core)
         # the same session: the broker sends its PUBRELs again
         await self.another("d0")
