--- a/petrelwood/dispatch/handover/predecessor.py
+++ b/petrelwood/dispatch/handover/predecessor.py
@@ -14,6 +14,7 @@
 
 from petrelwood.decide.cluster import handover
 from petrelwood.decide.cluster.handover import PredecessorAction, PredecessorPhase
+from petrelwood.decide.delivery.ledger import ActivationState
 from petrelwood.dispatch.errors import HandoverError, HandoverRejectedError
 from petrelwood.dispatch.handover.channel import Channel
 from petrelwood.dispatch.handover.messages import (
@@ -146,9 +147,9 @@
         if not isinstance(hello, Hello):
             return "it did not greet"
         is_busy = self.machine.is_busy()
-        state = self.core.state
+        state = self.core.durable_state
         # what the successor must read: the newest format that stands in the folder
-        state_format = PLAIN_FORMAT if state is None else state.format
+        state_format = PLAIN_FORMAT if state is None else state.log.format
         return handover.rejection_reason(hello.request, self.core.name, state_format, is_busy)
 
     async def _handle(self, channel: Channel, message: Message) -> None:
@@ -183,7 +184,7 @@
         self.on_hand_over()
 
     def _activation_ended(
-        self, customer: str, id_: str, outcome: str, sent: bool, body: bytes | None
+        self, customer: str, id_: str, outcome: ActivationState, sent: bool, body: bytes | None
     ) -> None:
         self._start(self._send(ActivationEnded(customer, id_, outcome, sent, body)))
 
