--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import asdict
 from random import Random
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from petrelwood import ports
 from petrelwood.brain import Brain
@@ -30,8 +30,10 @@
 from petrelwood.dispatch.recent_answers import RecentAnswers
 from petrelwood.dispatch.worker_links import Address, WorkerLink, WorkerLinks
 from petrelwood.ports import Listed
-from petrelwood.settings.gateway import FunctionRule, Gateway
-from petrelwood.store.state_log import StateLog
+
+if TYPE_CHECKING:  # the platform's dispatcher needs no settings in KDL and no log
+    from petrelwood.settings.gateway import FunctionRule, Gateway
+    from petrelwood.store.state_log import StateLog
 
 STORM_CHECK_INTERVAL = 500_000_000  # ns
 RECONNECTS_AT_ONCE = 32.0  # over all links
@@ -52,13 +54,13 @@
 
     def __init__(
         self,
-        gateway: Gateway,
+        gateway: "Gateway",
         clock: Clock,
         chance: Random,
         link: MakeLink,
         log: Logger,
         brain: Callable[[int, ports.Terms, int, ports.Outlet], Any] = Brain,
-        state: StateLog | None = None,
+        state: "StateLog | None" = None,
     ) -> None:
         self.gateway = gateway
         self.name = gateway.name
@@ -152,7 +154,7 @@
         """The wall-clock time as the log of state has it: without steps since this process began."""
         return self.now() + self.record_epoch
 
-    def adopt(self, log: StateLog, predecessor_runs: bool = False) -> None:
+    def adopt(self, log: "StateLog", predecessor_runs: bool = False) -> None:
         """Goes on from what the incarnations before have left in a log.
 
         `predecessor_runs`: the one before still finishes what it has in flight.
@@ -258,7 +260,7 @@
         if self.forecasts is not None:
             self.forecasts.plan_slot()
 
-    def apply(self, gateway: Gateway) -> None:
+    def apply(self, gateway: "Gateway") -> None:
         """Takes new settings that can act at once: customers' keys, functions, limits.
 
         What is in flight keeps its deadline, and its customer until it has its answer.
@@ -269,7 +271,7 @@
         self.intake.limits = gateway.limits
         self.intake.concurrency_limit.bound(gateway.limits.held)
 
-    def rule(self, function: str) -> FunctionRule | None:
+    def rule(self, function: str) -> "FunctionRule | None":
         """The rule of a function, looked up once; None where it may not be called."""
         try:
             return self.rules[function]
--- a/petrelwood/dispatch/durable_state.py
+++ b/petrelwood/dispatch/durable_state.py
@@ -12,10 +12,10 @@
 from petrelwood.decide.delivery.pending import PendingActivation
 from petrelwood.decide.delivery.state_records import ActivationEnded, ActivationTaken, LoadOrdered
 from petrelwood.dispatch.state_recovery import StateRecovery
-from petrelwood.store.state_log import StateLog
 
 if TYPE_CHECKING:
     from petrelwood.dispatch.core import Core
+    from petrelwood.store.state_log import StateLog
 
 SURVIVES_MACHINE = "machine"  # the durability of a log whose records are synced before they count
 
@@ -23,7 +23,7 @@
 class DurableState:
     """What one dispatcher records in `log`, and what it read there at its start."""
 
-    def __init__(self, core: "Core", ledger: Ledger, log: StateLog) -> None:
+    def __init__(self, core: "Core", ledger: Ledger, log: "StateLog") -> None:
         self.core = core
         self.ledger = ledger
         self.log = log
@@ -32,7 +32,7 @@
         self.unsynced: dict[str, PendingActivation] = {}  # by id; they begin once their record is synced
         self.syncing = False
 
-    def adopt(self, log: StateLog, predecessor_runs: bool = False) -> None:
+    def adopt(self, log: "StateLog", predecessor_runs: bool = False) -> None:
         """Goes on from what the incarnations before have left in a log.
 
         `predecessor_runs`: the one before still finishes what it has in flight.
--- a/petrelwood/dispatch/load_forecasts.py
+++ b/petrelwood/dispatch/load_forecasts.py
@@ -2,13 +2,16 @@
 
 from collections.abc import Callable
 from random import Random
+from typing import TYPE_CHECKING
 
 from petrelwood import ports
 from petrelwood.decide.forecasting.forecast import Calendar
 from petrelwood.decide.forecasting.planner import Prices
 from petrelwood.decide.forecasting.prefetch import EarlyLoads
 from petrelwood.dispatch.interfaces import Clock, Rule
-from petrelwood.settings.gateway import EarlyTerms
+
+if TYPE_CHECKING:
+    from petrelwood.settings.gateway import EarlyTerms
 
 UNLIMITED_ORDERS = 1e9  # of one slot, where load orders have no ration
 
@@ -24,7 +27,7 @@
 
     def __init__(
         self,
-        forecast_terms: EarlyTerms,
+        forecast_terms: "EarlyTerms",
         terms: ports.Terms,
         clock: Clock,
         chance: Random,
--- a/tests/test_finished.py
+++ b/tests/test_finished.py
@@ -18,6 +18,7 @@
     "petrelwood/decide/cluster",
     "petrelwood/decide/overload/backoff.py",
     "petrelwood/decide/wall_clock.py",
+    "petrelwood/dispatch",
     "petrelwood/emulate/configuration_servers.py",
     "petrelwood/errors.py",
     "petrelwood/links/listener.py",
