--- a/petrelwood/bgp/heartbeats.py
+++ b/petrelwood/bgp/heartbeats.py
@@ -43,15 +43,22 @@
         self.loop, self.heard, self.wrong = loop, heard, 0
         self.bound = Bound(path, socket.SOCK_DGRAM)
         self.sock = self.bound.sock
-        loop.add_reader(self.sock.fileno(), self._read)
+        self.resumption = None
+        self._listen()
+
+    def _listen(self):
+        self.resumption = None
+        self.loop.add_reader(self.sock.fileno(), self._read)
 
     def _read(self):
         for _ in range(64):
             try:
                 data = self.sock.recv(4096)
-            except BlockingIOError:
+            except (BlockingIOError, InterruptedError):
                 return
-            except OSError:
+            except OSError:  # the socket stays readable: the loop would come back at once
+                self.loop.remove_reader(self.sock.fileno())
+                self.resumption = self.loop.call_later(EVERY, self._listen)
                 return
             try:
                 version, *facts = msgpack.unpackb(data)
@@ -68,4 +75,6 @@
 
     def close(self):
         self.loop.remove_reader(self.sock.fileno())
+        if self.resumption is not None:
+            self.resumption.cancel()
         self.bound.close()
--- a/petrelwood/bgp/speaker.py
+++ b/petrelwood/bgp/speaker.py
@@ -9,11 +9,12 @@
 import socket
 import time
 
-from tornado.iostream import IOStream, StreamClosedError
+from tornado.iostream import IOStream
 from tornado.netutil import bind_sockets
 
 from petrelwood.bgp.heartbeats import HeartbeatReceiver
 from petrelwood.decide.routing import announce, neighbor, serving
+from petrelwood.links import sockets
 from petrelwood.links.listener import Listener
 from petrelwood.wire import bgp
 
@@ -71,20 +72,22 @@
 
     async def _connect(self):
         host, port = self.terms.address
-        sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET)
-        guard(sock, self.terms.far)
-        stream = IOStream(sock)
+        stream = None
         try:
+            sock = sockets.fresh(host)
+            guard(sock, self.terms.far)
+            stream = IOStream(sock)
             await asyncio.wait_for(stream.connect((host, port)), CONNECT)
-        except (TimeoutError, OSError, StreamClosedError):
-            stream.close()
+        except (TimeoutError, OSError):
+            if stream is not None:
+                stream.close()
             self.neighbor.failed(self.speaker.now())
             self.speaker.wake()
             return
         await self.serve(stream, neighbor.OURS)
 
     async def serve(self, stream, key):
-        stream.set_nodelay(True)
+        sockets.disable_delay(stream.socket)
         if key in self.streams:
             stream.close()
             return
@@ -98,7 +101,7 @@
                 data = await stream.read_bytes(65_536, partial=True)
                 self.neighbor.data(self.speaker.now(), key, data)
                 self.speaker.wake()
-        except StreamClosedError:
+        except OSError:  # errors of the socket come as they are, or as a closed stream
             pass
         if self.streams.get(key) is stream:
             self.neighbor.lost(self.speaker.now(), key)
@@ -193,11 +196,11 @@
         self.heartbeats = HeartbeatReceiver(described.health, self.loop, self._heartbeat)
         if described.listen is not None:
             self.server = _Listener(self)
-            sockets = bind_sockets(described.listen[1], described.listen[0], family=socket.AF_UNSPEC)
-            for sock in sockets:
+            listening = bind_sockets(described.listen[1], described.listen[0], family=socket.AF_UNSPEC)
+            for sock in listening:
                 guard(sock, all(p.terms.far for p in self.peers))
-            self.server.add_sockets(sockets)
-            found = sockets[0].getsockname()[:2]
+            self.server.add_sockets(listening)
+            found = listening[0].getsockname()[:2]
         for peer in self.peers:
             peer.neighbor.start(self.now())
         self.wake()
--- a/petrelwood/control/connection.py
+++ b/petrelwood/control/connection.py
@@ -11,7 +11,7 @@
 from petrelwood.control.messages import MAX_MESSAGE_SIZE
 from petrelwood.control.tasks import BackgroundTasks
 from petrelwood.errors import PetrelwoodError, ProtocolError
-from petrelwood.links import rpc
+from petrelwood.links import rpc, sockets
 
 READ_SIZE = 65_536  # bytes taken from a connection at a time
 IDLE_TIMEOUT = 300.0  # seconds without a call after which a connection is closed
@@ -38,7 +38,7 @@
 
         Raises OSError and `ProtocolError`.
         """
-        self._stream.set_nodelay(True)
+        sockets.disable_delay(self._stream.socket)
         reader = rpc.Reader(MAX_MESSAGE_SIZE)
         while True:
             data = await asyncio.wait_for(self._stream.read_bytes(READ_SIZE, partial=True), IDLE_TIMEOUT)
--- a/petrelwood/dispatch/handover/predecessor.py
+++ b/petrelwood/dispatch/handover/predecessor.py
@@ -94,7 +94,12 @@
 
     async def _accept(self) -> None:
         while True:
-            sock, _ = await self.core.loop.sock_accept(self.server.sock)
+            try:
+                sock, _ = await self.core.loop.sock_accept(self.server.sock)
+            except OSError as error:  # no descriptor, or its connection has gone: the next upgrade is heard
+                self.log.warning("accept failed", error=str(error))
+                await asyncio.sleep(CHECK_INTERVAL)
+                continue
             self._start(self._serve(Channel(sock, self.core.loop)))
 
     async def _watch(self) -> None:
--- a/petrelwood/fronts/mqtt.py
+++ b/petrelwood/fronts/mqtt.py
@@ -147,7 +147,7 @@
         else:
             self.stream = IOStream(sockets.fresh(host))
             await asyncio.wait_for(self.stream.connect(terms.broker), within)
-        self.stream.set_nodelay(True)
+        sockets.disable_delay(self.stream.socket)
         self.aliases, reader = {}, mqtt.Reader(terms.most)
         self._write(
             mqtt.Packet(
--- a/petrelwood/fronts/webhook.py
+++ b/petrelwood/fronts/webhook.py
@@ -19,6 +19,7 @@
 from petrelwood.fronts import problem
 from petrelwood.fronts.signing import Verifier
 from petrelwood.links.listener import Listener
+from petrelwood.links.sockets import disable_delay
 
 SECOND = 1_000_000_000
 READ = 65_536
@@ -134,8 +135,9 @@
                     self.reading = False
                 while not self.reading and not self.closing:
                     await self.front.room(self)
-        except StreamClosedError as fault:
-            if isinstance(fault.real_error, ssl.SSLError):
+        except OSError as fault:  # errors of the socket come as they are, or as the cause of a closed stream
+            cause = fault.real_error if isinstance(fault, StreamClosedError) else fault
+            if isinstance(cause, ssl.SSLError):
                 self.front._count("handshakes refused")
 
     def _shaken(self):
@@ -389,7 +391,7 @@
                     lambda done: stream.close()
                 )
             return
-        stream.set_nodelay(True)
+        disable_delay(stream.socket)
         line = Line(self, stream, address)
         self.lines.add(line)
         await line.serve()
--- a/petrelwood/links/rpc_client.py
+++ b/petrelwood/links/rpc_client.py
@@ -81,7 +81,7 @@
         )
         try:
             await stream.connect(self.address)
-            stream.set_nodelay(True)
+            sockets.disable_delay(stream.socket)
         except BaseException:  # the caller's time is up, too
             stream.close()
             raise
--- a/tests/syscall_faults.py
+++ b/tests/syscall_faults.py
@@ -7,6 +7,7 @@
 
 import asyncio
 import contextlib
+import errno
 import os
 import signal
 import socket
@@ -15,6 +16,68 @@
 from typing import Any
 from unittest import mock
 
+# accept(2): of the call itself, while the connection stays where it is
+ACCEPT_FAILS = (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPERM)
+# accept(2): errors that were pending on the new connection, which is gone with them
+ACCEPT_LOSES = (
+    errno.ECONNABORTED,
+    errno.ENETDOWN,
+    errno.EPROTO,
+    errno.ENOPROTOOPT,
+    errno.EHOSTDOWN,
+    errno.ENONET,
+    errno.EHOSTUNREACH,
+    errno.EOPNOTSUPP,
+    errno.ENETUNREACH,
+)
+SOCKET_FAILS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EACCES, errno.EPERM)
+CONNECT_FAILS = (
+    errno.EADDRNOTAVAIL,
+    errno.ENETUNREACH,
+    errno.EHOSTUNREACH,
+    errno.ECONNREFUSED,
+    errno.EAGAIN,
+    errno.EPERM,
+    errno.ENOBUFS,
+    errno.EINTR,
+)
+CONNECT_ENDS = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNREFUSED, errno.ECONNRESET)
+# how a connection shows itself as broken, to who reads and to who writes
+READ_BREAKS = (
+    errno.ECONNRESET,
+    errno.ETIMEDOUT,
+    errno.EHOSTUNREACH,
+    errno.ENETUNREACH,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+    errno.ENOTCONN,
+)
+WRITE_BREAKS = (
+    errno.EPIPE,
+    errno.ECONNRESET,
+    errno.ETIMEDOUT,
+    errno.EHOSTUNREACH,
+    errno.ENETUNREACH,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+    errno.EPERM,
+)
+# of a datagram that could not be sent, or that came back
+DATAGRAM_FAILS = (
+    errno.ECONNREFUSED,
+    errno.EMSGSIZE,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+    errno.EPERM,
+    errno.ENETUNREACH,
+    errno.EHOSTUNREACH,
+    errno.EADDRNOTAVAIL,
+    errno.EAGAIN,
+    errno.EINTR,
+)
+# of a socket that is as good as before
+MOMENTARY = (errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM, errno.ECONNREFUSED)
+
 Chosen = Callable[[socket.socket, tuple[Any, ...]], bool]
 Replacement = Callable[..., Any]
 
@@ -79,10 +142,12 @@
 
 def by_dispatcher(_sock: socket.socket, _args: tuple[Any, ...]) -> bool:
     """Chooses calls that the dispatcher's own text makes, and not those of its peers in the same process."""
-    frame = sys._getframe(2)  # past this and the replacement of the method
-    caller = frame.f_globals.get("__name__", "")
+    frame = sys._getframe(1)
+    while frame.f_globals["__name__"] == __name__:  # this, and replacements of the method
+        frame = frame.f_back
+    caller = frame.f_globals["__name__"]
     while frame is not None:
-        if frame.f_globals.get("__name__", "").startswith("petrelwood.standins."):
+        if frame.f_globals["__name__"].startswith("petrelwood.standins."):
             return False
         frame = frame.f_back
     return caller.startswith("petrelwood.")
@@ -142,13 +207,13 @@
 
 @contextlib.contextmanager
 def no_sockets(error: int, nth: int = 1, times: int | None = 1) -> Iterator[Fault]:
-    """Lets the dispatcher's own making of new sockets fail."""
+    """Lets the dispatcher's own making of new sockets of the internet's families fail."""
     fault = Fault(error, by_dispatcher, nth, times)
 
     def made(inner: Replacement) -> Replacement:
         def outer(sock: socket.socket, *args: Any, **more: Any) -> None:
-            new = more.get("fileno") is None and len(args) < 4
-            if new and by_dispatcher(sock, args) and fault.due():
+            internet = args[:1] in ((socket.AF_INET,), (socket.AF_INET6,)) and more.get("fileno") is None
+            if internet and by_dispatcher(sock, args) and fault.due():
                 fault.fail()
             inner(sock, *args, **more)
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -11,6 +11,15 @@
 
 from node_site import ask
 from syscall_faults import (
+    ACCEPT_FAILS,
+    ACCEPT_LOSES,
+    CONNECT_ENDS,
+    CONNECT_FAILS,
+    DATAGRAM_FAILS,
+    MOMENTARY,
+    READ_BREAKS,
+    SOCKET_FAILS,
+    WRITE_BREAKS,
     Turns,
     broken_write,
     failed_connections,
@@ -26,67 +35,6 @@
 
 from petrelwood.links import sockets
 
-# accept(2): of the call itself, while the connection stays where it is
-ACCEPT_FAILS = (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPERM)
-# accept(2): errors that were pending on the new connection, which is gone with them
-ACCEPT_LOSES = (
-    errno.ECONNABORTED,
-    errno.ENETDOWN,
-    errno.EPROTO,
-    errno.ENOPROTOOPT,
-    errno.EHOSTDOWN,
-    errno.ENONET,
-    errno.EHOSTUNREACH,
-    errno.EOPNOTSUPP,
-    errno.ENETUNREACH,
-)
-SOCKET_FAILS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EACCES, errno.EPERM)
-CONNECT_FAILS = (
-    errno.EADDRNOTAVAIL,
-    errno.ENETUNREACH,
-    errno.EHOSTUNREACH,
-    errno.ECONNREFUSED,
-    errno.EAGAIN,
-    errno.EPERM,
-    errno.ENOBUFS,
-    errno.EINTR,
-)
-CONNECT_ENDS = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNREFUSED, errno.ECONNRESET)
-# how a connection shows itself as broken, to who reads and to who writes
-READ_BREAKS = (
-    errno.ECONNRESET,
-    errno.ETIMEDOUT,
-    errno.EHOSTUNREACH,
-    errno.ENETUNREACH,
-    errno.ENOBUFS,
-    errno.ENOMEM,
-    errno.ENOTCONN,
-)
-WRITE_BREAKS = (
-    errno.EPIPE,
-    errno.ECONNRESET,
-    errno.ETIMEDOUT,
-    errno.EHOSTUNREACH,
-    errno.ENETUNREACH,
-    errno.ENOBUFS,
-    errno.ENOMEM,
-    errno.EPERM,
-)
-# of a datagram that could not be sent, or that came back
-DATAGRAM_FAILS = (
-    errno.ECONNREFUSED,
-    errno.EMSGSIZE,
-    errno.ENOBUFS,
-    errno.ENOMEM,
-    errno.EPERM,
-    errno.ENETUNREACH,
-    errno.EHOSTUNREACH,
-    errno.EADDRNOTAVAIL,
-    errno.EAGAIN,
-    errno.EINTR,
-)
-# of a socket that is as good as before
-MOMENTARY = (errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM, errno.ECONNREFUSED)
 IDLE = 12  # connections that rest
 TURNS = 300  # of a loop that never waits
 TURNS_A_LOOK = 50  # far over what a dispatcher and its roster need; a loop that spins has thousands
