--- a/petrelwood/dispatch/handover/messages.py
+++ b/petrelwood/dispatch/handover/messages.py
@@ -17,6 +17,7 @@
 import msgpack
 
 from petrelwood.decide.cluster.handover import TakeoverRequest
+from petrelwood.decide.delivery.ledger import ActivationState
 from petrelwood.dispatch.errors import MalformedMessageError
 
 
@@ -82,7 +83,7 @@
 
     customer: str
     id: str
-    outcome: str
+    outcome: ActivationState
     sent: bool  # whether it was ever sent to a worker
     body: bytes | None  # the cached answer
 
@@ -121,6 +122,7 @@
 )
 
 HELLO = "hello"
+ENDED = "end"
 KINDS: dict[str, Callable[..., Message]] = {
     "no": Rejection,
     "offer": Offer,
@@ -130,7 +132,7 @@
     "alive": Alive,
     "proven": Proven,
     "back": GiveBack,
-    "end": ActivationEnded,
+    ENDED: ActivationEnded,
     "drained": Drained,
     "taken": TakenBack,
 }
@@ -140,7 +142,7 @@
     "offer": (int,),
     "go": ((int, float), int),
     "back": (str,),
-    "end": (str, str, str, bool, (bytes, type(None))),
+    ENDED: (str, str, str, bool, (bytes, type(None))),
 }
 
 
@@ -173,9 +175,18 @@
     values = values[: len(expected)]
     if len(values) < len(expected) or not all(map(isinstance, values, expected)):
         raise MalformedMessageError(f"'{kind}' without its fields")
+    if kind == ENDED:
+        return _activation_ended(*values)
     return KINDS[kind](*values)
 
 
+def _activation_ended(customer: str, id_: str, outcome: str, sent: bool, body: bytes | None) -> Message:
+    try:
+        return ActivationEnded(customer, id_, ActivationState(outcome), sent, body)
+    except ValueError as fault:
+        raise MalformedMessageError(f"an activation can't end as '{outcome}'") from fault
+
+
 def _hello(values: list[Any]) -> Hello | Unknown:
     if not values or not isinstance(values[0], dict):
         return Unknown(HELLO)
