--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -176,9 +176,9 @@
         self.ledger.abandon_elsewhere()
 
     def _turn_away(self, act):
-        self._finish(
-            act.id, ActivationState.REJECTED, retry_after=self.intake.come_back(self.now(), *act.key)
-        )
+        now = self.now()
+        wait = self.intake.come_back(now, *act.key, self.state_recovery.rejected_for(now))
+        self._finish(act.id, ActivationState.REJECTED, retry_after=wait)
 
     def _keep(self, act):
         """Notes a new activation; whether it may be told to the module at once. What must not run twice waits
--- a/petrelwood/dispatch/state_recovery.py
+++ b/petrelwood/dispatch/state_recovery.py
@@ -46,6 +46,8 @@
     def rejected_for(self, now: int) -> int:
         """Notes that an activation is rejected for the outage; the time until the next attempt to end it."""
         self.rejected += 1
+        if not self.schedule.in_outage:
+            self.check()
         return max(0, self.schedule.backoff.not_before - now)
 
     def _failed(self, now: int) -> None:
@@ -55,7 +57,6 @@
         delay = self.schedule.failed(now, cause)
         self.core.clock.at(now + delay, self.core.submit, self.check)
         if first:
-            self.rejected = 0
             self.core.log.error(
                 "state log failed: work that must not run twice is rejected until it is recovered",
                 cause=cause,
@@ -125,3 +126,4 @@
             ids=len(self.core.ledger.entries),
             rejected=self.rejected,
         )
+        self.rejected = 0
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -8,6 +8,8 @@
 import unittest
 from random import Random
 
+import rig
+
 from petrelwood import ports
 from petrelwood.audit import rules
 from petrelwood.clocks import VirtualClock
@@ -23,6 +25,7 @@
 from petrelwood.decide.overload.intake import Ask
 from petrelwood.dispatch import state_recovery
 from petrelwood.dispatch.core import Core
+from petrelwood.dispatch.health import HeartbeatReporter
 from petrelwood.emulate import script
 from petrelwood.emulate.platform import Platform
 from petrelwood.settings import gateway
@@ -781,5 +784,59 @@
         self.assertGreater(recovered, 12)
 
 
+class OnTheLoop(rig.Case):
+    """A whole dispatcher on sockets, whose fsync runs in a thread."""
+
+    async def play(self, durability, call):
+        with tempfile.TemporaryDirectory() as folder:
+            plain = rig.FILE
+            rig.FILE = plain + f'state {{{{ folder "{folder}/s"; durability "{durability}" }}}}\n'
+            try:
+                await self.begin(rig.Worker("w1"))
+            finally:
+                rig.FILE = plain
+            self.assertEqual((await self.post("once-1"))[0], 200)
+            state = self.core.state
+            broken = getattr(state.files, call)
+
+            def fails(*args):
+                raise OSError(errno.EIO, "Input/output error")
+
+            setattr(state.files, call, fails)
+            rejected = 0
+            for _ in range(8):
+                status, reply = await self.post("once-1")
+                self.assertEqual(status, 503)
+                self.assertIn(b"retry-after", reply.headers)
+                rejected += 1
+                self.assertEqual((await self.post("again-1"))[0], 200)
+            self.assertIsNotNone(state.stopped)
+            self.assertFalse(HeartbeatReporter(f"{folder}/h", self.core).report().keeps)
+            setattr(state.files, call, broken)
+            await self.until(lambda: state.stopped is None)
+            self.assertEqual((await self.post("once-1"))[0], 200)
+            (said,) = self.log.said("state log recovered")
+            self.assertEqual(said["rejected"], rejected)
+            state.close(self.core.record_time())
+            records, damages = state_segments.read(f"{folder}/s")
+            self.assertEqual(damages, [])
+            completed = {
+                r.id
+                for r in records
+                if isinstance(r, ActivationEnded) and r.outcome == ActivationState.COMPLETED
+            }
+            self.assertEqual(len(completed), 2 + 8)
+            self.assertEqual(self.runs(), 2 + 8)
+
+    async def test_a_write_that_fails(self):
+        await self.play("process", "write")
+
+    async def test_an_fsync_that_fails_in_its_thread(self):
+        await self.play("machine", "sync")
+
+    async def test_a_write_that_fails_beside_an_fsync(self):
+        await self.play("machine", "write")
+
+
 if __name__ == "__main__":
     unittest.main()
