--- a/petrelwood/store/early_load_log.py
+++ b/petrelwood/store/early_load_log.py
@@ -32,7 +32,7 @@
     """How one early load ended, in the order of its stored form. Times are wall-clock ns."""
 
     asked: int
-    stood: int  # when the copy was loaded; 0: never
+    stood: int | None  # when the copy was loaded; None: never
     ended: int
     function: str
     hall: str
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -70,6 +70,7 @@
             msgpack.packb(["go", 0.5]),
             msgpack.packb(["back"]),
             msgpack.packb(["end", "x", "m", "completed", True]),
+            msgpack.packb(["end", "x", "m", "lost", True, None]),
             msgpack.packb(["hello", {"reads": 1}]),
             msgpack.packb(["hello", {"reads": ["a", "b"]}]),
         ):
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -191,8 +191,6 @@
             now=self.clock.now,
             **more,
         )
-        # as `Dispatcher` has it, without the thread
-        self.core.sync_soon = lambda: self.core.kept(list(self.core.unkept), self.state.sync())
         self.core.adopt(self.state)
         self.taken = {}  # what must not run twice and has begun: id -> activation
         self.number = 0
@@ -236,7 +234,7 @@
     def assert_owed(self, found, taken=None):
         """No id that may have run could run again."""
         for id_ in self.taken if taken is None else taken:
-            known = found.ids.get(("x", id_))
+            known = found.activations.get(("x", id_))
             self.assertIsNotNone(known, id_)
             if id_ in self.taken and known.outcome == ActivationState.REJECTED:
                 self.fail(f"{id_} would run again")
@@ -296,7 +294,7 @@
             for id_, act in self.taken.items():
                 entry = self.core.ledger.entries["x", id_]
                 if stopped is None and entry.state != ActivationState.RUNNING:
-                    self.assertEqual(found.ids["x", id_].outcome, entry.state, (id_, act))
+                    self.assertEqual(found.activations["x", id_].outcome, entry.state, (id_, act))
             outages = [record for record in state_segments.read(folder)[0] if isinstance(record, OutageEnded)]
             self.assertEqual(len(self.log.said("state log failed")), int(rejected > 0 or bool(outages)))
             if rejected and stopped is None:
@@ -412,8 +410,8 @@
         ended = 0
         for (_, id_), entry in self.core.ledger.entries.items():
             if id_ in self.taken:
-                self.assertEqual(found.ids["x", id_].outcome, entry.state)
-                self.assertEqual(found.ids["x", id_].body, entry.result)
+                self.assertEqual(found.activations["x", id_].outcome, entry.state)
+                self.assertEqual(found.activations["x", id_].result, entry.result)
                 ended += entry.state == ActivationState.COMPLETED
         self.assertGreater(ended, 8)
         self.assertGreater(len(acts), 900)
@@ -427,12 +425,12 @@
         self.core.membership.is_usable = lambda worker: True
         held = []
         self.core.load_order_ended = lambda *answer: held.append(answer[2])
-        self.core.hold("w1", "again-1", 2)
+        self.core.outlet.hold("w1", "again-1", 2)
         self.assertEqual(len(sent), 1)
         failing[0] = True
-        self.core.hold("w1", "again-2", 1)
+        self.core.outlet.hold("w1", "again-2", 1)
         self.wait(1)
-        self.core.hold("w1", "again-3", 1)
+        self.core.outlet.hold("w1", "again-3", 1)
         self.assertEqual((len(sent), held), (1, [ports.NOT_SENT] * 2))
         failing[0] = False
         self.wait(2)
@@ -445,7 +443,7 @@
         ]
         self.assertEqual([record[1:] for record in orders], [("w1", "again-1", 2)])
         self.assertLessEqual(abs(orders[0].time - (self.clock.wall() - self.clock.now())), SECOND)
-        self.core.hold("w1", "again-4", 1)
+        self.core.outlet.hold("w1", "again-4", 1)
         self.assertEqual(len(sent), 2)
 
     def test_a_segment_under_an_fsync_is_not_closed(self):
@@ -494,7 +492,7 @@
         self.number += 1000
         self.assertEqual(self.ask(id_="theirs").verdict, stage.ABORT)
         self.assertIn(self.ask().act, self.core.brain.began)
-        self.assertEqual(self.after_a_kill().ids["x", "m1"].outcome, ActivationState.COMPLETED)
+        self.assertEqual(self.after_a_kill().activations["x", "m1"].outcome, ActivationState.COMPLETED)
 
 
 class Kills(Gateway):
@@ -508,7 +506,7 @@
             self.complete(act)
         for act in acts[4:6]:
             self.core.pending.sent(act)
-            self.core.submit(self.core.abort, act)
+            self.core.submit(self.core.outlet.abort, act)
 
     def snapshot_of(self, folder):
         return {path.name: path.read_bytes() for path in folder.iterdir()}
@@ -560,7 +558,7 @@
                     (where / name).write_bytes(files_then.get(name, b"") + data[:cut])
                 found = self.after_a_kill(where)
                 for id_, outcome in states.items():
-                    known = found.ids[("x", id_)].outcome
+                    known = found.activations[("x", id_)].outcome
                     # what it knows is true; what it does not know counts as may have run
                     self.assertIn(known, (outcome, ActivationState.RUNNING))
                 kills += 1
@@ -581,7 +579,7 @@
         self.assertIsNone(self.state.stopped)
         found = self.after_a_kill()
         self.assertEqual(
-            {id_: found.ids["x", id_].outcome for id_ in self.taken},
+            {id_: found.activations["x", id_].outcome for id_ in self.taken},
             {id_: self.core.ledger.entries["x", id_].state for id_ in self.taken},
         )
 
@@ -598,10 +596,10 @@
             if number % 4 == 1:
                 self.complete(act, b"x" * (10 if number % 8 == 1 else 5000))
             elif number % 4 == 2:
-                self.core.submit(self.core.reject, act, 0)
+                self.core.submit(self.core.outlet.reject, act, 0)
             elif number % 4 == 3:
                 self.core.pending.sent(act)
-                self.core.submit(self.core.abort, act)
+                self.core.submit(self.core.outlet.abort, act)
                 self.wait(0.5)
                 self.number += 5000
                 self.ask(type_, f"m{number + 1}")  # asked again
@@ -673,7 +671,10 @@
         self.assertEqual(dropped, [])
         found = recovery.replay(records, WALL + 20, "b1", False)
         self.assertEqual(
-            {key: (known.outcome, known.sent, known.body, known.type) for key, known in found.ids.items()},
+            {
+                key: (known.outcome, known.may_have_run, known.result, known.type_name)
+                for key, known in found.activations.items()
+            },
             {
                 ("x", "open"): (ActivationState.RUNNING, False, None, "once"),
                 ("x", "done"): (ActivationState.COMPLETED, True, b'{"ok":1}', "once"),
@@ -681,7 +682,9 @@
                 ("y", "later"): (ActivationState.RUNNING, False, None, "again"),
             },
         )
-        self.assertEqual((found.orders, found.in_order, found.began), ([WALL + 6] * 2, True, WALL))
+        self.assertEqual(
+            (found.order_times, found.ended_in_order, found.complete_since), ([WALL + 6] * 2, True, WALL)
+        )
 
     def test_other_folders_of_the_text_before_are_read(self):
         self.assertEqual(
@@ -768,7 +771,7 @@
             platform = OnFiles(day, seed).run()
             broken = [line for found in rules.judge(platform.case()) for line in found.broken]
             completed = sum(wish.ended == "completed" for wish in platform.clients.wishes)
-            recovered = sum(bool(core.state_recovery.schedule.recovered_at) for _, core in logs)
+            recovered = sum(bool(core.durable_state.state_recovery.schedule.recovered_at) for _, core in logs)
             for log, _ in logs:
                 if log.log is not None:
                     log.log.abandon()
@@ -796,7 +799,7 @@
             finally:
                 rig.FILE = plain
             self.assertEqual((await self.post("once-1"))[0], 200)
-            state = self.core.state
+            state = self.core.durable_state.log
             broken = getattr(state.files, call)
 
             def fails(*args):
