--- a/petrelwood/dispatch/durable_state.py
+++ b/petrelwood/dispatch/durable_state.py
@@ -97,7 +97,7 @@
             return False
         if self.log.flush():
             return True
-        core.activations.reject(act)
+        core.activations.reject(act, self.reject(core.now()))
         return False
 
     def _sync(self) -> None:
@@ -125,7 +125,7 @@
             if durable:
                 activations.begin(act)
             else:
-                activations.reject(act)
+                activations.reject(act, self.reject(self.core.now()))
 
     # What ends, and what is ordered.
     def record_ended(
