--- a/tests/test_finished.py
+++ b/tests/test_finished.py
@@ -22,6 +22,7 @@
     "petrelwood/decide/overload/sliding_window.py",
     "petrelwood/decide/overload/throughput.py",
     "petrelwood/decide/wall_clock.py",
+    "petrelwood/dispatch",
     "petrelwood/emulate/configuration_servers.py",
     "petrelwood/errors.py",
     "petrelwood/links/listener.py",
