--- a/petrelwood/dispatch/activations.py
+++ b/petrelwood/dispatch/activations.py
@@ -120,7 +120,8 @@
 
     def reject(self, act: PendingActivation, least_wait: int = 0) -> None:
         """Rejects an activation that the module has not heard of; it may come back after `least_wait` ns."""
-        retry_after = self.intake.come_back(self.now(), *act.key, least_wait)
+        customer, id_ = act.key
+        retry_after = self.intake.come_back(self.now(), customer, id_, least_wait)
         self.finish(act.id, REJECTED, retry_after=retry_after)
 
     def client_left(self, act_id: str, exchange: Exchange) -> None:
