--- a/petrelwood/decide/overload/intake.py
+++ b/petrelwood/decide/overload/intake.py
@@ -8,8 +8,9 @@
 from typing import NamedTuple
 
 from petrelwood.decide.delivery import ledger as ledger_module
-from petrelwood.decide.overload import deadlines, retry_budget
+from petrelwood.decide.overload import deadlines
 from petrelwood.decide.overload.concurrency_limit import ConcurrencyLimit
+from petrelwood.decide.overload.retry_budget import EARLY, FIRST, RetryPolicy
 from petrelwood.decide.overload.storm import Storms
 from petrelwood.decide.overload.throughput import ThroughputEstimate
 
@@ -79,7 +80,7 @@
             ThroughputEstimate(few),
             ConcurrencyLimit(limits.held, few, min(timeouts.values()) // 2),
         )
-        self.retry_policy, self.storms = retry_budget.RetryPolicy(max(64, limits.ledger // 16)), Storms()
+        self.retry_policy, self.storms = RetryPolicy(max(64, limits.ledger // 16)), Storms()
 
     def ask(self, now, wall, ask):
         due, gone = deadlines.deadline(ask.came, ask.wait, self.timeouts[ask.type])
@@ -87,13 +88,9 @@
         joins = known is not None and (
             known.state != ledger_module.ActivationState.REJECTED or ask.stamp <= known.timestamp
         )
-        how = (
-            retry_budget.FIRST
-            if joins or not self.damps
-            else self.retry_policy.comes(now, ask.customer, ask.id)
-        )
+        how = FIRST if joins or not self.damps else self.retry_policy.classify(now, ask.customer, ask.id)
         if self.damps:
-            self.storms.asked(now, joins or how != retry_budget.FIRST)
+            self.storms.asked(now, joins or how is not FIRST)
         if not joins:  # a retry of what is known costs no room
             why = (
                 self._room(ask.customer)
@@ -104,7 +101,7 @@
                 return Verdict(
                     REFUSE,
                     why,
-                    retry_after=self.come_back(now, ask.customer, ask.id, early=how == retry_budget.EARLY),
+                    retry_after=self.come_back(now, ask.customer, ask.id, early=how is EARLY),
                 )
         verdict, entry = self.ledger.admit(now, wall, (ask.customer, ask.id), ask.stamp, ask.type)
         if verdict == ledger_module.LedgerVerdict.RUN:
@@ -157,18 +154,19 @@
         if not quiet and self.throughput.is_too_late(now, self.held, due):
             return TOO_MANY
         if (
-            how == retry_budget.EARLY
+            how is EARLY
             and self.concurrency_limit.is_reduced
             and (
-                self.retry_policy.since(now, ask.customer, ask.id) > self.terms.types[ask.type].target_latency
+                self.retry_policy.rejected_for(now, ask.customer, ask.id)
+                > self.terms.types[ask.type].target_latency
             )
         ):
             # it can only be late by now; others can still be in time
             return TOO_EARLY
         if (
-            how == retry_budget.EARLY
+            how is EARLY
             and (self.storms.on("repeats") or self.concurrency_limit.is_reduced)
-            and not self.retry_policy.may(ask.customer)
+            and not self.retry_policy.may_retry_early(ask.customer)
         ):
             return TOO_EARLY
         return None
@@ -186,7 +184,7 @@
 
     def took(self, customer, id_):
         self.held += 1
-        self.retry_policy.settled(customer, id_)
+        self.retry_policy.on_admitted(customer, id_)
         self.by_customer[customer] = self.by_customer.get(customer, 0) + 1
 
     def ended(self, now, customer, type_name, stayed, outcome):
@@ -239,5 +237,6 @@
         if not self.damps:
             return min(int(wait * (0.5 + self.chance())), most)
         return min(
-            most, max(least, self.retry_policy.hint(now, customer, id_, wait, self.chance, most, early))
+            most,
+            max(least, self.retry_policy.retry_after(now, customer, id_, wait, self.chance, most, early)),
         )
--- a/tests/test_finished.py
+++ b/tests/test_finished.py
@@ -19,6 +19,7 @@
     "petrelwood/decide/overload/backoff.py",
     "petrelwood/decide/overload/concurrency_limit.py",
     "petrelwood/decide/overload/deadlines.py",
+    "petrelwood/decide/overload/retry_budget.py",
     "petrelwood/decide/overload/sliding_window.py",
     "petrelwood/decide/overload/throughput.py",
     "petrelwood/decide/wall_clock.py",
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -96,33 +96,35 @@
 class Hints(unittest.TestCase):
     def test_who_listens_gets_in_and_who_does_not_wears_out_only_his_own(self):
         policy, lines = retry_budget.RetryPolicy(1000), []
-        policy.hint(0, "calm", "c1", S, half, 60 * S, False)
+        policy.retry_after(0, "calm", "c1", S, half, 60 * S, False)
         for at in range(12):  # he retries each 100 ms, whatever he is told
-            how = policy.comes(at * S // 10, "loud", "l1")
-            may = how != retry_budget.EARLY or policy.may("loud")
-            wait = policy.hint(at * S // 10, "loud", "l1", S, half, 60 * S, how == retry_budget.EARLY)
+            how = policy.classify(at * S // 10, "loud", "l1")
+            may = how != retry_budget.Arrival.EARLY or policy.may_retry_early("loud")
+            wait = policy.retry_after(
+                at * S // 10, "loud", "l1", S, half, 60 * S, how == retry_budget.Arrival.EARLY
+            )
             lines.append(
                 f"{at / 10:4.1f}  loud {how} {'goes on' if may else 'is over his budget'}, "
                 f"told {wait / S:.0f} s"
             )
         lines.append(
-            f" 1.0  calm {policy.comes(S, 'calm', 'c1')}; deaf {policy.deaf('calm'):.2f} against "
-            f"{policy.deaf('loud'):.2f}"
+            f" 1.0  calm {policy.classify(S, 'calm', 'c1')}; deaf {policy.early_share('calm'):.2f} against "
+            f"{policy.early_share('loud'):.2f}"
         )
-        policy.settled("loud", "l1")
-        lines.append(f" 1.2  loud, once taken, {policy.comes(12 * S // 10, 'loud', 'l1')}")
+        policy.on_admitted("loud", "l1")
+        lines.append(f" 1.2  loud, once taken, {policy.classify(12 * S // 10, 'loud', 'l1')}")
         compare(self, "storm_policy", lines)
 
     def test_what_is_remembered_is_bounded(self):
         policy = retry_budget.RetryPolicy(50)
         for i in range(500):
-            policy.comes(i, f"c{i}", "x")
-            policy.hint(i, f"c{i}", "x", S, half, 60 * S, False)
-        self.assertEqual((len(policy.told), len(policy.customers)), (50, 50))
+            policy.classify(i, f"c{i}", "x")
+            policy.retry_after(i, f"c{i}", "x", S, half, 60 * S, False)
+        self.assertEqual((len(policy.hints), len(policy.customers)), (50, 50))
 
     def test_those_refused_together_part(self):
         chance, policy = random.Random(3).random, retry_budget.RetryPolicy(10_000)
-        times = sorted(policy.hint(0, "x", str(i), 4 * S, chance, 60 * S, False) for i in range(2000))
+        times = sorted(policy.retry_after(0, "x", str(i), 4 * S, chance, 60 * S, False) for i in range(2000))
         self.assertLess(max(sum(t // S == second for t in times) for second in range(8)), 0.3 * len(times))
 
     def test_a_budget_is_earned_by_firsts_or_by_time(self):
