--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -179,6 +179,16 @@
         self.endpoints_known.set()
 
     # The end.
+    def still_wanted(self, activation_id: str) -> bool:
+        """Whether an attempt of an activation may leave: its client may have hung up while the loop was held
+        up. What outlives its client goes on."""
+        pending = self.pending.acts.get(activation_id)
+        if pending is None:
+            return False
+        for exchange, _ in list(pending.waiting):
+            exchange.look_for_end()
+        return activation_id in self.pending.acts
+
     async def close(self) -> None:
         """Admits nothing new, answers all that is in flight, and ends."""
         self.intake.closing = True
--- a/petrelwood/fronts/mqtt.py
+++ b/petrelwood/fronts/mqtt.py
@@ -58,6 +58,9 @@
         self.function, self.rule, self.body, self.target = function, rule, body, target
         self.act, self.delivery, self.answer_is = None, None, None
 
+    def look_for_end(self):
+        """A message outlives the connection that it came by."""
+
     def answer(self, what, body=b"", retry_after=0, why="", act=None):
         """The final answer, from the core."""
         if self.answer_is is not None:
--- a/petrelwood/fronts/webhook.py
+++ b/petrelwood/fronts/webhook.py
@@ -60,6 +60,14 @@
             None,
         )
 
+    def look_for_end(self):
+        """Asked before a send leaves: whether the client has hung up. That may lie unread, or not be
+        told yet."""
+        stream = self.line.stream
+        if stream.closed() or link_sockets.hung_up(stream.socket):
+            self.line.gone()
+            stream.close()
+
     def answer(self, what, body=b"", retry_after=0, why="", act=None):
         """The final answer, from the core: 'completed', 'rejected', 'aborted' or a verdict of the intake."""
         if what in ("completed", intake.GIVE):
--- a/petrelwood/links/sockets.py
+++ b/petrelwood/links/sockets.py
@@ -43,6 +43,13 @@
     return [number for number, _ in poll.poll(0)]
 
 
+def hung_up(sock: socket.socket) -> bool:
+    """Whether the peer has ended or reset the connection, also where that lies behind unread bytes."""
+    poll = select.poll()
+    poll.register(sock, select.POLLRDHUP)
+    return bool(poll.poll(0))
+
+
 def bytes_written(stream: IOStream) -> int:
     """Bytes that were written on a stream so far, whether the kernel took them or not."""
     written: int = stream._total_write_index
--- a/petrelwood/links/worker.py
+++ b/petrelwood/links/worker.py
@@ -82,6 +82,13 @@
             if chunk:
                 self._write(b"".join(chunk))
 
+    def _may_leave(self, call):
+        """As in `Calls`; nor does a send leave whose client has hung up, whether that was read or not."""
+        if call.kind == "run" and not self.core.still_wanted(call.act):
+            self._end(call, send_outcome.of_recall(call.stage))
+            return False
+        return super()._may_leave(call)
+
     def _encode(self, call):
         params = call.content
         if call.kind == "run":
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -248,6 +248,9 @@
     def active(self, link):
         pass
 
+    def still_wanted(self, act):
+        return True
+
 
 class OtherLinks(unittest.TestCase):
     TERMS = types.SimpleNamespace(
@@ -264,6 +267,7 @@
         core.time = 60
         link.state.on_connected()
         link.state.on_greeting(60, "w", 1)
+        link.stream = types.SimpleNamespace(_total_write_index=0)
         link._write = written.append
         link._flush()
         self.assertEqual(core.ends, [("short", ports.NOT_SENT)])
@@ -277,6 +281,7 @@
         link.state.on_connecting(0)
         link.state.on_connected()
         link.state.on_greeting(0, "w", 1)
+        link.stream = types.SimpleNamespace(_total_write_index=0)
         link._write = written.append
         link.run("one", 0, "f", "m", 90, 1, b"x")
         core.time = 40
