--- a/petrelwood/dispatch/activations.py
+++ b/petrelwood/dispatch/activations.py
@@ -118,9 +118,11 @@
             self.now(), act.id, act.fn, act.type, act.customer, act.due, act.lanes, act.work, act.load_time
         )
 
-    def reject(self, act: PendingActivation) -> None:
-        """Rejects an activation that the module has not heard of."""
-        self.finish(act.id, REJECTED, retry_after=self.intake.come_back(self.now(), *act.key))
+    def reject(self, act: PendingActivation, least_wait: int = 0) -> None:
+        """Rejects an activation that the module has not heard of; it may come back after `least_wait` ns."""
+        customer, id_ = act.key
+        retry_after = self.intake.come_back(self.now(), customer, id_, least_wait)
+        self.finish(act.id, REJECTED, retry_after=retry_after)
 
     def client_left(self, act_id: str, exchange: Exchange) -> None:
         """A client hung up; the activation ends unless others wait for it, or it has to go on."""
--- a/petrelwood/fronts/mqtt.py
+++ b/petrelwood/fronts/mqtt.py
@@ -151,7 +151,7 @@
         else:
             self.stream = IOStream(sockets.fresh(host))
             await asyncio.wait_for(self.stream.connect(terms.broker), within)
-        self.stream.set_nodelay(True)
+        sockets.disable_delay(self.stream.socket)
         self.aliases, reader = {}, mqtt.Reader(terms.most)
         self._write(
             mqtt.Packet(
@@ -313,7 +313,7 @@
             packet.payload,
             terms.target_latency,
         )
-        due, _ = deadlines.due(now, wait, core.gateway.timeouts[type_])
+        due = deadlines.deadline(now, wait, core.gateway.timeouts[type_]).due
         self.deliveries.on_publish(
             now,
             packet.id,
