--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -180,8 +180,10 @@
 
     # The end.
     def still_wanted(self, activation_id: str) -> bool:
-        """Whether an attempt of an activation may leave: its client may have hung up while the loop was held
-        up. What outlives its client goes on."""
+        """Whether an attempt of an activation may leave.
+
+        Its client may have hung up while the loop was held up. What outlives its client goes on.
+        """
         pending = self.pending.acts.get(activation_id)
         if pending is None:
             return False
