--- a/petrelwood/decide/overload/intake.py
+++ b/petrelwood/decide/overload/intake.py
@@ -11,7 +11,7 @@
 from petrelwood.decide.overload import deadlines
 from petrelwood.decide.overload.concurrency_limit import ConcurrencyLimit
 from petrelwood.decide.overload.retry_budget import EARLY, FIRST, RetryPolicy
-from petrelwood.decide.overload.storm import Storms
+from petrelwood.decide.overload.storm import Storms, SymptomName
 from petrelwood.decide.overload.throughput import ThroughputEstimate
 
 TAKE, JOIN, GIVE, REFUSE, CONFLICT, ABORT, SPENT = (
@@ -90,7 +90,7 @@
         )
         how = FIRST if joins or not self.damps else self.retry_policy.classify(now, ask.customer, ask.id)
         if self.damps:
-            self.storms.asked(now, joins or how is not FIRST)
+            self.storms.record_request(now, joins or how is not FIRST)
         if not joins:  # a retry of what is known costs no room
             why = (
                 self._room(ask.customer)
@@ -165,7 +165,7 @@
             return TOO_EARLY
         if (
             how is EARLY
-            and (self.storms.on("repeats") or self.concurrency_limit.is_reduced)
+            and (self.storms.has(SymptomName.REPEATS) or self.concurrency_limit.is_reduced)
             and not self.retry_policy.may_retry_early(ask.customer)
         ):
             return TOO_EARLY
@@ -204,11 +204,11 @@
             )
 
     def look(self, now):
-        """Asked a few times a second: the symptoms that have changed, as `storm.Storms.look` tells them."""
+        """Asked a few times a second: the symptoms that have changed, as `storm.Storms.update` tells them."""
         if not self.damps:
             return []
         self.concurrency_limit.update(now, self.held)
-        return self.storms.look(now)
+        return self.storms.update(now)
 
     def figures(self):
         """What is counted, for logs and tests."""
--- a/petrelwood/decide/overload/storm.py
+++ b/petrelwood/decide/overload/storm.py
@@ -1,151 +1,227 @@
 """Storms, told by their symptoms and not by their causes.
 
-    repeats     the share of asks that come again (same id, same customer)
-    surge       asks in a second against the usual second
-    synchrony   how bunched asks are: the variance of counts in small buckets over their mean, 1 for
-    independent callers
-    reconnects  connections opened against asks that came on them
-    cold        the share of ended sends that had to wait for a load
+    repeats     the share of requests that are retries (same id, same customer)
+    surge       requests in a second against the usual second
+    synchrony   how bunched requests are: the variance of counts in small buckets over their mean, 1 for
+                independent callers
+    reconnects  connections opened against requests that came on them
+    cold        the share of ended attempts that had to wait for a load
 
 Each symptom goes on when it has been over its upper mark at two looks in a row and off when it has stayed
 under its lower mark for a while that grows each time it comes back soon: it does not flap. What follows from
 a storm is decided where it matters (`retry_budget`, `admission`, `concurrency_limit`, early loads); here is
-only what there is."""
+only what there is.
+"""
 
 from collections import Counter
+from collections.abc import Sequence
+from enum import StrEnum
+from typing import NamedTuple
 
 from petrelwood.decide.overload.sliding_window import SlidingWindowCounter
 
 SECOND = 1_000_000_000
+LEAST_EVENTS = 20  # in a window, under which nothing is told from shares
+LOOKS = 2  # over the upper mark in a row, and a symptom is on
+CALM = 2 * SECOND  # under the lower mark so long, and a symptom is over
+LONGEST_CALM = 16 * CALM
+SOON = 4  # calms within which one that comes back was not over
+USUAL_SMOOTHING = 1 / 60  # how fast the usual second follows, each second
+MOST_QUIET_SECONDS = 60  # without a request, of which the usual second learns at a time
+BUCKET = SECOND // 4
+BUCKETS = 9
+FINE_BUCKET = 50_000_000  # ns; synchrony is told from buckets of this size
+FINE_BUCKETS = 41  # two seconds and the one that fills
+
+
+class SymptomName(StrEnum):
+    """The signs of a storm; also their names in logs."""
+
+    REPEATS = "repeats"
+    SURGE = "surge"
+    SYNCHRONY = "synchrony"
+    RECONNECTS = "reconnects"
+    COLD = "cold"
+
+
+class Marks(NamedTuple):
+    """Over the upper one a symptom goes on, under the lower one off."""
+
+    upper: float
+    lower: float
+
+
 MARKS = {
-    "repeats": (0.3, 0.1),
-    "surge": (3.0, 1.5),
-    "synchrony": (8.0, 3.0),
-    "reconnects": (0.7, 0.3),
-    "cold": (0.6, 0.3),
+    SymptomName.REPEATS: Marks(0.3, 0.1),
+    SymptomName.SURGE: Marks(3.0, 1.5),
+    SymptomName.SYNCHRONY: Marks(8.0, 3.0),
+    SymptomName.RECONNECTS: Marks(0.7, 0.3),
+    SymptomName.COLD: Marks(0.6, 0.3),
 }
-FEW = 20  # asks in a window under which nothing is told from shares
-LOOKS = 2
-CALM = 2 * SECOND  # under the lower mark so long, and a symptom is over
-LONGEST = 16  # times CALM
-USUAL = 1 / 60  # how fast the usual second follows, each second
-FINE, FINES = 50_000_000, 41  # buckets that synchrony is told from, over two seconds
+
+
+class SymptomChange(NamedTuple):
+    """A symptom that has just gone on or off."""
+
+    name: str
+    is_on: bool
+    value: float
 
 
 class Symptom:
-    """One sign, with its two marks. `value` is the last that was looked at."""
+    """One sign, with its two marks."""
 
-    def __init__(self, on, off):
-        self.upper, self.lower, self.on, self.value = on, off, False, 0.0
-        self.over, self.under_since, self.since, self.ended, self.calm = 0, None, 0, -1 << 62, CALM
+    __slots__ = ("calm", "ended_at", "is_on", "looks_over", "marks", "under_since", "value")
 
-    def look(self, now, value):
+    def __init__(self, marks: Marks) -> None:
+        self.marks = marks
+        self.is_on = False
+        self.value = 0.0  # at the last look
+        self.looks_over = 0  # in a row, while it is off
+        self.under_since: int | None = None  # while it is on
+        self.ended_at: int | None = None
+        self.calm = CALM  # that it needs to be over
+
+    def update(self, now: int, value: float) -> bool:
         """Whether it has just changed."""
         self.value = value
-        if not self.on:
-            self.over = self.over + 1 if value >= self.upper else 0
-            if self.over < LOOKS:
-                return False
-            again = now - self.ended < 4 * self.calm  # back so soon: what ended it was no end
-            self.calm = min(LONGEST * CALM, 2 * self.calm) if again else CALM
-            self.on, self.since, self.under_since, self.over = True, now, None, 0
-            return True
-        if value > self.lower:
+        return self._may_end(now) if self.is_on else self._may_begin(now)
+
+    def _may_begin(self, now: int) -> bool:
+        self.looks_over = self.looks_over + 1 if self.value >= self.marks.upper else 0
+        if self.looks_over < LOOKS:
+            return False
+        # back so soon: what ended it was no end
+        is_back = self.ended_at is not None and now - self.ended_at < SOON * self.calm
+        self.calm = min(LONGEST_CALM, 2 * self.calm) if is_back else CALM
+        self.is_on = True
+        self.under_since = None
+        self.looks_over = 0
+        return True
+
+    def _may_end(self, now: int) -> bool:
+        if self.value > self.marks.lower:
             self.under_since = None
             return False
         if self.under_since is None:
             self.under_since = now
         if now - self.under_since < self.calm:
             return False
-        self.on, self.ended = False, now
+        self.is_on = False
+        self.ended_at = now
         return True
 
 
 class Storms:
-    """All symptoms of one dispatcher. Tell it what happens; `look` each half second or so."""
-
-    def __init__(self):
-        self.symptoms = {name: Symptom(*marks) for name, marks in MARKS.items()}
-        self.asks, self.repeats = SlidingWindowCounter(SECOND // 4, 9), SlidingWindowCounter(SECOND // 4, 9)
-        self.connects, self.sends, self.colds = (SlidingWindowCounter(SECOND // 4, 9) for _ in range(3))
-        self.fine, self.usual, self.second, self.count, self.seen = (
-            SlidingWindowCounter(FINE, FINES),
-            None,
-            None,
-            0,
-            Counter(),
-        )
-
-    # What happens.
-    def asked(self, now, repeat):
-        self.asks.add(now)
-        self.fine.add(now)
-        if repeat:
-            self.repeats.add(now)
+    """All symptoms of one dispatcher, from what is recorded here; `update` them each half second or so."""
+
+    __slots__ = (
+        "cold_attempts",
+        "attempts",
+        "connections",
+        "fine_requests",
+        "requests",
+        "retries",
+        "second",
+        "second_requests",
+        "seen",
+        "symptoms",
+        "usual",
+    )
+
+    def __init__(self) -> None:
+        self.symptoms = {name: Symptom(marks) for name, marks in MARKS.items()}
+        self.requests = SlidingWindowCounter(BUCKET, BUCKETS)
+        self.retries = SlidingWindowCounter(BUCKET, BUCKETS)
+        self.connections = SlidingWindowCounter(BUCKET, BUCKETS)
+        self.attempts = SlidingWindowCounter(BUCKET, BUCKETS)
+        self.cold_attempts = SlidingWindowCounter(BUCKET, BUCKETS)
+        self.fine_requests = SlidingWindowCounter(FINE_BUCKET, FINE_BUCKETS)
+        self.usual: float | None = None  # requests in the usual second
+        self.second: int | None = None  # the one that is counted
+        self.second_requests = 0
+        self.seen: Counter[str] = Counter()  # how often each symptom went on
+
+    def record_request(self, now: int, is_retry: bool) -> None:
+        """A request has come."""
+        self.requests.add(now)
+        self.fine_requests.add(now)
+        if is_retry:
+            self.retries.add(now)
         second = now // SECOND
         if self.second is None:
             self.second = second
         if second != self.second:
-            self._second_ends(second - self.second)
+            self._end_second(second - self.second)
             self.second = second
-        self.count += 1
+        self.second_requests += 1
 
-    def _second_ends(self, passed):
-        """The usual second is learnt from seconds without a storm, and slowly: a storm must not become
-        usual."""
-        count, self.count = self.count, 0
-        if self.usual is None:
-            self.usual = float(count)
-        elif not self.any():
-            for value in [count] + [0] * min(passed - 1, 60):
-                self.usual += USUAL * (value - self.usual)
+    def record_connection(self, now: int) -> None:
+        """A client has connected."""
+        self.connections.add(now)
 
-    def connected(self, now):
-        self.connects.add(now)
+    def record_attempt(self, now: int, is_cold: bool) -> None:
+        """An attempt has ended; whether it had to wait for a load."""
+        self.attempts.add(now)
+        if is_cold:
+            self.cold_attempts.add(now)
 
-    def ran(self, now, cold):
-        self.sends.add(now)
-        if cold:
-            self.colds.add(now)
+    def has_any(self) -> bool:
+        """Whether there is any symptom."""
+        return any(symptom.is_on for symptom in self.symptoms.values())
 
-    # What there is.
-    def any(self):
-        return any(s.on for s in self.symptoms.values())
+    def has(self, name: SymptomName) -> bool:
+        """Whether there is this symptom."""
+        return self.symptoms[name].is_on
 
-    def on(self, name):
-        return self.symptoms[name].on
-
-    def look(self, now):
-        """The symptoms that have just changed: [(name, whether it is on, value)]"""
+    def update(self, now: int) -> list[SymptomChange]:
+        """The symptoms that have just changed."""
         changed = []
         for name, value in self._values(now).items():
             symptom = self.symptoms[name]
-            if symptom.look(now, value):
-                self.seen[name] += symptom.on
-                changed.append((name, symptom.on, value))
+            if symptom.update(now, value):
+                self.seen[name.value] += symptom.is_on
+                changed.append(SymptomChange(name.value, symptom.is_on, value))
         return changed
 
-    def _values(self, now):
-        asks = self.asks.sum(now)
-        enough, window = asks >= FEW, self.asks.span / SECOND
-        usual = max(self.usual or 0.0, FEW / window)
-        sends = self.sends.sum(now)
+    def figures(self) -> dict[str, dict[str, bool | float | int]]:
+        """What is counted, for logs and tests."""
         return {
-            "repeats": self.repeats.sum(now) / asks if enough else 0.0,
-            "surge": asks / window / usual if enough and self.usual is not None else 0.0,
-            "synchrony": dispersion(self.fine.ended_buckets(now)) if enough else 0.0,
-            "reconnects": self.connects.sum(now) / max(asks, FEW),
-            "cold": self.colds.sum(now) / sends if sends >= FEW else 0.0,
+            name.value: {"on": symptom.is_on, "value": round(symptom.value, 3), "seen": self.seen[name.value]}
+            for name, symptom in self.symptoms.items()
         }
 
-    def figures(self):
-        return {
-            name: {"on": s.on, "value": round(s.value, 3), "seen": self.seen[name]}
-            for name, s in self.symptoms.items()
-        }
+    def _end_second(self, passed: int) -> None:
+        """The usual second is learnt slowly, and without a storm: a storm must not become usual."""
+        count = self.second_requests
+        self.second_requests = 0
+        if self.usual is None:
+            self.usual = float(count)
+        elif not self.has_any():
+            for value in [count] + [0] * min(passed - 1, MOST_QUIET_SECONDS):
+                self.usual += USUAL_SMOOTHING * (value - self.usual)
+
+    def _values(self, now: int) -> dict[SymptomName, float]:
+        requests = self.requests.sum(now)
+        attempts = self.attempts.sum(now)
+        values = dict.fromkeys(SymptomName, 0.0)
+        if requests >= LEAST_EVENTS:
+            values[SymptomName.REPEATS] = self.retries.sum(now) / requests
+            values[SymptomName.SURGE] = self._surge(requests)
+            values[SymptomName.SYNCHRONY] = dispersion(self.fine_requests.ended_buckets(now))
+        values[SymptomName.RECONNECTS] = self.connections.sum(now) / max(requests, LEAST_EVENTS)
+        if attempts >= LEAST_EVENTS:
+            values[SymptomName.COLD] = self.cold_attempts.sum(now) / attempts
+        return values
+
+    def _surge(self, requests: int) -> float:
+        if self.usual is None:
+            return 0.0
+        window = self.requests.span / SECOND
+        return requests / window / max(self.usual, LEAST_EVENTS / window)
 
 
-def dispersion(counts):
+def dispersion(counts: Sequence[int]) -> float:
     """Variance over mean of counts: 1 where callers are independent, more where they come together."""
     mean = sum(counts) / len(counts)
-    return sum((c - mean) ** 2 for c in counts) / len(counts) / mean if mean else 0.0
+    return sum((count - mean) ** 2 for count in counts) / len(counts) / mean if mean else 0.0
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -20,6 +20,7 @@
 from petrelwood.decide.delivery.pending import PendingActivation, PendingActivations
 from petrelwood.decide.overload.backoff import Budget
 from petrelwood.decide.overload.intake import Ask, Intake
+from petrelwood.decide.overload.storm import SymptomName
 from petrelwood.dispatch.activations import Activations, Exchange
 from petrelwood.dispatch.durable_state import DurableState
 from petrelwood.dispatch.event_queue import Arguments, Call, EventQueue
@@ -255,7 +256,7 @@
         self._plan_next_slot()
 
     def _plan_loads(self) -> None:
-        if self.intake.storms.on("cold") or self.intake.concurrency_limit.is_reduced:
+        if self.intake.storms.has(SymptomName.COLD) or self.intake.concurrency_limit.is_reduced:
             return  # guesses wait until what is asked for can be served
         if self.forecasts is not None:
             self.forecasts.plan_slot()
@@ -313,7 +314,7 @@
         self.links.in_flight.pop((act_id, attempt), None)
         act = self.activations.send_ended(act_id, attempt, code, body)
         if code == ports.COMPLETED and self.intake.damps:
-            self.intake.storms.ran(now, note not in (0, ports.FOUND_WARM))
+            self.intake.storms.record_attempt(now, note not in (0, ports.FOUND_WARM))
         if act is not None and (self.forecasts is not None or self.record_execution is not None):
             self._learn(now, act, worker, code, note, now - sent_at)
         self.events.touched.add(act_id)
--- a/petrelwood/fronts/webhook.py
+++ b/petrelwood/fronts/webhook.py
@@ -396,7 +396,7 @@
 
     async def handle_stream(self, stream: IOStream, address):
         now = self.core.now()
-        self.core.intake.storms.connected(now)
+        self.core.intake.storms.record_connection(now)
         verdict = self.admission.connects(now, address[0])
         if verdict != admission.TAKE:
             self._count(f"connections refused: {verdict}")
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -6,6 +6,7 @@
 
 from rig import Case, Worker, answer, later, never
 
+from petrelwood.decide.overload.storm import SymptomName
 from petrelwood.standins.caller import Caller
 
 
@@ -144,4 +145,4 @@
             )
         self.assertIn("repeats", [more["symptom"] for more in self.log.said("storm started")])
         await self.until(lambda: "repeats" in [m["symptom"] for m in self.log.said("storm ended")], 15)
-        self.assertFalse(self.core.intake.storms.on("repeats"))
+        self.assertFalse(self.core.intake.storms.has(SymptomName.REPEATS))
--- a/tests/test_finished.py
+++ b/tests/test_finished.py
@@ -21,6 +21,7 @@
     "petrelwood/decide/overload/deadlines.py",
     "petrelwood/decide/overload/retry_budget.py",
     "petrelwood/decide/overload/sliding_window.py",
+    "petrelwood/decide/overload/storm.py",
     "petrelwood/decide/overload/throughput.py",
     "petrelwood/decide/wall_clock.py",
     "petrelwood/dispatch",
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -12,7 +12,7 @@
 from petrelwood.decide.overload.backoff import Budget
 from petrelwood.decide.overload.concurrency_limit import ConcurrencyLimit
 from petrelwood.decide.overload.sliding_window import SlidingWindowCounter
-from petrelwood.decide.overload.storm import Storms, dispersion
+from petrelwood.decide.overload.storm import Storms, SymptomName, dispersion
 from petrelwood.decide.overload.throughput import ThroughputEstimate
 
 S, MS = 10**9, 10**6
@@ -33,14 +33,14 @@
                 looks = now + S // 2
                 while next_ask < looks:
                     for _ in range(bunch):
-                        storms.asked(next_ask, chance.random() < repeats)
+                        storms.record_request(next_ask, chance.random() < repeats)
                         if chance.random() < connects:
-                            storms.connected(next_ask)
-                        storms.ran(next_ask, chance.random() < cold)
+                            storms.record_connection(next_ask)
+                        storms.record_attempt(next_ask, chance.random() < cold)
                     next_ask += int(chance.expovariate(pace / bunch) * S)
                 now = looks
                 lines += [
-                    f"{now / S:5.1f}  {name} {'on' if on else 'off'}" for name, on, _ in storms.look(now)
+                    f"{now / S:5.1f}  {name} {'on' if on else 'off'}" for name, on, _ in storms.update(now)
                 ]
         return storms, lines
 
@@ -77,7 +77,7 @@
 
     def test_a_long_surge_does_not_become_usual_while_it_lasts(self):
         storms, _ = self.play([(30, 60, 0, 0, 0, 1), (60, 300, 0, 0, 0, 1)])
-        self.assertTrue(storms.on("surge"))
+        self.assertTrue(storms.has(SymptomName.SURGE))
         self.assertLess(storms.usual, 90)
 
     def test_dispersion(self):
