--- a/petrelwood/decide/delivery/pending.py
+++ b/petrelwood/decide/delivery/pending.py
@@ -1,56 +1,101 @@
-"""The book of what is owed: each activation taken gets exactly one final answer, in time.
+"""The activations that still need an answer: each one admitted gets exactly one final answer, in time.
 
-It knows the sends of each activation that are still out, who waits for the answer, and when it is due. The
-dispatcher tells it what happened; it says what follows. What it closes can't be closed again, whoever asks: a
-second answer for the same activation is counted as a fault and goes nowhere."""
+It knows the attempts of each activation that are in flight, who waits for the answer, and when it is due. The
+dispatcher says what happened; it says what follows. What it has ended can't be ended again, whoever asks: a
+second answer for the same activation is counted as a fault and goes nowhere.
+"""
 
 import heapq
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any, NamedTuple, Protocol
 
-from petrelwood.decide.delivery.ledger import ActivationState
+from petrelwood.decide.delivery.ledger import ActivationState, Key, Ledger
 
+if TYPE_CHECKING:
+    from petrelwood.decide.overload.intake import Ask
 
+
+class Admission(Protocol):
+    """What has let an activation in, and is told of its way; see `decide.overload.intake`."""
+
+    def took(self, customer: str, id_: str, /) -> object:
+        """An activation is admitted."""
+
+    def ended(
+        self, now: int, customer: str, type_name: str, stayed: int, outcome: ActivationState, /
+    ) -> object:
+        """An activation has ended after so long."""
+
+
+class FunctionRule(Protocol):
+    """What is known of a function before it runs, by its rule or by its client."""
+
+    @property
+    def lanes(self) -> int:
+        """Activations that one copy runs at a time."""
+
+    @property
+    def load_time(self) -> int:
+        """How long a copy takes to load, ns; 0: not known."""
+
+    @property
+    def work(self) -> int:
+        """How long an activation takes, ns; 0: not known."""
+
+
+class Waiter(NamedTuple):
+    """One client's exchange at a front, which gets the answer."""
+
+    exchange: object
+    due: int
+
+
+@dataclass(slots=True, eq=False)
 class PendingActivation:
-    """One activation. `waiting` are the fronts' exchanges: each one gets the answer. `lanes`, `load_time`,
-    `work` (ns): as its rule or its client tells them; `mark`: what a worker tells repeats by, where it is not
-    the id."""
-
-    __slots__ = (
-        "id",
-        "key",
-        "customer",
-        "type",
-        "came",
-        "due",
-        "sends",
-        "out",
-        "waiting",
-        "body",
-        "fn",
-        "lanes",
-        "load_time",
-        "work",
-        "mark",
-        "number",
-    )
-
-    def __init__(self, id_, key, ask, due, fn, lanes, body, number, load_time, work):
-        self.id, self.key, self.due, self.number = id_, key, due, number
-        self.customer, self.type, self.came, self.mark = ask.customer, ask.type, ask.came, ask.mark
-        self.fn, self.body, self.lanes, self.load_time, self.work = fn, body, lanes, load_time, work
-        self.sends, self.out, self.waiting = 0, set(), []
-
-    def __lt__(self, other):
-        return self.number < other.number
+    """One activation. Times in ns."""
+
+    id: str
+    key: Key
+    customer: str
+    type: str
+    arrived_at: int
+    due: int
+    function: Any
+    body: bytes | None
+    lanes: int
+    load_time: int
+    work: int
+    idempotency_mark: Any  # what a worker tells repeats by, where it is not the id
+    number: int  # in the order of admission
+    in_flight: set[int]  # numbers of the attempts that have not ended
+    waiters: list[Waiter]
+    attempts: int = 0  # that were made
+
+
+class Overdue(NamedTuple):
+    """An activation of which something is out of time."""
+
+    activation: PendingActivation
+    late: list[Any]  # exchanges that are answered apart, as they joined an activation that goes on
+    is_whole: bool  # the activation itself is out of time
 
 
 class PendingActivations:
-    """Times in ns. `ledger` may be None: nothing is known of earlier tries. `prefix` None: an activation goes
-    under the id that it came with, which no other that is open may have."""
-
-    def __init__(self, intake, ledger, prefix=""):
-        self.intake, self.ledger, self.prefix, self.acts, self.by_key = intake, ledger, prefix, {}, {}
-        self.ends, self.last = [], 0
-        self.counts = {
+    """All activations of one dispatcher that need an answer. Times in ns.
+
+    `ledger` may be None: nothing is known of earlier attempts. `prefix` None: an activation goes under the id
+    that it came with, which no other that is open may have.
+    """
+
+    def __init__(self, intake: Admission, ledger: Ledger | None, prefix: str | None = "") -> None:
+        self.intake = intake
+        self.ledger = ledger
+        self.prefix = prefix
+        self.activations: dict[str, PendingActivation] = {}
+        self.by_key: dict[Key, PendingActivation] = {}
+        self.last_number = 0
+        self._deadlines: list[tuple[int, int, PendingActivation]] = []  # a heap of (due, number, activation)
+        self.counts: dict[str, int] = {
             "taken": 0,
             ActivationState.COMPLETED.value: 0,
             ActivationState.REJECTED.value: 0,
@@ -62,94 +107,124 @@
             "defects": 0,
         }
 
-    def take(self, now, key, ask, due, fn, lanes, body, waiter, load_time=0, work=0):
+    # Clients.
+    def admit(
+        self, ask: "Ask", due: int, function: object, rule: FunctionRule, body: bytes, exchange: object
+    ) -> PendingActivation:
         """A new activation, from an `intake.Ask` whose verdict was TAKE."""
-        self.last += 1
-        id_ = ask.id if self.prefix is None else f"{self.prefix}{self.last}"
-        act = PendingActivation(id_, key, ask, due, fn, lanes, body, self.last, load_time, work)
-        act.waiting.append((waiter, due))
-        self.acts[act.id] = self.by_key[key] = act
+        self.last_number += 1
+        key = (ask.customer, ask.id)
+        id_ = ask.id if self.prefix is None else f"{self.prefix}{self.last_number}"
+        # by position: for each request, names would cost a third more
+        activation = PendingActivation(
+            id_,
+            key,
+            ask.customer,
+            ask.type,
+            ask.came,
+            due,
+            function,
+            body,
+            rule.lanes,
+            rule.load_time,
+            rule.work,
+            ask.mark,
+            self.last_number,
+            set(),
+            [],
+        )
+        self.activations[activation.id] = activation
+        self.by_key[key] = activation
+        self._wait(activation, exchange, due)
         if self.ledger is not None:
-            self.ledger.entries[key].activation_id = act.id
-        heapq.heappush(self.ends, (due, act.number, act))
+            self.ledger.entries[key].activation_id = activation.id
         self.intake.took(*key)
         self.counts["taken"] += 1
-        return act
+        return activation
 
-    def join(self, now, key, due, waiter):
-        """A retry waits for the answer of the try that runs; False where there is none to wait for."""
-        act = self.by_key.get(key)
-        if act is None:
+    def join(self, key: Key, due: int, exchange: object) -> bool:
+        """A retry waits for the answer of the attempt that runs; False where there is none to wait for."""
+        activation = self.by_key.get(key)
+        if activation is None:
             return False
-        act.waiting.append((waiter, due))
-        heapq.heappush(self.ends, (due, act.number, act))
+        self._wait(activation, exchange, due)
         self.counts["joined"] += 1
         return True
 
-    def sent(self, act_id):
-        """The number of the send that goes out now; None where the activation has ended: nothing may
-        follow."""
-        act = self.acts.get(act_id)
-        if act is None:
+    def _wait(self, activation: PendingActivation, exchange: object, due: int) -> None:
+        activation.waiters.append(Waiter(exchange, due))
+        heapq.heappush(self._deadlines, (due, activation.number, activation))
+
+    def client_left(self, activation_id: str, exchange: object) -> bool:
+        """A client has gone; whether nobody waits any more and the activation need not go on."""
+        activation = self.activations.get(activation_id)
+        if activation is None:
+            return False
+        activation.waiters = [one for one in activation.waiters if one.exchange is not exchange]
+        goes_on = self.ledger is not None and self.ledger.outlives_client(activation.type)
+        return not activation.waiters and not goes_on
+
+    # Attempts.
+    def begin_attempt(self, activation_id: str) -> int | None:
+        """The number of the attempt that begins; None where the activation has ended: nothing may follow."""
+        activation = self.activations.get(activation_id)
+        if activation is None:
             return None
-        n, act.sends = act.sends, act.sends + 1
-        act.out.add(n)
-        return n
-
-    def returned(self, act_id, n):
-        """A send has ended. Whether it was out and its activation still owes an answer."""
-        act = self.acts.get(act_id)
-        if act is None or n not in act.out:
+        attempt = activation.attempts
+        activation.attempts += 1
+        activation.in_flight.add(attempt)
+        return attempt
+
+    def end_attempt(self, activation_id: str, attempt: int) -> bool:
+        """An attempt has ended; whether it was in flight and its activation still needs an answer."""
+        activation = self.activations.get(activation_id)
+        if activation is None or attempt not in activation.in_flight:
             return False
-        act.out.remove(n)
+        activation.in_flight.remove(attempt)
         return True
 
-    def left(self, now, act_id, waiter):
-        """A client went. 'end' where nobody waits any more and the activation need not go on."""
-        act = self.acts.get(act_id)
-        if act is None:
-            return None
-        act.waiting = [pair for pair in act.waiting if pair[0] is not waiter]
-        if act.waiting or self.ledger is not None and self.ledger.outlives_client(act.type):
-            return None
-        return "end"
-
-    def end(self, now, act_id, outcome, body=None):
-        """Closes an activation; its waiters, or None where it was closed before."""
-        act = self.acts.pop(act_id, None)
-        if act is None:
+    # Answers.
+    def end(
+        self, now: int, activation_id: str, outcome: ActivationState, body: bytes | None = None
+    ) -> PendingActivation | None:
+        """Ends an activation and returns it, whose waiters get the answer; None where it had ended before."""
+        activation = self.activations.pop(activation_id, None)
+        if activation is None:
             self.counts["twice"] += 1
             return None
-        if self.by_key.get(act.key) is act:
-            del self.by_key[act.key]
-        # the heap of due times still has it, for as long as its client would wait
-        act.body = None
+        if self.by_key.get(activation.key) is activation:
+            del self.by_key[activation.key]
+        # the heap of deadlines still has it, for as long as its client would wait
+        activation.body = None
         self.counts[outcome] += 1
-        self.intake.ended(now, act.customer, act.type, now - act.came, outcome)
+        took = now - activation.arrived_at
+        self.intake.ended(now, activation.customer, activation.type, took, outcome)
         if self.ledger is not None:
-            self.ledger.end(act.key, outcome, body, act.sends > 0)
-        return act
-
-    def _open(self, act):  # not another one that goes under the id of one that has ended
-        return self.acts.get(act.id) is act
-
-    def next_due(self):
-        while self.ends and not self._open(self.ends[0][2]):
-            heapq.heappop(self.ends)
-        return self.ends[0][0] if self.ends else None
-
-    def overdue(self, now):
-        """What is out of time: (activation, waiters to be answered apart, whether the activation itself
-        is)."""
+            self.ledger.end(activation.key, outcome, body, activation.attempts > 0)
+        return activation
+
+    # Deadlines.
+    def _is_open(self, activation: PendingActivation) -> bool:
+        # not another one that goes under the id of one that has ended
+        return self.activations.get(activation.id) is activation
+
+    def next_deadline(self) -> int | None:
+        """When something is next out of time; None where nothing waits."""
+        while self._deadlines and not self._is_open(self._deadlines[0][2]):
+            heapq.heappop(self._deadlines)
+        return self._deadlines[0][0] if self._deadlines else None
+
+    def overdue(self, now: int) -> list[Overdue]:
+        """What is out of time."""
         found = []
-        while self.ends and self.ends[0][0] <= now:
-            act = heapq.heappop(self.ends)[2]
-            if not self._open(act):
+        while self._deadlines and self._deadlines[0][0] <= now:
+            activation = heapq.heappop(self._deadlines)[2]
+            if not self._is_open(activation):
                 continue
-            if now >= act.due:
-                found.append((act, [], True))
+            if now >= activation.due:
+                found.append(Overdue(activation, [], True))
                 continue
-            late = [waiter for waiter, due in act.waiting if due <= now]
-            act.waiting = [pair for pair in act.waiting if pair[1] > now]
-            found.append((act, late, False))
+            late = [waiter.exchange for waiter in activation.waiters if waiter.due <= now]
+            activation.waiters = [waiter for waiter in activation.waiters if waiter.due > now]
+            found.append(Overdue(activation, late, False))
         return found
--- a/petrelwood/dispatch/activations.py
+++ b/petrelwood/dispatch/activations.py
@@ -75,7 +75,7 @@
     def _join(self, now: int, key: Key, verdict: Verdict, exchange: Exchange) -> None:
         """A retry waits for the answer of the attempt that is in flight."""
         act = self.pending.by_key.get(key)
-        if act is not None and self.pending.join(now, key, verdict.due, exchange):
+        if act is not None and self.pending.join(key, verdict.due, exchange):
             exchange.act = act.id
             self._set_deadline_timer()
             return
@@ -100,9 +100,7 @@
         exchange: Exchange,
     ) -> None:
         core = self.core
-        act = self.pending.take(
-            now, key, ask, verdict.due, function, rule.lanes, body, exchange, rule.load_time, rule.work
-        )
+        act = self.pending.admit(ask, verdict.due, function, rule, body, exchange)
         exchange.act = act.id
         core.events.touched.add(act.id)
         self._set_deadline_timer()
@@ -115,7 +113,15 @@
         """Hands an activation to the module."""
         self.core.events.touched.add(act.id)
         self.core.brain.activation(
-            self.now(), act.id, act.fn, act.type, act.customer, act.due, act.lanes, act.work, act.load_time
+            self.now(),
+            act.id,
+            act.function,
+            act.type,
+            act.customer,
+            act.due,
+            act.lanes,
+            act.work,
+            act.load_time,
         )
 
     def reject(self, act: PendingActivation) -> None:
@@ -124,10 +130,10 @@
 
     def client_left(self, act_id: str, exchange: Exchange) -> None:
         """A client hung up; the activation ends unless others wait for it, or it has to go on."""
-        if self.pending.left(self.now(), act_id, exchange) == "end":
+        if self.pending.client_left(act_id, exchange):
             act = self.pending.end(self.now(), act_id, CLIENT_LEFT)
             self._record_end(act, CLIENT_LEFT, None)
-            self.core.links.withdraw(act.id, act.out)
+            self.core.links.withdraw(act.id, act.in_flight)
             self.core.brain.left(self.now(), act_id)
 
     def finish(
@@ -144,8 +150,8 @@
             self.core.log.error("second final answer suppressed", act=act_id, outcome=outcome)
             return
         self._record_end(act, outcome, body)
-        self.core.links.withdraw(act.id, act.out)
-        for exchange, _ in act.waiting:
+        self.core.links.withdraw(act.id, act.in_flight)
+        for exchange, _ in act.waiters:
             exchange.answer(outcome, body or b"", retry_after, why, act.id)
 
     def _record_end(self, act: PendingActivation, outcome: ActivationState, body: bytes | None) -> None:
@@ -160,13 +166,13 @@
         cached = body if outcome == COMPLETED and body is not None and len(body) <= LONGEST_BODY else None
         if hooks.on_activation_end is not None:
             customer, id_ = act.key
-            hooks.on_activation_end(customer, id_, outcome, act.sends > 0, cached)
+            hooks.on_activation_end(customer, id_, outcome, act.attempts > 0, cached)
         if core.durable_state is not None:
-            core.durable_state.record_ended(act.key, outcome, act.sends > 0, cached)
+            core.durable_state.record_ended(act.key, outcome, act.attempts > 0, cached)
 
     # Deadlines.
     def _set_deadline_timer(self) -> None:
-        due = self.pending.next_due()
+        due = self.pending.next_deadline()
         if due is None or self.deadline_timer is not None and self.next_deadline <= due:
             return
         if self.deadline_timer is not None:
@@ -194,24 +200,24 @@
 
         If it does not, there is one all the same.
         """
-        act = self.pending.acts.get(act_id)
+        act = self.pending.activations.get(act_id)
         if act is not None:
-            self.core.links.time_out(act_id, act.out)
+            self.core.links.time_out(act_id, act.in_flight)
             self.core.submit(self._abort_overdue, act_id)
 
     def _abort_overdue(self, act_id: str) -> None:
-        act = self.pending.acts.get(act_id)
+        act = self.pending.activations.get(act_id)
         if act is not None:
             self.pending.counts["overdue"] += 1
-            self.core.log.error("overdue", act=act_id, sends=act.sends)
+            self.core.log.error("overdue", act=act_id, sends=act.attempts)
             self.finish(act_id, ABORTED, why="out of time")
             self.core.brain.left(self.now(), act_id)
 
     # Sends.
     def send_ended(self, act_id: str, attempt: int, code: str, body: bytes) -> PendingActivation | None:
         """A send has ended, and its activation with it if it completed; the activation, if it was open."""
-        act: PendingActivation | None = self.pending.acts.get(act_id)
-        is_owed = self.pending.returned(act_id, attempt)
+        act: PendingActivation | None = self.pending.activations.get(act_id)
+        is_owed = self.pending.end_attempt(act_id, attempt)
         if is_owed and code == COMPLETED:
             self.finish(act_id, COMPLETED, body)
         return act
@@ -219,7 +225,7 @@
     def abort_defective(self, act_id: str) -> None:
         """Aborts an activation that a defect of this program has touched."""
         core = self.core
-        if act_id not in self.pending.acts:
+        if act_id not in self.pending.activations:
             return
         self.finish(act_id, ABORTED, why="a defect in the dispatcher")
         try:
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -126,7 +126,7 @@
 
     def defect(self, where: str, fault: Exception, args: Arguments = ()) -> None:
         """Aborts the activations that a failed call has touched, and goes on."""
-        acts = self.pending.acts
+        acts = self.pending.activations
         touched = self.events.touched | {arg for arg in args if isinstance(arg, str) and arg in acts}
         place = traceback.extract_tb(fault.__traceback__)[-1]
         self.pending.counts["defects"] += 1
@@ -315,7 +315,7 @@
         if act is not None and (self.forecasts is not None or self.record_execution is not None):
             self._learn(now, act, worker, code, note, now - sent_at)
         self.events.touched.add(act_id)
-        has_ended = act_id not in self.pending.acts
+        has_ended = act_id not in self.pending.activations
         self.brain.answer(now, act_id, attempt, worker, code, note, has_ended, now - sent_at, gauge)
 
     def _learn(self, now: int, act: PendingActivation, worker: str, code: str, note: int, took: int) -> None:
@@ -323,17 +323,17 @@
         warm = note in (0, ports.FOUND_WARM)
         if self.forecasts is not None:
             if code == ports.COMPLETED:
-                self.forecasts.send_completed(now, act.fn, worker, warm, took)
+                self.forecasts.send_completed(now, act.function, worker, warm, took)
             elif code == ports.MISSING:
-                self.forecasts.copy_missing(now, act.fn, worker)
+                self.forecasts.copy_missing(now, act.function, worker)
         if self.record_execution is not None and code == ports.COMPLETED:
             self.record_execution(
                 self.clock.steady_wall(),
-                act.fn,
+                act.function,
                 act.customer,
                 self.terms.zone,
                 note & 3,
-                now - took - act.came,
+                now - took - act.arrived_at,
                 took,
                 0 if warm else took,
             )
@@ -341,7 +341,7 @@
     def transmit(self, link: WorkerLink, act: PendingActivation, attempt: int, time_left: int) -> None:
         """Hands a send to a link."""
         mark = f"{act.key[0]}/{act.key[1]}"
-        link.run(act.id, attempt, act.fn, mark, time_left, act.lanes, act.body)
+        link.run(act.id, attempt, act.function, mark, time_left, act.lanes, act.body)
 
     def may_send_order(self, given: int) -> bool:
         """Whether a load order that was given at `given` may leave now."""
--- a/petrelwood/dispatch/durable_state.py
+++ b/petrelwood/dispatch/durable_state.py
@@ -120,7 +120,7 @@
         activations = self.core.activations
         for act_id in waiting:
             act = self.unsynced.pop(act_id, None)
-            if act is None or act_id not in activations.pending.acts:
+            if act is None or act_id not in activations.pending.activations:
                 continue
             if durable:
                 activations.begin(act)
--- a/petrelwood/dispatch/handover/predecessor.py
+++ b/petrelwood/dispatch/handover/predecessor.py
@@ -112,7 +112,7 @@
         return (
             self.machine.phase == PredecessorPhase.WATCHING
             and not self.machine.has_drained
-            and not self.core.pending.acts
+            and not self.core.pending.activations
             and all(front.quiet() for front in self.core.fronts)
         )
 
@@ -162,7 +162,7 @@
                     await channel.send(Go(completion.share, completion.answers))
             case Owns():
                 self.machine.on_accepting(now)
-                self.log.info("handed over; draining", in_flight=len(self.core.pending.acts))
+                self.log.info("handed over; draining", in_flight=len(self.core.pending.activations))
             case Alive():
                 self.machine.on_heartbeat(now)
             case Proven():
--- a/petrelwood/dispatch/outlet.py
+++ b/petrelwood/dispatch/outlet.py
@@ -48,8 +48,8 @@
         """Sends an activation to a worker. `limit` is not used: links pass the deadline."""
         core = self.core
         core.events.touched.add(act)
-        activation = self.pending.acts.get(act)
-        attempt = self.pending.sent(act)
+        activation = self.pending.activations.get(act)
+        attempt = self.pending.begin_attempt(act)
         if activation is None or attempt is None:
             core.log.error("send after the final answer suppressed", act=act, worker=worker)
             return
@@ -79,7 +79,7 @@
         """Rejects an activation; `retry_after` (ns): 0 where the client is not told when to come back."""
         core = self.core
         core.events.touched.add(act)
-        activation = self.pending.acts.get(act)
+        activation = self.pending.activations.get(act)
         wait = 0
         if retry_after and activation is not None:
             customer, id_ = activation.key
--- a/petrelwood/dispatch/serve.py
+++ b/petrelwood/dispatch/serve.py
@@ -93,7 +93,9 @@
         self.core.intake.closing = True
         if self.health is not None:  # before anything else: traffic has to go elsewhere
             self.health.send_now()
-        self.log.info("graceful shutdown started", in_flight=len(self.core.pending.acts), why=self.failed)
+        self.log.info(
+            "graceful shutdown started", in_flight=len(self.core.pending.activations), why=self.failed
+        )
         if self.predecessor is not None:
             self.predecessor.close()
         if self.failed and self.core.checks is None:
--- a/petrelwood/emulate/platform.py
+++ b/petrelwood/emulate/platform.py
@@ -367,7 +367,7 @@
     def left(self, made):
         core = self.cores.get(made.to)
         self.open_tries[made.to].pop(made, None)
-        if core is not None and made.act is not None and made.act in core.pending.acts:
+        if core is not None and made.act is not None and made.act in core.pending.activations:
             core.client_left(made.act, made)
 
     def wish_ended(self, wish):
@@ -533,7 +533,7 @@
         core = self.cores.get(name)
         if core is None or self.lives[name] != life:
             return
-        if core.pending.acts:
+        if core.pending.activations:
             self.after(10 * MS, self._stops, name, life, down)
         else:
             self.after(2 * self.client_way, self._kill, name, down)
--- a/petrelwood/emulate/result.py
+++ b/petrelwood/emulate/result.py
@@ -145,8 +145,10 @@
     for name, core in platform.cores.items():
         counts = core.pending.counts
         ended = counts["completed"] + counts["rejected"] + counts["aborted"] + counts["left"]
-        if counts["taken"] != ended + len(core.pending.acts):
-            wrong.append(f"{name}: {counts['taken']} taken, {ended} ended, {len(core.pending.acts)} open")
-        if core.intake.held != len(core.pending.acts):
-            wrong.append(f"{name}: {core.intake.held} held, {len(core.pending.acts)} owed")
+        if counts["taken"] != ended + len(core.pending.activations):
+            wrong.append(
+                f"{name}: {counts['taken']} taken, {ended} ended, {len(core.pending.activations)} open"
+            )
+        if core.intake.held != len(core.pending.activations):
+            wrong.append(f"{name}: {core.intake.held} held, {len(core.pending.activations)} owed")
     return wrong
--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -71,15 +71,15 @@
     def is_open(self, act_id):
         """Whether an activation has this id, or a send of one that had it is still out, whose answer would be
         taken for the new one's: also another customer's, as workers know no more of it than the id."""
-        return act_id in self.pending.acts or any(
+        return act_id in self.pending.activations or any(
             (act_id, n) in self.links.in_flight for n in range(self.terms.allowed.sends)
         )
 
     def may_send(self, act_id, link):
         """Whether a send may leave now: not while the end or a cancel of its client may lie unread. Then the
         link is pumped again once the client was read."""
-        owed = self.pending.acts.get(act_id)
-        return owed is None or all(exchange.may_send(link) for exchange, _ in owed.waiting)
+        owed = self.pending.activations.get(act_id)
+        return owed is None or all(exchange.may_send(link) for exchange, _ in owed.waiters)
 
     def _admit(self, ask, function, rule, body, exchange):
         if not exchange.waits():  # its client left between its reading and its turn
@@ -224,12 +224,12 @@
         # the signal may have come while the loop was held up, and the time until the kill runs from then
         ends = shutdown.Shutdown(self.arrived(self.now()), max(self.gateway.timeouts.values()))
         self.began = False
-        while not ends.over(self.now(), len(self.pending.acts), self.front.quiet()):
+        while not ends.over(self.now(), len(self.pending.activations), self.front.quiet()):
             self.intake.closing = ends.closed(self.now())
-            if ends.closed(self.now()) and not self.pending.acts:
+            if ends.closed(self.now()) and not self.pending.activations:
                 self.front.close_resting()  # those that go on sending keep only themselves
             if ends.out_of_time(self.now()):
-                for act_id in sorted(self.pending.acts):
+                for act_id in sorted(self.pending.activations):
                     self.submit(self._cut, act_id)
             await asyncio.sleep(CHECK / 5)
         # nothing comes between the look that found it quiet and this
@@ -280,7 +280,7 @@
     def _cut(self, act_id):
         """Its time ends with the process: the module makes an answer of how its sends end, as it does when it
         is due."""
-        if act_id in self.pending.acts:
+        if act_id in self.pending.activations:
             self.brain.cut(self.now(), act_id)
             self.activations.time_out(act_id)
 
--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -52,9 +52,11 @@
     # What the dispatcher asks.
     def run(self, owed, n, left):
         now = self.core.now()
-        content = (owed.type, owed.mark, owed.body)
+        content = (owed.type, owed.idempotency_mark, owed.body)
         tag = (owed.id, n)
-        call = Call("run", owed.id, n, owed.fn, now, content, lines.run_size(owed.body), tag, now + left)
+        call = Call(
+            "run", owed.id, n, owed.function, now, content, lines.run_size(owed.body), tag, now + left
+        )
         self.runs[tag] = call
         self._call(call)
 
--- a/tests/test_always_answered.py
+++ b/tests/test_always_answered.py
@@ -97,7 +97,7 @@
             for number in numbers:
                 self.assertEqual(await word(site, client, number), "Throttled")
             self.assertEqual(site.node.pending.counts["defects"], 0)
-            self.assertFalse(site.node.pending.acts)
+            self.assertFalse(site.node.pending.activations)
             client.close()
 
     async def test_a_list_that_comes_whole_after_a_silence(self):
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -14,8 +14,10 @@
 from petrelwood.decide.overload.backoff import Backoff, Budget
 from petrelwood.decide.overload.intake import Ask, Intake
 from petrelwood.decide.overload.resource_limits import CapacityIntake, ResourceLimits
+from petrelwood.node.front import Figures
 from petrelwood.settings.gateway import Limits, WorkerTerms
 
+RULE = Figures(1, 0, 0)
 MS, S = 1_000_000, 1_000_000_000
 WALL = 1_700_000_000 * S
 TYPES = {
@@ -52,11 +54,11 @@
         verdict = self.intake.ask(self.now, WALL + self.now, ask)
         key, more = (customer, id_), f" due {verdict.due / S:.2f}" if verdict.due else ""
         if verdict.what == intake.TAKE:
-            act = self.pending.take(self.now, key, ask, verdict.due, "f", 1, b"", f"{id_}@{stamp}")
+            act = self.pending.admit(ask, verdict.due, "f", RULE, b"", f"{id_}@{stamp}")
             for _ in range(sends):
-                self.pending.sent(act.id)
+                self.pending.begin_attempt(act.id)
         elif verdict.what == intake.JOIN:
-            self.pending.join(self.now, key, verdict.due, f"{id_}@{stamp}")
+            self.pending.join(key, verdict.due, f"{id_}@{stamp}")
         elif verdict.retry_after:
             more = f" back after {verdict.retry_after / S:.2f}"
         self.say(
@@ -66,7 +68,7 @@
     def end(self, id_, outcome, body=None, customer="x"):
         act = self.pending.by_key.get((customer, id_))
         ended = self.pending.end(self.now, act.id, outcome, body) if act else None
-        self.say(f"    {id_} {outcome}, told to {[w for w, _ in ended.waiting] if ended else 'nobody'}")
+        self.say(f"    {id_} {outcome}, told to {[w for w, _ in ended.waiters] if ended else 'nobody'}")
 
     def compare(self, test):
         compare(test, self.kept, self.lines)
@@ -197,13 +199,14 @@
         b.end("m1", ledger.ActivationState.COMPLETED, b"=1")
         b.say(
             f"again: {b.pending.end(b.now, act.id, ledger.ActivationState.ABORTED)}, "
-            f"sent after it: {b.pending.sent(act.id)}"
+            f"sent after it: {b.pending.begin_attempt(act.id)}"
         )
         b.ask("m2", "again", 10)
         b.ask("m3", "once", 10)
         for id_ in ("m2", "m3"):
             act = b.pending.by_key["x", id_]
-            b.say(f"the client of {id_} goes: {b.pending.left(b.now, act.id, act.waiting[0][0])}")
+            ends = b.pending.client_left(act.id, act.waiters[0].exchange)
+            b.say(f"the client of {id_} goes: {'end' if ends else None}")
         b.now = 5 * S
         for act, late, whole in b.pending.overdue(b.now):
             b.say(f"overdue {act.key[1]}, whole {whole}, waiters apart {late}")
@@ -216,11 +219,11 @@
         pending = PendingActivations(CapacityIntake(ResourceLimits(256, 64 << 20), S), None, None)
         for came in (0, 1):
             ask = Ask("x", "m1", 0, "again", came * S, 2 * S, "")
-            pending.take(came * S, ("x", "m1"), ask, (2 + came) * S, "f", 1, b"", None)
+            pending.admit(ask, (2 + came) * S, "f", RULE, b"", None)
             if not came:
                 pending.end(S // 2, "m1", ledger.ActivationState.COMPLETED)
         self.assertEqual(pending.overdue(2 * S), [])
-        self.assertEqual(pending.next_due(), 3 * S)
+        self.assertEqual(pending.next_deadline(), 3 * S)
         self.assertEqual([whole for _, _, whole in pending.overdue(3 * S)], [True])
 
     def test_a_joined_retry_with_less_patience_is_answered_apart(self):
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -74,7 +74,7 @@
                     self.assertEqual([client.answers[n][0] for n in (1, 2)], ["Broken", "Broken"])
                     await site.until(lambda client=client: client.read() and client.ended)
                     self.assertEqual(len(client.answers), 2)
-                    self.assertFalse(site.node.pending.acts)
+                    self.assertFalse(site.node.pending.activations)
 
     async def test_who_is_owed_nothing_is_closed_at_once(self):
         async with Inside([]) as site:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -152,7 +152,7 @@
         with self.assertRaises(asyncio.TimeoutError):
             await self.caller.call(self.message("again-1", "m"), 0.1)
         await self.until(lambda: w.cancels)
-        self.assertEqual(self.core.pending.acts, {})
+        self.assertEqual(self.core.pending.activations, {})
 
     async def test_an_answer_and_the_hang_up_in_the_same_turn(self):
         await self.begin(w := Worker("w1", never))
@@ -170,7 +170,7 @@
         self.assertEqual(
             (counts["completed"], counts["left"], counts["twice"], counts["defects"]), (1, 0, 0, 0)
         )
-        self.assertEqual(self.core.pending.acts, {})
+        self.assertEqual(self.core.pending.activations, {})
 
     async def test_the_hang_up_first_and_the_answer_in_the_same_turn(self):
         await self.begin(w := Worker("w1", never))
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -207,7 +207,7 @@
         return exchange
 
     def complete(self, act_id, body=b"done"):
-        n = self.core.pending.sent(act_id)
+        n = self.core.pending.begin_attempt(act_id)
         self.core.submit(
             self.core.send_ended, act_id, n, "w", ports.COMPLETED, 0, body, self.clock.now(), None
         )
@@ -502,7 +502,7 @@
         for act in acts[:4]:
             self.complete(act)
         for act in acts[4:6]:
-            self.core.pending.sent(act)
+            self.core.pending.begin_attempt(act)
             self.core.submit(self.core.outlet.abort, act)
 
     def snapshot_of(self, folder):
@@ -595,7 +595,7 @@
             elif number % 4 == 2:
                 self.core.submit(self.core.outlet.reject, act, 0)
             elif number % 4 == 3:
-                self.core.pending.sent(act)
+                self.core.pending.begin_attempt(act)
                 self.core.submit(self.core.outlet.abort, act)
                 self.wait(0.5)
                 self.number += 5000
