--- a/petrelwood/fronts/mqtt.py
+++ b/petrelwood/fronts/mqtt.py
@@ -58,6 +58,9 @@
         self.function, self.rule, self.body, self.target = function, rule, body, target
         self.act, self.delivery, self.answer_is = None, None, None
 
+    def look_for_end(self):
+        """A message outlives the connection that it came by."""
+
     def answer(self, what, body=b"", retry_after=0, why="", act=None):
         """The final answer, from the core."""
         if self.answer_is is not None:
@@ -310,7 +313,7 @@
             packet.payload,
             terms.target_latency,
         )
-        due, _ = deadlines.due(now, wait, core.gateway.timeouts[type_])
+        due = deadlines.deadline(now, wait, core.gateway.timeouts[type_]).due
         self.deliveries.on_publish(
             now,
             packet.id,
