--- a/petrelwood/node/stream.py
+++ b/petrelwood/node/stream.py
@@ -24,6 +24,7 @@
         if value:
             sockets.disable_delay(self.socket)
 
-    def unsent(self):
-        """Bytes that were written and that the machine has not taken yet."""
-        return len(self._write_buffer)
+    def unsent(self) -> int:
+        """Bytes that were written and that the machine has not taken yet; none of a closed stream, which may
+        have been closed by the write that failed."""
+        return 0 if self.closed() else len(self._write_buffer)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -9,6 +9,7 @@
 import errno
 import unittest
 
+import msgpack
 from node_site import ask
 from syscall_faults import (
     ACCEPT_FAILS,
@@ -209,6 +210,22 @@
                         self.assertEqual(site.node.pending.counts["completed"], 1)
                         await self.served(site, worker)
 
+    async def test_a_connection_breaks_as_the_first_of_two_requests_is_answered(self):
+        """Both were read together: the other one is not begun, or taken back, and that is no defect."""
+        for error in WRITE_BREAKS:
+            with self.subTest(errno.errorcode[error]):
+                worker = Raw("s-1")
+                async with self.site(worker) as site:
+                    client = Caller(site.address)
+                    self.addCleanup(client.sock.close)
+                    requests = [[0, 1, "health", [{}]], [0, 2, "plain", [ask(fn=1), b"x"]]]
+                    with broken_write(error, local_to(client)) as fault:
+                        client.sock.sendall(b"".join(map(msgpack.packb, requests)))
+                        await self.failed(site, fault)
+                        await site.turns()
+                    self.assertEqual((worker.runs(), site.node.front.clients), ([], {}))
+                    await self.served(site, worker)
+
     async def test_short_reads_and_writes(self):
         """Byte by byte, from clients and to them, from workers and to them."""
         worker = Raw("s-1")
