--- a/tests/test_finished.py
+++ b/tests/test_finished.py
@@ -19,6 +19,7 @@
     "petrelwood/decide/overload/backoff.py",
     "petrelwood/decide/overload/concurrency_limit.py",
     "petrelwood/decide/overload/deadlines.py",
+    "petrelwood/decide/overload/retry_budget.py",
     "petrelwood/decide/overload/sliding_window.py",
     "petrelwood/decide/overload/throughput.py",
     "petrelwood/decide/wall_clock.py",
@@ -27,6 +28,8 @@
     "petrelwood/errors.py",
     "petrelwood/links/listener.py",
     "petrelwood/links/rpc_client.py",
+    "petrelwood/links/sockets.py",
+    "petrelwood/node/stream.py",
     "petrelwood/settings/comparison.py",
 }
 EXCUSE = re.compile(r"#\s*(noqa|fmt:|ruff:|type:\s*ignore|mypy:|pylint:)")
