--- a/petrelwood/dispatch/handover/predecessor.py
+++ b/petrelwood/dispatch/handover/predecessor.py
@@ -14,6 +14,7 @@
 
 from petrelwood.decide.cluster import handover
 from petrelwood.decide.cluster.handover import PredecessorAction, PredecessorPhase
+from petrelwood.decide.delivery.ledger import ActivationState
 from petrelwood.dispatch.errors import HandoverError, HandoverRejectedError
 from petrelwood.dispatch.handover.channel import Channel
 from petrelwood.dispatch.handover.messages import (
@@ -94,7 +95,12 @@
 
     async def _accept(self) -> None:
         while True:
-            sock, _ = await self.core.loop.sock_accept(self.server.sock)
+            try:
+                sock, _ = await self.core.loop.sock_accept(self.server.sock)
+            except OSError as error:  # no descriptor, or its connection has gone: the next upgrade is heard
+                self.log.warning("accept failed", error=str(error))
+                await asyncio.sleep(CHECK_INTERVAL)
+                continue
             self._start(self._serve(Channel(sock, self.core.loop)))
 
     async def _watch(self) -> None:
@@ -111,7 +117,7 @@
         return (
             self.machine.phase == PredecessorPhase.WATCHING
             and not self.machine.has_drained
-            and not self.core.pending.acts
+            and not self.core.pending.activations
             and all(front.quiet() for front in self.core.fronts)
         )
 
@@ -146,9 +152,9 @@
         if not isinstance(hello, Hello):
             return "it did not greet"
         is_busy = self.machine.is_busy()
-        state = self.core.state
+        state = self.core.durable_state
         # what the successor must read: the newest format that stands in the folder
-        state_format = PLAIN_FORMAT if state is None else state.format
+        state_format = PLAIN_FORMAT if state is None else state.log.format
         return handover.rejection_reason(hello.request, self.core.name, state_format, is_busy)
 
     async def _handle(self, channel: Channel, message: Message) -> None:
@@ -161,7 +167,7 @@
                     await channel.send(Go(completion.share, completion.answers))
             case Owns():
                 self.machine.on_accepting(now)
-                self.log.info("handed over; draining", in_flight=len(self.core.pending.acts))
+                self.log.info("handed over; draining", in_flight=len(self.core.pending.activations))
             case Alive():
                 self.machine.on_heartbeat(now)
             case Proven():
@@ -183,7 +189,7 @@
         self.on_hand_over()
 
     def _activation_ended(
-        self, customer: str, id_: str, outcome: str, sent: bool, body: bytes | None
+        self, customer: str, id_: str, outcome: ActivationState, sent: bool, body: bytes | None
     ) -> None:
         self._start(self._send(ActivationEnded(customer, id_, outcome, sent, body)))
 
--- a/petrelwood/emulate/result.py
+++ b/petrelwood/emulate/result.py
@@ -2,6 +2,7 @@
 between."""
 
 import collections
+from dataclasses import asdict
 
 from petrelwood.decide.forecasting import account
 
@@ -65,7 +66,7 @@
     cores = list(platform.cores.values())
     counts = collections.Counter()
     for core in cores:
-        counts.update(core.counts)
+        counts.update(asdict(core.outlet.counts))
         counts.update({f"pending {k}": v for k, v in core.pending.counts.items()})
     share = [a / b for a, b in windows.values() if b > 0]
     figures = {
@@ -144,8 +145,10 @@
     for name, core in platform.cores.items():
         counts = core.pending.counts
         ended = counts["completed"] + counts["rejected"] + counts["aborted"] + counts["left"]
-        if counts["taken"] != ended + len(core.pending.acts):
-            wrong.append(f"{name}: {counts['taken']} taken, {ended} ended, {len(core.pending.acts)} open")
-        if core.intake.held != len(core.pending.acts):
-            wrong.append(f"{name}: {core.intake.held} held, {len(core.pending.acts)} owed")
+        if counts["taken"] != ended + len(core.pending.activations):
+            wrong.append(
+                f"{name}: {counts['taken']} taken, {ended} ended, {len(core.pending.activations)} open"
+            )
+        if core.intake.held != len(core.pending.activations):
+            wrong.append(f"{name}: {core.intake.held} held, {len(core.pending.activations)} owed")
     return wrong
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -8,6 +8,8 @@
 import unittest
 from random import Random
 
+import rig
+
 from petrelwood import ports
 from petrelwood.audit import rules
 from petrelwood.clocks import VirtualClock
@@ -23,6 +25,7 @@
 from petrelwood.decide.overload.intake import Ask
 from petrelwood.dispatch import state_recovery
 from petrelwood.dispatch.core import Core
+from petrelwood.dispatch.health import HeartbeatReporter
 from petrelwood.emulate import script
 from petrelwood.emulate.platform import Platform
 from petrelwood.settings import gateway
@@ -188,8 +191,6 @@
             now=self.clock.now,
             **more,
         )
-        # as `Dispatcher` has it, without the thread
-        self.core.sync_soon = lambda: self.core.kept(list(self.core.unkept), self.state.sync())
         self.core.adopt(self.state)
         self.taken = {}  # what must not run twice and has begun: id -> activation
         self.number = 0
@@ -209,7 +210,7 @@
         return exchange
 
     def complete(self, act_id, body=b"done"):
-        n = self.core.pending.sent(act_id)
+        n = self.core.pending.begin_attempt(act_id)
         self.core.submit(
             self.core.send_ended, act_id, n, "w", ports.COMPLETED, 0, body, self.clock.now(), None
         )
@@ -424,12 +425,12 @@
         self.core.membership.is_usable = lambda worker: True
         held = []
         self.core.load_order_ended = lambda *answer: held.append(answer[2])
-        self.core.hold("w1", "again-1", 2)
+        self.core.outlet.hold("w1", "again-1", 2)
         self.assertEqual(len(sent), 1)
         failing[0] = True
-        self.core.hold("w1", "again-2", 1)
+        self.core.outlet.hold("w1", "again-2", 1)
         self.wait(1)
-        self.core.hold("w1", "again-3", 1)
+        self.core.outlet.hold("w1", "again-3", 1)
         self.assertEqual((len(sent), held), (1, [ports.NOT_SENT] * 2))
         failing[0] = False
         self.wait(2)
@@ -442,7 +443,7 @@
         ]
         self.assertEqual([record[1:] for record in orders], [("w1", "again-1", 2)])
         self.assertLessEqual(abs(orders[0].time - (self.clock.wall() - self.clock.now())), SECOND)
-        self.core.hold("w1", "again-4", 1)
+        self.core.outlet.hold("w1", "again-4", 1)
         self.assertEqual(len(sent), 2)
 
     def test_a_segment_under_an_fsync_is_not_closed(self):
@@ -504,8 +505,8 @@
         for act in acts[:4]:
             self.complete(act)
         for act in acts[4:6]:
-            self.core.pending.sent(act)
-            self.core.submit(self.core.abort, act)
+            self.core.pending.begin_attempt(act)
+            self.core.submit(self.core.outlet.abort, act)
 
     def snapshot_of(self, folder):
         return {path.name: path.read_bytes() for path in folder.iterdir()}
@@ -595,10 +596,10 @@
             if number % 4 == 1:
                 self.complete(act, b"x" * (10 if number % 8 == 1 else 5000))
             elif number % 4 == 2:
-                self.core.submit(self.core.reject, act, 0)
+                self.core.submit(self.core.outlet.reject, act, 0)
             elif number % 4 == 3:
-                self.core.pending.sent(act)
-                self.core.submit(self.core.abort, act)
+                self.core.pending.begin_attempt(act)
+                self.core.submit(self.core.outlet.abort, act)
                 self.wait(0.5)
                 self.number += 5000
                 self.ask(type_, f"m{number + 1}")  # asked again
@@ -770,7 +771,7 @@
             platform = OnFiles(day, seed).run()
             broken = [line for found in rules.judge(platform.case()) for line in found.broken]
             completed = sum(wish.ended == "completed" for wish in platform.clients.wishes)
-            recovered = sum(bool(core.state_recovery.schedule.recovered_at) for _, core in logs)
+            recovered = sum(bool(core.durable_state.state_recovery.schedule.recovered_at) for _, core in logs)
             for log, _ in logs:
                 if log.log is not None:
                     log.log.abandon()
@@ -786,5 +787,59 @@
         self.assertGreater(recovered, 12)
 
 
+class OnTheLoop(rig.Case):
+    """A whole dispatcher on sockets, whose fsync runs in a thread."""
+
+    async def play(self, durability, call):
+        with tempfile.TemporaryDirectory() as folder:
+            plain = rig.FILE
+            rig.FILE = plain + f'state {{{{ folder "{folder}/s"; durability "{durability}" }}}}\n'
+            try:
+                await self.begin(rig.Worker("w1"))
+            finally:
+                rig.FILE = plain
+            self.assertEqual((await self.post("once-1"))[0], 200)
+            state = self.core.durable_state.log
+            broken = getattr(state.files, call)
+
+            def fails(*args):
+                raise OSError(errno.EIO, "Input/output error")
+
+            setattr(state.files, call, fails)
+            rejected = 0
+            for _ in range(8):
+                status, reply = await self.post("once-1")
+                self.assertEqual(status, 503)
+                self.assertIn(b"retry-after", reply.headers)
+                rejected += 1
+                self.assertEqual((await self.post("again-1"))[0], 200)
+            self.assertIsNotNone(state.stopped)
+            self.assertFalse(HeartbeatReporter(f"{folder}/h", self.core).report().keeps)
+            setattr(state.files, call, broken)
+            await self.until(lambda: state.stopped is None)
+            self.assertEqual((await self.post("once-1"))[0], 200)
+            (said,) = self.log.said("state log recovered")
+            self.assertEqual(said["rejected"], rejected)
+            state.close(self.core.record_time())
+            records, damages = state_segments.read(f"{folder}/s")
+            self.assertEqual(damages, [])
+            completed = {
+                r.id
+                for r in records
+                if isinstance(r, ActivationEnded) and r.outcome == ActivationState.COMPLETED
+            }
+            self.assertEqual(len(completed), 2 + 8)
+            self.assertEqual(self.runs(), 2 + 8)
+
+    async def test_a_write_that_fails(self):
+        await self.play("process", "write")
+
+    async def test_an_fsync_that_fails_in_its_thread(self):
+        await self.play("machine", "sync")
+
+    async def test_a_write_that_fails_beside_an_fsync(self):
+        await self.play("machine", "write")
+
+
 if __name__ == "__main__":
     unittest.main()
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -119,16 +119,16 @@
                 async with Inside(workers, permissions=CONNECTS) as site:
                     client, node = Caller(site.address), site.node
                     client.call(fields := ask(fn=1, ttl=TTL))
-                    await site.until(lambda node=node: node.sends_in_flight)
-                    (act, _), name = next(iter(node.sends_in_flight.items()))
+                    await site.until(lambda node=node: node.links.in_flight)
+                    (act, _), name = next(iter(node.links.in_flight.items()))
                     first, second = workers if name == "s-1" else workers[::-1]
                     await site.until(first.runs)
                     with late.hold():
                         node.links[second.name].give_up("the test has its connections come up late")
-                        node.submit(node.send, act, second.name, 0)
+                        node.submit(node.outlet.send, act, second.name, 0)
                         if how == "turned away":
                             first.answer(first.runs()[0], type="SHED")
-                            await site.until(lambda node=node, act=act: (act, 0) not in node.sends_in_flight)
+                            await site.until(lambda node=node, act=act: (act, 0) not in node.links.in_flight)
                         await site.until(lambda args=(node, second.name): waits_for_a_connection(*args))
                     jump(node, 1000)
                     late.come_up()
@@ -248,6 +248,9 @@
     def active(self, link):
         pass
 
+    def still_wanted(self, act):
+        return True
+
 
 class OtherLinks(unittest.TestCase):
     TERMS = types.SimpleNamespace(
@@ -264,6 +267,7 @@
         core.time = 60
         link.state.on_connected()
         link.state.on_greeting(60, "w", 1)
+        link.stream = types.SimpleNamespace(_total_write_index=0)
         link._write = written.append
         link._flush()
         self.assertEqual(core.ends, [("short", ports.NOT_SENT)])
@@ -277,6 +281,7 @@
         link.state.on_connecting(0)
         link.state.on_connected()
         link.state.on_greeting(0, "w", 1)
+        link.stream = types.SimpleNamespace(_total_write_index=0)
         link._write = written.append
         link.run("one", 0, "f", "m", 90, 1, b"x")
         core.time = 40
