--- a/petrelwood/decide/delivery/pending.py
+++ b/petrelwood/decide/delivery/pending.py
@@ -46,7 +46,7 @@
 class Waiter(NamedTuple):
     """One client's exchange at a front, which gets the answer."""
 
-    exchange: object
+    exchange: Any
     due: int
 
 
--- a/petrelwood/dispatch/activations.py
+++ b/petrelwood/dispatch/activations.py
@@ -134,8 +134,11 @@
         """A client hung up; the activation ends unless others wait for it, or it has to go on."""
         if self.pending.client_left(act_id, exchange):
             act = self.pending.end(self.now(), act_id, CLIENT_LEFT)
+            if act is None:
+                return
             self._record_end(act, CLIENT_LEFT, None)
-            self.core.links.withdraw(act.id, act.in_flight)
+            if act.in_flight:
+                self.core.links.withdraw(act.id, act.in_flight)
             self.core.brain.left(self.now(), act_id)
 
     def finish(
@@ -152,7 +155,8 @@
             self.core.log.error("second final answer suppressed", act=act_id, outcome=outcome)
             return
         self._record_end(act, outcome, body)
-        self.core.links.withdraw(act.id, act.in_flight)
+        if act.in_flight:
+            self.core.links.withdraw(act.id, act.in_flight)
         for exchange, _ in act.waiters:
             exchange.answer(outcome, body or b"", retry_after, why, act.id)
 
@@ -215,15 +219,6 @@
             self.finish(act_id, ABORTED, why="out of time")
             self.core.brain.left(self.now(), act_id)
 
-    # Sends.
-    def send_ended(self, act_id: str, attempt: int, code: str, body: bytes) -> PendingActivation | None:
-        """A send has ended, and its activation with it if it completed; the activation, if it was open."""
-        act: PendingActivation | None = self.pending.activations.get(act_id)
-        is_owed = self.pending.end_attempt(act_id, attempt)
-        if is_owed and code == COMPLETED:
-            self.finish(act_id, COMPLETED, body)
-        return act
-
     def abort_defective(self, act_id: str) -> None:
         """Aborts an activation that a defect of this program has touched."""
         core = self.core
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -21,7 +21,7 @@
 from petrelwood.decide.overload.backoff import Budget
 from petrelwood.decide.overload.intake import Ask, Intake
 from petrelwood.decide.overload.storm import SymptomName
-from petrelwood.dispatch.activations import Activations, Exchange
+from petrelwood.dispatch.activations import COMPLETED, Activations, Exchange
 from petrelwood.dispatch.durable_state import DurableState
 from petrelwood.dispatch.event_queue import Arguments, Call, EventQueue
 from petrelwood.dispatch.handover.hooks import ActivationEndHandler, HandoverHooks
@@ -75,7 +75,7 @@
         self.ledger, self.intake, id_prefix = self._make_stages()
         self.pending = PendingActivations(self.intake, self.ledger, id_prefix)
         self._make_connections(link)
-        self.events = EventQueue(clock, self.defect, self._turn_ended)
+        self.events = EventQueue(clock, self.defect)
         self.rules: dict[str, FunctionRule | None] = {}
         self.recent_answers = RecentAnswers()
         self.handover = HandoverHooks()
@@ -83,7 +83,7 @@
         self.record_execution: Callable[..., object] | None = None
         self.durable_state: DurableState | None = None
         self.forecasts: LoadForecasts | None = None
-        self.activations = Activations(self)
+        self.activations = self._make_activations()
         self.outlet = ModuleOutlet(self)
         clock.at(clock.now() + STORM_CHECK_INTERVAL, self._check_storms)
         self.brain = brain(clock.now(), self.terms, gateway.seed, self.outlet)
@@ -91,6 +91,9 @@
             self.adopt(state)
         self._begin_forecasts()
 
+    def _make_activations(self) -> Activations:
+        return Activations(self)
+
     def _make_connections(self, link: MakeLink) -> None:
         """What the core has to do with workers."""
         gateway = self.gateway
@@ -121,11 +124,10 @@
     # One call after the other.
     def submit(self, call: Call, *args: Any) -> None:
         """Makes a call at once, or after the one that is being made."""
-        self.events.submit(call, args)
-
-    def _turn_ended(self) -> None:
-        if self.durable_state is not None:
-            self.durable_state.log.flush()
+        events = self.events
+        events.waiting.append((call, args))
+        if not events.running:
+            events.run()
 
     def defect(self, where: str, fault: Exception, args: Arguments = ()) -> None:
         """Aborts the activations that a failed call has touched, and goes on."""
@@ -162,6 +164,7 @@
         """
         if self.durable_state is None:
             self.durable_state = DurableState(self, self.known_ids, log)
+            self.events.after_turn = self.durable_state.flush
         self.durable_state.adopt(log, predecessor_runs)
 
     def sync_state(self, done: Callable[[bool], object]) -> None:
@@ -169,10 +172,6 @@
         if self.durable_state is not None:
             done(self.durable_state.log.sync_task()())
 
-    def is_warm_enough(self, worker: str, now: int) -> bool:
-        """Whether a worker may be sent anything: soon after a restart, cold ones may not."""
-        return self.durable_state is None or self.durable_state.is_warm_enough(worker, now)
-
     def clock_offset_found(self, least_epoch: int) -> None:
         """A process before has seen the wall clock at this offset: workers may be younger than thought."""
         younger = self.membership.correct_clock(least_epoch, self.now())
@@ -285,17 +284,11 @@
     # From the fronts.
     def admit(self, ask: Ask, function: str, rule: Rule, body: bytes, exchange: Exchange) -> None:
         """A request has come, and is who it says it is."""
-        self.submit(self._admit, ask, function, rule, body, exchange)
-
-    def _admit(self, ask: Ask, function: str, rule: Rule, body: bytes, exchange: Exchange) -> None:
-        self.activations.admit(ask, function, rule, body, exchange)
+        self.submit(self.activations.admit, ask, function, rule, body, exchange)
 
     def client_left(self, act_id: str, exchange: Exchange) -> None:
         """The client of an exchange hung up."""
-        self.submit(self._client_left, act_id, exchange)
-
-    def _client_left(self, act_id: str, exchange: Exchange) -> None:
-        self.activations.client_left(act_id, exchange)
+        self.submit(self.activations.client_left, act_id, exchange)
 
     # From the links.
     def send_ended(
@@ -312,7 +305,10 @@
         """A send has ended with a `code` of `ports`; `gauge`: the worker's load report, if it sent one."""
         now = self.now()
         self.links.in_flight.pop((act_id, attempt), None)
-        act = self.activations.send_ended(act_id, attempt, code, body)
+        act = self.pending.activations.get(act_id)
+        is_owed = self.pending.end_attempt(act_id, attempt)
+        if is_owed and code == ports.COMPLETED:
+            self.activations.finish(act_id, COMPLETED, body)
         if code == ports.COMPLETED and self.intake.damps:
             self.intake.storms.record_attempt(now, note not in (0, ports.FOUND_WARM))
         if act is not None and (self.forecasts is not None or self.record_execution is not None):
@@ -344,7 +340,7 @@
     def transmit(self, link: WorkerLink, act: PendingActivation, attempt: int, time_left: int) -> None:
         """Hands a send to a link."""
         mark = f"{act.key[0]}/{act.key[1]}"
-        link.run(act.id, attempt, act.function, mark, time_left, act.lanes, act.body)
+        link.run(act.id, attempt, act.function, mark, time_left, act.lanes, act.body or b"")
 
     def may_send_order(self, given: int) -> bool:
         """Whether a load order that was given at `given` may leave now."""
--- a/petrelwood/dispatch/durable_state.py
+++ b/petrelwood/dispatch/durable_state.py
@@ -143,6 +143,10 @@
         self.state_recovery.recent_orders.add(core.now(), worker, function, copies)
         return True
 
+    def flush(self) -> None:
+        """Writes what was recorded in a turn of the dispatcher."""
+        self.log.flush()
+
     def check(self) -> None:
         """Called a few times a second: begins segments, and recovers the log after its disk failed."""
         self.log.check(self.core.record_time())
--- a/petrelwood/dispatch/event_queue.py
+++ b/petrelwood/dispatch/event_queue.py
@@ -19,27 +19,22 @@
 class EventQueue:
     """Calls that wait for their turn.
 
-    `on_defect(name, error, arguments)` is called for each call that raised, `after_turn()` when nothing is
-    left to do for now.
+    Whoever adds one to `waiting` calls `run` unless it is `running`. `on_defect(name, error, arguments)` is
+    called for each call that raised, `after_turn()` when nothing is left to do for now.
     """
 
     __slots__ = ("after_turn", "clock", "on_defect", "running", "touched", "waiting")
 
-    def __init__(self, clock: Clock, on_defect: DefectHandler, after_turn: Callable[[], object]) -> None:
+    def __init__(self, clock: Clock, on_defect: DefectHandler) -> None:
         self.clock = clock
         self.on_defect = on_defect
-        self.after_turn = after_turn
+        self.after_turn: Callable[[], object] | None = None
         self.waiting: deque[tuple[Call, Arguments]] = deque()
         self.running = False
         self.touched: set[str] = set()  # ids of the activations that the present call has to do with
 
-    def submit(self, call: Call, arguments: Arguments) -> None:
-        """Makes a call at once, or after the one that is being made."""
-        self.waiting.append((call, arguments))
-        if not self.running:
-            self._run()
-
-    def _run(self) -> None:
+    def run(self) -> None:
+        """Makes the calls that wait, and those that follow from them."""
         self.running = True
         waiting = self.waiting
         try:
@@ -55,6 +50,7 @@
         finally:
             self.running = False
             self.touched.clear()  # a defect outside of the queue is none of theirs
-            self.after_turn()
+            if self.after_turn is not None:
+                self.after_turn()
         if waiting:
-            self.clock.at(self.clock.now(), self._run)
+            self.clock.at(self.clock.now(), self.run)
--- a/petrelwood/dispatch/outlet.py
+++ b/petrelwood/dispatch/outlet.py
@@ -55,7 +55,12 @@
             return
         now = self.now()
         link = self.links.get(worker)
-        if link is None or not core.membership.is_usable(worker) or not core.is_warm_enough(worker, now):
+        state = core.durable_state
+        if (
+            link is None
+            or not core.membership.is_usable(worker)
+            or (state is not None and not state.is_warm_enough(worker, now))
+        ):
             self.counts.refused_by_guard += 1
             self._not_sent(act, attempt, worker, now)
             return
--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -10,6 +10,7 @@
 from petrelwood.decide.delivery import ledger
 from petrelwood.decide.overload import intake
 from petrelwood.decide.overload.resource_limits import CapacityIntake, ResourceLimits
+from petrelwood.dispatch.activations import Activations
 from petrelwood.dispatch.core import Core
 from petrelwood.node import told
 from petrelwood.node.front import Figures, Front
@@ -28,6 +29,19 @@
 UNKNOWN = Figures(1, 0, 0)
 
 
+class NodeActivations(Activations):
+    """Activations that go under the ids which their clients gave them."""
+
+    def admit(self, ask, function, rule, body, exchange):
+        """Answers what can't be taken under the id that it came with."""
+        if not exchange.waits():  # its client left between its reading and its turn
+            return
+        if self.core.is_open(ask.id):
+            exchange.answer(intake.ABORT, why="an id that is open")
+            return
+        super().admit(ask, function, rule, body, exchange)
+
+
 class Node(Core):
     """`gateway` is a `told.Told`."""
 
@@ -81,13 +95,8 @@
         owed = self.pending.activations.get(act_id)
         return owed is None or all(exchange.may_send(link) for exchange, _ in owed.waiters)
 
-    def _admit(self, ask, function, rule, body, exchange):
-        if not exchange.waits():  # its client left between its reading and its turn
-            return
-        if self.is_open(ask.id):
-            exchange.answer(intake.ABORT, why="an id that is open")
-            return
-        super()._admit(ask, function, rule, body, exchange)
+    def _make_activations(self):
+        return NodeActivations(self)
 
     # After the loop was held up.
     def behind(self):
