--- a/benchmarks/scale/configuration_real.py
+++ b/benchmarks/scale/configuration_real.py
@@ -23,7 +23,7 @@
 from benchmarks.scale import size
 from petrelwood.clocks import LoopClock
 from petrelwood.control import messages
-from petrelwood.decide.cluster.log_records import RecordKind, compress_text
+from petrelwood.decide.cluster.log_records import Record, RecordKind, compress_text
 from petrelwood.dispatch.configuration import ConfigurationFollower
 from petrelwood.links.rpc_client import RpcClient
 from petrelwood.settings.gateway import ConfigurationTerms
@@ -83,7 +83,8 @@
             client = RpcClient(addresses["c1"], messages.MAX_MESSAGE_SIZE)
             body = compress_text(hollow.settings_text(hollow.ALL_FUNCTIONS))
             begun = time.monotonic()
-            await client.call("append", [["v1", RecordKind.VERSION, 0, time.time_ns(), body]], 10)
+            record = Record("v1", RecordKind.VERSION, 0, time.time_ns(), body)
+            await client.call("append", [messages.encode_record(record)], 10)
             decided = time.monotonic() - begun
             client.close()
             while min(f.watch.position for f in followers) < 1:
--- a/petrelwood/cli/configuration.py
+++ b/petrelwood/cli/configuration.py
@@ -80,20 +80,15 @@
     @told
     def publish(file, servers, id_):
         """Publishes FILE as the next version for all dispatchers."""
-        from petrelwood.decide.cluster.log_records import MAX_TEXT_SIZE, RecordKind, compress_text
+        from petrelwood.decide.cluster.log_records import MAX_TEXT_SIZE, Record, RecordKind, compress_text
         from petrelwood.settings import document, gateway
 
         gateway.read(file)
         text = document.read_whole(pathlib.Path(file))
         if len(text.encode("utf-8")) > MAX_TEXT_SIZE:
             raise BadFile(file, 0, f"a version has {MAX_TEXT_SIZE} bytes at most")
-        record = [
-            id_ or secrets.token_hex(8),
-            RecordKind.VERSION,
-            0,
-            time.time_ns(),
-            compress_text(text),
-        ]
+        record_id = id_ or secrets.token_hex(8)
+        record = Record(record_id, RecordKind.VERSION, 0, time.time_ns(), compress_text(text))
         click.echo(f"version {_appended(servers, record)} is published")
 
     @command(configuration, "revoke")
@@ -101,15 +96,10 @@
     @told
     def revoke(number, servers, id_):
         """Calls version NUMBER off: who has it goes back, nobody else takes it."""
-        from petrelwood.decide.cluster.log_records import RecordKind
-
-        record = [
-            id_ or f"off-{number}",
-            RecordKind.REVOCATION,
-            number,
-            time.time_ns(),
-            b"called off by hand",
-        ]
+        from petrelwood.decide.cluster.log_records import Record, RecordKind
+
+        record_id = id_ or f"off-{number}"
+        record = Record(record_id, RecordKind.REVOCATION, number, time.time_ns(), b"called off by hand")
         _appended(servers, record)
         click.echo(f"version {number} is called off")
 
@@ -133,13 +123,14 @@
     from petrelwood.links.rpc_client import RpcClient, RpcError
 
     faults = []
+    params = [messages.encode_record(record)]
     for address in servers:
         client = RpcClient(address, messages.MAX_MESSAGE_SIZE)
         try:
-            (slot,) = await client.call("append", [record], APPEND_WITHIN)
+            (slot,) = await client.call("append", params, APPEND_WITHIN)
             return slot
         except RpcError as fault:
             faults.append(f"{address[0]}:{address[1]}: {fault}")
         finally:
             client.close()
-    raise click.ClickException(f"not decided as '{record[0]}': {'; '.join(faults)}")
+    raise click.ClickException(f"not decided as '{record.id}': {'; '.join(faults)}")
