--- a/petrelwood/decide/delivery/pending.py
+++ b/petrelwood/decide/delivery/pending.py
@@ -46,7 +46,7 @@
 class Waiter(NamedTuple):
     """One client's exchange at a front, which gets the answer."""
 
-    exchange: object
+    exchange: Any
     due: int
 
 
@@ -61,7 +61,7 @@
     arrived_at: int
     due: int
     function: Any
-    body: bytes | None
+    body: bytes
     lanes: int
     load_time: int
     work: int
@@ -195,7 +195,7 @@
         if self.by_key.get(activation.key) is activation:
             del self.by_key[activation.key]
         # the heap of deadlines still has it, for as long as its client would wait
-        activation.body = None
+        activation.body = b""
         self.counts[outcome] += 1
         took = now - activation.arrived_at
         self.intake.ended(now, activation.customer, activation.type, took, outcome)
--- a/petrelwood/dispatch/activations.py
+++ b/petrelwood/dispatch/activations.py
@@ -134,6 +134,8 @@
         """A client hung up; the activation ends unless others wait for it, or it has to go on."""
         if self.pending.client_left(act_id, exchange):
             act = self.pending.end(self.now(), act_id, CLIENT_LEFT)
+            if act is None:
+                return
             self._record_end(act, CLIENT_LEFT, None)
             self.core.links.withdraw(act.id, act.in_flight)
             self.core.brain.left(self.now(), act_id)
--- a/tests/test_serve_departure.py
+++ b/tests/test_serve_departure.py
@@ -40,7 +40,7 @@
         for how in ("end", "reset"):
             with self.subTest(how):
                 self.assertFalse(await self._sent(how, "again-1"))
-                self.assertFalse(self.core.pending.acts)
+                self.assertFalse(self.core.pending.activations)
                 await self.asyncTearDown()
 
     async def test_one_that_outlives_its_client_leaves(self):
--- a/tests/test_system_calls_of_serve.py
+++ b/tests/test_system_calls_of_serve.py
@@ -358,7 +358,9 @@
 class Upgrades(Quietly, rig.unittest.IsolatedAsyncioTestCase):
     async def test_accept_fails_for_a_while(self):
         """The control socket hears of the next upgrade once the fault is over; nothing spins."""
-        core = mock.Mock(loop=asyncio.get_running_loop(), now=time.monotonic_ns, pending=mock.Mock(acts={}))
+        core = mock.Mock(
+            loop=asyncio.get_running_loop(), now=time.monotonic_ns, pending=mock.Mock(activations={})
+        )
         with tempfile.TemporaryDirectory() as folder:
             path = f"{folder}/control"
             calls = {name: mock.Mock() for name in ("on_hand_over", "on_resume", "on_finished")}
