--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import asdict
 from random import Random
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from petrelwood import ports
 from petrelwood.brain import Brain
@@ -20,6 +20,7 @@
 from petrelwood.decide.delivery.pending import PendingActivation, PendingActivations
 from petrelwood.decide.overload.backoff import Budget
 from petrelwood.decide.overload.intake import Ask, Intake
+from petrelwood.decide.overload.storm import SymptomName
 from petrelwood.dispatch.activations import Activations, Exchange
 from petrelwood.dispatch.durable_state import DurableState
 from petrelwood.dispatch.event_queue import Arguments, Call, EventQueue
@@ -30,8 +31,10 @@
 from petrelwood.dispatch.recent_answers import RecentAnswers
 from petrelwood.dispatch.worker_links import Address, WorkerLink, WorkerLinks
 from petrelwood.ports import Listed
-from petrelwood.settings.gateway import FunctionRule, Gateway
-from petrelwood.store.state_log import StateLog
+
+if TYPE_CHECKING:  # the platform's dispatcher needs no settings in KDL and no log
+    from petrelwood.settings.gateway import FunctionRule, Gateway
+    from petrelwood.store.state_log import StateLog
 
 STORM_CHECK_INTERVAL = 500_000_000  # ns
 RECONNECTS_AT_ONCE = 32.0  # over all links
@@ -52,13 +55,13 @@
 
     def __init__(
         self,
-        gateway: Gateway,
+        gateway: "Gateway",
         clock: Clock,
         chance: Random,
         link: MakeLink,
         log: Logger,
         brain: Callable[[int, ports.Terms, int, ports.Outlet], Any] = Brain,
-        state: StateLog | None = None,
+        state: "StateLog | None" = None,
     ) -> None:
         self.gateway = gateway
         self.name = gateway.name
@@ -126,7 +129,7 @@
 
     def defect(self, where: str, fault: Exception, args: Arguments = ()) -> None:
         """Aborts the activations that a failed call has touched, and goes on."""
-        acts = self.pending.acts
+        acts = self.pending.activations
         touched = self.events.touched | {arg for arg in args if isinstance(arg, str) and arg in acts}
         place = traceback.extract_tb(fault.__traceback__)[-1]
         self.pending.counts["defects"] += 1
@@ -152,7 +155,7 @@
         """The wall-clock time as the log of state has it: without steps since this process began."""
         return self.now() + self.record_epoch
 
-    def adopt(self, log: StateLog, predecessor_runs: bool = False) -> None:
+    def adopt(self, log: "StateLog", predecessor_runs: bool = False) -> None:
         """Goes on from what the incarnations before have left in a log.
 
         `predecessor_runs`: the one before still finishes what it has in flight.
@@ -253,12 +256,12 @@
         self._plan_next_slot()
 
     def _plan_loads(self) -> None:
-        if self.intake.storms.on("cold") or self.intake.concurrency_limit.holds_back:
+        if self.intake.storms.has(SymptomName.COLD) or self.intake.concurrency_limit.is_reduced:
             return  # guesses wait until what is asked for can be served
         if self.forecasts is not None:
             self.forecasts.plan_slot()
 
-    def apply(self, gateway: Gateway) -> None:
+    def apply(self, gateway: "Gateway") -> None:
         """Takes new settings that can act at once: customers' keys, functions, limits.
 
         What is in flight keeps its deadline, and its customer until it has its answer.
@@ -267,9 +270,9 @@
         self.rules = {}
         self.limits = gateway.limits
         self.intake.limits = gateway.limits
-        self.intake.concurrency_limit.bound(gateway.limits.held)
+        self.intake.concurrency_limit.set_most(gateway.limits.held)
 
-    def rule(self, function: str) -> FunctionRule | None:
+    def rule(self, function: str) -> "FunctionRule | None":
         """The rule of a function, looked up once; None where it may not be called."""
         try:
             return self.rules[function]
@@ -311,11 +314,11 @@
         self.links.in_flight.pop((act_id, attempt), None)
         act = self.activations.send_ended(act_id, attempt, code, body)
         if code == ports.COMPLETED and self.intake.damps:
-            self.intake.storms.ran(now, note not in (0, ports.FOUND_WARM))
+            self.intake.storms.record_attempt(now, note not in (0, ports.FOUND_WARM))
         if act is not None and (self.forecasts is not None or self.record_execution is not None):
             self._learn(now, act, worker, code, note, now - sent_at)
         self.events.touched.add(act_id)
-        has_ended = act_id not in self.pending.acts
+        has_ended = act_id not in self.pending.activations
         self.brain.answer(now, act_id, attempt, worker, code, note, has_ended, now - sent_at, gauge)
 
     def _learn(self, now: int, act: PendingActivation, worker: str, code: str, note: int, took: int) -> None:
@@ -323,17 +326,17 @@
         warm = note in (0, ports.FOUND_WARM)
         if self.forecasts is not None:
             if code == ports.COMPLETED:
-                self.forecasts.send_completed(now, act.fn, worker, warm, took)
+                self.forecasts.send_completed(now, act.function, worker, warm, took)
             elif code == ports.MISSING:
-                self.forecasts.copy_missing(now, act.fn, worker)
+                self.forecasts.copy_missing(now, act.function, worker)
         if self.record_execution is not None and code == ports.COMPLETED:
             self.record_execution(
                 self.clock.steady_wall(),
-                act.fn,
+                act.function,
                 act.customer,
                 self.terms.zone,
                 note & 3,
-                now - took - act.came,
+                now - took - act.arrived_at,
                 took,
                 0 if warm else took,
             )
@@ -341,7 +344,7 @@
     def transmit(self, link: WorkerLink, act: PendingActivation, attempt: int, time_left: int) -> None:
         """Hands a send to a link."""
         mark = f"{act.key[0]}/{act.key[1]}"
-        link.run(act.id, attempt, act.fn, mark, time_left, act.lanes, act.body)
+        link.run(act.id, attempt, act.function, mark, time_left, act.lanes, act.body)
 
     def may_send_order(self, given: int) -> bool:
         """Whether a load order that was given at `given` may leave now."""
--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -179,6 +179,18 @@
         self.endpoints_known.set()
 
     # The end.
+    def still_wanted(self, activation_id: str) -> bool:
+        """Whether an attempt of an activation may leave.
+
+        Its client may have hung up while the loop was held up. What outlives its client goes on.
+        """
+        pending = self.pending.activations.get(activation_id)
+        if pending is None:
+            return False
+        for exchange, _ in list(pending.waiters):
+            exchange.look_for_end()
+        return activation_id in self.pending.activations
+
     async def close(self) -> None:
         """Admits nothing new, answers all that is in flight, and ends."""
         self.intake.closing = True
@@ -186,8 +198,8 @@
             front.drain()
         # clients that go on sending are not waited for longer than the longest request may take
         latest = self.now() + max(self.gateway.timeouts.values())
-        while self.pending.acts or not all(front.quiet() for front in self.fronts):
-            if not self.pending.acts and self.now() >= latest:
+        while self.pending.activations or not all(front.quiet() for front in self.fronts):
+            if not self.pending.activations and self.now() >= latest:
                 break
             await asyncio.sleep(DRAIN_CHECK_INTERVAL)
         for front in self.fronts:
--- a/petrelwood/dispatch/handover/predecessor.py
+++ b/petrelwood/dispatch/handover/predecessor.py
@@ -95,7 +95,12 @@
 
     async def _accept(self) -> None:
         while True:
-            sock, _ = await self.core.loop.sock_accept(self.server.sock)
+            try:
+                sock, _ = await self.core.loop.sock_accept(self.server.sock)
+            except OSError as error:  # no descriptor, or its connection has gone: the next upgrade is heard
+                self.log.warning("accept failed", error=str(error))
+                await asyncio.sleep(CHECK_INTERVAL)
+                continue
             self._start(self._serve(Channel(sock, self.core.loop)))
 
     async def _watch(self) -> None:
@@ -112,7 +117,7 @@
         return (
             self.machine.phase == PredecessorPhase.WATCHING
             and not self.machine.has_drained
-            and not self.core.pending.acts
+            and not self.core.pending.activations
             and all(front.quiet() for front in self.core.fronts)
         )
 
@@ -162,7 +167,7 @@
                     await channel.send(Go(completion.share, completion.answers))
             case Owns():
                 self.machine.on_accepting(now)
-                self.log.info("handed over; draining", in_flight=len(self.core.pending.acts))
+                self.log.info("handed over; draining", in_flight=len(self.core.pending.activations))
             case Alive():
                 self.machine.on_heartbeat(now)
             case Proven():
--- a/petrelwood/fronts/webhook.py
+++ b/petrelwood/fronts/webhook.py
@@ -20,6 +20,7 @@
 from petrelwood.fronts.signing import Verifier
 from petrelwood.links import sockets as link_sockets
 from petrelwood.links.listener import Listener
+from petrelwood.links.sockets import disable_delay
 
 SECOND = 1_000_000_000
 READ = 65_536
@@ -60,6 +61,14 @@
             None,
         )
 
+    def look_for_end(self):
+        """Asked before a send leaves: whether the client has hung up. That may lie unread, or not be
+        told yet."""
+        stream = self.line.stream
+        if stream.closed() or link_sockets.hung_up(stream.socket):
+            self.line.gone()
+            stream.close()
+
     def answer(self, what, body=b"", retry_after=0, why="", act=None):
         """The final answer, from the core: 'completed', 'rejected', 'aborted' or a verdict of the intake."""
         if what in ("completed", intake.GIVE):
@@ -139,8 +148,9 @@
                     self.reading = False
                 while not self.reading and not self.closing:
                     await self.front.room(self)
-        except StreamClosedError as fault:
-            if isinstance(fault.real_error, ssl.SSLError):
+        except OSError as fault:  # errors of the socket come as they are, or as the cause of a closed stream
+            cause = fault.real_error if isinstance(fault, StreamClosedError) else fault
+            if isinstance(cause, ssl.SSLError):
                 self.front._count("handshakes refused")
 
     def _shaken(self):
@@ -386,7 +396,7 @@
 
     async def handle_stream(self, stream: IOStream, address):
         now = self.core.now()
-        self.core.intake.storms.connected(now)
+        self.core.intake.storms.record_connection(now)
         verdict = self.admission.connects(now, address[0])
         if verdict != admission.TAKE:
             self._count(f"connections refused: {verdict}")
@@ -397,7 +407,7 @@
                     lambda done: stream.close()
                 )
             return
-        stream.set_nodelay(True)
+        disable_delay(stream.socket)
         line = Line(self, stream, address)
         line.leaving = self.core.intake.closing
         self.lines.add(line)
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -12,7 +12,7 @@
 from petrelwood.decide.overload.backoff import Budget
 from petrelwood.decide.overload.concurrency_limit import ConcurrencyLimit
 from petrelwood.decide.overload.sliding_window import SlidingWindowCounter
-from petrelwood.decide.overload.storm import Storms, dispersion
+from petrelwood.decide.overload.storm import Storms, SymptomName, dispersion
 from petrelwood.decide.overload.throughput import ThroughputEstimate
 
 S, MS = 10**9, 10**6
@@ -33,14 +33,14 @@
                 looks = now + S // 2
                 while next_ask < looks:
                     for _ in range(bunch):
-                        storms.asked(next_ask, chance.random() < repeats)
+                        storms.record_request(next_ask, chance.random() < repeats)
                         if chance.random() < connects:
-                            storms.connected(next_ask)
-                        storms.ran(next_ask, chance.random() < cold)
+                            storms.record_connection(next_ask)
+                        storms.record_attempt(next_ask, chance.random() < cold)
                     next_ask += int(chance.expovariate(pace / bunch) * S)
                 now = looks
                 lines += [
-                    f"{now / S:5.1f}  {name} {'on' if on else 'off'}" for name, on, _ in storms.look(now)
+                    f"{now / S:5.1f}  {name} {'on' if on else 'off'}" for name, on, _ in storms.update(now)
                 ]
         return storms, lines
 
@@ -77,7 +77,7 @@
 
     def test_a_long_surge_does_not_become_usual_while_it_lasts(self):
         storms, _ = self.play([(30, 60, 0, 0, 0, 1), (60, 300, 0, 0, 0, 1)])
-        self.assertTrue(storms.on("surge"))
+        self.assertTrue(storms.has(SymptomName.SURGE))
         self.assertLess(storms.usual, 90)
 
     def test_dispersion(self):
@@ -88,39 +88,43 @@
         ring = SlidingWindowCounter(10, 3)
         for at in (1, 12, 25):
             ring.add(at)
-        self.assertEqual((ring.sum(29), ring.whole(29), ring.sum(35), ring.sum(1000)), (3, [1, 1], 2, 0))
+        self.assertEqual(
+            (ring.sum(29), ring.ended_buckets(29), ring.sum(35), ring.sum(1000)), (3, [1, 1], 2, 0)
+        )
 
 
 class Hints(unittest.TestCase):
     def test_who_listens_gets_in_and_who_does_not_wears_out_only_his_own(self):
         policy, lines = retry_budget.RetryPolicy(1000), []
-        policy.hint(0, "calm", "c1", S, half, 60 * S, False)
+        policy.retry_after(0, "calm", "c1", S, half, 60 * S, False)
         for at in range(12):  # he retries each 100 ms, whatever he is told
-            how = policy.comes(at * S // 10, "loud", "l1")
-            may = how != retry_budget.EARLY or policy.may("loud")
-            wait = policy.hint(at * S // 10, "loud", "l1", S, half, 60 * S, how == retry_budget.EARLY)
+            how = policy.classify(at * S // 10, "loud", "l1")
+            may = how != retry_budget.Arrival.EARLY or policy.may_retry_early("loud")
+            wait = policy.retry_after(
+                at * S // 10, "loud", "l1", S, half, 60 * S, how == retry_budget.Arrival.EARLY
+            )
             lines.append(
                 f"{at / 10:4.1f}  loud {how} {'goes on' if may else 'is over his budget'}, "
                 f"told {wait / S:.0f} s"
             )
         lines.append(
-            f" 1.0  calm {policy.comes(S, 'calm', 'c1')}; deaf {policy.deaf('calm'):.2f} against "
-            f"{policy.deaf('loud'):.2f}"
+            f" 1.0  calm {policy.classify(S, 'calm', 'c1')}; deaf {policy.early_share('calm'):.2f} against "
+            f"{policy.early_share('loud'):.2f}"
         )
-        policy.settled("loud", "l1")
-        lines.append(f" 1.2  loud, once taken, {policy.comes(12 * S // 10, 'loud', 'l1')}")
+        policy.on_admitted("loud", "l1")
+        lines.append(f" 1.2  loud, once taken, {policy.classify(12 * S // 10, 'loud', 'l1')}")
         compare(self, "storm_policy", lines)
 
     def test_what_is_remembered_is_bounded(self):
         policy = retry_budget.RetryPolicy(50)
         for i in range(500):
-            policy.comes(i, f"c{i}", "x")
-            policy.hint(i, f"c{i}", "x", S, half, 60 * S, False)
-        self.assertEqual((len(policy.told), len(policy.customers)), (50, 50))
+            policy.classify(i, f"c{i}", "x")
+            policy.retry_after(i, f"c{i}", "x", S, half, 60 * S, False)
+        self.assertEqual((len(policy.hints), len(policy.customers)), (50, 50))
 
     def test_those_refused_together_part(self):
         chance, policy = random.Random(3).random, retry_budget.RetryPolicy(10_000)
-        times = sorted(policy.hint(0, "x", str(i), 4 * S, chance, 60 * S, False) for i in range(2000))
+        times = sorted(policy.retry_after(0, "x", str(i), 4 * S, chance, 60 * S, False) for i in range(2000))
         self.assertLess(max(sum(t // S == second for t in times) for second in range(8)), 0.3 * len(times))
 
     def test_a_budget_is_earned_by_firsts_or_by_time(self):
@@ -160,8 +164,8 @@
         while now < seconds * S:
             back_now, back = int(back), back - int(back)
             for _ in range(int(offered / 20) + back_now):
-                if (limit is None or limit.room(len(todo))) and not (
-                    pace and pace.too_late(now, len(todo), now + patience)
+                if (limit is None or limit.has_capacity(len(todo))) and not (
+                    pace and pace.is_too_late(now, len(todo), now + patience)
                 ):
                     todo.append(now)
             work += able / 20
@@ -170,12 +174,12 @@
                 in_time += good
                 back += 0 if good else repeats
                 if limit is not None:
-                    limit.ended(good)
+                    limit.record_answer(good)
                 if pace is not None:
-                    pace.ended(now)
+                    pace.record_answer(now)
             work = min(work, 1.0)
             if limit is not None:
-                limit.look(now, len(todo))
+                limit.update(now, len(todo))
             now += step
         return in_time / seconds, len(todo)
 
@@ -205,28 +209,28 @@
 
     def test_it_stays_open_where_answers_are_good_and_begins_low_after_a_start(self):
         limit, steps = ConcurrencyLimit(1000, 8, S), []
-        limit.begin(0)
+        limit.start_slowly(0)
         for second in range(1, 40):
             for _ in range(20):
-                limit.ended(True)
-            limit.look(second * S, 5)
+                limit.record_answer(True)
+            limit.update(second * S, 5)
             steps.append(int(limit.limit))
-        self.assertEqual((steps[0], steps[-1], limit.holds_back), (78, 1000, False), steps)
+        self.assertEqual((steps[0], steps[-1], limit.is_reduced), (78, 1000, False), steps)
         for second in range(40, 160):
             for _ in range(20):
-                limit.ended(False)
-            limit.look(second * S, 500)
+                limit.record_answer(False)
+            limit.update(second * S, 500)
         self.assertEqual(int(limit.limit), 8)
 
     def test_a_queue_is_told_from_a_lull(self):
         pace = ThroughputEstimate(20)
         for at in range(50):
-            pace.ended(at * S // 10)
-        self.assertIsNone(pace.stay(5 * S, 5))  # few are held: nothing is believed
-        self.assertAlmostEqual(pace.stay(5 * S, 40) / S, 4.0, delta=0.3)
-        self.assertTrue(pace.too_late(5 * S, 40, 8 * S))
-        self.assertFalse(pace.too_late(5 * S, 40, 10 * S))
-        self.assertIsNone(pace.stay(60 * S, 40))  # nothing has left for long: nothing is known
+            pace.record_answer(at * S // 10)
+        self.assertIsNone(pace.expected_stay(5 * S, 5))  # few are held: nothing is believed
+        self.assertAlmostEqual(pace.expected_stay(5 * S, 40) / S, 4.0, delta=0.3)
+        self.assertTrue(pace.is_too_late(5 * S, 40, 8 * S))
+        self.assertFalse(pace.is_too_late(5 * S, 40, 10 * S))
+        self.assertIsNone(pace.expected_stay(60 * S, 40))  # nothing has left for long: nothing is known
 
 
 class Doors(unittest.TestCase):
