--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -184,12 +184,12 @@
 
         Its client may have hung up while the loop was held up. What outlives its client goes on.
         """
-        pending = self.pending.acts.get(activation_id)
-        if pending is None:
+        activation = self.pending.activations.get(activation_id)
+        if activation is None:
             return False
-        for exchange, _ in list(pending.waiting):
-            exchange.look_for_end()
-        return activation_id in self.pending.acts
+        for waiter in list(activation.waiters):
+            waiter.exchange.look_for_end()
+        return activation_id in self.pending.activations
 
     async def close(self) -> None:
         """Admits nothing new, answers all that is in flight, and ends."""
--- a/petrelwood/links/sockets.py
+++ b/petrelwood/links/sockets.py
@@ -35,8 +35,10 @@
 
 
 def readable(socks: Iterable[socket.socket]) -> list[int]:
-    """Descriptors of those of which the kernel has something that nobody has read: bytes, an end, a
-    connection."""
+    """Descriptors of those of which the kernel has something that nobody has read.
+
+    That is bytes, an end or a connection.
+    """
     poll = select.poll()
     for sock in socks:
         poll.register(sock, select.POLLIN)
@@ -63,8 +65,11 @@
 
 
 def disable_delay(sock: socket.socket | None) -> None:
-    """Lets small writes leave at once. A connection that can't be told so, or has just been reset, still
-    serves: what becomes of it is seen when it is read."""
+    """Lets small writes leave at once.
+
+    A connection that can't be told so, or has just been reset, still serves: what becomes of it is seen when
+    it is read.
+    """
     if sock is not None:
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/petrelwood/node/stream.py
+++ b/petrelwood/node/stream.py
@@ -1,5 +1,7 @@
-"""Tornado's stream without its first look at the socket: most reads here begin long before there is anything
-to read."""
+"""Tornado's stream without its first look at the socket.
+
+Most reads here begin long before there is anything to read.
+"""
 
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream
@@ -25,6 +27,8 @@
             sockets.disable_delay(self.socket)
 
     def unsent(self) -> int:
-        """Bytes that were written and that the machine has not taken yet; none of a closed stream, which may
-        have been closed by the write that failed."""
+        """Bytes that were written and that the machine has not taken yet.
+
+        A closed stream has none: it may have been closed by the write that failed.
+        """
         return 0 if self.closed() else len(self._write_buffer)
