--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -184,11 +184,11 @@
 
         Its client may have hung up while the loop was held up. What outlives its client goes on.
         """
-        activation = self.pending.activations.get(activation_id)
-        if activation is None:
+        pending = self.pending.activations.get(activation_id)
+        if pending is None:
             return False
-        for waiter in list(activation.waiters):
-            waiter.exchange.look_for_end()
+        for exchange, _ in list(pending.waiters):
+            exchange.look_for_end()
         return activation_id in self.pending.activations
 
     async def close(self) -> None:
--- a/petrelwood/node/stream.py
+++ b/petrelwood/node/stream.py
@@ -1,7 +1,4 @@
-"""Tornado's stream without its first look at the socket.
-
-Most reads here begin long before there is anything to read.
-"""
+"""Tornado's stream without its first look at the socket: most reads here begin before there is anything."""
 
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream
@@ -27,8 +24,8 @@
             sockets.disable_delay(self.socket)
 
     def unsent(self) -> int:
-        """Bytes that were written and that the machine has not taken yet.
+        """Bytes that were written and that the kernel has not taken yet.
 
-        A closed stream has none: it may have been closed by the write that failed.
+        None of a closed stream, which may have been closed by the write that failed.
         """
         return 0 if self.closed() else len(self._write_buffer)
