--- a/benchmarks/refusal.py
+++ b/benchmarks/refusal.py
@@ -38,11 +38,13 @@
         await timed(
             "401, signature checked",
             lambda: self.message(webhook_signature="v1,AAAA"),
-            lambda: setattr(self.front.admission, "checked", lambda *a: None),
+            lambda: setattr(self.front.admission, "record_signature", lambda *a: None),
         )
         await timed("503 at the intake", self.message, lambda: setattr(self.core.intake, "closing", True))
         await timed(
-            "429 unread", self.message, lambda: setattr(self.front.admission, "may_check", lambda *a: False)
+            "429 unread",
+            self.message,
+            lambda: setattr(self.front.admission, "may_check_signature", lambda *a: False),
         )
         await self.asyncTearDown()
         return found
--- a/petrelwood/decide/overload/admission.py
+++ b/petrelwood/decide/overload/admission.py
@@ -1,154 +1,207 @@
 """Who may open a connection, shake hands, be read and have a signature checked, before any of it costs much.
 
 All by address: what a request says of its customer is not believed before its signature holds, or anyone
-could wear out another's part. An address has a pace of its own for connections, and a part of each bound once
-half of the bound is taken; so one crowd can't keep the others out, and a lone caller may use all. An address
-whose signatures fail goes through `Backoff`: it is refused unread for a while that doubles. What is known of
-addresses is bounded; the one heard of longest ago is forgotten."""
+could wear out another's share. An address has a rate of its own for connections, and a share of each bound
+once half of the bound is in use; so one crowd can't keep the others out, and a lone caller may use all. An
+address whose signatures fail goes through `Backoff`: it is rejected unread for a while that doubles. What is
+known of addresses is bounded; the one heard of longest ago is forgotten.
+"""
 
 from collections import OrderedDict
+from collections.abc import Callable
+from enum import StrEnum
+from operator import attrgetter
 
 from petrelwood.decide.overload.backoff import Backoff
 
 SECOND = 1_000_000_000
-TAKE, PACE, CROWDED, UNFAIR, BAD = "take", "too fast", "crowded", "over its part", "bad signatures"
-BURST, LEAST = 1 / 4, 16  # of the bound on connections that one address may open at once, and at least
-REFILL = 1 / 8  # of it, each second
-STORM = 1 / 4  # of the pace, while connections come in a storm
-HALF = 0.5  # of a bound in use, from which it is shared out
-LONE = 7 / 8  # of a bound, for an address that is alone
-BAD_IN_A_ROW = 16  # signatures of an address that fail before it is refused unread
-FIRST, LONGEST = SECOND // 2, 32 * SECOND
+BURST = 1 / 4  # of the bound on connections, that one address may open at once
+LEAST_BURST = 16
+REFILL = 1 / 8  # of the bound on connections, each second
+LEAST_RATE = 1.0  # connections a second
+STORM_RATE = 1 / 4  # of the rate, while connections come in a storm
+SHARED_FROM = 0.5  # of a bound in use, from which it is shared out
+LONE_SHARE = 7 / 8  # of a bound, for an address that is alone
+MOST_BAD_SIGNATURES = 16  # in a row, before an address is rejected unread
+FIRST_BAN = SECOND // 2
+LONGEST_BAN = 32 * SECOND
+MOST_ADDRESSES = 4096
+SPREAD = 2  # seconds over which retries of rejected connections are drawn
+STORM_SPREAD = 4
+
+
+class AdmissionVerdict(StrEnum):
+    """What becomes of a connection that was accepted; also the names of the counters."""
+
+    ADMIT = "take"
+    TOO_FAST = "too fast"
+    CROWDED = "crowded"
+    UNFAIR = "over its part"
+    BANNED = "bad signatures"
 
 
 class Address:
-    __slots__ = ("open", "bytes", "tokens", "seen", "bad", "backoff", "shaking")
+    """What is known of one address."""
 
-    def __init__(self, tokens, now, chance):
-        self.open, self.bytes, self.tokens, self.seen, self.bad, self.shaking = 0, 0, tokens, now, 0, 0
-        self.backoff = Backoff(FIRST, LONGEST, chance)
+    __slots__ = ("backoff", "bad_signatures", "bytes", "handshaking", "open", "seen_at", "tokens")
 
+    def __init__(self, tokens: float, now: int, chance: Callable[[], float]) -> None:
+        self.open = 0  # connections
+        self.handshaking = 0
+        self.bytes = 0  # of requests that are not complete yet
+        self.tokens = tokens
+        self.seen_at = now
+        self.bad_signatures = 0  # in a row
+        self.backoff = Backoff(FIRST_BAN, LONGEST_BAN, chance)
 
-class Admission:
-    """`connections`, `handshakes` and `bytes_`: bounds over all addresses; `chance` draws in [0, 1). Times in
-    ns."""
-
-    def __init__(self, connections, handshakes, bytes_, chance, most=4096):
-        self.connections, self.handshakes, self.bytes, self.chance, self.most = (
-            connections,
-            handshakes,
-            bytes_,
-            chance,
-            most,
-        )
-        self.addresses, self.open, self.shaking, self.held, self.storm = OrderedDict(), 0, 0, 0, False
-        self.burst = max(connections * BURST, min(connections, LEAST))
-        self.counts = {name: 0 for name in (TAKE, PACE, CROWDED, UNFAIR, BAD)}
-
-    def _address(self, now, address):
-        found = self.addresses.get(address)
-        if found is None:
-            found = self.addresses[address] = Address(self.burst, now, self.chance)
-            if len(self.addresses) > self.most:
-                for name, one in self.addresses.items():
-                    if not one.open and name != address:
-                        del self.addresses[name]
-                        break
-        else:
-            self.addresses.move_to_end(address)
-        return found
 
-    def _active(self, what):
-        return max(1, sum(1 for one in self.addresses.values() if getattr(one, what)))
+Usage = Callable[[Address], int]
+OPEN: Usage = attrgetter("open")
+HANDSHAKING: Usage = attrgetter("handshaking")
+BYTES: Usage = attrgetter("bytes")
 
-    def _over_part(self, one, mine, used, bound, what):
-        """Whether an address has its part of a bound that is half used. A lone one may take all but an
-        eighth, which is kept for whoever comes next."""
-        if used <= bound * HALF:
-            return False
-        others = self._active(what) - (1 if getattr(one, what) else 0)
-        return mine >= max(1, bound // (others + 1) if others else bound * LONE)
-
-    def connects(self, now, address):
-        """A connection was accepted: `TAKE`, or why it is closed again."""
-        one, pace = (
-            self._address(now, address),
-            max(1.0, self.connections * REFILL) * (STORM if self.storm else 1.0),
-        )
-        one.tokens = min(self.burst, one.tokens + (now - one.seen) / SECOND * pace)
-        one.seen = now
-        if self.open >= self.connections or self.handshakes and self.shaking >= self.handshakes:
-            verdict = CROWDED
-        elif not one.backoff.may_retry(now):
-            verdict = BAD
-        elif (
-            self._over_part(one, one.open, self.open, self.connections, "open")
-            or self.handshakes
-            and self._over_part(one, one.shaking, self.shaking, self.handshakes, "shaking")
-        ):
-            verdict = UNFAIR
-        elif one.tokens < 1:
-            verdict = PACE
-        else:
-            verdict = TAKE
-            one.tokens, one.open, self.open = one.tokens - 1, one.open + 1, self.open + 1
+
+class Admission:
+    """Bounds on connections, handshakes and bytes over all addresses.
+
+    `chance` is drawn in [0, 1); without a bound on handshakes (0) none are counted. Times in ns.
+    """
+
+    def __init__(
+        self,
+        connections: int,
+        handshakes: int,
+        most_bytes: int,
+        chance: Callable[[], float],
+        most_addresses: int = MOST_ADDRESSES,
+    ) -> None:
+        self.connections = connections
+        self.handshakes = handshakes
+        self.most_bytes = most_bytes
+        self.chance = chance
+        self.most_addresses = most_addresses
+        self.addresses: OrderedDict[str, Address] = OrderedDict()
+        self.open = 0
+        self.handshaking = 0
+        self.held_bytes = 0
+        self.is_storm = False
+        self.burst = max(connections * BURST, min(connections, LEAST_BURST))
+        self.counts = {verdict.value: 0 for verdict in AdmissionVerdict}
+
+    def admit_connection(self, now: int, name: str) -> AdmissionVerdict:
+        """A connection was accepted: ADMIT, or why it is closed again."""
+        address = self._address(now, name)
+        rate = max(LEAST_RATE, self.connections * REFILL) * (STORM_RATE if self.is_storm else 1.0)
+        address.tokens = min(self.burst, address.tokens + (now - address.seen_at) / SECOND * rate)
+        address.seen_at = now
+        verdict = self._verdict(now, address)
+        if verdict is AdmissionVerdict.ADMIT:
+            address.tokens -= 1
+            address.open += 1
+            self.open += 1
             if self.handshakes:
-                one.shaking, self.shaking = one.shaking + 1, self.shaking + 1
+                address.handshaking += 1
+                self.handshaking += 1
         self.counts[verdict] += 1
         return verdict
 
-    def shaken(self, address):
-        """A connection that was taken has its handshake behind it."""
-        one = self.addresses.get(address)
-        if self.handshakes and one is not None and one.shaking:
-            one.shaking, self.shaking = one.shaking - 1, self.shaking - 1
+    def on_handshake_done(self, name: str) -> None:
+        """A connection that was admitted has its handshake behind it."""
+        address = self.addresses.get(name)
+        if self.handshakes and address is not None and address.handshaking:
+            address.handshaking -= 1
+            self.handshaking -= 1
 
-    def closed(self, address):
-        """A connection that was taken is gone."""
-        one = self.addresses.get(address)
+    def on_closed(self, name: str) -> None:
+        """A connection that was admitted is gone."""
+        address = self.addresses.get(name)
         self.open -= 1
-        if one is not None:
-            one.open = max(0, one.open - 1)
-
-    def reads(self, now, address, bytes_):
-        """Bytes of a request that is not whole yet came in: whether they may be held."""
-        one = self._address(now, address)
-        if self.held + bytes_ > self.bytes or self._over_part(
-            one, one.bytes + bytes_, self.held, self.bytes, "bytes"
+        if address is not None:
+            address.open = max(0, address.open - 1)
+
+    def reserve_bytes(self, now: int, name: str, size: int) -> bool:
+        """Whether bytes of a request that is not complete yet may be held."""
+        address = self._address(now, name)
+        is_full = self.held_bytes + size > self.most_bytes
+        if is_full or self._is_over_share(
+            address, BYTES, address.bytes + size, self.held_bytes, self.most_bytes
         ):
-            self.counts[CROWDED] += 1
+            self.counts[AdmissionVerdict.CROWDED] += 1
             return False
-        one.bytes, self.held = one.bytes + bytes_, self.held + bytes_
+        address.bytes += size
+        self.held_bytes += size
         return True
 
-    def read(self, address, bytes_):
-        """A request is whole, or given up: its bytes are no longer held here."""
-        one = self.addresses.get(address)
-        self.held -= bytes_
-        if one is not None:
-            one.bytes = max(0, one.bytes - bytes_)
+    def release_bytes(self, name: str, size: int) -> None:
+        """A request is complete, or given up: its bytes are no longer held here."""
+        address = self.addresses.get(name)
+        self.held_bytes -= size
+        if address is not None:
+            address.bytes = max(0, address.bytes - size)
 
-    def may_check(self, now, address):
-        """Whether a signature from there is worth checking; else it is refused unread."""
-        if self._address(now, address).backoff.may_retry(now):
+    def may_check_signature(self, now: int, name: str) -> bool:
+        """Whether a signature from there is worth checking; else the request is rejected unread."""
+        if self._address(now, name).backoff.may_retry(now):
             return True
-        self.counts[BAD] += 1
+        self.counts[AdmissionVerdict.BANNED] += 1
         return False
 
-    def checked(self, now, address, good):
-        one = self._address(now, address)
-        if good:
-            one.bad = 0
-            one.backoff.succeeded()
+    def record_signature(self, now: int, name: str, is_good: bool) -> None:
+        """A signature from there was checked."""
+        address = self._address(now, name)
+        if is_good:
+            address.bad_signatures = 0
+            address.backoff.succeeded()
             return
-        one.bad += 1
-        if one.bad >= BAD_IN_A_ROW:
-            one.bad = 0
-            one.backoff.failed(now)
-
-    def wait(self, address, now):
-        """Seconds after which a refused connection may be tried again, for `Retry-After`; drawn, so that a
-        crowd parts."""
-        one = self.addresses.get(address)
-        ban = max(0, one.backoff.not_before - now) if one is not None else 0
-        return 1 + int(ban / SECOND + self.chance() * (4 if self.storm else 2))
+        address.bad_signatures += 1
+        if address.bad_signatures >= MOST_BAD_SIGNATURES:
+            address.bad_signatures = 0
+            address.backoff.failed(now)
+
+    def retry_after_seconds(self, name: str, now: int) -> int:
+        """When a rejected connection may be tried again, for `Retry-After`; drawn, so that a crowd parts."""
+        address = self.addresses.get(name)
+        ban = max(0, address.backoff.not_before - now) if address is not None else 0
+        return 1 + int(ban / SECOND + self.chance() * (STORM_SPREAD if self.is_storm else SPREAD))
+
+    def _verdict(self, now: int, address: Address) -> AdmissionVerdict:
+        if self.open >= self.connections or (self.handshakes and self.handshaking >= self.handshakes):
+            return AdmissionVerdict.CROWDED
+        if not address.backoff.may_retry(now):
+            return AdmissionVerdict.BANNED
+        if self._is_over_share(address, OPEN, address.open, self.open, self.connections):
+            return AdmissionVerdict.UNFAIR
+        if self.handshakes and self._is_over_share(
+            address, HANDSHAKING, address.handshaking, self.handshaking, self.handshakes
+        ):
+            return AdmissionVerdict.UNFAIR
+        return AdmissionVerdict.TOO_FAST if address.tokens < 1 else AdmissionVerdict.ADMIT
+
+    def _is_over_share(self, address: Address, usage: Usage, mine: int, used: int, bound: int) -> bool:
+        """Whether an address has its share of a bound that is half used.
+
+        A lone one may take all but an eighth, which is left for whoever comes next.
+        """
+        if used <= bound * SHARED_FROM:
+            return False
+        active = max(1, sum(1 for each in self.addresses.values() if usage(each)))
+        others = active - (1 if usage(address) else 0)
+        return mine >= max(1, bound // (others + 1) if others else bound * LONE_SHARE)
+
+    def _address(self, now: int, name: str) -> Address:
+        found = self.addresses.get(name)
+        if found is not None:
+            self.addresses.move_to_end(name)
+            return found
+        found = Address(self.burst, now, self.chance)
+        self.addresses[name] = found
+        if len(self.addresses) > self.most_addresses:
+            self._forget_one(name)
+        return found
+
+    def _forget_one(self, newest: str) -> None:
+        """Forgets the address that was heard of longest ago, of those without a connection."""
+        for name, address in self.addresses.items():
+            if not address.open and name != newest:
+                del self.addresses[name]
+                return
--- a/petrelwood/fronts/webhook.py
+++ b/petrelwood/fronts/webhook.py
@@ -15,7 +15,8 @@
 from tornado.iostream import IOStream, StreamClosedError
 from tornado.netutil import bind_sockets
 
-from petrelwood.decide.overload import admission, intake
+from petrelwood.decide.overload import intake
+from petrelwood.decide.overload.admission import Admission, AdmissionVerdict
 from petrelwood.fronts import problem
 from petrelwood.fronts.signing import Verifier
 from petrelwood.links import sockets as link_sockets
@@ -157,7 +158,7 @@
         """The first bytes are here, or it is gone: no handshake is in hand any more."""
         if self.shaking:
             self.shaking = False
-            self.front.admission.shaken(self.peer)
+            self.front.admission.on_handshake_done(self.peer)
 
     def _wrong(self, status, detail):
         """The rest of the connection can't be understood: one answer, then it ends."""
@@ -196,7 +197,7 @@
         now = self.now
         if now.reply is not None or now.refused is not None:
             return
-        if self.front.admission.reads(self.front.core.now(), self.peer, size):
+        if self.front.admission.reserve_bytes(self.front.core.now(), self.peer, size):
             now.held += size
         else:
             now.refused = (503, "too much is being sent at a time")
@@ -204,12 +205,16 @@
     def _refuse(self):
         """Answers what `refused` says; where trying later may help, with when."""
         status, detail = self.now.refused
-        wait = self.front.admission.wait(self.peer, self.front.core.now()) if status in (429, 503) else 0
+        wait = (
+            self.front.admission.retry_after_seconds(self.peer, self.front.core.now())
+            if status in (429, 503)
+            else 0
+        )
         self.now.fail(status, detail, retry_after=wait * SECOND, last=True)
 
     def _let_go(self, exchange):
         if exchange.held:
-            self.front.admission.read(self.peer, exchange.held)
+            self.front.admission.release_bytes(self.peer, exchange.held)
             exchange.held = 0
 
     def on_headers_complete(self):
@@ -219,7 +224,9 @@
         length = headers.get(b"content-length", b"0")
         if now.refused is None and length.isdigit() and int(length) > self.limits.body:
             now.refused = (413, f"the body may hold {self.limits.body} bytes")
-        if now.refused is None and not self.front.admission.may_check(self.front.core.now(), self.peer):
+        if now.refused is None and not self.front.admission.may_check_signature(
+            self.front.core.now(), self.peer
+        ):
             now.refused = (429, "too many signatures from this address did not hold")
         if now.refused is not None:
             self._refuse()
@@ -285,7 +292,7 @@
         if not self.unread:
             self.unread_by = time.monotonic_ns() + self.limits.body_within
         self.unread.append(size)
-        if not self.front.admission.reads(self.front.core.now(), self.peer, size):
+        if not self.front.admission.reserve_bytes(self.front.core.now(), self.peer, size):
             self.unread[-1] = 0
             self._unread_too_long("too much is not read")
 
@@ -293,7 +300,7 @@
         """The peer has taken the oldest of them."""
         done.exception()
         if self.unread:
-            self.front.admission.read(self.peer, self.unread.popleft())
+            self.front.admission.release_bytes(self.peer, self.unread.popleft())
             self.unread_by = time.monotonic_ns() + self.limits.body_within
             self._go_on()
 
@@ -327,8 +334,8 @@
         if self.now is not None:
             self._let_go(self.now)
         while self.unread:
-            self.front.admission.read(self.peer, self.unread.popleft())
-        self.front.admission.closed(self.peer)
+            self.front.admission.release_bytes(self.peer, self.unread.popleft())
+        self.front.admission.on_closed(self.peer)
         self.front.wake(self)
         self._drop()
 
@@ -347,7 +354,7 @@
         super().__init__(max_buffer_size=2 * READ, ssl_options=gateway.tls.server() if gateway.tls else None)
         self.gateway, self.core, self.limits, self.log = gateway, core, gateway.limits, log
         self.tls, limits = gateway.tls is not None, gateway.limits
-        self.admission = admission.Admission(
+        self.admission = Admission(
             limits.connections, limits.handshakes if self.tls else 0, limits.bytes, core.chance.random
         )
         self.verifiers = {name: Verifier(c.keys) for name, c in gateway.customers.items()}
@@ -397,13 +404,13 @@
     async def handle_stream(self, stream: IOStream, address):
         now = self.core.now()
         self.core.intake.storms.record_connection(now)
-        verdict = self.admission.connects(now, address[0])
-        if verdict != admission.TAKE:
+        verdict = self.admission.admit_connection(now, address[0])
+        if verdict is not AdmissionVerdict.ADMIT:
             self._count(f"connections refused: {verdict}")
             if self.tls:  # a word would cost the handshake
                 stream.close()
             else:
-                stream.write(BUSY % self.admission.wait(address[0], now)).add_done_callback(
+                stream.write(BUSY % self.admission.retry_after_seconds(address[0], now)).add_done_callback(
                     lambda done: stream.close()
                 )
             return
@@ -424,7 +431,7 @@
 
     def storm_changed(self, name, on):
         if name == "reconnects":
-            self.admission.storm = on
+            self.admission.is_storm = on
 
     def check(self, now):
         for line in list(self.lines):
@@ -455,7 +462,7 @@
         body = b"".join(exchange.body)
         status, detail, ask, rule, function = self._read(exchange, body)
         if status in (0, 401):
-            self.admission.checked(self.core.now(), exchange.line.peer, status == 0)
+            self.admission.record_signature(self.core.now(), exchange.line.peer, status == 0)
         if status:
             self._count(str(status))
             exchange.fail(status, detail)
--- a/tests/test_finished.py
+++ b/tests/test_finished.py
@@ -16,6 +16,7 @@
     "petrelwood/clocks.py",
     "petrelwood/control",
     "petrelwood/decide/cluster",
+    "petrelwood/decide/overload/admission.py",
     "petrelwood/decide/overload/backoff.py",
     "petrelwood/decide/overload/concurrency_limit.py",
     "petrelwood/decide/overload/deadlines.py",
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -235,56 +235,66 @@
 
 class Doors(unittest.TestCase):
     def door(self, connections=80, handshakes=0, bytes_=10_000):
-        return admission.Admission(connections, handshakes, bytes_, half, most=100)
+        return admission.Admission(connections, handshakes, bytes_, half, most_addresses=100)
 
     def test_a_crowd_of_one_address_does_not_keep_others_out(self):
         door, crowd = self.door(), 0
         for at in range(400):
-            crowd += door.connects(at * S // 4, "10.0.0.1") == admission.TAKE
-        others = [door.connects(100 * S, f"10.0.1.{i}") for i in range(5)]
-        self.assertEqual((crowd, others), (70, [admission.TAKE] * 5))
-        self.assertEqual(door.connects(101 * S, "10.0.0.1"), admission.UNFAIR)
+            crowd += door.admit_connection(at * S // 4, "10.0.0.1") == admission.AdmissionVerdict.ADMIT
+        others = [door.admit_connection(100 * S, f"10.0.1.{i}") for i in range(5)]
+        self.assertEqual((crowd, others), (70, [admission.AdmissionVerdict.ADMIT] * 5))
+        self.assertEqual(door.admit_connection(101 * S, "10.0.0.1"), admission.AdmissionVerdict.UNFAIR)
         for _ in range(70):
-            door.closed("10.0.0.1")
-        self.assertEqual((door.open, door.connects(200 * S, "10.0.0.1")), (5, admission.TAKE))
+            door.on_closed("10.0.0.1")
+        self.assertEqual(
+            (door.open, door.admit_connection(200 * S, "10.0.0.1")), (5, admission.AdmissionVerdict.ADMIT)
+        )
 
     def test_the_pace_of_an_address_and_a_storm(self):
         door = self.door()
-        self.assertEqual([door.connects(0, "a") for _ in range(22)].count(admission.TAKE), 20)
-        self.assertEqual(door.connects(0, "b"), admission.TAKE)
-        self.assertEqual([door.connects(S, "a") for _ in range(12)].count(admission.TAKE), 10)
-        door.storm = True
-        self.assertEqual([door.connects(2 * S, "a") for _ in range(12)].count(admission.TAKE), 2)
-        self.assertGreater(door.wait("a", 2 * S), 1)
+        self.assertEqual(
+            [door.admit_connection(0, "a") for _ in range(22)].count(admission.AdmissionVerdict.ADMIT), 20
+        )
+        self.assertEqual(door.admit_connection(0, "b"), admission.AdmissionVerdict.ADMIT)
+        self.assertEqual(
+            [door.admit_connection(S, "a") for _ in range(12)].count(admission.AdmissionVerdict.ADMIT), 10
+        )
+        door.is_storm = True
+        self.assertEqual(
+            [door.admit_connection(2 * S, "a") for _ in range(12)].count(admission.AdmissionVerdict.ADMIT), 2
+        )
+        self.assertGreater(door.retry_after_seconds("a", 2 * S), 1)
 
     def test_wrong_signatures_in_a_row_are_refused_unread_for_longer_each_time(self):
         door, bans = self.door(), []
         for _ in range(3):
             at = max(bans[-1][1] if bans else 0, 0)
-            for _ in range(admission.BAD_IN_A_ROW):
-                self.assertTrue(door.may_check(at, "a"))
-                door.checked(at, "a", False)
-            self.assertFalse(door.may_check(at, "a"))
+            for _ in range(admission.MOST_BAD_SIGNATURES):
+                self.assertTrue(door.may_check_signature(at, "a"))
+                door.record_signature(at, "a", False)
+            self.assertFalse(door.may_check_signature(at, "a"))
             bans.append((at, door.addresses["a"].backoff.not_before))
         lengths = [end - begin for begin, end in bans]
         self.assertEqual([round(b / a, 2) for a, b in itertools.pairwise(lengths)], [2.0, 2.0])
-        self.assertTrue(door.may_check(bans[-1][1], "a") and door.may_check(0, "b"))
-        door.checked(bans[-1][1], "a", True)
-        for _ in range(admission.BAD_IN_A_ROW - 1):
-            door.checked(bans[-1][1], "a", False)
-        self.assertTrue(door.may_check(bans[-1][1], "a"))
+        self.assertTrue(door.may_check_signature(bans[-1][1], "a") and door.may_check_signature(0, "b"))
+        door.record_signature(bans[-1][1], "a", True)
+        for _ in range(admission.MOST_BAD_SIGNATURES - 1):
+            door.record_signature(bans[-1][1], "a", False)
+        self.assertTrue(door.may_check_signature(bans[-1][1], "a"))
 
     def test_bytes_and_handshakes_are_shared_out(self):
         door = self.door(handshakes=10)
-        self.assertEqual([door.reads(0, "a", 1000) for _ in range(10)].count(True), 8)
-        self.assertTrue(door.reads(0, "b", 1000))
-        door.read("a", 8000)
-        self.assertTrue(door.reads(0, "a", 1000))
-        self.assertEqual([door.connects(0, "a") for _ in range(12)].count(admission.TAKE), 9)
-        self.assertEqual(door.connects(0, "b"), admission.TAKE)
-        self.assertEqual(door.connects(0, "c"), admission.CROWDED)
-        door.shaken("a")
-        self.assertEqual(door.connects(0, "c"), admission.TAKE)
+        self.assertEqual([door.reserve_bytes(0, "a", 1000) for _ in range(10)].count(True), 8)
+        self.assertTrue(door.reserve_bytes(0, "b", 1000))
+        door.release_bytes("a", 8000)
+        self.assertTrue(door.reserve_bytes(0, "a", 1000))
+        self.assertEqual(
+            [door.admit_connection(0, "a") for _ in range(12)].count(admission.AdmissionVerdict.ADMIT), 9
+        )
+        self.assertEqual(door.admit_connection(0, "b"), admission.AdmissionVerdict.ADMIT)
+        self.assertEqual(door.admit_connection(0, "c"), admission.AdmissionVerdict.CROWDED)
+        door.on_handshake_done("a")
+        self.assertEqual(door.admit_connection(0, "c"), admission.AdmissionVerdict.ADMIT)
 
     def test_addresses_are_bounded_and_what_is_counted_comes_back_to_nothing(self):
         chance, door, held = random.Random(7), self.door(connections=300, handshakes=50), []
@@ -292,18 +302,18 @@
             at, address = step * S // 50, f"10.0.{chance.randrange(20)}.{chance.randrange(30)}"
             if held and chance.random() < 0.5:
                 gone, size, shaking = held.pop(chance.randrange(len(held)))
-                door.read(gone, size)
+                door.release_bytes(gone, size)
                 if shaking:
-                    door.shaken(gone)
-                door.closed(gone)
-            elif door.connects(at, address) == admission.TAKE:
+                    door.on_handshake_done(gone)
+                door.on_closed(gone)
+            elif door.admit_connection(at, address) == admission.AdmissionVerdict.ADMIT:
                 size = chance.randrange(50)
-                held.append((address, size if door.reads(at, address, size) else 0, True))
+                held.append((address, size if door.reserve_bytes(at, address, size) else 0, True))
         for gone, size, _ in held:
-            door.read(gone, size)
-            door.shaken(gone)
-            door.closed(gone)
-        self.assertEqual((door.open, door.shaking, door.held), (0, 0, 0))
+            door.release_bytes(gone, size)
+            door.on_handshake_done(gone)
+            door.on_closed(gone)
+        self.assertEqual((door.open, door.handshaking, door.held_bytes), (0, 0, 0))
         self.assertLessEqual(len(door.addresses), 101)
 
 
