--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -95,7 +95,7 @@
 
     class Running(Core):
         def sync_state(self, done):
-            task = asyncio.get_running_loop().run_in_executor(None, self.state.sync_task())
+            task = asyncio.get_running_loop().run_in_executor(None, self.durable_state.log.sync_task())
             task.add_done_callback(lambda ended: self.submit(done, ended.result()))
 
     core = Running(GATEWAY, clock, random.Random(1), None, Log(), Recorded)
@@ -126,7 +126,8 @@
             seen = at
         took = time.perf_counter() - begun
         size = sum(path.stat().st_size for path in pathlib.Path(folder).iterdir())
-        assert len(recovery.replay(state_segments.read(folder)[0], clock.wall(), "b", False).ids) == count
+        found = recovery.replay(state_segments.read(folder)[0], clock.wall(), "b", False)
+        assert len(found.activations) == count
         core.durable_state.log.close(clock.wall())
     return took, longest, size
 
