--- a/petrelwood/errors.py
+++ b/petrelwood/errors.py
@@ -9,10 +9,6 @@
     """Anything that the gateway itself finds to have failed; `str()` is one line for people."""
 
 
-class SettingsError(PetrelwoodError):
-    """Settings, a deploy file or options of the command line can't be used."""
-
-
 class StorageError(PetrelwoodError):
     """Stored data can't be read or written."""
 
