--- a/petrelwood/cli/configs.py
+++ b/petrelwood/cli/configs.py
@@ -12,15 +12,15 @@
 HIDDEN = re.compile(r'(whsec_|whpk_|password ")[^"\n]*')
 
 
-def _described(path, reads=None):
-    """A gateway that is right, or one error for each thing that is wrong with it. `reads`: as `gateway.read`
+def _described(path, values=None):
+    """A gateway that is right, or one error for each thing that is wrong with it. `values`: as `gateway.read`
     has it."""
     from petrelwood.settings import gateway, sense
 
     errors, _, _ = sense.check(path)
     if errors:
         raise click.ClickException("\n".join(map(str, errors)) + f"\n{path} can't be used")
-    return gateway.read(path, reads=reads)
+    return gateway.read(path, values=values)
 
 
 def _marked(fault, texts):
@@ -71,12 +71,12 @@
                                 "file": fault.file,
                                 "line": fault.line,
                                 "column": fault.column,
-                                "what": fault.what,
+                                "what": fault.message,
                             }
                         )
                     )
                 elif lint:
-                    click.echo(f"{fault.file}:{fault.line}:{max(1, fault.column)}: {sort}: {fault.what}")
+                    click.echo(f"{fault.file}:{fault.line}:{max(1, fault.column)}: {sort}: {fault.message}")
                 else:
                     click.echo(f"{sort}: {fault}")
                     for row in _marked(fault, texts):
@@ -92,17 +92,18 @@
     )
     def fmt(files, only):
         """Gives FILES the one layout; comments and meaning stay."""
-        from petrelwood.settings import document, layout
+        from petrelwood.settings import kdl, layout
+        from petrelwood.settings.errors import SettingsError
         from petrelwood.store.snapshot import put
 
         changed = 0
         for name in files:
             path = pathlib.Path(name)
-            text = document.read_whole(path)
+            text = kdl.read_unchanging(path)
             try:
                 found = layout.laid_out(text)
-            except document.BadFile as fault:
-                raise document.BadFile(path, fault.line, fault.what) from None
+            except SettingsError as fault:
+                raise SettingsError(path, fault.line, fault.message) from None
             if found == text:
                 continue
             changed += 1
@@ -195,10 +196,10 @@
     def complete(file, line, column):
         """What may come in FILE at LINE and COLUMN, for editors: a word and what it takes, tab between
         them."""
-        from petrelwood.settings import document
+        from petrelwood.settings import kdl
         from petrelwood.settings import reference as made
 
-        for word, what in made.completions(document.read_whole(pathlib.Path(file)), line, column, file):
+        for word, what in made.completions(kdl.read_unchanging(pathlib.Path(file)), line, column, file):
             click.echo(f"{word}\t{what}")
 
     @command(config, "roll")
@@ -209,11 +210,11 @@
         stage."""
         import time
 
-        from petrelwood.settings import document
+        from petrelwood.settings import kdl
         from petrelwood.store import versions
 
         _described(file)
-        number = versions.announce(folder, document.read_whole(pathlib.Path(file)), time.time_ns())
+        number = versions.announce(folder, kdl.read_unchanging(pathlib.Path(file)), time.time_ns())
         click.echo(f"version {number} is announced in {folder}")
 
     @command(config, "off")
--- a/petrelwood/cli/configuration.py
+++ b/petrelwood/cli/configuration.py
@@ -11,7 +11,7 @@
 
 import click
 
-from petrelwood.settings.document import BadFile
+from petrelwood.settings.errors import SettingsError
 
 APPEND_WITHIN = 5.0  # seconds for one server's answer; over `log_proposal.QUORUM_TIMEOUT`
 
@@ -81,12 +81,12 @@
     def publish(file, servers, id_):
         """Publishes FILE as the next version for all dispatchers."""
         from petrelwood.decide.cluster.log_records import MAX_TEXT_SIZE, Record, RecordKind, compress_text
-        from petrelwood.settings import document, gateway
+        from petrelwood.settings import gateway, kdl
 
         gateway.read(file)
-        text = document.read_whole(pathlib.Path(file))
+        text = kdl.read_unchanging(pathlib.Path(file))
         if len(text.encode("utf-8")) > MAX_TEXT_SIZE:
-            raise BadFile(file, 0, f"a version has {MAX_TEXT_SIZE} bytes at most")
+            raise SettingsError(file, 0, f"a version has {MAX_TEXT_SIZE} bytes at most")
         record_id = id_ or secrets.token_hex(8)
         record = Record(record_id, RecordKind.VERSION, 0, time.time_ns(), compress_text(text))
         click.echo(f"version {_appended(servers, record)} is published")
--- a/petrelwood/cli/main.py
+++ b/petrelwood/cli/main.py
@@ -12,7 +12,7 @@
 import click
 
 from petrelwood.errors import StorageError
-from petrelwood.settings.document import BadFile
+from petrelwood.settings.errors import SettingsError
 
 EXAMPLES = {
     "serve": "petrelwood serve gateway.kdl",
@@ -447,7 +447,7 @@
 def main():
     try:
         cli(prog_name="petrelwood", standalone_mode=True)
-    except (BadFile, StorageError) as fault:
+    except (SettingsError, StorageError) as fault:
         click.echo(f"petrelwood: {fault}", err=True)
         return 2
     except KeyboardInterrupt:
--- a/petrelwood/dispatch/rollout.py
+++ b/petrelwood/dispatch/rollout.py
@@ -14,8 +14,9 @@
 from petrelwood.dispatch.interfaces import Logger
 from petrelwood.dispatch.settings_update import ReadSettings, SettingsUpdater, UpdateResult
 from petrelwood.dispatch.upgrade import Upgrader
-from petrelwood.settings.document import BadFile, read_whole
+from petrelwood.settings.errors import SettingsError
 from petrelwood.settings.gateway import Gateway
+from petrelwood.settings.kdl import read_unchanging
 from petrelwood.store import versions
 from petrelwood.store.errors import VersionUnreadableError
 
@@ -39,7 +40,7 @@
     def read(self, number: int) -> Gateway:
         """The settings of a version; 0 for the dispatcher's own.
 
-        Raises `settings.document.BadFile` and `store.errors.VersionUnreadableError`.
+        Raises `settings.SettingsError` and `store.errors.VersionUnreadableError`.
         """
         if not number:
             return self.own
@@ -49,10 +50,10 @@
 def read_version(read_settings: ReadSettings, own: Gateway, folder: str, number: int) -> Gateway:
     """The settings of a version for the dispatcher whose own file says `own`.
 
-    Raises `settings.document.BadFile` for what it says, and `store.errors.VersionUnreadableError` where the
+    Raises `settings.SettingsError` for what it says, and `store.errors.VersionUnreadableError` where the
     folder does not give it.
     """
-    text = read_whole(versions.require_readable(folder, number))
+    text = read_unchanging(versions.require_readable(folder, number))
     settings: Gateway = read_settings(text).as_of(own)
     return settings
 
@@ -122,7 +123,7 @@
             self.log.error("version can't be read; it is attempted again", why=str(fault))
             self.rollout.on_apply_postponed()
             return
-        except BadFile as fault:
+        except SettingsError as fault:
             self.log.error("version invalid", why=str(fault))
             result = UpdateResult.NOT_APPLIED
             reason = f"it is wrong: {fault}"
--- a/petrelwood/dispatch/serve.py
+++ b/petrelwood/dispatch/serve.py
@@ -26,7 +26,7 @@
 from petrelwood.dispatch.upgrade import UpgradeCommand, Upgrader
 from petrelwood.fronts.mqtt import Mqtt
 from petrelwood.fronts.webhook import Webhooks
-from petrelwood.settings.document import BadFile
+from petrelwood.settings.errors import SettingsError
 from petrelwood.settings.gateway import Gateway
 from petrelwood.store.errors import StateUnreadableError
 
@@ -139,7 +139,7 @@
             return
         try:
             new = await self.core.loop.run_in_executor(None, self.options.read_settings)
-        except BadFile as fault:
+        except SettingsError as fault:
             self.log.error("new settings invalid; nothing changes", why=str(fault))
             return
         self.updater.update(new)
--- a/petrelwood/dispatch/settings_update.py
+++ b/petrelwood/dispatch/settings_update.py
@@ -16,7 +16,7 @@
 class ReadSettings(Protocol):
     """Reads the settings anew, from the dispatcher's file or from `text`.
 
-    Raises `settings.document.BadFile`.
+    Raises `settings.SettingsError`.
     """
 
     def __call__(self, text: str | None = None) -> Gateway:
--- a/petrelwood/emulate/script.py
+++ b/petrelwood/emulate/script.py
@@ -12,7 +12,8 @@
 from typing import NamedTuple
 
 from petrelwood.emulate.machine import Build, Model
-from petrelwood.settings import document
+from petrelwood.settings import decoders, document
+from petrelwood.settings.errors import SettingsError, suggestion
 
 SECOND = 1_000_000_000
 OWN = pathlib.Path(__file__).parent.parent / "lab" / "days"
@@ -20,61 +21,64 @@
 # kind -> (properties it takes besides at=, what it does)
 TROUBLES = {
     "release": (
-        {"part": document.share},
+        {"part": decoders.FRACTION},
         "so many of the functions are released anew: their copies and images are void",
     ),
-    "roster-late": ({"for": document.duration, "by": document.duration}, "the roster runs so much later"),
-    "roster-lost": ({"for": document.duration}, "the roster closes its streams and takes none"),
+    "roster-late": ({"for": decoders.DURATION, "by": decoders.DURATION}, "the roster runs so much later"),
+    "roster-lost": ({"for": decoders.DURATION}, "the roster closes its streams and takes none"),
     "drain": (
-        {"worker": document.text, "for": document.duration},
+        {"worker": decoders.TEXT, "for": decoders.DURATION},
         "a worker is announced as draining, then as usable again",
     ),
-    "hang": ({"worker": document.text, "for": document.duration}, "a worker takes calls and answers nothing"),
+    "hang": ({"worker": decoders.TEXT, "for": decoders.DURATION}, "a worker takes calls and answers nothing"),
     "slow": (
-        {"worker": document.text, "for": document.duration, "times": document.number},
+        {"worker": decoders.TEXT, "for": decoders.DURATION, "times": decoders.NUMBER},
         "a worker is so many times slower",
     ),
-    "pause": ({"worker": document.text, "for": document.duration}, "a worker stands still"),
-    "reset": ({"worker": document.text}, "a worker resets its connections in the middle of answers"),
+    "pause": ({"worker": decoders.TEXT, "for": decoders.DURATION}, "a worker stands still"),
+    "reset": ({"worker": decoders.TEXT}, "a worker resets its connections in the middle of answers"),
     "restart": (
-        {"worker": document.text, "down": document.duration},
+        {"worker": decoders.TEXT, "down": decoders.DURATION},
         "a worker is killed and comes back cold",
     ),
     "silent-accept": (
-        {"worker": document.text, "for": document.duration},
+        {"worker": decoders.TEXT, "for": decoders.DURATION},
         "a worker accepts connections and says nothing",
     ),
-    "garbage": ({"worker": document.text}, "a worker sends what is no message, once, on each connection"),
+    "garbage": ({"worker": decoders.TEXT}, "a worker sends what is no message, once, on each connection"),
     "broker-drop": ({}, "the broker throws out all clients at once"),
-    "broker-lost": ({"for": document.duration}, "the broker is away; its sessions are kept"),
-    "broker-silent": ({"for": document.duration}, "the broker accepts connections and says nothing"),
+    "broker-lost": ({"for": decoders.DURATION}, "the broker is away; its sessions are kept"),
+    "broker-silent": ({"for": decoders.DURATION}, "the broker accepts connections and says nothing"),
     "broker-forgets": ({}, "the broker loses its sessions and what they held"),
-    "store-stop": ({"for": document.duration}, "the store stops"),
+    "store-stop": ({"for": decoders.DURATION}, "the store stops"),
     "replays": (
-        {"for": document.duration, "part": document.share},
+        {"for": decoders.DURATION, "part": decoders.FRACTION},
         "old requests are sent again word for word",
     ),
-    "forgeries": ({"for": document.duration, "part": document.share}, "requests come with a wrong signature"),
+    "forgeries": (
+        {"for": decoders.DURATION, "part": decoders.FRACTION},
+        "requests come with a wrong signature",
+    ),
     "slow-senders": (
-        {"for": document.duration, "count": document.count},
+        {"for": decoders.DURATION, "count": decoders.COUNT},
         "connections that send a byte now and then",
     ),
     "overuse": (
-        {"customer": document.text, "for": document.duration, "times": document.number},
+        {"customer": decoders.TEXT, "for": decoders.DURATION, "times": decoders.NUMBER},
         "a customer asks so many times more",
     ),
-    "burst": ({"for": document.duration, "times": document.number}, "all traffic is so many times more"),
+    "burst": ({"for": decoders.DURATION, "times": decoders.NUMBER}, "all traffic is so many times more"),
     "kill": (
-        {"dispatcher": document.text, "down": document.duration},
+        {"dispatcher": decoders.TEXT, "down": decoders.DURATION},
         "a dispatcher is killed outright and started again",
     ),
     "stop": (
-        {"dispatcher": document.text, "down": document.duration},
+        {"dispatcher": decoders.TEXT, "down": decoders.DURATION},
         "a dispatcher is told to end, and started again",
     ),
     "router-reset": ({}, "the router drops all its sessions without a word (where there is one)"),
     "upgrade": (
-        {"dispatcher": document.text},
+        {"dispatcher": decoders.TEXT},
         "another process takes over from a dispatcher (in the emulator nothing is seen of it)",
     ),
 }
@@ -83,74 +87,74 @@
 # Those that need the true state of the platform or the clients, so far played in the emulator alone.
 EMULATED = {
     "hot": (
-        {"for": document.duration, "part": document.share, "functions": document.count},
+        {"for": decoders.DURATION, "part": decoders.FRACTION, "functions": decoders.COUNT},
         "functions not seen before draw that part of all traffic",
     ),
     "scan": (
-        {"for": document.duration, "part": document.share},
+        {"for": decoders.DURATION, "part": decoders.FRACTION},
         "that part of the calls is for functions wanted only once",
     ),
     "heavy": (
-        {"for": document.duration, "part": document.share, "times": document.number},
+        {"for": decoders.DURATION, "part": decoders.FRACTION, "times": decoders.NUMBER},
         "that part of the activations costs so many times the usual work",
     ),
     "hurry": (
-        {"for": document.duration, "part": document.share, "patience": document.share},
+        {"for": decoders.DURATION, "part": decoders.FRACTION, "patience": decoders.FRACTION},
         "that part of the clients waits only that share of the target latency",
     ),
-    "shift": ({"part": document.share}, "that part of the traffic moves to one hall, for good"),
+    "shift": ({"part": decoders.FRACTION}, "that part of the traffic moves to one hall, for good"),
     "ageing": (
         {
-            "part": document.share,
-            "for": document.duration,
-            "times": document.number,
-            "down": document.duration,
+            "part": decoders.FRACTION,
+            "for": decoders.DURATION,
+            "times": decoders.NUMBER,
+            "down": decoders.DURATION,
         },
         "workers grow slower and slower, die once and come back cold",
     ),
     "pauses": (
         {
-            "part": document.share,
-            "for": document.duration,
-            "length": document.duration,
-            "every": document.duration,
+            "part": decoders.FRACTION,
+            "for": decoders.DURATION,
+            "length": decoders.DURATION,
+            "every": decoders.DURATION,
         },
         "workers stand still again and again",
     ),
     "cut": (
-        {"dispatcher": document.text, "hall": document.text, "for": document.duration},
+        {"dispatcher": decoders.TEXT, "hall": decoders.TEXT, "for": decoders.DURATION},
         "nothing passes from that dispatcher to that hall; the other way all does",
     ),
     "lying": (
-        {"worker": document.text, "for": document.duration},
+        {"worker": decoders.TEXT, "for": decoders.DURATION},
         "a worker's load reports say that it is idle",
     ),
     "wrong-answers": (
-        {"worker": document.text, "for": document.duration},
+        {"worker": decoders.TEXT, "for": decoders.DURATION},
         "a worker answers the wrong activation",
     ),
     "leak": (
-        {"worker": document.text, "for": document.duration, "size": document.size},
+        {"worker": decoders.TEXT, "for": decoders.DURATION, "size": decoders.SIZE},
         "a worker's memory is never released: so much is gone each second",
     ),
     "roster-stale": (
-        {"part": document.share, "for": document.duration},
+        {"part": decoders.FRACTION, "for": decoders.DURATION},
         "that part of the dispatchers hears nothing of the roster",
     ),
     "clock-step": (
-        {"dispatcher": document.text, "by": document.duration},
+        {"dispatcher": decoders.TEXT, "by": decoders.DURATION},
         "a dispatcher's wall clock jumps ahead",
     ),
     "withdrawn": (
-        {"part": document.share, "for": document.duration},
+        {"part": decoders.FRACTION, "for": decoders.DURATION},
         "the front layer sends that part of the dispatchers nothing; what they have they finish",
     ),
     "crash": (
-        {"part": document.share, "down": document.duration},
+        {"part": decoders.FRACTION, "down": decoders.DURATION},
         "that part of the dispatchers is killed and started again",
     ),
     "roll": (
-        {"part": document.share, "for": document.duration, "down": document.duration},
+        {"part": decoders.FRACTION, "for": decoders.DURATION, "down": decoders.DURATION},
         "that part of the dispatchers is restarted, one after another",
     ),
 }
@@ -291,75 +295,75 @@
     own = OWN / f"{name}.kdl"
     if not own.exists():
         names = sorted(p.stem for p in OWN.glob("*.kdl"))
-        raise document.BadFile(name, 0, f"there is no such day{document.meant(name, names)}")
+        raise SettingsError(name, 0, f"there is no such day{suggestion(name, names)}")
     return own
 
 
 def _trouble(node, day_length, workers, dispatchers, customers):
-    kind = node.arg(document.one_of(*TROUBLES, *EMULATED), "a kind")
+    kind = node.arg(decoders.one_of(*TROUBLES, *EMULATED), "a kind")
     takes = {**TROUBLES, **EMULATED}[kind][0]
     if kind in WORKERS and "part" in node.props:
-        takes = {**{k: v for k, v in takes.items() if k != "worker"}, "part": document.share}
+        takes = {**{k: v for k, v in takes.items() if k != "worker"}, "part": decoders.FRACTION}
     at, span = (
-        node.prop("at", document.duration),
-        node.prop("for", document.duration) if "for" in takes else 0,
+        node.prop("at", decoders.DURATION),
+        node.prop("for", decoders.DURATION) if "for" in takes else 0,
     )
     what = {name: node.prop(name, read) for name, read in takes.items() if name != "for"}
-    again = node.prop("again", document.duration, 0)
-    node.done(1)
+    again = node.prop("again", decoders.DURATION, 0)
+    node.reject_unknown(1)
     if again and again < span:
-        node.wrong(f"'{kind}' comes again before it is over")
+        node.report(f"'{kind}' comes again before it is over")
     if span > day_length:
-        node.wrong(f"'{kind}' lasts longer than the day")
+        node.report(f"'{kind}' lasts longer than the day")
     if at > day_length:
-        node.wrong(f"'{kind}' begins after the day's end")
+        node.report(f"'{kind}' begins after the day's end")
     for name, known in (("worker", workers), ("dispatcher", dispatchers), ("customer", customers)):
         if name in what and known and what[name] not in known:
-            node.wrong(f"there is no {name} '{what[name]}'{document.meant(what[name], sorted(known))}")
+            node.report(f"there is no {name} '{what[name]}'{suggestion(what[name], sorted(known))}")
     times = range(at, max(at, day_length - span) + 1, again) if again else (at,)
     return [Trouble(kind, begins, span, what) for begins in times]
 
 
 def _kind(node):
     made = Kind(
-        node.arg(document.text, "a prefix"),
-        node.prop("type", document.text),
-        node.prop("count", document.count),
-        node.prop("part", document.share),
-        node.prop("zipf", document.number, 1.1),
-        node.prop("work", document.duration),
-        node.prop("lanes", document.count, 1),
-        node.prop("size", document.size),
-        node.prop("load-time", document.duration),
-        tuple(c.arg(document.text, "a customer") for c in node.every("customer")),
-        node.prop("turning", document.share, 0.0),
-        node.prop("spell", document.duration, 0),
-        node.prop("timed", document.share, 0.0),
-        node.prop("season", document.duration, 0),
+        node.arg(decoders.TEXT, "a prefix"),
+        node.prop("type", decoders.TEXT),
+        node.prop("count", decoders.COUNT),
+        node.prop("part", decoders.FRACTION),
+        node.prop("zipf", decoders.NUMBER, 1.1),
+        node.prop("work", decoders.DURATION),
+        node.prop("lanes", decoders.COUNT, 1),
+        node.prop("size", decoders.SIZE),
+        node.prop("load-time", decoders.DURATION),
+        tuple(c.arg(decoders.TEXT, "a customer") for c in node.every("customer")),
+        node.prop("turning", decoders.FRACTION, 0.0),
+        node.prop("spell", decoders.DURATION, 0),
+        node.prop("timed", decoders.FRACTION, 0.0),
+        node.prop("season", decoders.DURATION, 0),
     )
-    node.done(1)
+    node.reject_unknown(1)
     return made
 
 
 def _client(node):
     made = Client(
-        node.arg(document.text, "a name"),
-        node.prop("part", document.share),
-        node.prop("share", document.number, 0),
-        node.prop("patience", document.count, 0),
-        node.prop("retries", document.count, 1),
-        node.prop("honours", document.share, 1.0),
-        node.prop("impatient", document.share, 0.0),
-        node.prop("by", document.one_of("webhook", "mqtt"), "webhook"),
-        node.prop("devices", document.count, 4),
-        node.prop("insists", document.yes, False),
+        node.arg(decoders.TEXT, "a name"),
+        node.prop("part", decoders.FRACTION),
+        node.prop("share", decoders.NUMBER, 0),
+        node.prop("patience", decoders.COUNT, 0),
+        node.prop("retries", decoders.COUNT, 1),
+        node.prop("honours", decoders.FRACTION, 1.0),
+        node.prop("impatient", decoders.FRACTION, 0.0),
+        node.prop("by", decoders.one_of("webhook", "mqtt"), "webhook"),
+        node.prop("devices", decoders.COUNT, 4),
+        node.prop("insists", decoders.FLAG, False),
     )
-    node.done(1)
+    node.reject_unknown(1)
     return made
 
 
 def read(path, text=None, problems=None):
-    """The day that a file, or a text in its place, describes. Raises `document.BadFile`, or collects what is
+    """The day that a file, or a text in its place, describes. Raises `SettingsError`, or collects what is
     wrong in `problems`."""
     return described(document.File(path, text, problems))
 
@@ -368,14 +372,14 @@
     """The day that a `document.File` describes; what is wrong is raised or collected as the file was opened
     to do."""
     node, fleet, terms = file.child("day"), file.child("fleet"), file.child("terms")
-    length, count = node.value("length", document.duration), node.value("dispatchers", document.count)
+    length, count = node.value("length", decoders.DURATION), node.value("dispatchers", decoders.COUNT)
     dispatchers = tuple(f"d{i + 1}" for i in range(count))
     halls = node.child("halls")
-    names = tuple(halls.arg(document.text, "a hall", at=i) for i in range(len(halls.args)))
+    names = tuple(halls.arg(decoders.TEXT, "a hall", at=i) for i in range(len(halls.args)))
     if not names:
-        halls.wrong("'halls' needs a name")
+        halls.report("'halls' needs a name")
         names = ("",)
-    many, cell = fleet.value("workers", document.count), fleet.value("cell", document.count, 4) or 1
+    many, cell = fleet.value("workers", decoders.COUNT), fleet.value("cell", decoders.COUNT, 4) or 1
     workers = tuple(
         (f"w{i + 1}", names[i % len(names)], 1 + i % len(names) * 1000 + i // len(names) // cell)
         for i in range(many)
@@ -383,53 +387,53 @@
     bound = terms.child("workers")
     cold, fall = bound.child("cold"), bound.child("fall")
     build = Build(
-        fleet.value("cores", document.count),
-        fleet.value("speed", document.number, 1.0),
-        fleet.value("memory", document.size),
-        fleet.value("loads", document.count, 4),
-        fleet.value("queue", document.count, 60),
-        bound.value("keep", document.duration),
-        cold.arg(document.duration, "a time"),
-        cold.prop("from", document.share),
-        fall.prop("multiple", document.number),
-        fall.arg(document.duration, "a time"),
-        fleet.value("thrash", document.number, 0.02),
-        fleet.value("eager", document.yes, False),
-        bound.value("on-miss", document.text) == "load",
-        fleet.value("start-share", document.share, 0.5),
+        fleet.value("cores", decoders.COUNT),
+        fleet.value("speed", decoders.NUMBER, 1.0),
+        fleet.value("memory", decoders.SIZE),
+        fleet.value("loads", decoders.COUNT, 4),
+        fleet.value("queue", decoders.COUNT, 60),
+        bound.value("keep", decoders.DURATION),
+        cold.arg(decoders.DURATION, "a time"),
+        cold.prop("from", decoders.FRACTION),
+        fall.prop("multiple", decoders.NUMBER),
+        fall.arg(decoders.DURATION, "a time"),
+        fleet.value("thrash", decoders.NUMBER, 0.02),
+        fleet.value("eager", decoders.FLAG, False),
+        bound.value("on-miss", decoders.TEXT) == "load",
+        fleet.value("start-share", decoders.FRACTION, 0.5),
     )
-    stops_work = fleet.value("cancel-stops-work", document.yes, False)
-    warm = fleet.value("warm", document.yes, True)
-    fleet.done()
+    stops_work = fleet.value("cancel-stops-work", decoders.FLAG, False)
+    warm = fleet.value("warm", decoders.FLAG, True)
+    fleet.reject_unknown()
     shelf = file.child("store")
     store = {
-        "pace": shelf.value("pace", document.size),
-        "takes": shelf.value("takes", document.count, 8),
-        "thrash": shelf.value("thrash", document.number, 0.05),
+        "pace": shelf.value("pace", decoders.SIZE),
+        "takes": shelf.value("takes", decoders.COUNT, 8),
+        "thrash": shelf.value("thrash", decoders.NUMBER, 0.05),
     }
-    shelf.done()
+    shelf.reject_unknown()
     kinds = tuple(_kind(n) for n in file.every("functions"))
     clients = tuple(_client(n) for n in file.every("client"))
     if not (kinds and clients or file.partial):
-        file.wrong("a day needs 'functions' and a 'client'")
+        file.report("a day needs 'functions' and a 'client'")
     customers = {c.name for c in clients}
     # what follows from another problem is not told
-    known = set() if fleet.tainted else {w[0] for w in workers}
+    known = set() if fleet.has_errors else {w[0] for w in workers}
     troubles = [
         one for n in file.every("trouble") for one in _trouble(n, length, known, set(dispatchers), customers)
     ]
     day = Day(
         file.file,
-        node.arg(document.text, "a name"),
+        node.arg(decoders.TEXT, "a name"),
         length,
-        node.value("settle", document.duration, 6 * SECOND),
-        node.value("rate", document.number),
+        node.value("settle", decoders.DURATION, 6 * SECOND),
+        node.value("rate", decoders.NUMBER),
         dispatchers,
         names,
         workers,
         build,
         store,
-        node.value("roster-late", document.duration, 0),
+        node.value("roster-late", decoders.DURATION, 0),
         stops_work,
         warm,
         kinds,
@@ -437,12 +441,12 @@
         tuple(sorted(troubles, key=lambda t: (t.at, t.kind))),
         terms,
         True,
-        node.value("ask-every", document.duration, 0),
-        float(node.value("roster-lines", document.number, 0)),
-        service=node.value("service", document.text, ""),
+        node.value("ask-every", decoders.DURATION, 0),
+        float(node.value("roster-lines", decoders.NUMBER, 0)),
+        service=node.value("service", decoders.TEXT, ""),
     )
-    node.done(1)
-    file.done()
+    node.reject_unknown(1)
+    file.reject_unknown()
     return day
 
 
--- a/petrelwood/lab/day.py
+++ b/petrelwood/lab/day.py
@@ -410,7 +410,7 @@
 
 
 def case_of(folder, day):
-    """A played day's folder as a case. Raises `document.BadFile` if it holds no such day."""
+    """A played day's folder as a case. Raises `SettingsError` if it holds no such day."""
     folder = pathlib.Path(folder)
     gateway = settings.read(folder / f"{day.dispatchers[0]}.kdl")
     records = rules.load(folder / "records")
--- a/petrelwood/lab/estimate.py
+++ b/petrelwood/lab/estimate.py
@@ -11,6 +11,7 @@
 from petrelwood.emulate import script
 from petrelwood.lab.experiment import interval
 from petrelwood.settings import document
+from petrelwood.settings.errors import SettingsError
 
 FIGURES = ("service", "worst customer", "completed", "rejected", "aborted", "p99 ms", "cold starts", "loads")
 CARRIED = ("workers", "limits", "damp-storms")
@@ -25,8 +26,8 @@
 
 
 def under(day, path):
-    """(the day under a version's terms, what was carried over). Raises `BadFile` where nothing of it means
-    anything there."""
+    """(the day under a version's terms, what was carried over). Raises `SettingsError` where nothing of it
+    means anything there."""
     file = document.File(path)
     named = {(n.name, str(n.args[0])): n for n in file.children if n.args}
     alone = {n.name: n for n in file.children if n.name in CARRIED}
@@ -50,7 +51,7 @@
     clients = tuple(c._replace(share=shares[c.name]) if c.name in shares else c for c in day.clients)
     carried += [f"share of '{c.name}'" for c in day.clients if c.name in shares]
     if not carried:
-        raise document.BadFile(path, 0, f"nothing in it has to do with day '{day.name}'")
+        raise SettingsError(path, 0, f"nothing in it has to do with day '{day.name}'")
     terms = document.File("terms", document.render(children))
     return day._replace(terms=terms, clients=clients), carried
 
--- a/petrelwood/lab/experiment.py
+++ b/petrelwood/lab/experiment.py
@@ -35,19 +35,20 @@
 from hdrh.histogram import HdrHistogram
 
 from petrelwood.emulate import policies, script
-from petrelwood.settings import document
+from petrelwood.settings import decoders, document
+from petrelwood.settings.errors import SettingsError
 from petrelwood.store.snapshot import put
 
 LEVELS = {
-    "rate": document.number,
-    "dispatchers": document.count,
-    "workers": document.count,
-    "store": document.number,
-    "troubles": document.yes,
-    "damping": document.yes,
-    "state": document.yes,
-    "early": document.one_of("none", "forecast", "oracle"),
-    "trouble": document.one_of("none", "all", *script.TROUBLES, *script.EMULATED),
+    "rate": decoders.NUMBER,
+    "dispatchers": decoders.COUNT,
+    "workers": decoders.COUNT,
+    "store": decoders.NUMBER,
+    "troubles": decoders.FLAG,
+    "damping": decoders.FLAG,
+    "state": decoders.FLAG,
+    "early": decoders.one_of("none", "forecast", "oracle"),
+    "trouble": decoders.one_of("none", "all", *script.TROUBLES, *script.EMULATED),
 }
 HEAT = 60  # seconds of the map of workers
 
@@ -75,7 +76,7 @@
 
 
 def read(path, text=None, problems=None):
-    """The experiment that a file, or a text in its place, describes. Raises `document.BadFile`, or collects
+    """The experiment that a file, or a text in its place, describes. Raises `SettingsError`, or collects
     what is wrong."""
     file = document.File(path, text, problems)
     return described(file, pathlib.Path(path))
@@ -84,35 +85,35 @@
 def described(file, path):
     """The experiment that a `document.File` describes; `path`: where its days are looked for from."""
     node = file.child("experiment")
-    name, days, seen, factors = node.arg(document.text, "a name"), [], [], []
+    name, days, seen, factors = node.arg(decoders.TEXT, "a name"), [], [], []
     for one in node.every("day"):
-        given = one.arg(document.text, "a script")
+        given = one.arg(decoders.TEXT, "a script")
         near = path.parent / given
         try:
             days.append(str(script.find(str(near) if near.exists() else given)))
             script.read(days[-1])
-        except document.BadFile as fault:
-            one.wrong(
-                f"day '{given}': {fault.what}" + (f" ({fault.file}:{fault.line})" if fault.line else "")
+        except SettingsError as fault:
+            one.report(
+                f"day '{given}': {fault.message}" + (f" ({fault.file}:{fault.line})" if fault.line else "")
             )
-        one.done(1)
+        one.reject_unknown(1)
     for one in node.every("policy"):
-        seen.append(one.arg(document.one_of(*policies.named()), "a policy"))
-        one.done(1)
+        seen.append(one.arg(decoders.one_of(*policies.named()), "a policy"))
+        one.reject_unknown(1)
     seeds = node.child("seeds")
-    first, count = seeds.prop("from", document.count, 1), seeds.prop("count", document.count)
+    first, count = seeds.prop("from", decoders.COUNT, 1), seeds.prop("count", decoders.COUNT)
     for one in node.every("factor"):
-        factor = one.arg(document.one_of(*LEVELS), "a factor")
-        levels = tuple(LEVELS[factor](one, f"a level of '{factor}'", value) for value in one.args[1:])
+        factor = one.arg(decoders.one_of(*LEVELS), "a factor")
+        levels = tuple(one.convert(LEVELS[factor], f"a level of '{factor}'", value) for value in one.args[1:])
         if not levels:
-            one.wrong(f"factor '{factor}' has no levels")
+            one.report(f"factor '{factor}' has no levels")
         factors.append((factor, levels))
-    within = node.value("within", document.duration, 300 * 10**9) / 1e9
+    within = node.value("within", decoders.DURATION, 300 * 10**9) / 1e9
     if not (node.every("day") and seen and count):
-        node.wrong("an experiment needs a 'day', a 'policy' and seeds")
-    seeds.done()
-    node.done(1)
-    file.done()
+        node.report("an experiment needs a 'day', a 'policy' and seeds")
+    seeds.reject_unknown()
+    node.reject_unknown(1)
+    file.reject_unknown()
     return Experiment(
         name,
         next(iter(file.files.values()), ""),
@@ -247,7 +248,7 @@
         part.unlink()
     kept = out / "experiment.kdl"
     if kept.exists() and kept.read_text() != experiment.text:
-        raise document.BadFile(kept, 1, "the folder holds runs of another experiment; give an empty one")
+        raise SettingsError(kept, 1, "the folder holds runs of another experiment; give an empty one")
     kept.write_text(experiment.text)
     wanted = runs(experiment)
     left = [r for r in wanted if not (folder / f"{r.id}.json").exists()]
@@ -305,7 +306,7 @@
 def rows_of(out):
     """(rows that ended, what made them)"""
     if not (out / "results.parquet").exists():
-        raise document.BadFile(
+        raise SettingsError(
             out, 0, "its runs have not all ended; start `experiment run` again, it does what is missing"
         )
     table = pyarrow.parquet.read_table(out / "results.parquet")
--- a/petrelwood/settings/gateway.py
+++ b/petrelwood/settings/gateway.py
@@ -11,7 +11,9 @@
 from petrelwood import ports
 from petrelwood.decide.cluster.rollout import DEFAULT_WITHIN, LEAST_WITHIN
 from petrelwood.links.tls import BadIdentity, Identity
-from petrelwood.settings import document
+from petrelwood.settings import decoders, document
+from petrelwood.settings.errors import InvalidValueError, suggestion
+from petrelwood.settings.node import REQUIRED
 
 SECOND = 1_000_000_000
 HMAC_BYTES, ED25519_BYTES = range(24, 65), (32,)
@@ -154,77 +156,78 @@
         return best
 
 
-def key(node, where, value):
+def _decode_key(value, where):
     """A key as Standard Webhooks writes it: `whsec_` and a base64 secret, or `whpk_` and an Ed25519 public
     key."""
-    prefix, _, rest = document.text(node, where, value).partition("_")
+    prefix, _, rest = decoders.TEXT.decode(value, where).partition("_")
     schemes = {"whsec": ("v1", HMAC_BYTES), "whpk": ("v1a", ED25519_BYTES)}
     if prefix not in schemes:
-        raise node.bad(f"{where} must begin with 'whsec_' or 'whpk_'")
+        raise InvalidValueError(f"{where} must begin with 'whsec_' or 'whpk_'")
     scheme, sizes = schemes[prefix]
     try:
         raw = base64.b64decode(rest, validate=True)
     except (binascii.Error, ValueError):
-        raise node.bad(f"{where} is not base64 after '{prefix}_'") from None
+        raise InvalidValueError(f"{where} is not base64 after '{prefix}_'") from None
     if len(raw) not in sizes:
-        raise node.bad(
+        raise InvalidValueError(
             f"{where} holds {len(raw)} bytes; {prefix} takes {sizes[0]}"
             + (f" to {sizes[-1]}" if len(sizes) > 1 else "")
         )
     return scheme, raw
 
 
+KEY = decoders.Decoder("key, `whsec_` or `whpk_`", _decode_key, ("v1", bytes(32)))
+
+
 def _secret(node):
     """A key as it stands, or by reference: `key env="NAME"`, `key file="path"` that nobody else may read."""
-    env, path = node.prop("env", document.text, ""), node.prop("file", document.text, "")
+    env, path = node.prop("env", decoders.TEXT, ""), node.prop("file", decoders.TEXT, "")
     if not env and not path:
-        found = node.arg(key, "a key")
-        node.done(1)
+        found = node.arg(KEY, "a key")
+        node.reject_unknown(1)
         return found
-    node.done()
+    node.reject_unknown()
     text = ""
     if env:
         text = os.environ.get(env, "")
         if not text:
-            node.wrong(f"the environment has no '{env}'")
+            node.report(f"the environment has no '{env}'")
     else:
         whole = pathlib.Path(node.file).parent / path
         try:
             if whole.stat().st_mode & 0o077:
-                node.wrong(f"'{path}' can be read by others; its mode must be 600 or less")
+                node.report(f"'{path}' can be read by others; its mode must be 600 or less")
             text = whole.read_text().strip()
         except (OSError, UnicodeDecodeError) as fault:
-            node.wrong(f"'{path}' can't be read: {getattr(fault, 'strerror', None) or 'it is not text'}")
-    return node._decoded(key, f"the key in {env or path}", text) if text else key.sample
+            node.report(f"'{path}' can't be read: {getattr(fault, 'strerror', None) or 'it is not text'}")
+    return node.decode(KEY, f"the key in {env or path}", text) if text else KEY.sample
 
 
 def _customer(node):
-    name, share = node.arg(document.text, "a name"), node.prop("share", document.number, 0)
+    name, share = node.arg(decoders.TEXT, "a name"), node.prop("share", decoders.NUMBER, 0)
     keys = []
     for child in node.every("key"):
         keys.append(_secret(child))
     if not keys and not [c for c in node.children if c.name != "key"]:
-        node.wrong(f"customer '{name}' has no key")
-    node.done(1)
+        node.report(f"customer '{name}' has no key")
+    node.reject_unknown(1)
     return Customer(name, float(share), tuple(keys))
 
 
 def _type(node):
-    name = node.arg(document.text, "a name")
+    name = node.arg(decoders.TEXT, "a name")
     target, timeout = (
-        node.value("target-latency", document.duration),
-        node.value("action-timeout", document.duration),
+        node.value("target-latency", decoders.DURATION),
+        node.value("action-timeout", decoders.DURATION),
     )
     if target > timeout:
-        node.wrong(f"namespace type '{name}': its target latency is over its action timeout")
-    effect = node.value("effect", document.one_of(ports.REPEATABLE, ports.DEDUPLICATED, ports.ONCE_ONLY))
+        node.report(f"namespace type '{name}': its target latency is over its action timeout")
+    effect = node.value("effect", decoders.one_of(ports.REPEATABLE, ports.DEDUPLICATED, ports.ONCE_ONLY))
     deduplicated = effect == ports.DEDUPLICATED
-    scope = node.value(
-        "scope", document.one_of("all", "zone", "cell"), document.REQUIRED if deduplicated else "all"
-    )
-    window = node.value("window", document.duration, document.REQUIRED if deduplicated else 0)
-    remember = node.value("remember", document.duration, 0)
-    node.done(1)
+    scope = node.value("scope", decoders.one_of("all", "zone", "cell"), REQUIRED if deduplicated else "all")
+    window = node.value("window", decoders.DURATION, REQUIRED if deduplicated else 0)
+    remember = node.value("remember", decoders.DURATION, 0)
+    node.reject_unknown(1)
     return name, ports.NamespaceType(target, effect, scope, window), timeout, remember
 
 
@@ -233,7 +236,7 @@
     for node in nodes:
         label = node.args[0] if node.args else None
         if label in seen:
-            node.wrong(f"{name} '{label}' is given twice; first {seen[label].place(node)}")
+            node.report(f"{name} '{label}' is given twice; first {seen[label].location(node)}")
         seen.setdefault(label, node)
     return list(seen.values())
 
@@ -241,124 +244,129 @@
 def _limits(node):
     read = node.value if node else lambda name, kind, default: default
     limits = Limits(
-        read("connections", document.count, 2000),
-        read("header", document.size, 16_000),
-        read("body", document.size, 1_000_000),
-        read("head-within", document.duration, 5 * SECOND),
-        read("body-within", document.duration, 10 * SECOND),
-        read("idle", document.duration, 75 * SECOND),
-        read("pipeline", document.count, 16),
-        read("held", document.count, 20_000),
-        read("per-customer", document.share, 0.8),
-        read("ledger", document.count, 500_000),
-        read("results", document.size, 64_000_000),
-        read("handshakes", document.count, 250),
-        read("bytes", document.size, 256_000_000),
+        read("connections", decoders.COUNT, 2000),
+        read("header", decoders.SIZE, 16_000),
+        read("body", decoders.SIZE, 1_000_000),
+        read("head-within", decoders.DURATION, 5 * SECOND),
+        read("body-within", decoders.DURATION, 10 * SECOND),
+        read("idle", decoders.DURATION, 75 * SECOND),
+        read("pipeline", decoders.COUNT, 16),
+        read("held", decoders.COUNT, 20_000),
+        read("per-customer", decoders.FRACTION, 0.8),
+        read("ledger", decoders.COUNT, 500_000),
+        read("results", decoders.SIZE, 64_000_000),
+        read("handshakes", decoders.COUNT, 250),
+        read("bytes", decoders.SIZE, 256_000_000),
     )
     if node:
-        node.done()
+        node.reject_unknown()
     return limits
 
 
 def _tls(node, mutual=False):
     """The identity that a `tls` child gives, or None."""
-    found = node.child("tls", None)
+    found = node.optional_child("tls")
     if found is None:
         return None
     base = pathlib.Path(node.file).parent
     paths = [
         str(base / value) if value else ""
-        for value in (found.prop(name, document.text, "") for name in ("cert", "key", "trusts"))
+        for value in (found.prop(name, decoders.TEXT, "") for name in ("cert", "key", "trusts"))
     ]
-    mutual, name = found.prop("mutual", document.yes, mutual), found.prop("name", document.text, "")
-    found.done()
+    mutual, name = found.prop("mutual", decoders.FLAG, mutual), found.prop("name", decoders.TEXT, "")
+    found.reject_unknown()
     try:
         return Identity(*paths, mutual, name)
     except BadIdentity as fault:
-        found.wrong(str(fault))
+        found.report(str(fault))
         return None
 
 
 def _mqtt(node):
     if node is None:
         return None
-    window, base = node.child("window", None), pathlib.Path(node.file).parent
-    least = window.prop("least", document.count, 4) if window else 4
-    most = window.prop("most", document.count, 256) if window else 256
+    window, base = node.optional_child("window"), pathlib.Path(node.file).parent
+    least = window.prop("least", decoders.COUNT, 4) if window else 4
+    most = window.prop("most", decoders.COUNT, 256) if window else 256
     if not 0 < least <= most <= 65535:
-        (window or node).wrong("'window' needs 0 < least <= most <= 65535")
+        (window or node).report("'window' needs 0 < least <= most <= 65535")
     if window:
-        window.done()
-    password, file = node.value("password", document.text, ""), node.value("password-file", document.text, "")
+        window.reject_unknown()
+    password, file = node.value("password", decoders.TEXT, ""), node.value("password-file", decoders.TEXT, "")
     if file:
         try:
             password = (base / file).read_text().strip()
         except OSError as fault:
-            node.wrong(f"'password-file' can't be read: {fault.strerror}")
+            node.report(f"'password-file' can't be read: {fault.strerror}")
     made = MqttTerms(
-        node.value("broker", document.address),
-        node.value("user", document.text, None),
+        node.value("broker", decoders.ADDRESS),
+        node.value("user", decoders.TEXT, None),
         password.encode() if password else None,
-        node.value("group", document.text, "petrelwood"),
-        node.value("keep-alive", document.duration, 20 * SECOND),
-        node.value("session", document.duration, 30 * SECOND),
+        node.value("group", decoders.TEXT, "petrelwood"),
+        node.value("keep-alive", decoders.DURATION, 20 * SECOND),
+        node.value("session", decoders.DURATION, 30 * SECOND),
         least,
         most,
-        node.value("connect-within", document.duration, 2 * SECOND),
-        node.value("packet", document.size, 1_000_000),
-        node.value("answers", document.count, 10_000),
-        node.value("come-back", document.duration, SECOND // 10),
-        node.value("come-back-most", document.duration, 10 * SECOND),
+        node.value("connect-within", decoders.DURATION, 2 * SECOND),
+        node.value("packet", decoders.SIZE, 1_000_000),
+        node.value("answers", decoders.COUNT, 10_000),
+        node.value("come-back", decoders.DURATION, SECOND // 10),
+        node.value("come-back-most", decoders.DURATION, 10 * SECOND),
         _tls(node),
     )
-    node.done()
+    node.reject_unknown()
     if made.keep_alive < SECOND:
-        node.wrong("'keep-alive' must be 1 s or more: the protocol counts in seconds")
+        node.report("'keep-alive' must be 1 s or more: the protocol counts in seconds")
     if set(made.group) & set("+#/"):
-        node.wrong("'group' can't hold '+', '#' or '/'")
+        node.report("'group' can't hold '+', '#' or '/'")
     return made
 
 
-def date(node, where, value):
+def _decode_date(value, where):
     """A date and time as ISO 8601 has it, with its offset; wall clock ns."""
     try:
-        found = datetime.datetime.fromisoformat(document.text(node, where, value))
+        found = datetime.datetime.fromisoformat(decoders.TEXT.decode(value, where))
     except ValueError:
-        raise node.bad(f'{where} must be a time like "2026-12-31T08:00+01:00", not {value!r}') from None
+        raise InvalidValueError(
+            f'{where} must be a time like "2026-12-31T08:00+01:00", not {value!r}'
+        ) from None
     if found.tzinfo is None:
-        raise node.bad(f'{where} needs its offset from UTC, as in "{value}+01:00"')
+        raise InvalidValueError(f'{where} needs its offset from UTC, as in "{value}+01:00"')
     return int(found.timestamp()) * SECOND
 
 
+DATE = decoders.Decoder("time with its offset from UTC", _decode_date, 0)
+
+
 def _early(node):
     if node is None:
         return None
     events = []
     for one in node.every("event"):
-        begin = one.prop("from", date)
+        begin = one.prop("from", DATE)
         events.append(
             (
                 begin,
-                begin + one.prop("for", document.duration),
-                float(one.prop("factor", document.number)),
-                one.arg(document.text, "the beginning of functions' names"),
+                begin + one.prop("for", decoders.DURATION),
+                float(one.prop("factor", decoders.NUMBER)),
+                one.arg(decoders.TEXT, "the beginning of functions' names"),
             )
         )
-        one.done(1)
-    season = node.value("season", document.duration, 86_400 * SECOND)
+        one.reject_unknown(1)
+    season = node.value("season", decoders.DURATION, 86_400 * SECOND)
     made = EarlyTerms(
-        node.value("slot", document.duration, 60 * SECOND),
+        node.value("slot", decoders.DURATION, 60 * SECOND),
         season,
-        7 * season if node.value("weeks", document.yes, True) else 0,
+        7 * season if node.value("weeks", decoders.FLAG, True) else 0,
         tuple(events),
-        node.value("fetch-price", document.duration, SECOND // 5) / SECOND,
-        float(node.value("memory-price", document.number, 0.002)),
-        node.value("copy-size", document.size, 10**9),
-        node.value("memory", document.size, 0),
+        node.value("fetch-price", decoders.DURATION, SECOND // 5) / SECOND,
+        float(node.value("memory-price", decoders.NUMBER, 0.002)),
+        node.value("copy-size", decoders.SIZE, 10**9),
+        node.value("memory", decoders.SIZE, 0),
     )
-    node.done()
+    node.reject_unknown()
     if not 0 < made.slot <= made.season:
-        node.wrong("'slot' must be over 0 and no longer than 'season'")
+        node.report("'slot' must be over 0 and no longer than 'season'")
     return made
 
 
@@ -366,11 +374,11 @@
     if node is None:
         return None
     made = HistoryTerms(
-        str(pathlib.Path(node.file).parent / node.value("folder", document.text)),
-        node.value("keep", document.count, 60),
-        node.value("most", document.size, 1 << 30),
+        str(pathlib.Path(node.file).parent / node.value("folder", decoders.TEXT)),
+        node.value("keep", decoders.COUNT, 60),
+        node.value("most", decoders.SIZE, 1 << 30),
     )
-    node.done()
+    node.reject_unknown()
     return made
 
 
@@ -378,10 +386,10 @@
     if node is None:
         return None
     made = StateTerms(
-        str(pathlib.Path(node.file).parent / node.value("folder", document.text)),
-        node.value("durability", document.one_of("process", "machine"), "process"),
+        str(pathlib.Path(node.file).parent / node.value("folder", decoders.TEXT)),
+        node.value("durability", decoders.one_of("process", "machine"), "process"),
     )
-    node.done()
+    node.reject_unknown()
     return made
 
 
@@ -390,129 +398,126 @@
         return None
     servers = []
     for one in node.every("server"):
-        servers.append(one.arg(document.address, "an address"))
-        one.done(1)
-    made = ConfigurationTerms(tuple(servers), node.value("within", document.duration, DEFAULT_WITHIN))
-    node.done()
+        servers.append(one.arg(decoders.ADDRESS, "an address"))
+        one.reject_unknown(1)
+    made = ConfigurationTerms(tuple(servers), node.value("within", decoders.DURATION, DEFAULT_WITHIN))
+    node.reject_unknown()
     if not servers:
-        node.wrong("'configuration' needs a 'server' at least")
+        node.report("'configuration' needs a 'server' at least")
     if not versions:
-        node.wrong("'configuration' needs a folder of 'versions' to keep what it hears of")
+        node.report("'configuration' needs a folder of 'versions' to keep what it hears of")
     if made.within < LEAST_WITHIN:
-        node.wrong(f"'within' can't be under {LEAST_WITHIN // SECOND} s: versions are taken in stages")
+        node.report(f"'within' can't be under {LEAST_WITHIN // SECOND} s: versions are taken in stages")
     return made
 
 
 def _worker_terms(node):
     """(how links behave, the module's guarantees, its load orders, what is allowed)"""
     cold, fall, sends = node.child("cold"), node.child("fall"), node.child("sends")
-    ration = node.child("ration", None)
+    ration = node.optional_child("ration")
     keep, on_miss = (
-        node.value("keep", document.duration),
-        node.value("on-miss", document.one_of("load", "miss")),
+        node.value("keep", decoders.DURATION),
+        node.value("on-miss", decoders.one_of("load", "miss")),
     )
-    within = node.value("connect-within", document.duration, SECOND // 4)
+    within = node.value("connect-within", decoders.DURATION, SECOND // 4)
     terms = WorkerTerms(
         within,
-        node.value("queue", document.size, 4_000_000),
-        node.value("frame", document.size, 8_000_000),
-        node.value("quiet", document.duration, 30 * SECOND),
-        node.value("drain-grace", document.duration, SECOND // 4),
-        node.value("order-within", document.duration, 10 * SECOND),
+        node.value("queue", decoders.SIZE, 4_000_000),
+        node.value("frame", decoders.SIZE, 8_000_000),
+        node.value("quiet", decoders.DURATION, 30 * SECOND),
+        node.value("drain-grace", decoders.DURATION, SECOND // 4),
+        node.value("order-within", decoders.DURATION, 10 * SECOND),
     )
     guarantees = ports.Guarantees(
         0,
-        cold.arg(document.duration, "a time"),
-        cold.prop("from", document.share),
-        fall.prop("multiple", document.number),
-        fall.arg(document.duration, "a time"),
+        cold.arg(decoders.DURATION, "a time"),
+        cold.prop("from", decoders.FRACTION),
+        fall.prop("multiple", decoders.NUMBER),
+        fall.arg(decoders.DURATION, "a time"),
     )
     orders = ports.LoadOrders(
-        node.value("orders", document.yes, True),
+        node.value("orders", decoders.FLAG, True),
         on_miss == "load",
         keep,
         *(
             (
-                float(ration.prop("free", document.number)),
-                ration.prop("part", document.share),
-                ration.prop("period", document.duration),
+                float(ration.prop("free", decoders.NUMBER)),
+                ration.prop("part", decoders.FRACTION),
+                ration.prop("period", decoders.DURATION),
             )
             if ration
             else (0.0, 0.0, 0)
         ),
     )
     allowed = ports.Allowed(
-        sends.arg(document.count, "a number"),
-        sends.prop("overlap", document.yes, True),
-        node.value("cancel", document.yes, True),
-        node.value("probe", document.yes, True),
+        sends.arg(decoders.COUNT, "a number"),
+        sends.prop("overlap", decoders.FLAG, True),
+        node.value("cancel", decoders.FLAG, True),
+        node.value("probe", decoders.FLAG, True),
         True,
-        node.value("most-retry-after", document.duration, 10 * SECOND),
+        node.value("most-retry-after", decoders.DURATION, 10 * SECOND),
     )
-    by_probe = node.value("reports", document.one_of("answers", "probe"), "answers") == "probe"
+    by_probe = node.value("reports", decoders.one_of("answers", "probe"), "answers") == "probe"
     tls = _tls(node)
     for part, args in ((cold, 1), (fall, 1), (sends, 1), (ration, 0), (node, 0)):
         if part:
-            part.done(args)
+            part.reject_unknown(args)
     return terms, guarantees, orders, allowed, by_probe, tls
 
 
-key.sample, date.sample = ("v1", bytes(32)), 0
-
-
-def read(path, text=None, problems=None, reads=None):
-    """The gateway that a file, or a text in its place, describes. Raises `document.BadFile` with the first
-    thing that is wrong; with `problems`, a list, all of it is put there. `reads`, a list, is told of each
-    value: (key, value, place or None)."""
-    return described(document.File(path, text, problems, reads))
+def read(path, text=None, errors=None, values=None):
+    """The gateway that a file, or a text in its place, describes. Raises `SettingsError` with the first
+    thing that is wrong; with `errors`, a list, all of it is put there. `values`, a list, gets a
+    `ReadValue` for each value that is asked for."""
+    return described(document.File(path, text, errors, values))
 
 
 def described(file):
     """The gateway that a `document.File` describes; what is wrong is raised or collected as the file was
     opened to do."""
     node = file.child("gateway")
-    name, zone = node.arg(document.text, "a name"), node.value("zone", document.text, "")
-    listen, roster = node.value("listen", document.address), node.value("roster", document.address)
-    seed, dispatchers = node.value("seed", document.count, 0), node.value("dispatchers", document.count, 1)
-    tick = node.value("tick", document.duration, SECOND // 500)
-    tolerance = node.value("tolerance", document.duration, 300 * SECOND)
+    name, zone = node.arg(decoders.TEXT, "a name"), node.value("zone", decoders.TEXT, "")
+    listen, roster = node.value("listen", decoders.ADDRESS), node.value("roster", decoders.ADDRESS)
+    seed, dispatchers = node.value("seed", decoders.COUNT, 0), node.value("dispatchers", decoders.COUNT, 1)
+    tick = node.value("tick", decoders.DURATION, SECOND // 500)
+    tolerance = node.value("tolerance", decoders.DURATION, 300 * SECOND)
     tls = _tls(node)
-    node.done(1)
+    node.reject_unknown(1)
     if not dispatchers:
-        node.wrong("'dispatchers' must be 1 or more: this one counts")
+        node.report("'dispatchers' must be 1 or more: this one counts")
     types, timeouts, remember = {}, {}, {}
     for one in _unique(file.every("namespace-type"), "namespace type"):
         label, type_, timeout, keep = _type(one)
         types[label], timeouts[label], remember[label] = type_, timeout, max(keep, 2 * tolerance)
     if not types and not file.partial:
-        file.wrong("no 'namespace-type' is given")
+        file.report("no 'namespace-type' is given")
     customers = {c.name: c for c in map(_customer, _unique(file.every("customer"), "customer"))}
     if not customers and not file.partial:
-        file.wrong("no 'customer' is given")
+        file.report("no 'customer' is given")
     functions = []
     for one in _unique(file.every("function"), "function"):
-        type_ = one.prop("type", document.text)
+        type_ = one.prop("type", decoders.TEXT)
         if type_ not in types:
             # else one that can't be read may be meant
             if "" not in types and types and not file.partial:
-                one.wrong(f"there is no namespace type '{type_}'{document.meant(type_, sorted(types))}")
+                one.report(f"there is no namespace type '{type_}'{suggestion(type_, sorted(types))}")
         rule = FunctionRule(
-            one.arg(document.text, "a name"),
+            one.arg(decoders.TEXT, "a name"),
             type_,
-            one.prop("lanes", document.count, 1) or 1,
-            one.prop("load-time", document.duration, 0),
+            one.prop("lanes", decoders.COUNT, 1) or 1,
+            one.prop("load-time", decoders.DURATION, 0),
         )
-        one.done(1)
+        one.reject_unknown(1)
         functions.append(rule)
-    limits = _limits(file.child("limits", None))
-    mqtt, early = _mqtt(file.child("mqtt", None)), _early(file.child("early", None))
-    history = _history(file.child("history", None))
-    state = _state(file.child("state", None))
-    control, versions = file.value("control", document.text, ""), file.value("versions", document.text, "")
-    configuration = _configuration(file.child("configuration", None), versions)
-    health, damps = file.value("health", document.text, ""), file.value("damp-storms", document.yes, True)
+    limits = _limits(file.optional_child("limits"))
+    mqtt, early = _mqtt(file.optional_child("mqtt")), _early(file.optional_child("early"))
+    history = _history(file.optional_child("history"))
+    state = _state(file.optional_child("state"))
+    control, versions = file.value("control", decoders.TEXT, ""), file.value("versions", decoders.TEXT, "")
+    configuration = _configuration(file.optional_child("configuration"), versions)
+    health, damps = file.value("health", decoders.TEXT, ""), file.value("damp-storms", decoders.FLAG, True)
     workers, guarantees, orders, allowed, by_probe, worker_tls = _worker_terms(file.child("workers"))
-    file.done()
+    file.reject_unknown()
     terms = ports.Terms(
         zone,
         dispatchers,
--- a/petrelwood/settings/layout.py
+++ b/petrelwood/settings/layout.py
@@ -4,7 +4,8 @@
 
 import re
 
-from petrelwood.settings import document
+from petrelwood.settings import kdl, kdl_scan
+from petrelwood.settings.errors import SettingsError
 
 INDENT = "    "
 
@@ -14,7 +15,7 @@
     'word'."""
     i = 0
     while i < len(text):
-        j = document._skip(text, i)
+        j = kdl_scan.end_of_literal(text, i)
         if j > i:
             kind = (
                 "line comment"
@@ -59,9 +60,9 @@
 
 
 def laid_out(text):
-    """The text in the one layout. Raises `document.BadFile` where it is no KDL, or would mean something
+    """The text in the one layout. Raises `SettingsError` where it is no KDL, or would mean something
     else."""
-    before, _ = document.parse("text", text)
+    before = kdl.parse("text", text)
     out, depth, line, empty, gap, continued = [], 0, "", 0, False, False
 
     def flush():
@@ -108,8 +109,8 @@
             gap = False
     flush()
     found = "\n".join(out) + "\n" if out else ""
-    if _meaning(document.parse("text", found)[0].nodes) != _meaning(before.nodes):
-        raise document.BadFile("text", 0, "it can't be laid out without changing what it means")
+    if _meaning(kdl.parse("text", found).nodes) != _meaning(before.nodes):
+        raise SettingsError("text", 0, "it can't be laid out without changing what it means")
     return found
 
 
--- a/petrelwood/settings/reference.py
+++ b/petrelwood/settings/reference.py
@@ -6,20 +6,9 @@
 
 import pathlib
 
-from petrelwood.settings import document, gateway
-
-WORDS = {
-    document.text: "text",
-    document.number: "number",
-    document.count: "whole number",
-    document.share: "share, 0 to 1",
-    document.yes: "#true or #false",
-    document.duration: 'duration, as "250ms"',
-    document.size: 'size, as "64MB"',
-    document.address: 'address, as "127.0.0.1:8080"',
-    gateway.key: "key, `whsec_` or `whpk_`",
-    gateway.date: "time with its offset from UTC",
-}
+from petrelwood.settings import decoders, document, gateway, kdl_scan
+from petrelwood.settings.errors import SettingsError
+from petrelwood.settings.node import REQUIRED, UNKNOWN_POSITION, Collector, Node
 
 
 class Item:
@@ -27,45 +16,41 @@
 
     def __init__(self, kind, default):
         self.kind, self.default = kind, default
-        self.words = getattr(kind, "words", ("#true", "#false") if kind is document.yes else ())
+        self.words = kind.words
 
     def takes(self):
-        return (
-            " or ".join(f'"{w}"' for w in self.words)
-            if self.words and self.kind is not document.yes
-            else WORDS.get(self.kind, self.kind.__name__)
-        )
+        return self.kind.description
 
     def shown(self):
         """Its default, as a file would have it; None where it must be given."""
         value = self.default
-        if value is document.REQUIRED:
+        if value is REQUIRED:
             return None
         if value is None or value == "" and not self.words:
             return "none"
-        if self.kind is document.duration:
+        if self.kind is decoders.DURATION:
             return (
                 '"0s"'
                 if not value
                 else next(
                     f'"{value // size}{unit}"'
-                    for unit, size in reversed(document.UNITS.items())
+                    for unit, size in reversed(decoders.DURATION_UNITS.items())
                     if value % size == 0
                 )
             )
-        if self.kind is document.size:
+        if self.kind is decoders.SIZE:
             return (
                 '"0s"'
                 if not value
                 else next(
                     f'"{value // size}{unit}"'
-                    for unit, size in reversed(list(document.SIZES.items())[:4])
+                    for unit, size in reversed(list(decoders.SIZE_UNITS.items())[:4])
                     if value % size == 0
                 )
             )
         return (
             f"#{value}".lower()
-            if self.kind is document.yes
+            if self.kind is decoders.FLAG
             else f'"{value}"'
             if isinstance(value, str)
             else f"{value:g}"
@@ -94,29 +79,32 @@
             yield from block.walk()
 
 
-class Probe(document.Node):
+class Probe(Node):
     """Has every child and no property but the defaults; notes what it is asked for in its `Block`."""
 
     def __init__(self, block):
-        self.block, self.file, self.name, self.line, self.column = block, "", block.name, 0, 0
-        self.args, self.props, self.children, self.path = ("",), {}, [], block.path
-        self.partial = self.tainted = False
-        self.problems = []
+        super().__init__(block.name, "", UNKNOWN_POSITION, block.path, Collector([]), ("",))
+        self.block = block
 
     def _block(self, name):
         return self.block.blocks.setdefault(name, Block(name, self.block))
 
-    def arg(self, kind, what, default=document.REQUIRED, at=0):
+    def arg(self, kind, what, default=REQUIRED, at=0):
         self.block.args[at] = (what, Item(kind, default))
-        return getattr(kind, "sample", None) if default is document.REQUIRED else default
+        return kind.sample if default is REQUIRED else default
 
-    def prop(self, name, kind, default=document.REQUIRED):
+    def prop(self, name, kind, default=REQUIRED):
         self.block.props[name] = Item(kind, default)
-        return getattr(kind, "sample", None) if default is document.REQUIRED else default
+        return kind.sample if default is REQUIRED else default
+
+    def child(self, name):
+        found = self._block(name)
+        found.required = True
+        return Probe(found)
 
-    def child(self, name, default=document.REQUIRED):
+    def optional_child(self, name):
         found = self._block(name)
-        found.required = default is document.REQUIRED
+        found.required = False
         return Probe(found)
 
     def every(self, name):
@@ -124,15 +112,15 @@
         found.many = True
         return [Probe(found)]
 
-    def value(self, name, kind, default=document.REQUIRED):
+    def value(self, name, kind, default=REQUIRED):
         found = self._block(name)
-        found.value, found.required = Item(kind, default), default is document.REQUIRED
-        return getattr(kind, "sample", None) if default is document.REQUIRED else default
+        found.value, found.required = Item(kind, default), default is REQUIRED
+        return kind.sample if default is REQUIRED else default
 
-    def wrong(self, what):
+    def report(self, message):
         """What samples make no sense of is nobody's fault."""
 
-    def done(self, args=0):
+    def reject_unknown(self, args=0):
         pass
 
 
@@ -204,7 +192,7 @@
     stack, node, at_start, i = [], None, True, 0
     while i < len(text):
         c = text[i]
-        j = document._skip(text, i) if c in '"#/' else i
+        j = kdl_scan.end_of_literal(text, i) if c in '"#/' else i
         if j > len(text) or j == len(text) and text.startswith(("//", "/*"), i):
             return None, None  # in a string or a comment
         if j > i:
@@ -219,7 +207,7 @@
         elif c.isspace():
             i += 1
         else:
-            word = document.WORD.match(text, i)
+            word = kdl_scan.WORD.match(text, i)
             if at_start and word:
                 node, at_start = word[0], False
             i = word.end() if word else i + 1
@@ -229,8 +217,8 @@
 def _referred(file, kind):
     """The names that a file gives to blocks of a kind, for values that refer to them."""
     try:
-        return sorted({str(n.args[0]) for n in document.File(file, problems=[]).every(kind) if n.args})
-    except document.BadFile:
+        return sorted({str(n.args[0]) for n in document.File(file, errors=[]).every(kind) if n.args})
+    except SettingsError:
         return []
 
 
--- a/petrelwood/settings/sense.py
+++ b/petrelwood/settings/sense.py
@@ -6,6 +6,7 @@
 from petrelwood import ports
 from petrelwood.settings import document
 from petrelwood.settings import gateway as settings
+from petrelwood.settings.errors import SettingsError
 
 SECOND = 1_000_000_000
 SOON = 14  # days before a certificate runs out
@@ -19,11 +20,11 @@
 
 
 def warnings(file, gateway, now=None):
-    """[BadFile] for a `document.File` and the `Gateway` that it describes."""
+    """[SettingsError] for a `document.File` and the `Gateway` that it describes."""
     found, terms = [], gateway.terms
 
     def warn(node, what):
-        found.append(node.bad(what))
+        found.append(node.error(what))
 
     used = {rule.type for rule in gateway.functions}
     for name, type_ in terms.types.items():
@@ -131,12 +132,12 @@
         decode = next((d for name, d in others if any(node.name == name for node in file.children)), decode)
     try:
         described = decode(file)
-    except document.BadFile as fault:  # what can't be collected ends the reading
+    except SettingsError as fault:  # what can't be collected ends the reading
         problems.append(fault)
         described = None
     seen, errors = set(), []
     for fault in problems:
-        key = (fault.file, fault.line, fault.column, fault.what)
+        key = (fault.file, fault.line, fault.column, fault.message)
         if key not in seen:
             seen.add(key)
             errors.append(fault)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -14,7 +14,8 @@
 from rig import KEY
 from test_settings import GOOD
 
-from petrelwood.settings import comparison, document, gateway, layout, sense
+from petrelwood.settings import comparison, gateway, kdl, layout, sense
+from petrelwood.settings.errors import SettingsError
 
 # What is replaced in a file that is right, by what; or whole files, by name.
 BROKEN = (
@@ -130,7 +131,7 @@
             self.assertTrue(errors, new)
             for fault in errors:
                 lines.append(f"    {fault}".replace(str(self.folder) + "/", "").replace(KEY, "KEY"))
-            with self.assertRaises(document.BadFile):  # what is checked as wrong is not served
+            with self.assertRaises(SettingsError):  # what is checked as wrong is not served
                 gateway.read(self.path)
         compare(self, "broken_settings", lines)
 
@@ -147,7 +148,7 @@
             text = text.replace(old, new, 1)
         errors, _, _ = self.check(text + 'include "also.kdl"\n')
         self.assertEqual(len(errors), 8, "\n".join(map(str, errors)))
-        self.assertEqual(len({(e.file, e.line, e.column, e.what) for e in errors}), 8)
+        self.assertEqual(len({(e.file, e.line, e.column, e.message) for e in errors}), 8)
 
     def test_what_makes_no_sense_together(self):
         lines = []
@@ -232,7 +233,7 @@
 
         pathlib.Path.read_bytes = changing
         try:
-            self.assertTrue(document.read_whole(self.path).endswith("// 2\n"))
+            self.assertTrue(kdl.read_unchanging(self.path).endswith("// 2\n"))
         finally:
             pathlib.Path.read_bytes = real
 
@@ -275,7 +276,7 @@
             errors, _, _ = sense.check("g.kdl", text)
             try:
                 gateway.read("g.kdl", text)
-            except document.BadFile:
+            except SettingsError:
                 self.assertTrue(errors, text)
             else:
                 self.assertEqual(errors, [], text)
@@ -283,7 +284,7 @@
             try:
                 found = layout.laid_out(text)
                 self.assertEqual(layout.laid_out(found), found, text)
-            except document.BadFile:
+            except SettingsError:
                 pass
         self.assertGreater(tried, 100)
 
--- a/tests/test_early.py
+++ b/tests/test_early.py
@@ -14,7 +14,8 @@
 from petrelwood.audit import rules
 from petrelwood.emulate import result, script
 from petrelwood.emulate.platform import Platform
-from petrelwood.settings import document, gateway
+from petrelwood.settings import gateway
+from petrelwood.settings.errors import SettingsError
 from petrelwood.store import history, history_files
 from petrelwood.store.errors import SnapshotError
 
@@ -214,6 +215,6 @@
                 ('early { event "f-" from="soon" for="6h" factor=4 }', "must be a time like"),
             ):
                 path.write_text(GOOD + text + "\n")
-                with self.assertRaises(document.BadFile) as caught:
+                with self.assertRaises(SettingsError) as caught:
                     gateway.read(path)
                 self.assertIn(words, str(caught.exception))
--- a/tests/test_reference.py
+++ b/tests/test_reference.py
@@ -11,6 +11,7 @@
 from petrelwood.emulate import script
 from petrelwood.lab import estimate, experiment
 from petrelwood.settings import document, reference, sense
+from petrelwood.settings.errors import SettingsError
 from petrelwood.settings.meanings import MEANINGS
 
 DAYS = pathlib.Path(__file__).with_name("days")
@@ -136,7 +137,7 @@
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "g.kdl"
             path.write_text('namespace-type "none" { }\n')
-            with self.assertRaisesRegex(document.BadFile, "nothing in it has to do with day"):
+            with self.assertRaisesRegex(SettingsError, "nothing in it has to do with day"):
                 estimate.under(script.read(DAYS / "small.kdl"), path)
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -11,6 +11,7 @@
 from petrelwood import ports
 from petrelwood.emulate import script
 from petrelwood.settings import document, gateway
+from petrelwood.settings.errors import SettingsError
 
 GOOD = f'''gateway "d" {{
     listen "127.0.0.1:8080"
@@ -93,7 +94,7 @@
         for old, new, line, words in BROKEN:
             with self.subTest(new=new):
                 self.assertIn(old, GOOD)
-                with self.assertRaises(document.BadFile) as caught:
+                with self.assertRaises(SettingsError) as caught:
                     self.read(GOOD.replace(old, new, 1))
                 said = str(caught.exception)
                 self.assertIn(words, said)
@@ -142,9 +143,9 @@
             ('dispatcher="d2"', 'dispatcher="d9"', "no dispatcher 'd9'"),
         ):
             self.path.write_text(text.replace(old, new, 1))
-            with self.assertRaises(document.BadFile) as caught:
+            with self.assertRaises(SettingsError) as caught:
                 script.read(self.path)
             self.assertIn(words, str(caught.exception))
-        with self.assertRaises(document.BadFile) as caught:
+        with self.assertRaises(SettingsError) as caught:
             script.find("bed")
         self.assertIn("did you mean 'bad'", str(caught.exception))
--- a/tests/test_speaker.py
+++ b/tests/test_speaker.py
@@ -16,7 +16,8 @@
 from petrelwood.bgp.heartbeats import HeartbeatSender
 from petrelwood.bgp.speaker import Speaker
 from petrelwood.decide.routing.serving import HealthReport
-from petrelwood.settings import document, speaker
+from petrelwood.settings import speaker
+from petrelwood.settings.errors import SettingsError
 from petrelwood.standins.router import Router
 from petrelwood.wire import bgp
 
@@ -248,7 +249,7 @@
             self.assertIn(old, good)
             try:
                 speaker.read("s.kdl", good.replace(old, new, 1), problems)
-            except document.BadFile as fault:
+            except SettingsError as fault:
                 problems.append(fault)
             lines.append(f"{old} -> {new}".replace("\n", "; "))
             lines += [f"    {p}" for p in problems]
--- a/tests/test_store_recovery.py
+++ b/tests/test_store_recovery.py
@@ -15,7 +15,7 @@
 from petrelwood.dispatch import rollout as rollout_module
 from petrelwood.dispatch.rollout import VersionRollout, VersionSource
 from petrelwood.dispatch.settings_update import UpdateResult
-from petrelwood.settings.document import BadFile
+from petrelwood.settings.errors import SettingsError
 from petrelwood.store import early_load_log, history, history_files, snapshot, versions
 from petrelwood.store.early_load_log import EarlyLoadEnd, EarlyLoadLog
 from petrelwood.store.errors import VersionUnreadableError
@@ -207,7 +207,7 @@
 
         def read(text):
             if text == "bad":
-                raise BadFile("7.kdl", 1, "it is wrong")
+                raise SettingsError("7.kdl", 1, "it is wrong")
             return text
 
         call_off = versions.call_off
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -19,7 +19,8 @@
 from tornado.tcpclient import TCPClient
 
 from petrelwood.links.tls import BadIdentity, Identity
-from petrelwood.settings import document, gateway
+from petrelwood.settings import gateway
+from petrelwood.settings.errors import SettingsError
 from petrelwood.standins.caller import Broken, Caller
 
 
@@ -65,7 +66,7 @@
             path.write_text(
                 GOOD.replace('zone "n"', f'zone "n"\n    tls cert="{cert}" key="{key}" trusts="{trusts}"')
             )
-            with self.assertRaises(document.BadFile) as caught:
+            with self.assertRaises(SettingsError) as caught:
                 gateway.read(path)
             self.assertEqual(caught.exception.line, 5)
         with self.assertRaises(BadIdentity):
