--- a/benchmarks/scale/configuration_real.py
+++ b/benchmarks/scale/configuration_real.py
@@ -26,7 +26,7 @@
 from petrelwood.decide.cluster.log_records import Record, RecordKind, compress_text
 from petrelwood.dispatch.configuration import ConfigurationFollower
 from petrelwood.links.rpc_client import RpcClient
-from petrelwood.settings.gateway import ConfigurationTerms
+from petrelwood.settings.storage import ConfigurationTerms
 
 TICKS = os.sysconf("SC_CLK_TCK")
 TOLERANCE = 0.1  # between what a real follower and a hollow one send and receive
--- a/petrelwood/cli/main.py
+++ b/petrelwood/cli/main.py
@@ -283,11 +283,11 @@
 
 def _kinds_of(described):
     """(action timeouts in seconds, which namespace types are repeatable)"""
-    from petrelwood.settings import gateway
+    from petrelwood.settings import namespaces
 
     timeouts, repeatable = {}, set()
     for node in described.terms.every("namespace-type"):
-        name, type_, timeout, _ = gateway._type(node)
+        name, type_, timeout, _ = namespaces.decode_namespace_type(node)
         timeouts[name] = timeout / 1e9
         if type_.effect == "repeatable":
             repeatable.add(name)
--- a/petrelwood/dispatch/configuration.py
+++ b/petrelwood/dispatch/configuration.py
@@ -27,7 +27,7 @@
 )
 from petrelwood.dispatch.interfaces import Clock, Logger, RandomFraction
 from petrelwood.links.rpc_client import RpcClient, RpcError
-from petrelwood.settings.gateway import ConfigurationTerms
+from petrelwood.settings.storage import ConfigurationTerms
 from petrelwood.store import versions
 
 APPEND_TIMEOUT = 5.0  # seconds; over `QUORUM_TIMEOUT`
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -33,7 +33,8 @@
 from petrelwood.ports import Listed
 
 if TYPE_CHECKING:  # the platform's dispatcher needs no settings in KDL and no log
-    from petrelwood.settings.gateway import FunctionRule, Gateway
+    from petrelwood.settings.functions import FunctionRule
+    from petrelwood.settings.gateway import Gateway
     from petrelwood.store.state_log import StateLog
 
 STORM_CHECK_INTERVAL = 500_000_000  # ns
--- a/petrelwood/dispatch/interfaces.py
+++ b/petrelwood/dispatch/interfaces.py
@@ -48,7 +48,7 @@
 
 
 class Rule(Protocol):
-    """What is known of a function: `settings.gateway.FunctionRule`, or what a request says of it."""
+    """What is known of a function: `settings.functions.FunctionRule`, or what a request says of it."""
 
     @property
     def lanes(self) -> int:
--- a/petrelwood/dispatch/load_forecasts.py
+++ b/petrelwood/dispatch/load_forecasts.py
@@ -11,7 +11,7 @@
 from petrelwood.dispatch.interfaces import Clock, Rule
 
 if TYPE_CHECKING:
-    from petrelwood.settings.gateway import EarlyTerms
+    from petrelwood.settings.early_loads import EarlyTerms
 
 UNLIMITED_ORDERS = 1e9  # of one slot, where load orders have no ration
 
--- a/petrelwood/fronts/mqtt.py
+++ b/petrelwood/fronts/mqtt.py
@@ -400,7 +400,7 @@
         )
         self.counts["answers"] += 1
         if not self.up or len(self.answers) >= self.quota or self.fresh and qos == 2:
-            if len(self.unsent) < self.terms.answers_kept:
+            if len(self.unsent) < self.terms.max_queued_answers:
                 self.unsent.append(packet)
             return []
         packet.id = self._id()
--- a/petrelwood/node/front.py
+++ b/petrelwood/node/front.py
@@ -42,7 +42,7 @@
 
 
 class Figures(NamedTuple):
-    """What a request tells of its function and its work, as `settings.gateway.FunctionRule` has it."""
+    """What a request tells of its function and its work, as `settings.functions.FunctionRule` has it."""
 
     lanes: int
     load_time: int  # ns; 0: not told
--- a/petrelwood/settings/comparison.py
+++ b/petrelwood/settings/comparison.py
@@ -10,7 +10,9 @@
 from typing import Any, NamedTuple
 
 from petrelwood import ports
-from petrelwood.settings.gateway import Customer, FunctionRule, Gateway
+from petrelwood.settings.customers import Customer
+from petrelwood.settings.functions import FunctionRule
+from petrelwood.settings.gateway import Gateway
 
 MILLISECOND = 1_000_000
 SECOND = 1_000_000_000
--- a/petrelwood/settings/gateway.py
+++ b/petrelwood/settings/gateway.py
@@ -1,124 +1,49 @@
-"""What a gateway's file says, decoded once: who calls, which functions there are, and the terms of the
-module."""
+"""The settings of a gateway: who calls, which functions there are, and the terms of the decision module."""
 
-import base64
-import binascii
-import datetime
-import os
-import pathlib
+from pathlib import Path
 from typing import NamedTuple
 
 from petrelwood import ports
-from petrelwood.decide.cluster.rollout import DEFAULT_WITHIN, LEAST_WITHIN
-from petrelwood.links.tls import BadIdentity, Identity
-from petrelwood.settings import decoders, document
-from petrelwood.settings.errors import InvalidValueError, suggestion
-from petrelwood.settings.node import REQUIRED
-
-SECOND = 1_000_000_000
-HMAC_BYTES, ED25519_BYTES = range(24, 65), (32,)
-
-
-class Customer(NamedTuple):
-    name: str
-    share: float  # activations a second at all dispatchers together; 0: no share is kept
-    keys: tuple  # (scheme, bytes): "v1" with an HMAC secret, "v1a" with an Ed25519 public key
-
-
-class FunctionRule(NamedTuple):
-    pattern: str  # a whole name, or the beginning of names before a '*'
-    type: str  # its namespace type
-    lanes: int
-    load_time: int  # ns; 0: not known
-    work: int = 0  # ns of the usual work; 0: not known
-
-
-class Limits(NamedTuple):
-    connections: int
-    header: int  # bytes of one request's head
-    body: int  # bytes
-    head_within: int  # ns from the connection's start, or the first byte, to the end of the head
-    body_within: int
-    idle: int
-    pipeline: int  # requests read ahead on one connection
-    held: int  # activations owed an answer
-    per_customer: float  # the part of them that one customer may hold
-    ledger: int  # ids remembered
-    results: int  # bytes of answers kept for retries
-    handshakes: int  # TLS handshakes in hand
-    bytes: int  # of requests that are not whole yet, over all connections
-
-
-class WorkerTerms(NamedTuple):
-    connect_within: int  # ns, to a connection that has greeted
-    queue: int  # bytes waiting for a worker that does not read
-    frame: int  # bytes of one message at most
-    quiet: int  # a link that owes something and is silent so long is closed
-    drain_grace: int
-    order_within: int
-
-
-class MqttTerms(NamedTuple):
-    broker: tuple
-    user: str
-    password: bytes
-    group: str  # of the shared subscription: the same at all dispatchers
-    keep_alive: int  # ns
-    session: int  # how long the broker keeps a session without a connection, ns
-    window_least: int  # activations of one customer under way at a time
-    window_most: int
-    connect_within: int
-    most: int  # bytes of one packet
-    answers_kept: int  # answers that wait for the broker, for each customer
-    comeback_first: int
-    comeback_most: int
-    tls: object  # links.tls.Identity, or None
-
-
-class EarlyTerms(NamedTuple):
-    slot: int  # ns that a forecast counts calls in
-    season: int  # what repeats: a day, in service
-    week: int  # 0: weeks do not matter
-    events: tuple  # (begin, end, factor, prefix), wall clock ns
-    fetch: float  # seconds of cold wait that a fetch from the store is worth
-    memory_price: float  # and a gigabyte held idle for a second
-    size: int  # bytes of a usual copy
-    memory: int  # bytes that early loads of this dispatcher may hold; 0: no bound
-
-
-class HistoryTerms(NamedTuple):
-    folder: str
-    keep: int  # days
-    most: int  # bytes on disk
-
-
-class StateTerms(NamedTuple):
-    folder: str
-    durability: str  # "process" or "machine": what a kept record survives
-
-
-class ConfigurationTerms(NamedTuple):
-    """How versions of the settings come from the configuration servers."""
-
-    servers: tuple  # addresses
-    within: int  # ns from a version's beginning until it is in force at every dispatcher that can hear of it
+from petrelwood.links.tls import Identity
+from petrelwood.settings.customers import Customer, decode_customers
+from petrelwood.settings.decoders import ADDRESS, COUNT, DURATION, FLAG, SECOND, TEXT, Address
+from petrelwood.settings.document import File
+from petrelwood.settings.early_loads import EarlyTerms, decode_early_loads
+from petrelwood.settings.errors import SettingsError
+from petrelwood.settings.functions import FunctionRule, decode_functions
+from petrelwood.settings.limits import Limits, decode_limits
+from petrelwood.settings.mqtt import MqttTerms, decode_mqtt
+from petrelwood.settings.namespaces import Namespaces, decode_namespaces
+from petrelwood.settings.node import Node, ReadValue
+from petrelwood.settings.storage import (
+    ConfigurationTerms,
+    HistoryTerms,
+    StateTerms,
+    decode_configuration,
+    decode_history,
+    decode_state,
+)
+from petrelwood.settings.tls import decode_identity
+from petrelwood.settings.workers import WorkerSettings, WorkerTerms, decode_workers
 
 
 class Gateway(NamedTuple):
+    """All settings of one dispatcher."""
+
     name: str
-    listen: tuple
-    roster: tuple
+    listen: Address
+    roster: Address  # where the endpoint list of workers is followed
     seed: int
     tolerance: int  # ns a webhook's time may be off
-    timeouts: dict  # namespace type -> action timeout, ns
-    remember: dict  # namespace type -> how long an id is remembered, ns
+    timeouts: dict[str, int]  # namespace type -> action timeout, ns
+    remember: dict[str, int]  # namespace type -> how long an id is remembered, ns
     limits: Limits
     workers: WorkerTerms
-    customers: dict
-    functions: tuple
+    customers: dict[str, Customer]
+    functions: tuple[FunctionRule, ...]
     terms: ports.Terms
-    tls: object  # of the webhook front: links.tls.Identity, or None
-    worker_tls: object
+    tls: Identity | None  # of the webhook front
+    worker_tls: Identity | None
     mqtt: MqttTerms | None
     early: EarlyTerms | None  # None: nothing is loaded ahead
     history: HistoryTerms | None
@@ -126,11 +51,11 @@
     versions: str  # folder of versions that are rolled out over all; "": there is none
     configuration: ConfigurationTerms | None  # None: others fill that folder
     control: str  # path of the socket for hand-overs; "": there are none
-    health: str  # path of the socket of a speaker beside it, that hears its beats; "": there is none
+    health: str  # path of the socket of a speaker beside it, that gets its heartbeats; "": there is none
     damps: bool  # whether storms are damped: on unless the file turns it off
 
-    def as_of(self, own):
-        """These settings, with what stays each dispatcher's own taken from the ones of its own file."""
+    def as_of(self, own: "Gateway") -> "Gateway":
+        """Return these settings with what stays each dispatcher's own taken from its `own` file."""
         return self._replace(
             name=own.name,
             listen=own.listen,
@@ -145,413 +70,131 @@
         )
 
     def rule(self, function: str) -> FunctionRule | None:
-        """The rule of a function: its own name first, then the longest beginning; None if there is none."""
-        best = None
+        """Return a function's rule: of its own name, else of the longest beginning, else None."""
+        longest = None
         for rule in self.functions:
             if rule.pattern == function:
                 return rule
-            if rule.pattern.endswith("*") and function.startswith(rule.pattern[:-1]):
-                if best is None or len(rule.pattern) > len(best.pattern):
-                    best = rule
-        return best
-
-
-def _decode_key(value, where):
-    """A key as Standard Webhooks writes it: `whsec_` and a base64 secret, or `whpk_` and an Ed25519 public
-    key."""
-    prefix, _, rest = decoders.TEXT.decode(value, where).partition("_")
-    schemes = {"whsec": ("v1", HMAC_BYTES), "whpk": ("v1a", ED25519_BYTES)}
-    if prefix not in schemes:
-        raise InvalidValueError(f"{where} must begin with 'whsec_' or 'whpk_'")
-    scheme, sizes = schemes[prefix]
-    try:
-        raw = base64.b64decode(rest, validate=True)
-    except (binascii.Error, ValueError):
-        raise InvalidValueError(f"{where} is not base64 after '{prefix}_'") from None
-    if len(raw) not in sizes:
-        raise InvalidValueError(
-            f"{where} holds {len(raw)} bytes; {prefix} takes {sizes[0]}"
-            + (f" to {sizes[-1]}" if len(sizes) > 1 else "")
-        )
-    return scheme, raw
-
-
-KEY = decoders.Decoder("key, `whsec_` or `whpk_`", _decode_key, ("v1", bytes(32)))
-
+            is_longest = longest is None or len(rule.pattern) > len(longest.pattern)
+            if is_longest and rule.pattern.endswith("*") and function.startswith(rule.pattern[:-1]):
+                longest = rule
+        return longest
 
-def _secret(node):
-    """A key as it stands, or by reference: `key env="NAME"`, `key file="path"` that nobody else may read."""
-    env, path = node.prop("env", decoders.TEXT, ""), node.prop("file", decoders.TEXT, "")
-    if not env and not path:
-        found = node.arg(KEY, "a key")
-        node.reject_unknown(1)
-        return found
-    node.reject_unknown()
-    text = ""
-    if env:
-        text = os.environ.get(env, "")
-        if not text:
-            node.report(f"the environment has no '{env}'")
-    else:
-        whole = pathlib.Path(node.file).parent / path
-        try:
-            if whole.stat().st_mode & 0o077:
-                node.report(f"'{path}' can be read by others; its mode must be 600 or less")
-            text = whole.read_text().strip()
-        except (OSError, UnicodeDecodeError) as fault:
-            node.report(f"'{path}' can't be read: {getattr(fault, 'strerror', None) or 'it is not text'}")
-    return node.decode(KEY, f"the key in {env or path}", text) if text else KEY.sample
 
+class _Identity(NamedTuple):
+    """What a `gateway` node says of the dispatcher itself."""
 
-def _customer(node):
-    name, share = node.arg(decoders.TEXT, "a name"), node.prop("share", decoders.NUMBER, 0)
-    keys = []
-    for child in node.every("key"):
-        keys.append(_secret(child))
-    if not keys and not [c for c in node.children if c.name != "key"]:
-        node.report(f"customer '{name}' has no key")
-    node.reject_unknown(1)
-    return Customer(name, float(share), tuple(keys))
-
-
-def _type(node):
-    name = node.arg(decoders.TEXT, "a name")
-    target, timeout = (
-        node.value("target-latency", decoders.DURATION),
-        node.value("action-timeout", decoders.DURATION),
+    name: str
+    zone: str
+    listen: Address
+    roster: Address
+    seed: int
+    dispatchers: int
+    tick: int  # ns
+    tolerance: int  # ns
+    tls: Identity | None
+
+
+def _decode_gateway_node(node: Node) -> _Identity:
+    identity = _Identity(
+        name=node.arg(TEXT, "a name"),
+        zone=node.value("zone", TEXT, ""),
+        listen=node.value("listen", ADDRESS),
+        roster=node.value("roster", ADDRESS),
+        seed=node.value("seed", COUNT, 0),
+        dispatchers=node.value("dispatchers", COUNT, 1),
+        tick=node.value("tick", DURATION, SECOND // 500),
+        tolerance=node.value("tolerance", DURATION, 300 * SECOND),
+        tls=decode_identity(node),
     )
-    if target > timeout:
-        node.report(f"namespace type '{name}': its target latency is over its action timeout")
-    effect = node.value("effect", decoders.one_of(ports.REPEATABLE, ports.DEDUPLICATED, ports.ONCE_ONLY))
-    deduplicated = effect == ports.DEDUPLICATED
-    scope = node.value("scope", decoders.one_of("all", "zone", "cell"), REQUIRED if deduplicated else "all")
-    window = node.value("window", decoders.DURATION, REQUIRED if deduplicated else 0)
-    remember = node.value("remember", decoders.DURATION, 0)
     node.reject_unknown(1)
-    return name, ports.NamespaceType(target, effect, scope, window), timeout, remember
-
-
-def _unique(nodes, name):
-    seen = {}
-    for node in nodes:
-        label = node.args[0] if node.args else None
-        if label in seen:
-            node.report(f"{name} '{label}' is given twice; first {seen[label].location(node)}")
-        seen.setdefault(label, node)
-    return list(seen.values())
-
-
-def _limits(node):
-    read = node.value if node else lambda name, kind, default: default
-    limits = Limits(
-        read("connections", decoders.COUNT, 2000),
-        read("header", decoders.SIZE, 16_000),
-        read("body", decoders.SIZE, 1_000_000),
-        read("head-within", decoders.DURATION, 5 * SECOND),
-        read("body-within", decoders.DURATION, 10 * SECOND),
-        read("idle", decoders.DURATION, 75 * SECOND),
-        read("pipeline", decoders.COUNT, 16),
-        read("held", decoders.COUNT, 20_000),
-        read("per-customer", decoders.FRACTION, 0.8),
-        read("ledger", decoders.COUNT, 500_000),
-        read("results", decoders.SIZE, 64_000_000),
-        read("handshakes", decoders.COUNT, 250),
-        read("bytes", decoders.SIZE, 256_000_000),
-    )
-    if node:
-        node.reject_unknown()
-    return limits
-
-
-def _tls(node, mutual=False):
-    """The identity that a `tls` child gives, or None."""
-    found = node.optional_child("tls")
-    if found is None:
-        return None
-    base = pathlib.Path(node.file).parent
-    paths = [
-        str(base / value) if value else ""
-        for value in (found.prop(name, decoders.TEXT, "") for name in ("cert", "key", "trusts"))
-    ]
-    mutual, name = found.prop("mutual", decoders.FLAG, mutual), found.prop("name", decoders.TEXT, "")
-    found.reject_unknown()
-    try:
-        return Identity(*paths, mutual, name)
-    except BadIdentity as fault:
-        found.report(str(fault))
-        return None
-
-
-def _mqtt(node):
-    if node is None:
-        return None
-    window, base = node.optional_child("window"), pathlib.Path(node.file).parent
-    least = window.prop("least", decoders.COUNT, 4) if window else 4
-    most = window.prop("most", decoders.COUNT, 256) if window else 256
-    if not 0 < least <= most <= 65535:
-        (window or node).report("'window' needs 0 < least <= most <= 65535")
-    if window:
-        window.reject_unknown()
-    password, file = node.value("password", decoders.TEXT, ""), node.value("password-file", decoders.TEXT, "")
-    if file:
-        try:
-            password = (base / file).read_text().strip()
-        except OSError as fault:
-            node.report(f"'password-file' can't be read: {fault.strerror}")
-    made = MqttTerms(
-        node.value("broker", decoders.ADDRESS),
-        node.value("user", decoders.TEXT, None),
-        password.encode() if password else None,
-        node.value("group", decoders.TEXT, "petrelwood"),
-        node.value("keep-alive", decoders.DURATION, 20 * SECOND),
-        node.value("session", decoders.DURATION, 30 * SECOND),
-        least,
-        most,
-        node.value("connect-within", decoders.DURATION, 2 * SECOND),
-        node.value("packet", decoders.SIZE, 1_000_000),
-        node.value("answers", decoders.COUNT, 10_000),
-        node.value("come-back", decoders.DURATION, SECOND // 10),
-        node.value("come-back-most", decoders.DURATION, 10 * SECOND),
-        _tls(node),
-    )
-    node.reject_unknown()
-    if made.keep_alive < SECOND:
-        node.report("'keep-alive' must be 1 s or more: the protocol counts in seconds")
-    if set(made.group) & set("+#/"):
-        node.report("'group' can't hold '+', '#' or '/'")
-    return made
-
-
-def _decode_date(value, where):
-    """A date and time as ISO 8601 has it, with its offset; wall clock ns."""
-    try:
-        found = datetime.datetime.fromisoformat(decoders.TEXT.decode(value, where))
-    except ValueError:
-        raise InvalidValueError(
-            f'{where} must be a time like "2026-12-31T08:00+01:00", not {value!r}'
-        ) from None
-    if found.tzinfo is None:
-        raise InvalidValueError(f'{where} needs its offset from UTC, as in "{value}+01:00"')
-    return int(found.timestamp()) * SECOND
-
-
-DATE = decoders.Decoder("time with its offset from UTC", _decode_date, 0)
-
-
-def _early(node):
-    if node is None:
-        return None
-    events = []
-    for one in node.every("event"):
-        begin = one.prop("from", DATE)
-        events.append(
-            (
-                begin,
-                begin + one.prop("for", decoders.DURATION),
-                float(one.prop("factor", decoders.NUMBER)),
-                one.arg(decoders.TEXT, "the beginning of functions' names"),
-            )
-        )
-        one.reject_unknown(1)
-    season = node.value("season", decoders.DURATION, 86_400 * SECOND)
-    made = EarlyTerms(
-        node.value("slot", decoders.DURATION, 60 * SECOND),
-        season,
-        7 * season if node.value("weeks", decoders.FLAG, True) else 0,
-        tuple(events),
-        node.value("fetch-price", decoders.DURATION, SECOND // 5) / SECOND,
-        float(node.value("memory-price", decoders.NUMBER, 0.002)),
-        node.value("copy-size", decoders.SIZE, 10**9),
-        node.value("memory", decoders.SIZE, 0),
-    )
-    node.reject_unknown()
-    if not 0 < made.slot <= made.season:
-        node.report("'slot' must be over 0 and no longer than 'season'")
-    return made
-
-
-def _history(node):
-    if node is None:
-        return None
-    made = HistoryTerms(
-        str(pathlib.Path(node.file).parent / node.value("folder", decoders.TEXT)),
-        node.value("keep", decoders.COUNT, 60),
-        node.value("most", decoders.SIZE, 1 << 30),
-    )
-    node.reject_unknown()
-    return made
-
-
-def _state(node):
-    if node is None:
-        return None
-    made = StateTerms(
-        str(pathlib.Path(node.file).parent / node.value("folder", decoders.TEXT)),
-        node.value("durability", decoders.one_of("process", "machine"), "process"),
-    )
-    node.reject_unknown()
-    return made
-
-
-def _configuration(node, versions):
-    if node is None:
-        return None
-    servers = []
-    for one in node.every("server"):
-        servers.append(one.arg(decoders.ADDRESS, "an address"))
-        one.reject_unknown(1)
-    made = ConfigurationTerms(tuple(servers), node.value("within", decoders.DURATION, DEFAULT_WITHIN))
-    node.reject_unknown()
-    if not servers:
-        node.report("'configuration' needs a 'server' at least")
-    if not versions:
-        node.report("'configuration' needs a folder of 'versions' to keep what it hears of")
-    if made.within < LEAST_WITHIN:
-        node.report(f"'within' can't be under {LEAST_WITHIN // SECOND} s: versions are taken in stages")
-    return made
-
-
-def _worker_terms(node):
-    """(how links behave, the module's guarantees, its load orders, what is allowed)"""
-    cold, fall, sends = node.child("cold"), node.child("fall"), node.child("sends")
-    ration = node.optional_child("ration")
-    keep, on_miss = (
-        node.value("keep", decoders.DURATION),
-        node.value("on-miss", decoders.one_of("load", "miss")),
-    )
-    within = node.value("connect-within", decoders.DURATION, SECOND // 4)
-    terms = WorkerTerms(
-        within,
-        node.value("queue", decoders.SIZE, 4_000_000),
-        node.value("frame", decoders.SIZE, 8_000_000),
-        node.value("quiet", decoders.DURATION, 30 * SECOND),
-        node.value("drain-grace", decoders.DURATION, SECOND // 4),
-        node.value("order-within", decoders.DURATION, 10 * SECOND),
-    )
-    guarantees = ports.Guarantees(
-        0,
-        cold.arg(decoders.DURATION, "a time"),
-        cold.prop("from", decoders.FRACTION),
-        fall.prop("multiple", decoders.NUMBER),
-        fall.arg(decoders.DURATION, "a time"),
-    )
-    orders = ports.LoadOrders(
-        node.value("orders", decoders.FLAG, True),
-        on_miss == "load",
-        keep,
-        *(
-            (
-                float(ration.prop("free", decoders.NUMBER)),
-                ration.prop("part", decoders.FRACTION),
-                ration.prop("period", decoders.DURATION),
-            )
-            if ration
-            else (0.0, 0.0, 0)
-        ),
-    )
-    allowed = ports.Allowed(
-        sends.arg(decoders.COUNT, "a number"),
-        sends.prop("overlap", decoders.FLAG, True),
-        node.value("cancel", decoders.FLAG, True),
-        node.value("probe", decoders.FLAG, True),
-        True,
-        node.value("most-retry-after", decoders.DURATION, 10 * SECOND),
+    if not identity.dispatchers:
+        node.report("'dispatchers' must be 1 or more: this one counts")
+    return identity
+
+
+def _module_terms(
+    identity: _Identity, namespaces: Namespaces, customers: dict[str, Customer], workers: WorkerSettings
+) -> ports.Terms:
+    """Return what the decision module is given at its start."""
+    return ports.Terms(
+        zone=identity.zone,
+        dispatchers=identity.dispatchers,
+        types=namespaces.types,
+        quotas={customer.name: customer.share for customer in customers.values() if customer.share},
+        guarantees=workers.guarantees,
+        orders=workers.orders,
+        allowed=workers.allowed,
+        asks=False,
+        reports_by_probe=workers.reports_by_probe,
+        tick=identity.tick,
     )
-    by_probe = node.value("reports", decoders.one_of("answers", "probe"), "answers") == "probe"
-    tls = _tls(node)
-    for part, args in ((cold, 1), (fall, 1), (sends, 1), (ration, 0), (node, 0)):
-        if part:
-            part.reject_unknown(args)
-    return terms, guarantees, orders, allowed, by_probe, tls
-
-
-def read(path, text=None, errors=None, values=None):
-    """The gateway that a file, or a text in its place, describes. Raises `SettingsError` with the first
-    thing that is wrong; with `errors`, a list, all of it is put there. `values`, a list, gets a
-    `ReadValue` for each value that is asked for."""
-    return described(document.File(path, text, errors, values))
 
 
-def described(file):
-    """The gateway that a `document.File` describes; what is wrong is raised or collected as the file was
-    opened to do."""
-    node = file.child("gateway")
-    name, zone = node.arg(decoders.TEXT, "a name"), node.value("zone", decoders.TEXT, "")
-    listen, roster = node.value("listen", decoders.ADDRESS), node.value("roster", decoders.ADDRESS)
-    seed, dispatchers = node.value("seed", decoders.COUNT, 0), node.value("dispatchers", decoders.COUNT, 1)
-    tick = node.value("tick", decoders.DURATION, SECOND // 500)
-    tolerance = node.value("tolerance", decoders.DURATION, 300 * SECOND)
-    tls = _tls(node)
-    node.reject_unknown(1)
-    if not dispatchers:
-        node.report("'dispatchers' must be 1 or more: this one counts")
-    types, timeouts, remember = {}, {}, {}
-    for one in _unique(file.every("namespace-type"), "namespace type"):
-        label, type_, timeout, keep = _type(one)
-        types[label], timeouts[label], remember[label] = type_, timeout, max(keep, 2 * tolerance)
-    if not types and not file.partial:
-        file.report("no 'namespace-type' is given")
-    customers = {c.name: c for c in map(_customer, _unique(file.every("customer"), "customer"))}
-    if not customers and not file.partial:
-        file.report("no 'customer' is given")
-    functions = []
-    for one in _unique(file.every("function"), "function"):
-        type_ = one.prop("type", decoders.TEXT)
-        if type_ not in types:
-            # else one that can't be read may be meant
-            if "" not in types and types and not file.partial:
-                one.report(f"there is no namespace type '{type_}'{suggestion(type_, sorted(types))}")
-        rule = FunctionRule(
-            one.arg(decoders.TEXT, "a name"),
-            type_,
-            one.prop("lanes", decoders.COUNT, 1) or 1,
-            one.prop("load-time", decoders.DURATION, 0),
-        )
-        one.reject_unknown(1)
-        functions.append(rule)
-    limits = _limits(file.optional_child("limits"))
-    mqtt, early = _mqtt(file.optional_child("mqtt")), _early(file.optional_child("early"))
-    history = _history(file.optional_child("history"))
-    state = _state(file.optional_child("state"))
-    control, versions = file.value("control", decoders.TEXT, ""), file.value("versions", decoders.TEXT, "")
-    configuration = _configuration(file.optional_child("configuration"), versions)
-    health, damps = file.value("health", decoders.TEXT, ""), file.value("damp-storms", decoders.FLAG, True)
-    workers, guarantees, orders, allowed, by_probe, worker_tls = _worker_terms(file.child("workers"))
+def decode(file: Node) -> Gateway:
+    """Return the gateway that a file describes.
+
+    Raises:
+        SettingsError: The first thing that is wrong, if the file does not collect errors.
+    """
+    identity = _decode_gateway_node(file.child("gateway"))
+    namespaces = decode_namespaces(file, identity.tolerance)
+    customers = decode_customers(file)
+    functions = decode_functions(file, namespaces.types)
+    limits = decode_limits(file.optional_child("limits"))
+    mqtt = decode_mqtt(file.optional_child("mqtt"))
+    early = decode_early_loads(file.optional_child("early"))
+    history = decode_history(file.optional_child("history"))
+    state = decode_state(file.optional_child("state"))
+    control = file.value("control", TEXT, "")
+    versions = file.value("versions", TEXT, "")
+    configuration = decode_configuration(file.optional_child("configuration"), versions)
+    health = file.value("health", TEXT, "")
+    damps_storms = file.value("damp-storms", FLAG, True)
+    workers = decode_workers(file.child("workers"))
     file.reject_unknown()
-    terms = ports.Terms(
-        zone,
-        dispatchers,
-        types,
-        {c.name: c.share for c in customers.values() if c.share},
-        guarantees,
-        orders,
-        allowed,
-        False,
-        by_probe,
-        tick,
-    )
     return Gateway(
-        name,
-        listen,
-        roster,
-        seed,
-        tolerance,
-        timeouts,
-        remember,
-        limits,
-        workers,
-        customers,
-        tuple(functions),
-        terms,
-        tls,
-        worker_tls,
-        mqtt,
-        early,
-        history,
-        state,
-        str(pathlib.Path(file.file).parent / versions) if versions else "",
-        configuration,
-        str(pathlib.Path(file.file).parent / control) if control else "",
-        str(pathlib.Path(file.file).parent / health) if health else "",
-        damps,
+        name=identity.name,
+        listen=identity.listen,
+        roster=identity.roster,
+        seed=identity.seed,
+        tolerance=identity.tolerance,
+        timeouts=namespaces.timeouts,
+        remember=namespaces.remember,
+        limits=limits,
+        workers=workers.links,
+        customers=customers,
+        functions=functions,
+        terms=_module_terms(identity, namespaces, customers, workers),
+        tls=identity.tls,
+        worker_tls=workers.tls,
+        mqtt=mqtt,
+        early=early,
+        history=history,
+        state=state,
+        versions=file.resolve(versions),
+        configuration=configuration,
+        control=file.resolve(control),
+        health=file.resolve(health),
+        damps=damps_storms,
     )
+
+
+def read(
+    path: str | Path,
+    text: str | None = None,
+    errors: list[SettingsError] | None = None,
+    values: list[ReadValue] | None = None,
+) -> Gateway:
+    """Return the gateway that a file, or a text in its place, describes.
+
+    Args:
+        path: The file.
+        text: What it says, if that is not read from it.
+        errors: Collects all that is wrong in place of the first being raised.
+        values: Collects each value that is asked for.
+
+    Raises:
+        SettingsError: The first thing that is wrong, if `errors` is not given.
+    """
+    return decode(File(path, text, errors, values))
--- a/petrelwood/settings/reference.py
+++ b/petrelwood/settings/reference.py
@@ -127,7 +127,7 @@
 def schema():
     """The `Block` of a whole gateway's file."""
     root = Block("")
-    gateway.described(Probe(root))
+    gateway.decode(Probe(root))
     return root
 
 
--- a/petrelwood/settings/sense.py
+++ b/petrelwood/settings/sense.py
@@ -127,7 +127,7 @@
     gateway's."""
     problems = []
     file = document.File(path, text, problems)
-    decode = settings.described
+    decode = settings.decode
     if not any(node.name == "gateway" for node in file.children):
         decode = next((d for name, d in others if any(node.name == name for node in file.children)), decode)
     try:
@@ -143,5 +143,5 @@
             errors.append(fault)
     order = list(file.files)
     errors.sort(key=lambda f: (order.index(f.file) if f.file in order else -1, f.line, f.column))
-    told = described is not None and not errors and decode == settings.described
+    told = described is not None and not errors and decode == settings.decode
     return errors, warnings(file, described) if told else [], file.files
--- /dev/null
+++ b/petrelwood/settings/tls.py
@@ -0,0 +1,23 @@
+"""The TLS identity that a node has."""
+
+from petrelwood.links.tls import BadIdentity, Identity
+from petrelwood.settings.decoders import FLAG, TEXT
+from petrelwood.settings.node import Node
+
+
+def decode_identity(parent: Node) -> Identity | None:
+    """Return the identity that the `tls` child of a node describes, or None if it has none."""
+    node = parent.optional_child("tls")
+    if node is None:
+        return None
+    certificate = node.resolve(node.prop("cert", TEXT, ""))
+    key = node.resolve(node.prop("key", TEXT, ""))
+    trusted = node.resolve(node.prop("trusts", TEXT, ""))
+    is_mutual = node.prop("mutual", FLAG, False)
+    name = node.prop("name", TEXT, "")
+    node.reject_unknown()
+    try:
+        return Identity(certificate, key, trusted, is_mutual, name)
+    except BadIdentity as error:
+        node.report(str(error))
+        return None
--- /dev/null
+++ b/petrelwood/settings/workers.py
@@ -0,0 +1,117 @@
+"""What workers guarantee, how links to them behave, and what the module may do with them."""
+
+from typing import NamedTuple
+
+from petrelwood import ports
+from petrelwood.links.tls import Identity
+from petrelwood.settings.decoders import COUNT, DURATION, FLAG, FRACTION, NUMBER, SECOND, SIZE, one_of
+from petrelwood.settings.node import Node
+from petrelwood.settings.tls import decode_identity
+
+
+class WorkerTerms(NamedTuple):
+    """How links to workers behave."""
+
+    connect_within: int  # ns, to a connection that has greeted
+    queue: int  # bytes waiting for a worker that does not read
+    frame: int  # bytes of one message at most
+    quiet: int  # ns; a link that owes something and is silent so long is closed
+    drain_grace: int  # ns that sends go on after word that a worker drains
+    order_within: int  # ns that a load order may take
+
+
+class WorkerSettings(NamedTuple):
+    """All that a `workers` node says."""
+
+    links: WorkerTerms
+    guarantees: ports.Guarantees
+    orders: ports.LoadOrders
+    allowed: ports.Allowed
+    reports_by_probe: bool  # load is reported when a worker is asked only, not with answers
+    tls: Identity | None
+
+
+class _Parts(NamedTuple):
+    """The nodes in a `workers` node that have properties."""
+
+    cold: Node
+    fall: Node
+    sends: Node
+    ration: Node | None
+
+
+def _decode_links(node: Node) -> WorkerTerms:
+    return WorkerTerms(
+        connect_within=node.value("connect-within", DURATION, SECOND // 4),
+        queue=node.value("queue", SIZE, 4_000_000),
+        frame=node.value("frame", SIZE, 8_000_000),
+        quiet=node.value("quiet", DURATION, 30 * SECOND),
+        drain_grace=node.value("drain-grace", DURATION, SECOND // 4),
+        order_within=node.value("order-within", DURATION, 10 * SECOND),
+    )
+
+
+def _decode_guarantees(parts: _Parts) -> ports.Guarantees:
+    return ports.Guarantees(
+        ask_within=0,
+        cold=parts.cold.arg(DURATION, "a time"),
+        cold_from=parts.cold.prop("from", FRACTION),
+        fall_multiple=parts.fall.prop("multiple", NUMBER),
+        fall=parts.fall.arg(DURATION, "a time"),
+    )
+
+
+def _decode_orders(node: Node, ration: Node | None, *, keep: int, loads_on_send: bool) -> ports.LoadOrders:
+    orders = ports.LoadOrders(
+        allowed=node.value("orders", FLAG, True),
+        loads_on_send=loads_on_send,
+        keep=keep,
+        free=0.0,
+        part=0.0,
+        period=0,
+    )
+    if ration is None:
+        return orders
+    return orders._replace(
+        free=float(ration.prop("free", NUMBER)),
+        part=ration.prop("part", FRACTION),
+        period=ration.prop("period", DURATION),
+    )
+
+
+def _decode_allowed(node: Node, sends: Node) -> ports.Allowed:
+    return ports.Allowed(
+        sends=sends.arg(COUNT, "a number"),
+        overlap=sends.prop("overlap", FLAG, True),
+        cancel=node.value("cancel", FLAG, True),
+        probe=node.value("probe", FLAG, True),
+        retry_after=True,
+        max_retry_after=node.value("most-retry-after", DURATION, 10 * SECOND),
+    )
+
+
+def decode_workers(node: Node) -> WorkerSettings:
+    """Return what a `workers` node describes."""
+    parts = _Parts(
+        cold=node.child("cold"),
+        fall=node.child("fall"),
+        sends=node.child("sends"),
+        ration=node.optional_child("ration"),
+    )
+    keep = node.value("keep", DURATION)
+    loads_on_send = node.value("on-miss", one_of("load", "miss")) == "load"
+    settings = WorkerSettings(
+        links=_decode_links(node),
+        guarantees=_decode_guarantees(parts),
+        orders=_decode_orders(node, parts.ration, keep=keep, loads_on_send=loads_on_send),
+        allowed=_decode_allowed(node, parts.sends),
+        reports_by_probe=node.value("reports", one_of("answers", "probe"), "answers") == "probe",
+        tls=decode_identity(node),
+    )
+    parts.cold.reject_unknown(1)
+    parts.fall.reject_unknown(1)
+    parts.sends.reject_unknown(1)
+    if parts.ration is not None:
+        parts.ration.reject_unknown()
+    node.reject_unknown()
+    return settings
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -46,7 +46,7 @@
 from petrelwood.emulate.disk import Disk
 from petrelwood.emulate.platform import Platform
 from petrelwood.node import roster
-from petrelwood.settings.gateway import EarlyTerms
+from petrelwood.settings.early_loads import EarlyTerms
 from petrelwood.store import versions
 from petrelwood.store.state_log import StateLog
 
--- a/tests/test_configuration_servers.py
+++ b/tests/test_configuration_servers.py
@@ -20,7 +20,7 @@
 from petrelwood.decide.cluster.replicated_log import Replica
 from petrelwood.dispatch.configuration import ConfigurationFollower
 from petrelwood.links.rpc_client import RpcClient, RpcError
-from petrelwood.settings.gateway import ConfigurationTerms
+from petrelwood.settings.storage import ConfigurationTerms
 from petrelwood.standins.caller import Broken
 from petrelwood.store import snapshot, versions
 
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -15,7 +15,8 @@
 from petrelwood.decide.overload.intake import Ask, Intake
 from petrelwood.decide.overload.resource_limits import CapacityIntake, ResourceLimits
 from petrelwood.node.front import Figures
-from petrelwood.settings.gateway import Limits, WorkerTerms
+from petrelwood.settings.limits import Limits
+from petrelwood.settings.workers import WorkerTerms
 
 RULE = Figures(1, 0, 0)
 MS, S = 1_000_000, 1_000_000_000
--- a/tests/test_version_watch.py
+++ b/tests/test_version_watch.py
@@ -20,7 +20,7 @@
     preference,
 )
 from petrelwood.dispatch.configuration import ConfigurationFollower
-from petrelwood.settings.gateway import ConfigurationTerms
+from petrelwood.settings.storage import ConfigurationTerms
 from petrelwood.store import snapshot, versions
 
 SERVERS = [f"c{n}" for n in range(1, 6)]
