--- a/petrelwood/settings/namespaces.py
+++ b/petrelwood/settings/namespaces.py
@@ -31,9 +31,9 @@
     timeout = node.value("action-timeout", DURATION)
     if target > timeout:
         node.report(f"namespace type '{name}': its target latency is over its action timeout")
-    effect = node.value("effect", one_of(ports.REPEATABLE, ports.DEDUPLICATED, ports.ONCE_ONLY))
-    is_deduplicated = effect == ports.DEDUPLICATED
-    scope = node.value("scope", one_of("all", "zone", "cell"), REQUIRED if is_deduplicated else "all")
+    effect = node.value("effect", one_of(*ports.Effect))
+    is_deduplicated = effect == ports.Effect.DEDUPLICATED
+    scope = node.value("scope", one_of(*ports.Scope), REQUIRED if is_deduplicated else ports.Scope.ALL.value)
     window = node.value("window", DURATION, REQUIRED if is_deduplicated else 0)
     remember = node.value("remember", DURATION, 0)
     node.reject_unknown(1)
