--- a/petrelwood/cli/configs.py
+++ b/petrelwood/cli/configs.py
@@ -15,9 +15,9 @@
 def _described(path, values=None):
     """A gateway that is right, or one error for each thing that is wrong with it. `values`: as `gateway.read`
     has it."""
-    from petrelwood.settings import gateway, sense
+    from petrelwood.settings import gateway, validation
 
-    errors, _, _ = sense.check(path)
+    errors, _, _ = validation.check(path)
     if errors:
         raise click.ClickException("\n".join(map(str, errors)) + f"\n{path} can't be used")
     return gateway.read(path, values=values)
@@ -52,9 +52,9 @@
         exit 1 if there are errors."""
         from petrelwood.emulate import script
         from petrelwood.lab import experiment
-        from petrelwood.settings import sense
+        from petrelwood.settings import validation
 
-        errors, warnings, texts = sense.check(
+        errors, warnings, texts = validation.check(
             file,
             others=(
                 ("experiment", lambda found: experiment.described(found, pathlib.Path(file))),
@@ -101,7 +101,7 @@
             path = pathlib.Path(name)
             text = kdl.read_unchanging(path)
             try:
-                found = layout.laid_out(text)
+                found = layout.format_text(text)
             except SettingsError as fault:
                 raise SettingsError(path, fault.line, fault.message) from None
             if found == text:
@@ -177,17 +177,16 @@
     )
     def reference(to, only):
         """The reference of a gateway's file, made from what the decoding asks for."""
-        from petrelwood.settings import meanings
         from petrelwood.settings import reference as made
 
         if only and to:
-            same = pathlib.Path(to).exists() and pathlib.Path(to).read_text() == made.page(meanings.MEANINGS)
+            same = pathlib.Path(to).exists() and pathlib.Path(to).read_text() == made.page()
             click.echo("it is up to date" if same else f"{to} is not what the program says")
             sys.exit(0 if same else 1)
         if to:
             click.echo(f"{to}: " + ("written" if made.write(to) else "as it was"))
         else:
-            click.echo(made.page(meanings.MEANINGS))
+            click.echo(made.page())
 
     @command(config, "complete")
     @file
@@ -196,10 +195,9 @@
     def complete(file, line, column):
         """What may come in FILE at LINE and COLUMN, for editors: a word and what it takes, tab between
         them."""
-        from petrelwood.settings import kdl
-        from petrelwood.settings import reference as made
+        from petrelwood.settings import completion, kdl
 
-        for word, what in made.completions(kdl.read_unchanging(pathlib.Path(file)), line, column, file):
+        for word, what in completion.completions(kdl.read_unchanging(pathlib.Path(file)), line, column, file):
             click.echo(f"{word}\t{what}")
 
     @command(config, "roll")
--- a/petrelwood/settings/comparison.py
+++ b/petrelwood/settings/comparison.py
@@ -26,7 +26,7 @@
 
 
 class TakesEffect(StrEnum):
-    """When a change of settings takes effect; shown by `petrelwood diff` and in logs."""
+    """When a change of settings takes effect; shown by `petrelwood config diff` and in logs."""
 
     AT_ONCE = "at once"
     BY_UPGRADE = "by an upgrade"
@@ -41,11 +41,11 @@
     risk: str = ""  # why it is risky under load; empty where it is not
 
     def as_json_object(self) -> dict[str, str]:
-        """The form that `petrelwood diff --json` prints."""
+        """Return the form that `petrelwood config diff --json` prints."""
         return {"what": self.description, "when": self.takes_effect.value, "risk": self.risk}
 
     def summary(self) -> str:
-        """The sentence, with its risk where there is one."""
+        """Return the sentence, with its risk where there is one."""
         return f"{self.description}; risky: {self.risk}" if self.risk else self.description
 
 
@@ -191,7 +191,7 @@
 
 
 def _type_takes_effect(old: Gateway, rule: FunctionRule) -> TakesEffect:
-    """When a function may be of the type that `rule` gives it: the module learns of types at its start."""
+    """Return when a function may be of the type that `rule` gives it: types reach the module at its start."""
     return TakesEffect.AT_ONCE if rule.type in old.terms.types else TakesEffect.BY_UPGRADE
 
 
@@ -258,7 +258,7 @@
 
 
 def _compare_parts(old: Gateway, new: Gateway) -> Iterator[Change]:
-    """Parts of the settings of which it is only said that they are other than before."""
+    """Yield the parts of the settings of which it is only said that they are other than before."""
     for subject, before, after in (
         ("the roster is", old.roster, new.roster),
         ("the control socket is", old.control, new.control),
@@ -328,14 +328,14 @@
 
 
 def _comparable(value: object) -> object:
-    """Something that can be compared: identities by the paths that they were made of."""
+    """Return a form that can be compared: identities as the paths that they were made of."""
     if isinstance(value, tuple):
         return tuple(map(_comparable, value))
     return getattr(value, "paths", value)
 
 
 def changes(old: Gateway, new: Gateway) -> list[Change]:
-    """All changes, in the order customers, types, functions, limits, the rest."""
+    """Return all changes, in the order customers, types, functions, limits, the rest."""
     return [
         *_compare_customers(old, new),
         *_compare_types(old, new),
@@ -349,7 +349,7 @@
 
 
 def takes_effect(found: Iterable[Change]) -> TakesEffect | None:
-    """The latest time that any of the changes asks for; None where nothing changes."""
-    asked = {change.takes_effect for change in found}
+    """Return the latest time at which any of the changes takes effect; None where nothing changes."""
+    found_times = {change.takes_effect for change in found}
     latest_first = (TakesEffect.AT_RESTART, TakesEffect.BY_UPGRADE, TakesEffect.AT_ONCE)
-    return next((when for when in latest_first if when in asked), None)
+    return next((when for when in latest_first if when in found_times), None)
--- /dev/null
+++ b/petrelwood/settings/completion.py
@@ -0,0 +1,143 @@
+"""Completion for editors: what may come at a place of a gateway's file."""
+
+from os import PathLike
+from pathlib import Path
+from typing import NamedTuple
+
+from petrelwood.settings.document import File
+from petrelwood.settings.errors import SettingsError
+from petrelwood.settings.kdl_scan import COMMENT_STARTS, WORD, end_of_literal
+from petrelwood.settings.schema import Block, schema
+
+WORD_LIMITS = " \t\n;{"  # a word that is being written begins after one of them
+
+
+class Completion(NamedTuple):
+    """A word that may come, and what it is or takes."""
+
+    word: str
+    takes: str
+
+
+class _Cursor(NamedTuple):
+    """Where a text ends."""
+
+    blocks: list[str | None]  # names of the blocks that are open there, from the outermost
+    node: str | None  # name of the node that is being written there
+
+
+def _cursor(text: str) -> _Cursor | None:
+    """Return where a text ends, or None if that is in a string or a comment."""
+    blocks: list[str | None] = []
+    node: str | None = None
+    at_node_start = True
+    index = 0
+    while index < len(text):
+        character = text[index]
+        end = end_of_literal(text, index) if character in '"#/' else index
+        is_comment = text.startswith(COMMENT_STARTS, index)
+        if end > len(text) or (end == len(text) and is_comment):
+            return None
+        word = WORD.match(text, index)
+        if end > index:
+            at_node_start = at_node_start and is_comment
+        elif character in "\n;":
+            node = None
+            at_node_start = True
+        elif character == "{":
+            blocks.append(node)
+            node = None
+            at_node_start = True
+        elif character == "}":
+            node = blocks.pop() if blocks else None
+            at_node_start = False
+        elif word is not None and at_node_start:
+            node = word[0]
+            at_node_start = False
+        index = max(end, word.end() if word else index + 1)
+    return _Cursor(blocks, node)
+
+
+def _labels(file: str | PathLike[str] | None, kind: str) -> list[str]:
+    """Return the labels that a file gives to blocks of a kind, for values that refer to them."""
+    if not file:
+        return []
+    try:
+        nodes = File(Path(file), errors=[]).every(kind)
+    except SettingsError:
+        return []
+    return sorted({str(node.args[0]) for node in nodes if node.args})
+
+
+def _block_names(block: Block, *, is_top: bool) -> list[Completion]:
+    """Return the nodes that may begin in a block."""
+    found = [
+        Completion(name, "block" if child.value is None else child.value.takes)
+        for name, child in block.blocks.items()
+    ]
+    if is_top:
+        return [*found, Completion("include", "a file or a folder"), Completion("template", "a name")]
+    return [*found, Completion("use", "a template")]
+
+
+def _property_values(block: Block, name: str, file: str | PathLike[str] | None) -> list[Completion]:
+    item = block.props.get(name)
+    words = item.quoted_words() if item is not None else []
+    if name == "type" and file:
+        words = [f'"{label}"' for label in _labels(file, "namespace-type")]
+    return [Completion(f"{name}={word}", "") for word in words]
+
+
+def _properties_and_value(block: Block, line: str) -> list[Completion]:
+    """Return what may come in a node; `line`: what is written of it on the last line."""
+    found = [
+        Completion(f"{name}=", item.takes) for name, item in block.props.items() if f" {name}=" not in line
+    ]
+    if block.value is not None:
+        found += [Completion(word, "") for word in block.value.quoted_words()]
+    return found
+
+
+def _enclosing_block(names: list[str | None]) -> Block | None:
+    block: Block | None = schema()
+    for name in names:
+        if block is None or name is None:
+            return None
+        block = block.blocks.get(name)
+    return block
+
+
+def completions(
+    text: str, line: int, column: int, file: str | PathLike[str] | None = None
+) -> list[Completion]:
+    """Return what may come at a place of a text, which need not be complete.
+
+    Args:
+        text: What is written.
+        line: Of the place, counted from 1.
+        column: Of the place, counted from 1.
+        file: Where labels that values refer to are looked up.
+    """
+    rows = text.split("\n")
+    if not 0 < line <= len(rows):
+        return []
+    before = "\n".join([*rows[: line - 1], rows[line - 1][: column - 1]])
+    word_start = max(before.rfind(limit) for limit in WORD_LIMITS) + 1
+    prefix = before[word_start:]
+    cursor = _cursor(before[:word_start])
+    enclosing = _enclosing_block(cursor.blocks) if cursor is not None else None
+    if cursor is None or enclosing is None:
+        return []
+    if cursor.node is None:
+        found = _block_names(enclosing, is_top=not cursor.blocks)
+    elif cursor.node == "use":
+        found = [Completion(f'"{label}"', "template") for label in _labels(file, "template")]
+    else:
+        block = enclosing.blocks.get(cursor.node)
+        if block is None:
+            return []
+        if "=" in prefix:
+            found = _property_values(block, prefix.partition("=")[0], file)
+        else:
+            found = _properties_and_value(block, before[:word_start].split("\n")[-1])
+    return [each for each in found if each.word.startswith(prefix)]
--- a/petrelwood/settings/decoders.py
+++ b/petrelwood/settings/decoders.py
@@ -123,9 +123,10 @@
 def one_of(*words: str) -> Decoder[str]:
     """Return a decoder of one of the words; the first is its sample."""
 
-    def decode(value: Value, subject: str) -> str:
+    def decode_word(value: Value, subject: str) -> str:
+        """Return the word, if it is one of them."""
         if not isinstance(value, str) or value not in words:
             raise InvalidValueError(f"{subject} can't be {value!r}{suggestion(value, words)}")
         return value
 
-    return Decoder(" or ".join(f'"{word}"' for word in words), decode, words[0], words)
+    return Decoder(" or ".join(f'"{word}"' for word in words), decode_word, words[0], words)
--- a/petrelwood/settings/meanings.py
+++ b/petrelwood/settings/descriptions.py
@@ -1,4 +1,7 @@
-"""One sentence for each name that a gateway's file may have; `reference.paths` says which there are."""
+"""Descriptions for the reference: one sentence for each name that a gateway's file may have.
+
+`schema.paths` lists the names.
+"""
 
 _TLS = {
     "": "TLS with a certificate of its own, or to trust others by.",
@@ -9,7 +12,7 @@
     " name=": "The name that the other side's certificate must have.",
 }
 
-MEANINGS = {
+DESCRIPTIONS = {
     "gateway": "The dispatcher itself.",
     "gateway > zone": (
         "The hall that it stands in; deduplicated activations with the scope `zone` may go again within it."
--- a/petrelwood/settings/gateway.py
+++ b/petrelwood/settings/gateway.py
@@ -131,6 +131,43 @@
     )
 
 
+class _Sections(NamedTuple):
+    """The sections that depend on no other; fields as in `Gateway`."""
+
+    limits: Limits
+    mqtt: MqttTerms | None
+    early: EarlyTerms | None
+    history: HistoryTerms | None
+    state: StateTerms | None
+    control: str
+    versions: str
+    configuration: ConfigurationTerms | None
+    health: str
+    damps: bool
+
+
+def _decode_sections(file: Node) -> _Sections:
+    limits = decode_limits(file.optional_child("limits"))
+    mqtt = decode_mqtt(file.optional_child("mqtt"))
+    early = decode_early_loads(file.optional_child("early"))
+    history = decode_history(file.optional_child("history"))
+    state = decode_state(file.optional_child("state"))
+    control = file.value("control", TEXT, "")
+    versions = file.value("versions", TEXT, "")
+    return _Sections(
+        limits=limits,
+        mqtt=mqtt,
+        early=early,
+        history=history,
+        state=state,
+        control=file.resolve(control),
+        versions=file.resolve(versions),
+        configuration=decode_configuration(file.optional_child("configuration"), versions),
+        health=file.resolve(file.value("health", TEXT, "")),
+        damps=file.value("damp-storms", FLAG, True),
+    )
+
+
 def decode(file: Node) -> Gateway:
     """Return the gateway that a file describes.
 
@@ -141,16 +178,7 @@
     namespaces = decode_namespaces(file, identity.tolerance)
     customers = decode_customers(file)
     functions = decode_functions(file, namespaces.types)
-    limits = decode_limits(file.optional_child("limits"))
-    mqtt = decode_mqtt(file.optional_child("mqtt"))
-    early = decode_early_loads(file.optional_child("early"))
-    history = decode_history(file.optional_child("history"))
-    state = decode_state(file.optional_child("state"))
-    control = file.value("control", TEXT, "")
-    versions = file.value("versions", TEXT, "")
-    configuration = decode_configuration(file.optional_child("configuration"), versions)
-    health = file.value("health", TEXT, "")
-    damps_storms = file.value("damp-storms", FLAG, True)
+    sections = _decode_sections(file)
     workers = decode_workers(file.child("workers"))
     file.reject_unknown()
     return Gateway(
@@ -161,22 +189,22 @@
         tolerance=identity.tolerance,
         timeouts=namespaces.timeouts,
         remember=namespaces.remember,
-        limits=limits,
+        limits=sections.limits,
         workers=workers.links,
         customers=customers,
         functions=functions,
         terms=_module_terms(identity, namespaces, customers, workers),
         tls=identity.tls,
         worker_tls=workers.tls,
-        mqtt=mqtt,
-        early=early,
-        history=history,
-        state=state,
-        versions=file.resolve(versions),
-        configuration=configuration,
-        control=file.resolve(control),
-        health=file.resolve(health),
-        damps=damps_storms,
+        mqtt=sections.mqtt,
+        early=sections.early,
+        history=sections.history,
+        state=sections.state,
+        versions=sections.versions,
+        configuration=sections.configuration,
+        control=sections.control,
+        health=sections.health,
+        damps=sections.damps,
     )
 
 
--- a/petrelwood/settings/kdl.py
+++ b/petrelwood/settings/kdl.py
@@ -92,6 +92,7 @@
     depths = scanned.depths
 
     def first_lines_are_kdl(count: int) -> bool:
+        """Return whether so many lines can be read, if the blocks that are open after them are closed."""
         return _is_kdl("\n".join(rows[:count]) + "\n" + "}" * max(0, depths[count - 1]))
 
     if depths[-1] > 0:
--- a/petrelwood/settings/kdl_scan.py
+++ b/petrelwood/settings/kdl_scan.py
@@ -98,6 +98,7 @@
         self._depths: list[int] = []
 
     def run(self) -> Scan:
+        """Pass over the text, once, and return what was found."""
         while self._index < len(self._text):
             self._step()
         self._depths.append(self._depth)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -14,7 +14,7 @@
 from rig import KEY
 from test_settings import GOOD
 
-from petrelwood.settings import comparison, gateway, kdl, layout, sense
+from petrelwood.settings import comparison, gateway, kdl, layout, validation
 from petrelwood.settings.errors import SettingsError
 
 # What is replaced in a file that is right, by what; or whole files, by name.
@@ -117,7 +117,7 @@
 
     def check(self, text):
         self.path.write_text(text, encoding="utf-8")
-        return sense.check(self.path)
+        return validation.check(self.path)
 
     def test_each_broken_set_gives_its_own_message_and_no_other(self):
         lines = []
@@ -273,7 +273,7 @@
                 at = chance.randrange(len(text))
                 cut = chance.choice([0, 0, 1, 5, 40])
                 text = text[:at] + chance.choice(words) * chance.choice([0, 1, 1, 2]) + text[at + cut :]
-            errors, _, _ = sense.check("g.kdl", text)
+            errors, _, _ = validation.check("g.kdl", text)
             try:
                 gateway.read("g.kdl", text)
             except SettingsError:
@@ -282,8 +282,8 @@
                 self.assertEqual(errors, [], text)
                 tried += 1
             try:
-                found = layout.laid_out(text)
-                self.assertEqual(layout.laid_out(found), found, text)
+                found = layout.format_text(text)
+                self.assertEqual(layout.format_text(found), found, text)
             except SettingsError:
                 pass
         self.assertGreater(tried, 100)
@@ -296,8 +296,8 @@
             'e """\n   raw\n   """\n/-f 3 {\n g\n}\n'
             'long 1 \\\n   2 \\ // more\n 3\n(type)h #"a " b"# { }\n'
         )
-        compare(self, "config_layout", layout.laid_out(text).splitlines())
-        self.assertEqual(layout.laid_out(layout.laid_out(text)), layout.laid_out(text))
+        compare(self, "config_layout", layout.format_text(text).splitlines())
+        self.assertEqual(layout.format_text(layout.format_text(text)), layout.format_text(text))
 
     def test_every_file_of_the_project_keeps_its_meaning(self):
         root = pathlib.Path(__file__).parent.parent
@@ -310,8 +310,8 @@
         )
         self.assertGreater(len(paths), 8)
         for path in paths:
-            found = layout.laid_out(path.read_text())
-            self.assertEqual(layout.laid_out(found), found, path)
+            found = layout.format_text(path.read_text())
+            self.assertEqual(layout.format_text(found), found, path)
             self.assertEqual(
                 [
                     line.split("//")[1].strip()
--- a/tests/test_reference.py
+++ b/tests/test_reference.py
@@ -10,9 +10,9 @@
 
 from petrelwood.emulate import script
 from petrelwood.lab import estimate, experiment
-from petrelwood.settings import document, reference, sense
+from petrelwood.settings import completion, document, schema, validation
+from petrelwood.settings.descriptions import DESCRIPTIONS
 from petrelwood.settings.errors import SettingsError
-from petrelwood.settings.meanings import MEANINGS
 
 DAYS = pathlib.Path(__file__).with_name("days")
 OTHERS = (
@@ -23,10 +23,10 @@
 
 class Reference(unittest.TestCase):
     def test_every_name_has_its_meaning_and_no_meaning_is_left_over(self):
-        self.assertEqual(sorted(MEANINGS), sorted(set(reference.paths())))
+        self.assertEqual(sorted(DESCRIPTIONS), sorted(set(schema.paths())))
 
     def test_the_schema_knows_what_a_whole_file_says(self):
-        blocks = {b.path: b for b in reference.schema().walk()}
+        blocks = {b.path: b for b in schema.schema().walk()}
         for node in document.File("g.kdl", GOOD).children:
             self.assertIn(node.name, blocks)
             self.assertLessEqual(set(node.props), set(blocks[node.name].props))
@@ -57,7 +57,7 @@
                 "workers { sends 3 overlap=",
             ):
                 rows = text.split("\n")
-                found = reference.completions(text, len(rows), len(rows[-1]) + 1, path)
+                found = completion.completions(text, len(rows), len(rows[-1]) + 1, path)
                 lines.append(text.replace("\n", " / ") + "|")
                 lines += [f"    {word}  {what}" for word, what in found[:9]] or ["    (nothing)"]
         compare(self, "completions", lines)
@@ -97,14 +97,14 @@
                 for old, new in changes:
                     self.assertIn(old, text)
                     path.write_text(text.replace(old, new, 1))
-                    errors, _, _ = sense.check(path, others=OTHERS)
+                    errors, _, _ = validation.check(path, others=OTHERS)
                     lines.append(f"{old} -> {new}")
                     lines += [f"    {fault}".replace(folder + "/", "") for fault in errors] or [
                         "    (nothing)"
                     ]
                     self.assertTrue(errors)
                 path.write_text(text)
-                self.assertEqual(sense.check(path, others=OTHERS)[0], [])
+                self.assertEqual(validation.check(path, others=OTHERS)[0], [])
         compare(self, "broken_days", lines)
 
 
