--- a/petrelwood/settings/speaker.py
+++ b/petrelwood/settings/speaker.py
@@ -1,173 +1,239 @@
-"""What a speaker's file says: who it is, whose heartbeats it hears, what it announces, and to whom."""
+"""The settings of a speaker: who it is, whose heartbeats it gets, what it announces, and to whom."""
 
 import ipaddress
-import pathlib
+from collections import Counter
+from pathlib import Path
 from typing import NamedTuple
 
 from petrelwood.decide.routing.announce import Service
 from petrelwood.decide.routing.serving import Bounds
-from petrelwood.settings import decoders, document
-from petrelwood.settings.errors import InvalidValueError
+from petrelwood.settings.decoders import (
+    ADDRESS,
+    COUNT,
+    DURATION,
+    FLAG,
+    SECOND,
+    TEXT,
+    Address,
+    Decoder,
+    one_of,
+)
+from petrelwood.settings.document import File
+from petrelwood.settings.errors import InvalidValueError, SettingsError
+from petrelwood.settings.kdl import Value
+from petrelwood.settings.node import Node
 from petrelwood.wire import bgp
 
-SECOND = 1_000_000_000
-ROLES = {
+Prefix = tuple[int, bytes, int]  # family, packed address, length in bits; as in `wire.bgp`
+
+ROLES = {  # RFC 9234
     "provider": bgp.PROVIDER,
     "route-server": bgp.RS,
     "route-server-client": bgp.RS_CLIENT,
     "customer": bgp.CUSTOMER,
     "peer": bgp.PEER,
 }
+DEFAULT_BOUNDS = Bounds(
+    silent=SECOND * 3 // 20,
+    fresh=30 * SECOND,
+    stall=SECOND // 2,
+    settle=SECOND,
+)
+DEFAULT_HOLD = 9 * SECOND
+MIN_HOLD = 3 * SECOND  # RFC 4271, 4.2
+HOLD_LIMIT = 65536 * SECOND  # it has 16 bits, in seconds
+AS_NUMBER_LIMIT = 1 << 32
+MED_LIMIT = 1 << 32
+COMMUNITY_PART_LIMIT = 1 << 16
+MAX_PREPENDED = 100  # AS numbers: longer paths are dropped by some peers
 
 
 class PeerTerms(NamedTuple):
+    """A peer that routes are announced to."""
+
     name: str
-    address: tuple  # (host, port)
+    address: Address
     asn: int
     passive: bool  # it connects to us
-    role: object  # ours towards it, or None
+    role: int | None  # ours towards it, RFC 9234
     far: bool  # more than one hop away: no check of the TTL (RFC 5082)
     most: int  # routes taken from it
 
 
 class Speaker(NamedTuple):
+    """All settings of one speaker."""
+
     name: str
     asn: int
     id: int
-    listen: object  # (host, port), or None
+    listen: Address | None
     health: str  # path of the socket on which the dispatcher's heartbeats come
     hold: int  # s
     bounds: Bounds
-    peers: tuple
-    services: tuple
+    peers: tuple[PeerTerms, ...]
+    services: tuple[Service, ...]
 
 
-def _decode_as_number(value, where):
-    if not 0 < decoders.COUNT.decode(value, where) < 1 << 32:
-        raise InvalidValueError(f"{where} must be an AS number, not {value!r}")
-    return value
+def _decode_as_number(value: Value, subject: str) -> int:
+    number = COUNT.decode(value, subject)
+    if not 0 < number < AS_NUMBER_LIMIT:
+        raise InvalidValueError(f"{subject} must be an AS number, not {value!r}")
+    return number
 
 
-def _decode_identifier(value, where):
+def _decode_identifier(value: Value, subject: str) -> int:
     try:
-        found = int(ipaddress.IPv4Address(decoders.TEXT.decode(value, where)))
-    except ValueError:
-        raise InvalidValueError(f"{where} must look like an IPv4 address, not {value!r}") from None
-    if not found:
-        raise InvalidValueError(f"{where} can't be 0.0.0.0")
-    return found
+        identifier = int(ipaddress.IPv4Address(TEXT.decode(value, subject)))
+    except ValueError as error:
+        raise InvalidValueError(f"{subject} must look like an IPv4 address, not {value!r}") from error
+    if not identifier:
+        raise InvalidValueError(f"{subject} can't be 0.0.0.0")
+    return identifier
 
 
-def _decode_prefix(value, where):
+def _decode_prefix(value: Value, subject: str) -> Prefix:
+    text = TEXT.decode(value, subject)
     try:
-        return bgp.prefix(decoders.TEXT.decode(value, where))
-    except ValueError:
-        raise InvalidValueError(
-            f'{where} must be an address or a network like "192.0.2.1/32", not {value!r}'
-        ) from None
+        prefix: Prefix = bgp.prefix(text)
+    except ValueError as error:
+        message = f'{subject} must be an address or a network like "192.0.2.1/32", not {value!r}'
+        raise InvalidValueError(message) from error
+    return prefix
 
 
-def _decode_hop(value, where):
+def _decode_next_hop(value: Value, subject: str) -> bytes:
+    text = TEXT.decode(value, subject)
     try:
-        return ipaddress.ip_address(decoders.TEXT.decode(value, where)).packed
-    except ValueError:
-        raise InvalidValueError(f"{where} must be an address, not {value!r}") from None
+        return ipaddress.ip_address(text).packed
+    except ValueError as error:
+        raise InvalidValueError(f"{subject} must be an address, not {value!r}") from error
 
 
-def _decode_community(value, where):
-    high, _, low = decoders.TEXT.decode(value, where).partition(":")
-    if not (high.isdigit() and low.isdigit() and int(high) < 65536 and int(low) < 65536):
-        raise InvalidValueError(f'{where} must be two numbers under 65536 like "65000:100", not {value!r}')
+def _decode_community(value: Value, subject: str) -> int:
+    high, _, low = TEXT.decode(value, subject).partition(":")
+    for part in (high, low):
+        if not part.isdigit() or int(part) >= COMMUNITY_PART_LIMIT:
+            message = f'{subject} must be two numbers under 65536 like "65000:100", not {value!r}'
+            raise InvalidValueError(message)
     return int(high) << 16 | int(low)
 
 
-AS_NUMBER = decoders.Decoder("AS number", _decode_as_number, 1)
-IDENTIFIER = decoders.Decoder("identifier", _decode_identifier, 1)
-PREFIX = decoders.Decoder("network", _decode_prefix, (bgp.IPV4, bytes(4), 32))
-HOP = decoders.Decoder("address", _decode_hop, bytes(4))
-COMMUNITY = decoders.Decoder("community", _decode_community, 0)
+AS_NUMBER = Decoder("AS number", _decode_as_number, 1)
+IDENTIFIER = Decoder("identifier, as an IPv4 address", _decode_identifier, 1)
+PREFIX: Decoder[Prefix] = Decoder("address or network", _decode_prefix, (bgp.IPV4, bytes(4), 32))
+NEXT_HOP = Decoder("address", _decode_next_hop, bytes(4))
+COMMUNITY = Decoder("community", _decode_community, 0)
 
 
-def _peer(node):
-    role = node.prop("role", decoders.one_of(*ROLES), None)
-    made = PeerTerms(
-        node.arg(decoders.TEXT, "a name"),
-        node.prop("address", decoders.ADDRESS),
-        node.prop("asn", AS_NUMBER),
-        node.prop("passive", decoders.FLAG, False),
-        ROLES.get(role),
-        node.prop("far", decoders.FLAG, False),
-        node.prop("most", decoders.COUNT, 10_000),
+def _decode_peer(node: Node) -> PeerTerms:
+    role = node.prop("role", one_of(*ROLES), None)
+    peer = PeerTerms(
+        name=node.arg(TEXT, "a name"),
+        address=node.prop("address", ADDRESS),
+        asn=node.prop("asn", AS_NUMBER),
+        passive=node.prop("passive", FLAG, False),
+        role=None if role is None else ROLES[role],
+        far=node.prop("far", FLAG, False),
+        most=node.prop("most", COUNT, 10_000),
     )
     node.reject_unknown(1)
-    return made
+    return peer
 
 
-def _service(node):
-    found, next_hop = node.arg(PREFIX, "an address"), node.prop("next-hop", HOP)
-    if len(next_hop) != len(found[1]):
+def _decode_service(node: Node) -> Service:
+    prefix = node.arg(PREFIX, "an address")
+    next_hop = node.prop("next-hop", NEXT_HOP)
+    _, address, _ = prefix
+    if len(next_hop) != len(address):
         node.report("the next hop is of another family than the address")
-    med = node.prop("med", decoders.COUNT, None)
-    made = Service(
-        found,
-        next_hop,
-        tuple(c.arg(COMMUNITY, "a community") for c in node.every("community")),
-        med,
-        node.prop("less-med", decoders.COUNT, 1000),
-        node.prop("less-prepend", decoders.COUNT, 3),
+    med = node.prop("med", COUNT, None)
+    service = Service(
+        prefix=prefix,
+        next_hop=next_hop,
+        communities=tuple(child.arg(COMMUNITY, "a community") for child in node.every("community")),
+        med=med,
+        less_med=node.prop("less-med", COUNT, 1000),
+        less_prepend=node.prop("less-prepend", COUNT, 3),
     )
     for child in node.every("community"):
         child.reject_unknown(1)
-    if max(made.less_med, med or 0) >= 1 << 32 or made.less_prepend > 100:
+    if max(service.less_med, med or 0) >= MED_LIMIT or service.less_prepend > MAX_PREPENDED:
         node.report("a MED has 32 bits, and an AS number is repeated 100 times at most")
     node.reject_unknown(1)
-    return made
+    return service
 
 
-def read(path, text=None, errors=None):
-    """The `Speaker` that a file describes. Raises `SettingsError`, or collects what is wrong in
-    `errors`."""
-    return described(document.File(path, text, errors))
+def _decode_bounds(node: Node | None) -> Bounds:
+    if node is None:
+        return DEFAULT_BOUNDS
+    bounds = Bounds(
+        silent=node.prop("silent", DURATION, DEFAULT_BOUNDS.silent),
+        fresh=node.prop("fresh", DURATION, DEFAULT_BOUNDS.fresh),
+        stall=node.prop("stall", DURATION, DEFAULT_BOUNDS.stall),
+        settle=node.prop("settle", DURATION, DEFAULT_BOUNDS.settle),
+    )
+    node.reject_unknown()
+    return bounds
 
 
-def described(file):
-    node = file.child("speaker")
-    bounds = node.optional_child("bounds")
-    read_ = bounds.prop if bounds else lambda name, kind, default: default
-    made_bounds = Bounds(
-        read_("silent", decoders.DURATION, SECOND * 3 // 20),
-        read_("fresh", decoders.DURATION, 30 * SECOND),
-        read_("stall", decoders.DURATION, SECOND // 2),
-        read_("settle", decoders.DURATION, SECOND),
-    )
-    if bounds:
-        bounds.reject_unknown()
-    hold = node.value("hold", decoders.DURATION, 9 * SECOND)
-    if hold and (hold < 3 * SECOND or hold % SECOND or hold >= 65536 * SECOND):
+def _decode_hold(node: Node) -> int:
+    """Return the hold time in seconds; 0: connections are not given up."""
+    hold = node.value("hold", DURATION, DEFAULT_HOLD)
+    if hold and (hold < MIN_HOLD or hold % SECOND or hold >= HOLD_LIMIT):
         node.report("'hold' must be 0, or whole seconds from 3 to 65535")
-    peers, services = tuple(map(_peer, node.every("peer"))), tuple(map(_service, node.every("serve")))
-    for what, names in (
-        ("peer", [p.name for p in peers]),
-        ("serve", [bgp.shown(s.prefix) for s in services]),
-    ):
-        for name in sorted({n for n in names if names.count(n) > 1}):
-            node.report(f"{what} '{name}' is given twice")
+    return hold // SECOND
+
+
+def _report_duplicates(node: Node, kind: str, names: list[str]) -> None:
+    for name, count in sorted(Counter(names).items()):
+        if count > 1:
+            node.report(f"{kind} '{name}' is given twice")
+
+
+def decode(file: Node) -> Speaker:
+    """Return the speaker that a file describes.
+
+    Raises:
+        SettingsError: The first thing that is wrong, if the file does not collect errors.
+    """
+    node = file.child("speaker")
+    bounds = _decode_bounds(node.optional_child("bounds"))
+    hold = _decode_hold(node)
+    peers = tuple(_decode_peer(peer) for peer in node.every("peer"))
+    services = tuple(_decode_service(service) for service in node.every("serve"))
+    _report_duplicates(node, "peer", [peer.name for peer in peers])
+    _report_duplicates(node, "serve", [bgp.shown(service.prefix) for service in services])
     if not (peers and services or file.partial):
         node.report("a speaker needs a 'peer' and a 'serve'")
-    listen, health = node.value("listen", decoders.ADDRESS, None), node.value("health", decoders.TEXT)
-    if any(p.passive for p in peers) and listen is None:
+    listen = node.value("listen", ADDRESS, None)
+    health = node.value("health", TEXT)
+    if any(peer.passive for peer in peers) and listen is None:
         node.report("a passive peer connects to us: 'listen' says where")
-    made = Speaker(
-        node.arg(decoders.TEXT, "a name"),
-        node.value("asn", AS_NUMBER),
-        node.value("id", IDENTIFIER),
-        listen,
-        str(pathlib.Path(file.file).parent / (health or "")),
-        hold // SECOND,
-        made_bounds,
-        peers,
-        services,
+    speaker = Speaker(
+        name=node.arg(TEXT, "a name"),
+        asn=node.value("asn", AS_NUMBER),
+        id=node.value("id", IDENTIFIER),
+        listen=listen,
+        health=str(file.folder / health),
+        hold=hold,
+        bounds=bounds,
+        peers=peers,
+        services=services,
     )
     node.reject_unknown(1)
     file.reject_unknown()
-    return made
+    return speaker
+
+
+def read(path: str | Path, text: str | None = None, errors: list[SettingsError] | None = None) -> Speaker:
+    """Return the speaker that a file, or a text in its place, describes.
+
+    Args:
+        path: The file.
+        text: What it says, if that is not read from it.
+        errors: Collects all that is wrong in place of the first being raised.
+
+    Raises:
+        SettingsError: The first thing that is wrong, if `errors` is not given.
+    """
+    return decode(File(path, text, errors))
--- a/tests/test_finished.py
+++ b/tests/test_finished.py
@@ -32,7 +32,7 @@
     "petrelwood/links/rpc_client.py",
     "petrelwood/links/sockets.py",
     "petrelwood/node/stream.py",
-    "petrelwood/settings/comparison.py",
+    "petrelwood/settings",
 }
 EXCUSE = re.compile(r"#\s*(noqa|fmt:|ruff:|type:\s*ignore|mypy:|pylint:)")
 READABLE = '''"""A module."""
