--- a/petrelwood/settings/document.py
+++ b/petrelwood/settings/document.py
@@ -72,7 +72,7 @@
         except SettingsError as error:
             if include is not None and not error.line:
                 error = include.error(f"'{path.name}' {error.message}")
-            self.report_value(error)
+            self.report_invalid_value(error)
             self.partial = True
             return []
         self.files[str(path)] = text
--- a/petrelwood/settings/gateway.py
+++ b/petrelwood/settings/gateway.py
@@ -75,8 +75,8 @@
         for rule in self.functions:
             if rule.pattern == function:
                 return rule
-            is_longest = longest is None or len(rule.pattern) > len(longest.pattern)
-            if is_longest and rule.pattern.endswith("*") and function.startswith(rule.pattern[:-1]):
+            fits = rule.pattern.endswith("*") and function.startswith(rule.pattern[:-1])
+            if fits and (longest is None or len(rule.pattern) > len(longest.pattern)):
                 longest = rule
         return longest
 
--- a/petrelwood/settings/node.py
+++ b/petrelwood/settings/node.py
@@ -132,7 +132,7 @@
         if not self.has_errors and not self._is_missing:
             errors.append(self.error(message))
 
-    def report_value(self, error: SettingsError) -> None:
+    def report_invalid_value(self, error: SettingsError) -> None:
         """Report that a value of it is wrong or missing, for which a sample stands in.
 
         Raises:
@@ -156,7 +156,7 @@
             self.has_errors = True
             self._absences.append(_Absence(similar, error))
         else:
-            self.report_value(error)
+            self.report_invalid_value(error)
 
     def _report_unknown(self, error: SettingsError) -> None:
         if self.collector.errors is None:
@@ -185,7 +185,7 @@
         try:
             return self.convert(decoder, subject, value)
         except SettingsError as error:
-            self.report_value(error)
+            self.report_invalid_value(error)
             return decoder.sample
 
     def arg(self, decoder: Decoder[T], what: str, default: T | Required = REQUIRED, at: int = 0) -> T:
@@ -193,7 +193,7 @@
         if at < len(self.args):
             return self.decode(decoder, f"'{self.name}'", self.args[at])
         if isinstance(default, Required):
-            self.report_value(self.error(f"'{self.name}' needs {what}"))
+            self.report_invalid_value(self.error(f"'{self.name}' needs {what}"))
             return decoder.sample
         return default
 
