--- a/petrelwood/settings/comparison.py
+++ b/petrelwood/settings/comparison.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable, Iterable, Iterator
 from enum import StrEnum
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from petrelwood import ports
 from petrelwood.settings.customers import Customer
@@ -49,11 +49,11 @@
         return f"{self.description}; risky: {self.risk}" if self.risk else self.description
 
 
-def _format_duration(duration: int) -> str:
+def _format_duration(duration: float) -> str:
     return f"{duration / SECOND:g} s" if duration >= SECOND else f"{duration / MILLISECOND:g} ms"
 
 
-def _format_bytes(value: int) -> str:
+def _format_bytes(value: float) -> str:
     for unit, size in (("GB", 10**9), ("MB", 10**6), ("KB", 10**3)):
         if value >= size:
             return f"{value / size:g} {unit}"
@@ -235,7 +235,7 @@
         )
 
 
-def _limit_format(name: str) -> Callable[[Any], str]:
+def _limit_format(name: str) -> Callable[[float], str]:
     if name.endswith(("within", "idle")):
         return _format_duration
     return _format_bytes if name in LIMITS_IN_BYTES else str
--- a/petrelwood/settings/node.py
+++ b/petrelwood/settings/node.py
@@ -66,6 +66,10 @@
     it, so that one problem does not make others.
 
     Attributes:
+        name: Its name.
+        args: Its arguments, as the file has them.
+        props: Its properties, as the file has them.
+        children: The nodes in its block.
         file: The path, as the file was named.
         line: Counted from 1; 0 where it is not known.
         column: Counted from 1; 0 where it is not known.
