--- a/tests/node_site.py
+++ b/tests/node_site.py
@@ -7,7 +7,6 @@
 import json
 import os
 import pathlib
-import socket
 import sys
 import tempfile
 import time
@@ -16,6 +15,7 @@
 import dns.message
 import dns.rrset
 import msgpack
+from free_ports import free_port
 
 ROOT = pathlib.Path(__file__).parent.parent
 SETTINGS = {
@@ -308,9 +308,7 @@
         for worker in self.workers:
             await worker.open()
             self.roster.tell(worker)
-        with socket.socket() as free:
-            free.bind(("127.0.0.1", 0))
-            self.address = free.getsockname()
+        self.address = ("127.0.0.1", free_port())
         await self.start()
         return self
 
--- a/tests/test_configuration_servers.py
+++ b/tests/test_configuration_servers.py
@@ -10,8 +10,8 @@
 import time
 import unittest
 
-import rig
 import structlog
+from free_ports import free_port
 from test_handover import DispatcherCase
 
 from petrelwood.clocks import LoopClock
@@ -41,9 +41,7 @@
         self.folder, self.processes, self.addresses = pathlib.Path(folder), {}, {}
         self.names = [f"c{n}" for n in range(1, count + 1)]
         for name in self.names:
-            sock, port = rig.bind_unused_port()
-            sock.close()
-            self.addresses[name] = ("127.0.0.1", port)
+            self.addresses[name] = ("127.0.0.1", free_port())
 
     def where(self, name):
         return "{}:{}".format(*self.addresses[name])
@@ -250,8 +248,7 @@
             self.assertEqual(ended.returncode, 2, ended.stderr)
 
     def test_publishing_without_a_server_says_so_and_a_wrong_file_is_never_published(self):
-        sock, port = rig.bind_unused_port()
-        sock.close()
+        port = free_port()
         (self.folder / "bad.kdl").write_text("this is { no")
         ended = run("configuration", "publish", str(self.folder / "bad.kdl"), "--server", f"127.0.0.1:{port}")
         self.assertEqual(ended.returncode, 2, ended.stderr)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,6 +20,7 @@
 from unittest import mock
 
 import msgpack
+from free_ports import free_port
 from node_site import ROOT, SETTINGS, Roster, Site, Worker, ask, hit
 
 from petrelwood.decide.overload import resource_limits
@@ -781,9 +782,7 @@
         await site.roster.open()
         await site.workers[0].open()
         site.roster.tell(site.workers[0])
-        with socket.socket() as free:
-            free.bind(("127.0.0.1", 0))
-            site.address = free.getsockname()
+        site.address = ("127.0.0.1", free_port())
         self.addCleanup(site.folder.cleanup)
         path = site.write()
         for before in (True, False):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,6 +15,7 @@
 from unittest.mock import Mock
 
 import rig
+from free_ports import free_port
 from kept import compare
 from rig import KEY, Roster, Worker, answer
 
@@ -173,10 +174,7 @@
 
         self.worker = Worker("w1", slowly)
         self.roster.entries = [self.worker.entry(zone="n")]
-        free = socket.socket()
-        free.bind(("127.0.0.1", 0))
-        self.address = free.getsockname()
-        free.close()
+        self.address = ("127.0.0.1", free_port())
         self.path = self.folder / "g.kdl"
         self.path.write_text(
             rig.FILE.format(roster=port, key=KEY, limits='body "20KB"', workers="").replace(
--- a/tests/test_restart_readiness.py
+++ b/tests/test_restart_readiness.py
@@ -19,6 +19,7 @@
 import unittest
 
 import msgpack
+from free_ports import free_port
 from node_site import ROOT, Roster, Site, Worker, answer
 from test_crossings import Said
 
@@ -133,11 +134,7 @@
     @staticmethod
     def addresses():
         """Free ones."""
-        with contextlib.ExitStack() as stack:
-            taken = [stack.enter_context(socket.socket()) for _ in range(TOGETHER)]
-            for sock in taken:
-                sock.bind(("127.0.0.1", 0))
-            return [sock.getsockname() for sock in taken]
+        return [("127.0.0.1", free_port()) for _ in range(TOGETHER)]
 
     async def start(self, site, address):
         began = time.monotonic()
