--- a/petrelwood/control/connection.py
+++ b/petrelwood/control/connection.py
@@ -46,13 +46,12 @@
             self.last_read = time.monotonic_ns()
             try:
                 messages = reader.feed(data)
-            except rpc.Garbage as error:
+            except rpc.MalformedRpcError as error:
                 raise ProtocolError(f"the caller does not speak MessagePack-RPC: {error}") from error
             for message in messages:
-                if message[0] == rpc.REQUEST:
-                    _, message_id, method, params = message
+                if isinstance(message, rpc.Request):
                     self._open_calls += 1
-                    self._tasks.start(self._respond(message_id, method, params))
+                    self._tasks.start(self._respond(message.message_id, message.method, message.params))
 
     async def _respond(self, message_id: int, method: str, params: list[Any]) -> None:
         try:
--- a/petrelwood/links/rpc.py
+++ b/petrelwood/links/rpc.py
@@ -1,158 +1,181 @@
-"""MessagePack-RPC on a byte stream, for both ends:
+"""MessagePack-RPC on a byte stream, for both ends.
+
 https://github.com/msgpack-rpc/msgpack-rpc/blob/master/spec.md
 
-    request [0, msgid, method, params]   response [1, msgid, error, result]   notification [2, method, params]
+    request [0, message id, method, params]
+    response [1, message id, error, result]
+    notification [2, method, params]
 
-A peer that sends anything else, or a message over the bound, is not understood any more: `Garbage`.
+A peer that sends anything else, or a message over the bounds, is not understood any more:
+`MalformedRpcError`.
 """
 
-from typing import NamedTuple
+from collections.abc import Sequence
+from typing import Any, NamedTuple, TypeGuard
 
 import msgpack
 
-REQUEST, RESPONSE, NOTICE = 0, 1, 2
-FIRST = 4096  # bytes that a bounded reader's buffer begins with
+from petrelwood.links.announced_lengths import AnnouncedLengths, MessageLimits
+from petrelwood.links.errors import MalformedRpcError
+
+__all__ = [
+    "NOTICE",
+    "REQUEST",
+    "RESPONSE",
+    "MalformedRpcError",
+    "Message",
+    "MessageLimits",
+    "Notification",
+    "Reader",
+    "Request",
+    "Response",
+    "notice",
+    "request",
+    "response",
+]
+
+REQUEST = 0
+RESPONSE = 1
+NOTICE = 2
+REQUEST_FIELDS = 4
+RESPONSE_FIELDS = 4
+NOTICE_FIELDS = 3
+MESSAGE_IDS = 1 << 32  # message ids have 32 bits
+FIRST_BUFFER_SIZE = 4096  # bytes that the buffer of a reader with limits begins with
 _pack = msgpack.Packer(use_bin_type=True, autoreset=True).pack
 
 
-class Parts(NamedTuple):
-    """Bytes of a body and of a text, members of an array or map: the most of each in one message."""
-
-    body: int
-    text: int
-    members: int
-
-
-class Garbage(Exception):
-    """The peer does not speak the protocol."""
-
-
-def request(msgid, method, params):
-    return _pack([REQUEST, msgid, method, params])
-
-
-def response(msgid, error, result):
-    return _pack([RESPONSE, msgid, error, result])
-
-
-def notice(method, params):
-    return _pack([NOTICE, method, params])
-
-
-# Bytes that follow a code of MessagePack, and how many of them tell the length of a text (str) or a body
-# (bin).
-_FOLLOW = {
-    0xCA: 4,
-    0xCB: 8,
-    0xCC: 1,
-    0xCD: 2,
-    0xCE: 4,
-    0xCF: 8,
-    0xD0: 1,
-    0xD1: 2,
-    0xD2: 4,
-    0xD3: 8,
-    0xDC: 2,
-    0xDD: 4,
-    0xDE: 2,
-    0xDF: 4,
-}
-_TELL = {0xC4: 1, 0xC5: 2, 0xC6: 4, 0xD9: 1, 0xDA: 2, 0xDB: 4}
-_EXTENSIONS = frozenset((0xC7, 0xC8, 0xC9, 0xD4, 0xD5, 0xD6, 0xD7, 0xD8))
-
-
-class Lengths:
-    """Reads what a message that is not whole yet announces, as its bytes come: msgpack itself tells a text or
-    a body that is too long only once it is there."""
-
-    def __init__(self, parts):
-        self.parts, self.skip, self.rest = parts, 0, b""
-
-    def feed(self, data):
-        """Raises `Garbage` at a length over the bounds."""
-        data, at = self.rest + data, 0
-        while True:
-            step = min(self.skip, len(data) - at)
-            at, self.skip = at + step, self.skip - step
-            if at == len(data):
-                self.rest = b""
-                return
-            code, tell = data[at], _TELL.get(data[at], 0)
-            if at + 1 + tell > len(data):
-                self.rest = data[at:]
-                return
-            if code in _EXTENSIONS:
-                raise Garbage("an extension type")
-            if 0xA0 <= code <= 0xBF:
-                self.skip = code & 0x1F
-            elif tell:
-                self.skip = int.from_bytes(data[at + 1 : at + 1 + tell], "big")
-                if self.skip > (self.parts.body if code < 0xC7 else self.parts.text):
-                    raise Garbage(f"it announces {self.skip} bytes")
-            else:
-                self.skip = _FOLLOW.get(code, 0)
-            at += 1 + tell
+class Request(NamedTuple):
+    """A call that its peer answers with a response under the same id."""
+
+    kind: int
+    message_id: int
+    method: str
+    params: list[Any]
+
+
+class Response(NamedTuple):
+    """The answer to the request with this id; `error` is None where there is a result."""
+
+    kind: int
+    message_id: int
+    error: object
+    result: object
+
+
+class Notification(NamedTuple):
+    """A call that is not answered."""
+
+    kind: int
+    method: str
+    params: list[Any]
+
+
+Message = Request | Response | Notification
+
+
+def request(message_id: object, method: str, params: Sequence[object]) -> bytes:
+    """Return the bytes of a request."""
+    data: bytes = _pack([REQUEST, message_id, method, params])
+    return data
+
+
+def response(message_id: int, error: object, result: object) -> bytes:
+    """Return the bytes of a response."""
+    data: bytes = _pack([RESPONSE, message_id, error, result])
+    return data
+
+
+def notice(method: str, params: Sequence[object]) -> bytes:
+    """Return the bytes of a notification."""
+    data: bytes = _pack([NOTICE, method, params])
+    return data
 
 
 class Reader:
-    """Bytes to messages. `most`: bytes of one message. `parts`: bounds on what a message may hold (`Parts`),
-    so that one that is too large is told from the lengths that it announces, before it is here."""
-
-    def __init__(self, most, parts=None):
-        self.fed, self.ended, self.parts, self.lengths = 0, 0, parts, None
-        if parts is None:
-            self.unpacker = msgpack.Unpacker(raw=False, max_buffer_size=most, strict_map_key=False)
-        # its buffer begins small: there may be hundreds of such peers
-        else:
-            self.unpacker = msgpack.Unpacker(
-                raw=False,
-                max_buffer_size=most,
-                read_size=FIRST,
-                max_bin_len=parts.body,
-                max_str_len=parts.text,
-                max_array_len=parts.members,
-                max_map_len=parts.members,
-                max_ext_len=0,
-            )
-
-    def feed(self, data):
-        """The messages that are whole now, each a checked list."""
+    """Bytes to messages.
+
+    Args:
+        most: Bytes of one message at most.
+        limits: Bounds on what a message may hold, so that one that is too large is found by the lengths that
+            it announces, before it has arrived.
+    """
+
+    def __init__(self, most: int, limits: MessageLimits | None = None) -> None:
+        self._limits = limits
+        self._fed = 0  # bytes so far
+        self._decoded = 0  # bytes of the messages that are complete
+        self._lengths: AnnouncedLengths | None = None  # of a message that is not complete
+        self._unpacker = _unpacker(most, limits)
+
+    def feed(self, data: bytes) -> list[Message]:
+        """Return the messages that these bytes complete.
+
+        Raises:
+            MalformedRpcError: The bytes are not MessagePack-RPC or over the bounds.
+        """
+        values = self._unpack(data)
+        if values:
+            self._lengths = None
+        if self._limits is not None and self._decoded != self._fed:
+            if self._lengths is None:  # another one has begun
+                self._lengths = AnnouncedLengths(self._limits)
+            self._lengths.feed(data[self._decoded - self._fed :])
+        return [_message(value) for value in values]
+
+    def _unpack(self, data: bytes) -> list[object]:
+        values = []
         try:
-            self.fed += len(data)
-            self.unpacker.feed(data)
-            messages = []
-            for message in self.unpacker:
-                messages.append(message)
-                # which also counts what it has read of a message that is not whole
-                self.ended = self.unpacker.tell()
+            self._fed += len(data)
+            self._unpacker.feed(data)
+            for value in self._unpacker:
+                values.append(value)
+                # which also counts what it has read of a message that is not complete
+                self._decoded = self._unpacker.tell()
         # msgpack raises many kinds for malformed input, ValueError among them
-        except Exception as fault:
-            raise Garbage(f"not MessagePack: {fault!r}") from None
-        if messages:
-            self.lengths = None
-        if self.parts is not None and not self.whole():
-            if self.lengths is None:  # another one has begun
-                self.lengths = Lengths(self.parts)
-            self.lengths.feed(data[-(self.fed - self.ended) :])
-        for message in messages:
-            if not _shape(message):
-                raise Garbage("not a MessagePack-RPC message")
-        return messages
-
-    def whole(self):
-        """Whether nothing of a further message is here."""
-        return self.ended == self.fed
-
-
-def _shape(m):
-    if not isinstance(m, list) or len(m) < 3:
-        return False
-    if m[0] == REQUEST:
-        return len(m) == 4 and _id(m[1]) and isinstance(m[2], str) and isinstance(m[3], list)
-    if m[0] == RESPONSE:
-        return len(m) == 4 and _id(m[1])
-    return m[0] == NOTICE and len(m) == 3 and isinstance(m[1], str) and isinstance(m[2], list)
-
-
-def _id(value):
-    return isinstance(value, int) and not isinstance(value, bool) and 0 <= value < 1 << 32
+        except Exception as error:
+            raise MalformedRpcError(f"not MessagePack: {error!r}") from error
+        return values
+
+    def is_between_messages(self) -> bool:
+        """Return whether all bytes so far belong to complete messages."""
+        return self._decoded == self._fed
+
+
+def _unpacker(most: int, limits: MessageLimits | None) -> msgpack.Unpacker:
+    if limits is None:
+        return msgpack.Unpacker(raw=False, max_buffer_size=most, strict_map_key=False)
+    return msgpack.Unpacker(
+        raw=False,
+        max_buffer_size=most,
+        read_size=FIRST_BUFFER_SIZE,  # small: there may be hundreds of such peers
+        max_bin_len=limits.body,
+        max_str_len=limits.text,
+        max_array_len=limits.members,
+        max_map_len=limits.members,
+        max_ext_len=0,
+    )
+
+
+def _message(value: object) -> Message:
+    """Return a decoded value as a message. Raises MalformedRpcError."""
+    if isinstance(value, list) and value:
+        kind = value[0]
+        if kind == RESPONSE:
+            if len(value) == RESPONSE_FIELDS and _is_message_id(value[1]):
+                return Response(*value)
+        elif kind == REQUEST:
+            if len(value) == REQUEST_FIELDS and _is_message_id(value[1]) and _is_call(value[2:]):
+                return Request(*value)
+        elif kind == NOTICE and len(value) == NOTICE_FIELDS and _is_call(value[1:]):
+            return Notification(*value)
+    raise MalformedRpcError("not a MessagePack-RPC message")
+
+
+def _is_call(method_and_params: Sequence[object]) -> bool:
+    method, params = method_and_params
+    return isinstance(method, str) and isinstance(params, list)
+
+
+def _is_message_id(value: object) -> TypeGuard[int]:
+    return isinstance(value, int) and not isinstance(value, bool) and 0 <= value < MESSAGE_IDS
--- a/petrelwood/links/rpc_client.py
+++ b/petrelwood/links/rpc_client.py
@@ -98,10 +98,12 @@
                 self._received += len(data)
                 for message in reader.feed(data):
                     self.messages += 1
-                    if message[0] == rpc.RESPONSE:
-                        _, message_id, error, result = message
-                        self._answered(message_id, error, result)
-        except (OSError, rpc.Garbage) as error:  # tornado hands some errors of the socket on as they are
+                    if isinstance(message, rpc.Response):
+                        self._answered(message.message_id, message.error, message.result)
+        except (
+            OSError,
+            rpc.MalformedRpcError,
+        ) as error:  # tornado hands some errors of the socket on as they are
             stream.close()
             if self._stream is stream:
                 self._fail_open_calls(str(error) or "the connection is lost")
--- a/petrelwood/links/worker.py
+++ b/petrelwood/links/worker.py
@@ -161,7 +161,7 @@
                     self._message(message)
         except StreamClosedError as fault:
             why = str(fault.real_error or why)
-        except rpc.Garbage as fault:
+        except rpc.MalformedRpcError as fault:
             why = str(fault)
         except OSError as fault:
             why = str(fault)
@@ -215,12 +215,12 @@
             self._response(message[1], message[2], message[3])
         elif message[0] == rpc.NOTICE and message[1] == "hello" and self.state.phase == LinkPhase.GREETING:
             if len(message[2]) != 2 or not isinstance(message[2][1], int):
-                raise rpc.Garbage("a malformed greeting")
+                raise rpc.MalformedRpcError("a malformed greeting")
             if not self.state.on_greeting(self.core.now(), *message[2]):
-                raise rpc.Garbage(f"the peer is {message[2][0]!r}")
+                raise rpc.MalformedRpcError(f"the peer is {message[2][0]!r}")
             self._flush()
         elif self.state.phase is not UP:
-            raise rpc.Garbage("it did not greet first")
+            raise rpc.MalformedRpcError("it did not greet first")
 
     def _response(self, msgid, error, result):
         call = self.out.get(msgid)
@@ -231,15 +231,15 @@
         if call.kind == "run":
             parts = error if error is not None else result
             if not isinstance(parts, list) or len(parts) != 5:
-                raise rpc.Garbage("a malformed answer")
+                raise rpc.MalformedRpcError("a malformed answer")
             head, parts = (parts[0], parts[1:]) if error is not None else (None, parts)
             if parts[0] != call.act or parts[1] != call.n:
-                raise rpc.Garbage("an answer for another activation")
+                raise rpc.MalformedRpcError("an answer for another activation")
             gauge = _gauge(parts[3 if error is not None else 4])
             body = parts[3] if error is None else b""
             note = parts[2] if isinstance(parts[2], int) else 0
             if not isinstance(body, bytes):
-                raise rpc.Garbage("an answer's body must be bytes")
+                raise rpc.MalformedRpcError("an answer's body must be bytes")
             self._end(
                 call, send_outcome.of_error(head) if error is not None else "completed", note, body, gauge
             )
--- a/petrelwood/node/front.py
+++ b/petrelwood/node/front.py
@@ -38,7 +38,7 @@
 DEPARTURE = 100_000_000
 LOOKED = DEPARTURE // 2
 FACTS = 512  # texts of further figures whose reading is kept
-PARTS = rpc.Parts(resource_limits.BODY, resource_limits.TEXT, resource_limits.MEMBERS)
+PARTS = rpc.MessageLimits(resource_limits.BODY, resource_limits.TEXT, resource_limits.MEMBERS)
 
 
 class Figures(NamedTuple):
@@ -215,7 +215,7 @@
         try:
             messages = self.reader.feed(data)
             # a reader has some 40 KB: only who is in a message has one
-            if self.reader.whole():
+            if self.reader.is_between_messages():
                 if len(front.readers) < READERS:
                     front.readers.append(self.reader)
                 self.reader, self.part = None, 0
@@ -223,7 +223,7 @@
                 self.part = now
             for message in messages:
                 self._handle(message, now)
-        except rpc.Garbage as fault:
+        except rpc.MalformedRpcError as fault:
             front.note("unreadable", str(fault))
             self._garbled(now)
 
@@ -231,7 +231,7 @@
         """A defect costs the one message that met it."""
         try:
             self._message(message, now)
-        except rpc.Garbage:
+        except rpc.MalformedRpcError:
             raise
         except Exception as fault:
             self.front.core.defect("front", fault)
@@ -332,7 +332,7 @@
             _, msgid, method, params = message
             # whose answer the next one under it would be can't be told
             if msgid in self.open:
-                raise rpc.Garbage("a number that is open")
+                raise rpc.MalformedRpcError("a number that is open")
             if self.ending:
                 self.refuse(msgid, self.front.core.intake.usual)
             elif method in self.front.core.terms.types:
@@ -350,7 +350,7 @@
                     self.front.core.client_left(exchange.act, exchange)
             self.rests()
         else:
-            raise rpc.Garbage("neither a request nor a cancel")
+            raise rpc.MalformedRpcError("neither a request nor a cancel")
 
     def _call(self, msgid, type_, params, now):
         core = self.front.core
--- a/petrelwood/standins/store.py
+++ b/petrelwood/standins/store.py
@@ -24,7 +24,7 @@
             while True:
                 for message in reader.feed(await stream.read_bytes(65536, partial=True)):
                     self.store.fetch(message[3][0], lambda ok, i=message[1]: self.reply(stream, i, ok))
-        except (StreamClosedError, rpc.Garbage):
+        except (StreamClosedError, rpc.MalformedRpcError):
             stream.close()
 
     @staticmethod
--- a/petrelwood/standins/worker.py
+++ b/petrelwood/standins/worker.py
@@ -77,7 +77,7 @@
             while True:
                 for message in reader.feed(await stream.read_bytes(65536, partial=True)):
                     self.message(stream, message)
-        except (StreamClosedError, rpc.Garbage):
+        except (StreamClosedError, rpc.MalformedRpcError):
             stream.close()
         finally:
             line = self.lines.pop(stream)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -24,7 +24,7 @@
 from petrelwood.node import front, lines, roster, told
 
 MS = 1_000_000
-PARTS = rpc.Parts(16_384, 1_024, 64)
+PARTS = rpc.MessageLimits(16_384, 1_024, 64)
 
 
 class Codecs(unittest.TestCase):
@@ -34,9 +34,9 @@
         for cut in range(1, len(frame)):
             reader = rpc.Reader(50_000, PARTS)
             self.assertEqual(len(reader.feed(frame + frame[:cut])), 1)
-            self.assertFalse(reader.whole(), cut)
+            self.assertFalse(reader.is_between_messages(), cut)
             self.assertEqual(len(reader.feed(frame[cut:])), 1)
-            self.assertTrue(reader.whole())
+            self.assertTrue(reader.is_between_messages())
 
     def test_what_is_too_large_ends_before_much_of_it_is_held(self):
         """All is told from the length that is announced."""
@@ -51,7 +51,7 @@
         ):
             with self.subTest(bad.hex()):
                 reader, fed = rpc.Reader(50_000, PARTS), 0
-                with self.assertRaises(rpc.Garbage):
+                with self.assertRaises(rpc.MalformedRpcError):
                     reader.feed(head + bad)
                     while fed < 200_000:
                         fed += 10_000
@@ -65,7 +65,7 @@
             for cut in range(1, len(frame)):
                 reader = rpc.Reader(50_000, PARTS)
                 self.assertEqual(reader.feed(frame[:cut]), [])
-                with self.assertRaises(rpc.Garbage, msg=f"{bad.hex()} cut at {cut}"):
+                with self.assertRaises(rpc.MalformedRpcError, msg=f"{bad.hex()} cut at {cut}"):
                     reader.feed(frame[cut:])
 
     def test_what_fits_is_read_the_same_wherever_it_is_cut(self):
@@ -103,7 +103,8 @@
             for cut in sorted(chance.randrange(len(twice)) for _ in range(4)) + [len(twice)]:
                 found += reader.feed(twice[last:cut])
                 last = cut
-            self.assertEqual(found, [message, message])
+            self.assertEqual(found, [rpc.Request(*message)] * 2)
+            self.assertTrue(all(isinstance(each, rpc.Request) for each in found))
 
     def test_mutated_requests_end_in_messages_or_garbage(self):
         chance = random.Random(11)
@@ -116,7 +117,7 @@
                 bad[chance.randrange(len(bad))] = chance.randrange(256)
             try:
                 messages = rpc.Reader(50_000, PARTS).feed(bytes(bad))
-            except rpc.Garbage:
+            except rpc.MalformedRpcError:
                 ended["garbage"] += 1
                 continue
             ended["whole"] += 1
--- a/tests/test_packets.py
+++ b/tests/test_packets.py
@@ -189,7 +189,7 @@
                 data[chance.randrange(len(data))] ^= 1 << chance.randrange(8)
             try:
                 rpc.Reader(10_000).feed(bytes(data))
-            except rpc.Garbage:
+            except rpc.MalformedRpcError:
                 garbage += 1
         self.assertGreater(garbage, 100)
 
