--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -69,7 +69,7 @@
 
     def _make_link(self, worker: str, address: Address | None, core: Core) -> WorkerLink:
         return WorkerLink(
-            worker, address, self.gateway.workers, self.chance.random, core, self.log, self.gateway.worker_tls
+            worker, address, self.gateway.workers, self.chance.random, self, self.log, self.gateway.worker_tls
         )
 
     # Folders.
--- a/petrelwood/dispatch/worker_links.py
+++ b/petrelwood/dispatch/worker_links.py
@@ -18,7 +18,7 @@
     `submit`: never from within a method of its own.
     """
 
-    address: Address
+    address: Address | None
 
     def run(
         self, activation: str, attempt: int, function: str, mark: str, left: int, lanes: int, body: bytes
--- a/petrelwood/links/calls.py
+++ b/petrelwood/links/calls.py
@@ -1,155 +1,242 @@
-"""What a link to a worker has been asked and has not ended yet: the queue, the stages and how each call ends.
+"""The calls of a link to a worker that have not ended: their queue, their stages and how each one ends.
 
-Shared by the links of all protocols. A frame is encoded as it leaves, since a send's time left is part of it.
-What an end proves is decided in `decide.delivery.send_outcome`. `core` hears of each end, through `submit`:
-`send_ended`, `load_order_ended`, `health_check_ended`; never from within a method that it has called
-itself."""
+Shared by the links of all protocols. A frame is encoded as it leaves, since the time left of an activation is
+part of it. What an end proves is decided in `decide.delivery.send_outcome`.
+"""
 
 from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import Generic, TypeVar
+
+from tornado.iostream import IOStream
 
 from petrelwood.decide.delivery import send_outcome
+from petrelwood.decide.delivery.send_outcome import SendStage
 from petrelwood.links import sockets
-
-
-class Call:
-    """One send, order or probe. `tag` names it among those that are out; `line` is the connection that has
-    it, where there are several; `until` (ns) is when a send's time is up, whether its activation still lives
-    or not. `content` is what its frame is made of when it leaves, `size` the bytes that it counts for while
-    it waits, `begins` how many bytes were written on its connection before it, where that proves
-    something."""
-
-    __slots__ = ("kind", "act", "n", "fn", "at", "content", "size", "stage", "tag", "line", "until", "begins")
-
-    def __init__(self, kind, act, n, fn, at, content, size, tag, until=None):
-        self.kind = kind
-        self.act = act
-        self.n = n
-        self.fn = fn
-        self.at = at
-        self.content = content
-        self.size = size
-        self.stage = send_outcome.SendStage.QUEUED
-        self.tag = tag
-        self.line = None
-        self.until = until
-        self.begins = None
-
-
-class Calls:
-    """The calls of one link. Subclasses move them: `_wait` in, `_hand` out, `_encode` for the bytes of one,
-    `_notice_end` for what a worker should give up."""
-
-    LEAST_LEFT = 1  # ns that a send must have left to leave: the unit in which its worker is told
-
-    def __init__(self, worker, address, core):
-        self.worker, self.address, self.core = worker, address, core
-        self.waiting, self.waiting_bytes, self.out, self.runs = deque(), 0, {}, {}
-        self.counts = {"sent": 0, "answered": 0, "strays": 0, "lost": 0, "recalled": 0}
-
-    def cancel(self, act, n):
-        """Ends the wait for a send; the worker is told where it may have heard of it."""
-        self._stop(act, n, send_outcome.of_cancel)
-
-    def late(self, act, n):
-        """The time of a send is up."""
-        self._stop(act, n, send_outcome.of_time)
-
-    def _stop(self, act, n, proof):
-        call = self.runs.get((act, n))
+from petrelwood.links.interfaces import Address, Gauge, LinkCore
+
+ContentT = TypeVar("ContentT")  # what the frame of a call is made of
+ConnectionT = TypeVar("ConnectionT")  # a connection of a link that has several
+
+
+class CallKind(StrEnum):
+    """What a call asks of its worker."""
+
+    RUN = "run"  # an attempt of an activation
+    HOLD = "hold"  # a load order: have so many copies of a function
+    PROBE = "probe"  # a health check
+
+
+# Each call asks for these, and Python 3.11 is slow to look a member up on its enum.
+RUN = CallKind.RUN
+HOLD = CallKind.HOLD
+PROBE = CallKind.PROBE
+QUEUED = SendStage.QUEUED
+WRITTEN = SendStage.WRITTEN
+ANSWERED = SendStage.ANSWERED
+
+
+@dataclass(slots=True, eq=False)
+class Call(Generic[ContentT, ConnectionT]):
+    """One attempt of an activation, one load order or one health check.
+
+    Attributes:
+        kind: What it asks for.
+        activation: The id of its activation, or what it goes under where it has none.
+        number: Of an attempt its number, of a load order the copies wanted, of a health check 0.
+        function: The function that it is about; empty of a health check.
+        made_at: When it was made, in ns.
+        content: What its frame is made of when it leaves, then None.
+        size: Bytes that it counts for while it is queued.
+        tag: Names it among the calls in flight.
+        deadline: When the time of an attempt is up, in ns, whether its activation has ended or not.
+        stage: How far it has come.
+        connection: Which connection carries it, of a link that has several.
+        bytes_before: Bytes that were written on its connection before it; None where that proves nothing.
+    """
+
+    kind: CallKind
+    activation: str
+    number: int
+    function: str
+    made_at: int
+    content: ContentT | None
+    size: int
+    tag: object
+    deadline: int | None = None
+    stage: SendStage = QUEUED
+    connection: ConnectionT | None = None
+    bytes_before: int | None = None
+
+
+@dataclass(slots=True)
+class LinkCounts:
+    """What a link has counted since it was made."""
+
+    sent: int = 0
+    answered: int = 0
+    unexpected_answers: int = 0  # to calls that have ended, or that nobody made
+    lost: int = 0  # connections
+    recalled: int = 0  # calls taken back before they left
+
+
+class Calls(Generic[ContentT, ConnectionT]):
+    """The calls of one link that have not ended.
+
+    A subclass moves them: `_enqueue` puts one into the queue, `_take_frame` takes it out for the socket,
+    `_end` reports its end. It provides `_encode`, and `_send_cancel` where its protocol has one.
+    """
+
+    MIN_TIME_LEFT = 1  # ns that an attempt must have left to leave: the unit in which its worker is told
+
+    def __init__(self, worker: str, address: Address | None, core: LinkCore) -> None:
+        self.worker = worker
+        self.address = address
+        self.core = core
+        self.waiting: deque[Call[ContentT, ConnectionT]] = deque()  # queued, not written yet
+        self.waiting_bytes = 0
+        self.in_flight: dict[object, Call[ContentT, ConnectionT]] = {}  # written, by tag
+        self.runs: dict[tuple[str, int], Call[ContentT, ConnectionT]] = {}  # attempts, queued or in flight
+        self.counts = LinkCounts()
+
+    # For the dispatcher.
+    def cancel(self, activation: str, attempt: int) -> None:
+        """End the wait for an attempt; a worker that may have begun it is asked to stop."""
+        self._stop(activation, attempt, send_outcome.of_cancel)
+
+    def late(self, activation: str, attempt: int) -> None:
+        """End an attempt whose time is up."""
+        self._stop(activation, attempt, send_outcome.of_time)
+
+    def _stop(self, activation: str, attempt: int, code_of: Callable[[SendStage], str]) -> None:
+        call = self.runs.get((activation, attempt))
         if call is not None:
-            if call.stage == send_outcome.SendStage.WRITTEN:
-                self._notice_end(call)
-            self._end(call, proof(call.stage))
-
-    def withdraw(self, act, n):
-        """Its activation has ended: what has not left yet never does. That needs nobody's leave, as a cancel
-        does."""
-        call = self.runs.get((act, n))
-        if call is not None and call.stage == send_outcome.SendStage.QUEUED:
-            self._end(call, send_outcome.of_recall(call.stage))
-
-    def recall(self):
-        """The worker drains or is gone: what has not left yet is taken back."""
-        for call in list(self.waiting):
-            code = send_outcome.of_recall(call.stage)
-            if code is not None and call.kind != "probe":
-                self.counts["recalled"] += 1
-                self._end(call, code)
-
-    def owes(self):
-        return bool(self.waiting or self.out)
-
-    def _wait(self, call):
+            if call.stage == WRITTEN:
+                self._send_cancel(call)
+            self._end(call, code_of(call.stage))
+
+    def withdraw(self, activation: str, attempt: int) -> None:
+        """Take an attempt back if it has not left, as its activation has ended.
+
+        That needs no permission to cancel: the worker has not heard of it.
+        """
+        call = self.runs.get((activation, attempt))
+        code = None if call is None else send_outcome.of_recall(call.stage)
+        if call is not None and code is not None:
+            self._end(call, code)
+
+    def recall(self) -> None:
+        """Take back what has not left, as the worker drains or is gone. Health checks stay."""
+        for call in [each for each in self.waiting if each.kind != PROBE]:
+            self._end_recalled(call)
+
+    def owes(self) -> bool:
+        """Return whether a call is queued or in flight."""
+        return bool(self.waiting or self.in_flight)
+
+    # For the subclass.
+    def _enqueue(self, call: Call[ContentT, ConnectionT]) -> None:
         self.waiting.append(call)
         self.waiting_bytes += call.size
 
-    def _hand(self, call):
-        """It leaves our queue for the socket; its bytes. A send tells its worker the time that is left now:
-        it may have waited for as long as a connection takes to come up."""
+    def _take_frame(self, call: Call[ContentT, ConnectionT]) -> bytes:
+        """Note that a call leaves the queue for the socket, and return its bytes."""
         frame = self._encode(call)
         call.content = None
-        call.stage = send_outcome.SendStage.WRITTEN
-        self.out[call.tag] = call
+        call.stage = WRITTEN
+        self.in_flight[call.tag] = call
         self.waiting_bytes -= call.size
-        self.counts["sent"] += 1
+        self.counts.sent += 1
         return frame
 
-    def _lose(self, call, stream):
-        """Ends a call whose connection is lost, or was never made (None)."""
-        taken = 0 if stream is None else sockets.bytes_taken(stream)
-        stage = send_outcome.reached(call.stage, call.begins, taken)
-        self._end(call, send_outcome.of_loss(stage))
-
-    def _encode(self, call):
-        """The bytes of a call."""
+    def _encode(self, call: Call[ContentT, ConnectionT]) -> bytes:
+        """Return the bytes of a call, with the time that is left now."""
         raise NotImplementedError
 
-    def _may_leave(self, call):
-        """Whether the first that waits may still be handed over; what may not is ended. An order that has
-        waited is held against the ration as it is now: it counts when it arrives, not when it was given. A
-        send whose time is up never leaves, which proves that it never ran."""
-        if call.kind == "run" and call.until - self.core.now() < self.LEAST_LEFT:
-            self._end(call, send_outcome.of_time(call.stage))
+    def _send_cancel(self, call: Call[ContentT, ConnectionT]) -> None:
+        """Ask the worker to stop an attempt that was written."""
+
+    def _may_leave(self, call: Call[ContentT, ConnectionT]) -> bool:
+        """Return whether the first call of the queue may be written; one that may not is ended.
+
+        An attempt whose time is up never leaves, which proves that it never ran. A load order that has waited
+        is checked against the rate limit as it is now: it counts when it arrives, not when it was given.
+        """
+        if call.kind == RUN:
+            if call.deadline is not None and call.deadline - self.core.now() < self.MIN_TIME_LEFT:
+                self._end(call, send_outcome.of_time(call.stage))
+                return False
+        elif call.kind == HOLD and not self.core.may_send_order(call.made_at):
+            self._end_recalled(call)
             return False
-        if call.kind != "hold" or self.core.may_send_order(call.at):
-            return True
-        self.counts["recalled"] += 1
-        self._end(call, send_outcome.of_recall(call.stage))
-        return False
-
-    def _overdue_calls(self, now, within):
-        """Orders and probes that wait or are out for longer: nothing tells their end but us."""
-        return [c for c in (*self.out.values(), *self.waiting) if c.kind != "run" and now - c.at > within]
-
-    def _expired(self, now):
-        """Sends whose time is up. Those of activations that have ended have no other end on a connection that
-        says nothing: they would keep their lane, their connection and their link."""
-        return [c for c in self.out.values() if c.until is not None and now > c.until]
-
-    def _notice_end(self, call):
-        """Tells the worker that a send need not be finished."""
-
-    def _end(self, call, code, note=0, body=b"", gauge=None):
-        if call.stage == send_outcome.SendStage.QUEUED:
+        return True
+
+    def _end_recalled(self, call: Call[ContentT, ConnectionT]) -> None:
+        code = send_outcome.of_recall(call.stage)
+        if code is not None:
+            self.counts.recalled += 1
+            self._end(call, code)
+
+    def _end_lost(self, call: Call[ContentT, ConnectionT], stream: IOStream | None) -> None:
+        """End a call whose connection is lost, or was never made (None)."""
+        taken = 0 if stream is None else sockets.bytes_taken(stream)
+        stage = send_outcome.reached(call.stage, call.bytes_before, taken)
+        self._end(call, send_outcome.of_loss(stage))
+
+    def _overdue_calls(self, now: int, within: int) -> list[Call[ContentT, ConnectionT]]:
+        """Return load orders and health checks made over `within` ns ago, which have no deadline."""
+        calls = (*self.in_flight.values(), *self.waiting)
+        return [call for call in calls if call.kind != RUN and now - call.made_at > within]
+
+    def _expired_attempts(self, now: int) -> list[Call[ContentT, ConnectionT]]:
+        """Return attempts in flight whose time is up.
+
+        Those of activations that have ended have no other end on a silent connection: they would occupy
+        their lane, their connection and their link for good.
+        """
+        calls = self.in_flight.values()
+        return [call for call in calls if call.deadline is not None and now > call.deadline]
+
+    def _end(
+        self,
+        call: Call[ContentT, ConnectionT],
+        code: str,
+        note: int = 0,
+        body: bytes = b"",
+        gauge: Gauge | None = None,
+    ) -> None:
+        """Remove a call that has not ended yet, and report its end."""
+        if call.stage == QUEUED:
             try:
                 self.waiting.remove(call)
-                self.waiting_bytes -= call.size
             except ValueError:
                 return
-        elif self.out.pop(call.tag, None) is None:
+            self.waiting_bytes -= call.size
+        elif self.in_flight.pop(call.tag, None) is None:
             return
-        self._tell(call, code, note, body, gauge)
-
-    def _tell(self, call, code, note=0, body=b"", gauge=None):
-        if call.kind == "hold" and call.stage == send_outcome.SendStage.QUEUED:
-            self.core.order_not_sent(call.at)
-        call.stage = send_outcome.SendStage.ANSWERED
-        if call.kind == "run":
-            self.runs.pop((call.act, call.n), None)
-            self.core.submit(
-                self.core.send_ended, call.act, call.n, self.worker, code, note, body, call.at, gauge
+        self._report(call, code, note, body, gauge)
+
+    def _report(
+        self,
+        call: Call[ContentT, ConnectionT],
+        code: str,
+        note: int = 0,
+        body: bytes = b"",
+        gauge: Gauge | None = None,
+    ) -> None:
+        core = self.core
+        if call.kind == HOLD and call.stage == QUEUED:
+            core.order_not_sent(call.made_at)
+        call.stage = ANSWERED
+        if call.kind == RUN:
+            activation, attempt = call.activation, call.number
+            self.runs.pop((activation, attempt), None)
+            core.submit(
+                core.send_ended, activation, attempt, self.worker, code, note, body, call.made_at, gauge
             )
-        elif call.kind == "hold":
-            self.core.submit(self.core.load_order_ended, self.worker, call.fn, code, note)
+        elif call.kind == HOLD:
+            core.submit(core.load_order_ended, self.worker, call.function, code, note)
         else:
-            self.core.submit(self.core.health_check_ended, self.worker, code, gauge)
+            core.submit(core.health_check_ended, self.worker, code, gauge)
--- /dev/null
+++ b/petrelwood/links/interfaces.py
@@ -0,0 +1,72 @@
+"""The types that this package expects of what it is given: a logger, a clock and the dispatcher it serves."""
+
+import asyncio
+from collections.abc import Callable
+from typing import Protocol
+
+Address = tuple[str, int]
+"""A host and a port."""
+Gauge = dict[str, float]
+"""A worker's load report: a number for each name."""
+
+
+class Logger(Protocol):
+    """A structured logger, as structlog makes them: one line for each event, with its fields."""
+
+    def info(self, event: str, **fields: object) -> object:
+        """Log a normal event."""
+
+    def warning(self, event: str, **fields: object) -> object:
+        """Log a fault that service survives."""
+
+
+class MonotonicClock(Protocol):
+    """Whoever can tell the time."""
+
+    def now(self) -> int:
+        """Return the monotonic time in ns."""
+
+
+class LinkCore(MonotonicClock, Protocol):
+    """What a link needs of its dispatcher. The end of each call is reported once, through `submit`."""
+
+    def submit(self, call: Callable[..., object], /, *args: object) -> object:
+        """Make a call at once, or after the one that is being made."""
+
+    def send_ended(
+        self,
+        activation: str,
+        attempt: int,
+        worker: str,
+        code: str,
+        note: int,
+        body: bytes,
+        sent_at: int,
+        gauge: Gauge | None,
+        /,
+    ) -> object:
+        """Handle the end of an attempt; `code` is one of `petrelwood.ports`."""
+
+    def load_order_ended(self, worker: str, function: str, code: str, copies: int, /) -> object:
+        """Handle the end of a load order."""
+
+    def health_check_ended(self, worker: str, code: str, gauge: Gauge | None, /) -> object:
+        """Handle the end of a health check."""
+
+    def may_send_order(self, given_at: int, /) -> bool:
+        """Return whether a load order that was given at `given_at` may leave now."""
+
+    def order_not_sent(self, given_at: int, /) -> object:
+        """Note that a load order that was given at `given_at` will never leave."""
+
+
+class LoopOwner(MonotonicClock, Protocol):
+    """A dispatcher that runs on an event loop."""
+
+    @property
+    def loop(self) -> asyncio.AbstractEventLoop:
+        """The loop that its links run on."""
+
+    @property
+    def name(self) -> str:
+        """What it calls itself before its peers."""
--- a/petrelwood/links/worker.py
+++ b/petrelwood/links/worker.py
@@ -1,264 +1,323 @@
-"""The link to one worker: many calls on one connection, and what each one's end proves.
+"""The link to one worker by MessagePack-RPC: many calls on one connection, which is made when it is needed.
 
-Methods of a worker (MessagePack-RPC):
+The messages are in `links.worker_messages`. What is decided about a link is in `decide.cluster.link_state`,
+what the end of a call proves in `decide.delivery.send_outcome`.
+"""
 
-    run [act, n, function, mark, time left in ns, lanes, body] -> [act, n, note, body, gauge]
-                                                         error [word, act, n, note, gauge]
-    hold [function, lanes, count] -> [word, copies]      cancel [act, n]  (a notification)
-    probe [] -> gauge
-    hello [worker, its start time]  (its first notification; ours is hello [dispatcher])
-
-What is decided about a link is in `decide.cluster.link_state`, what an end proves in
-`decide.delivery.send_outcome`."""
+import asyncio
+import contextlib
+from collections.abc import Callable
+from typing import Protocol
 
 from tornado.iostream import IOStream, SSLIOStream, StreamClosedError
 
-from petrelwood.decide.cluster.link_state import CONNECT, DOWN, REJECT, UP, LinkCheck, LinkPhase, LinkState
+from petrelwood.decide.cluster.link_state import (
+    CONNECT,
+    DOWN,
+    REJECT,
+    UP,
+    LinkCheck,
+    LinkPhase,
+    LinkState,
+    LinkTerms,
+)
 from petrelwood.decide.delivery import send_outcome
-from petrelwood.links import rpc, sockets
-from petrelwood.links.calls import Call, Calls
+from petrelwood.decide.overload.backoff import Budget
+from petrelwood.links import rpc, sockets, worker_messages
+from petrelwood.links.calls import HOLD, PROBE, QUEUED, RUN, Call, Calls
+from petrelwood.links.connection_end import reason_of_end
+from petrelwood.links.interfaces import Address, LinkCore, Logger, LoopOwner
+from petrelwood.links.tls import Identity
+from petrelwood.links.worker_messages import HoldContent, RpcCall, RunContent
+
+READ_SIZE = 65_536  # bytes taken from the socket at a time
+BATCH_SIZE = 65_536  # bytes handed to the socket at a time; the rest is queued here and can be taken back
+# What a queued call counts for: bytes of an attempt beside its mark and its body, and of any other call.
+RUN_OVERHEAD = 160
+CALL_SIZE = 64
+TAG_MASK = 0xFFFFFFFF  # a message id has 32 bits
+
+
+class WorkerLinkTerms(LinkTerms, Protocol):
+    """What of the settings a link to a worker goes by; times in ns, sizes in bytes."""
+
+    @property
+    def queue(self) -> int:
+        """The most that is queued for a worker that does not read."""
+
+    @property
+    def frame(self) -> int:
+        """The most of one message."""
+
+    @property
+    def order_within(self) -> int:
+        """After how long a load order or health check without an answer has failed."""
+
 
-BATCH = 65_536  # bytes handed to the socket at a time; the rest waits here and can be taken back
-# bytes of a run beside its mark and its body, and of another call, with which they count while they wait
-RUN_FIELDS, FIELDS = 160, 64
-GAUGES = ("running", "waiting", "cores", "pinned", "loads")
+class WorkerLinkCore(LinkCore, LoopOwner, Protocol):
+    """What a link needs of the dispatcher that runs it."""
 
+    @property
+    def reconnects(self) -> Budget | None:
+        """The budget of all links together for connecting again."""
 
-class WorkerLink(Calls):
-    """`core` hears of each end: `returned`, `held`, `probed`. Never from within one of our own methods."""
+    def active(self, link: "WorkerLink", /) -> object:
+        """Have `link.check` called now and then, until that says otherwise."""
 
-    def __init__(self, worker, address, terms, chance, core, log, tls=None):
+    def still_wanted(self, activation: str, /) -> bool:
+        """Return whether an attempt of an activation may leave: its client may have hung up."""
+
+    def defect(self, where: str, fault: Exception, /) -> object:
+        """Log a defect of our own, and abort the activations that it touched."""
+
+
+class WorkerLink(Calls[RunContent | HoldContent, None]):
+    """The link of a dispatcher to one worker.
+
+    It reports each end to the core through `submit`, never from within a method that the core has called.
+    """
+
+    core: WorkerLinkCore
+
+    def __init__(
+        self,
+        worker: str,
+        address: Address | None,
+        terms: WorkerLinkTerms,
+        chance: Callable[[], float],
+        core: WorkerLinkCore,
+        log: Logger,
+        tls: Identity | None = None,
+    ) -> None:
         super().__init__(worker, address, core)
-        self.terms, self.log, self.tls = terms, log, tls
+        self.terms = terms
+        self.log = log
+        self.tls = tls
         self.state = LinkState(worker, terms, chance, core.reconnects)
-        self.stream, self.last, self.writing, self.soon = None, 0, False, False
+        self.stream: IOStream | None = None
+        self.last_tag = 0
+        self.writing = False  # whether the socket has not taken the last batch yet
+        self.flush_planned = False
 
-    # What the dispatcher asks.
-    def run(self, act, n, fn, mark, left, lanes, body):
-        size = RUN_FIELDS + len(mark) + len(body)
-        self._call("run", act, n, fn, (mark, lanes, body), size, self.core.now() + left)
+    # What the dispatcher calls.
+    def run(
+        self, activation: str, attempt: int, function: str, mark: str, left: int, lanes: int, body: bytes
+    ) -> None:
+        """Send an attempt of an activation.
 
-    def hold(self, fn, lanes, copies):
-        self._call("hold", None, copies, fn, [fn, lanes, copies], FIELDS)
+        Args:
+            activation: The id of the activation.
+            attempt: The number of the attempt.
+            function: The function to run.
+            mark: What the worker recognises repeats by (the idempotency key).
+            left: The time until the deadline, in ns.
+            lanes: Activations that one copy of the function runs at a time.
+            body: What the function is given.
+        """
+        now = self.core.now()
+        size = RUN_OVERHEAD + len(mark) + len(body)
+        content = RunContent(mark, lanes, body)
+        tag = self._next_tag()
+        call: RpcCall = Call(RUN, activation, attempt, function, now, content, size, tag, now + left)
+        self.runs[activation, attempt] = call
+        self._submit(call, now)
 
-    def probe(self):
-        self._call("probe", None, 0, None, [], FIELDS)
+    def hold(self, function: str, lanes: int, copies: int) -> None:
+        """Order the worker to have so many copies of a function."""
+        now = self.core.now()
+        tag = self._next_tag()
+        call: RpcCall = Call(HOLD, "", copies, function, now, HoldContent(lanes), CALL_SIZE, tag)
+        self._submit(call, now)
 
-    def _call(self, kind, act, n, fn, content, size, until=None):
+    def probe(self) -> None:
+        """Send a health check."""
         now = self.core.now()
-        self.last = (self.last + 1) & 0xFFFFFFFF
-        call = Call(kind, act, n, fn, now, content, size, self.last, until)
-        if kind == "run":
-            self.runs[act, n] = call
+        call: RpcCall = Call(PROBE, "", 0, "", now, None, CALL_SIZE, self._next_tag())
+        self._submit(call, now)
+
+    def _next_tag(self) -> int:
+        self.last_tag = (self.last_tag + 1) & TAG_MASK
+        return self.last_tag
+
+    def _submit(self, call: RpcCall, now: int) -> None:
         decision = self.state.on_call(now)
         if decision is REJECT:
-            self._tell(call, send_outcome.of_loss(send_outcome.SendStage.QUEUED))
+            self._report(call, send_outcome.of_loss(QUEUED))
         elif self.waiting_bytes + call.size > self.terms.queue:
-            self._tell(call, send_outcome.of_crowding())
+            self._report(call, send_outcome.of_crowding())
         else:
-            self._wait(call)
+            self._enqueue(call)
             self.core.active(self)
             if decision is CONNECT:
                 self._connect(now)
             self._flush_soon()
 
-    # The way out.
-    def _flush_soon(self):
-        if not self.soon and not self.writing and self.state.phase is UP:
-            self.soon = True
+    # Writing.
+    def _flush_soon(self) -> None:
+        if not self.flush_planned and not self.writing and self.state.phase is UP:
+            self.flush_planned = True
             self.core.loop.call_soon(self._flush)
 
-    def _flush(self):
-        self.soon = False
-        while self.waiting and not self.writing and self.state.phase is UP:
-            size, chunk = 0, []
-            written = sockets.bytes_written(self.stream)
-            while self.waiting and size < BATCH:
-                if self._may_leave(self.waiting[0]):
-                    # of a connection with TLS it is not known which bytes the kernel took
-                    self.waiting[0].begins = written + size if self.tls is None else None
-                    chunk.append(self._hand(self.waiting.popleft()))
-                    size += len(chunk[-1])
-            if chunk:
-                self._write(b"".join(chunk))
-
-    def _may_leave(self, call):
-        """As in `Calls`; nor does a send leave whose client has hung up, whether that was read or not."""
-        if call.kind == "run" and not self.core.still_wanted(call.act):
-            self._end(call, send_outcome.of_recall(call.stage))
+    def _flush(self) -> None:
+        self.flush_planned = False
+        while self.waiting and not self.writing and self.state.phase is UP and self.stream is not None:
+            batch = self._next_batch(self.stream)
+            if batch:
+                self._write(batch)
+
+    def _next_batch(self, stream: IOStream) -> bytes:
+        """Take the frames that leave next from the queue, as far as one batch holds them."""
+        frames = []
+        size = 0
+        written = sockets.bytes_written(stream)
+        while self.waiting and size < BATCH_SIZE:
+            call = self.waiting[0]
+            if self._may_leave(call):
+                if self.tls is None:  # with TLS it is not known which bytes the kernel took
+                    call.bytes_before = written + size
+                frame = self._take_frame(self.waiting.popleft())
+                frames.append(frame)
+                size += len(frame)
+        return b"".join(frames)
+
+    def _may_leave(self, call: RpcCall) -> bool:
+        """As in `Calls`; nor does an attempt leave whose client has hung up, whether that was read or not."""
+        if call.kind == RUN and not self.core.still_wanted(call.activation):
+            code = send_outcome.of_recall(call.stage)
+            if code is not None:
+                self._end(call, code)
             return False
         return super()._may_leave(call)
 
-    def _encode(self, call):
-        params = call.content
-        if call.kind == "run":
-            mark, lanes, body = params
-            params = [call.act, call.n, call.fn, mark, call.until - self.core.now(), lanes, body]
-        return rpc.request(call.tag, call.kind, params)
+    def _encode(self, call: RpcCall) -> bytes:
+        return worker_messages.encode_call(call, self.core.now())
 
-    def _write(self, data):
+    def _write(self, data: bytes) -> None:
+        if self.stream is None:
+            return
         try:
             done = self.stream.write(data)
         except StreamClosedError:
-            return  # the close callback tells of it
+            return  # the task that reads it reports the loss
         if not done.done():
             self.writing = True
             done.add_done_callback(self._written)
 
-    def _written(self, done):
+    def _written(self, done: "asyncio.Future[None]") -> None:
         self.writing = False
         if not done.cancelled() and done.exception() is None:
             self._flush()
 
-    def _notice_end(self, call):
-        self._notice("cancel", [call.act, call.n])
-
-    def _notice(self, method, params):
-        if self.state.phase is UP and not self.stream.closed():
-            try:
-                self.stream.write(rpc.notice(method, params)).add_done_callback(lambda done: done.exception())
-            except StreamClosedError:
-                pass
+    def _send_cancel(self, call: RpcCall) -> None:
+        stream = self.stream
+        if self.state.phase is UP and stream is not None and not stream.closed():
+            with contextlib.suppress(StreamClosedError):
+                _write_unattended(stream, worker_messages.encode_cancel(call))
 
     # The connection.
-    def _connect(self, now):
+    def _connect(self, now: int) -> None:
         self.state.on_connecting(now)
-        host, port = self.address
+        if self.address is None:
+            raise TypeError(f"the address of {self.worker} is not known")
         self.writing = False
         try:
-            self.stream = self._new_stream(host)
-        except OSError as fault:  # as a connection that is not made
+            self.stream = self._new_stream(self.address[0])
+        except OSError as error:  # as a connection that is not made
             self.stream = None
-            self._lost(None, str(fault))
+            self._lost(None, str(error))
             return
-        self.core.loop.create_task(self._serve(self.stream, (host, port)))
+        self.core.loop.create_task(self._serve(self.stream, self.address))
 
-    def _new_stream(self, host):
-        """A stream that is not connected yet. Raises OSError."""
-        most = self.terms.frame + BATCH
+    def _new_stream(self, host: str) -> IOStream:
+        """Return a stream that is not connected yet. Raises OSError."""
+        most = self.terms.frame + READ_SIZE
         if self.tls is None:
             return IOStream(sockets.fresh(host), max_buffer_size=most)
         return SSLIOStream(sockets.fresh(host), ssl_options=self.tls.client(), max_buffer_size=most)
 
-    async def _serve(self, stream, address):
-        why = "closed by the peer"
-        try:
-            await (
-                stream.connect(address)
-                if self.tls is None
-                else stream.connect(address, server_hostname=self.tls.server_name(address[0]))
-            )
-            sockets.disable_delay(stream.socket)
-            self.state.on_connected()
-            stream.write(rpc.notice("hello", [self.core.name])).add_done_callback(
-                lambda done: done.exception()
-            )
-            reader = rpc.Reader(self.terms.frame)
-            while True:
-                data = await stream.read_bytes(BATCH, partial=True)
-                self.state.on_bytes(self.core.now())
-                for message in reader.feed(data):
-                    self._message(message)
-        except StreamClosedError as fault:
-            why = str(fault.real_error or why)
-        except rpc.MalformedRpcError as fault:
-            why = str(fault)
-        except OSError as fault:
-            why = str(fault)
-        except Exception as fault:
-            why = repr(fault)
-            self.core.defect("link", fault)
-        self._lost(stream, why)
-
-    def _lost(self, stream, why):
+    async def _serve(self, stream: IOStream, address: Address) -> None:
+        reason = await reason_of_end(self._read(stream, address), self.core.defect)
+        self._lost(stream, reason)
+
+    async def _read(self, stream: IOStream, address: Address) -> None:
+        """Connect, greet, and handle what the worker says until an error ends that."""
+        server_name = None if self.tls is None else self.tls.server_name(address[0])
+        await stream.connect(address, server_hostname=server_name)
+        sockets.disable_delay(stream.socket)
+        self.state.on_connected()
+        _write_unattended(stream, worker_messages.encode_hello(self.core.name))
+        reader = rpc.Reader(self.terms.frame)
+        while True:
+            data = await stream.read_bytes(READ_SIZE, partial=True)
+            self.state.on_bytes(self.core.now())
+            for message in reader.feed(data):
+                self._handle(message)
+
+    def _lost(self, stream: IOStream | None, reason: str) -> None:
+        """Note that a connection is lost or was not made; all calls end, unless another one is in use."""
         if stream is not None:
             stream.close()
         if self.stream is not stream or self.state.phase is DOWN:
             return
         was_up = self.state.phase is UP
         self.state.on_lost(self.core.now())
-        self.counts["lost"] += 1
+        self.counts.lost += 1
         self.log.info(
-            "link lost",
+            "worker connection lost",
             worker=self.worker,
-            why=why,
+            reason=reason,
             was_up=was_up,
-            out=len(self.out),
-            waiting=len(self.waiting),
+            in_flight=len(self.in_flight),
+            queued=len(self.waiting),
         )
-        for call in list(self.out.values()) + list(self.waiting):
-            self._lose(call, stream)
+        for call in (*self.in_flight.values(), *self.waiting):
+            self._end_lost(call, stream)
 
-    def give_up(self, why):
+    def give_up(self, why: str) -> None:
+        """Close the connection; all calls end."""
         if self.stream is not None:
             self._lost(self.stream, why)
 
-    def check(self, now):
-        """Asked often while the link is not at rest; whether it still has to be."""
-        verdict = self.state.check(now, bool(self.out))
+    def check(self, now: int) -> bool:
+        """Look for what is overdue at `now` (ns); return whether this has to be called again."""
+        verdict = self.state.check(now, bool(self.in_flight))
         if verdict == LinkCheck.GIVE_UP:
             self.give_up("nothing was heard in time")
         elif verdict == LinkCheck.PING:
             self.probe()
         for call in self._overdue_calls(now, self.terms.order_within):
             self._end(call, send_outcome.of_time(call.stage))
-        for call in self._expired(now):
-            self.late(call.act, call.n)
-        return self.owes() or self.state.phase in (
-            LinkPhase.CONNECTING,
-            LinkPhase.GREETING,
-        )
+        for call in self._expired_attempts(now):
+            self.late(call.activation, call.number)
+        return self.owes() or self.state.phase in (LinkPhase.CONNECTING, LinkPhase.GREETING)
 
-    # The way back.
-    def _message(self, message):
-        if message[0] == rpc.RESPONSE:
-            self._response(message[1], message[2], message[3])
-        elif message[0] == rpc.NOTICE and message[1] == "hello" and self.state.phase == LinkPhase.GREETING:
-            if len(message[2]) != 2 or not isinstance(message[2][1], int):
-                raise rpc.MalformedRpcError("a malformed greeting")
-            if not self.state.on_greeting(self.core.now(), *message[2]):
-                raise rpc.MalformedRpcError(f"the peer is {message[2][0]!r}")
-            self._flush()
-        elif self.state.phase is not UP:
+    # Reading.
+    def _handle(self, message: rpc.Message) -> None:
+        if isinstance(message, rpc.Response):
+            self._response(message.message_id, message.error, message.result)
+        elif self.state.phase is UP:
+            return  # a worker that is up has nothing to ask for
+        elif isinstance(message, rpc.Notification) and message.method == worker_messages.HELLO:
+            self._greeted(message.params)
+        else:
             raise rpc.MalformedRpcError("it did not greet first")
 
-    def _response(self, msgid, error, result):
-        call = self.out.get(msgid)
-        if call is None:  # its wait has ended; or nobody ever asked
-            self.counts["strays"] += 1
+    def _greeted(self, params: list[object]) -> None:
+        greeting = worker_messages.decode_greeting(params)
+        if not self.state.on_greeting(self.core.now(), greeting.worker, greeting.started):
+            raise rpc.MalformedRpcError(f"the peer is {greeting.worker!r}")
+        self._flush()
+
+    def _response(self, message_id: int, error: object, result: object) -> None:
+        call = self.in_flight.get(message_id)
+        if call is None:  # its wait has ended, or it was never made
+            self.counts.unexpected_answers += 1
             return
-        self.counts["answered"] += 1
-        if call.kind == "run":
-            parts = error if error is not None else result
-            if not isinstance(parts, list) or len(parts) != 5:
-                raise rpc.MalformedRpcError("a malformed answer")
-            head, parts = (parts[0], parts[1:]) if error is not None else (None, parts)
-            if parts[0] != call.act or parts[1] != call.n:
-                raise rpc.MalformedRpcError("an answer for another activation")
-            gauge = _gauge(parts[3 if error is not None else 4])
-            body = parts[3] if error is None else b""
-            note = parts[2] if isinstance(parts[2], int) else 0
-            if not isinstance(body, bytes):
-                raise rpc.MalformedRpcError("an answer's body must be bytes")
-            self._end(
-                call, send_outcome.of_error(head) if error is not None else "completed", note, body, gauge
-            )
-        elif call.kind == "hold":
-            good = isinstance(result, list) and len(result) == 2 and isinstance(result[1], int)
-            self._end(
-                call,
-                ("completed" if result[0] == "ok" else send_outcome.of_error(result[0]))
-                if good
-                else send_outcome.of_error(error),
-                result[1] if good else 0,
-            )
-        else:
-            self._end(
-                call, "completed" if error is None else send_outcome.of_error(error), gauge=_gauge(result)
-            )
+        self.counts.answered += 1
+        answer = worker_messages.decode_answer(call, error, result)
+        self._end(call, answer.code, answer.note, answer.body, answer.gauge)
 
 
-def _gauge(raw):
-    if not isinstance(raw, dict):
-        return None
-    return {name: raw[name] for name in GAUGES if isinstance(raw.get(name), (int, float))}
+def _write_unattended(stream: IOStream, data: bytes) -> None:
+    """Write what nobody waits for; a loss is reported by the task that reads."""
+    stream.write(data).add_done_callback(lambda done: done.exception())
--- /dev/null
+++ b/petrelwood/links/worker_messages.py
@@ -0,0 +1,163 @@
+"""The messages between a dispatcher and a worker in MessagePack-RPC: calls to bytes, answers to values.
+
+Methods of a worker:
+
+    run [activation, attempt, function, idempotency mark, time left in ns, lanes, body]
+        -> [activation, attempt, note, body, gauge]; error [word, activation, attempt, note, gauge]
+    hold [function, lanes, copies] -> [word, copies]
+    probe [] -> gauge
+    cancel [activation, attempt]  (a notification)
+    hello [worker, its start time]  (its first notification; the dispatcher's is hello [dispatcher])
+"""
+
+from collections.abc import Sequence
+from typing import NamedTuple
+
+from petrelwood import ports
+from petrelwood.decide.delivery import send_outcome
+from petrelwood.links import rpc
+from petrelwood.links.calls import HOLD, RUN, Call
+from petrelwood.links.interfaces import Gauge
+
+GAUGES = ("running", "waiting", "cores", "pinned", "loads")  # the names that a load report may have
+HELLO = "hello"
+CANCEL = "cancel"
+RUN_ANSWER_FIELDS = 5  # in an answer to a run, be it a result or an error
+HOLD_ANSWER_FIELDS = 2
+HELLO_FIELDS = 2
+
+
+class RunContent(NamedTuple):
+    """What an attempt tells its worker beside its ids and the time left."""
+
+    idempotency_mark: str
+    lanes: int
+    body: bytes
+
+
+class HoldContent(NamedTuple):
+    """What a load order tells its worker beside the function and the number of copies."""
+
+    lanes: int
+
+
+RpcCall = Call[RunContent | HoldContent, None]
+"""A call on the one connection of a link."""
+
+
+class Answer(NamedTuple):
+    """What the answer to a call says.
+
+    Attributes:
+        code: How the call ended, one of `petrelwood.ports`.
+        note: Of a run what it says of the copy that ran it, of a load order the copies that there are.
+        body: The result of a run.
+        gauge: The load report that came with it.
+    """
+
+    code: str
+    note: int = 0
+    body: bytes = b""
+    gauge: Gauge | None = None
+
+
+class Greeting(NamedTuple):
+    """A worker's first notification."""
+
+    worker: object
+    started: int  # ns, on the worker's wall clock
+
+
+def encode_call(call: RpcCall, now: int) -> bytes:
+    """Return the bytes of a call that leaves at `now` (ns)."""
+    content = call.content
+    parameters: list[object] = []
+    if isinstance(content, RunContent):
+        time_left = 0 if call.deadline is None else call.deadline - now
+        parameters = [
+            call.activation,
+            call.number,
+            call.function,
+            content.idempotency_mark,
+            time_left,
+            content.lanes,
+            content.body,
+        ]
+    elif isinstance(content, HoldContent):
+        parameters = [call.function, content.lanes, call.number]
+    return rpc.request(call.tag, call.kind, parameters)
+
+
+def encode_cancel(call: RpcCall) -> bytes:
+    """Return the bytes that ask a worker to stop an attempt."""
+    return rpc.notice(CANCEL, [call.activation, call.number])
+
+
+def encode_hello(dispatcher: str) -> bytes:
+    """Return the bytes by which a dispatcher introduces itself."""
+    return rpc.notice(HELLO, [dispatcher])
+
+
+def decode_greeting(params: Sequence[object]) -> Greeting:
+    """Return the greeting of a worker.
+
+    Raises:
+        rpc.MalformedRpcError: It is malformed.
+    """
+    if len(params) != HELLO_FIELDS or not isinstance(params[1], int):
+        raise rpc.MalformedRpcError("a malformed greeting")
+    return Greeting(params[0], params[1])
+
+
+def decode_answer(call: RpcCall, error: object, result: object) -> Answer:
+    """Return what the response to a call says.
+
+    Raises:
+        rpc.MalformedRpcError: It is no answer to this call.
+    """
+    if call.kind == RUN:
+        return _decode_run_error(call, error) if error is not None else _decode_run_result(call, result)
+    if call.kind == HOLD:
+        return _decode_hold_answer(error, result)
+    code = ports.COMPLETED if error is None else send_outcome.of_error(error)
+    return Answer(code, gauge=_decode_gauge(result))
+
+
+def _decode_run_result(call: RpcCall, result: object) -> Answer:
+    if not isinstance(result, list) or len(result) != RUN_ANSWER_FIELDS:
+        raise rpc.MalformedRpcError("a malformed answer")
+    activation, attempt, note, body, gauge = result
+    _check_ids(call, activation, attempt)
+    if not isinstance(body, bytes):
+        raise rpc.MalformedRpcError("an answer's body must be bytes")
+    return Answer(ports.COMPLETED, _decode_note(note), body, _decode_gauge(gauge))
+
+
+def _decode_run_error(call: RpcCall, error: object) -> Answer:
+    if not isinstance(error, list) or len(error) != RUN_ANSWER_FIELDS:
+        raise rpc.MalformedRpcError("a malformed answer")
+    word, activation, attempt, note, gauge = error
+    _check_ids(call, activation, attempt)
+    return Answer(send_outcome.of_error(word), _decode_note(note), gauge=_decode_gauge(gauge))
+
+
+def _check_ids(call: RpcCall, activation: object, attempt: object) -> None:
+    if activation != call.activation or attempt != call.number:
+        raise rpc.MalformedRpcError("an answer for another activation")
+
+
+def _decode_note(raw: object) -> int:
+    return raw if isinstance(raw, int) else 0
+
+
+def _decode_hold_answer(error: object, result: object) -> Answer:
+    if not isinstance(result, list) or len(result) != HOLD_ANSWER_FIELDS or not isinstance(result[1], int):
+        return Answer(send_outcome.of_error(error))
+    word, copies = result
+    return Answer(ports.COMPLETED if word == "ok" else send_outcome.of_error(word), copies)
+
+
+def _decode_gauge(raw: object) -> Gauge | None:
+    if not isinstance(raw, dict):
+        return None
+    return {name: raw[name] for name in GAUGES if isinstance(raw.get(name), (int, float))}
--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -41,7 +41,7 @@
 class NodeLink(Calls):
     """`terms` as `told.WorkerTerms`; `core` hears of each end through `submit`."""
 
-    LEAST_LEFT = MS
+    MIN_TIME_LEFT = MS
 
     def __init__(self, worker, address, terms, core, log):
         super().__init__(worker, address, core)
@@ -71,7 +71,7 @@
         self._call(Call("probe", tag, 0, None, self.core.now(), frame, len(frame), tag))
 
     def _call(self, call):
-        self._wait(call)
+        self._enqueue(call)
         self.core.active(self)
         self.pump()
 
@@ -83,8 +83,8 @@
         """A worker that reads on would begin what is over: the rest must not follow, whatever else is open on
         that connection."""
         call = self.runs.get((act, n))
-        if call is not None and call.line is not None and call.line.unsent(call):
-            self._lost(call.line, why)
+        if call is not None and call.connection is not None and call.connection.unsent(call):
+            self._lost(call.connection, why)
 
     # The way out. A call's `act` is the id that it goes under.
     def pump(self):
@@ -98,12 +98,14 @@
                 # a send behind the unsent rest of another would begin whenever its worker reads again
                 ready = [line for line in self.lines if not line.stream.writing()]
                 line = connection_pool.choose(
-                    ready, self.waiting[0].act, self.terms.streams, self.core.may_open()
+                    ready, self.waiting[0].activation, self.terms.streams, self.core.may_open()
                 )
                 if line is not None:
                     if line.stream.closed() or self._rested(line, self.core.now()):
                         self._lost(line, "closed or idle")  # known before anything of the send has left
-                    elif self.waiting[0].kind == "run" and not self.core.may_send(self.waiting[0].act, self):
+                    elif self.waiting[0].kind == "run" and not self.core.may_send(
+                        self.waiting[0].activation, self
+                    ):
                         self.waiting.rotate(-1)  # the core pumps again
                         deferred += 1
                     elif self._may_leave(self.waiting[0]):
@@ -125,14 +127,14 @@
         if call.kind != "run":
             return call.content
         type_, mark, body = call.content
-        left = (call.until - self.core.now()) // MS
-        return lines.run(call.act, type_, call.fn, max(1, left), mark, body)
+        left = (call.deadline - self.core.now()) // MS
+        return lines.run(call.activation, type_, call.function, max(1, left), mark, body)
 
     def _put(self, line, call):
-        frame = self._hand(call)
-        call.begins = sockets.bytes_written(line.stream)
-        call.line, line.open[call.act] = line, call
-        connection_pool.remember(line, call.act)
+        frame = self._take_frame(call)
+        call.bytes_before = sockets.bytes_written(line.stream)
+        call.connection, line.open[call.activation] = line, call
+        connection_pool.remember(line, call.activation)
         line.last = call
         line.written = self.core.now()
         self.lines.remove(line)  # the last used stands at the end
@@ -145,11 +147,11 @@
         if line.stream.writing():
             written.add_done_callback(lambda _: self.pump())
 
-    def _notice_end(self, call):
-        line = call.line
+    def _send_cancel(self, call):
+        line = call.connection
         if call.kind == "run" and self.terms.cancels and line is not None and not line.stream.closed():
             try:
-                line.stream.write(lines.kill(call.act))
+                line.stream.write(lines.kill(call.activation))
             except (StreamClosedError, StreamBufferFullError):
                 pass
 
@@ -214,10 +216,10 @@
             if self.waiting:  # one call for one connection that was not made
                 self._end(self.waiting[0], send_outcome.of_loss(send_outcome.SendStage.QUEUED))
         if line.open or not line.up:
-            self.counts["lost"] += 1
+            self.counts.lost += 1
             self.core.note_loss(self.worker, why, len(line.open))
         for call in list(line.open.values()):
-            self._lose(call, line.stream)
+            self._end_lost(call, line.stream)
         line.open.clear()
         self.pump()
 
@@ -230,10 +232,10 @@
         for line in [each for each in self.lines if each.stream.writing() and now - each.written > UNSENT]:
             if not self.core.behind():  # else it may be us who did not write
                 self._lost(line, "it does not read")
-        for call in self._expired(now):
-            self.late(call.act, call.n)
+        for call in self._expired_attempts(now):
+            self.late(call.activation, call.number)
         for call in self._overdue_calls(now, self.terms.connect_within):
-            if call.kind == "probe" or now - call.at > self.terms.order_within:
+            if call.kind == "probe" or now - call.made_at > self.terms.order_within:
                 self._end(call, send_outcome.of_time(call.stage))
                 self._doubt(call)
         return self.owes()
@@ -247,8 +249,8 @@
 
     def _doubt(self, call):
         """Its connection has said nothing since the call went out: nothing more goes there."""
-        line = call.line
-        if line is not None and line.heard <= call.at and not line.open:
+        line = call.connection
+        if line is not None and line.heard <= call.made_at and not line.open:
             self._lost(line, "nothing was heard in time")
 
     def tidy(self, now):
@@ -276,9 +278,9 @@
     def _answer(self, line, answer):
         call = line.open.get(answer.tag)
         if call is None:  # its wait has ended, or nobody ever asked
-            self.counts["strays"] += 1
+            self.counts.unexpected_answers += 1
             return
-        self.counts["answered"] += 1
+        self.counts.answered += 1
         if answer.code != ports.COMPLETED:
             self.ends[answer.code] = self.ends.get(answer.code, 0) + 1
         note = answer.copies if call.kind == "hold" else answer.note
@@ -287,9 +289,9 @@
         self._end(call, answer.code, note, answer.body, answer.report)
 
     def _end(self, call, code, note=0, body=b"", gauge=None):
-        line = call.line
-        if line is not None and line.open.get(call.act) is call:
-            del line.open[call.act]
+        line = call.connection
+        if line is not None and line.open.get(call.activation) is call:
+            del line.open[call.activation]
         super()._end(call, code, note, body, gauge)
         if line is not None and self.waiting:
             self.pump()
--- a/petrelwood/settings/gateway.py
+++ b/petrelwood/settings/gateway.py
@@ -116,7 +116,7 @@
     functions: tuple
     terms: ports.Terms
     tls: object  # of the webhook front: links.tls.Identity, or None
-    worker_tls: object
+    worker_tls: Identity | None
     mqtt: MqttTerms | None
     early: EarlyTerms | None  # None: nothing is loaded ahead
     history: HistoryTerms | None
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -161,7 +161,7 @@
         line = next(iter(self.front.lines))
         exchange = line.waiting[0]
         link = self.core.links["w1"]
-        msgid = next(iter(link.out))
+        msgid = next(iter(link.in_flight))
         link._response(msgid, None, [*w.acts()[0], 1, b"{}", None])  # both in one turn of the loop
         self.front.core.client_left(exchange.act, exchange)
         line.stream.close()
@@ -177,7 +177,7 @@
         asked = asyncio.ensure_future(self.caller.call(self.message("again-1", "m"), 30))
         await self.until(lambda: w.runs)
         line, link = next(iter(self.front.lines)), self.core.links["w1"]
-        msgid = next(iter(link.out))
+        msgid = next(iter(link.in_flight))
         self.front.core.client_left(line.waiting[0].act, line.waiting[0])
         link._response(msgid, None, [*w.acts()[0], 1, b"{}", None])
         with self.assertRaises(asyncio.TimeoutError):  # nothing may be written for what was left
@@ -196,7 +196,7 @@
         for i in range(6):
             status, _ = await self.post(f"once-{i}")
             self.assertEqual(status, 200)
-        self.assertTrue(self.core.log.said("link lost"))
+        self.assertTrue(self.core.log.said("worker connection lost"))
         self.assertEqual(self.runs(), 6)
 
     async def test_a_worker_that_is_not_there_never_ran(self):
@@ -245,7 +245,7 @@
         self.roster.tell(free.entry())
         self.roster.tell(stuck.entry("draining"))
         self.assertEqual((await behind)[0], 200)
-        self.assertEqual((link.counts["recalled"], len(free.runs) >= 1), (1, True))
+        self.assertEqual((link.counts.recalled, len(free.runs) >= 1), (1, True))
         self.assertFalse(link.waiting)
         await big
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -170,10 +170,10 @@
         worker.ssl_options = place.identity("foreign").server()
         for stream in worker.streams:
             stream.close()
-        lost = self.cores[0].links["w1"].counts["lost"]
+        lost = self.cores[0].links["w1"].counts.lost
         self.client.ask("once-2", b"2", 2)
         self.assertEqual(await self.answered(b"2"), ["rejected"])  # it never ran: no connection was ever up
-        self.assertGreater(self.cores[0].links["w1"].counts["lost"], lost)
+        self.assertGreater(self.cores[0].links["w1"].counts.lost, lost)
         self.assertEqual(len(worker.runs), 1)
 
     async def test_a_broker_over_tls(self):
