--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -89,7 +89,7 @@
             self.give_up("nothing was heard in time")
         elif verdict == LinkCheck.PING:
             self.probe()
-        return self.owes()
+        return self.has_open_calls()
 
 
 class HollowDispatcher(Core):
--- a/benchmarks/scale/parts.py
+++ b/benchmarks/scale/parts.py
@@ -56,7 +56,7 @@
 
     run = hold = probe = cancel = late = withdraw = recall = give_up = _nothing
 
-    def owes(self):
+    def has_open_calls(self):
         """Nothing is ever out."""
         return False
 
--- a/petrelwood/dispatch/worker_links.py
+++ b/petrelwood/dispatch/worker_links.py
@@ -43,7 +43,7 @@
     def recall(self) -> object:
         """The worker drains: takes back all that has not left yet."""
 
-    def owes(self) -> bool:
+    def has_open_calls(self) -> bool:
         """Whether a send or an order has not ended yet."""
 
     def give_up(self, why: str) -> object:
@@ -78,7 +78,9 @@
 
     def release_unused(self, members: Container[str]) -> None:
         """Closes links to workers that have left the endpoint list and that owe nothing any more."""
-        unused = [worker for worker, link in self.items() if worker not in members and not link.owes()]
+        unused = [
+            worker for worker, link in self.items() if worker not in members and not link.has_open_calls()
+        ]
         for worker in unused:
             self.pop(worker).give_up("it has left the list")
 
--- a/petrelwood/emulate/link.py
+++ b/petrelwood/emulate/link.py
@@ -121,7 +121,7 @@
             if call.kind != "probe":
                 self._end(call, send_outcome.of_recall(call.stage))
 
-    def owes(self):
+    def has_open_calls(self):
         return bool(self.waiting or self.out)
 
     def give_up(self, why):
--- a/petrelwood/links/calls.py
+++ b/petrelwood/links/calls.py
@@ -132,7 +132,7 @@
         for call in [each for each in self.waiting if each.kind != PROBE]:
             self._end_recalled(call)
 
-    def owes(self) -> bool:
+    def has_open_calls(self) -> bool:
         """Return whether a call is queued or in flight."""
         return bool(self.waiting or self.in_flight)
 
--- a/petrelwood/links/worker.py
+++ b/petrelwood/links/worker.py
@@ -289,7 +289,7 @@
             self._end(call, send_outcome.of_time(call.stage))
         for call in self._expired_attempts(now):
             self.late(call.activation, call.number)
-        return self.owes() or self.state.phase in (LinkPhase.CONNECTING, LinkPhase.GREETING)
+        return self.has_open_calls() or self.state.phase in (LinkPhase.CONNECTING, LinkPhase.GREETING)
 
     # Reading.
     def _handle(self, message: rpc.Message) -> None:
--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -238,7 +238,7 @@
             if call.kind == "probe" or now - call.made_at > self.terms.order_within:
                 self._end(call, send_outcome.of_time(call.stage))
                 self._doubt(call)
-        return self.owes()
+        return self.has_open_calls()
 
     def late(self, act, n):
         self._drop_unsent(act, n, "its time was up before all of it had left")
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -137,7 +137,9 @@
                             site.node.submit(site.node.outlet.probe, worker.name)
                             await site.until(worker.read)
                             worker.write(0, {"type": "PONG", "req": worker.read()[0][1]["req"], "meta": {}})
-                        await site.until(lambda: not any(each.owes() for each in site.node.links.values()))
+                        await site.until(
+                            lambda: not any(each.has_open_calls() for each in site.node.links.values())
+                        )
                         client.call(left := ask(fn=1))
                         await site.until(lambda each=workers: each[0].runs() or each[1].runs())
                         first, second = workers if workers[0].runs() else workers[::-1]
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -420,7 +420,11 @@
         failing = [False]
         self.start(FaultyFiles(lambda name: errno.EIO if failing[0] and name == "write" else None))
         sent = []
-        link = type("Link", (), {"hold": lambda self, *order: sent.append(order), "owes": lambda self: False})
+        link = type(
+            "Link",
+            (),
+            {"hold": lambda self, *order: sent.append(order), "has_open_calls": lambda self: False},
+        )
         self.core.links["w1"] = link()
         self.core.membership.is_usable = lambda worker: True
         held = []
