--- a/petrelwood/bgp/heartbeats.py
+++ b/petrelwood/bgp/heartbeats.py
@@ -8,7 +8,7 @@
 import msgpack
 
 from petrelwood.decide.routing.serving import HealthReport
-from petrelwood.links.local import Bound
+from petrelwood.links.unix_socket import UnixSocket
 
 EVERY = 0.05  # seconds between heartbeats
 
@@ -41,7 +41,7 @@
 
     def __init__(self, path, loop, heard):
         self.loop, self.heard, self.wrong = loop, heard, 0
-        self.bound = Bound(path, socket.SOCK_DGRAM)
+        self.bound = UnixSocket(path, socket.SOCK_DGRAM)
         self.sock = self.bound.sock
         self.resumption = None
         self._listen()
--- a/petrelwood/dispatch/handover/predecessor.py
+++ b/petrelwood/dispatch/handover/predecessor.py
@@ -33,7 +33,7 @@
     TakenBack,
 )
 from petrelwood.dispatch.interfaces import Logger
-from petrelwood.links.local import Bound
+from petrelwood.links.unix_socket import UnixSocket
 from petrelwood.store.state_segments import PLAIN_FORMAT
 
 if TYPE_CHECKING:
@@ -76,7 +76,7 @@
 
     def open(self) -> None:
         """Takes the path over: a successor binds it anew, so the newest process is always found there."""
-        self.server = Bound(self.path, socket.SOCK_STREAM)
+        self.server = UnixSocket(self.path, socket.SOCK_STREAM)
         self._start(self._accept())
         self._start(self._watch())
 
