--- a/petrelwood/links/errors.py
+++ b/petrelwood/links/errors.py
@@ -8,7 +8,11 @@
 
 
 class MalformedEventError(ProtocolError):
-    """A peer sent server-sent events that can't be followed."""
+    """A server-sent event is too large."""
+
+
+class EndpointListError(ProtocolError):
+    """A roster answered with an error, or a watch event is missing."""
 
 
 class IdentityError(PetrelwoodError):
--- a/petrelwood/settings/gateway.py
+++ b/petrelwood/settings/gateway.py
@@ -10,7 +10,8 @@
 
 from petrelwood import ports
 from petrelwood.decide.cluster.rollout import DEFAULT_WITHIN, LEAST_WITHIN
-from petrelwood.links.tls import BadIdentity, Identity
+from petrelwood.links.errors import IdentityError
+from petrelwood.links.tls import Identity
 from petrelwood.settings import document
 
 SECOND = 1_000_000_000
@@ -274,7 +275,7 @@
     found.done()
     try:
         return Identity(*paths, mutual, name)
-    except BadIdentity as fault:
+    except IdentityError as fault:
         found.wrong(str(fault))
         return None
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -18,7 +18,8 @@
 from tornado.iostream import SSLIOStream
 from tornado.tcpclient import TCPClient
 
-from petrelwood.links.tls import BadIdentity, Identity
+from petrelwood.links.errors import IdentityError
+from petrelwood.links.tls import Identity
 from petrelwood.settings import document, gateway
 from petrelwood.standins.caller import Broken, Caller
 
@@ -58,7 +59,7 @@
             (("good.key", "good.key", "ca.pem"), "no certificate"),
         )
         for (cert, key, trusts), words in cases:
-            with self.assertRaises(BadIdentity) as caught:
+            with self.assertRaises(IdentityError) as caught:
                 Identity(place.file(cert), place.file(key), place.file(trusts))
             self.assertIn(words, str(caught.exception))
             path = place.path / "g.kdl"
@@ -68,7 +69,7 @@
             with self.assertRaises(document.BadFile) as caught:
                 gateway.read(path)
             self.assertEqual(caught.exception.line, 5)
-        with self.assertRaises(BadIdentity):
+        with self.assertRaises(IdentityError):
             Identity(place.file("good.pem"), place.file("good.key"), mutual=True)
 
     def test_a_renewed_file_is_loaded_and_a_broken_one_is_not(self):
