--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -49,7 +49,8 @@
 from petrelwood.dispatch.health import HeartbeatReporter
 from petrelwood.dispatch.recent_answers import RecentAnswers
 from petrelwood.links import rpc, sse
-from petrelwood.links.roster import READ, RosterLink
+from petrelwood.links.errors import MalformedEventError
+from petrelwood.links.roster import READ_SIZE, RosterLink
 from petrelwood.links.worker import WorkerLink
 from petrelwood.node import roster as dns_roster
 from petrelwood.settings import comparison
@@ -200,14 +201,14 @@
 def roster_link():
     known = membership.Membership(PERIOD, SECOND, random.Random(1).random)
     link = RosterLink(("127.0.0.1", 1), known, SECOND, Listener(), None)
-    link.events = sse.Events()
+    link.events = sse.EventReader()
     return link
 
 
 def fed(link, data):
     """Hands bytes on as the socket does, a read at a time."""
-    for start in range(0, len(data), READ):
-        link.on_body(data[start : start + READ])
+    for start in range(0, len(data), READ_SIZE):
+        link.on_body(data[start : start + READ_SIZE])
 
 
 def feed_anew(data):
@@ -226,7 +227,7 @@
     begun = time.process_time()
     try:
         fed(roster_link(), data)
-    except ValueError as fault:
+    except MalformedEventError as fault:
         return f"{len(data) / 1e6:.1f} MB, {fault}"
     return f"{len(data) / 1e6:.1f} MB, read in {time.process_time() - begun:.2f} s of processor time"
 
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -15,6 +15,7 @@
 from petrelwood.emulate.link import Link
 from petrelwood.emulate.platform import Platform
 from petrelwood.links import rpc, sse
+from petrelwood.links.errors import EndpointListError
 from petrelwood.links.roster import RosterLink
 from petrelwood.standins.roster import BEAT, ChangeLog
 
@@ -128,7 +129,7 @@
         if fleet.closed or name in fleet.stale:
             self._again()
             return
-        self.open, self.reader.events = True, sse.Events()
+        self.open, self.reader.events = True, sse.EventReader()
         told = fleet.list_log.after(self.core.membership.resume_after or "")
         data = b"".join(fleet.list_log.event(*one) for one in told)
         fleet.traffic.count(flows.LIST_TO_DISPATCHERS, name, RESPONSE_HEAD + len(data), len(told))
@@ -143,7 +144,7 @@
         """Bytes of the stream have arrived."""
         try:
             self.fleet.processor.measure(flows.NEWS, self.reader.on_body, data)
-        except ValueError:  # a gap: the whole list is asked for, as the real reader does
+        except EndpointListError:  # a gap: the whole list is asked for, as the real reader does
             self.lose()
 
     def push(self, data):
--- a/benchmarks/scale/parts.py
+++ b/benchmarks/scale/parts.py
@@ -344,7 +344,7 @@
 
 def read_event_list(data):
     """The membership's entries of its bytes, as a dispatcher reads them."""
-    ((_, text, _),) = sse.Events().feed(data)
+    ((_, text, _),) = sse.EventReader().feed(data)
     return [membership.decode_endpoint(one) for one in orjson.loads(text)]
 
 
--- a/benchmarks/scale/real.py
+++ b/benchmarks/scale/real.py
@@ -367,7 +367,7 @@
     described = site.gateway(1)
     dispatcher = Core(described, VirtualClock(), Random(1), parts.idle_link, Silent())
     reader, log = RosterLink(("roster", 0), dispatcher.membership, 1, dispatcher, Silent()), ChangeLog(EPOCH)
-    reader.events = sse.Events()
+    reader.events = sse.EventReader()
     added = more_entries(amount.listed)
     for one in added + called_entries(amount.site.workers):
         log.take(one)
--- a/petrelwood/links/roster.py
+++ b/petrelwood/links/roster.py
@@ -1,118 +1,173 @@
-"""The link to the roster: who is usable, draining or gone, by server-sent events.
+"""The link to the roster: it follows the endpoint list by server-sent events.
 
-`GET /workers` answers with an endless stream: `list` with all entries, `change` with some, each with an id
-`EPOCH-NUMBER` that grows by one; comments keep it alive. `Last-Event-ID` resumes after a break. What is
-believed of the list is decided in `decide.cluster.membership`; 'told' counts from the moment the bytes are
-here."""
+`GET /workers` answers with an endless stream: `list` with all endpoints, `change` with some, each with an id
+`EPOCH-NUMBER` whose number grows by one; comments keep the stream alive. `Last-Event-ID` resumes after a
+break. What is believed of the list is decided in `decide.cluster.membership`.
+"""
 
 import asyncio
+from typing import Protocol
 
 import httptools
 import orjson
-from tornado.iostream import IOStream, StreamClosedError
+from tornado.iostream import IOStream
 
-from petrelwood.decide.cluster.membership import EventOrder, MalformedEndpointError, decode_endpoint
+from petrelwood.decide.cluster.membership import Endpoint, EventOrder, Membership, decode_endpoint
+from petrelwood.errors import ProtocolError
 from petrelwood.links import sockets
-from petrelwood.links.sse import Events
+from petrelwood.links.errors import EndpointListError
+from petrelwood.links.interfaces import Address, Logger, LoopOwner
+from petrelwood.links.sse import EventReader
+from petrelwood.ports import Listed
 
-READ = 65_536
-# what ends a connection; it is made again
-FAULTS = (
-    TimeoutError,
-    StreamClosedError,
-    OSError,
-    ValueError,
-    httptools.HttpParserError,
-    MalformedEndpointError,
-)
+READ_SIZE = 65_536  # bytes taken from the socket at a time
+OK = 200  # the status of HTTP
+SECOND = 1_000_000_000  # ns
+MILLISECOND = 1_000_000  # ns
+LIST = "list"
+CHANGE = "change"
+# What ends a connection, which is then made again. JSON that can't be read is a ValueError.
+CONNECTION_ERRORS = (TimeoutError, OSError, ValueError, httptools.HttpParserError, ProtocolError)
+
+
+class WallClock(Protocol):
+    """Whoever can tell the time of day."""
+
+    def wall(self) -> int:
+        """Return the time since the epoch in ns."""
+
+
+class RosterCore(LoopOwner, Protocol):
+    """What this link needs of its dispatcher."""
+
+    @property
+    def clock(self) -> WallClock:
+        """The clock that starts of workers are compared with."""
+
+    async def sleep_until(self, when: int, /) -> None:
+        """Wait until a monotonic time in ns."""
+
+    def endpoints_changed(self, entries: list[Listed], leaving: list[str], whole: bool, /) -> object:
+        """Handle a change of workers; `whole`: the entries are all there are."""
 
 
 class RosterLink:
-    """`core` hears of each list and change through `listed`. It is also what httptools calls back."""
-
-    def __init__(self, address, membership, connect_within, core, log):
-        self.address, self.membership, self.core, self.log = address, membership, core, log
-        self.within, self.stream, self.task, self.events, self.lists = (
-            connect_within / 1e9,
-            None,
-            None,
-            None,
-            0,
-        )
-        self.current = False  # whether this connection has brought a list or a change
-
-    def open(self):
-        self.task = self.core.loop.create_task(self._keep())
-
-    def close(self):
-        self.task.cancel()
+    """Follows the endpoint list from `open` to `close`, over one connection at a time.
+
+    httptools calls back what begins with `on_`.
+
+    Args:
+        address: Where the roster listens.
+        membership: What is known of the list.
+        connect_within: How long a connection may take, in ns.
+        core: Its `endpoints_changed` is called for each list and each watch event that follows.
+        log: Where losses are logged.
+    """
+
+    def __init__(
+        self, address: Address, membership: Membership, connect_within: int, core: RosterCore, log: Logger
+    ) -> None:
+        self.address = address
+        self.membership = membership
+        self.connect_within = connect_within
+        self.core = core
+        self.log = log
+        self.stream: IOStream | None = None
+        self.task: asyncio.Task[None] | None = None
+        self.events = EventReader()
+        self.is_current = False  # whether this connection has brought a list or a watch event
+
+    def open(self) -> None:
+        """Begin to follow the list."""
+        self.task = self.core.loop.create_task(self._follow_forever())
+
+    def close(self) -> None:
+        """Stop following the list."""
+        if self.task is not None:
+            self.task.cancel()
         self.drop()
 
-    def drop(self):
-        """Ends the connection, as after silence; it is tried again."""
+    def drop(self) -> None:
+        """End the connection, as after silence; it is made again."""
         if self.stream is not None:
             self.stream.close()
 
-    async def _keep(self):
+    async def _follow_forever(self) -> None:
         while True:
-            why = "the stream ended"
+            reason = "the stream ended"
             try:
                 await self._follow()
-            except FAULTS as fault:
-                why = str(fault) or repr(fault)
+            except CONNECTION_ERRORS as error:
+                reason = str(error) or repr(error)
             finally:
                 self.drop()
-            until = self.membership.backoff.failed(self.core.now())
-            self.log.info("roster lost", why=why, again_in_ms=(until - self.core.now()) // 1_000_000)
-            await self.core.sleep_until(until)
-
-    async def _follow(self):
-        host, port = self.address
-        self.stream, self.events = IOStream(sockets.fresh(host)), Events()
-        self.current = False
-        parser, resume = httptools.HttpResponseParser(self), self.membership.resume_after
+            now = self.core.now()
+            retry_at = self.membership.backoff.failed(now)
+            self.log.info(
+                "roster connection lost", reason=reason, retry_in_ms=(retry_at - now) // MILLISECOND
+            )
+            await self.core.sleep_until(retry_at)
+
+    async def _follow(self) -> None:
+        """Connect, ask for the list, and take what comes until an error ends that."""
+        stream = IOStream(sockets.fresh(self.address[0]))
+        self.stream = stream
+        self.events = EventReader()
+        self.is_current = False
+        parser = httptools.HttpResponseParser(self)
+        resume_after = self.membership.resume_after
         # not `wait_for`, which loses a cancellation that comes as the connection is closed
-        async with asyncio.timeout(self.within):
-            await self.stream.connect(self.address)
-        await self.stream.write(
-            (
-                f"GET /workers HTTP/1.1\r\nHost: {host}:{port}\r\nAccept: text/event-stream\r\n"
-                f"User-Agent: {self.core.name}\r\n"
-                + (f"Last-Event-ID: {resume}\r\n" if resume else "")
-                + "\r\n"
-            ).encode()
-        )
+        async with asyncio.timeout(self.connect_within / SECOND):
+            await stream.connect(self.address)
+        await stream.write(self._request(resume_after))
         while True:
-            data = await self.stream.read_bytes(READ, partial=True)
+            data = await stream.read_bytes(READ_SIZE, partial=True)
             if self.membership.on_heard(self.core.now()):
                 self.log.info("roster heard again")
             parser.feed_data(data)
             status = parser.get_status_code()
-            if status and status != 200:
-                raise ValueError(f"the roster answered {status}")
+            if status and status != OK:
+                raise EndpointListError(f"the roster answered {status}")
 
-    def on_body(self, chunk):
+    def _request(self, resume_after: str | None) -> bytes:
+        host, port = self.address
+        lines = [
+            "GET /workers HTTP/1.1",
+            f"Host: {host}:{port}",
+            "Accept: text/event-stream",
+            f"User-Agent: {self.core.name}",
+        ]
+        if resume_after:
+            lines.append(f"Last-Event-ID: {resume_after}")
+        return "\r\n".join([*lines, "", ""]).encode()
+
+    def on_body(self, chunk: bytes) -> None:
+        """Take the next bytes of the stream. Raises ProtocolError and ValueError."""
         now = self.core.now()
-        for kind, data, id_ in self.events.feed(chunk):
-            if kind in ("list", "change"):
-                self._event(kind, [decode_endpoint(raw) for raw in orjson.loads(data)], id_, now)
-                self.current = True
-        if self.current:  # also by a comment: what would have changed would have come before it
+        for event in self.events.feed(chunk):
+            if event.name in (LIST, CHANGE):
+                endpoints = [decode_endpoint(raw) for raw in orjson.loads(event.data)]
+                if event.name == LIST:
+                    self._apply_list(event.id, endpoints, now)
+                else:
+                    self._apply_change(event.id, endpoints, now)
+                self.is_current = True
+        if self.is_current:  # also by a comment: what would have changed would have come before it
             self.membership.on_complete(now)
 
-    def on_message_complete(self):
+    def on_message_complete(self) -> None:
+        """End the connection, as the response has ended."""
         self.drop()
 
-    def _event(self, kind, entries, id_, now):
-        if kind == "list":
-            self.lists += 1
-            listed, leaving = self.membership.apply_list(id_, entries, now, self.core.clock.wall())
-            self.core.endpoints_changed(listed, leaving, True)
-            return
-        follows = self.membership.order_of(id_)
-        if follows is EventOrder.NEXT:
-            listed, leaving = self.membership.apply_change(id_, entries, now, self.core.clock.wall())
-            self.core.endpoints_changed(listed, leaving, False)
-        elif follows is EventOrder.GAP:
+    def _apply_list(self, event_id: str, endpoints: list[Endpoint], now: int) -> None:
+        change = self.membership.apply_list(event_id, endpoints, now, self.core.clock.wall())
+        self.core.endpoints_changed(change.listed, change.leaving, True)
+
+    def _apply_change(self, event_id: str, endpoints: list[Endpoint], now: int) -> None:
+        order = self.membership.order_of(event_id)
+        if order is EventOrder.NEXT:
+            change = self.membership.apply_change(event_id, endpoints, now, self.core.clock.wall())
+            self.core.endpoints_changed(change.listed, change.leaving, False)
+        elif order is EventOrder.GAP:
             self.membership.forget_position()
-            raise ValueError(f"a gap in the list before {id_}")
+            raise EndpointListError(f"a gap in the list before {event_id}")
--- a/petrelwood/links/sse.py
+++ b/petrelwood/links/sse.py
@@ -1,34 +1,72 @@
-"""Server-sent events, the reader's half of the HTML standard's section 9.2: bytes to events."""
+"""Server-sent events: bytes to events for the reader, an event to bytes for the server.
 
+https://html.spec.whatwg.org/multipage/server-sent-events.html, section 9.2.
+"""
 
-class Events:
-    """Feed it bytes; it yields (event, data, id) for each one that is whole. A comment yields nothing."""
+from collections.abc import Iterator
+from typing import NamedTuple
 
-    def __init__(self, most=8_000_000):
-        self.buffer, self.data, self.event, self.id, self.most = b"", [], "", "", most
+from petrelwood.links.errors import MalformedEventError
 
-    def feed(self, chunk):
-        self.buffer += chunk
-        if len(self.buffer) + sum(map(len, self.data)) > self.most:
-            raise ValueError("an event is too large")
-        lines = self.buffer.replace(b"\r\n", b"\n").split(b"\n")
-        self.buffer = lines.pop()
+MAX_EVENT_SIZE = 8_000_000  # bytes of one event, above a list of all workers of a large site
+DEFAULT_NAME = "message"
+
+
+class Event(NamedTuple):
+    """One event.
+
+    Attributes:
+        name: What kind it is.
+        data: Its lines of data.
+        id: The id of this event, or of the last one before it that had an id.
+    """
+
+    name: str
+    data: str
+    id: str
+
+
+class EventReader:
+    """Bytes to events; `max_size`: bytes of one event at most."""
+
+    def __init__(self, max_size: int = MAX_EVENT_SIZE) -> None:
+        self._max_size = max_size
+        self._buffer = b""  # the line that is not complete
+        self._data: list[str] = []
+        self._name = ""
+        self._id = ""
+
+    def feed(self, chunk: bytes) -> Iterator[Event]:
+        """Yield the events that these bytes complete. A comment yields nothing.
+
+        Raises:
+            MalformedEventError: An event is too large.
+        """
+        self._buffer += chunk
+        if len(self._buffer) + sum(map(len, self._data)) > self._max_size:
+            raise MalformedEventError("an event is too large")
+        lines = self._buffer.replace(b"\r\n", b"\n").split(b"\n")
+        self._buffer = lines.pop()
         for line in lines:
-            if not line:
-                if self.data:
-                    yield self.event or "message", "\n".join(self.data), self.id
-                self.data, self.event = [], ""
+            if line:
+                self._take_field(line)
                 continue
-            name, _, value = line.decode("utf-8", "replace").partition(":")
-            value = value[1:] if value.startswith(" ") else value
-            if name == "data":
-                self.data.append(value)
-            elif name == "event":
-                self.event = value
-            elif name == "id" and "\0" not in value:
-                self.id = value
-
-
-def event(kind, data, id_):
-    """The bytes of one event; `data` without line breaks."""
-    return f"event: {kind}\nid: {id_}\ndata: {data}\n\n".encode()
+            if self._data:
+                yield Event(self._name or DEFAULT_NAME, "\n".join(self._data), self._id)
+            self._data = []
+            self._name = ""
+
+    def _take_field(self, line: bytes) -> None:
+        name, _, value = line.decode("utf-8", "replace").partition(":")
+        value = value.removeprefix(" ")
+        if name == "data":
+            self._data.append(value)
+        elif name == "event":
+            self._name = value
+        elif name == "id" and "\0" not in value:
+            self._id = value
+
+
+def event(name: str, data: str, event_id: str) -> bytes:
+    """Return the bytes of one event; `data` has no line breaks."""
+    return f"event: {name}\nid: {event_id}\ndata: {data}\n\n".encode()
--- a/tests/test_packets.py
+++ b/tests/test_packets.py
@@ -202,7 +202,7 @@
             + noise.replace(b"\r", b"")
             + b"\n\n"
             + sse.event("change", "[2]", "e-2"),
-            sse.Events(),
+            sse.EventReader(),
             [],
         )
         for i in range(0, len(data), size):
