--- a/petrelwood/links/calls.py
+++ b/petrelwood/links/calls.py
@@ -25,14 +25,14 @@
     """What a call asks of its worker."""
 
     RUN = "run"  # an attempt of an activation
-    HOLD = "hold"  # a load order: have so many copies of a function
-    PROBE = "probe"  # a health check
+    LOAD_ORDER = "hold"  # a load order: have so many copies of a function
+    HEALTH_CHECK = "probe"  # a health check
 
 
 # Each call asks for these, and Python 3.11 is slow to look a member up on its enum.
 RUN = CallKind.RUN
-HOLD = CallKind.HOLD
-PROBE = CallKind.PROBE
+LOAD_ORDER = CallKind.LOAD_ORDER
+HEALTH_CHECK = CallKind.HEALTH_CHECK
 QUEUED = SendStage.QUEUED
 WRITTEN = SendStage.WRITTEN
 ANSWERED = SendStage.ANSWERED
@@ -129,7 +129,7 @@
 
     def recall(self) -> None:
         """Take back what has not left, as the worker drains or is gone. Health checks stay."""
-        for call in [each for each in self.waiting if each.kind != PROBE]:
+        for call in [each for each in self.waiting if each.kind != HEALTH_CHECK]:
             self._end_recalled(call)
 
     def has_open_calls(self) -> bool:
@@ -168,7 +168,7 @@
             if call.deadline is not None and call.deadline - self.core.now() < self.MIN_TIME_LEFT:
                 self._end(call, send_outcome.of_time(call.stage))
                 return False
-        elif call.kind == HOLD and not self.core.may_send_order(call.made_at):
+        elif call.kind == LOAD_ORDER and not self.core.may_send_order(call.made_at):
             self._end_recalled(call)
             return False
         return True
@@ -227,7 +227,7 @@
         gauge: Gauge | None = None,
     ) -> None:
         core = self.core
-        if call.kind == HOLD and call.stage == QUEUED:
+        if call.kind == LOAD_ORDER and call.stage == QUEUED:
             core.order_not_sent(call.made_at)
         call.stage = ANSWERED
         if call.kind == RUN:
@@ -236,7 +236,7 @@
             core.submit(
                 core.send_ended, activation, attempt, self.worker, code, note, body, call.made_at, gauge
             )
-        elif call.kind == HOLD:
+        elif call.kind == LOAD_ORDER:
             core.submit(core.load_order_ended, self.worker, call.function, code, note)
         else:
             core.submit(core.health_check_ended, self.worker, code, gauge)
--- a/petrelwood/links/interfaces.py
+++ b/petrelwood/links/interfaces.py
@@ -45,7 +45,7 @@
         gauge: Gauge | None,
         /,
     ) -> object:
-        """Handle the end of an attempt; `code` is one of `petrelwood.ports`."""
+        """Handle the end of an attempt; `code` is an `EndReason`."""
 
     def load_order_ended(self, worker: str, function: str, code: str, copies: int, /) -> object:
         """Handle the end of a load order."""
--- a/petrelwood/links/worker.py
+++ b/petrelwood/links/worker.py
@@ -24,11 +24,11 @@
 from petrelwood.decide.delivery import send_outcome
 from petrelwood.decide.overload.backoff import Budget
 from petrelwood.links import rpc, sockets, worker_messages
-from petrelwood.links.calls import HOLD, PROBE, QUEUED, RUN, Call, Calls
+from petrelwood.links.calls import HEALTH_CHECK, LOAD_ORDER, QUEUED, RUN, Call, Calls
 from petrelwood.links.connection_end import reason_of_end
 from petrelwood.links.interfaces import Address, LinkCore, Logger, LoopOwner
 from petrelwood.links.tls import Identity
-from petrelwood.links.worker_messages import HoldContent, RpcCall, RunContent
+from petrelwood.links.worker_messages import LoadOrderContent, RpcCall, RunContent
 
 READ_SIZE = 65_536  # bytes taken from the socket at a time
 BATCH_SIZE = 65_536  # bytes handed to the socket at a time; the rest is queued here and can be taken back
@@ -71,7 +71,7 @@
         """Log a defect of our own, and abort the activations that it touched."""
 
 
-class WorkerLink(Calls[RunContent | HoldContent, None]):
+class WorkerLink(Calls[RunContent | LoadOrderContent, None]):
     """The link of a dispatcher to one worker.
 
     It reports each end to the core through `submit`, never from within a method that the core has called.
@@ -122,17 +122,17 @@
         self.runs[activation, attempt] = call
         self._submit(call, now)
 
-    def hold(self, function: str, lanes: int, copies: int) -> None:
+    def order_load(self, function: str, lanes: int, copies: int) -> None:
         """Order the worker to have so many copies of a function."""
         now = self.core.now()
         tag = self._next_tag()
-        call: RpcCall = Call(HOLD, "", copies, function, now, HoldContent(lanes), CALL_SIZE, tag)
+        call: RpcCall = Call(LOAD_ORDER, "", copies, function, now, LoadOrderContent(lanes), CALL_SIZE, tag)
         self._submit(call, now)
 
-    def probe(self) -> None:
+    def check_health(self) -> None:
         """Send a health check."""
         now = self.core.now()
-        call: RpcCall = Call(PROBE, "", 0, "", now, None, CALL_SIZE, self._next_tag())
+        call: RpcCall = Call(HEALTH_CHECK, "", 0, "", now, None, CALL_SIZE, self._next_tag())
         self._submit(call, now)
 
     def _next_tag(self) -> int:
@@ -284,7 +284,7 @@
         if verdict == LinkCheck.GIVE_UP:
             self.give_up("nothing was heard in time")
         elif verdict == LinkCheck.PING:
-            self.probe()
+            self.check_health()
         for call in self._overdue_calls(now, self.terms.order_within):
             self._end(call, send_outcome.of_time(call.stage))
         for call in self._expired_attempts(now):
--- a/petrelwood/links/worker_messages.py
+++ b/petrelwood/links/worker_messages.py
@@ -13,17 +13,18 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from petrelwood import ports
 from petrelwood.decide.delivery import send_outcome
 from petrelwood.links import rpc
-from petrelwood.links.calls import HOLD, RUN, Call
+from petrelwood.links.calls import LOAD_ORDER, RUN, Call
 from petrelwood.links.interfaces import Gauge
+from petrelwood.ports import EndReason
 
 GAUGES = ("running", "waiting", "cores", "pinned", "loads")  # the names that a load report may have
+COMPLETED = EndReason.COMPLETED  # Python 3.11 is slow to look a member up on its enum
 HELLO = "hello"
 CANCEL = "cancel"
 RUN_ANSWER_FIELDS = 5  # in an answer to a run, be it a result or an error
-HOLD_ANSWER_FIELDS = 2
+LOAD_ORDER_ANSWER_FIELDS = 2
 HELLO_FIELDS = 2
 
 
@@ -35,13 +36,13 @@
     body: bytes
 
 
-class HoldContent(NamedTuple):
+class LoadOrderContent(NamedTuple):
     """What a load order tells its worker beside the function and the number of copies."""
 
     lanes: int
 
 
-RpcCall = Call[RunContent | HoldContent, None]
+RpcCall = Call[RunContent | LoadOrderContent, None]
 """A call on the one connection of a link."""
 
 
@@ -49,7 +50,7 @@
     """What the answer to a call says.
 
     Attributes:
-        code: How the call ended, one of `petrelwood.ports`.
+        code: How the call ended, an `EndReason`.
         note: Of a run what it says of the copy that ran it, of a load order the copies that there are.
         body: The result of a run.
         gauge: The load report that came with it.
@@ -83,7 +84,7 @@
             content.lanes,
             content.body,
         ]
-    elif isinstance(content, HoldContent):
+    elif isinstance(content, LoadOrderContent):
         parameters = [call.function, content.lanes, call.number]
     return rpc.request(call.tag, call.kind, parameters)
 
@@ -117,9 +118,9 @@
     """
     if call.kind == RUN:
         return _decode_run_error(call, error) if error is not None else _decode_run_result(call, result)
-    if call.kind == HOLD:
-        return _decode_hold_answer(error, result)
-    code = ports.COMPLETED if error is None else send_outcome.of_error(error)
+    if call.kind == LOAD_ORDER:
+        return _decode_load_order_answer(error, result)
+    code = COMPLETED if error is None else send_outcome.of_error(error)
     return Answer(code, gauge=_decode_gauge(result))
 
 
@@ -130,7 +131,7 @@
     _check_ids(call, activation, attempt)
     if not isinstance(body, bytes):
         raise rpc.MalformedRpcError("an answer's body must be bytes")
-    return Answer(ports.COMPLETED, _decode_note(note), body, _decode_gauge(gauge))
+    return Answer(COMPLETED, _decode_note(note), body, _decode_gauge(gauge))
 
 
 def _decode_run_error(call: RpcCall, error: object) -> Answer:
@@ -150,11 +151,15 @@
     return raw if isinstance(raw, int) else 0
 
 
-def _decode_hold_answer(error: object, result: object) -> Answer:
-    if not isinstance(result, list) or len(result) != HOLD_ANSWER_FIELDS or not isinstance(result[1], int):
+def _decode_load_order_answer(error: object, result: object) -> Answer:
+    if (
+        not isinstance(result, list)
+        or len(result) != LOAD_ORDER_ANSWER_FIELDS
+        or not isinstance(result[1], int)
+    ):
         return Answer(send_outcome.of_error(error))
     word, copies = result
-    return Answer(ports.COMPLETED if word == "ok" else send_outcome.of_error(word), copies)
+    return Answer(COMPLETED if word == "ok" else send_outcome.of_error(word), copies)
 
 
 def _decode_gauge(raw: object) -> Gauge | None:
