--- a/petrelwood/dispatch/worker_links.py
+++ b/petrelwood/dispatch/worker_links.py
@@ -21,9 +21,9 @@
     address: Address | None
 
     def run(
-        self, activation: str, attempt: int, function: str, mark: str, left: int, lanes: int, body: bytes
+        self, activation: str, attempt: int, function: str, mark: str, remaining: int, lanes: int, body: bytes
     ) -> object:
-        """Sends an activation; `mark`: what the worker tells repeats by, `left`: ns until its deadline."""
+        """Sends an activation; `mark`: its idempotency key, `remaining`: ns until its deadline."""
 
     def order_load(self, function: str, lanes: int, copies: int) -> object:
         """Orders the worker to have so many copies of a function."""
--- a/petrelwood/emulate/broker.py
+++ b/petrelwood/emulate/broker.py
@@ -118,7 +118,7 @@
     # From a client.
     def subscribe(self, session, packet):
         codes = []
-        for name, options in packet.filters:
+        for name, options in packet.subscriptions:
             share, bare = _split(name)
             if not self.may(session.user, bare, False):
                 codes.append(mqtt.NOT_AUTHORIZED)
@@ -130,9 +130,9 @@
             self._wake_group(name)
 
     def unsubscribe(self, session, packet):
-        codes = [0 if session.filters.pop(name, None) is not None else 0x11 for name in packet.filters]
-        shared = [m for m in session.queue if m.props.get("_shared") in packet.filters]
-        session.queue = deque(m for m in session.queue if m.props.get("_shared") not in packet.filters)
+        codes = [0 if session.filters.pop(name, None) is not None else 0x11 for name in packet.topic_filters]
+        shared = [m for m in session.queue if m.props.get("_shared") in packet.topic_filters]
+        session.queue = deque(m for m in session.queue if m.props.get("_shared") not in packet.topic_filters)
         session.send(mqtt.Packet(mqtt.UNSUBACK, packet.id, props={}, codes=codes))
         for message in shared:
             self._route_shared(message, session)
@@ -167,7 +167,7 @@
         elif packet.type in (mqtt.PUBACK, mqtt.PUBREC, mqtt.PUBCOMP):
             self._acknowledged(session, packet)
         elif packet.type not in (mqtt.DISCONNECT, mqtt.AUTH):
-            raise mqtt.Wrong(mqtt.PROTOCOL, f"a {mqtt.NAMES[packet.type]} from a client")
+            raise mqtt.MqttError(mqtt.PROTOCOL, f"a {mqtt.NAMES[packet.type]} from a client")
 
     def _acknowledged(self, session, packet):
         entry = session.out.get(packet.id)
--- a/petrelwood/fronts/mqtt.py
+++ b/petrelwood/fronts/mqtt.py
@@ -113,7 +113,7 @@
                 await self._follow()
             except StreamClosedError as fault:
                 why = str(fault.real_error or why)
-            except mqtt.Wrong as fault:
+            except mqtt.MqttError as fault:
                 why = str(fault)
                 self._leave(fault.code)
             except (TimeoutError, OSError, ValueError) as fault:
@@ -181,7 +181,9 @@
                     mqtt.SUBSCRIBE,
                     self._id(),
                     props={},
-                    filters=[(mqtt_topics.subscription_filter(terms.group, self.customer), 2)],
+                    subscriptions=[
+                        mqtt.Subscription(mqtt_topics.subscription_filter(terms.group, self.customer), 2)
+                    ],
                 )
             )
         if self.fresh and not first.present:
@@ -213,7 +215,7 @@
             self.last_id = self.last_id % IDS + 1
             if self.last_id not in self.answers:
                 return self.last_id
-        raise mqtt.Wrong(mqtt.QUOTA, "no packet identifier is free")
+        raise mqtt.MqttError(mqtt.QUOTA, "no packet identifier is free")
 
     def check(self, now):
         """Asked now and then: keep-alive, and what waits too long."""
@@ -257,7 +259,7 @@
         elif packet.type == mqtt.DISCONNECT:
             raise ValueError(f"the broker ended the connection: {packet.code:#x}")
         else:
-            raise mqtt.Wrong(mqtt.PROTOCOL, f"a {mqtt.NAMES[packet.type]} from a broker")
+            raise mqtt.MqttError(mqtt.PROTOCOL, f"a {mqtt.NAMES[packet.type]} from a broker")
 
     def _ponged(self, now):
         if self.fresh:
@@ -271,7 +273,7 @@
             if topic:
                 self.aliases[alias] = topic
             elif alias not in self.aliases:
-                raise mqtt.Wrong(mqtt.BAD_ALIAS, "a topic alias that was never given")
+                raise mqtt.MqttError(mqtt.BAD_ALIAS, "a topic alias that was never given")
             topic = self.aliases[alias]
         now, core = self.front.core.now(), self.front.core
         self.counts["messages"] += 1
@@ -457,7 +459,7 @@
                     mqtt.UNSUBSCRIBE,
                     self._id(),
                     props={},
-                    filters=[mqtt_topics.subscription_filter(self.terms.group, self.customer)],
+                    topic_filters=[mqtt_topics.subscription_filter(self.terms.group, self.customer)],
                 )
             )
             try:
--- /dev/null
+++ b/petrelwood/links/mqtt/reader.py
@@ -0,0 +1,58 @@
+"""A stream of bytes to packets."""
+
+from collections.abc import Iterator
+
+from petrelwood.links.mqtt.codes import ReasonCode
+from petrelwood.links.mqtt.decoding import decode
+from petrelwood.links.mqtt.errors import MqttError
+from petrelwood.links.mqtt.packet import Packet
+from petrelwood.links.mqtt.primitives import VARINT_BITS, VARINT_MASK, VARINT_MORE
+
+MAX_PACKET_SIZE = 1_000_000  # bytes, unless a reader is given another bound
+MAX_LENGTH_SIZE = 4  # bytes of the remaining length
+
+
+class Reader:
+    """Bytes to packets; `most`: bytes of one packet at most."""
+
+    def __init__(self, most: int = MAX_PACKET_SIZE) -> None:
+        self.buffer = bytearray()
+        self.most = most
+
+    def feed(self, data: bytes) -> Iterator[Packet]:
+        """Yield the packets that these bytes complete.
+
+        Raises:
+            MqttError: The peer does not keep to the standard; the connection is of no more use.
+        """
+        self.buffer += data
+        start = 0
+        try:
+            while True:
+                header_size, remaining_length = self._fixed_header(start)
+                body_start = start + header_size
+                end = body_start + remaining_length
+                if not header_size or end > len(self.buffer):
+                    return
+                first_byte = self.buffer[start]
+                body = bytes(self.buffer[body_start:end])
+                start = end
+                yield decode(first_byte, body)
+        finally:
+            del self.buffer[:start]
+
+    def _fixed_header(self, start: int) -> tuple[int, int]:
+        """Return the size of the fixed header that begins there, 0 if it is not complete, and the length."""
+        length = 0
+        for index in range(MAX_LENGTH_SIZE):
+            position = start + 1 + index
+            if position >= len(self.buffer):
+                return 0, 0
+            byte = self.buffer[position]
+            length |= (byte & VARINT_MASK) << VARINT_BITS * index
+            if not byte & VARINT_MORE:
+                size = index + 2
+                if length + size > self.most:
+                    raise MqttError(ReasonCode.TOO_LARGE, f"a packet of {length} bytes")
+                return size, length
+        raise MqttError(ReasonCode.MALFORMED, "a remaining length of over four bytes")
--- a/petrelwood/links/rpc_client.py
+++ b/petrelwood/links/rpc_client.py
@@ -42,7 +42,7 @@
                 return await self._call(method, params)
         except TimeoutError as error:
             if received == self._received:
-                self._drop_silent_connection()
+                self._close_unresponsive_connection()
             raise RpcError("no answer in time") from error
         except (StreamBufferFullError, OSError) as error:
             raise RpcError(str(error) or "the connection is lost") from error
@@ -118,7 +118,7 @@
             if not answer.done():
                 answer.set_exception(RpcError(reason))
 
-    def _drop_silent_connection(self) -> None:
+    def _close_unresponsive_connection(self) -> None:
         """Nothing came for as long as a call may take: the other end may be gone without a word.
 
         TCP tells that only after minutes of its own retries, and finds a machine that is back no sooner.
--- a/petrelwood/links/worker.py
+++ b/petrelwood/links/worker.py
@@ -101,7 +101,7 @@
 
     # What the dispatcher calls.
     def run(
-        self, activation: str, attempt: int, function: str, mark: str, left: int, lanes: int, body: bytes
+        self, activation: str, attempt: int, function: str, mark: str, remaining: int, lanes: int, body: bytes
     ) -> None:
         """Send an attempt of an activation.
 
@@ -110,7 +110,7 @@
             attempt: The number of the attempt.
             function: The function to run.
             mark: What the worker recognises repeats by (the idempotency key).
-            left: The time until the deadline, in ns.
+            remaining: The time until the deadline, in ns.
             lanes: Activations that one copy of the function runs at a time.
             body: What the function is given.
         """
@@ -118,7 +118,7 @@
         size = RUN_OVERHEAD + len(mark) + len(body)
         content = RunContent(mark, lanes, body)
         tag = self._next_tag()
-        call: RpcCall = Call(RUN, activation, attempt, function, now, content, size, tag, now + left)
+        call: RpcCall = Call(RUN, activation, attempt, function, now, content, size, tag, now + remaining)
         self.runs[activation, attempt] = call
         self._submit(call, now)
 
--- a/petrelwood/links/worker_messages.py
+++ b/petrelwood/links/worker_messages.py
@@ -74,13 +74,13 @@
     content = call.content
     parameters: list[object] = []
     if isinstance(content, RunContent):
-        time_left = 0 if call.deadline is None else call.deadline - now
+        remaining = 0 if call.deadline is None else call.deadline - now
         parameters = [
             call.activation,
             call.number,
             call.function,
             content.idempotency_mark,
-            time_left,
+            remaining,
             content.lanes,
             content.body,
         ]
--- a/petrelwood/standins/broker.py
+++ b/petrelwood/standins/broker.py
@@ -50,7 +50,7 @@
                 for packet in reader.feed(data):
                     if session is None:
                         if packet.type != mqtt.CONNECT:
-                            raise mqtt.Wrong(mqtt.PROTOCOL, "it did not connect first")
+                            raise mqtt.MqttError(mqtt.PROTOCOL, "it did not connect first")
                         if self.users is not None and self.users.get(packet.user) != packet.password:
                             send(mqtt.Packet(mqtt.CONNACK, code=mqtt.BAD_PASSWORD, present=0, props={}))
                             return
@@ -61,7 +61,7 @@
                         break
                     else:
                         self.model.packet(session, packet)
-        except mqtt.Wrong as fault:
+        except mqtt.MqttError as fault:
             close(fault.code)
         except TimeoutError:
             close(mqtt.KEEP_ALIVE)
--- a/petrelwood/standins/devices.py
+++ b/petrelwood/standins/devices.py
@@ -29,7 +29,7 @@
         while True:
             try:
                 await self._follow()
-            except (TimeoutError, StreamClosedError, OSError, mqtt.Wrong):
+            except (TimeoutError, StreamClosedError, OSError, mqtt.MqttError):
                 pass
             self.up = False
             self.stream.close()
@@ -69,7 +69,11 @@
                 raise ValueError(f"the broker refused the connection: {p.code:#x}")
             self.up = True
             if not p.present:
-                self.send(mqtt.Packet(mqtt.SUBSCRIBE, 65535, props={}, filters=[(self.reply, 2)]))
+                self.send(
+                    mqtt.Packet(
+                        mqtt.SUBSCRIBE, 65535, props={}, subscriptions=[mqtt.Subscription(self.reply, 2)]
+                    )
+                )
             else:
                 self.ready.set()
             for id_, packet in self.unacked.items():
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -199,7 +199,10 @@
         first = self.here.popleft()
         if not first.present:
             self.walk.broker.subscribe(
-                self.session, mqtt.Packet(mqtt.SUBSCRIBE, 1, props={}, filters=[("$share/g/act/#", 2)])
+                self.session,
+                mqtt.Packet(
+                    mqtt.SUBSCRIBE, 1, props={}, subscriptions=[mqtt.Subscription("$share/g/act/#", 2)]
+                ),
             )
         if self.fresh:  # what an earlier life has begun to send is let go
             self.there.append([mqtt.Packet(mqtt.PUBREL, id_) for id_ in IDS])
--- a/tests/test_finished.py
+++ b/tests/test_finished.py
@@ -28,9 +28,7 @@
     "petrelwood/dispatch",
     "petrelwood/emulate/configuration_servers.py",
     "petrelwood/errors.py",
-    "petrelwood/links/listener.py",
-    "petrelwood/links/rpc_client.py",
-    "petrelwood/links/sockets.py",
+    "petrelwood/links",
     "petrelwood/node/stream.py",
     "petrelwood/settings/comparison.py",
 }
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -56,7 +56,9 @@
         self.task = asyncio.ensure_future(self.read())
         found = await asyncio.wait_for(self.connack, 30)
         if not found.present:
-            self.send(mqtt.Packet(mqtt.SUBSCRIBE, 65000, props={}, filters=[(reply, 2)]))
+            self.send(
+                mqtt.Packet(mqtt.SUBSCRIBE, 65000, props={}, subscriptions=[mqtt.Subscription(reply, 2)])
+            )
         return found
 
     def send(self, packet):
--- a/tests/test_packets.py
+++ b/tests/test_packets.py
@@ -79,9 +79,14 @@
     P(mqtt.PUBACK, 3, 0x97),
     P(mqtt.PUBREL, 3),
     P(mqtt.PUBCOMP, 3, 0x92, props={"user": [("a", "b")]}),
-    P(mqtt.SUBSCRIBE, 2, props={"subscription_id": 5}, filters=[("$share/g/act/+/#", 1)]),
+    P(
+        mqtt.SUBSCRIBE,
+        2,
+        props={"subscription_id": 5},
+        subscriptions=[mqtt.Subscription("$share/g/act/+/#", 1)],
+    ),
     P(mqtt.SUBACK, 2, props={}, codes=[1, 0x87]),
-    P(mqtt.UNSUBSCRIBE, 2, props={}, filters=["a/#"]),
+    P(mqtt.UNSUBSCRIBE, 2, props={}, topic_filters=["a/#"]),
     P(mqtt.PINGREQ),
     P(mqtt.PINGRESP),
     P(mqtt.DISCONNECT, code=0x8E, props={"reason": "taken over"}),
@@ -115,7 +120,7 @@
                     short = bytes((whole[0], size - 2)) + whole[2:size]
                     try:
                         self.assertEqual(len(read(short)), 1)
-                    except mqtt.Wrong as fault:
+                    except mqtt.MqttError as fault:
                         self.assertGreaterEqual(fault.code, 0x80)
 
     def test_every_flipped_bit_is_a_packet_or_a_reason(self):
@@ -127,7 +132,7 @@
                 flipped[bit // 8] ^= 1 << bit % 8
                 try:
                     ends["packet" if read(bytes(flipped)) else "waits"] += 1
-                except mqtt.Wrong as fault:
+                except mqtt.MqttError as fault:
                     self.assertGreaterEqual(fault.code, 0x80)
                     ends["reason"] += 1
         self.assertTrue(all(ends.values()), ends)
@@ -138,14 +143,14 @@
         try:
             for packet in read(data):
                 mqtt.write(packet)
-        except mqtt.Wrong as fault:
+        except mqtt.MqttError as fault:
             self.assertGreaterEqual(fault.code, 0x80)
 
     def test_too_large_is_known_before_it_is_read(self):
-        with self.assertRaises(mqtt.Wrong) as caught:
+        with self.assertRaises(mqtt.MqttError) as caught:
             read(b"\x30\xff\xff\xff\x7f")
         self.assertEqual(caught.exception.code, mqtt.TOO_LARGE)
-        with self.assertRaises(mqtt.Wrong):
+        with self.assertRaises(mqtt.MqttError):
             read(b"\x30\xff\xff\xff\xff\x01")
 
     def test_topics_and_filters(self):
