--- a/petrelwood/links/calls.py
+++ b/petrelwood/links/calls.py
@@ -1,4 +1,4 @@
-"""The calls of a link to a worker that have not ended: their queue, their stages and how each one ends.
+"""The calls of a link to a worker that have not ended: their queue, their stages and their ends.
 
 Shared by the links of all protocols. A frame is encoded as it leaves, since the time left of an activation is
 part of it. What an end proves is decided in `decide.delivery.send_outcome`.
@@ -44,13 +44,13 @@
 
     Attributes:
         kind: What it asks for.
-        activation: The id of its activation, or what it goes under where it has none.
+        activation: The id of its activation. Other calls have none: an id of the protocol's, or nothing.
         number: Of an attempt its number, of a load order the copies wanted, of a health check 0.
-        function: The function that it is about; empty of a health check.
+        function: The function to run or load; empty for a health check.
         made_at: When it was made, in ns.
         content: What its frame is made of when it leaves, then None.
-        size: Bytes that it counts for while it is queued.
-        tag: Names it among the calls in flight.
+        size: Bytes that it adds to `waiting_bytes` while it is queued.
+        tag: Its key among the calls in flight.
         deadline: When the time of an attempt is up, in ns, whether its activation has ended or not.
         stage: How far it has come.
         connection: Which connection carries it, of a link that has several.
@@ -89,7 +89,7 @@
     `_end` reports its end. It provides `_encode`, and `_send_cancel` where its protocol has one.
     """
 
-    MIN_TIME_LEFT = 1  # ns that an attempt must have left to leave: the unit in which its worker is told
+    MIN_TIME_LEFT = 1  # ns, the unit of the time left in a frame: an attempt with less is not sent
 
     def __init__(self, worker: str, address: Address | None, core: LinkCore) -> None:
         self.worker = worker
