--- a/petrelwood/links/rpc_client.py
+++ b/petrelwood/links/rpc_client.py
@@ -42,7 +42,7 @@
                 return await self._call(method, params)
         except TimeoutError as error:
             if received == self._received:
-                self._drop_silent_connection()
+                self._close_unresponsive_connection()
             raise RpcError("no answer in time") from error
         except (StreamBufferFullError, OSError) as error:
             raise RpcError(str(error) or "the connection is lost") from error
@@ -98,10 +98,12 @@
                 self._received += len(data)
                 for message in reader.feed(data):
                     self.messages += 1
-                    if message[0] == rpc.RESPONSE:
-                        _, message_id, error, result = message
-                        self._answered(message_id, error, result)
-        except (OSError, rpc.Garbage) as error:  # tornado hands some errors of the socket on as they are
+                    if isinstance(message, rpc.Response):
+                        self._answered(message.message_id, message.error, message.result)
+        except (
+            OSError,
+            rpc.MalformedRpcError,
+        ) as error:  # tornado hands some errors of the socket on as they are
             stream.close()
             if self._stream is stream:
                 self._fail_open_calls(str(error) or "the connection is lost")
@@ -116,7 +118,7 @@
             if not answer.done():
                 answer.set_exception(RpcError(reason))
 
-    def _drop_silent_connection(self) -> None:
+    def _close_unresponsive_connection(self) -> None:
         """Nothing came for as long as a call may take: the other end may be gone without a word.
 
         TCP tells that only after minutes of its own retries, and finds a machine that is back no sooner.
