--- a/petrelwood/cli/main.py
+++ b/petrelwood/cli/main.py
@@ -359,7 +359,7 @@
     """Whether a signature of BODY holds under one of the keys: exit 0 or 1."""
     from petrelwood.fronts import signing
 
-    held = signing.Verifier([_signing_key(k) for k in key]).holds(signature, id_, timestamp, body.read())
+    held = signing.Verifier([_signing_key(k) for k in key]).is_valid(signature, id_, timestamp, body.read())
     click.echo("it holds" if held else "no signature holds")
     sys.exit(0 if held else 1)
 
--- a/petrelwood/fronts/webhook.py
+++ b/petrelwood/fronts/webhook.py
@@ -494,7 +494,7 @@
         if abs(wall - seconds * SECOND) > self.gateway.tolerance:
             return 400, "webhook-timestamp is too far from this clock", None, None, None
         text = id_.decode("ascii")
-        if verifier is None or not verifier.holds(signature.decode("latin-1"), text, seconds, body):
+        if verifier is None or not verifier.is_valid(signature.decode("latin-1"), text, seconds, body):
             return 401, "no signature holds", None, None, None
         rule = self.core.rule(function)
         if rule is None:
