--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -188,7 +188,7 @@
         if pending is None:
             return False
         for exchange, _ in list(pending.waiters):
-            exchange.look_for_end()
+            exchange.check_departure()
         return activation_id in self.pending.activations
 
     async def close(self) -> None:
--- a/petrelwood/dispatch/serve.py
+++ b/petrelwood/dispatch/serve.py
@@ -54,7 +54,7 @@
         self.failed: str | None = None
         self.rollout = self._make_rollout(gateway)
         self.core = Dispatcher(gateway, log, options.brain, options.follows)
-        self.front = Webhooks(gateway, self.core, log)
+        self.front = Webhooks(gateway, self.core)
         self.updater = SettingsUpdater(gateway, self.core, self.front, log)
         self.triggers: Mqtt | None = None
         self.follower: ConfigurationFollower | None = None
@@ -149,7 +149,7 @@
         if self.successor is not None:
             await self.successor.take_over(self.core.now)
             self.core.open_state(predecessor_runs=True)
-            host, port = self.front.follow(self.successor.listeners)
+            host, port = self.front.listen_on(self.successor.listeners)
             self.core.handover.on_answer = self.successor.machine.record_answer
             self._start(self._follow(self.successor))
         else:
--- /dev/null
+++ b/petrelwood/fronts/interfaces.py
@@ -0,0 +1,254 @@
+"""The types that the fronts expect of what they are given: the core, its settings and a logger.
+
+The core and the settings are in packages above and beside this one, which must not be imported here.
+"""
+
+import asyncio
+from collections.abc import Callable, Coroutine, Iterable, Mapping
+from random import Random
+from typing import Any, Protocol
+
+from petrelwood import ports
+from petrelwood.decide.delivery import pending
+from petrelwood.decide.delivery.ledger import Ledger
+from petrelwood.decide.overload.intake import Ask, Intake
+from petrelwood.links.tls import Identity
+
+
+class Logger(Protocol):
+    """A structured logger, as structlog makes them: one line for each event, with its fields."""
+
+    def info(self, event: str, **fields: object) -> object:
+        """Logs a normal event."""
+
+
+class FunctionRule(pending.FunctionRule, Protocol):
+    """What the settings say of a function; see `settings.gateway.FunctionRule`."""
+
+    @property
+    def type(self) -> str:
+        """The name of its namespace type."""
+
+
+class Exchange(Protocol):
+    """One request of a client, which has one final answer."""
+
+    act: str | None  # the id of the activation that it waits for
+
+    def answer(
+        self, outcome: str, body: bytes = b"", retry_after: int = 0, why: str = "", act: str | None = None
+    ) -> None:
+        """Gives the client its final answer. `retry_after`: ns, 0 where it is not told."""
+
+
+class Customer(Protocol):
+    """Who may call; see `settings.gateway.Customer`."""
+
+    @property
+    def keys(self) -> Iterable[tuple[str, bytes]]:
+        """The scheme and the key of each signature that the customer may use."""
+
+
+class ConnectionLimits(Protocol):
+    """The limits of the webhook front; see `settings.gateway.Limits`."""
+
+    @property
+    def connections(self) -> int:
+        """Connections open at a time."""
+
+    @property
+    def handshakes(self) -> int:
+        """TLS handshakes in progress at a time."""
+
+    @property
+    def bytes(self) -> int:
+        """Bytes of requests that are not complete yet, over all connections."""
+
+    @property
+    def header(self) -> int:
+        """Bytes of the head of one request."""
+
+    @property
+    def body(self) -> int:
+        """Bytes of the body of one request."""
+
+    @property
+    def head_within(self) -> int:
+        """Time in ns from the first byte of a request to the end of its head."""
+
+    @property
+    def body_within(self) -> int:
+        """Time in ns from the end of the head to the end of the body; also for a peer to read an answer."""
+
+    @property
+    def idle(self) -> int:
+        """Time in ns that a connection may stay open without a request."""
+
+    @property
+    def pipeline(self) -> int:
+        """Requests read ahead on one connection."""
+
+
+class WebhookSettings(Protocol):
+    """The settings that concern webhooks; see `settings.gateway.Gateway`."""
+
+    @property
+    def customers(self) -> Mapping[str, Customer]:
+        """The customers by name."""
+
+    @property
+    def limits(self) -> ConnectionLimits:
+        """The limits of the front."""
+
+    @property
+    def tls(self) -> Identity | None:
+        """The certificate of the front; None where it speaks plain HTTP."""
+
+    @property
+    def tolerance(self) -> int:
+        """How far the timestamp of a webhook may be off the wall clock, in ns."""
+
+
+class FrontCore(Protocol):
+    """What each front needs of the core; see `dispatch.core.Core`."""
+
+    @property
+    def now(self) -> Callable[[], int]:
+        """The monotonic clock, in ns."""
+
+    @property
+    def chance(self) -> Random:
+        """The source of random numbers."""
+
+    def rule(self, function: str) -> FunctionRule | None:
+        """The rule of a function, or None where it may not be called."""
+
+    def admit(self, ask: Ask, function: str, rule: FunctionRule, body: bytes, exchange: Exchange) -> None:
+        """Admits a request of an authenticated client; `exchange` gets the final answer."""
+
+    def client_left(self, act_id: str, exchange: Exchange) -> None:
+        """The client of an exchange needs no answer any more."""
+
+
+class WebhookCore(FrontCore, Protocol):
+    """What the webhook front needs of the core."""
+
+    @property
+    def intake(self) -> Intake:
+        """The admission of activations, which also recognises storms of connections."""
+
+
+class MqttTerms(Protocol):
+    """The settings of the MQTT front; see `settings.gateway.MqttTerms`. Times in ns."""
+
+    @property
+    def broker(self) -> tuple[str, int]:
+        """Host and port of the broker."""
+
+    @property
+    def user(self) -> str:
+        """The name that the dispatcher logs in with."""
+
+    @property
+    def password(self) -> bytes:
+        """The password that it logs in with."""
+
+    @property
+    def group(self) -> str:
+        """The group of the shared subscription: the same at all dispatchers."""
+
+    @property
+    def keep_alive(self) -> int:
+        """How long a connection may be silent."""
+
+    @property
+    def session(self) -> int:
+        """How long the broker keeps a session without a connection."""
+
+    @property
+    def window_least(self) -> int:
+        """Activations of one customer in flight at a time: the smallest window."""
+
+    @property
+    def window_most(self) -> int:
+        """The largest window."""
+
+    @property
+    def connect_within(self) -> int:
+        """The timeout of connecting, and of each step of the handshake."""
+
+    @property
+    def most(self) -> int:
+        """Bytes of one packet at most."""
+
+    @property
+    def answers_kept(self) -> int:
+        """Answers of one customer that may be queued for the broker."""
+
+    @property
+    def comeback_first(self) -> int:
+        """The first backoff after a connection was lost."""
+
+    @property
+    def comeback_most(self) -> int:
+        """The longest backoff."""
+
+    @property
+    def tls(self) -> Identity | None:
+        """The certificates of connections to the broker; None where they are plain."""
+
+
+class MqttSettings(Protocol):
+    """The settings that concern MQTT besides `MqttTerms`; see `settings.gateway.Gateway`."""
+
+    @property
+    def customers(self) -> Mapping[str, Customer]:
+        """The customers by name."""
+
+    @property
+    def timeouts(self) -> Mapping[str, int]:
+        """The action timeout of each namespace type, in ns."""
+
+
+class Clock(Protocol):
+    """The clock of the core; see `petrelwood.clocks`."""
+
+    def steady_wall(self) -> int:
+        """The wall-clock time in ns, without its steps."""
+
+
+class MqttCore(FrontCore, Protocol):
+    """What the MQTT front needs of the core; see `dispatch.dispatcher.Dispatcher`."""
+
+    @property
+    def name(self) -> str:
+        """The name of the dispatcher."""
+
+    @property
+    def clock(self) -> Clock:
+        """The clock that timestamps are read from."""
+
+    @property
+    def loop(self) -> asyncio.AbstractEventLoop:
+        """The loop that the dispatcher runs on."""
+
+    @property
+    def gateway(self) -> MqttSettings:
+        """The settings in force."""
+
+    @property
+    def terms(self) -> ports.Terms:
+        """The terms of the decision module."""
+
+    @property
+    def known_ids(self) -> Ledger:
+        """The ids of earlier activations."""
+
+    def submit(self, call: Callable[..., object], *args: Any) -> None:
+        """Makes a call at once, or after the one that is being made."""
+
+    def defect(self, where: str, fault: Exception) -> None:
+        """Reports an error that nothing foresaw; the activations that it touched are aborted."""
+
+    def sleep_until(self, when: int) -> Coroutine[Any, Any, None]:
+        """Waits for a time of the monotonic clock."""
--- a/petrelwood/fronts/mqtt.py
+++ b/petrelwood/fronts/mqtt.py
@@ -58,7 +58,7 @@
         self.function, self.rule, self.body, self.target = function, rule, body, target
         self.act, self.delivery, self.answer_is = None, None, None
 
-    def look_for_end(self):
+    def check_departure(self):
         """A message outlives the connection that it came by."""
 
     def answer(self, what, body=b"", retry_after=0, why="", act=None):
--- a/petrelwood/fronts/problem.py
+++ b/petrelwood/fronts/problem.py
@@ -1,29 +1,17 @@
-"""Problem documents (RFC 9457) and the status of each way an activation may end."""
+"""Problem documents (RFC 9457): the bodies of answers that are not the result of an activation."""
 
 import orjson
 
-TITLES = {
-    400: "Bad Request",
-    401: "Unauthorized",
-    404: "Not Found",
-    405: "Method Not Allowed",
-    408: "Request Timeout",
-    409: "Conflict",
-    411: "Length Required",
-    413: "Content Too Large",
-    415: "Unsupported Media Type",
-    429: "Too Many Requests",
-    431: "Request Header Fields Too Large",
-    500: "Internal Server Error",
-    503: "Service Unavailable",
-    504: "Gateway Timeout",
-    200: "OK",
-}
+from petrelwood.fronts.http_status import HttpStatus
 
 
-def document(status, detail, act=None):
-    """The body, `application/problem+json`."""
-    body = {"type": "about:blank", "title": TITLES[status], "status": status, "detail": detail}
-    if act:
-        body["instance"] = f"urn:activation:{act}"
-    return orjson.dumps(body)
+def problem_document(status: HttpStatus, detail: str, activation_id: str | None = None) -> bytes:
+    """Return the body of an answer of type `application/problem+json`.
+
+    `detail` says to the client what is wrong with this request; `activation_id` is given where the request
+    became an activation.
+    """
+    document = {"type": "about:blank", "title": status.title, "status": status.value, "detail": detail}
+    if activation_id:
+        document["instance"] = f"urn:activation:{activation_id}"
+    return orjson.dumps(document)
--- /dev/null
+++ b/petrelwood/fronts/webhook_answer.py
@@ -0,0 +1,46 @@
+"""The HTTP answer to each outcome of an activation, and to each verdict of the intake."""
+
+from petrelwood.decide.delivery.ledger import ActivationState
+from petrelwood.decide.overload import intake
+from petrelwood.fronts.http_response import JSON, HttpResponse, problem_response
+from petrelwood.fronts.http_status import HttpStatus
+
+OK = HttpStatus.OK
+STATUSES = {
+    ActivationState.COMPLETED: HttpStatus.OK,
+    intake.GIVE: HttpStatus.OK,
+    ActivationState.REJECTED: HttpStatus.SERVICE_UNAVAILABLE,
+    intake.REFUSE: HttpStatus.SERVICE_UNAVAILABLE,
+    ActivationState.ABORTED: HttpStatus.GATEWAY_TIMEOUT,
+    intake.ABORT: HttpStatus.GATEWAY_TIMEOUT,
+    intake.CONFLICT: HttpStatus.CONFLICT,
+    intake.SPENT: HttpStatus.CONFLICT,
+}
+DEFAULT_DETAILS = {  # where the core gives no reason
+    ActivationState.REJECTED: "turned away; trying again does no harm",
+    intake.REFUSE: "turned away; trying again does no harm",
+    ActivationState.ABORTED: "no answer in time, or none that proves anything",
+}
+
+
+def response_to(
+    outcome: str, body: bytes, retry_after: int, reason: str, activation_id: str | None
+) -> HttpResponse:
+    """Return the answer to an outcome.
+
+    Args:
+        outcome: an `ActivationState` in which an activation may end, or a verdict of the intake.
+        body: the result, of what has completed.
+        retry_after: when a rejected client may retry, ns from now.
+        reason: why it did not complete; empty for the usual reason of the outcome.
+        activation_id: None where no activation was made.
+    """
+    status = STATUSES[outcome]
+    if status is OK:
+        return HttpResponse(status, JSON, body, activation_id)
+    detail = reason or DEFAULT_DETAILS.get(outcome, "")
+    if status is not HttpStatus.SERVICE_UNAVAILABLE:
+        return problem_response(status, detail, activation_id)
+    if reason == intake.OVER_PART:
+        status = HttpStatus.TOO_MANY_REQUESTS
+    return problem_response(status, detail, activation_id, retry_after)
--- a/petrelwood/settings/gateway.py
+++ b/petrelwood/settings/gateway.py
@@ -70,7 +70,7 @@
     answers_kept: int  # answers that wait for the broker, for each customer
     comeback_first: int
     comeback_most: int
-    tls: object  # links.tls.Identity, or None
+    tls: Identity | None
 
 
 class EarlyTerms(NamedTuple):
@@ -115,7 +115,7 @@
     customers: dict
     functions: tuple
     terms: ports.Terms
-    tls: object  # of the webhook front: links.tls.Identity, or None
+    tls: Identity | None  # of the webhook front
     worker_tls: object
     mqtt: MqttTerms | None
     early: EarlyTerms | None  # None: nothing is loaded ahead
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -164,7 +164,7 @@
         self.core.ledger.complete_since -= 10_000_000_000
         self.core.open()
         await asyncio.wait_for(self.core.endpoints_known.wait(), 30)
-        self.front = Webhooks(self.gateway, self.core, self.log)
+        self.front = Webhooks(self.gateway, self.core)
         self.core.fronts.append(self.front)
         self.address = self.front.open(("127.0.0.1", 0))
         self.caller, self.number, self.stamp = Caller(self.address), 0, int(time.time())
@@ -177,7 +177,7 @@
             for link in self.core.links.values():
                 link.give_up("the test is over")
             self.front.stop()
-            for line in list(self.front.lines):
+            for line in list(self.front.connections):
                 line.stream.close()
             self.caller.close()
             for worker in self.workers:
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -25,7 +25,7 @@
         crowd, quiet = self.others("127.0.0.2"), self.others("127.0.0.3")
         streams = [await crowd.connect() for _ in range(40)]
         await self.until(lambda: sum(self.front.admission.counts.values()) == 40)
-        self.assertLessEqual(len(self.front.lines), 21)
+        self.assertLessEqual(len(self.front.connections), 21)
         refused = [s for s in streams if (await self.first(s)).startswith(b"HTTP/1.1 503")]
         self.assertGreaterEqual(len(refused), 19)
         await self.served(quiet, 20)
@@ -69,10 +69,10 @@
             streams.append(stream)
             await stream.write(b"".join(self.message(body=b'{"big":1}') for _ in range(5)))
         await self.until(lambda: self.front.admission.held_bytes > 10_000_000)
-        while self.front.lines:  # `body-within` is 300 ms
+        while self.front.connections:  # `body-within` is 300 ms
             most = max(most, self.front.admission.held_bytes)
             self.assertEqual((await quiet.call(self.message(), 30)).status, 200)
-            if all(line.peer == "127.0.0.3" for line in self.front.lines):
+            if all(line.peer == "127.0.0.3" for line in self.front.connections):
                 break
         self.assertLessEqual(most, 40_000_000)
         await self.until(lambda: self.front.admission.held_bytes == 0)
--- a/tests/test_serve_departure.py
+++ b/tests/test_serve_departure.py
@@ -20,7 +20,7 @@
         await self.begin(worker := Worker("w1"))
         self.assertEqual((await self.post())[0], 200)  # a connection is up
         client = Client(self.address)
-        await self.until(lambda: len(self.front.lines) == 2)
+        await self.until(lambda: len(self.front.connections) == 2)
         admit = self.core.admit
 
         def admits(*args):
@@ -32,7 +32,7 @@
 
         self.core.admit = admits
         client.send(self.message(function))
-        await self.until(lambda: len(self.front.lines) == 1)
+        await self.until(lambda: len(self.front.connections) == 1)
         await asyncio.sleep(0.1)
         return len(worker.runs) == 2
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -96,7 +96,7 @@
     async def test_too_many_connections(self):
         await self.begin(Worker("w1"), limits="connections 2")
         kept = [await self.caller.connect() for _ in range(2)]
-        await self.until(lambda: len(self.front.lines) == 2)
+        await self.until(lambda: len(self.front.connections) == 2)
         third = await self.caller.connect()
         reply = await asyncio.wait_for(third.read_until_close(), 30)
         self.assertTrue(reply.startswith(b"HTTP/1.1 503") and b"Retry-After: " in reply, reply)
@@ -158,8 +158,8 @@
         await self.begin(w := Worker("w1", never))
         asked = asyncio.ensure_future(self.caller.call(self.message("again-1", "m"), 30))
         await self.until(lambda: w.runs)
-        line = next(iter(self.front.lines))
-        exchange = line.waiting[0]
+        line = next(iter(self.front.connections))
+        exchange = line.unanswered[0]
         link = self.core.links["w1"]
         msgid = next(iter(link.out))
         link._response(msgid, None, [*w.acts()[0], 1, b"{}", None])  # both in one turn of the loop
@@ -176,9 +176,9 @@
         await self.begin(w := Worker("w1", never))
         asked = asyncio.ensure_future(self.caller.call(self.message("again-1", "m"), 30))
         await self.until(lambda: w.runs)
-        line, link = next(iter(self.front.lines)), self.core.links["w1"]
+        line, link = next(iter(self.front.connections)), self.core.links["w1"]
         msgid = next(iter(link.out))
-        self.front.core.client_left(line.waiting[0].act, line.waiting[0])
+        self.front.core.client_left(line.unanswered[0].act, line.unanswered[0])
         link._response(msgid, None, [*w.acts()[0], 1, b"{}", None])
         with self.assertRaises(asyncio.TimeoutError):  # nothing may be written for what was left
             await asyncio.wait_for(asyncio.shield(asked), 0.2)
--- a/tests/test_system_calls_of_serve.py
+++ b/tests/test_system_calls_of_serve.py
@@ -80,8 +80,8 @@
 
     async def gone(self, most=0):
         """Connections have ended, and count no more among those of their address."""
-        await self.until(lambda: len(self.front.lines) <= most)
-        self.assertEqual(self.front.admission.open, len(self.front.lines))
+        await self.until(lambda: len(self.front.connections) <= most)
+        self.assertEqual(self.front.admission.open, len(self.front.connections))
 
     async def completed(self, function="once-1"):
         """One more request, on a new connection, runs once and is answered."""
