--- a/tests/test_webhook_bytes.py
+++ b/tests/test_webhook_bytes.py
@@ -101,7 +101,7 @@
         await self.exchange("first", replayed)
         await self.exchange("replayed", replayed)
         held = asyncio.ensure_future(self.post("once-late"))
-        await self.until(lambda: self.core.intake.held == 1)
+        await self.until(lambda: self.core.intake.unanswered == 1)
         await self.exchange("no room", self.message())
         await held
         self.core.intake.closing = True
