--- a/petrelwood/fronts/webhook_answer.py
+++ b/petrelwood/fronts/webhook_answer.py
@@ -8,7 +8,7 @@
 # Looked up once: a member of an enum takes longer to find than a name of the module.
 OK = HttpStatus.OK
 SERVICE_UNAVAILABLE = HttpStatus.SERVICE_UNAVAILABLE
-STATUSES = {
+STATUSES: dict[str, HttpStatus] = {
     ActivationState.COMPLETED: OK,
     intake.REPEAT_RESULT: OK,
     ActivationState.REJECTED: SERVICE_UNAVAILABLE,
@@ -18,7 +18,7 @@
     intake.CONFLICT: HttpStatus.CONFLICT,
     intake.RESULT_DROPPED: HttpStatus.CONFLICT,
 }
-DEFAULT_DETAILS = {  # where the core gives no reason
+DEFAULT_DETAILS: dict[str, str] = {  # where the core gives no reason
     ActivationState.REJECTED: "turned away; trying again does no harm",
     intake.REJECT: "turned away; trying again does no harm",
     ActivationState.ABORTED: "no answer in time, or none that proves anything",
