--- a/benchmarks/scale/parts.py
+++ b/benchmarks/scale/parts.py
@@ -19,7 +19,7 @@
 from petrelwood import ports
 from petrelwood.clocks import WALL, VirtualClock
 from petrelwood.decide.cluster import membership
-from petrelwood.decide.overload.intake import Ask
+from petrelwood.decide.overload.intake import ActivationRequest
 from petrelwood.decide.scheduling.scheduler import Function, Scheduler
 from petrelwood.dispatch.core import Core
 from petrelwood.emulate.platform import Silent
@@ -56,7 +56,7 @@
 
     run = order_load = check_health = cancel = late = withdraw = recall = give_up = _nothing
 
-    def owes(self):
+    def has_open_calls(self):
         """Nothing is ever out."""
         return False
 
@@ -310,7 +310,7 @@
 def ask(dispatcher, number, function):
     """A call that is answered at once."""
     now = dispatcher.now()
-    asked = Ask("caller", f"id-{number}", dispatcher.clock.wall() + SECOND, "call", now, 0)
+    asked = ActivationRequest("caller", f"id-{number}", dispatcher.clock.wall() + SECOND, "call", now, 0)
     dispatcher.admit(asked, function, dispatcher.rule(function), 0, IgnoringExchange())
 
 
@@ -354,7 +354,7 @@
 
 def read_event_list(data):
     """The membership's entries of its bytes, as a dispatcher reads them."""
-    ((_, text, _),) = sse.Events().feed(data)
+    ((_, text, _),) = sse.EventReader().feed(data)
     return [membership.decode_endpoint(one) for one in orjson.loads(text)]
 
 
--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -69,7 +69,7 @@
 
     def _make_link(self, worker: str, address: Address | None, core: Core) -> WorkerLink:
         return WorkerLink(
-            worker, address, self.gateway.workers, self.chance.random, core, self.log, self.gateway.worker_tls
+            worker, address, self.gateway.workers, self.chance.random, self, self.log, self.gateway.worker_tls
         )
 
     # Folders.
@@ -188,7 +188,7 @@
         if pending is None:
             return False
         for exchange, _ in list(pending.waiters):
-            exchange.look_for_end()
+            exchange.check_departure()
         return activation_id in self.pending.activations
 
     async def close(self) -> None:
--- a/petrelwood/fronts/mqtt.py
+++ b/petrelwood/fronts/mqtt.py
@@ -24,13 +24,13 @@
 IDS = 256
 STATUS = {
     "completed": "completed",
-    intake.GIVE: "completed",
+    intake.REPEAT_RESULT: "completed",
     "rejected": "rejected",
-    intake.REFUSE: "rejected",
+    intake.REJECT: "rejected",
     "aborted": "aborted",
     intake.ABORT: "aborted",
     intake.CONFLICT: "rejected",
-    intake.SPENT: "aborted",
+    intake.RESULT_DROPPED: "aborted",
 }
 ENDED = "the session was lost before its message was begun; it may run elsewhere"
 
@@ -58,7 +58,7 @@
         self.function, self.rule, self.body, self.target = function, rule, body, target
         self.act, self.delivery, self.answer_is = None, None, None
 
-    def look_for_end(self):
+    def check_departure(self):
         """A message outlives the connection that it came by."""
 
     def answer(self, what, body=b"", retry_after=0, why="", act=None):
@@ -75,7 +75,7 @@
             body = orjson.dumps({"status": status, "detail": why})
         self.answer_is = (body, props)
         now = self.session.front.core.now()
-        took = now - self.ask.came
+        took = now - self.ask.arrived_at
         self.session.deliveries.on_answer(
             now, self.delivery, status == "completed" and took <= self.target, took
         )
@@ -113,7 +113,7 @@
                 await self._follow()
             except StreamClosedError as fault:
                 why = str(fault.real_error or why)
-            except mqtt.Wrong as fault:
+            except mqtt.MqttError as fault:
                 why = str(fault)
                 self._leave(fault.code)
             except (TimeoutError, OSError, ValueError) as fault:
@@ -181,7 +181,9 @@
                     mqtt.SUBSCRIBE,
                     self._id(),
                     props={},
-                    filters=[(mqtt_topics.subscription_filter(terms.group, self.customer), 2)],
+                    subscriptions=[
+                        mqtt.Subscription(mqtt_topics.subscription_filter(terms.group, self.customer), 2)
+                    ],
                 )
             )
         if self.fresh and not first.present:
@@ -213,7 +215,7 @@
             self.last_id = self.last_id % IDS + 1
             if self.last_id not in self.answers:
                 return self.last_id
-        raise mqtt.Wrong(mqtt.QUOTA, "no packet identifier is free")
+        raise mqtt.MqttError(mqtt.QUOTA, "no packet identifier is free")
 
     def check(self, now):
         """Asked now and then: keep-alive, and what waits too long."""
@@ -257,7 +259,7 @@
         elif packet.type == mqtt.DISCONNECT:
             raise ValueError(f"the broker ended the connection: {packet.code:#x}")
         else:
-            raise mqtt.Wrong(mqtt.PROTOCOL, f"a {mqtt.NAMES[packet.type]} from a broker")
+            raise mqtt.MqttError(mqtt.PROTOCOL, f"a {mqtt.NAMES[packet.type]} from a broker")
 
     def _ponged(self, now):
         if self.fresh:
@@ -271,7 +273,7 @@
             if topic:
                 self.aliases[alias] = topic
             elif alias not in self.aliases:
-                raise mqtt.Wrong(mqtt.BAD_ALIAS, "a topic alias that was never given")
+                raise mqtt.MqttError(mqtt.BAD_ALIAS, "a topic alias that was never given")
             topic = self.aliases[alias]
         now, core = self.front.core.now(), self.front.core
         self.counts["messages"] += 1
@@ -301,7 +303,7 @@
         # nobody signs it: it only has to be newer than what came before, whatever the wall clock does
         newer = core.ledger.next_timestamp((self.customer, id_), type_, core.clock.steady_wall())
         self.stamp = max(self.stamp + 1, newer)
-        ask = intake.Ask(self.customer, id_, self.stamp, type_, now, wait)
+        ask = intake.ActivationRequest(self.customer, id_, self.stamp, type_, now, wait)
         terms = core.terms.types[type_]
         message = Message(
             self,
@@ -357,7 +359,7 @@
         message = delivery.message
         message.delivery = delivery
         message.answer_is = (
-            orjson.dumps({"status": "rejected", "detail": intake.NO_TIME}),
+            orjson.dumps({"status": "rejected", "detail": intake.RejectionReason.NO_TIME}),
             [("status", "rejected")],
         )
         self.answer(delivery, bool(delivery.qos))
@@ -457,7 +459,7 @@
                     mqtt.UNSUBSCRIBE,
                     self._id(),
                     props={},
-                    filters=[mqtt_topics.subscription_filter(self.terms.group, self.customer)],
+                    topic_filters=[mqtt_topics.subscription_filter(self.terms.group, self.customer)],
                 )
             )
             try:
--- a/petrelwood/settings/tls.py
+++ b/petrelwood/settings/tls.py
@@ -1,6 +1,7 @@
 """The TLS identity that a node has."""
 
-from petrelwood.links.tls import BadIdentity, Identity
+from petrelwood.links.errors import IdentityError
+from petrelwood.links.tls import Identity
 from petrelwood.settings.decoders import FLAG, TEXT
 from petrelwood.settings.node import Node
 
@@ -18,6 +19,6 @@
     node.reject_unknown()
     try:
         return Identity(certificate, key, trusted, is_mutual, name)
-    except BadIdentity as error:
+    except IdentityError as error:
         node.report(str(error))
         return None
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,6 +20,7 @@
 from unittest import mock
 
 import msgpack
+from free_ports import free_port
 from node_site import ROOT, SETTINGS, Roster, Site, Worker, ask, hit
 
 from petrelwood.decide.overload import resource_limits
@@ -263,10 +264,10 @@
                     first.call(ask(fn=1, facts=facts))
                     await site.until(worker.runs)
                     gone.call(ask(fn=1, facts=facts))
-                    await site.until(lambda: site.node.intake.held == 2)
+                    await site.until(lambda: site.node.intake.unanswered == 2)
                     kept = ask(fn=1, facts=facts)
                     stays.call(kept)
-                    await site.until(lambda: site.node.intake.held == 3)
+                    await site.until(lambda: site.node.intake.unanswered == 3)
                     gone.close(how)
                     await site.until(lambda: site.node.pending.counts["left"] == 1)
                     worker.answer(worker.runs()[0])
@@ -287,7 +288,7 @@
                         await site.until(worker.runs)
                         left = ask(fn=1, facts=facts)
                         gone.call(left)
-                        await site.until(lambda: site.node.intake.held == 2)
+                        await site.until(lambda: site.node.intake.unanswered == 2)
                         worker.answer(worker.runs()[0], type=code)
                         gone.close(how)
                         held_up()
@@ -308,7 +309,7 @@
             await site.until(worker.runs)
             left = ask(fn=1, facts=facts)
             gone.call(left)
-            await site.until(lambda: site.node.intake.held == 2)
+            await site.until(lambda: site.node.intake.unanswered == 2)
             worker.answer(worker.runs()[0])
             for _ in range(20):
                 gone.call(ask(fn=1, facts=facts), body=b"y" * 12_000)
@@ -331,7 +332,7 @@
             client.close()
             await site.until(lambda: site.node.pending.counts["left"] == 1)
             worker.answer(worker.runs()[0], type="SHED")
-            await site.until(lambda: not site.node.links[worker.name].owes())
+            await site.until(lambda: not site.node.links[worker.name].has_open_calls())
             await site.turns()
             self.assertEqual(len(first.runs()) + len(second.runs()), 1)
             client = Caller(site.address)
@@ -658,7 +659,7 @@
             await site.until(worker.runs)
             for which in (0, 2, 3):  # the first may have one lane, and one is taken
                 call(which)
-                await site.until(lambda: site.node.intake.held == len(sent))
+                await site.until(lambda: site.node.intake.unanswered == len(sent))
             await site.until(lambda: len(worker.runs()) == 3)
             await site.turns()
             here = [sent[said["req"]] for _, said in worker.runs()]
@@ -781,9 +782,7 @@
         await site.roster.open()
         await site.workers[0].open()
         site.roster.tell(site.workers[0])
-        with socket.socket() as free:
-            free.bind(("127.0.0.1", 0))
-            site.address = free.getsockname()
+        site.address = ("127.0.0.1", free_port())
         self.addCleanup(site.folder.cleanup)
         path = site.write()
         for before in (True, False):
@@ -843,13 +842,13 @@
             client.close()
             await site.until(lambda: site.node.pending.counts["left"] == 1)
             link = site.node.links["s-1"]
-            self.assertTrue(link.owes())
+            self.assertTrue(link.has_open_calls())
             await loud.open()
             site.workers.append(loud)
             site.roster.tell(loud)
             site.roster.tell(silent, "Gone")
             await site.until(lambda: "s-1" not in site.node.links)
-            self.assertFalse(link.owes() or link.lines or site.node.links.in_flight)
+            self.assertFalse(link.has_open_calls() or link.lines or site.node.links.in_flight)
             # not allowed
             self.assertEqual([said["type"] for _, said in silent.read() if said["type"] == "KILL"], [])
             client = Caller(site.address)
@@ -913,7 +912,7 @@
             client.call(ask(fn=1, facts=facts))
             await site.until(worker.runs)
             client.call(ask(fn=1, facts=facts))
-            await site.until(lambda: site.node.intake.held == 2)
+            await site.until(lambda: site.node.intake.unanswered == 2)
             told_ = []
             # it has the question now, and answers when it is told to
             site.roster.spoil = lambda wire: told_.append(wire)
