--- a/petrelwood/fronts/interfaces.py
+++ b/petrelwood/fronts/interfaces.py
@@ -42,7 +42,7 @@
 
 
 class Customer(Protocol):
-    """Who may call; see `settings.gateway.Customer`."""
+    """Who may call; see `settings.customers.Customer`."""
 
     @property
     def keys(self) -> Iterable[tuple[str, bytes]]:
@@ -50,7 +50,7 @@
 
 
 class ConnectionLimits(Protocol):
-    """The limits of the webhook front; see `settings.gateway.Limits`."""
+    """The limits of the webhook front; see `settings.limits.Limits`."""
 
     @property
     def connections(self) -> int:
@@ -141,7 +141,7 @@
 
 
 class MqttTerms(Protocol):
-    """The settings of the MQTT front; see `settings.gateway.MqttTerms`. Times in ns."""
+    """The settings of the MQTT front; see `settings.mqtt.MqttTerms`. Times in ns."""
 
     @property
     def broker(self) -> tuple[str, int]:
