--- a/petrelwood/settings/__init__.py
+++ b/petrelwood/settings/__init__.py
@@ -1,1 +1,1 @@
-"""KDL files, decoded once into named shapes; what is wrong is told with file and line."""
+"""Settings in KDL files: decoded into typed records; what is wrong is reported with file and line."""
