--- a/benchmarks/module_pace.py
+++ b/benchmarks/module_pace.py
@@ -110,9 +110,8 @@
                     fn = (low + high) // 2
                     low, high = (fn + 1, high) if self.sums[fn] < pick else (low, fn)
                 self.fns[f"a{number}"] = low
-                self.tell(
-                    scheduler.activation_arrived, f"a{number}", low, "plain", "", due + 2500 * MS, 1, 0, 0
-                )
+                arrival = ports.Arrival(f"a{number}", low, "plain", "", due + 2500 * MS, 1, 0, 0)
+                self.tell(scheduler.activation_arrived, arrival)
                 due += int(self.arrivals.expovariate(self.rate) * 1e9)
                 continue
             self.now, _, (what, *args) = heapq.heappop(self.heap)
@@ -125,9 +124,8 @@
                 if self.fns.pop(act, None) is not None:
                     self.ends["completed"] += 1
                     late += took > 1000 * MS
-                self.tell(
-                    scheduler.attempt_ended, act, n, worker, ports.EndReason.COMPLETED, note, True, took, None
-                )
+                end = ports.AttemptEnd(act, n, worker, ports.EndReason.COMPLETED, note, True, took, None)
+                self.tell(scheduler.attempt_ended, end)
         return number
 
 
--- a/benchmarks/rare_calls.py
+++ b/benchmarks/rare_calls.py
@@ -149,7 +149,8 @@
 
     def answered(self, now, outlet, act, n, worker, note, took):
         over = self.ended(outlet, act, True)
-        outlet.scheduler.attempt_ended(now, act, n, worker, ports.EndReason.COMPLETED, note, over, took, None)
+        end = ports.AttemptEnd(act, n, worker, ports.EndReason.COMPLETED, note, over, took, None)
+        outlet.scheduler.attempt_ended(now, end)
 
     def ended(self, outlet, act, completed):
         call = self.calls.pop((outlet, act), None)
@@ -170,7 +171,8 @@
                 for ready, used in self.copies.get(fn, {}).values()
             )
         self.calls[outlet, act] = Called(fn, self.now, stood)
-        outlet.scheduler.activation_arrived(self.now, act, fn, "call", "", self.now + 5 * SECOND, 4, 0, 0)
+        arrival = ports.Arrival(act, fn, "call", "", self.now + 5 * SECOND, 4, 0, 0)
+        outlet.scheduler.activation_arrived(self.now, arrival)
 
     def play(self):
         rares = [f"r{n}" for n in range(int(RARE_RATE * self.dispatchers * self.rare_every / SECOND))]
--- a/benchmarks/scale/parts.py
+++ b/benchmarks/scale/parts.py
@@ -154,7 +154,8 @@
 # Placement.
 def place(module, key):
     """A first call of a function."""
-    module.activation_arrived(SECOND, f"act-{key}", key, "call", "caller", 5 * SECOND, 4, 0, 0)
+    arrival = ports.Arrival(f"act-{key}", key, "call", "caller", 5 * SECOND, 4, 0, 0)
+    module.activation_arrived(SECOND, arrival)
 
 
 def placement_seconds(workers):
@@ -277,14 +278,14 @@
 
 def place_answer(module, act_id, worker, now):
     """A worker's answer to a first send."""
-    module.attempt_ended(
-        now, act_id, 0, worker, ports.EndReason.COMPLETED, ports.CopyNote.FOUND_WARM, True, SECOND // 20, None
-    )
+    reason, note = ports.EndReason.COMPLETED, ports.CopyNote.FOUND_WARM
+    module.attempt_ended(now, ports.AttemptEnd(act_id, 0, worker, reason, note, True, SECOND // 20, None))
 
 
 def call_again(module, now):
     """A call of the known function, and its answer."""
-    module.activation_arrived(now, "act-again", "known", "call", "caller", now + 4 * SECOND, 4, 0, 0)
+    arrival = ports.Arrival("act-again", "known", "call", "caller", now + 4 * SECOND, 4, 0, 0)
+    module.activation_arrived(now, arrival)
     (send,) = module.acts["act-again"].sends
     place_answer(module, "act-again", send.worker.id, now + SECOND // 20)
 
--- a/petrelwood/decide/scheduling/scheduler.py
+++ b/petrelwood/decide/scheduling/scheduler.py
@@ -192,7 +192,8 @@
         for fn in self.functions.values():
             fn.copies.pop(worker.id, None)
 
-    def activation_arrived(self, now, act_id, key, type_name, customer, due, lanes, work, load_time):
+    def activation_arrived(self, now, arrival):
+        act_id, key, type_name, customer, due, lanes, work, load_time = arrival
         fn = self.functions.get(key) or self.functions.setdefault(key, Function(key))
         fn.lanes, fn.called, fn.recent, fn.load_time = lanes, now, fn.recent + 1, load_time or fn.load_time
         self.recent.append(fn)
@@ -628,7 +629,8 @@
     def _late(self, act):  # an answer that took so long is slow
         return max(CROWDED * self._expected_time(act), act.target // 3)
 
-    def attempt_ended(self, now, act_id, n, worker_id, code, note, over, took, report):
+    def attempt_ended(self, now, end):
+        act_id, n, worker_id, code, note, over, took, report = end
         worker = self.workers.get(worker_id)
         lost = worker.lost.pop((act_id, n), None) if worker else None
         send = lost or worker and worker.out.pop((act_id, n), None)
--- a/petrelwood/dispatch/activations.py
+++ b/petrelwood/dispatch/activations.py
@@ -7,6 +7,7 @@
 
 from typing import TYPE_CHECKING, Protocol
 
+from petrelwood import ports
 from petrelwood.decide.delivery.ledger import ActivationState
 from petrelwood.decide.delivery.pending import PendingActivation
 from petrelwood.decide.overload import intake as intake_stage
@@ -112,17 +113,17 @@
     def begin(self, act: PendingActivation) -> None:
         """Hands an activation to the module."""
         self.core.events.touched.add(act.id)
-        self.core.scheduler.activation_arrived(
-            self.now(),
-            act.id,
-            act.function,
-            act.type,
-            act.customer,
-            act.due,
-            act.lanes,
-            act.work,
-            act.load_time,
+        arrival = ports.Arrival(
+            activation_id=act.id,
+            function=act.function,
+            type_name=act.type,
+            customer=act.customer,
+            due=act.due,
+            slots=act.lanes,
+            work_hint=act.work,
+            load_time=act.load_time,
         )
+        self.core.scheduler.activation_arrived(self.now(), arrival)
 
     def reject(self, act: PendingActivation, least_wait: int = 0) -> None:
         """Rejects an activation that the module has not heard of; it may come back after `least_wait` ns."""
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -296,13 +296,13 @@
         act_id: str,
         attempt: int,
         worker: str,
-        code: str,
+        code: ports.EndReason,
         note: int,
         body: bytes,
         sent_at: int,
         gauge: dict[str, float] | None,
     ) -> None:
-        """A send has ended with a `code` of `ports`; `gauge`: the worker's load report, if it sent one."""
+        """A send has ended for the reason `code`; `gauge`: the worker's load report, if it sent one."""
         now = self.now()
         self.links.in_flight.pop((act_id, attempt), None)
         act = self.pending.activations.get(act_id)
@@ -315,9 +315,8 @@
             self._learn(now, act, worker, code, note, now - sent_at)
         self.events.touched.add(act_id)
         has_ended = act_id not in self.pending.activations
-        self.scheduler.attempt_ended(
-            now, act_id, attempt, worker, code, note, has_ended, now - sent_at, gauge
-        )
+        end = ports.AttemptEnd(act_id, attempt, worker, code, note, has_ended, now - sent_at, gauge)
+        self.scheduler.attempt_ended(now, end)
 
     def _learn(self, now: int, act: PendingActivation, worker: str, code: str, note: int, took: int) -> None:
         """What the history and the forecasts learn from the end of a send."""
--- a/petrelwood/drill.py
+++ b/petrelwood/drill.py
@@ -109,8 +109,7 @@
         if scheduler is None:
             raise ValueError(f"event {kind!r} for dispatcher {who!r}, which was not started")
         if kind == "workItem":
-            scheduler.activation_arrived(
-                now,
+            arrival = ports.Arrival(
                 e["corr"],
                 e["callee"],
                 e["priority"],
@@ -120,10 +119,10 @@
                 (e.get("work") or 0) * US,
                 int((e.get("loadTimeMs") or 0) * 1000 * US),
             )
+            scheduler.activation_arrived(now, arrival)
         elif kind == "completed":
             note = e.get("detail") or 0
-            scheduler.attempt_ended(
-                now,
+            end = ports.AttemptEnd(
                 e["corr"],
                 e["n"],
                 e["runner"],
@@ -133,6 +132,7 @@
                 e["took"] * US,
                 report(e.get("gauge")),
             )
+            scheduler.attempt_ended(now, end)
         elif kind == "ring":
             scheduler.timer_fired(now, e["mark"])
         elif kind == "stands":
--- a/petrelwood/emulate/policies.py
+++ b/petrelwood/emulate/policies.py
@@ -31,9 +31,10 @@
     def endpoint_list_lost(self, now):
         pass
 
-    def activation_arrived(self, now, act_id, key, type_name, customer, due, lanes, work, load_time):
-        self.acts[act_id] = [key, self.terms.types[type_name], due, 0, False, None]
-        self._send(act_id, now, ())
+    def activation_arrived(self, now, arrival):
+        type_ = self.terms.types[arrival.type_name]
+        self.acts[arrival.activation_id] = [arrival.function, type_, arrival.due, 0, False, None]
+        self._send(arrival.activation_id, now, ())
 
     def _send(self, act_id, now, but):
         act = self.acts[act_id]
@@ -59,15 +60,16 @@
     def stream_started(self, now, act_id, n, worker_id):
         pass
 
-    def attempt_ended(self, now, act_id, n, worker_id, code, note, over, took, report):
+    def attempt_ended(self, now, end):
+        act_id, worker_id = end.activation_id, end.worker
         self.load[worker_id] = self.load.get(worker_id, 1) - 1
         act = self.acts.get(act_id)
         if act is None:
             return
-        if over:
+        if end.is_final:
             del self.acts[act_id]
             return
-        act[4] = act[4] or code not in ports.NEVER_RAN
+        act[4] = act[4] or end.reason not in ports.NEVER_RAN
         if act[4] and act[1].effect != ports.Effect.REPEATABLE:
             self._ends(act_id)
         else:
--- a/petrelwood/ports.py
+++ b/petrelwood/ports.py
@@ -114,6 +114,32 @@
     usable: bool  # False: it drains or is gone
 
 
+class Arrival(NamedTuple):
+    """An activation that has been admitted and waits for its first attempt."""
+
+    activation_id: str
+    function: str
+    type_name: str  # a key of `Terms.types`
+    customer: str
+    due: int  # ns on the caller's clock: its final answer must be there by then
+    slots: int  # activations of its function that one copy runs at a time
+    work_hint: int  # ns that it is expected to compute; 0: not told
+    load_time: int  # ns that loading a copy of its function takes; 0: not told
+
+
+class AttemptEnd(NamedTuple):
+    """How one attempt of an activation has ended."""
+
+    activation_id: str
+    attempt: int  # attempts of an activation are counted from 0
+    worker: str
+    reason: EndReason
+    note: int  # a CopyNote
+    is_final: bool  # the activation has its final answer, by this attempt or otherwise
+    took: int  # ns from the send to the end
+    report: dict[str, float] | None  # the worker's load report, if it sent one
+
+
 class Outlet(Protocol):
     """What the module may do. Every call takes effect at the clock time of the call being handled."""
 
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -28,10 +28,20 @@
 class Chases(Scheduler):
     """Rule 1: sends again after the final answer."""
 
-    def attempt_ended(self, now, act_id, n, worker_id, *rest):
-        super().attempt_ended(now, act_id, n, worker_id, *rest)
-        core, link = self.out.core, self.out.links[worker_id]
-        core.loop.call_later(1.0, link.run, act_id, n + 1, "applicant-1", "mittelland/late", 10**9, 4, b"{}")
+    def attempt_ended(self, now, end):
+        super().attempt_ended(now, end)
+        core, link = self.out.core, self.out.links[end.worker]
+        core.loop.call_later(
+            1.0,
+            link.run,
+            end.activation_id,
+            end.attempt + 1,
+            "applicant-1",
+            "mittelland/late",
+            10**9,
+            4,
+            b"{}",
+        )
 
 
 class Floods(Scheduler):
@@ -49,11 +59,11 @@
 
     seen = 0
 
-    def activation_arrived(self, now, act_id, key, *rest):
-        super().activation_arrived(now, act_id, key, *rest)
+    def activation_arrived(self, now, arrival):
+        super().activation_arrived(now, arrival)
         Orders.seen += 1
         if Orders.seen % 2 and self.fleet:
-            self.out.order_load(self.fleet[Orders.seen % len(self.fleet)].id, key, 1)
+            self.out.order_load(self.fleet[Orders.seen % len(self.fleet)].id, arrival.function, 1)
 
 
 def break_rule(name):
--- a/tests/cold_budget.py
+++ b/tests/cold_budget.py
@@ -328,7 +328,8 @@
             del self.world.acts[job.act]
         note = job.note if code == ports.EndReason.COMPLETED else 0
         took = self.world.now - job.came
-        self.scheduler.attempt_ended(self.world.now, job.act, job.n, worker, code, note, over, took, None)
+        end = ports.AttemptEnd(job.act, job.n, worker, code, note, over, took, None)
+        self.scheduler.attempt_ended(self.world.now, end)
 
 
 class World:
@@ -392,9 +393,8 @@
         self.acts[act] = Asked(fn, type_, work)
         due, hint = self.now + 4 * self.case.target * MS, int(work * self.chance.uniform(0.7, 1.4))
         hint *= self.case.hints
-        dispatcher.scheduler.activation_arrived(
-            self.now, act, fn, type_, "", due, LANES, hint, self.case.load * MS
-        )
+        arrival = ports.Arrival(act, fn, type_, "", due, LANES, hint, self.case.load * MS)
+        dispatcher.scheduler.activation_arrived(self.now, arrival)
 
     # Troubles.
     def restarts(self):
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -97,23 +97,15 @@
 
     def come(self, *acts, fn=1, lanes=1, patience=3000, customer="", work=0, load=300):
         for act in acts:
-            self.scheduler.activation_arrived(
-                self.now, act, fn, "plain", customer, self.now + patience * MS, lanes, work * MS, load * MS
-            )
+            due = self.now + patience * MS
+            arrival = ports.Arrival(act, fn, "plain", customer, due, lanes, work * MS, load * MS)
+            self.scheduler.activation_arrived(self.now, arrival)
 
     def answer(self, act, worker, code=ports.EndReason.COMPLETED, n=0, took=100, note=1):
         self.say(f"       {act}#{n} on {worker}: {code}")
-        self.scheduler.attempt_ended(
-            self.now,
-            act,
-            n,
-            worker,
-            code,
-            note if code == ports.EndReason.COMPLETED else 0,
-            code == ports.EndReason.COMPLETED,
-            took * MS,
-            None,
-        )
+        is_final = code == ports.EndReason.COMPLETED
+        end = ports.AttemptEnd(act, n, worker, code, note if is_final else 0, is_final, took * MS, None)
+        self.scheduler.attempt_ended(self.now, end)
 
     def end(self, test: unittest.TestCase):
         """Fails with the difference unless the trace is the kept one."""
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -12,6 +12,7 @@
 import tempfile
 import unittest
 
+from petrelwood import ports
 from petrelwood.audit import rules
 from petrelwood.clocks import VirtualClock
 from petrelwood.decide.delivery import ledger
@@ -237,10 +238,10 @@
         may, ledger.Ledger._may_repeat = ledger.Ledger._may_repeat, lambda self, entry, now: True
 
         class Careless(Scheduler):
-            def attempt_ended(self, now, act_id, n, worker_id, code, *rest):
-                super().attempt_ended(
-                    now, act_id, n, worker_id, "no connection" if code == "reset" else code, *rest
-                )
+            def attempt_ended(self, now, end):
+                is_reset = end.reason == ports.EndReason.RESET
+                reason = ports.EndReason.NO_CONNECTION if is_reset else end.reason
+                super().attempt_ended(now, end._replace(reason=reason))
 
         try:
             platform = Platform(script.read(script.find("bad")), 1, Careless).run()
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -364,10 +364,10 @@
 class Defects(Case):
     async def test_a_defect_aborts_what_it_touched_and_nothing_else(self):
         class Faulty(Scheduler):
-            def attempt_ended(self, now, act_id, *rest):
-                if self.acts[act_id].fn.key == "again-bad":
+            def attempt_ended(self, now, end):
+                if self.acts[end.activation_id].fn.key == "again-bad":
                     raise RuntimeError("a defect")
-                super().attempt_ended(now, act_id, *rest)
+                super().attempt_ended(now, end)
 
         on_run = {"again-bad": says("error")}
         await self.begin(
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -159,8 +159,8 @@
     def __init__(self, start, terms, seed, out):
         self.began = {}
 
-    def activation_arrived(self, now, act_id, *rest):
-        self.began[act_id] = now
+    def activation_arrived(self, now, arrival):
+        self.began[arrival.activation_id] = now
 
     def held(self, *args):
         pass
