--- a/benchmarks/scale/parts.py
+++ b/benchmarks/scale/parts.py
@@ -20,7 +20,8 @@
 from petrelwood.clocks import WALL, VirtualClock
 from petrelwood.decide.cluster import membership
 from petrelwood.decide.overload.intake import Ask
-from petrelwood.decide.scheduling.scheduler import Function, Scheduler
+from petrelwood.decide.scheduling.records import Function
+from petrelwood.decide.scheduling.scheduler import Scheduler
 from petrelwood.dispatch.core import Core
 from petrelwood.emulate.platform import Silent
 from petrelwood.links import sse
@@ -270,8 +271,8 @@
     place(module, "known")
     for worker in outlet.probes:
         module.health_check_ended(SECOND, worker, ports.EndReason.COMPLETED, {"running": 0})
-    act = module.acts["act-known"]
-    (send,) = act.sends
+    act = module.activations["act-known"]
+    (send,) = act.attempts
     place_answer(module, "act-known", send.worker.id, 2 * SECOND)
     return lambda: call_again(module, 3 * SECOND)
 
@@ -286,7 +287,7 @@
     """A call of the known function, and its answer."""
     arrival = ports.Arrival("act-again", "known", "call", "caller", now + 4 * SECOND, 4, 0, 0)
     module.activation_arrived(now, arrival)
-    (send,) = module.acts["act-again"].sends
+    (send,) = module.activations["act-again"].attempts
     place_answer(module, "act-again", send.worker.id, now + SECOND // 20)
 
 
--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -263,26 +263,26 @@
             "rejected": counts[ledger.ActivationState.REJECTED],
             "aborted": counts[ledger.ActivationState.ABORTED],
             "held": self.intake.held,
-            "out": scheduler.out_now,
-            "slow": round(scheduler.slow, 2),
-            "turned": round(scheduler.turned, 2),
-            "cap": scheduler.cap.most and round(scheduler.cap.most, 1),
+            "out": scheduler.in_flight,
+            "slow": round(scheduler.slow_share, 2),
+            "turned": round(scheduler.shed_probability, 2),
+            "cap": scheduler.send_limit.limit and round(scheduler.send_limit.limit, 1),
             "functions": len(scheduler.functions),
             "clients": len(self.front.clients),
-            "listed": len(scheduler.fleet),
+            "listed": len(scheduler.usable_workers),
             "ends": ends,
             "workers": {
                 w.id: [
-                    len(w.out),
-                    round(w.pace, 2),
-                    w.cap.most and round(w.cap.most, 1),
-                    int(w.silent),
+                    len(w.in_flight),
+                    round(w.relative_latency, 2),
+                    w.send_limit.limit and round(w.send_limit.limit, 1),
+                    int(w.is_unresponsive),
                     lines,
                     copies.get(w.id, 0),
                 ]
-                for w in scheduler.fleet
+                for w in scheduler.usable_workers
                 for lines in [len(self.links[w.id].lines) if w.id in self.links else 0]
-                if lines or w.out or w.silent or w.cap.most or w.id in copies
+                if lines or w.in_flight or w.is_unresponsive or w.send_limit.limit or w.id in copies
             },
         }
 
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -7,7 +7,8 @@
 from petrelwood.cli.logs import open_log
 from petrelwood.decide.cluster.membership import ListChange, Membership
 from petrelwood.decide.delivery import send_outcome
-from petrelwood.decide.scheduling.scheduler import Copy, Scheduler
+from petrelwood.decide.scheduling.records import Copy
+from petrelwood.decide.scheduling.scheduler import Scheduler
 from petrelwood.dispatch import serve
 from petrelwood.dispatch.activations import Activations
 from petrelwood.dispatch.dispatcher import Dispatcher
@@ -30,7 +31,7 @@
 
     def attempt_ended(self, now, end):
         super().attempt_ended(now, end)
-        core, link = self.out.core, self.out.links[end.worker]
+        core, link = self.outlet.core, self.outlet.links[end.worker]
         core.loop.call_later(
             1.0,
             link.run,
@@ -47,11 +48,11 @@
 class Floods(Scheduler):
     """Rule 4: gives a worker that has just started all it can."""
 
-    def _hold(self, act, now, front=False):
-        cold = next((w for w in self.fleet if w.booted), None)
-        if cold is None or act.sends:
-            return super()._hold(act, now, front)
-        self._send(act, act.fn.copies.setdefault(cold.id, Copy(cold, now)), now)
+    def _enqueue(self, act, now, front=False):
+        cold = next((w for w in self.usable_workers if w.booted), None)
+        if cold is None or act.attempts:
+            return super()._enqueue(act, now, front)
+        self._send(act, act.function.copies.setdefault(cold.id, Copy(cold, now, now)), now)
 
 
 class Orders(Scheduler):
@@ -62,8 +63,10 @@
     def activation_arrived(self, now, arrival):
         super().activation_arrived(now, arrival)
         Orders.seen += 1
-        if Orders.seen % 2 and self.fleet:
-            self.out.order_load(self.fleet[Orders.seen % len(self.fleet)].id, arrival.function, 1)
+        if Orders.seen % 2 and self.usable_workers:
+            self.outlet.order_load(
+                self.usable_workers[Orders.seen % len(self.usable_workers)].id, arrival.function, 1
+            )
 
 
 def break_rule(name):
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -105,7 +105,7 @@
     def falls(self, cold_room, *cases, broken=Book.broken):
         """Under this budget a worker falls in each case, and those that were told answer for it."""
         for name in cases:
-            with self.subTest(name), mock.patch.object(Scheduler, "_cold_room", cold_room):
+            with self.subTest(name), mock.patch.object(Scheduler, "_slow_start_budget", cold_room):
                 world = cold_budget.play(**CASES[name])
                 self.assertTrue(any(broken(book) for book in world.books))
 
@@ -113,7 +113,7 @@
         self.falls(lambda scheduler, worker, now: 1, "25, all at once", "25 unequal, all in steps")
 
     def test_each_dispatcher_takes_all_dispatchers_part(self):
-        honest = Scheduler._cold_room
+        honest = Scheduler._slow_start_budget
 
         def cold_room(scheduler, worker, now):
             with mock.patch.object(scheduler, "dispatchers", 1):
@@ -123,10 +123,10 @@
 
     def test_a_part_under_one_send_is_counted_as_one(self):
         """Nothing is drawn: each dispatcher sends one in each `fall`, however many dispatchers there are."""
-        honest = Scheduler._cold_room
+        honest = Scheduler._slow_start_budget
 
         def cold_room(scheduler, worker, now):
-            with mock.patch.object(scheduler, "chance", lambda: 1.0):
+            with mock.patch.object(scheduler, "draw", lambda: 1.0):
                 return honest(scheduler, worker, now)
 
         self.falls(cold_room, "200 unequal, all at once", "25, all started anew, long work, one by one")
@@ -139,24 +139,24 @@
             if not worker.booted or age >= g.cold:
                 return 1
             slot = age // g.fall
-            if slot != worker.slot:
+            if slot != worker.slow_start_step:
                 part = g.cold_from + (1 - g.cold_from) * slot * g.fall / g.cold
                 rate = max(
-                    scheduler.done.least(now) / max(1, scheduler.warm) / g.cold,
-                    1 / scheduler.usual / scheduler.dispatchers,
+                    scheduler.warm_answers.lower_bound(now) / max(1, scheduler.warm_workers) / g.cold,
+                    1 / scheduler.usual_service_time / scheduler.dispatchers,
                 )
-                worker.room = int(g.fall_multiple / 3 * part * rate * g.fall + scheduler.chance())
-                worker.slot = slot
-            return worker.room
+                worker.slow_start_budget = int(g.fall_multiple / 3 * part * rate * g.fall + scheduler.draw())
+                worker.slow_start_step = slot
+            return worker.slow_start_budget
 
         self.falls(cold_room, "25, all in steps", "25 unequal, most at once", broken=Book.narrowly_broken)
 
     def test_the_hints_of_what_comes_are_passed_over(self):
         """As it was: a new life's guess of the usual time, a quarter of the target latency."""
-        honest = Scheduler._cold_room
+        honest = Scheduler._slow_start_budget
 
         def cold_room(scheduler, worker, now):
-            with mock.patch.object(scheduler, "hint", 0):
+            with mock.patch.object(scheduler, "mean_arriving_work", 0):
                 return honest(scheduler, worker, now)
 
         name = "25, all started anew, long work, one by one"
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -3,7 +3,7 @@
 from desk import MS, Desk, worker
 
 from petrelwood import ports
-from petrelwood.decide.scheduling.scheduler import SlidingCount
+from petrelwood.decide.scheduling.window_counter import BackdatedCounter
 
 
 class OrdinaryPath(unittest.TestCase):
@@ -132,7 +132,7 @@
         for ms in (400, 600, 800, 1000):
             d.at(ms)
             for copy in list(d.scheduler.functions[1].copies.values()):
-                if copy.loading:
+                if copy.loading_since:
                     d.scheduler.load_order_ended(d.now, copy.worker.id, 1, ports.EndReason.COMPLETED, 1)
         d.say(f"copies on {sorted(d.scheduler.functions[1].copies)}")
         d.end(self)
@@ -151,10 +151,12 @@
         d.come("x1")
         d.answer("x1", "a", took=100)
         d.come("short", "heavy", work=100)
-        act = d.scheduler.acts["short"]
-        d.say(f"a target latency of {act.target // MS}, late after {d.scheduler._late(act) // MS}")
+        act = d.scheduler.activations["short"]
+        d.say(
+            f"a target latency of {act.target_latency // MS}, late after {d.scheduler._slow_after(act) // MS}"
+        )
         d.come("huge", work=900, patience=60_000)
-        d.say(f"a target latency of {d.scheduler.acts['huge'].target // MS}")
+        d.say(f"a target latency of {d.scheduler.activations['huge'].target_latency // MS}")
         d.end(self)
 
     def test_a_report_that_lacks_a_field_does_not_tell_none(self):
@@ -162,7 +164,7 @@
         scheduler = d.scheduler
         for name, report in (("a", {"waiting": 6}), ("b", {"loads": 3}), ("c", {"cores": 0.5})):
             scheduler.health_check_ended(d.now, name, ports.EndReason.COMPLETED, report)
-            d.say(f"{name}: {scheduler.workers[name].report}")
+            d.say(f"{name}: {scheduler.workers[name].reported_load}")
         d.end(self)
 
     def test_dear_probes_are_sent_more_rarely(self):
@@ -184,7 +186,7 @@
         for beyond, lesser in ((0.1, True), (1.0, False)):
             d = Desk("", workers="a", quotas=(("acme", 1.0),), beyond=beyond)
             d.come(*(f"x{i}" for i in range(9)), customer="acme")
-            self.assertEqual(d.scheduler.acts["x8"].beyond, lesser)
+            self.assertEqual(d.scheduler.activations["x8"].is_over_quota, lesser)
 
     def test_times_of_zero_divide_nothing(self):
         """A worker that starts ahead of our clock, where no time is cold, none counts for the fall and idle
@@ -243,7 +245,10 @@
         d.say(f"30 were taken back, {sum('reject' in line for line in d.lines)} rejected")
         d.lines = d.lines[-1:]
         self.nine_miss(d)
-        orders, taken = sum("order" in line for line in d.lines), d.scheduler.taken.most(d.now)
+        orders, taken = (
+            sum("order" in line for line in d.lines),
+            d.scheduler.credited_activations.upper_bound(d.now),
+        )
         d.say(f"{orders} orders for {taken} activations")
         d.end(self)
 
@@ -261,7 +266,10 @@
         d.lines = d.lines[-1:]
         self.nine_miss(d)
         d.at(3200)
-        orders, taken = sum("order" in line for line in d.lines), d.scheduler.taken.most(d.now)
+        orders, taken = (
+            sum("order" in line for line in d.lines),
+            d.scheduler.credited_activations.upper_bound(d.now),
+        )
         d.say(f"{orders} orders for {taken} activations")
         d.end(self)
 
@@ -279,33 +287,33 @@
         d.at(20)
         for i in range(30):
             d.scheduler.client_departed(d.now, f"back{i}")
-        d.say(f"{d.scheduler.taken.most(d.now)} activations count")
+        d.say(f"{d.scheduler.credited_activations.upper_bound(d.now)} activations count")
         d.lines = d.lines[-1:]
         d.at(200)
         d.come("last", fn=1)
         d.lines = d.lines[:1]
-        d.say(f"{d.scheduler.taken.most(d.now)} activations count")
+        d.say(f"{d.scheduler.credited_activations.upper_bound(d.now)} activations count")
         d.end(self)
 
     def test_an_order_that_waited_is_counted_when_it_leaves(self):
         d = Desk("leaves", workers="abcd", self_loading=False, ration=(0, 0.1, 1000 * MS))
-        d.scheduler.taken.add(0, 10)
+        d.scheduler.credited_activations.add(0, 10)
         d.say(f"may order: {d.scheduler._may_order(0)}")
-        d.scheduler.loads.add(0)
+        d.scheduler.orders_given.add(0)
         d.say(f"another: {d.scheduler._may_order(0)}")
         d.at(500)
         may_leave = d.scheduler.may_load_order_leave(d.now, 0)
         d.say(f"it may leave: {may_leave}, another: {d.scheduler._may_order(d.now)}")
         d.at(800)
-        d.scheduler.taken.add(d.now, 10)
+        d.scheduler.credited_activations.add(d.now, 10)
         d.at(1400)
         d.say(f"another, with ten new ones: {d.scheduler._may_order(d.now)}")
         d.at(1700)
         d.say(f"now that it has left the window: {d.scheduler._may_order(d.now)}")
-        d.scheduler.loads.add(d.now)
+        d.scheduler.orders_given.add(d.now)
         d.scheduler.load_order_withdrawn(d.now, d.now)
         d.say(f"another, as that one never left: {d.scheduler._may_order(d.now)}")
-        d.scheduler.loads.add(d.now)
+        d.scheduler.orders_given.add(d.now)
         d.at(2600)
         d.say(f"it may leave with none taken: {d.scheduler.may_load_order_leave(d.now, 1700 * MS)}")
         d.end(self)
@@ -320,20 +328,20 @@
             if order is not None:
                 d.scheduler.load_order_ended(d.now, order[-1], 1, ports.EndReason.NOT_SENT, 0)
             d.at(d.now // MS + 100)
-        d.say(f"further copies may be ordered: {d.now >= d.scheduler.spread_after}")
+        d.say(f"further copies may be ordered: {d.now >= d.scheduler.no_further_copies_until}")
         d.end(self)
 
     def test_a_ring_takes_back_what_it_still_holds(self):
-        ring = SlidingCount(1200)
+        ring = BackdatedCounter(1200)
         ring.add(100)
         ring.add(900)
         ring.add(100, -1)
-        self.assertEqual((ring.most(900), ring.least(900)), (1, 1))
+        self.assertEqual((ring.upper_bound(900), ring.lower_bound(900)), (1, 1))
         # that of 100 has been let go: nothing is taken off another's
         ring.add(2000)
         ring.add(900, -1)
         ring.add(100, -1)
-        self.assertEqual(ring.most(2000), 1)
+        self.assertEqual(ring.upper_bound(2000), 1)
 
     def test_once_only_never_again_unless_it_provably_never_ran(self):
         d = Desk("once_only", effect=ports.Effect.ONCE_ONLY)
@@ -458,19 +466,19 @@
         for i in range(30):
             d.at(50 * i + 50)
             d.come(f"y{i}", fn=2)
-            if (f"y{i}", 0) in d.scheduler.workers["a"].out:
+            if (f"y{i}", 0) in d.scheduler.workers["a"].in_flight:
                 d.answer(f"y{i}", "a", took=50)
             d.lines = [line for line in d.lines if " y" not in line]
             if i == 12:
                 d.come("x2", fn=1, patience=4000)
             if i == 20:
                 d.scheduler.load_order_ended(d.now, "b", 1, ports.EndReason.COMPLETED, 1)
-        before = d.scheduler.slow
+        before = d.scheduler.slow_share
         d.at(2900)
         d.answer("x1", "a", ports.EndReason.TIMED_OUT, took=2900)
         d.say(
-            f"{d.scheduler.workers['a'].lost} lost there; fleet slower for it: {d.scheduler.slow > before}; "
-            f"{d.scheduler.out_now} out"
+            f"{d.scheduler.workers['a'].lost} lost there; "
+            f"fleet slower for it: {d.scheduler.slow_share > before}; {d.scheduler.in_flight} out"
         )
         d.end(self)
 
@@ -509,7 +517,7 @@
             d.come(f"w{i}", fn=2)
             d.answer(f"w{i}", fine)
         # some load has failed: no function with a copy of use may spread
-        d.scheduler.spread_after = d.now + 3000 * MS
+        d.scheduler.no_further_copies_until = d.now + 3000 * MS
         for i in range(8, 11):
             d.at(200 * i)
             d.come(f"w{i}", fn=1)
@@ -529,11 +537,12 @@
             for fn, name, code in ((1, "a", ports.EndReason.FULL), (2, "b", ports.EndReason.COMPLETED)):
                 d.scheduler.load_order_ended(d.now, name, fn, ports.EndReason.COMPLETED, 1)
                 d.come(f"{name}{i}", fn=fn, lanes=2, patience=2000)
-                if d.scheduler.workers[name].out:
-                    d.answer(*next(iter(d.scheduler.workers[name].out))[:1], name, code)
+                if d.scheduler.workers[name].in_flight:
+                    d.answer(*next(iter(d.scheduler.workers[name].in_flight))[:1], name, code)
             d.at(300 * i + 300)
             d.lines.clear()
-            d.say(f"turned away {d.scheduler.turned:.2f}; of a: pace {d.scheduler.workers['a'].pace:.1f}")
+            pace = d.scheduler.workers["a"].relative_latency
+            d.say(f"turned away {d.scheduler.shed_probability:.2f}; of a: pace {pace:.1f}")
         d.end(self)
 
     def test_a_worker_whose_loads_wait_is_passed_over_and_nothing_else(self):
@@ -547,7 +556,7 @@
         d.at(20)
         d.scheduler.load_order_ended(d.now, packed, 2, ports.EndReason.FULL, 0)
         d.at(600)
-        d.say(f"{packed} was full; copies may be added: {d.now >= d.scheduler.spread_after}")
+        d.say(f"{packed} was full; copies may be added: {d.now >= d.scheduler.no_further_copies_until}")
         d.end(self)
 
     def test_what_is_to_be_given_up_takes_a_lane_that_is_free(self):
--- a/tests/test_larger_fleet.py
+++ b/tests/test_larger_fleet.py
@@ -22,7 +22,7 @@
 
 def activation(scheduler, now, *arguments):
     for _ in range(100):
-        max((worker for worker in scheduler.fleet), key=lambda worker: worker.loading)
+        max((worker for worker in scheduler.usable_workers), key=lambda worker: worker.cold_attempts)
     honest(scheduler, now, *arguments)
 
 Scheduler.activation_arrived = activation
--- a/tests/test_ration.py
+++ b/tests/test_ration.py
@@ -10,6 +10,7 @@
 from petrelwood import ports
 from petrelwood.decide.cluster.link_state import CallDecision
 from petrelwood.decide.scheduling import scheduler
+from petrelwood.decide.scheduling.records import Function, LoadCredit
 from petrelwood.emulate import link as emulate_link
 from petrelwood.links import worker as links_worker
 from petrelwood.node import worker
@@ -54,18 +55,20 @@
             return self.terms.orders.allowed
 
         def at_once(self, now, act=None):  # what is sent gives a right, whatever it is
-            if act is not None and act.right is None:
-                act.right = True
-                self.taken.add(act.born)
+            if act is not None and act.load_credit is LoadCredit.NONE:
+                act.load_credit = LoadCredit.COUNTED
+                self.credited_activations.add(act.arrived_at)
 
         for what, changes in (
             ("_may_order", {"floods": 0}),
-            ("_ripen", {"strange": 0.5}),
-            ("_ripen", {"floods": 0.5}),
+            ("_credit", {"strange": 0.5}),
+            ("_credit", {"floods": 0.5}),
         ):
             with (
                 self.subTest(what=what, **changes),
-                mock.patch.object(scheduler.Scheduler, what, {"_may_order": always, "_ripen": at_once}[what]),
+                mock.patch.object(
+                    scheduler.Scheduler, what, {"_may_order": always, "_credit": at_once}[what]
+                ),
             ):
                 self.assertGreater(ration.play(ration.Case(1, **changes)).worst[0], 3)
 
@@ -102,8 +105,8 @@
         module = world.node.scheduler
         given = 0
         for n in range(orders):
-            fn = module.functions.setdefault(f"{n:016x}", scheduler.Function(f"{n:016x}"))
-            given += bool(module._order(fn, module.fleet[0], world.node.now()))
+            fn = module.functions.setdefault(f"{n:016x}", Function(f"{n:016x}"))
+            given += bool(module._order_load(fn, module.usable_workers[0], world.node.now()))
         return given
 
     def test_an_order_whose_right_has_gone_while_it_waited_does_not_leave(self):
@@ -111,10 +114,10 @@
         given = []
 
         def script(world):
-            world.node.scheduler.taken.add(world.node.now(), 40)
+            world.node.scheduler.credited_activations.add(world.node.now(), 40)
             world.later(0.5, lambda: given.append(self.give(world, 9)))
             world.later(2.0, lambda: given.append(self.give(world, 9)))
-            world.later(2.0, world.node.scheduler.taken.add, world.node.now() + 2000 * MS, 20)
+            world.later(2.0, world.node.scheduler.credited_activations.add, world.node.now() + 2000 * MS, 20)
             world.later(2.1, lambda: given.append(self.give(world, 9)))
 
         world = self.play(0.9, script)
@@ -127,9 +130,9 @@
         given = []
 
         def script(world):
-            world.node.scheduler.taken.add(world.node.now(), 40)
+            world.node.scheduler.credited_activations.add(world.node.now(), 40)
             world.later(0.1, lambda: given.append(self.give(world, 9)))
-            world.later(1.2, lambda: world.node.scheduler.taken.add(world.node.now(), 40))
+            world.later(1.2, lambda: world.node.scheduler.credited_activations.add(world.node.now(), 40))
             world.later(1.3, lambda: given.append(self.give(world, 9)))
             world.later(1.9, lambda: given.append(self.give(world, 9)))
 
@@ -142,7 +145,7 @@
         given = []
 
         def script(world):
-            world.node.scheduler.taken.add(world.node.now(), 40)
+            world.node.scheduler.credited_activations.add(world.node.now(), 40)
             world.later(0.1, lambda: given.append(self.give(world, 9)))
             world.later(0.2, world.replace, 1)
             world.later(0.3, lambda: given.append(self.give(world, 9)))
@@ -157,7 +160,7 @@
         def script(world):
             node = world.node
             node.room.workers = 1
-            node.scheduler.taken.add(node.now(), 200)
+            node.scheduler.credited_activations.add(node.now(), 200)
             self.give(world, 1)
             node.load_order_ended = lambda worker_, fn, code, copies: ends.append(
                 (round(node.now() / 1e9), code)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,7 +21,8 @@
 from benchmarks.scale.site import SiteSize
 from petrelwood import ports
 from petrelwood.decide.overload.backoff import Backoff
-from petrelwood.decide.scheduling.scheduler import MASK, MIX, ORDERS, Function, Scheduler
+from petrelwood.decide.scheduling.records import Function
+from petrelwood.decide.scheduling.scheduler import MASK, MIX, ORDERS, Scheduler
 from petrelwood.standins.roster import ChangeLog
 
 SECOND = 1_000_000_000
@@ -62,8 +63,8 @@
 
     def activation_arrived(self, now, *arguments):
         """One probe for each worker, first."""
-        for worker in self.fleet:
-            self.out.check_health(worker.id)
+        for worker in self.usable_workers:
+            self.outlet.check_health(worker.id)
         super().activation_arrived(now, *arguments)
 
 
@@ -72,7 +73,9 @@
 
     def activation_arrived(self, now, *arguments):
         """A look at each worker, first."""
-        self.busiest = max((worker for worker in self.fleet), key=lambda worker: worker.loading)
+        self.busiest = max(
+            (worker for worker in self.usable_workers), key=lambda worker: worker.cold_attempts
+        )
         super().activation_arrived(now, *arguments)
 
 
@@ -80,16 +83,16 @@
     """A module that counts the warm workers of the whole fleet at each look."""
 
     def _look(self, now):
-        self.warm = sum(self._warm(worker, now) for worker in self.fleet)
+        self.warm_workers = sum(self._is_warm(worker, now) for worker in self.usable_workers)
         super()._look(now)
 
 
 class SortsEverybody(Scheduler):
     """A module that ranks the whole fleet at each placement."""
 
-    def _first_in_order(self, fn, count):
-        self.orders.clear()
-        return super()._first_in_order(fn, len(self.fleet))
+    def _first_by_hash(self, fn, count):
+        self.first_in_order.clear()
+        return super()._first_by_hash(fn, len(self.usable_workers))
 
 
 class Control(unittest.TestCase):
@@ -171,8 +174,8 @@
     module = parts.scheduler(workers)
     fn = Function("new")
     for _ in range(earlier):
-        module._first_two(fn, None, SECOND)
-    return counting.operations(module._first_two, fn, None, SECOND)
+        module._find_candidates(fn, None, SECOND)
+    return counting.operations(module._find_candidates, fn, None, SECOND)
 
 
 class Operations(unittest.TestCase):
@@ -247,8 +250,8 @@
         def turn(worker):
             return worker.zone != module.terms.zone, (worker.hash ^ module.salt) * MIX & MASK
 
-        ranked = sorted(module.fleet, key=rank)
-        some = module._wanted(fn)
+        ranked = sorted(module.usable_workers, key=rank)
+        some = module._wanted_copies(fn)
         if some <= 1:
             return ranked
         return sorted(ranked[:some], key=turn) + ranked[some:]
@@ -258,21 +261,21 @@
             module = parts.scheduler(workers)
             for number in range(8):
                 fn = Function(f"f-{number}")
-                for fn.recent in (0, 1, 3, 40):
-                    self.assertEqual(list(module._order_of(fn)), self.expected(module, fn))
+                for fn.recent_calls in (0, 1, 3, 40):
+                    self.assertEqual(list(module._workers_in_order(fn)), self.expected(module, fn))
 
     def test_a_change_of_the_list_changes_it(self):
         module, fn = parts.scheduler(60), Function("f-1")
-        before = list(module._order_of(fn))
+        before = list(module._workers_in_order(fn))
         gone = ports.Listed(before[0].id, before[0].zone, 0, 0, False)
         module.endpoints_changed(SECOND, [gone], False)
-        self.assertEqual(list(module._order_of(fn)), before[1:])
+        self.assertEqual(list(module._workers_in_order(fn)), before[1:])
 
     def test_it_is_kept_for_so_many_functions(self):
         module = parts.scheduler(60)
         for number in range(3 * ORDERS):
-            next(module._order_of(Function(f"f-{number}")))
-        self.assertEqual(len(module.orders), ORDERS)
+            next(module._workers_in_order(Function(f"f-{number}")))
+        self.assertEqual(len(module.first_in_order), ORDERS)
 
 
 class Memory(unittest.TestCase):
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -365,7 +365,7 @@
     async def test_a_defect_aborts_what_it_touched_and_nothing_else(self):
         class Faulty(Scheduler):
             def attempt_ended(self, now, end):
-                if self.acts[end.activation_id].fn.key == "again-bad":
+                if self.activations[end.activation_id].function.key == "again-bad":
                     raise RuntimeError("a defect")
                 super().attempt_ended(now, end)
 
@@ -395,7 +395,7 @@
         class Late(Scheduler):
             def client_departed(self, now, act_id):
                 super().client_departed(now, act_id)
-                self.out.send(act_id, "w1", 0)
+                self.outlet.send(act_id, "w1", 0)
 
         await self.begin(w := Worker("w1", never), scheduler=Late)
         with self.assertRaises(asyncio.TimeoutError):
