--- /dev/null
+++ b/petrelwood/decide/scheduling/admission.py
@@ -0,0 +1,93 @@
+"""Admission: what an arrival becomes, its priority, and load shedding."""
+
+from dataclasses import dataclass
+
+from petrelwood.decide.scheduling.estimates import Estimates
+from petrelwood.decide.scheduling.outlier_detection import OutlierDetection
+from petrelwood.decide.scheduling.parameters import Parameters
+from petrelwood.decide.scheduling.records import LONG_TIME, Activation, Function
+from petrelwood.ports import Arrival, Terms
+
+# A customer's quota here is so much more than an equal part of it, as dispatchers get unequal parts.
+QUOTA_FACTOR = 1.3
+SECOND = 1e9  # ns
+
+
+@dataclass(slots=True)
+class TokenBucket:
+    """A customer's quota at this dispatcher.
+
+    Attributes:
+        tokens: activations that it may have now.
+        updated_at: the time of that, ns.
+        rate: activations that it may have more in each ns.
+    """
+
+    tokens: float
+    updated_at: int
+    rate: float
+
+    def take(self, now: int, span: int) -> bool:
+        """Take a token if there is one, and return whether there was; they add up over `span` ns."""
+        tokens = min(self.tokens + (now - self.updated_at) * self.rate, 1 + self.rate * span)
+        has_token = tokens >= 1
+        self.tokens = tokens - has_token
+        self.updated_at = now
+        return has_token
+
+
+def make_buckets(now: int, terms: Terms) -> dict[str, TokenBucket]:
+    """Return a bucket for each customer, none where work beyond a quota is worth as much as any."""
+    if terms.beyond >= 1:
+        return {}
+    factor = QUOTA_FACTOR / SECOND / terms.dispatchers
+    return {customer: TokenBucket(1, now, factor * quota) for customer, quota in terms.quotas.items()}
+
+
+class Admission:
+    """Takes arrivals in."""
+
+    def __init__(
+        self, now: int, parameters: Parameters, estimates: Estimates, outliers: OutlierDetection
+    ) -> None:
+        self.types = parameters.terms.types
+        self.target_latency = parameters.target_latency
+        self.draw = parameters.draw
+        self.estimates = estimates
+        self.outliers = outliers
+        self.buckets = make_buckets(now, parameters.terms)
+
+    def admit(self, arrival: Arrival, function: Function, now: int) -> Activation:
+        """Return the activation that an arrival becomes."""
+        type_ = self.types[arrival.type_name]
+        target_latency = type_.target_latency + int(type_.stretch * arrival.work_hint)
+        bucket = self.buckets.get(arrival.customer)
+        return Activation(
+            id=arrival.activation_id,
+            function=function,
+            type=type_,
+            due=arrival.due,
+            arrived_at=now,
+            work=arrival.work_hint,
+            slots=arrival.slots,
+            target_latency=min(target_latency, type_.timeout or LONG_TIME),
+            is_over_quota=bucket is not None and not bucket.take(now, self.target_latency),
+        )
+
+    def sheds(self, activation: Activation) -> bool:
+        """Return whether an activation that has just arrived is rejected at once, by a draw.
+
+        Under overload a part of what finds no free slot is told at once to come back. What would be queued
+        here and then at a crowded worker is answered late or in vain and makes the rest late, and no limit of
+        many dispatchers can go under one attempt each. May hurt: work that a short jam would have let
+        through.
+        """
+        shed_probability = self.outliers.shed_probability
+        return activation.is_queued and shed_probability > 0 and self.draw() < shed_probability
+
+    def is_low_priority(self, activation: Activation, now: int) -> bool:
+        """Return whether the activation is late or beyond its customer's quota, and sent after others."""
+        if activation.is_over_quota:
+            return True
+        waited = now - activation.arrived_at
+        return waited + self.estimates.expected_time(activation) > activation.target_latency
--- /dev/null
+++ b/petrelwood/decide/scheduling/attempts.py
@@ -0,0 +1,84 @@
+"""What follows when an attempt ends or is overdue: a retry, a hedged request, or the end."""
+
+from petrelwood.decide.scheduling.actions import Actions, forget_attempts
+from petrelwood.decide.scheduling.fleet import Fleet
+from petrelwood.decide.scheduling.outcomes import Outcomes
+from petrelwood.decide.scheduling.outlier_detection import OutlierDetection
+from petrelwood.decide.scheduling.queueing import Queueing
+from petrelwood.decide.scheduling.records import Activation, Worker
+from petrelwood.decide.scheduling.send_rules import SendRules
+from petrelwood.ports import AttemptEnd, Effect
+
+
+class Attempts:
+    """Follows the attempts in flight to their ends."""
+
+    def __init__(
+        self,
+        fleet: Fleet,
+        activations: dict[str, Activation],
+        outliers: OutlierDetection,
+        rules: SendRules,
+        outcomes: Outcomes,
+        actions: Actions,
+        queueing: Queueing,
+    ) -> None:
+        self.fleet = fleet
+        self.activations = activations
+        self.outliers = outliers
+        self.rules = rules
+        self.outcomes = outcomes
+        self.actions = actions
+        self.queueing = queueing
+
+    def end(self, end: AttemptEnd, now: int) -> None:
+        """Learn from the end of an attempt, and retry, give up or forget its activation.
+
+        What is not in flight, or ends a second time, is passed over.
+        """
+        worker = self.fleet.workers.get(end.worker)
+        if worker is None:
+            return
+        key = (end.activation_id, end.attempt)
+        lost = worker.lost.pop(key, None)
+        attempt = lost or worker.in_flight.pop(key, None)
+        if attempt is None:
+            return
+        activation = attempt.activation
+        function = activation.function
+        attempt.is_in_flight = False
+        activation.in_flight -= 1
+        if lost is None:
+            self.outliers.release(attempt)
+        self.outcomes.learn(attempt, end, lost is not None, now)
+        current = self.activations.get(end.activation_id)
+        if end.is_final:
+            if current is not None:
+                self.actions.finish(current)
+        elif current is None:
+            forget_attempts(activation)
+        elif current is activation and not activation.in_flight:
+            self._retry_or_give_up(activation, now)
+        self.queueing.dispatch(function, now)
+
+    def hedge_overdue(self, worker: Worker, now: int) -> None:
+        """Hedge what the worker should have answered."""
+        for activation in self.outliers.overdue(worker, now):
+            self._hedge(activation, now)
+
+    def _retry_or_give_up(self, activation: Activation, now: int) -> None:
+        if self.rules.may_send(activation, now):
+            self.queueing.enqueue(activation, now, is_retry=True)
+        else:
+            self.actions.give_up(activation, now)
+
+    def _hedge(self, activation: Activation, now: int) -> None:
+        """Queue an activation for a second attempt beside the one in flight, where it may run twice."""
+        if (
+            self.activations.get(activation.id) is activation
+            and activation.in_flight == 1
+            and not activation.is_queued
+            and activation.type.effect != Effect.ONCE_ONLY
+            and self.rules.may_send(activation, now)
+        ):
+            self.queueing.enqueue(activation, now, is_retry=True)
--- /dev/null
+++ b/petrelwood/decide/scheduling/estimates.py
@@ -0,0 +1,131 @@
+"""Estimates of service times and of the workers' loads, learnt from answers and load reports."""
+
+from petrelwood.decide.scheduling.parameters import Parameters
+from petrelwood.decide.scheduling.records import Activation, Attempt, Worker
+
+RECENT_ANSWERS = 64  # over which the mean time of all answers runs
+# Answers over which the usual service time runs; a function's own moves so many times as fast, as it has
+# fewer.
+USUAL_TIME_ANSWERS = 64
+FUNCTION_SPEED = 8
+# While the fleet is overloaded, answers count for so much less: that is not usual.
+OVERLOAD_DAMPING = 16
+# An answer counts as slow from so many times its usual time on, and a worker as congested whose answers are.
+SLOW_FACTOR = 1.8
+# A third of the target latency is never slow, however short the usual time is.
+SLOW_TARGET_DIVISOR = 3
+WORKER_LATENCY_ANSWERS = 8  # over which a worker's relative latency runs
+FLEET_LATENCY_ANSWERS = 64  # over which the mean of all runs
+MEAN_LOAD_UPDATES = 16  # over which the mean load of a worker runs
+HIGHEST_RELATIVE_LATENCY = 8  # so that one lost answer does not condemn a worker for long
+OWN_TIME_WEIGHT = 4  # of an answer's own time against the usual time: rough hints of little work count less
+REPORT_WEIGHT = 15  # of the mean reported load against one more report, which counts once
+
+
+class Estimates:
+    """Running means.
+
+    Attributes:
+        usual_service_time: time for an answer of a loaded copy, ns; before the first a quarter of the target.
+        mean_arriving_work: mean work hint of the last arrivals, ns; 0 where none is told.
+        mean_work: mean work hint of what was answered, ns.
+        mean_work_time: mean time for an answer of that, ns.
+        answers: answers so far, at most `RECENT_ANSWERS`.
+        mean_answer_time: mean time of those, ns, loads included.
+        mean_worker_load: activations in flight at a worker from all dispatchers, by this one's own.
+        mean_reported_load: mean of the loads that workers report; None: none has.
+        mean_relative_latency: mean of all answers' times in proportion to the expected ones.
+    """
+
+    def __init__(self, parameters: Parameters) -> None:
+        target_latency = parameters.target_latency
+        self.dispatchers = parameters.terms.dispatchers
+        self.load_lifetime = (
+            parameters.terms.orders.keep or 1
+        )  # ns in which what is known of a load loses weight
+        self.usual_service_time = target_latency // 4
+        self.mean_arriving_work: float = 0
+        self.mean_work = target_latency / 8
+        self.mean_work_time = target_latency / 8
+        self.answers = 0
+        self.mean_answer_time: float = 0
+        self.mean_worker_load = 1.0
+        self.mean_reported_load: float | None = None
+        self.mean_relative_latency = 1.0
+
+    def expected_time(self, activation: Activation) -> int:
+        """Return the time in which an attempt should be answered, ns: by its work hint if there is one."""
+        if activation.work:
+            return int(activation.work * self.mean_work_time / self.mean_work)
+        return activation.function.service_time or self.usual_service_time
+
+    def slow_after(self, activation: Activation) -> float:
+        """Return the time from which an answer of a loaded copy is slow, ns."""
+        expected = SLOW_FACTOR * self.expected_time(activation)
+        return max(expected, activation.target_latency // SLOW_TARGET_DIVISOR)
+
+    def worker_load(self, worker: Worker, now: int) -> float:
+        """Return how many activations the worker has in hand.
+
+        By its latency and its report against the fleet's means, which count for less the older they are, and
+        by what was sent to it since.
+        """
+        freshness = max(0, 1 - (now - worker.load_known_at) / self.load_lifetime)
+        relative_load = worker.relative_latency / self.mean_relative_latency
+        if self.mean_reported_load and worker.reported_load is not None:
+            relative_load *= worker.reported_load / self.mean_reported_load
+        known = self.mean_worker_load * (1 + (relative_load - 1) * freshness)
+        return known + len(worker.in_flight) - worker.in_flight_at_report * freshness
+
+    def record_arrival(self, work: int, arrivals: int) -> None:
+        """Learn from the work hint of an activation; the mean runs over so many arrivals."""
+        self.mean_arriving_work += (work - self.mean_arriving_work) / arrivals
+
+    def record_report(self, worker: Worker, report: dict[str, float] | None, now: int) -> None:
+        """Learn from a load report; a field that is absent is not told, which is not none."""
+        if not report:
+            return
+        worker.in_flight_at_report = len(worker.in_flight)
+        worker.load_known_at = now
+        if "running" in report or "waiting" in report:
+            worker.reported_load = sum(report.get(key, 0) for key in ("running", "waiting", "loads", "cores"))
+        elif "cores" in report:
+            worker.reported_load = report["cores"]
+        load = worker.reported_load
+        if load is not None:
+            mean = self.mean_reported_load or load
+            self.mean_reported_load = (REPORT_WEIGHT * mean + load) / (REPORT_WEIGHT + 1)
+
+    def record_answer_time(self, duration: int) -> None:
+        """Learn the time of an answer, whether or not its copy had to load."""
+        self.answers = min(self.answers + 1, RECENT_ANSWERS)
+        self.mean_answer_time += (duration - self.mean_answer_time) / self.answers
+
+    def record_service_time(self, attempt: Attempt, duration: int, is_overloaded: bool) -> None:
+        """Learn the time of an answer of a loaded copy: the less, the more was ahead of it at its worker."""
+        damping = OVERLOAD_DAMPING if is_overloaded else 1
+        part = 1 / (USUAL_TIME_ANSWERS * (1 + attempt.ahead) ** 2) / damping
+        function = attempt.activation.function
+        known = function.service_time
+        function.service_time = int(known + (duration - known) * FUNCTION_SPEED * part) if known else duration
+        self.usual_service_time = int(self.usual_service_time + (duration - self.usual_service_time) * part)
+        work = attempt.activation.work
+        if work:
+            self.mean_work += (work - self.mean_work) * part
+            self.mean_work_time += (duration - self.mean_work_time) * part
+
+    def record_latency(self, attempt: Attempt, duration: int, now: int) -> None:
+        """Learn how long the attempt's worker takes in proportion to the usual."""
+        worker = attempt.worker
+        usual = self.usual_service_time
+        expected = self.expected_time(attempt.activation)
+        relative = (OWN_TIME_WEIGHT * duration + usual) / (OWN_TIME_WEIGHT * expected + usual)
+        relative = min(relative, HIGHEST_RELATIVE_LATENCY)
+        worker.relative_latency += (relative - worker.relative_latency) / WORKER_LATENCY_ANSWERS
+        worker.load_known_at = now
+        self.mean_relative_latency += (relative - self.mean_relative_latency) / FLEET_LATENCY_ANSWERS
+
+    def update_mean_load(self, in_flight: int, fleet_size: int) -> None:
+        """Learn the mean load of a worker from the attempts in flight here, as others send as much."""
+        load = in_flight * self.dispatchers / max(1, fleet_size)
+        self.mean_worker_load += (load - self.mean_worker_load) / MEAN_LOAD_UPDATES
--- /dev/null
+++ b/petrelwood/decide/scheduling/fleet.py
@@ -0,0 +1,66 @@
+"""The workers that this dispatcher knows, by the endpoint list."""
+
+from collections.abc import Sequence
+
+from petrelwood.decide.scheduling.records import Worker
+from petrelwood.ports import Listed
+
+# Spread the bits of a hash of 32 bits, which is first combined with another by exclusive or.
+HASH_MULTIPLIER = 0x9E3779B1
+HASH_MASK = 0xFFFFFFFF
+
+
+class Fleet:
+    """All known workers and those that the endpoint list has as usable.
+
+    Attributes:
+        workers: known workers by id: usable ones, and others that still owe answers.
+        usable: the usable ones; a change of the list makes a new one.
+        zone: the dispatcher's own zone.
+        salt: drawn at the start, so that each dispatcher prefers other workers.
+    """
+
+    def __init__(self, zone: str, salt: int) -> None:
+        self.workers: dict[str, Worker] = {}
+        self.usable: list[Worker] = []
+        self.zone = zone
+        self.salt = salt
+
+    def apply(self, now: int, entries: Sequence[Listed], is_whole: bool) -> list[Worker]:
+        """Apply a change of the endpoint list, or a whole one.
+
+        Returns:
+            The workers whose copies are gone: they have restarted, or are not usable any more.
+        """
+        if is_whole:
+            named = {entry.worker for entry in entries}
+            for worker in self.usable:
+                worker.is_usable = worker.id in named
+        restarted = [one for entry in entries if (one := self._apply_entry(entry, now))]
+        removed = [worker for worker in self.usable if not worker.is_usable]
+        self.usable = [worker for worker in self.workers.values() if worker.is_usable]
+        return restarted + removed
+
+    def forget_unused(self) -> None:
+        """Forget workers that are not usable and owe no answer."""
+        self.workers = {
+            worker.id: worker
+            for worker in self.workers.values()
+            if worker.is_usable or worker.in_flight or worker.lost
+        }
+
+    def _apply_entry(self, entry: Listed, now: int) -> Worker | None:
+        """Apply one entry and return its worker if it has restarted."""
+        worker = self.workers.get(entry.worker)
+        if worker is None:
+            worker = self.workers[entry.worker] = Worker(*entry, first_seen=now)
+        has_restarted = entry.booted != worker.booted
+        if has_restarted:
+            worker.restarted()
+        worker.zone = entry.zone
+        worker.cell = entry.cell
+        worker.booted = entry.booted
+        worker.is_usable = entry.usable
+        order = (worker.hash ^ self.salt) * HASH_MULTIPLIER & HASH_MASK
+        worker.preference = (worker.zone != self.zone, order)
+        return worker if has_restarted else None
--- /dev/null
+++ b/petrelwood/decide/scheduling/load_order_limit.py
@@ -0,0 +1,117 @@
+"""The rate limit of load orders, and of the further copies that load at a time.
+
+The platform bears so many load orders in each period, and so many more for each activation that was taken
+(`ports.LoadOrders`). An activation counts once it was sent to a function that exists and its client has
+stayed for a while: floods of activations that are taken back, or that call what nobody has, earn nothing.
+"""
+
+from collections import deque
+
+from petrelwood.decide.scheduling.parameters import Parameters
+from petrelwood.decide.scheduling.records import Activation, Copy, Function, LoadCredit
+from petrelwood.decide.scheduling.window_counter import BUCKETS, BackdatedCounter
+
+# Part of the target latency for which a client must have stayed before its activation counts.
+CREDIT_DELAY = 1 / 6
+# Further copies that load at a time, for each worker of this dispatcher's part of the fleet: a copy pushes
+# others out of its worker, whose functions load again elsewhere.
+LOADS_AT_ONCE = 1 / 8
+# Target latencies for which a load that was not told to fail counts as loading.
+LONGEST_LOAD = 2
+# After a failed load, in target latencies: a crowded store rejects fetches and stops altogether when pushed.
+FURTHER_COPIES_PAUSE = 2
+# The same for any copy of the function whose load failed, as a divisor of the target latency.
+FUNCTION_PAUSE_DIVISOR = 4
+
+
+class LoadOrderLimit:
+    """Counts load orders and the activations that bear them, over the last period.
+
+    Attributes:
+        credited: activations that count, at the time of their arrival.
+        ordered: load orders.
+        no_further_copies_until: no function gets a further copy before this time, ns.
+    """
+
+    def __init__(self, now: int, parameters: Parameters, activations: dict[str, Activation]) -> None:
+        orders = parameters.terms.orders
+        self.orders = orders
+        self.dispatchers = parameters.terms.dispatchers
+        self.target_latency = parameters.target_latency
+        self.activations = activations
+        self.credited = BackdatedCounter(orders.period or 1)
+        self.ordered = BackdatedCounter(orders.period or 1)
+        self.credit_delay = min(int(self.target_latency * CREDIT_DELAY), orders.period // BUCKETS)
+        self.pending: deque[tuple[int, Activation]] = deque()  # with the time when each counts
+        self.loading: list[tuple[Copy, int]] = []  # further copies, with the time when they count no longer
+        self.no_further_copies_until = now
+
+    def credit(self, activation: Activation, now: int) -> None:
+        """Let an activation that was sent count soon, if its function exists and its client is there."""
+        if (
+            activation.function.exists
+            and activation.load_credit is LoadCredit.NONE
+            and self.activations.get(activation.id) is activation
+        ):
+            activation.load_credit = LoadCredit.PENDING
+            self.pending.append((now + self.credit_delay, activation))
+        self._count_pending(now)
+
+    def revoke(self, activation: Activation) -> None:
+        """Let an activation count no longer, as its client has departed."""
+        self.credited.add(activation.arrived_at, -1 if activation.load_credit is LoadCredit.COUNTED else 0)
+        activation.load_credit = LoadCredit.NONE
+
+    def may_order(self, now: int, part: float = 1.0) -> bool:
+        """Return whether one more load may be ordered within `part` of the limit."""
+        self._count_pending(now)
+        ordered = self.ordered.upper_bound(now)
+        orders = self.orders
+        if not orders.allowed or not orders.period:
+            return orders.allowed
+        return ordered + 1 <= part * (orders.free + orders.part * self.credited.lower_bound(now))
+
+    def record_order(self, now: int) -> None:
+        """Count a load order."""
+        self.ordered.add(now)
+
+    def may_leave(self, now: int, given_at: int) -> bool:
+        """Return whether an order that was given at `given_at` and has waited may leave now.
+
+        If so, it counts as of now.
+        """
+        self.ordered.add(given_at, -1)
+        may_leave = self.may_order(now)
+        self.ordered.add(now if may_leave else given_at)
+        return may_leave
+
+    def withdraw(self, given_at: int) -> None:
+        """Take an order off again that was given at `given_at` and never left."""
+        self.ordered.add(given_at, -1)
+
+    def restore(self, now: int, orders: int) -> None:
+        """Count the orders that an earlier incarnation gave in the last period, as of now."""
+        self.ordered.add(now, orders)
+
+    def may_add_further_copy(self, now: int, fleet_size: int) -> bool:
+        """Return whether a function that has a copy may get another: few load at a time."""
+        self.loading = [(copy, until) for copy, until in self.loading if copy.loading_since and now < until]
+        at_once = max(1, int(LOADS_AT_ONCE * fleet_size / self.dispatchers))
+        return now >= self.no_further_copies_until and len(self.loading) < at_once
+
+    def record_further_copy(self, copy: Copy, function: Function, now: int) -> None:
+        """Count a further copy of the function as loading."""
+        self.loading.append((copy, now + LONGEST_LOAD * max(self.target_latency, function.load_time)))
+
+    def load_failed(self, function: Function, now: int) -> None:
+        """Ask the store for less, above all for further copies."""
+        function.placement_paused_until = now + self.target_latency // FUNCTION_PAUSE_DIVISOR
+        self.no_further_copies_until = now + FURTHER_COPIES_PAUSE * self.target_latency
+
+    def _count_pending(self, now: int) -> None:
+        pending = self.pending
+        while pending and pending[0][0] <= now:
+            activation = pending.popleft()[1]
+            if activation.load_credit is LoadCredit.PENDING:
+                activation.load_credit = LoadCredit.COUNTED
+                self.credited.add(activation.arrived_at)
--- /dev/null
+++ b/petrelwood/decide/scheduling/outlier_detection.py
@@ -0,0 +1,205 @@
+"""Outlier detection: which workers get nothing, and how much the whole fleet is sent.
+
+A worker that resets connections is ejected for a while; one that owes answers and gives none is unresponsive;
+one that answers slowly gets fewer attempts at a time. If most answers are slow it is not single workers: then
+fewer attempts are in flight in all, and a part of the arrivals is shed.
+"""
+
+from collections.abc import Iterator
+
+from petrelwood.decide.scheduling.estimates import HIGHEST_RELATIVE_LATENCY, SLOW_FACTOR, Estimates
+from petrelwood.decide.scheduling.fleet import Fleet
+from petrelwood.decide.scheduling.parameters import Parameters
+from petrelwood.decide.scheduling.records import Activation, Attempt, Worker
+from petrelwood.decide.scheduling.send_limit import SendLimit
+from petrelwood.decide.scheduling.slow_start import SlowStart
+from petrelwood.ports import EndReason
+
+SLOW_SHARE_ANSWERS = 16  # over which the share of slow answers runs
+OVERLOAD_SHARE = 0.5  # of slow answers, beyond which the fleet is overloaded
+# Attempts in flight at an overloaded fleet, at least, for each worker of this dispatcher's part of it.
+LEAST_A_WORKER = 2
+# Load shedding: from this share of slow answers on, so much more of the arrivals is shed, up to a limit, as
+# what is let in tells when the overload is over.
+BEARABLE_SLOW_SHARE = 0.15
+SHED_SLOPE = 4
+HIGHEST_SHED_PROBABILITY = 0.9
+# Expected times after which an attempt without an answer counts as lost, or its worker as unresponsive; and
+# load times, if it waits for a load.
+OVERDUE_TIMES = 6
+OVERDUE_LOADS = 3
+# An unresponsive worker is tried again after a target latency that doubles each time, up to 2 to this power.
+MOST_DOUBLINGS = 4
+EJECTION_DIVISOR = 4  # of the target latency: how long a worker is ejected for a broken connection
+FULL_FACTOR = 2  # by which a worker's relative latency grows as it answers that it is full
+NO_SIGN_OF_LIFE = frozenset((EndReason.TIMED_OUT, EndReason.CANCELLED, EndReason.NOT_SENT))
+NO_SIGN_OF_LIFE_BY_LOAD = frozenset((EndReason.TIMED_OUT, EndReason.RESET, EndReason.NO_CONNECTION))
+
+
+class OutlierDetection:
+    """What is in flight, and what the answers tell of the workers' health.
+
+    Attributes:
+        in_flight: attempts in flight in all, without those that are believed lost.
+        send_limit: limit of these.
+        slow_share: share of slow answers of loaded copies, a running mean.
+        shed_probability: share of the arrivals that is rejected if it finds no free slot.
+        workers_in_use: workers with attempts in flight, by id.
+    """
+
+    def __init__(
+        self, parameters: Parameters, fleet: Fleet, estimates: Estimates, slow_start: SlowStart
+    ) -> None:
+        self.target_latency = parameters.target_latency
+        self.dispatchers = parameters.terms.dispatchers
+        self.fleet = fleet
+        self.estimates = estimates
+        self.slow_start = slow_start
+        self.in_flight = 0
+        self.send_limit = SendLimit()
+        self.slow_share = 0.0
+        self.shed_probability = 0.0
+        self.workers_in_use: dict[str, Worker] = {}
+
+    @property
+    def is_overloaded(self) -> bool:
+        """Whether most answers are slow."""
+        return self.slow_share > OVERLOAD_SHARE
+
+    def is_send_limit_reached(self) -> bool:
+        """Return whether no further attempt may be in flight, wherever."""
+        return self.send_limit.is_reached(self.in_flight)
+
+    def accepts(self, worker: Worker, now: int) -> bool:
+        """Return whether the worker may be given anything: usable, healthy and within its limits."""
+        return (
+            worker.is_usable
+            and not worker.is_unresponsive
+            and now >= worker.ejected_until
+            and not worker.send_limit.is_reached(len(worker.in_flight))
+            and self.slow_start.budget(worker, now) > 0
+        )
+
+    def is_congested(self, worker: Worker) -> bool:
+        """Return whether the worker bears one attempt of ours and that slowly, where the fleet does not.
+
+        Copies there are of no use.
+        """
+        fleet_latency = max(1.0, self.estimates.mean_relative_latency)
+        limit = worker.send_limit.limit
+        return limit is not None and limit <= 1 and worker.relative_latency > SLOW_FACTOR * fleet_latency
+
+    def can_use(self, worker: Worker, now: int) -> bool:
+        """Return whether copies on the worker are of use for what is queued, perhaps after a while."""
+        return not worker.is_unresponsive and now >= worker.ejected_until and not self.is_congested(worker)
+
+    def attempt_sent(self, attempt: Attempt) -> None:
+        """Count an attempt as in flight."""
+        worker = attempt.worker
+        self.workers_in_use[worker.id] = worker
+        worker.in_flight[attempt.activation.id, attempt.number] = attempt
+        self.in_flight += 1
+        worker.cold_attempts += attempt.is_cold
+        worker.slow_start_budget -= 1
+
+    def release(self, attempt: Attempt) -> None:
+        """Count an attempt as in flight no longer, and its slot as free."""
+        attempt.copy.in_flight -= 1
+        self.in_flight -= 1
+        attempt.worker.cold_attempts -= attempt.is_cold
+
+    def record_end(self, worker: Worker, reason: EndReason, now: int) -> None:
+        """Learn that the worker is up, if the end of an attempt shows that."""
+        if reason not in NO_SIGN_OF_LIFE:
+            worker.answered_at = now
+            worker.is_unresponsive = False
+
+    def record_load_order_end(self, worker: Worker, reason: EndReason, now: int) -> None:
+        """Learn that the worker is up, if the end of a load order shows that."""
+        if reason not in NO_SIGN_OF_LIFE_BY_LOAD:
+            worker.answered_at = now
+            worker.is_unresponsive = False
+
+    def record_latency(self, attempt: Attempt, duration: int, now: int) -> None:
+        """Learn from an answer of a loaded copy, and limit what its worker has of ours: against crowding."""
+        worker = attempt.worker
+        self.estimates.record_latency(attempt, duration, now)
+        is_slow = worker.relative_latency > SLOW_FACTOR
+        sent_at = now - self.estimates.usual_service_time
+        worker.send_limit.record_answer(is_slow, len(worker.in_flight), now, sent_at)
+
+    def record_slowness(self, is_slow: bool, attempt: Attempt, now: int) -> None:
+        """Learn from an answer how many of the fleet's are slow.
+
+        Most answers slow: it is not single workers. Fewer attempts are in flight at once, the rest is queued.
+        """
+        if is_slow and self.is_congested(attempt.worker):
+            return  # what it is known for tells nothing of the fleet
+        self.slow_share += (is_slow - self.slow_share) / SLOW_SHARE_ANSWERS
+        least = max(1.0, LEAST_A_WORKER * len(self.fleet.usable) / self.dispatchers)
+        self.send_limit.record_answer(self.is_overloaded, self.in_flight, now, attempt.sent_at, least)
+        excess = max(0.0, self.slow_share - BEARABLE_SLOW_SHARE)
+        self.shed_probability = min(HIGHEST_SHED_PROBABILITY, SHED_SLOPE * excess)
+
+    def record_full(self, worker: Worker, now: int) -> None:
+        """Learn that a worker has rejected an attempt as it is full."""
+        worker.relative_latency = min(HIGHEST_RELATIVE_LATENCY, worker.relative_latency * FULL_FACTOR)
+        worker.load_known_at = now
+        worker.send_limit.record_answer(True, len(worker.in_flight) - 1, now, now)
+
+    def is_single_connection(self, attempt: Attempt, now: int) -> bool:
+        """Return whether a reset tells nothing of the worker.
+
+        One connection of several may be reset, or cut for what came on it: who has just answered lives.
+        """
+        usual_start = now - self.estimates.usual_service_time
+        return min(attempt.sent_at, usual_start) < attempt.worker.load_known_at
+
+    def eject(self, worker: Worker, now: int) -> None:
+        """Send nothing to the worker for a while, as its connection broke."""
+        worker.ejected_until = now + self.target_latency // EJECTION_DIVISOR
+
+    def overdue(self, worker: Worker, now: int) -> Iterator[Activation]:
+        """Yield the activations of a worker that should have been answered, to be hedged.
+
+        Who owes answers and gives none gets nothing new. The caller hedges each before it takes the next: a
+        slot that a lost attempt has left is free for it.
+        """
+        if not worker.in_flight:
+            self._all_answered(worker, now)
+            return
+        oldest = next(iter(worker.in_flight.values()))
+        usual = oldest.activation.function.service_time or self.estimates.usual_service_time
+        allowance = OVERDUE_TIMES * usual + self._load_allowance(oldest)
+        if now - max(worker.answered_at, oldest.sent_at) > max(allowance, self.target_latency):
+            worker.is_unresponsive = True
+            for attempt in list(worker.in_flight.values()):
+                yield attempt.activation
+            return
+        yield from self._lost(worker)
+
+    def _all_answered(self, worker: Worker, now: int) -> None:
+        """Watch the worker no longer; one that was unresponsive is tried again later, by one attempt."""
+        del self.workers_in_use[worker.id]
+        if worker.is_unresponsive:
+            worker.is_unresponsive = False
+            worker.unresponsive_periods = min(worker.unresponsive_periods + 1, MOST_DOUBLINGS)
+            worker.send_limit.limit = 1.0
+            worker.ejected_until = now + (self.target_latency << worker.unresponsive_periods)
+
+    def _lost(self, worker: Worker) -> Iterator[Activation]:
+        """Yield what newer attempts have overtaken by far: its answer is lost, its slot is not."""
+        newest = worker.newest_answered_sent_at
+        for key, attempt in list(worker.in_flight.items()):
+            if attempt.sent_at + self.target_latency > newest:
+                break
+            allowance = OVERDUE_TIMES * self.estimates.expected_time(attempt.activation)
+            if attempt.sent_at + allowance + self._load_allowance(attempt) < newest:
+                worker.lost[key] = worker.in_flight.pop(key)
+                self.release(attempt)
+                yield attempt.activation
+
+    def _load_allowance(self, attempt: Attempt) -> int:
+        """Return the time that an attempt is given for the load that it waits for, ns."""
+        load_time = attempt.activation.function.load_time or self.target_latency
+        return OVERDUE_LOADS * attempt.is_cold * load_time
--- a/petrelwood/decide/scheduling/send_limit.py
+++ b/petrelwood/decide/scheduling/send_limit.py
@@ -4,22 +4,22 @@
 this one bounds what is sent out, learns from each single answer and limits nothing before a slow one.
 """
 
-CUT = 0.85  # of what is in flight, to which a slow answer cuts the limit
+REDUCTION = 0.85  # of what is in flight, to which a slow answer reduces the limit
 
 
 class SendLimit:
-    """Limit of attempts in flight; each slow answer cuts it, each full round of others raises it by one.
+    """Limit of attempts in flight; each slow answer reduces it, each full round of others raises it by one.
 
     Attributes:
         limit: most attempts in flight at a time; None while nothing limits them.
-        cut_at: time of the last cut, ns.
+        reduced_at: when it was last reduced, ns.
     """
 
-    __slots__ = ("cut_at", "limit")
+    __slots__ = ("reduced_at", "limit")
 
     def __init__(self) -> None:
         self.limit: float | None = None
-        self.cut_at = 0
+        self.reduced_at = 0
 
     def record_answer(
         self, is_slow: bool, in_flight: int, now: int, sent_at: int, least: float = 1.0
@@ -27,16 +27,16 @@
         """Learn from one answer.
 
         Args:
-            is_slow: whether the answer took too long.
+            is_slow: whether the answer duration too long.
             in_flight: attempts that are still in flight.
             now: time of the answer, ns.
-            sent_at: time when its attempt left, ns. What left before the last cut tells nothing of it, so
-                that answers that were slow for one reason cut the limit once.
-            least: a cut leaves the limit no lower than this.
+            sent_at: time when its attempt left, ns. What left before the last reduction tells nothing
+                of it, so that answers that were slow for one reason reduce the limit once.
+            least: a reduction leaves the limit no lower than this.
         """
-        if is_slow and sent_at >= self.cut_at:
-            self.limit = max(least, min(self.limit or in_flight + 1, in_flight + 1) * CUT)
-            self.cut_at = now
+        if is_slow and sent_at >= self.reduced_at:
+            self.limit = max(least, min(self.limit or in_flight + 1, in_flight + 1) * REDUCTION)
+            self.reduced_at = now
         elif not is_slow and self.limit is not None and in_flight + 1 >= self.limit:
             self.limit += 1 / self.limit
 
--- /dev/null
+++ b/petrelwood/decide/scheduling/slow_start.py
@@ -0,0 +1,81 @@
+"""Slow start: how much a worker that has just started is sent.
+
+A worker is cold for a while after its start, bears only a part of its capacity at first, and falls over
+beyond a multiple of that. The dispatchers do not know of each other's sends: each takes its own part of the
+budget.
+"""
+
+from collections.abc import Iterable
+
+from petrelwood.decide.scheduling.estimates import Estimates
+from petrelwood.decide.scheduling.parameters import Parameters
+from petrelwood.decide.scheduling.records import Worker
+from petrelwood.decide.scheduling.window_counter import BackdatedCounter
+
+# Part of what makes a worker fall that all dispatchers use together: chance may give them more at a time.
+BUDGET_PART_DIVISOR = 3
+UNLIMITED = 1  # the budget of a warm worker: what is sent to it takes nothing off
+
+
+class SlowStart:
+    """Budgets of workers that have just started, by what a warm worker is made to do.
+
+    Attributes:
+        warm_workers: usable workers that are warm, as of the last update.
+        warming_up: those that are not.
+        warm_answers: answers of warm workers.
+        warm_worker_time: the time that warm workers were there, in all, ns.
+    """
+
+    def __init__(self, parameters: Parameters, estimates: Estimates) -> None:
+        self.guarantees = parameters.terms.guarantees
+        self.dispatchers = parameters.terms.dispatchers
+        self.draw = parameters.draw
+        self.estimates = estimates
+        self.warm_workers = 1
+        self.warming_up: list[Worker] = []
+        self.warm_answers = BackdatedCounter(self.guarantees.cold)
+        self.warm_worker_time = BackdatedCounter(self.guarantees.cold)
+
+    def is_warm(self, worker: Worker, now: int) -> bool:
+        """Return whether the worker has been up long enough to bear its full load."""
+        return not worker.booted or max(0, now - worker.booted) >= self.guarantees.cold
+
+    def budget(self, worker: Worker, now: int) -> int:
+        """Return how many attempts may be sent to the worker now: more than 0 if it is warm."""
+        if self.is_warm(worker, now) or not self.guarantees.fall:
+            return UNLIMITED
+        step = max(0, now - worker.booted) // self.guarantees.fall
+        if step != worker.slow_start_step:
+            worker.slow_start_budget = self._draw_budget(step, now)
+            worker.slow_start_step = step
+        return worker.slow_start_budget
+
+    def record_answer(self, worker: Worker, now: int) -> None:
+        """Count an answer, if its worker is warm."""
+        self.warm_answers.add(now, int(self.is_warm(worker, now)))
+
+    def fleet_changed(self, usable: Iterable[Worker], now: int) -> None:
+        """Learn of another endpoint list."""
+        self.warming_up = [worker for worker in usable if not self.is_warm(worker, now)]
+
+    def update(self, now: int, elapsed: int, fleet_size: int) -> None:
+        """Count the warm workers, and the time that they were there in the last `elapsed` ns."""
+        self.warm_worker_time.add(now, self.warm_workers * elapsed)
+        self.warming_up = [worker for worker in self.warming_up if not self.is_warm(worker, now)]
+        self.warm_workers = fleet_size - len(self.warming_up)
+
+    def _draw_budget(self, step: int, now: int) -> int:
+        """Return this dispatcher's part of what a cold worker bears in one step.
+
+        As much as it makes a warm worker do, or its part of one core. A part under one attempt is drawn, so
+        that all dispatchers together keep the budget.
+        """
+        terms = self.guarantees
+        capacity = terms.cold_from + (1 - terms.cold_from) * step * terms.fall / terms.cold
+        warm_time = max(self.warm_worker_time.lower_bound(now), max(1, self.warm_workers) * terms.cold)
+        estimates = self.estimates
+        # Without hints the usual service time may still be a guess, and answers tell more.
+        work = max(estimates.usual_service_time, estimates.mean_arriving_work or estimates.mean_answer_time)
+        rate = max(self.warm_answers.lower_bound(now) / warm_time, 1 / work / self.dispatchers)
+        return int(terms.fall_multiple / BUDGET_PART_DIVISOR * capacity * rate * terms.fall + self.draw())
--- /dev/null
+++ b/petrelwood/decide/scheduling/worker_order.py
@@ -0,0 +1,83 @@
+"""In which order a function's copies are placed on workers.
+
+Each function has its own order of all workers, by a hash of both names. All dispatchers have the same order,
+so that they use the same copies without knowing of each other.
+"""
+
+from collections.abc import Iterator
+from itertools import islice
+from operator import attrgetter
+
+from petrelwood.decide.scheduling.fleet import HASH_MASK, HASH_MULTIPLIER, Fleet
+from petrelwood.decide.scheduling.popularity import Popularity
+from petrelwood.decide.scheduling.records import Function, Worker
+
+CACHED_ORDERS = 64  # functions whose first workers are cached; a hot one is placed again and again
+SPARE_WORKERS = 32  # further workers that are ranked, as ranks are spread evenly only by chance
+FURTHER_CACHED = 4  # workers that are cached beyond those that are wanted: the first may take nothing
+POSITION_BITS = 20  # of a rank with the worker's place in the fleet: up to a million workers
+
+
+class WorkerOrder:
+    """The workers in each function's order.
+
+    Attributes:
+        cached: the first workers of a function, by its key; the oldest entry goes first.
+    """
+
+    def __init__(self, fleet: Fleet, popularity: Popularity) -> None:
+        self.fleet = fleet
+        self.popularity = popularity
+        self.hashes: list[int] = []
+        self.cached: dict[str, list[Worker]] = {}
+
+    def fleet_changed(self) -> None:
+        """Learn of another endpoint list."""
+        self.hashes = [worker.hash for worker in self.fleet.usable]
+        self.cached.clear()
+
+    def workers_for(self, function: Function) -> Iterator[Worker]:
+        """Yield all usable workers in the function's order.
+
+        What other dispatchers need too begins anywhere among as many workers as all need, those of the own
+        zone first: else all dispatchers, each with a little of it, would take the same worker.
+        """
+        wanted = max(0, self.popularity.wanted_copies(function))
+        size = len(self.fleet.usable)
+        first: list[Worker] = self.cached.get(function.key, [])
+        if len(first) < min(wanted + FURTHER_CACHED, size):
+            if len(self.cached) >= CACHED_ORDERS:
+                del self.cached[next(iter(self.cached))]
+            first = self.cached[function.key] = self.first_by_hash(function, wanted + FURTHER_CACHED)
+        shuffled = wanted if wanted > 1 else 0
+        if shuffled:
+            yield from sorted(islice(first, shuffled), key=attrgetter("preference"))
+        yield from islice(first, shuffled, None)
+        if len(first) < size:
+            yield from islice(self.first_by_hash(function, size), len(first), None)
+
+    def first_by_hash(self, function: Function, count: int) -> list[Worker]:
+        """Return the first workers of the fleet by rank, `count` of them at least.
+
+        Ranks are spread evenly: only those below a limit that a few more will be below are sorted, so that a
+        large fleet costs one multiplication a worker.
+        """
+        salt = function.hash
+        mask = HASH_MASK
+        multiplier = HASH_MULTIPLIER
+        usable = self.fleet.usable
+        size = len(usable)
+        limit = (count + count // 4 + SPARE_WORKERS) * (HASH_MASK + 1) // max(1, size)
+        ranks = [
+            rank << POSITION_BITS | position
+            for position, worker_hash in enumerate(self.hashes)
+            if (rank := (worker_hash ^ salt) * multiplier & mask) < limit
+        ]
+        if len(ranks) < min(count, size):
+            ranks = [
+                ((worker_hash ^ salt) * multiplier & mask) << POSITION_BITS | position
+                for position, worker_hash in enumerate(self.hashes)
+            ]
+        ranks.sort()
+        position_mask = (1 << POSITION_BITS) - 1
+        return [usable[rank & position_mask] for rank in ranks]
--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -250,10 +250,7 @@
     def standing(self):
         """What is believed of load and health, by worker: sends out, connections, what the module makes of
         it. Of hundreds of workers only those that have something of ours, or are thought ill."""
-        scheduler, counts, copies = self.scheduler, self.pending.counts, {}
-        for fn in scheduler.functions.values():
-            for worker in fn.copies:
-                copies[worker] = copies.get(worker, 0) + 1
+        counts, believed = self.pending.counts, self.scheduler.snapshot()
         ends = {worker: link.ends for worker, link in self.links.items() if link.ends}
         for link in self.links.values():
             link.ends = {}
@@ -263,26 +260,26 @@
             "rejected": counts[ledger.ActivationState.REJECTED],
             "aborted": counts[ledger.ActivationState.ABORTED],
             "held": self.intake.held,
-            "out": scheduler.in_flight,
-            "slow": round(scheduler.slow_share, 2),
-            "turned": round(scheduler.shed_probability, 2),
-            "cap": scheduler.send_limit.limit and round(scheduler.send_limit.limit, 1),
-            "functions": len(scheduler.functions),
+            "out": believed.in_flight,
+            "slow": round(believed.slow_share, 2),
+            "turned": round(believed.shed_probability, 2),
+            "cap": believed.send_limit and round(believed.send_limit, 1),
+            "functions": believed.functions,
             "clients": len(self.front.clients),
-            "listed": len(scheduler.usable_workers),
+            "listed": len(believed.workers),
             "ends": ends,
             "workers": {
-                w.id: [
-                    len(w.in_flight),
+                w.worker: [
+                    w.in_flight,
                     round(w.relative_latency, 2),
-                    w.send_limit.limit and round(w.send_limit.limit, 1),
+                    w.send_limit and round(w.send_limit, 1),
                     int(w.is_unresponsive),
                     lines,
-                    copies.get(w.id, 0),
+                    w.copies,
                 ]
-                for w in scheduler.usable_workers
-                for lines in [len(self.links[w.id].lines) if w.id in self.links else 0]
-                if lines or w.in_flight or w.is_unresponsive or w.send_limit.limit or w.id in copies
+                for w in believed.workers
+                for lines in [len(self.links[w.worker].lines) if w.worker in self.links else 0]
+                if lines or w.in_flight or w.is_unresponsive or w.send_limit or w.copies
             },
         }
 
--- a/petrelwood/ports.py
+++ b/petrelwood/ports.py
@@ -136,7 +136,7 @@
     reason: EndReason
     note: int  # a CopyNote
     is_final: bool  # the activation has its final answer, by this attempt or otherwise
-    took: int  # ns from the send to the end
+    duration: int  # ns from the send to the end
     report: dict[str, float] | None  # the worker's load report, if it sent one
 
 
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -7,6 +7,8 @@
 from petrelwood.cli.logs import open_log
 from petrelwood.decide.cluster.membership import ListChange, Membership
 from petrelwood.decide.delivery import send_outcome
+from petrelwood.decide.scheduling import scheduler as scheduler_module
+from petrelwood.decide.scheduling.queueing import Queueing
 from petrelwood.decide.scheduling.records import Copy
 from petrelwood.decide.scheduling.scheduler import Scheduler
 from petrelwood.dispatch import serve
@@ -31,7 +33,7 @@
 
     def attempt_ended(self, now, end):
         super().attempt_ended(now, end)
-        core, link = self.outlet.core, self.outlet.links[end.worker]
+        core, link = self.actions.outlet.core, self.actions.outlet.links[end.worker]
         core.loop.call_later(
             1.0,
             link.run,
@@ -45,14 +47,14 @@
         )
 
 
-class Floods(Scheduler):
+class Floods(Queueing):
     """Rule 4: gives a worker that has just started all it can."""
 
-    def _enqueue(self, act, now, front=False):
-        cold = next((w for w in self.usable_workers if w.booted), None)
+    def enqueue(self, act, now, is_retry=False):
+        cold = next((w for w in self.placement.order.fleet.usable if w.booted), None)
         if cold is None or act.attempts:
-            return super()._enqueue(act, now, front)
-        self._send(act, act.function.copies.setdefault(cold.id, Copy(cold, now, now)), now)
+            return super().enqueue(act, now, is_retry)
+        self.actions.send(act, act.function.copies.setdefault(cold.id, Copy(cold, now, now)), now)
 
 
 class Orders(Scheduler):
@@ -63,9 +65,9 @@
     def activation_arrived(self, now, arrival):
         super().activation_arrived(now, arrival)
         Orders.seen += 1
-        if Orders.seen % 2 and self.usable_workers:
-            self.outlet.order_load(
-                self.usable_workers[Orders.seen % len(self.usable_workers)].id, arrival.function, 1
+        if Orders.seen % 2 and self.fleet.usable:
+            self.actions.outlet.order_load(
+                self.fleet.usable[Orders.seen % len(self.fleet.usable)].id, arrival.function, 1
             )
 
 
@@ -90,7 +92,7 @@
 
         Membership._apply = usable
     elif name == "floods":
-        return Floods
+        scheduler_module.Queueing = Floods
     elif name == "orders":
         return Orders
     return Scheduler
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -8,7 +8,7 @@
 import cold_budget
 from cold_budget import MS, SECOND, Book, Case, World, bound, narrow_bound
 
-from petrelwood.decide.scheduling.scheduler import Scheduler
+from petrelwood.decide.scheduling.slow_start import SlowStart
 
 HALF = {"used": 0.9, "restarted": 0.5}
 ALL = {"used": 0.7, "restarted": 1}
@@ -105,47 +105,47 @@
     def falls(self, cold_room, *cases, broken=Book.broken):
         """Under this budget a worker falls in each case, and those that were told answer for it."""
         for name in cases:
-            with self.subTest(name), mock.patch.object(Scheduler, "_slow_start_budget", cold_room):
+            with self.subTest(name), mock.patch.object(SlowStart, "budget", cold_room):
                 world = cold_budget.play(**CASES[name])
                 self.assertTrue(any(broken(book) for book in world.books))
 
     def test_no_budget(self):
-        self.falls(lambda scheduler, worker, now: 1, "25, all at once", "25 unequal, all in steps")
+        self.falls(lambda slow_start, worker, now: 1, "25, all at once", "25 unequal, all in steps")
 
     def test_each_dispatcher_takes_all_dispatchers_part(self):
-        honest = Scheduler._slow_start_budget
+        honest = SlowStart.budget
 
-        def cold_room(scheduler, worker, now):
-            with mock.patch.object(scheduler, "dispatchers", 1):
-                return honest(scheduler, worker, now)
+        def cold_room(slow_start, worker, now):
+            with mock.patch.object(slow_start, "dispatchers", 1):
+                return honest(slow_start, worker, now)
 
         self.falls(cold_room, "25, all started anew, long work, one by one")
 
     def test_a_part_under_one_send_is_counted_as_one(self):
         """Nothing is drawn: each dispatcher sends one in each `fall`, however many dispatchers there are."""
-        honest = Scheduler._slow_start_budget
+        honest = SlowStart.budget
 
-        def cold_room(scheduler, worker, now):
-            with mock.patch.object(scheduler, "draw", lambda: 1.0):
-                return honest(scheduler, worker, now)
+        def cold_room(slow_start, worker, now):
+            with mock.patch.object(slow_start, "draw", lambda: 1.0):
+                return honest(slow_start, worker, now)
 
         self.falls(cold_room, "200 unequal, all at once", "25, all started anew, long work, one by one")
 
     def test_answers_are_divided_by_the_workers_that_are_warm_now(self):
         """As it was: all answers of a while ago count for the few that are still warm."""
 
-        def cold_room(scheduler, worker, now):
-            g, age = scheduler.terms.guarantees, max(0, now - worker.booted)
+        def cold_room(slow_start, worker, now):
+            g, age = slow_start.guarantees, max(0, now - worker.booted)
             if not worker.booted or age >= g.cold:
                 return 1
             slot = age // g.fall
             if slot != worker.slow_start_step:
                 part = g.cold_from + (1 - g.cold_from) * slot * g.fall / g.cold
                 rate = max(
-                    scheduler.warm_answers.lower_bound(now) / max(1, scheduler.warm_workers) / g.cold,
-                    1 / scheduler.usual_service_time / scheduler.dispatchers,
+                    slow_start.warm_answers.lower_bound(now) / max(1, slow_start.warm_workers) / g.cold,
+                    1 / slow_start.estimates.usual_service_time / slow_start.dispatchers,
                 )
-                worker.slow_start_budget = int(g.fall_multiple / 3 * part * rate * g.fall + scheduler.draw())
+                worker.slow_start_budget = int(g.fall_multiple / 3 * part * rate * g.fall + slow_start.draw())
                 worker.slow_start_step = slot
             return worker.slow_start_budget
 
@@ -153,11 +153,11 @@
 
     def test_the_hints_of_what_comes_are_passed_over(self):
         """As it was: a new life's guess of the usual time, a quarter of the target latency."""
-        honest = Scheduler._slow_start_budget
+        honest = SlowStart.budget
 
-        def cold_room(scheduler, worker, now):
-            with mock.patch.object(scheduler, "mean_arriving_work", 0):
-                return honest(scheduler, worker, now)
+        def cold_room(slow_start, worker, now):
+            with mock.patch.object(slow_start.estimates, "mean_arriving_work", 0):
+                return honest(slow_start, worker, now)
 
         name = "25, all started anew, long work, one by one"
         self.falls(cold_room, name, broken=Book.narrowly_broken)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -152,9 +152,8 @@
         d.answer("x1", "a", took=100)
         d.come("short", "heavy", work=100)
         act = d.scheduler.activations["short"]
-        d.say(
-            f"a target latency of {act.target_latency // MS}, late after {d.scheduler._slow_after(act) // MS}"
-        )
+        late_after = d.scheduler.estimates.slow_after(act)
+        d.say(f"a target latency of {act.target_latency // MS}, late after {late_after // MS}")
         d.come("huge", work=900, patience=60_000)
         d.say(f"a target latency of {d.scheduler.activations['huge'].target_latency // MS}")
         d.end(self)
@@ -164,7 +163,7 @@
         scheduler = d.scheduler
         for name, report in (("a", {"waiting": 6}), ("b", {"loads": 3}), ("c", {"cores": 0.5})):
             scheduler.health_check_ended(d.now, name, ports.EndReason.COMPLETED, report)
-            d.say(f"{name}: {scheduler.workers[name].reported_load}")
+            d.say(f"{name}: {scheduler.fleet.workers[name].reported_load}")
         d.end(self)
 
     def test_dear_probes_are_sent_more_rarely(self):
@@ -247,7 +246,7 @@
         self.nine_miss(d)
         orders, taken = (
             sum("order" in line for line in d.lines),
-            d.scheduler.credited_activations.upper_bound(d.now),
+            d.scheduler.load_orders.credited.upper_bound(d.now),
         )
         d.say(f"{orders} orders for {taken} activations")
         d.end(self)
@@ -268,7 +267,7 @@
         d.at(3200)
         orders, taken = (
             sum("order" in line for line in d.lines),
-            d.scheduler.credited_activations.upper_bound(d.now),
+            d.scheduler.load_orders.credited.upper_bound(d.now),
         )
         d.say(f"{orders} orders for {taken} activations")
         d.end(self)
@@ -287,33 +286,33 @@
         d.at(20)
         for i in range(30):
             d.scheduler.client_departed(d.now, f"back{i}")
-        d.say(f"{d.scheduler.credited_activations.upper_bound(d.now)} activations count")
+        d.say(f"{d.scheduler.load_orders.credited.upper_bound(d.now)} activations count")
         d.lines = d.lines[-1:]
         d.at(200)
         d.come("last", fn=1)
         d.lines = d.lines[:1]
-        d.say(f"{d.scheduler.credited_activations.upper_bound(d.now)} activations count")
+        d.say(f"{d.scheduler.load_orders.credited.upper_bound(d.now)} activations count")
         d.end(self)
 
     def test_an_order_that_waited_is_counted_when_it_leaves(self):
         d = Desk("leaves", workers="abcd", self_loading=False, ration=(0, 0.1, 1000 * MS))
-        d.scheduler.credited_activations.add(0, 10)
-        d.say(f"may order: {d.scheduler._may_order(0)}")
-        d.scheduler.orders_given.add(0)
-        d.say(f"another: {d.scheduler._may_order(0)}")
+        d.scheduler.load_orders.credited.add(0, 10)
+        d.say(f"may order: {d.scheduler.load_orders.may_order(0)}")
+        d.scheduler.load_orders.ordered.add(0)
+        d.say(f"another: {d.scheduler.load_orders.may_order(0)}")
         d.at(500)
         may_leave = d.scheduler.may_load_order_leave(d.now, 0)
-        d.say(f"it may leave: {may_leave}, another: {d.scheduler._may_order(d.now)}")
+        d.say(f"it may leave: {may_leave}, another: {d.scheduler.load_orders.may_order(d.now)}")
         d.at(800)
-        d.scheduler.credited_activations.add(d.now, 10)
+        d.scheduler.load_orders.credited.add(d.now, 10)
         d.at(1400)
-        d.say(f"another, with ten new ones: {d.scheduler._may_order(d.now)}")
+        d.say(f"another, with ten new ones: {d.scheduler.load_orders.may_order(d.now)}")
         d.at(1700)
-        d.say(f"now that it has left the window: {d.scheduler._may_order(d.now)}")
-        d.scheduler.orders_given.add(d.now)
+        d.say(f"now that it has left the window: {d.scheduler.load_orders.may_order(d.now)}")
+        d.scheduler.load_orders.ordered.add(d.now)
         d.scheduler.load_order_withdrawn(d.now, d.now)
-        d.say(f"another, as that one never left: {d.scheduler._may_order(d.now)}")
-        d.scheduler.orders_given.add(d.now)
+        d.say(f"another, as that one never left: {d.scheduler.load_orders.may_order(d.now)}")
+        d.scheduler.load_orders.ordered.add(d.now)
         d.at(2600)
         d.say(f"it may leave with none taken: {d.scheduler.may_load_order_leave(d.now, 1700 * MS)}")
         d.end(self)
@@ -328,7 +327,7 @@
             if order is not None:
                 d.scheduler.load_order_ended(d.now, order[-1], 1, ports.EndReason.NOT_SENT, 0)
             d.at(d.now // MS + 100)
-        d.say(f"further copies may be ordered: {d.now >= d.scheduler.no_further_copies_until}")
+        d.say(f"further copies may be ordered: {d.now >= d.scheduler.load_orders.no_further_copies_until}")
         d.end(self)
 
     def test_a_ring_takes_back_what_it_still_holds(self):
@@ -466,19 +465,20 @@
         for i in range(30):
             d.at(50 * i + 50)
             d.come(f"y{i}", fn=2)
-            if (f"y{i}", 0) in d.scheduler.workers["a"].in_flight:
+            if (f"y{i}", 0) in d.scheduler.fleet.workers["a"].in_flight:
                 d.answer(f"y{i}", "a", took=50)
             d.lines = [line for line in d.lines if " y" not in line]
             if i == 12:
                 d.come("x2", fn=1, patience=4000)
             if i == 20:
                 d.scheduler.load_order_ended(d.now, "b", 1, ports.EndReason.COMPLETED, 1)
-        before = d.scheduler.slow_share
+        before = d.scheduler.outliers.slow_share
         d.at(2900)
         d.answer("x1", "a", ports.EndReason.TIMED_OUT, took=2900)
         d.say(
-            f"{d.scheduler.workers['a'].lost} lost there; "
-            f"fleet slower for it: {d.scheduler.slow_share > before}; {d.scheduler.in_flight} out"
+            f"{d.scheduler.fleet.workers['a'].lost} lost there; "
+            f"fleet slower for it: {d.scheduler.outliers.slow_share > before}; "
+            f"{d.scheduler.outliers.in_flight} out"
         )
         d.end(self)
 
@@ -517,7 +517,7 @@
             d.come(f"w{i}", fn=2)
             d.answer(f"w{i}", fine)
         # some load has failed: no function with a copy of use may spread
-        d.scheduler.no_further_copies_until = d.now + 3000 * MS
+        d.scheduler.load_orders.no_further_copies_until = d.now + 3000 * MS
         for i in range(8, 11):
             d.at(200 * i)
             d.come(f"w{i}", fn=1)
@@ -537,12 +537,12 @@
             for fn, name, code in ((1, "a", ports.EndReason.FULL), (2, "b", ports.EndReason.COMPLETED)):
                 d.scheduler.load_order_ended(d.now, name, fn, ports.EndReason.COMPLETED, 1)
                 d.come(f"{name}{i}", fn=fn, lanes=2, patience=2000)
-                if d.scheduler.workers[name].in_flight:
-                    d.answer(*next(iter(d.scheduler.workers[name].in_flight))[:1], name, code)
+                if d.scheduler.fleet.workers[name].in_flight:
+                    d.answer(*next(iter(d.scheduler.fleet.workers[name].in_flight))[:1], name, code)
             d.at(300 * i + 300)
             d.lines.clear()
-            pace = d.scheduler.workers["a"].relative_latency
-            d.say(f"turned away {d.scheduler.shed_probability:.2f}; of a: pace {pace:.1f}")
+            pace = d.scheduler.fleet.workers["a"].relative_latency
+            d.say(f"turned away {d.scheduler.outliers.shed_probability:.2f}; of a: pace {pace:.1f}")
         d.end(self)
 
     def test_a_worker_whose_loads_wait_is_passed_over_and_nothing_else(self):
@@ -556,7 +556,8 @@
         d.at(20)
         d.scheduler.load_order_ended(d.now, packed, 2, ports.EndReason.FULL, 0)
         d.at(600)
-        d.say(f"{packed} was full; copies may be added: {d.now >= d.scheduler.no_further_copies_until}")
+        may_add = d.now >= d.scheduler.load_orders.no_further_copies_until
+        d.say(f"{packed} was full; copies may be added: {may_add}")
         d.end(self)
 
     def test_what_is_to_be_given_up_takes_a_lane_that_is_free(self):
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -11,11 +11,13 @@
 import sys
 import tempfile
 import unittest
+from unittest import mock
 
 from petrelwood import ports
 from petrelwood.audit import rules
 from petrelwood.clocks import VirtualClock
 from petrelwood.decide.delivery import ledger
+from petrelwood.decide.scheduling.actions import Actions
 from petrelwood.decide.scheduling.scheduler import Scheduler
 from petrelwood.emulate import policies, result, script
 from petrelwood.emulate.machine import Build, Machine, Model
@@ -225,12 +227,10 @@
 
 class SameCode(unittest.TestCase):
     def test_a_bug_in_what_serves_shows_in_the_emulator(self):
-        class Forgetful(Scheduler):
-            def _give_up(self, act, now):
-                pass
-
         day = script.read(script.find("bad"))
-        sound, broken = Platform(day, 1).run(), Platform(day, 1, Forgetful).run()
+        sound = Platform(day, 1).run()
+        with mock.patch.object(Actions, "give_up", lambda self, act, now: None):
+            broken = Platform(day, 1).run()
         self.assertEqual(result.row(sound)["overdue"], 0)
         self.assertGreater(result.row(broken)["overdue"], 0)
 
--- a/tests/test_larger_fleet.py
+++ b/tests/test_larger_fleet.py
@@ -22,7 +22,7 @@
 
 def activation(scheduler, now, *arguments):
     for _ in range(100):
-        max((worker for worker in scheduler.usable_workers), key=lambda worker: worker.cold_attempts)
+        max((worker for worker in scheduler.fleet.usable), key=lambda worker: worker.cold_attempts)
     honest(scheduler, now, *arguments)
 
 Scheduler.activation_arrived = activation
--- a/tests/test_ration.py
+++ b/tests/test_ration.py
@@ -9,7 +9,7 @@
 
 from petrelwood import ports
 from petrelwood.decide.cluster.link_state import CallDecision
-from petrelwood.decide.scheduling import scheduler
+from petrelwood.decide.scheduling.load_order_limit import LoadOrderLimit
 from petrelwood.decide.scheduling.records import Function, LoadCredit
 from petrelwood.emulate import link as emulate_link
 from petrelwood.links import worker as links_worker
@@ -52,23 +52,21 @@
 
     def test_the_judge_sees_a_dispatcher_that_breaks_it(self):
         def always(self, now, part=1.0):
-            return self.terms.orders.allowed
+            return self.orders.allowed
 
-        def at_once(self, now, act=None):  # what is sent gives a right, whatever it is
-            if act is not None and act.load_credit is LoadCredit.NONE:
+        def at_once(self, act, now):  # what is sent gives a right, whatever it is
+            if act.load_credit is LoadCredit.NONE:
                 act.load_credit = LoadCredit.COUNTED
-                self.credited_activations.add(act.arrived_at)
+                self.credited.add(act.arrived_at)
 
         for what, changes in (
-            ("_may_order", {"floods": 0}),
-            ("_credit", {"strange": 0.5}),
-            ("_credit", {"floods": 0.5}),
+            ("may_order", {"floods": 0}),
+            ("credit", {"strange": 0.5}),
+            ("credit", {"floods": 0.5}),
         ):
             with (
                 self.subTest(what=what, **changes),
-                mock.patch.object(
-                    scheduler.Scheduler, what, {"_may_order": always, "_credit": at_once}[what]
-                ),
+                mock.patch.object(LoadOrderLimit, what, {"may_order": always, "credit": at_once}[what]),
             ):
                 self.assertGreater(ration.play(ration.Case(1, **changes)).worst[0], 3)
 
@@ -106,7 +104,7 @@
         given = 0
         for n in range(orders):
             fn = module.functions.setdefault(f"{n:016x}", Function(f"{n:016x}"))
-            given += bool(module._order_load(fn, module.usable_workers[0], world.node.now()))
+            given += bool(module.actions.order_load(fn, module.fleet.usable[0], world.node.now()))
         return given
 
     def test_an_order_whose_right_has_gone_while_it_waited_does_not_leave(self):
@@ -114,10 +112,10 @@
         given = []
 
         def script(world):
-            world.node.scheduler.credited_activations.add(world.node.now(), 40)
+            world.node.scheduler.load_orders.credited.add(world.node.now(), 40)
             world.later(0.5, lambda: given.append(self.give(world, 9)))
             world.later(2.0, lambda: given.append(self.give(world, 9)))
-            world.later(2.0, world.node.scheduler.credited_activations.add, world.node.now() + 2000 * MS, 20)
+            world.later(2.0, world.node.scheduler.load_orders.credited.add, world.node.now() + 2000 * MS, 20)
             world.later(2.1, lambda: given.append(self.give(world, 9)))
 
         world = self.play(0.9, script)
@@ -130,9 +128,9 @@
         given = []
 
         def script(world):
-            world.node.scheduler.credited_activations.add(world.node.now(), 40)
+            world.node.scheduler.load_orders.credited.add(world.node.now(), 40)
             world.later(0.1, lambda: given.append(self.give(world, 9)))
-            world.later(1.2, lambda: world.node.scheduler.credited_activations.add(world.node.now(), 40))
+            world.later(1.2, lambda: world.node.scheduler.load_orders.credited.add(world.node.now(), 40))
             world.later(1.3, lambda: given.append(self.give(world, 9)))
             world.later(1.9, lambda: given.append(self.give(world, 9)))
 
@@ -145,7 +143,7 @@
         given = []
 
         def script(world):
-            world.node.scheduler.credited_activations.add(world.node.now(), 40)
+            world.node.scheduler.load_orders.credited.add(world.node.now(), 40)
             world.later(0.1, lambda: given.append(self.give(world, 9)))
             world.later(0.2, world.replace, 1)
             world.later(0.3, lambda: given.append(self.give(world, 9)))
@@ -160,7 +158,7 @@
         def script(world):
             node = world.node
             node.room.workers = 1
-            node.scheduler.credited_activations.add(node.now(), 200)
+            node.scheduler.load_orders.credited.add(node.now(), 200)
             self.give(world, 1)
             node.load_order_ended = lambda worker_, fn, code, copies: ends.append(
                 (round(node.now() / 1e9), code)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,8 +21,11 @@
 from benchmarks.scale.site import SiteSize
 from petrelwood import ports
 from petrelwood.decide.overload.backoff import Backoff
+from petrelwood.decide.scheduling.fleet import HASH_MASK, HASH_MULTIPLIER
 from petrelwood.decide.scheduling.records import Function
-from petrelwood.decide.scheduling.scheduler import MASK, MIX, ORDERS, Scheduler
+from petrelwood.decide.scheduling.scheduler import Scheduler
+from petrelwood.decide.scheduling.slow_start import SlowStart
+from petrelwood.decide.scheduling.worker_order import CACHED_ORDERS, WorkerOrder
 from petrelwood.standins.roster import ChangeLog
 
 SECOND = 1_000_000_000
@@ -63,8 +66,8 @@
 
     def activation_arrived(self, now, *arguments):
         """One probe for each worker, first."""
-        for worker in self.usable_workers:
-            self.outlet.check_health(worker.id)
+        for worker in self.fleet.usable:
+            self.actions.outlet.check_health(worker.id)
         super().activation_arrived(now, *arguments)
 
 
@@ -73,26 +76,31 @@
 
     def activation_arrived(self, now, *arguments):
         """A look at each worker, first."""
-        self.busiest = max(
-            (worker for worker in self.usable_workers), key=lambda worker: worker.cold_attempts
-        )
+        self.busiest = max((worker for worker in self.fleet.usable), key=lambda worker: worker.cold_attempts)
         super().activation_arrived(now, *arguments)
 
 
-class CountsEverybody(Scheduler):
-    """A module that counts the warm workers of the whole fleet at each look."""
+class CountsEverybody(SlowStart):
+    """A slow start that counts the warm workers of the whole fleet at each update."""
+
+    def fleet_changed(self, usable, now):
+        """A list: it is kept whole."""
+        self.usable = usable
+        super().fleet_changed(usable, now)
 
-    def _look(self, now):
-        self.warm_workers = sum(self._is_warm(worker, now) for worker in self.usable_workers)
-        super()._look(now)
+    def update(self, now, *arguments):
+        """A look at each worker, first."""
+        self.warm_workers = sum(self.is_warm(worker, now) for worker in self.usable)
+        super().update(now, *arguments)
 
 
-class SortsEverybody(Scheduler):
-    """A module that ranks the whole fleet at each placement."""
+class SortsEverybody(WorkerOrder):
+    """An order that ranks the whole fleet at each placement."""
 
-    def _first_by_hash(self, fn, count):
-        self.first_in_order.clear()
-        return super()._first_by_hash(fn, len(self.usable_workers))
+    def first_by_hash(self, fn, count):
+        """All workers; nothing is cached."""
+        self.cached.clear()
+        return super().first_by_hash(fn, len(self.fleet.usable))
 
 
 class Control(unittest.TestCase):
@@ -174,8 +182,8 @@
     module = parts.scheduler(workers)
     fn = Function("new")
     for _ in range(earlier):
-        module._find_candidates(fn, None, SECOND)
-    return counting.operations(module._find_candidates, fn, None, SECOND)
+        module.placement.first_open_workers(fn, None, SECOND)
+    return counting.operations(module.placement.first_open_workers, fn, None, SECOND)
 
 
 class Operations(unittest.TestCase):
@@ -208,7 +216,7 @@
         for reading in size.FLEET_READINGS:
             self.check_control(reading)
         with (
-            mock.patch("benchmarks.scale.parts.Scheduler", CountsEverybody),
+            mock.patch("petrelwood.decide.scheduling.scheduler.SlowStart", CountsEverybody),
             self.assertRaises(AssertionError),
         ):
             self.check_control(size.SINGLE_INSTANCE_WORKERS)
@@ -220,7 +228,7 @@
     def test_timers_do_not_look_at_warm_workers(self):
         self.check_idle()
         with (
-            mock.patch("benchmarks.scale.parts.Scheduler", CountsEverybody),
+            mock.patch("petrelwood.decide.scheduling.scheduler.SlowStart", CountsEverybody),
             self.assertRaises(AssertionError),
         ):
             self.check_idle()
@@ -234,7 +242,7 @@
     def test_a_placement_costs_little_a_worker(self):
         self.check_placements()
         with (
-            mock.patch("benchmarks.scale.parts.Scheduler", SortsEverybody),
+            mock.patch("petrelwood.decide.scheduling.scheduler.WorkerOrder", SortsEverybody),
             self.assertRaises(AssertionError),
         ):
             self.check_placements()
@@ -245,13 +253,15 @@
 
     def expected(self, module, fn):
         def rank(worker):
-            return (worker.hash ^ fn.hash) * MIX & MASK
+            return (worker.hash ^ fn.hash) * HASH_MULTIPLIER & HASH_MASK
 
         def turn(worker):
-            return worker.zone != module.terms.zone, (worker.hash ^ module.salt) * MIX & MASK
+            return worker.zone != module.terms.zone, (
+                worker.hash ^ module.fleet.salt
+            ) * HASH_MULTIPLIER & HASH_MASK
 
-        ranked = sorted(module.usable_workers, key=rank)
-        some = module._wanted_copies(fn)
+        ranked = sorted(module.fleet.usable, key=rank)
+        some = module.popularity.wanted_copies(fn)
         if some <= 1:
             return ranked
         return sorted(ranked[:some], key=turn) + ranked[some:]
@@ -262,20 +272,20 @@
             for number in range(8):
                 fn = Function(f"f-{number}")
                 for fn.recent_calls in (0, 1, 3, 40):
-                    self.assertEqual(list(module._workers_in_order(fn)), self.expected(module, fn))
+                    self.assertEqual(list(module.order.workers_for(fn)), self.expected(module, fn))
 
     def test_a_change_of_the_list_changes_it(self):
         module, fn = parts.scheduler(60), Function("f-1")
-        before = list(module._workers_in_order(fn))
+        before = list(module.order.workers_for(fn))
         gone = ports.Listed(before[0].id, before[0].zone, 0, 0, False)
         module.endpoints_changed(SECOND, [gone], False)
-        self.assertEqual(list(module._workers_in_order(fn)), before[1:])
+        self.assertEqual(list(module.order.workers_for(fn)), before[1:])
 
     def test_it_is_kept_for_so_many_functions(self):
         module = parts.scheduler(60)
-        for number in range(3 * ORDERS):
-            next(module._workers_in_order(Function(f"f-{number}")))
-        self.assertEqual(len(module.first_in_order), ORDERS)
+        for number in range(3 * CACHED_ORDERS):
+            next(module.order.workers_for(Function(f"f-{number}")))
+        self.assertEqual(len(module.order.cached), CACHED_ORDERS)
 
 
 class Memory(unittest.TestCase):
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -395,7 +395,7 @@
         class Late(Scheduler):
             def client_departed(self, now, act_id):
                 super().client_departed(now, act_id)
-                self.outlet.send(act_id, "w1", 0)
+                self.actions.outlet.send(act_id, "w1", 0)
 
         await self.begin(w := Worker("w1", never), scheduler=Late)
         with self.assertRaises(asyncio.TimeoutError):
