--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,7 +21,11 @@
 from benchmarks.scale.site import SiteSize
 from petrelwood import ports
 from petrelwood.decide.overload.backoff import Backoff
-from petrelwood.decide.scheduling.scheduler import MASK, MIX, ORDERS, Function, Scheduler
+from petrelwood.decide.scheduling.fleet import HASH_MASK, HASH_MULTIPLIER
+from petrelwood.decide.scheduling.records import Function
+from petrelwood.decide.scheduling.scheduler import Scheduler
+from petrelwood.decide.scheduling.slow_start import SlowStart
+from petrelwood.decide.scheduling.worker_order import CACHED_ORDERS, WorkerOrder
 from petrelwood.standins.roster import ChangeLog
 
 SECOND = 1_000_000_000
@@ -62,8 +66,8 @@
 
     def activation_arrived(self, now, *arguments):
         """One probe for each worker, first."""
-        for worker in self.fleet:
-            self.out.check_health(worker.id)
+        for worker in self.fleet.usable:
+            self.actions.outlet.check_health(worker.id)
         super().activation_arrived(now, *arguments)
 
 
@@ -72,24 +76,31 @@
 
     def activation_arrived(self, now, *arguments):
         """A look at each worker, first."""
-        self.busiest = max((worker for worker in self.fleet), key=lambda worker: worker.loading)
+        self.busiest = max((worker for worker in self.fleet.usable), key=lambda worker: worker.cold_attempts)
         super().activation_arrived(now, *arguments)
 
 
-class CountsEverybody(Scheduler):
-    """A module that counts the warm workers of the whole fleet at each look."""
+class CountsEverybody(SlowStart):
+    """A slow start that counts the warm workers of the whole fleet at each update."""
 
-    def _look(self, now):
-        self.warm = sum(self._warm(worker, now) for worker in self.fleet)
-        super()._look(now)
+    def fleet_changed(self, usable, now):
+        """A list: it is kept whole."""
+        self.usable = usable
+        super().fleet_changed(usable, now)
+
+    def update(self, now, *arguments):
+        """A look at each worker, first."""
+        self.warm_workers = sum(self.is_warm(worker, now) for worker in self.usable)
+        super().update(now, *arguments)
 
 
-class SortsEverybody(Scheduler):
-    """A module that ranks the whole fleet at each placement."""
+class SortsEverybody(WorkerOrder):
+    """An order that ranks the whole fleet at each placement."""
 
-    def _first_in_order(self, fn, count):
-        self.orders.clear()
-        return super()._first_in_order(fn, len(self.fleet))
+    def first_by_hash(self, fn, count):
+        """All workers; nothing is cached."""
+        self.cached.clear()
+        return super().first_by_hash(fn, len(self.fleet.usable))
 
 
 class Control(unittest.TestCase):
@@ -171,8 +182,8 @@
     module = parts.scheduler(workers)
     fn = Function("new")
     for _ in range(earlier):
-        module._first_two(fn, None, SECOND)
-    return counting.operations(module._first_two, fn, None, SECOND)
+        module.placement.first_open_workers(fn, None, SECOND)
+    return counting.operations(module.placement.first_open_workers, fn, None, SECOND)
 
 
 class Operations(unittest.TestCase):
@@ -205,7 +216,7 @@
         for reading in size.FLEET_READINGS:
             self.check_control(reading)
         with (
-            mock.patch("benchmarks.scale.parts.Scheduler", CountsEverybody),
+            mock.patch("petrelwood.decide.scheduling.scheduler.SlowStart", CountsEverybody),
             self.assertRaises(AssertionError),
         ):
             self.check_control(size.SINGLE_INSTANCE_WORKERS)
@@ -217,7 +228,7 @@
     def test_timers_do_not_look_at_warm_workers(self):
         self.check_idle()
         with (
-            mock.patch("benchmarks.scale.parts.Scheduler", CountsEverybody),
+            mock.patch("petrelwood.decide.scheduling.scheduler.SlowStart", CountsEverybody),
             self.assertRaises(AssertionError),
         ):
             self.check_idle()
@@ -231,7 +242,7 @@
     def test_a_placement_costs_little_a_worker(self):
         self.check_placements()
         with (
-            mock.patch("benchmarks.scale.parts.Scheduler", SortsEverybody),
+            mock.patch("petrelwood.decide.scheduling.scheduler.WorkerOrder", SortsEverybody),
             self.assertRaises(AssertionError),
         ):
             self.check_placements()
@@ -242,13 +253,15 @@
 
     def expected(self, module, fn):
         def rank(worker):
-            return (worker.hash ^ fn.hash) * MIX & MASK
+            return (worker.hash ^ fn.hash) * HASH_MULTIPLIER & HASH_MASK
 
         def turn(worker):
-            return worker.zone != module.terms.zone, (worker.hash ^ module.salt) * MIX & MASK
+            return worker.zone != module.terms.zone, (
+                worker.hash ^ module.fleet.salt
+            ) * HASH_MULTIPLIER & HASH_MASK
 
-        ranked = sorted(module.fleet, key=rank)
-        some = module._wanted(fn)
+        ranked = sorted(module.fleet.usable, key=rank)
+        some = module.popularity.wanted_copies(fn)
         if some <= 1:
             return ranked
         return sorted(ranked[:some], key=turn) + ranked[some:]
@@ -258,21 +271,21 @@
             module = parts.scheduler(workers)
             for number in range(8):
                 fn = Function(f"f-{number}")
-                for fn.recent in (0, 1, 3, 40):
-                    self.assertEqual(list(module._order_of(fn)), self.expected(module, fn))
+                for fn.recent_calls in (0, 1, 3, 40):
+                    self.assertEqual(list(module.order.workers_for(fn)), self.expected(module, fn))
 
     def test_a_change_of_the_list_changes_it(self):
         module, fn = parts.scheduler(60), Function("f-1")
-        before = list(module._order_of(fn))
+        before = list(module.order.workers_for(fn))
         gone = ports.Listed(before[0].id, before[0].zone, 0, 0, False)
         module.endpoints_changed(SECOND, [gone], False)
-        self.assertEqual(list(module._order_of(fn)), before[1:])
+        self.assertEqual(list(module.order.workers_for(fn)), before[1:])
 
     def test_it_is_kept_for_so_many_functions(self):
         module = parts.scheduler(60)
-        for number in range(3 * ORDERS):
-            next(module._order_of(Function(f"f-{number}")))
-        self.assertEqual(len(module.orders), ORDERS)
+        for number in range(3 * CACHED_ORDERS):
+            next(module.order.workers_for(Function(f"f-{number}")))
+        self.assertEqual(len(module.order.cached), CACHED_ORDERS)
 
 
 class Memory(unittest.TestCase):
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -364,10 +364,10 @@
 class Defects(Case):
     async def test_a_defect_aborts_what_it_touched_and_nothing_else(self):
         class Faulty(Scheduler):
-            def attempt_ended(self, now, act_id, *rest):
-                if self.acts[act_id].fn.key == "again-bad":
+            def attempt_ended(self, now, end):
+                if self.activations[end.activation_id].function.key == "again-bad":
                     raise RuntimeError("a defect")
-                super().attempt_ended(now, act_id, *rest)
+                super().attempt_ended(now, end)
 
         on_run = {"again-bad": says("error")}
         await self.begin(
@@ -395,7 +395,7 @@
         class Late(Scheduler):
             def client_departed(self, now, act_id):
                 super().client_departed(now, act_id)
-                self.out.send(act_id, "w1", 0)
+                self.actions.outlet.send(act_id, "w1", 0)
 
         await self.begin(w := Worker("w1", never), scheduler=Late)
         with self.assertRaises(asyncio.TimeoutError):
