--- a/tests/test_packets.py
+++ b/tests/test_packets.py
@@ -1,6 +1,7 @@
 """The MQTT 5 codec: round trips, every truncation, every flipped bit. A reason code, never another
 exception."""
 
+import dataclasses
 import random
 import unittest
 
@@ -9,6 +10,7 @@
 
 from petrelwood.links import packets as mqtt
 from petrelwood.links import rpc, sse
+from petrelwood.links.mqtt import properties
 
 P = mqtt.Packet
 WORD = st.text(st.characters(exclude_characters="+#\0", exclude_categories=("Cs",)), min_size=1, max_size=20)
@@ -103,6 +105,24 @@
         for packet in CORPUS:
             self.assertEqual(read(mqtt.write(packet)), [packet])
 
+    def test_each_property_comes_back_where_it_belongs_and_is_refused_elsewhere(self):
+        values = {
+            properties.Form.TEXT: "t",
+            properties.Form.BINARY: b"b",
+            properties.Form.TEXT_PAIRS: [("a", "b")],
+        }
+        for each in properties.PROPERTIES:
+            value = values.get(each.form, 1)
+            for packet in CORPUS:
+                is_list = packet.type == mqtt.PUBLISH and each.name == "subscription_id"
+                changed = dataclasses.replace(packet, props={each.name: [value] if is_list else value})
+                if packet.type in each.carriers:
+                    self.assertEqual(read(mqtt.write(changed)), [changed])
+                elif packet.type not in (mqtt.PINGREQ, mqtt.PINGRESP):
+                    with self.assertRaises(mqtt.MqttError) as caught:
+                        read(mqtt.write(changed))
+                    self.assertEqual(caught.exception.code, mqtt.MALFORMED)
+
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.lists(st.one_of(PUBLISHED, ACK), max_size=5), st.integers(1, 17))
     def test_any_packets_come_back_in_pieces_of_any_size(self, packets, size):
