--- a/petrelwood/links/listener.py
+++ b/petrelwood/links/listener.py
@@ -36,12 +36,12 @@
         self.listen()
 
     def listen(self) -> None:
-        """Accepts from now on."""
+        """Accept connections from now on."""
         self.resumption = None
         self.loop.add_reader(self.sock, self._accept)
 
     def close(self) -> None:
-        """Accepts nothing more; the socket stays open."""
+        """Accept no more connections; the socket stays open."""
         self.loop.remove_reader(self.sock)
         if self.resumption is not None:
             self.resumption.cancel()
@@ -78,15 +78,15 @@
     """A `TCPServer` whose listening sockets pause after errors and resume; see `accept_failed`."""
 
     def add_sockets(self, sockets: Iterable[socket.socket]) -> None:
-        """Accepts connections on these listening sockets, on the running loop."""
+        """Accept connections on these listening sockets, on the running loop."""
         for sock in sockets:
             listening = _ListeningSocket(self, sock)
             self._sockets[sock.fileno()] = sock
             self._handlers[sock.fileno()] = listening.close
 
     def take_connection(self, connection: socket.socket, address: object) -> None:
-        """Hands an accepted connection to `handle_stream`."""
+        """Hand an accepted connection to `handle_stream`."""
         self._handle_connection(connection, address)
 
     def accept_failed(self, error: OSError, pause: int) -> None:
-        """Told that a listening socket pauses for `pause` ns after an error."""
+        """Handle an error of accept(2) after which a listening socket pauses for `pause` ns."""
--- a/petrelwood/links/rpc_client.py
+++ b/petrelwood/links/rpc_client.py
@@ -34,7 +34,7 @@
         self._listening: asyncio.Task[None] | None = None
 
     async def call(self, method: str, params: list[Any], within: float) -> object:
-        """The result of a call that is answered `within` seconds. Raises `RpcError`."""
+        """Return the result of a call that is answered `within` seconds. Raises `RpcError`."""
         received = self._received
         try:
             # not `wait_for`, which loses a cancellation that comes as the call ends
@@ -68,7 +68,7 @@
         return result
 
     async def _connected(self) -> IOStream:
-        """The connection, made anew if there is none. Raises OSError."""
+        """Return the connection, made anew if there is none. Raises OSError."""
         async with self._connecting:
             if self._stream is None or self._stream.closed():
                 self._stream = await self._connect()
@@ -119,15 +119,16 @@
                 answer.set_exception(RpcError(reason))
 
     def _close_unresponsive_connection(self) -> None:
-        """Nothing came for as long as a call may take: the other end may be gone without a word.
+        """Close a connection on which nothing came for as long as a call may take.
 
-        TCP tells that only after minutes of its own retries, and finds a machine that is back no sooner.
+        The other end may be gone without a FIN or RST. TCP finds that only after minutes of retries, and a
+        machine that is back no sooner.
         """
         if self._stream is not None:
             self._stream.close()
 
     def close(self) -> None:
-        """Ends the connection; calls without an answer fail."""
+        """End the connection; calls without an answer fail."""
         if self._stream is not None:
             self._stream.close()
         self._fail_open_calls("closed")
