--- a/petrelwood/decide/delivery/send_outcome.py
+++ b/petrelwood/decide/delivery/send_outcome.py
@@ -6,12 +6,12 @@
 completed by bytes that are still in the kernel's buffers. A call of which the kernel took no byte, and whose
 connection is lost, never left: it is as one that was queued.
 
-The results are the codes of `petrelwood.ports` for the end of a send.
+The results are reasons (`petrelwood.ports.EndReason`) for the end of a send.
 """
 
 import enum
 
-from petrelwood import ports
+from petrelwood.ports import EndReason
 
 
 class SendStage(enum.IntEnum):
@@ -24,12 +24,12 @@
 
 # What a worker may answer instead of a result, and what it proves. Any other word proves nothing.
 _CODES_OF_ERRORS = {
-    "full": ports.EndReason.FULL,
-    "missing": ports.EndReason.MISSING,
-    "draining": ports.EndReason.FULL,
-    "error": ports.EndReason.ERROR,
-    "cancelled": ports.EndReason.CANCELLED,
-    "late": ports.EndReason.TIMED_OUT,
+    "full": EndReason.FULL,
+    "missing": EndReason.MISSING,
+    "draining": EndReason.FULL,
+    "error": EndReason.ERROR,
+    "cancelled": EndReason.CANCELLED,
+    "late": EndReason.TIMED_OUT,
 }
 
 
@@ -44,33 +44,31 @@
     return stage
 
 
-def of_error(word: object) -> str:
+def of_error(word: object) -> EndReason:
     """The worker answered with an error."""
-    return (
-        _CODES_OF_ERRORS.get(word, ports.EndReason.ERROR) if isinstance(word, str) else ports.EndReason.ERROR
-    )
+    return _CODES_OF_ERRORS.get(word, EndReason.ERROR) if isinstance(word, str) else EndReason.ERROR
 
 
-def of_loss(stage: SendStage) -> str:
+def of_loss(stage: SendStage) -> EndReason:
     """The connection was lost, or never made."""
-    return ports.EndReason.NO_CONNECTION if stage == SendStage.QUEUED else ports.EndReason.RESET
+    return EndReason.NO_CONNECTION if stage == SendStage.QUEUED else EndReason.RESET
 
 
-def of_time(stage: SendStage) -> str:
+def of_time(stage: SendStage) -> EndReason:
     """Its time ran out."""
-    return ports.EndReason.NOT_SENT if stage == SendStage.QUEUED else ports.EndReason.TIMED_OUT
+    return EndReason.NOT_SENT if stage == SendStage.QUEUED else EndReason.TIMED_OUT
 
 
-def of_cancel(stage: SendStage) -> str:
+def of_cancel(stage: SendStage) -> EndReason:
     """The dispatcher cancelled it."""
-    return ports.EndReason.NOT_SENT if stage == SendStage.QUEUED else ports.EndReason.CANCELLED
+    return EndReason.NOT_SENT if stage == SendStage.QUEUED else EndReason.CANCELLED
 
 
-def of_recall(stage: SendStage) -> str | None:
+def of_recall(stage: SendStage) -> EndReason | None:
     """It is recalled as its worker drains or is gone; None: it has left and takes its course."""
-    return ports.EndReason.NOT_SENT if stage == SendStage.QUEUED else None
+    return EndReason.NOT_SENT if stage == SendStage.QUEUED else None
 
 
-def of_crowding() -> str:
+def of_crowding() -> EndReason:
     """The queue to the worker is over its bound: nothing was sent."""
-    return ports.EndReason.FULL
+    return EndReason.FULL
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -321,7 +321,9 @@
         end = ports.AttemptEnd(act_id, attempt, worker, code, note, has_ended, now - sent_at, gauge)
         self.scheduler.attempt_ended(now, end)
 
-    def _learn(self, now: int, act: PendingActivation, worker: str, code: str, note: int, took: int) -> None:
+    def _learn(
+        self, now: int, act: PendingActivation, worker: str, code: ports.EndReason, note: int, took: int
+    ) -> None:
         """What the history and the forecasts learn from the end of a send."""
         warm = note in (0, ports.CopyNote.FOUND_WARM)
         if self.forecasts is not None:
@@ -357,13 +359,13 @@
         if hasattr(self.scheduler, "load_order_withdrawn"):
             self.scheduler.load_order_withdrawn(self.now(), given)
 
-    def load_order_ended(self, worker: str, function: str, code: str, copies: int) -> None:
+    def load_order_ended(self, worker: str, function: str, code: ports.EndReason, copies: int) -> None:
         """A load order has ended; the worker has so many copies."""
         if self.forecasts is not None:
             self.forecasts.order_ended(self.now(), function, worker, code == ports.EndReason.COMPLETED)
         self.scheduler.load_order_ended(self.now(), worker, function, code, copies)
 
-    def health_check_ended(self, worker: str, code: str, gauge: dict[str, float] | None) -> None:
+    def health_check_ended(self, worker: str, code: ports.EndReason, gauge: dict[str, float] | None) -> None:
         """A health check has ended."""
         self.scheduler.health_check_ended(self.now(), worker, code, gauge)
 
--- a/petrelwood/links/calls.py
+++ b/petrelwood/links/calls.py
@@ -16,6 +16,7 @@
 from petrelwood.decide.delivery.send_outcome import SendStage
 from petrelwood.links import sockets
 from petrelwood.links.interfaces import Address, Gauge, LinkCore
+from petrelwood.ports import EndReason
 
 ContentT = TypeVar("ContentT")  # what the frame of a call is made of
 ConnectionT = TypeVar("ConnectionT")  # a connection of a link that has several
@@ -110,7 +111,7 @@
         """End an attempt whose time is up."""
         self._stop(activation, attempt, send_outcome.of_time)
 
-    def _stop(self, activation: str, attempt: int, code_of: Callable[[SendStage], str]) -> None:
+    def _stop(self, activation: str, attempt: int, code_of: Callable[[SendStage], EndReason]) -> None:
         call = self.runs.get((activation, attempt))
         if call is not None:
             if call.stage == WRITTEN:
@@ -202,7 +203,7 @@
     def _end(
         self,
         call: Call[ContentT, ConnectionT],
-        code: str,
+        code: EndReason,
         note: int = 0,
         body: bytes = b"",
         gauge: Gauge | None = None,
@@ -221,7 +222,7 @@
     def _report(
         self,
         call: Call[ContentT, ConnectionT],
-        code: str,
+        code: EndReason,
         note: int = 0,
         body: bytes = b"",
         gauge: Gauge | None = None,
--- a/petrelwood/links/interfaces.py
+++ b/petrelwood/links/interfaces.py
@@ -4,6 +4,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
+from petrelwood.ports import EndReason
+
 Address = tuple[str, int]
 """A host and a port."""
 Gauge = dict[str, float]
@@ -38,19 +40,19 @@
         activation: str,
         attempt: int,
         worker: str,
-        code: str,
+        code: EndReason,
         note: int,
         body: bytes,
         sent_at: int,
         gauge: Gauge | None,
         /,
     ) -> object:
-        """Handle the end of an attempt; `code` is an `EndReason`."""
+        """Handle the end of an attempt."""
 
-    def load_order_ended(self, worker: str, function: str, code: str, copies: int, /) -> object:
+    def load_order_ended(self, worker: str, function: str, code: EndReason, copies: int, /) -> object:
         """Handle the end of a load order."""
 
-    def health_check_ended(self, worker: str, code: str, gauge: Gauge | None, /) -> object:
+    def health_check_ended(self, worker: str, code: EndReason, gauge: Gauge | None, /) -> object:
         """Handle the end of a health check."""
 
     def may_send_order(self, given_at: int, /) -> bool:
--- a/petrelwood/links/worker_messages.py
+++ b/petrelwood/links/worker_messages.py
@@ -50,13 +50,13 @@
     """What the answer to a call says.
 
     Attributes:
-        code: How the call ended, an `EndReason`.
+        code: How the call ended.
         note: Of a run what it says of the copy that ran it, of a load order the copies that there are.
         body: The result of a run.
         gauge: The load report that came with it.
     """
 
-    code: str
+    code: EndReason
     note: int = 0
     body: bytes = b""
     gauge: Gauge | None = None
