--- a/petrelwood/dispatch/activations.py
+++ b/petrelwood/dispatch/activations.py
@@ -5,19 +5,21 @@
 and back. An activation ends once: with an answer, or because its client left and it need not go on.
 """
 
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
 from petrelwood import ports
-from petrelwood.decide.delivery.ledger import ActivationState
-from petrelwood.decide.delivery.pending import PendingActivation
+from petrelwood.decide.delivery.ledger import ActivationState, Ledger
+from petrelwood.decide.delivery.pending import PendingActivation, PendingActivations
 from petrelwood.decide.overload import intake as intake_stage
-from petrelwood.decide.overload.intake import ActivationRequest, Verdict
-from petrelwood.dispatch.interfaces import Rule, Timer
+from petrelwood.decide.overload.intake import ActivationRequest, Intake, Verdict
+from petrelwood.dispatch.durable_state import DurableState
+from petrelwood.dispatch.event_queue import EventQueue
+from petrelwood.dispatch.handover.hooks import HandoverHooks
+from petrelwood.dispatch.interfaces import CoreRuntime, DecisionModule, Rule, Timer
+from petrelwood.dispatch.load_forecasts import LoadForecasts
+from petrelwood.dispatch.recent_answers import RecentAnswers
 from petrelwood.dispatch.state_recovery import LONGEST_BODY
-
-if TYPE_CHECKING:
-    from petrelwood.dispatch.core import Core
-    from petrelwood.dispatch.durable_state import DurableState
+from petrelwood.dispatch.worker_links import WorkerLinks
 
 # Looked up once: a member of an enum takes longer to find than a name of the module.
 ABORTED = ActivationState.ABORTED
@@ -40,10 +42,54 @@
         """Gives the client its final answer. `retry_after`: ns, 0 where it is not told."""
 
 
+class ActivationsCore(CoreRuntime, Protocol):
+    """What the activations need of the core. Those of its parts that may be None come and go."""
+
+    @property
+    def intake(self) -> Intake:
+        """The admission: capacity, quotas, retries by id."""
+
+    @property
+    def pending(self) -> PendingActivations:
+        """The activations without a final answer."""
+
+    @property
+    def known_ids(self) -> Ledger:
+        """The ledger, of a dispatcher that has one."""
+
+    @property
+    def events(self) -> EventQueue:
+        """The queue, which has to know which activations the present call touches."""
+
+    @property
+    def scheduler(self) -> DecisionModule:
+        """The decision module."""
+
+    @property
+    def links(self) -> WorkerLinks:
+        """The links to workers."""
+
+    @property
+    def recent_answers(self) -> RecentAnswers:
+        """How many of the last answers were good."""
+
+    @property
+    def handover(self) -> HandoverHooks:
+        """What a hand-over wants to know of answers and ends."""
+
+    @property
+    def durable_state(self) -> DurableState | None:
+        """The record of activations, where one is made."""
+
+    @property
+    def forecasts(self) -> LoadForecasts | None:
+        """The forecasts of load, where they are made."""
+
+
 class Activations:
     """The activations of one dispatcher."""
 
-    def __init__(self, core: "Core") -> None:
+    def __init__(self, core: ActivationsCore) -> None:
         self.core = core
         self.now = core.now
         self.intake = core.intake
@@ -86,7 +132,7 @@
             return
         exchange.answer(intake_stage.ABORT, why="an earlier try may have run and must not run again")
 
-    def _reject_for_outage(self, now: int, key: Key, state: "DurableState", exchange: Exchange) -> None:
+    def _reject_for_outage(self, now: int, key: Key, state: DurableState, exchange: Exchange) -> None:
         """Its id can't be made durable, and it must not run twice."""
         core = self.core
         core.known_ids.end(key, CLIENT_LEFT)
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -25,9 +25,9 @@
 from petrelwood.dispatch.durable_state import DurableState
 from petrelwood.dispatch.event_queue import Arguments, Call, EventQueue
 from petrelwood.dispatch.handover.hooks import ActivationEndHandler, HandoverHooks
-from petrelwood.dispatch.interfaces import Clock, Logger, Rule
+from petrelwood.dispatch.interfaces import Clock, DecisionModule, Logger, MakeModule, Rule
 from petrelwood.dispatch.load_forecasts import LoadForecasts
-from petrelwood.dispatch.outlet import ModuleOutlet
+from petrelwood.dispatch.outlet import ModuleOutlet, retry_budget
 from petrelwood.dispatch.recent_answers import RecentAnswers
 from petrelwood.dispatch.worker_links import Address, WorkerLink, WorkerLinks
 from petrelwood.ports import Listed
@@ -61,7 +61,7 @@
         chance: Random,
         link: MakeLink,
         log: Logger,
-        scheduler: Callable[[int, ports.Terms, int, ports.Outlet], Any] = Scheduler,
+        scheduler: MakeModule = Scheduler,
         state: "StateLog | None" = None,
     ) -> None:
         self.gateway = gateway
@@ -85,9 +85,9 @@
         self.durable_state: DurableState | None = None
         self.forecasts: LoadForecasts | None = None
         self.activations = self._make_activations()
-        self.outlet = ModuleOutlet(self)
+        self.outlet = ModuleOutlet(self, retry_budget(self.limits.held) if gateway.damps else None)
         clock.at(clock.now() + STORM_CHECK_INTERVAL, self._check_storms)
-        self.scheduler = scheduler(clock.now(), self.terms, gateway.seed, self.outlet)
+        self.scheduler: DecisionModule = scheduler(clock.now(), self.terms, gateway.seed, self.outlet)
         if state is not None:
             self.adopt(state)
         self._begin_forecasts()
@@ -164,7 +164,7 @@
         `predecessor_runs`: the one before still finishes what it has in flight.
         """
         if self.durable_state is None:
-            self.durable_state = DurableState(self, self.known_ids, log)
+            self.durable_state = DurableState(self, self.activations, self.known_ids, log)
             self.events.after_turn = self.durable_state.flush
         self.durable_state.adopt(log, predecessor_runs)
 
--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -12,7 +12,7 @@
 from petrelwood.decide.scheduling.scheduler import Scheduler
 from petrelwood.dispatch.core import Core
 from petrelwood.dispatch.forecast_storage import ForecastStorage
-from petrelwood.dispatch.interfaces import Logger
+from petrelwood.dispatch.interfaces import Logger, MakeModule
 from petrelwood.dispatch.worker_links import Address
 from petrelwood.links.roster import RosterLink
 from petrelwood.links.worker import WorkerLink
@@ -46,7 +46,7 @@
     learns_in_slices = True
 
     def __init__(
-        self, gateway: Gateway, log: Logger, scheduler: Callable[..., Any] = Scheduler, follows: bool = False
+        self, gateway: Gateway, log: Logger, scheduler: MakeModule = Scheduler, follows: bool = False
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.busy: dict[WorkerLink, bool] = {}  # links that are not at rest
--- a/petrelwood/dispatch/durable_state.py
+++ b/petrelwood/dispatch/durable_state.py
@@ -5,29 +5,79 @@
 `decide.delivery.recovery`, and the recovery of a log whose disk failed is in `state_recovery`.
 """
 
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Protocol
 
+from petrelwood.decide.cluster.membership import Membership
 from petrelwood.decide.delivery import recovery
 from petrelwood.decide.delivery.ledger import ActivationState, Ledger
-from petrelwood.decide.delivery.pending import PendingActivation
+from petrelwood.decide.delivery.pending import PendingActivation, PendingActivations
 from petrelwood.decide.delivery.state_records import ActivationEnded, ActivationTaken, LoadOrdered
-from petrelwood.dispatch.state_recovery import StateRecovery
+from petrelwood.decide.overload.intake import Intake
+from petrelwood.dispatch.interfaces import DecisionModule
+from petrelwood.dispatch.state_recovery import RecoveryCore, RecoverySettings, StateRecovery
 
-if TYPE_CHECKING:
-    from petrelwood.dispatch.core import Core
+if TYPE_CHECKING:  # the platform's dispatcher needs no log
     from petrelwood.store.state_log import StateLog
 
 SURVIVES_MACHINE = "machine"  # the durability of a log whose records are synced before they count
 
 
+class DurableStateSettings(RecoverySettings, Protocol):
+    """The settings in force that a restart follows; see `settings.gateway.Gateway`."""
+
+    @property
+    def damps(self) -> bool:
+        """Whether storms are damped."""
+
+
+class DurableStateCore(RecoveryCore, Protocol):
+    """What the durable state needs of the core."""
+
+    @property
+    def gateway(self) -> DurableStateSettings:
+        """The settings in force."""
+
+    @property
+    def intake(self) -> Intake:
+        """The admission, which may have to start slowly."""
+
+    @property
+    def membership(self) -> Membership:
+        """The workers by the endpoint list."""
+
+    @property
+    def pending(self) -> PendingActivations:
+        """The activations without a final answer."""
+
+    @property
+    def scheduler(self) -> DecisionModule:
+        """The decision module."""
+
+    def clock_offset_found(self, least_epoch: int, /) -> object:
+        """Learn that an earlier process has seen the wall clock this many ns ahead of the monotonic one."""
+
+
+class RecordedActivations(Protocol):
+    """What becomes of an activation whose record is durable, or can't be; see `dispatch.activations`."""
+
+    def begin(self, act: PendingActivation, /) -> object:
+        """Hand an activation to the decision module."""
+
+    def reject(self, act: PendingActivation, least_wait: int, /) -> object:
+        """Reject an activation that has not begun; it may come back after `least_wait` ns."""
+
+
 class DurableState:
     """What one dispatcher records in `log`, and what it read there at its start."""
 
-    def __init__(self, core: "Core", ledger: Ledger, log: "StateLog") -> None:
+    def __init__(
+        self, core: DurableStateCore, activations: RecordedActivations, ledger: Ledger, log: "StateLog"
+    ) -> None:
         self.core = core
+        self.activations = activations
         self.ledger = ledger
         self.log = log
-        self.state_recovery = StateRecovery(self)
+        self.state_recovery = StateRecovery(core, self)
         self.restart: recovery.RestartLimits | None = None  # what still follows from the incarnations before
         self.unsynced: dict[str, PendingActivation] = {}  # by id; they begin once their record is synced
         self.syncing = False
@@ -97,7 +147,7 @@
             return False
         if self.log.flush():
             return True
-        core.activations.reject(act, self.reject(core.now()))
+        self.activations.reject(act, self.reject(core.now()))
         return False
 
     def _sync(self) -> None:
@@ -117,15 +167,14 @@
             self._sync()
 
     def _begin_recorded(self, waiting: list[str], durable: bool) -> None:
-        activations = self.core.activations
         for act_id in waiting:
             act = self.unsynced.pop(act_id, None)
-            if act is None or act_id not in activations.pending.activations:
+            if act is None or act_id not in self.core.pending.activations:
                 continue
             if durable:
-                activations.begin(act)
+                self.activations.begin(act)
             else:
-                activations.reject(act, self.reject(self.core.now()))
+                self.activations.reject(act, self.reject(self.core.now()))
 
     # What ends, and what is ordered.
     def record_ended(
--- a/petrelwood/dispatch/outlet.py
+++ b/petrelwood/dispatch/outlet.py
@@ -5,20 +5,102 @@
 """
 
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from petrelwood import ports
+from petrelwood.decide.cluster.membership import Membership
 from petrelwood.decide.delivery.ledger import ActivationState
+from petrelwood.decide.delivery.pending import PendingActivation, PendingActivations
 from petrelwood.decide.overload.backoff import Budget
-
-if TYPE_CHECKING:
-    from petrelwood.dispatch.core import Core
+from petrelwood.decide.overload.intake import Intake
+from petrelwood.dispatch.activations import Activations
+from petrelwood.dispatch.durable_state import DurableState
+from petrelwood.dispatch.event_queue import EventQueue
+from petrelwood.dispatch.handover.hooks import HandoverHooks
+from petrelwood.dispatch.interfaces import CoreRuntime, Rule
+from petrelwood.dispatch.worker_links import WorkerLink, WorkerLinks
 
 RETRIES_PER_SEND = 0.5
 LEAST_SAVED_RETRIES = 16.0
 HELD_PER_SAVED_RETRY = 64  # activations that a dispatcher may hold, for one more retry that is saved
 
 
+class OutletCore(CoreRuntime, Protocol):
+    """What the outlet needs of the core."""
+
+    @property
+    def activations(self) -> Activations:
+        """The activations, which get their final answers."""
+
+    @property
+    def pending(self) -> PendingActivations:
+        """The activations without a final answer."""
+
+    @property
+    def events(self) -> EventQueue:
+        """The queue, which has to know which activations the present call touches."""
+
+    @property
+    def intake(self) -> Intake:
+        """The admission, which says when a rejected client may come back."""
+
+    @property
+    def links(self) -> WorkerLinks:
+        """The links to workers."""
+
+    @property
+    def membership(self) -> Membership:
+        """The workers by the endpoint list."""
+
+    @property
+    def handover(self) -> HandoverHooks:
+        """Whether another process owns what is new."""
+
+    @property
+    def durable_state(self) -> DurableState | None:
+        """The record of load orders, where one is made."""
+
+    def rule(self, function: str, /) -> Rule | None:
+        """Return what is known of a function, or None where it may not be called."""
+
+    def transmit(self, link: WorkerLink, act: PendingActivation, attempt: int, time_left: int, /) -> object:
+        """Hand an attempt to a link; `time_left`: ns until its deadline."""
+
+    def order_not_sent(self, given: int, /) -> object:
+        """Note that a load order that was given at `given` will never leave."""
+
+    def send_ended(
+        self,
+        act_id: str,
+        attempt: int,
+        worker: str,
+        code: ports.EndReason,
+        note: int,
+        body: bytes,
+        sent_at: int,
+        gauge: dict[str, float] | None,
+        /,
+    ) -> object:
+        """Handle the end of an attempt."""
+
+    def load_order_ended(self, worker: str, function: str, code: ports.EndReason, copies: int, /) -> object:
+        """Handle the end of a load order."""
+
+    def health_check_ended(
+        self, worker: str, code: ports.EndReason, gauge: dict[str, float] | None, /
+    ) -> object:
+        """Handle the end of a health check."""
+
+    def timer_fired(self, mark: str, /) -> object:
+        """Handle a timer of the module."""
+
+
+def retry_budget(most_held: int) -> Budget:
+    """Return the retry budget of a dispatcher that has at most so many activations, queued or in flight."""
+    saved_retries = max(LEAST_SAVED_RETRIES, most_held / HELD_PER_SAVED_RETRY)
+    return Budget(RETRIES_PER_SEND, saved_retries)
+
+
 @dataclass(slots=True)
 class OutletCounts:
     """What was carried out, for logs and tests."""
@@ -31,18 +113,15 @@
 
 
 class ModuleOutlet:
-    """The outlet of one dispatcher's module."""
+    """The outlet of one dispatcher's module. `retries`: what retries are charged to; None: they are free."""
 
-    def __init__(self, core: "Core") -> None:
+    def __init__(self, core: OutletCore, retries: Budget | None) -> None:
         self.core = core
         self.now = core.now
         self.links = core.links
         self.pending = core.pending
         self.counts = OutletCounts()
-        self.retries: Budget | None = None
-        if core.gateway.damps:
-            saved_retries = max(LEAST_SAVED_RETRIES, core.limits.held / HELD_PER_SAVED_RETRY)
-            self.retries = Budget(RETRIES_PER_SEND, saved_retries)
+        self.retries = retries
 
     def send(self, act: str, worker: str, limit: int) -> None:
         """Sends an activation to a worker. `limit` is not used: links pass the deadline."""
