--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -236,16 +236,15 @@
 
     def _begin_forecasts(self) -> None:
         terms = self.gateway.early
-        if terms is None or not hasattr(self.scheduler, "prefetch"):
+        if terms is None:
             return
         self.forecasts = LoadForecasts(
-            terms, self.terms, self.clock, self.chance, wish=self._wish, sliced=self.learns_in_slices
+            terms, self.terms, self.clock, self.chance, prefetch=self._prefetch, sliced=self.learns_in_slices
         )
         self._plan_next_slot()
 
-    def _wish(self, function: str, lanes: int, load_time: int) -> str | None:
-        worker: str | None = self.scheduler.prefetch(self.now(), function, lanes, load_time)
-        return worker
+    def _prefetch(self, function: str, lanes: int, load_time: int) -> str | None:
+        return self.scheduler.prefetch(self.now(), function, lanes, load_time)
 
     def _plan_next_slot(self) -> None:
         if self.forecasts is not None:
@@ -350,14 +349,11 @@
 
     def may_send_order(self, given: int) -> bool:
         """Whether a load order that was given at `given` may leave now."""
-        return not hasattr(self.scheduler, "may_load_order_leave") or bool(
-            self.scheduler.may_load_order_leave(self.now(), given)
-        )
+        return self.scheduler.may_load_order_leave(self.now(), given)
 
     def order_not_sent(self, given: int) -> None:
         """A load order that was given at `given` will never leave."""
-        if hasattr(self.scheduler, "load_order_withdrawn"):
-            self.scheduler.load_order_withdrawn(self.now(), given)
+        self.scheduler.load_order_withdrawn(self.now(), given)
 
     def load_order_ended(self, worker: str, function: str, code: ports.EndReason, copies: int) -> None:
         """A load order has ended; the worker has so many copies."""
--- a/petrelwood/dispatch/durable_state.py
+++ b/petrelwood/dispatch/durable_state.py
@@ -95,7 +95,7 @@
         known = recovery.restore_ledger(self.ledger, found, now, time, predecessor_runs)
         log.found = []
         self.restart = recovery.RestartLimits(found, now, time, core.terms.guarantees, core.terms.orders)
-        if self.restart.recent_orders and hasattr(core.scheduler, "load_orders_restored"):
+        if self.restart.recent_orders:
             core.scheduler.load_orders_restored(now, self.restart.recent_orders)
         if self.restart.starts_slowly and core.gateway.damps and not predecessor_runs:
             core.intake.concurrency_limit.start_slowly(now)
--- a/petrelwood/dispatch/load_forecasts.py
+++ b/petrelwood/dispatch/load_forecasts.py
@@ -15,8 +15,8 @@
 
 UNLIMITED_ORDERS = 1e9  # of one slot, where load orders have no ration
 
-Wish = Callable[[str, int, int], str | None]
-"""Asks the module for a load of (function, lanes, load time); the worker that it chose, or None."""
+Prefetch = Callable[[str, int, int], str | None]
+"""Has the module order a copy of (function, lanes, load time in ns); the worker that it chose, or None."""
 
 
 class LoadForecasts:
@@ -32,7 +32,7 @@
         clock: Clock,
         chance: Random,
         *,
-        wish: Wish,
+        prefetch: Prefetch,
         sliced: bool,
     ) -> None:
         self.slot = forecast_terms.slot
@@ -45,7 +45,7 @@
             orders.keep,
             terms.dispatchers,
             chance.random,
-            wish,
+            prefetch,
             terms.zone,
             forecast_terms.size,
             forecast_terms.memory,
--- a/petrelwood/emulate/platform.py
+++ b/petrelwood/emulate/platform.py
@@ -13,7 +13,7 @@
 from petrelwood.decide.scheduling.scheduler import Scheduler
 from petrelwood.decide.wall_clock import UnsteppedWallClock
 from petrelwood.dispatch.core import Core
-from petrelwood.emulate import script
+from petrelwood.emulate import policies, script
 from petrelwood.emulate.disk import Disk
 from petrelwood.emulate.link import Link, Node
 from petrelwood.emulate.machine import Machine
@@ -76,7 +76,7 @@
             ),
         )
         self.gateway_early, self.future, self.ends = self.gateway.early, future, None
-        if not day.early:
+        if not day.early or policies.is_baseline(policy):  # no baseline loads ahead
             self.gateway = self.gateway._replace(early=None)
         self.gateway = self.gateway._replace(damps=day.damps and self.gateway.damps)
         self.types, self.timeouts = self.gateway.terms.types, self.gateway.timeouts
--- a/petrelwood/emulate/policies.py
+++ b/petrelwood/emulate/policies.py
@@ -78,6 +78,18 @@
     def load_order_ended(self, now, worker_id, key, code, copies):
         pass
 
+    def may_load_order_leave(self, now, given_at):
+        return True
+
+    def load_order_withdrawn(self, now, given_at):
+        pass
+
+    def load_orders_restored(self, now, orders):
+        pass
+
+    def prefetch(self, now, key, slots, load_time):
+        return None
+
     def health_check_ended(self, now, worker_id, code, report):
         pass
 
@@ -137,6 +149,11 @@
         return best
 
 
+def is_baseline(policy):
+    """Return whether a policy is one of the baselines, none of which loads a function ahead of its calls."""
+    return isinstance(policy, type) and issubclass(policy, Plain)
+
+
 def named():
     """All policies by name, the module first."""
     from petrelwood.decide.scheduling.scheduler import Scheduler
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -166,7 +166,7 @@
         pass
 
     load_order_ended = client_departed = attempt_ended = held
-    endpoints_changed = load_orders_restored = held
+    endpoints_changed = load_orders_restored = load_order_withdrawn = held
 
 
 class Gateway(unittest.TestCase):
