--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,7 +1,8 @@
-"""docs/architecture.md: what it names exists, and imports follow its diagram."""
+"""docs/architecture.md: what it names exists, and imports follow its diagram, without a circle of modules."""
 
 import ast
 import re
+import tempfile
 import unittest
 from pathlib import Path
 
@@ -89,6 +90,57 @@
     return found
 
 
+def module_name(file, package):
+    """The dotted name of a file in a package."""
+    parts = file.relative_to(package.parent).with_suffix("").parts
+    return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
+
+
+def imported_modules(file, package, modules):
+    """The modules of a package that a file imports, be it in a function or under TYPE_CHECKING."""
+    found = set()
+    for node in ast.walk(ast.parse(file.read_text())):
+        if isinstance(node, ast.Import):
+            found.update(alias.name for alias in node.names)
+        elif isinstance(node, ast.ImportFrom):
+            base = node.module
+            if node.level:  # a dot is the file's own package, each further one the package around it
+                around = file.parents[node.level - 1].relative_to(package.parent).parts
+                base = ".".join((*around, base) if base else around)
+            for alias in node.names:
+                inside = f"{base}.{alias.name}"
+                found.add(inside if inside in modules else base)
+    return found & modules
+
+
+def import_graph(package):
+    """The modules that each module of a package imports."""
+    files = {module_name(file, package): file for file in package.rglob("*.py")}
+    return {name: imported_modules(file, package, set(files)) for name, file in files.items()}
+
+
+def reachable(graph, module):
+    """The modules that one imports, and those that these import, and so on."""
+    found, following = set(), [module]
+    while following:
+        for other in graph[following.pop()] - found:
+            found.add(other)
+            following.append(other)
+    return found
+
+
+def circles(package):
+    """The groups of modules in which each imports each other, directly or by way of others."""
+    graph = import_graph(package)
+    behind = {module: reachable(graph, module) for module in graph}
+    groups = {
+        tuple(sorted(other for other in behind[module] if module in behind[other]))
+        for module in graph
+        if module in behind[module]
+    }
+    return sorted(groups)
+
+
 class Page(unittest.TestCase):
     def setUp(self):
         self.text = PAGE.read_text()
@@ -109,6 +161,10 @@
     def test_imports_go_down_in_the_diagram(self):
         self.assertEqual(against(rows(self.text)), [])
 
+    def test_no_module_imports_itself_by_way_of_others(self):
+        self.assertGreater(len(import_graph(PACKAGE)), 200)
+        self.assertEqual(circles(PACKAGE), [])
+
 
 class Checks(unittest.TestCase):
     """The checks find what they are for."""
@@ -127,6 +183,45 @@
         upside_down = rows(PAGE.read_text())[::-1]
         self.assertIn("decide/scheduling/scheduler.py imports ports", against(upside_down))
 
+    def circles_of(self, **modules):
+        """The circles of a package with modules of these texts."""
+        with tempfile.TemporaryDirectory() as folder:
+            package = Path(folder) / "birds"
+            package.mkdir()
+            for name, text in {"__init__": "", **modules}.items():
+                (package / f"{name}.py").write_text(text)
+            return circles(package)
+
+    def test_a_circle_is_found_whatever_way_it_is_imported(self):
+        for to_petrel in (
+            "from birds.petrel import Petrel",
+            "from birds import petrel",
+            "import birds.petrel",
+            "from . import petrel",
+            "from .petrel import Petrel",
+            "from typing import TYPE_CHECKING\nif TYPE_CHECKING:\n    from birds.petrel import Petrel",
+            "def late():\n    from birds import petrel",
+        ):
+            with self.subTest(to_petrel):
+                found = self.circles_of(
+                    petrel="from birds.tern import Tern",
+                    tern="from birds.auk import Auk",
+                    auk=to_petrel,
+                    gull="from birds.petrel import Petrel",
+                )
+                self.assertEqual(found, [("birds.auk", "birds.petrel", "birds.tern")])
+
+    def test_each_circle_is_found_once_and_what_is_none_is_not(self):
+        found = self.circles_of(
+            petrel="from birds import tern",
+            tern="from birds import petrel",
+            auk="from birds import gull",
+            gull="from birds import auk, petrel",
+            skua="import birds.petrel, birds.auk",
+        )
+        self.assertEqual(found, [("birds.auk", "birds.gull"), ("birds.petrel", "birds.tern")])
+        self.assertEqual(self.circles_of(petrel="from birds import tern", tern="import ast"), [])
+
 
 if __name__ == "__main__":
     unittest.main()
