--- /dev/null
+++ b/petrelwood/fronts/mqtt_connection.py
@@ -0,0 +1,147 @@
+"""The connection of one session to the broker: handshake, packets in and out, keep-alive."""
+
+import asyncio
+import enum
+from collections.abc import Callable, Iterator
+
+from tornado.iostream import IOStream, SSLIOStream
+
+from petrelwood.errors import TransportError
+from petrelwood.fronts.interfaces import MqttTerms
+from petrelwood.links import packets, sockets
+
+SECOND = 1_000_000_000  # ns
+READ_SIZE = 65_536  # bytes taken from the connection at a time
+FIRST_READ_SIZE = 2  # bytes at a time until CONNACK is complete: what follows it is read later
+PING_SHARE = 2  # a PINGREQ is sent when half of the keep-alive has passed in silence
+PING_INTERVAL_SHARE = 4  # and not again for a quarter of it
+
+
+class BrokerError(TransportError):
+    """The broker has rejected or ended the connection."""
+
+
+class KeepAlive(enum.Enum):
+    """What a silence of the broker calls for."""
+
+    NOTHING = enum.auto()
+    PING = enum.auto()
+    CLOSE = enum.auto()
+
+
+class MqttConnection:
+    """The connection of the session `client_id`, opened again after each loss. `now` is the core's clock."""
+
+    def __init__(self, terms: MqttTerms, client_id: str, now: Callable[[], int]) -> None:
+        self.terms = terms
+        self.stream: IOStream | None = None
+        self.is_up = False  # the broker has accepted it
+        self._client_id = client_id
+        self._now = now
+        self._reader = packets.Reader(terms.most)
+        self._heard_at = 0  # ns
+        self._pinged_at = 0  # ns
+
+    @property
+    def timeout(self) -> float:
+        """Seconds to connect, and for each step of the handshake."""
+        return self.terms.connect_within / SECOND
+
+    async def open(self) -> packets.Packet:
+        """Connect, and return the broker's CONNACK.
+
+        Raises:
+            BrokerError: the broker rejects the session.
+            OSError: there is no connection; also TimeoutError.
+            packets.Wrong: the broker does not keep to the standard.
+        """
+        stream = await self._connect()
+        sockets.disable_delay(stream.socket)
+        self._reader = packets.Reader(self.terms.most)
+        self.write(self._connect_packet())
+        # a broker may accept a connection and say nothing
+        accepted = await asyncio.wait_for(self._first_packet(stream), self.timeout)
+        if accepted.type != packets.CONNACK or accepted.code:
+            raise BrokerError(f"the broker answered {accepted!r}")
+        self.is_up = True
+        self._heard_at = self._now()
+        self._pinged_at = 0
+        return accepted
+
+    async def _connect(self) -> IOStream:
+        terms = self.terms
+        host, _ = terms.broker
+        name = None
+        if terms.tls is None:
+            self.stream = IOStream(sockets.fresh(host))
+        else:
+            self.stream = SSLIOStream(sockets.fresh(host), ssl_options=terms.tls.client())
+            name = terms.tls.server_name(host)
+        await asyncio.wait_for(self.stream.connect(terms.broker, server_hostname=name), self.timeout)
+        return self.stream
+
+    def _connect_packet(self) -> packets.Packet:
+        terms = self.terms
+        return packets.Packet(
+            packets.CONNECT,
+            client=self._client_id,
+            clean=0,
+            keep_alive=terms.keep_alive // SECOND,
+            user=terms.user,
+            password=terms.password,
+            props={
+                "session_expiry": terms.session // SECOND,
+                "receive_maximum": terms.window_most,
+                "maximum_packet": terms.most,
+            },
+        )
+
+    async def _first_packet(self, stream: IOStream) -> packets.Packet:
+        while True:
+            for packet in self._reader.feed(await stream.read_bytes(FIRST_READ_SIZE, partial=True)):
+                return packet
+
+    async def read(self) -> Iterator[packets.Packet]:
+        """Return the packets that the next bytes complete.
+
+        Raises:
+            OSError: the connection is lost.
+            packets.Wrong: while they are iterated over: the broker does not keep to the standard.
+        """
+        if self.stream is None:
+            raise BrokerError("there is no connection to the broker")
+        data = await self.stream.read_bytes(READ_SIZE, partial=True)
+        self._heard_at = self._now()
+        return self._reader.feed(data)
+
+    def write(self, *sent: packets.Packet) -> None:
+        """Write packets together. Without a connection they are dropped: what that means is decided later."""
+        if self.stream is None or self.stream.closed():
+            return
+        written = self.stream.write(b"".join(map(packets.write, sent)))
+        written.add_done_callback(lambda done: done.exception())  # seen by who reads
+
+    def check_keep_alive(self, now: int) -> KeepAlive:
+        """Return what is due: nothing, a PINGREQ, or the end of a connection whose broker is silent."""
+        if not self.is_up:
+            return KeepAlive.NOTHING
+        silence = now - self._heard_at
+        if silence > self.terms.keep_alive:
+            return KeepAlive.CLOSE
+        is_ping_old = now - self._pinged_at > self.terms.keep_alive // PING_INTERVAL_SHARE
+        if silence > self.terms.keep_alive // PING_SHARE and is_ping_old:
+            self._pinged_at = now
+            return KeepAlive.PING
+        return KeepAlive.NOTHING
+
+    def drop(self) -> None:
+        """Close the stream; whoever reads it finds the connection lost."""
+        if self.stream is not None:
+            self.stream.close()
+
+    def lost(self) -> bool:
+        """Give up the connection; return whether the broker had accepted it."""
+        self.drop()
+        was_up = self.is_up
+        self.is_up = False
+        return was_up
--- /dev/null
+++ b/petrelwood/fronts/mqtt_message.py
@@ -0,0 +1,129 @@
+"""A customer's message and its one final answer."""
+
+import enum
+from typing import NamedTuple, Protocol
+
+import orjson
+
+from petrelwood.decide.delivery.ledger import ActivationState
+from petrelwood.decide.delivery.mqtt_acknowledgement import Delivery
+from petrelwood.decide.overload import intake
+from petrelwood.decide.overload.intake import Ask
+from petrelwood.fronts.interfaces import FunctionRule
+
+MILLISECOND = 1_000_000  # ns
+
+
+class AnswerStatus(enum.StrEnum):
+    """How an activation ended; the user property `status` of its answer."""
+
+    COMPLETED = "completed"
+    REJECTED = "rejected"
+    ABORTED = "aborted"
+
+
+STATUSES = {
+    ActivationState.COMPLETED: AnswerStatus.COMPLETED,
+    intake.GIVE: AnswerStatus.COMPLETED,
+    ActivationState.REJECTED: AnswerStatus.REJECTED,
+    intake.REFUSE: AnswerStatus.REJECTED,
+    intake.CONFLICT: AnswerStatus.REJECTED,
+    ActivationState.ABORTED: AnswerStatus.ABORTED,
+    intake.ABORT: AnswerStatus.ABORTED,
+    intake.SPENT: AnswerStatus.ABORTED,
+}
+
+
+class Answer(NamedTuple):
+    """The payload and the user properties of an answer; without properties none is sent."""
+
+    body: bytes
+    properties: list[tuple[str, str]]
+
+
+def problem_answer(status: AnswerStatus, detail: str) -> Answer:
+    """Return the answer to what has not completed."""
+    return Answer(_problem(status, detail), [("status", status)])
+
+
+def _problem(status: AnswerStatus, detail: str) -> bytes:
+    return orjson.dumps({"status": status, "detail": detail})
+
+
+class AnswerHandler(Protocol):
+    """The session that a message came by."""
+
+    def message_answered(self, message: "Message", has_completed: bool) -> None:
+        """A message has its final answer."""
+
+
+class Message:
+    """What a PUBLISH asks for. The core sees it as its exchange.
+
+    `response_topic` is None where no answer is wanted, `correlation` where the client gave none;
+    `target_latency` is the one of the function's type, in ns.
+    """
+
+    __slots__ = (
+        "act",
+        "ask",
+        "body",
+        "correlation",
+        "delivery",
+        "final_answer",
+        "function",
+        "handler",
+        "response_topic",
+        "rule",
+        "target_latency",
+    )
+
+    def __init__(
+        self,
+        handler: AnswerHandler,
+        ask: Ask,
+        function: str,
+        rule: FunctionRule,
+        body: bytes,
+        response_topic: str | None,
+        correlation: bytes | None,
+        target_latency: int,
+    ) -> None:
+        self.handler = handler
+        self.ask = ask
+        self.function = function
+        self.rule = rule
+        self.body = body
+        self.response_topic = response_topic
+        self.correlation = correlation
+        self.target_latency = target_latency
+        self.delivery: Delivery | None = None  # once it begins, or is rejected
+        self.act: str | None = None  # the activation that it waits for
+        self.final_answer: Answer | None = None
+
+    def check_departure(self) -> None:
+        """Do nothing: a message outlives the connection that it came by."""
+
+    def answer(
+        self, outcome: str, body: bytes = b"", retry_after: int = 0, why: str = "", act: str | None = None
+    ) -> None:
+        """Take the final answer of the core; later ones are ignored.
+
+        Args:
+            outcome: an `ActivationState` in which an activation may end, or a verdict of the intake.
+            body: the result, of what has completed.
+            retry_after: when a rejected client may retry, ns from now; 0: not told.
+            why: why it did not complete.
+            act: the id of the activation; None where none was made.
+        """
+        if self.final_answer is not None:
+            return
+        status = STATUSES[outcome]
+        properties: list[tuple[str, str]] = [("status", status)]
+        if act:
+            properties.append(("activation", act))
+        if retry_after:
+            properties.append(("retry-after-ms", str(-(-retry_after // MILLISECOND))))  # rounded up
+        has_completed = status is AnswerStatus.COMPLETED
+        self.final_answer = Answer(body if has_completed else _problem(status, why), properties)
+        self.handler.message_answered(self, has_completed)
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -517,7 +517,7 @@
         with mock.patch("time.time_ns", lambda: system() - HOUR):
             self.client.answers.clear()
             for session in self.cores[0].fronts[0].sessions:
-                session.stamp = 0
+                session.decoder.last_timestamp = 0
             self.client.ask("once-1", b"a", 1)
             self.assertEqual(await self.answered(b"a"), ["completed"])
         self.assertEqual(self.runs(), 1)
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -140,18 +140,19 @@
         front = Mqtt(described.mqtt, core, self.log)
         core.fronts.append(front)
         front.open()
-        await self.until(lambda: all(s.up and not s.fresh for s in front.sessions))
+        await self.until(
+            lambda: all(s.connection.is_up and not s.answers.awaits_release for s in front.sessions)
+        )
         self.cores.append(core)
         return core
 
     def kill(self, core):
         """As outright as it can be within one process: nothing of it is written any more."""
         for front in core.fronts:
-            front.closed = True
             for session in front.sessions:
+                session.is_closed = True
                 session.task.cancel()
-                if session.stream is not None:
-                    session.stream.close()
+                session.connection.drop()
         for link in core.links.values():
             link.give_up("killed")
         core.roster.close()
@@ -200,7 +201,7 @@
         # the broker takes the first three, which the gateway refuses, and not the fourth
         codes = {1: 0, 2: 0, 3: 0, 4: mqtt.NOT_AUTHORIZED}
         await self.until(lambda: self.client.acks == codes)
-        self.assertEqual((self.runs(), self.cores[0].fronts[0].figures()["refused"]), (0, 3))
+        self.assertEqual((self.runs(), self.cores[0].fronts[0].figures().rejected), (0, 3))
 
     async def test_the_clients_patience_is_the_message_expiry(self):
         await self.begin(Worker("w1", never))
@@ -298,7 +299,7 @@
         self.broker.forget()
         self.client.close()
         await self.client.open()
-        await self.until(lambda: self.cores[0].fronts[0].sessions[0].up)
+        await self.until(lambda: self.cores[0].fronts[0].sessions[0].connection.is_up)
         self.client.ask("again-1", b"after", 1)
         self.assertEqual(await self.answered(b"after"), ["completed"])
 
@@ -306,11 +307,11 @@
         await self.begin(Worker("w1"), alive=1)
         session = self.cores[0].fronts[0].sessions[0]
         self.broker.silence(True)
-        await self.until(lambda: not session.up)
+        await self.until(lambda: not session.connection.is_up)
         waited = session.backoff.failures
         await self.until(lambda: session.backoff.failures >= waited + 1)
         self.broker.silence(False)
-        await self.until(lambda: session.up, 10)
+        await self.until(lambda: session.connection.is_up, 10)
         self.client.close()
         await self.client.open()
         self.client.ask("again-1", b"after", 1)
@@ -376,7 +377,9 @@
         await self.until(lambda: w.runs)
         session = self.cores[0].fronts[0].sessions[0]
         await self.until(
-            lambda: session.counts["answers"] == 1 and not session.answers and not session.unsent
+            lambda: (
+                session.counts.answers == 1 and not session.answers.in_flight and not session.answers.queued
+            )
         )
         self.assertEqual((await away.open(clean=0, session=1, reply="reply/x/away")).present, 0)
         self.client.ask("again-1", b"after", 1)
--- a/tests/test_mqtt_bytes.py
+++ b/tests/test_mqtt_bytes.py
@@ -91,14 +91,13 @@
         self.core.fronts.append(self.mqtt)
         self.mqtt.open()
         (self.session,) = self.mqtt.sessions
-        await self.until(lambda: self.session.up)
+        await self.until(lambda: self.session.connection.is_up)
         await self.noted("CONNECT" if self.broker.present else "SUBSCRIBE", 1)
 
     async def asyncTearDown(self):
-        self.mqtt.closed = True
+        self.session.is_closed = True
         self.session.task.cancel()
-        if self.session.stream is not None:
-            self.session.stream.close()
+        self.session.connection.drop()
         self.broker.writer.close()
         self.broker.server.close()
         await super().asyncTearDown()
@@ -118,7 +117,7 @@
         """Waits until so many answers were noted, and the broker has acknowledged all if it does."""
         await self.noted("PUBLISH", count)
         if mqtt.PUBLISH in self.broker.answers:
-            await self.until(lambda: not self.session.answers)
+            await self.until(lambda: not self.session.answers.in_flight)
             await self.noted("PUBLISH", count)
 
     async def test_each_quality_and_kind(self):
@@ -191,7 +190,7 @@
             self.broker.answers[mqtt.PUBLISH], self.broker.present = told, present
             self.broker.writer.close()
             await self.noted("CONNECT", 2)
-            await self.until(lambda: self.session.up)
+            await self.until(lambda: self.session.connection.is_up)
             await asyncio.sleep(0.5)
             lines.append("== it comes again")
             self.broker.publish(9, 1, "again-1", b"9", dup=1)
--- a/tests/test_system_calls_of_serve.py
+++ b/tests/test_system_calls_of_serve.py
@@ -396,21 +396,21 @@
             for error, again in zip(errors, CONNECT_FAILS, strict=False):
                 with self.subTest(call, error=errno.errorcode[error], again=errno.errorcode[again]):
                     number += 1
-                    lost = session.counts["lost"]
-                    of_session = same(session.stream.socket)
+                    lost = session.counts.connections_lost
+                    of_session = same(session.connection.stream.socket)
                     with failing(call, error, of_session) as fault, failing("connect", again, at) as second:
-                        session._write(test_mqtt.mqtt.Packet(test_mqtt.mqtt.PINGREQ))
+                        session.connection.write(test_mqtt.mqtt.Packet(test_mqtt.mqtt.PINGREQ))
                         await self.until(lambda: fault.failed and second.failed)
-                        await self.until(lambda: session.up)
-                    self.assertEqual(session.counts["lost"], lost + 1)
+                        await self.until(lambda: session.connection.is_up)
+                    self.assertEqual(session.counts.connections_lost, lost + 1)
                     await self.asked(b"%d" % number)
 
     async def test_a_connection_without_its_option(self):
         await self.begin(rig.Worker("w1"))
         (session,) = self.cores[0].fronts[-1].sessions
         with failing("setsockopt", errno.ENOBUFS, peer(self.port), times=None) as fault:
-            session.stream.close()
-            await self.until(lambda: fault.failed and session.up)
+            session.connection.stream.close()
+            await self.until(lambda: fault.failed and session.connection.is_up)
         await self.asked(b"after")
 
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -181,9 +181,9 @@
         await self.begin(Worker("w1"))
         session = self.cores[0].fronts[0].sessions[0]
         self.broker.ssl_options = place.identity("good", mutual=True).server()
-        session.terms = session.terms._replace(tls=place.identity("foreign"))
+        session.connection.terms = session.connection.terms._replace(tls=place.identity("foreign"))
         self.broker.drop_all()
         await self.until(lambda: session.backoff.failures >= 2)
-        self.assertFalse(session.up)
-        session.terms = session.terms._replace(tls=place.identity("good"))
-        await self.until(lambda: session.up)
+        self.assertFalse(session.connection.is_up)
+        session.connection.terms = session.connection.terms._replace(tls=place.identity("good"))
+        await self.until(lambda: session.connection.is_up)
