--- a/petrelwood/fronts/interfaces.py
+++ b/petrelwood/fronts/interfaces.py
@@ -11,7 +11,7 @@
 from petrelwood import ports
 from petrelwood.decide.delivery import pending
 from petrelwood.decide.delivery.ledger import Ledger
-from petrelwood.decide.overload.intake import Ask, Intake
+from petrelwood.decide.overload.intake import ActivationRequest, Intake
 from petrelwood.links.tls import Identity
 
 
@@ -123,7 +123,9 @@
     def rule(self, function: str) -> FunctionRule | None:
         """The rule of a function, or None where it may not be called."""
 
-    def admit(self, ask: Ask, function: str, rule: FunctionRule, body: bytes, exchange: Exchange) -> None:
+    def admit(
+        self, request: ActivationRequest, function: str, rule: FunctionRule, body: bytes, exchange: Exchange
+    ) -> None:
         """Admits a request of an authenticated client; `exchange` gets the final answer."""
 
     def client_left(self, act_id: str, exchange: Exchange) -> None:
@@ -146,11 +148,11 @@
         """Host and port of the broker."""
 
     @property
-    def user(self) -> str:
-        """The name that the dispatcher logs in with."""
+    def user(self) -> str | None:
+        """The name that the dispatcher logs in with; None without a login."""
 
     @property
-    def password(self) -> bytes:
+    def password(self) -> bytes | None:
         """The password that it logs in with."""
 
     @property
@@ -182,7 +184,7 @@
         """Bytes of one packet at most."""
 
     @property
-    def answers_kept(self) -> int:
+    def max_queued_answers(self) -> int:
         """Answers of one customer that may be queued for the broker."""
 
     @property
--- a/petrelwood/fronts/mqtt_answers.py
+++ b/petrelwood/fronts/mqtt_answers.py
@@ -16,7 +16,7 @@
 
 
 class AnswerSender:
-    """The answers of one session. One that can't be sent yet is queued, up to `terms.answers_kept`."""
+    """The answers of one session. One that can't be sent yet is queued, up to `terms.max_queued_answers`."""
 
     def __init__(
         self, terms: MqttTerms, connection: MqttConnection, counts: MqttCounts, log: Logger, customer: str
@@ -39,13 +39,13 @@
         """Return a packet identifier that is free.
 
         Raises:
-            packets.Wrong: there is none.
+            packets.MqttError: there is none.
         """
         for _ in range(PACKET_IDS):
             self._last_id = self._last_id % PACKET_IDS + 1
             if self._last_id not in self.in_flight:
                 return self._last_id
-        raise packets.Wrong(packets.QUOTA, "no packet identifier is free")
+        raise packets.MqttError(packets.QUOTA, "no packet identifier is free")
 
     def connection_accepted(self, accepted: packets.Packet) -> None:
         """The broker has accepted a connection with this CONNACK."""
@@ -75,7 +75,7 @@
         packet = _publish(topic, correlation, answer, qos)
         self._counts.answers += 1
         if not self._may_send() or (self.awaits_release and qos == EXACTLY_ONCE):
-            if len(self.queued) < self._terms.answers_kept:
+            if len(self.queued) < self._terms.max_queued_answers:
                 self.queued.append(packet)
             return None
         self._assign_id(packet)
--- a/petrelwood/fronts/mqtt_connection.py
+++ b/petrelwood/fronts/mqtt_connection.py
@@ -53,7 +53,7 @@
         Raises:
             BrokerError: the broker rejects the session.
             OSError: there is no connection; also TimeoutError.
-            packets.Wrong: the broker does not keep to the standard.
+            packets.MqttError: the broker does not keep to the standard.
         """
         stream = await self._connect()
         sockets.disable_delay(stream.socket)
@@ -106,7 +106,7 @@
 
         Raises:
             OSError: the connection is lost.
-            packets.Wrong: while they are iterated over: the broker does not keep to the standard.
+            packets.MqttError: while they are iterated over: the broker does not keep to the standard.
         """
         if self.stream is None:
             raise BrokerError("there is no connection to the broker")
--- a/petrelwood/fronts/mqtt_decoding.py
+++ b/petrelwood/fronts/mqtt_decoding.py
@@ -1,7 +1,7 @@
 """What the PUBLISH packets of one customer ask for: topic, identity, patience."""
 
 from petrelwood.decide.delivery import mqtt_topics
-from petrelwood.decide.overload.intake import Ask
+from petrelwood.decide.overload.intake import ActivationRequest
 from petrelwood.errors import ProtocolError
 from petrelwood.fronts.interfaces import FunctionRule, MqttCore
 from petrelwood.fronts.mqtt_message import AnswerHandler, Message
@@ -44,7 +44,7 @@
         """Return the topic of a message, and note its alias.
 
         Raises:
-            packets.Wrong: it has an alias that was not given on this connection.
+            packets.MqttError: it has an alias that was not given on this connection.
         """
         alias = packet.props.get("topic_alias")
         if alias is None:
@@ -52,7 +52,7 @@
         if packet.topic:
             self._topics_by_alias[alias] = packet.topic
         elif alias not in self._topics_by_alias:
-            raise packets.Wrong(packets.BAD_ALIAS, "a topic alias that was never given")
+            raise packets.MqttError(packets.BAD_ALIAS, "a topic alias that was never given")
         return self._topics_by_alias[alias]
 
     def decode(self, packet: packets.Packet, topic: str, now: int) -> Message:
@@ -73,7 +73,7 @@
             raise MessageRejectedError(packets.BAD_TOPIC, reason, response_topic)
         return Message(
             self._handler,
-            self._ask(packet, rule, now),
+            self._activation_request(packet, rule, now),
             request.function,
             rule,
             packet.payload,
@@ -82,7 +82,7 @@
             self._core.terms.types[rule.type].target_latency,
         )
 
-    def _ask(self, packet: packets.Packet, rule: FunctionRule, now: int) -> Ask:
+    def _activation_request(self, packet: packets.Packet, rule: FunctionRule, now: int) -> ActivationRequest:
         """Return the message as the intake sees it.
 
         Nobody signs its timestamp: it only has to be newer than what came before, whatever the wall clock
@@ -98,7 +98,7 @@
         core = self._core
         newer = core.known_ids.next_timestamp((self._customer, id_), rule.type, core.clock.steady_wall())
         self.last_timestamp = max(self.last_timestamp + 1, newer)
-        return Ask(self._customer, id_, self.last_timestamp, rule.type, now, patience(packet))
+        return ActivationRequest(self._customer, id_, self.last_timestamp, rule.type, now, patience(packet))
 
 
 def patience(packet: packets.Packet) -> int:
--- a/petrelwood/fronts/mqtt_message.py
+++ b/petrelwood/fronts/mqtt_message.py
@@ -8,7 +8,7 @@
 from petrelwood.decide.delivery.ledger import ActivationState
 from petrelwood.decide.delivery.mqtt_acknowledgement import Delivery
 from petrelwood.decide.overload import intake
-from petrelwood.decide.overload.intake import Ask
+from petrelwood.decide.overload.intake import ActivationRequest
 from petrelwood.fronts.interfaces import FunctionRule
 
 MILLISECOND = 1_000_000  # ns
@@ -22,15 +22,15 @@
     ABORTED = "aborted"
 
 
-STATUSES = {
+STATUSES: dict[str, AnswerStatus] = {
     ActivationState.COMPLETED: AnswerStatus.COMPLETED,
-    intake.GIVE: AnswerStatus.COMPLETED,
+    intake.REPEAT_RESULT: AnswerStatus.COMPLETED,
     ActivationState.REJECTED: AnswerStatus.REJECTED,
-    intake.REFUSE: AnswerStatus.REJECTED,
+    intake.REJECT: AnswerStatus.REJECTED,
     intake.CONFLICT: AnswerStatus.REJECTED,
     ActivationState.ABORTED: AnswerStatus.ABORTED,
     intake.ABORT: AnswerStatus.ABORTED,
-    intake.SPENT: AnswerStatus.ABORTED,
+    intake.RESULT_DROPPED: AnswerStatus.ABORTED,
 }
 
 
@@ -66,13 +66,13 @@
 
     __slots__ = (
         "act",
-        "ask",
         "body",
         "correlation",
         "delivery",
         "final_answer",
         "function",
         "handler",
+        "request",
         "response_topic",
         "rule",
         "target_latency",
@@ -81,7 +81,7 @@
     def __init__(
         self,
         handler: AnswerHandler,
-        ask: Ask,
+        request: ActivationRequest,
         function: str,
         rule: FunctionRule,
         body: bytes,
@@ -90,7 +90,7 @@
         target_latency: int,
     ) -> None:
         self.handler = handler
-        self.ask = ask
+        self.request = request
         self.function = function
         self.rule = rule
         self.body = body
--- a/petrelwood/fronts/mqtt_session.py
+++ b/petrelwood/fronts/mqtt_session.py
@@ -13,8 +13,9 @@
 from petrelwood.decide.delivery import mqtt_topics
 from petrelwood.decide.delivery.delivery_window import DeliveryWindow
 from petrelwood.decide.delivery.mqtt_acknowledgement import AT_LEAST_ONCE, EXACTLY_ONCE, Deliveries, Delivery
-from petrelwood.decide.overload import deadlines, intake
+from petrelwood.decide.overload import deadlines
 from petrelwood.decide.overload.backoff import Backoff
+from petrelwood.decide.overload.intake import RejectionReason
 from petrelwood.fronts.interfaces import Logger, MqttCore, MqttTerms
 from petrelwood.fronts.mqtt_answers import FIRST_ERROR_CODE, AnswerSender
 from petrelwood.fronts.mqtt_connection import BrokerError, KeepAlive, MqttConnection
@@ -86,7 +87,7 @@
                     self._handle(packet)
         except StreamClosedError as error:
             return str(error.real_error or "closed by the broker")
-        except packets.Wrong as error:
+        except packets.MqttError as error:
             self.disconnect(error.code)
             return str(error)
         except (BrokerError, TimeoutError, OSError, ValueError) as error:
@@ -114,7 +115,7 @@
                 packets.SUBSCRIBE,
                 self.answers.next_id(),
                 props={},
-                filters=[(self._subscription, EXACTLY_ONCE)],
+                subscriptions=[packets.Subscription(self._subscription, EXACTLY_ONCE)],
             )
         )
 
@@ -137,7 +138,7 @@
     def _handle(self, packet: packets.Packet) -> None:
         handler = self._handlers.get(packet.type)
         if handler is None:
-            raise packets.Wrong(packets.PROTOCOL, f"a {packets.NAMES[packet.type]} from a broker")
+            raise packets.MqttError(packets.PROTOCOL, f"a {packets.NAMES[packet.type]} from a broker")
         handler(packet)
 
     def _on_publish(self, packet: packets.Packet) -> None:
@@ -175,14 +176,14 @@
         except MessageRejectedError as error:
             self._reject_message(packet, error)
             return
-        ask = message.ask
+        request = message.request
         self.deliveries.on_publish(
             now,
             packet.id,
             packet.qos,
             bool(packet.dup),
-            core.terms.types[ask.type].effect,
-            deadlines.deadline(now, ask.wait, core.gateway.timeouts[ask.type]).due,
+            core.terms.types[request.type].effect,
+            deadlines.deadline(now, request.patience, core.gateway.timeouts[request.type]).due,
             fingerprint(packet, topic),
             message,
         )
@@ -209,7 +210,7 @@
         if message.delivery is None:  # it has not begun, so that nobody can have answered it
             return
         now = self.core.now()
-        took = now - message.ask.came
+        took = now - message.request.arrived_at
         in_time = has_completed and took <= message.target_latency
         self.deliveries.on_answer(now, message.delivery, in_time, took)
 
@@ -230,13 +231,13 @@
         """Hand a message to the core."""
         message: Message = delivery.message
         message.delivery = delivery
-        self.core.admit(message.ask, message.function, message.rule, message.body, message)
+        self.core.admit(message.request, message.function, message.rule, message.body, message)
 
     def reject(self, delivery: Delivery) -> None:
         """Answer a message that can't begin in time, and never ran."""
         message: Message = delivery.message
         message.delivery = delivery
-        message.final_answer = problem_answer(AnswerStatus.REJECTED, intake.NO_TIME)
+        message.final_answer = problem_answer(AnswerStatus.REJECTED, RejectionReason.NO_TIME)
         self.answer(delivery, with_acknowledgement=bool(delivery.qos))
 
     def abort(self, delivery: Delivery) -> None:
@@ -282,7 +283,7 @@
             self._unsubscribed = self.core.loop.create_future()
             self.connection.write(
                 packets.Packet(
-                    packets.UNSUBSCRIBE, self.answers.next_id(), props={}, filters=[self._subscription]
+                    packets.UNSUBSCRIBE, self.answers.next_id(), props={}, topic_filters=[self._subscription]
                 )
             )
             with contextlib.suppress(TimeoutError):  # a broker that does not answer is left all the same
--- a/petrelwood/fronts/webhook.py
+++ b/petrelwood/fronts/webhook.py
@@ -150,7 +150,7 @@
             request.fail(error.status, str(error))
             return
         self._record_signature(request, is_valid=True)
-        self.core.admit(call.ask, call.function, call.rule, body, request)
+        self.core.admit(call.request, call.function, call.rule, body, request)
 
     def _record_signature(self, request: HttpRequest, is_valid: bool) -> None:
         self.admission.record_signature(self.now(), request.connection.peer, is_valid)
--- a/petrelwood/fronts/webhook_answer.py
+++ b/petrelwood/fronts/webhook_answer.py
@@ -1,4 +1,4 @@
-"""The HTTP answer to each outcome of an activation, and to each verdict of the intake."""
+"""The HTTP answer to each outcome of an activation, and to each `Outcome` of the intake."""
 
 from petrelwood.decide.delivery.ledger import ActivationState
 from petrelwood.decide.overload import intake
@@ -8,19 +8,19 @@
 # Looked up once: a member of an enum takes longer to find than a name of the module.
 OK = HttpStatus.OK
 SERVICE_UNAVAILABLE = HttpStatus.SERVICE_UNAVAILABLE
-STATUSES = {
+STATUSES: dict[str, HttpStatus] = {
     ActivationState.COMPLETED: OK,
-    intake.GIVE: OK,
+    intake.REPEAT_RESULT: OK,
     ActivationState.REJECTED: SERVICE_UNAVAILABLE,
-    intake.REFUSE: SERVICE_UNAVAILABLE,
+    intake.REJECT: SERVICE_UNAVAILABLE,
     ActivationState.ABORTED: HttpStatus.GATEWAY_TIMEOUT,
     intake.ABORT: HttpStatus.GATEWAY_TIMEOUT,
     intake.CONFLICT: HttpStatus.CONFLICT,
-    intake.SPENT: HttpStatus.CONFLICT,
+    intake.RESULT_DROPPED: HttpStatus.CONFLICT,
 }
-DEFAULT_DETAILS = {  # where the core gives no reason
+DEFAULT_DETAILS: dict[str, str] = {  # where the core gives no reason
     ActivationState.REJECTED: "turned away; trying again does no harm",
-    intake.REFUSE: "turned away; trying again does no harm",
+    intake.REJECT: "turned away; trying again does no harm",
     ActivationState.ABORTED: "no answer in time, or none that proves anything",
 }
 
@@ -31,7 +31,7 @@
     """Return the answer to an outcome.
 
     Args:
-        outcome: an `ActivationState` in which an activation may end, or a verdict of the intake.
+        outcome: an `ActivationState` in which an activation may end, or an `Outcome` of the intake.
         body: the result, of what has completed.
         retry_after: when a rejected client may retry, ns from now.
         reason: why it did not complete; empty for the usual reason of the outcome.
@@ -43,6 +43,6 @@
     detail = reason or DEFAULT_DETAILS.get(outcome, "")
     if status is not SERVICE_UNAVAILABLE:
         return problem_response(status, detail, activation_id)
-    if reason == intake.OVER_PART:
+    if reason == intake.RejectionReason.OVER_QUOTA:
         status = HttpStatus.TOO_MANY_REQUESTS
     return problem_response(status, detail, activation_id, retry_after)
--- a/petrelwood/fronts/webhook_call.py
+++ b/petrelwood/fronts/webhook_call.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Mapping
 from typing import NamedTuple
 
-from petrelwood.decide.overload.intake import Ask
+from petrelwood.decide.overload.intake import ActivationRequest
 from petrelwood.errors import ProtocolError
 from petrelwood.fronts.http_request import HttpRequest
 from petrelwood.fronts.http_status import HttpStatus
@@ -33,7 +33,7 @@
 class WebhookCall(NamedTuple):
     """A call of a function whose signature is valid."""
 
-    ask: Ask
+    request: ActivationRequest
     function: str
     rule: FunctionRule
 
@@ -83,8 +83,10 @@
             raise WebhookRejectedError(HttpStatus.NOT_FOUND, f"there is no function '{shown}'")
         wait = preferred_wait(request.headers.get(b"prefer", b""))
         timestamp = signed.timestamp * SECOND
-        ask = Ask(customer, signed.id, timestamp, rule.type, request.received_at, wait * SECOND)
-        return WebhookCall(ask, function, rule)
+        activation = ActivationRequest(
+            customer, signed.id, timestamp, rule.type, request.received_at, wait * SECOND
+        )
+        return WebhookCall(activation, function, rule)
 
 
 def parse_target(request: HttpRequest) -> tuple[str, str]:
--- a/petrelwood/node/front.py
+++ b/petrelwood/node/front.py
@@ -15,7 +15,7 @@
 
 from petrelwood.decide.delivery import ledger
 from petrelwood.decide.overload import intake, resource_limits
-from petrelwood.decide.overload.intake import Ask
+from petrelwood.decide.overload.intake import ActivationRequest
 from petrelwood.links import rpc, sockets
 from petrelwood.node.stream import Stream
 from petrelwood.node.told import MS
@@ -38,11 +38,11 @@
 DEPARTURE = 100_000_000
 LOOKED = DEPARTURE // 2
 FACTS = 512  # texts of further figures whose reading is kept
-PARTS = rpc.Parts(resource_limits.BODY, resource_limits.TEXT, resource_limits.MEMBERS)
+PARTS = rpc.MessageLimits(resource_limits.BODY, resource_limits.TEXT, resource_limits.MEMBERS)
 
 
 class Figures(NamedTuple):
-    """What a request tells of its function and its work, as `settings.gateway.FunctionRule` has it."""
+    """What a request tells of its function and its work, as `settings.functions.FunctionRule` has it."""
 
     lanes: int
     load_time: int  # ns; 0: not told
@@ -102,7 +102,9 @@
     work = _number(fields["work"], 0, most, "work") if "work" in fields else 0.0
     lanes, load_time = _facts(fields.get("facts", ""), most)
     return (
-        Ask(customer, _id(fields.get("call"), 16, "call"), 0, type_, came, int(wait * MS), mark),
+        ActivationRequest(
+            customer, _id(fields.get("call"), 16, "call"), 0, type_, came, int(wait * MS), mark
+        ),
         _id(fields.get("row"), 16, "row"),
         Figures(lanes, load_time, int(work * MS)),
     )
@@ -144,7 +146,7 @@
         del self.client.open[self.msgid]
         if what == "completed":
             self.client.write(rpc.response(self.msgid, None, [body, {}]))
-        elif what in ("rejected", intake.REFUSE):
+        elif what in ("rejected", intake.REJECT):
             self.client.refuse(self.msgid, retry_after)
         else:
             self.client.write(rpc.response(self.msgid, [ABORTED, {}], None))
@@ -215,7 +217,7 @@
         try:
             messages = self.reader.feed(data)
             # a reader has some 40 KB: only who is in a message has one
-            if self.reader.whole():
+            if self.reader.is_between_messages():
                 if len(front.readers) < READERS:
                     front.readers.append(self.reader)
                 self.reader, self.part = None, 0
@@ -223,7 +225,7 @@
                 self.part = now
             for message in messages:
                 self._handle(message, now)
-        except rpc.Garbage as fault:
+        except rpc.MalformedRpcError as fault:
             front.note("unreadable", str(fault))
             self._garbled(now)
 
@@ -231,7 +233,7 @@
         """A defect costs the one message that met it."""
         try:
             self._message(message, now)
-        except rpc.Garbage:
+        except rpc.MalformedRpcError:
             raise
         except Exception as fault:
             self.front.core.defect("front", fault)
@@ -332,7 +334,7 @@
             _, msgid, method, params = message
             # whose answer the next one under it would be can't be told
             if msgid in self.open:
-                raise rpc.Garbage("a number that is open")
+                raise rpc.MalformedRpcError("a number that is open")
             if self.ending:
                 self.refuse(msgid, self.front.core.intake.usual)
             elif method in self.front.core.terms.types:
@@ -350,7 +352,7 @@
                     self.front.core.client_left(exchange.act, exchange)
             self.rests()
         else:
-            raise rpc.Garbage("neither a request nor a cancel")
+            raise rpc.MalformedRpcError("neither a request nor a cancel")
 
     def _call(self, msgid, type_, params, now):
         core = self.front.core
