--- a/petrelwood/fronts/http_connection.py
+++ b/petrelwood/fronts/http_connection.py
@@ -24,7 +24,7 @@
 from petrelwood.links import sockets
 
 READ_SIZE = 65_536  # bytes taken from a connection at a time
-RESUME_SHARE = 2  # reading goes on when no more than this part (a half) of the pipeline is unanswered
+RESUME_SHARE = 2  # reading resumes when at most one in so many of the pipeline is unanswered
 
 
 class UnreadReason(enum.StrEnum):
@@ -51,10 +51,10 @@
         """Decode a complete request and have it run, or answer it."""
 
     def client_departed(self, request: HttpRequest) -> None:
-        """The client of a request that the core has not answered is gone."""
+        """Handle the departure of the client of a request that the core has not answered."""
 
     def connection_closed(self, connection: "HttpConnection") -> None:
-        """A connection has ended."""
+        """Forget a connection that has ended."""
 
 
 class HttpConnection:
@@ -109,7 +109,7 @@
             self._is_parsing = False
 
     def _handshake_done(self) -> None:
-        """The first bytes are here, or the connection is gone: no handshake is in progress any more."""
+        """Note the end of the handshake: the first bytes were read, or the connection has ended."""
         if self._is_handshaking:
             self._is_handshaking = False
             self._owner.admission.on_handshake_done(self.peer)
@@ -121,7 +121,7 @@
 
     # From the parser and the requests.
     def request_started(self, request: HttpRequest) -> None:
-        """A request has begun, and is owed an answer."""
+        """Queue a request whose first byte was read for its answer."""
         self.unanswered.append(request)
 
     def send_continue(self) -> None:
@@ -173,7 +173,7 @@
         written.add_done_callback(self._answer_written)
 
     def _answer_read(self, written: "Future[None]") -> None:
-        """The peer has taken the oldest of the answers that it had not read, or is gone."""
+        """Note that the peer has read the oldest unread answer, or that the connection has ended."""
         written.exception()  # an error that nobody looks at would be logged
         if self._unread:
             self._unread.oldest_read()
--- a/petrelwood/fronts/http_parsing.py
+++ b/petrelwood/fronts/http_parsing.py
@@ -26,10 +26,10 @@
     """The connection whose bytes are parsed."""
 
     def request_started(self, request: HttpRequest) -> None:
-        """The first byte of a request was read."""
+        """Queue a request whose first byte was read for its answer."""
 
     def send_continue(self) -> None:
-        """The client waits with the body until it hears that it may send it (RFC 9110, 10.1.1)."""
+        """Tell a client that waits before it sends the body to send it (RFC 9110, 10.1.1)."""
 
 
 class RequestParser:
@@ -63,7 +63,7 @@
         """Parse the next bytes.
 
         Raises:
-            HttpSyntaxError: they are not HTTP/1.1, or ask for another protocol.
+            HttpSyntaxError: They are not HTTP/1.1, or request another protocol.
         """
         try:
             self._parser.feed_data(data)
@@ -79,12 +79,12 @@
         return self._request
 
     def release(self) -> None:
-        """The connection is closed: what was read of a request is dropped."""
+        """Release the bytes of a request that the end of the connection has cut off."""
         if self.is_in_request:
             self._release_bytes(self._request)
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Begin a request."""
         now = time.monotonic_ns()
         self._begin(now)
         self.deadline = now + self._limits.head_within
@@ -136,7 +136,7 @@
         self.is_in_request = False
         self.deadline = 0
         self._release_bytes(request)
-        # a client that wants no further request is told so with the last answer, behind which nothing waits
+        # where the client sends no further request, the answer says that the connection is closed after it
         request.is_last = request.is_last or not self._parser.should_keep_alive()
         if request.response is None:
             self._handle(request)
--- a/petrelwood/fronts/http_request.py
+++ b/petrelwood/fronts/http_request.py
@@ -15,7 +15,7 @@
 
 
 class RequestConnection(Protocol):
-    """The connection that a request came on."""
+    """The connection that a request arrived on."""
 
     peer: str  # the address of the client
 
@@ -53,7 +53,7 @@
         self.method = b""
         self.url = b""
         self.headers: dict[bytes, bytes] = {}  # by name in lower case
-        self.body: list[bytes] = []  # as it came, in pieces
+        self.body: list[bytes] = []  # in pieces, as they were read
         self.part_size = 0  # bytes of the head so far, then of the body
         self.reserved_bytes = 0  # what `Admission` counts for it
         self.rejection: Rejection | None = None  # decided before its head was complete
@@ -80,5 +80,5 @@
             self.connection.flush()
 
     def check_departure(self) -> None:
-        """Notice that the client has hung up, though the connection has not told it yet."""
+        """Close the connection if the client has hung up, though that has not been read yet."""
         self.connection.check_departure()
--- a/petrelwood/fronts/http_response.py
+++ b/petrelwood/fronts/http_response.py
@@ -19,7 +19,7 @@
     content_type: bytes
     body: bytes
     activation_id: str | None = None
-    retry_after: int = 0  # ns; 0: the client is not told when to retry
+    retry_after: int = 0  # ns; 0: no Retry-After
 
     def encode(self, is_last: bool) -> bytes:
         """Return the bytes of the answer; with `is_last` they say that the connection is closed after it."""
--- a/petrelwood/fronts/interfaces.py
+++ b/petrelwood/fronts/interfaces.py
@@ -19,7 +19,7 @@
     """A structured logger, as structlog makes them: one line for each event, with its fields."""
 
     def info(self, event: str, **fields: object) -> object:
-        """Logs a normal event."""
+        """Log a normal event."""
 
 
 class FunctionRule(pending.FunctionRule, Protocol):
@@ -38,7 +38,7 @@
     def answer(
         self, outcome: str, body: bytes = b"", retry_after: int = 0, why: str = "", act: str | None = None
     ) -> None:
-        """Gives the client its final answer. `retry_after`: ns, 0 where it is not told."""
+        """Give the client its final answer. `retry_after`: ns, 0 for no Retry-After."""
 
 
 class Customer(Protocol):
@@ -121,15 +121,15 @@
         """The source of random numbers."""
 
     def rule(self, function: str) -> FunctionRule | None:
-        """The rule of a function, or None where it may not be called."""
+        """Return the rule of a function, or None where it may not be called."""
 
     def admit(
         self, request: ActivationRequest, function: str, rule: FunctionRule, body: bytes, exchange: Exchange
     ) -> None:
-        """Admits a request of an authenticated client; `exchange` gets the final answer."""
+        """Admit a request of an authenticated client; `exchange` gets the final answer."""
 
     def client_left(self, act_id: str, exchange: Exchange) -> None:
-        """The client of an exchange needs no answer any more."""
+        """Note that the client of an exchange needs no answer any more."""
 
 
 class WebhookCore(FrontCore, Protocol):
@@ -216,7 +216,7 @@
     """The clock of the core; see `petrelwood.clocks`."""
 
     def steady_wall(self) -> int:
-        """The wall-clock time in ns, without its steps."""
+        """Return the wall-clock time in ns, without its steps."""
 
 
 class MqttCore(FrontCore, Protocol):
@@ -247,10 +247,10 @@
         """The ids of earlier activations."""
 
     def submit(self, call: Callable[..., object], *args: Any) -> None:
-        """Makes a call at once, or after the one that is being made."""
+        """Make a call at once, or after the one that is being made."""
 
     def defect(self, where: str, fault: Exception) -> None:
-        """Reports an error that nothing foresaw; the activations that it touched are aborted."""
+        """Report an unexpected error; the activations that it touched are aborted."""
 
     def sleep_until(self, when: int) -> Coroutine[Any, Any, None]:
-        """Waits for a time of the monotonic clock."""
+        """Wait for a time of the monotonic clock, in ns."""
--- a/petrelwood/fronts/mqtt.py
+++ b/petrelwood/fronts/mqtt.py
@@ -14,7 +14,7 @@
 
 
 class Mqtt:
-    """The sessions of all customers. `core` admits what they ask for."""
+    """The sessions of all customers. `core` admits their messages."""
 
     def __init__(self, terms: MqttTerms, core: MqttCore, log: Logger) -> None:
         self.core = core
@@ -36,7 +36,7 @@
         """Do nothing: sessions are few, and their windows follow the answers."""
 
     def drain(self) -> None:
-        """The process ends: take nothing new and finish what has begun."""
+        """Take nothing new and finish what has begun, as the process ends."""
         self.stop()
 
     def stop(self) -> None:
--- a/petrelwood/fronts/mqtt_answers.py
+++ b/petrelwood/fronts/mqtt_answers.py
@@ -39,7 +39,7 @@
         """Return a packet identifier that is free.
 
         Raises:
-            packets.MqttError: there is none.
+            packets.MqttError: There is none.
         """
         for _ in range(PACKET_IDS):
             self._last_id = self._last_id % PACKET_IDS + 1
@@ -48,7 +48,7 @@
         raise packets.MqttError(packets.QUOTA, "no packet identifier is free")
 
     def connection_accepted(self, accepted: packets.Packet) -> None:
-        """The broker has accepted a connection with this CONNACK."""
+        """Take the broker's Receive Maximum from the CONNACK of a connection."""
         most = accepted.props.get("receive_maximum", DEFAULT_RECEIVE_MAXIMUM)
         self._receive_maximum = min(most, PACKET_IDS - IDS_LEFT_FREE)
 
@@ -63,7 +63,7 @@
             self.awaits_release = False
 
     def earlier_released(self) -> None:
-        """The broker has answered a PINGREQ: it has read all that was released before."""
+        """Send what waits for the release: the broker has answered a PINGREQ that followed it."""
         if self.awaits_release:
             self.awaits_release = False
             self.send_queued()
@@ -96,13 +96,13 @@
             self._connection.write(packet)
 
     def on_puback(self, packet: packets.Packet) -> None:
-        """The broker has an answer of QoS 1; a PUBACK of an earlier use of the identifier is ignored."""
+        """Finish an answer of QoS 1; a late PUBACK for an earlier use of the identifier is ignored."""
         answer = self.in_flight.get(packet.id)
         if answer is not None and answer.qos == AT_LEAST_ONCE:
             self._finish(packet)
 
     def on_pubrec(self, packet: packets.Packet) -> None:
-        """The broker has an answer of QoS 2, or rejects it."""
+        """Release an answer of QoS 2, or finish it if the broker rejects it."""
         if packet.code >= FIRST_ERROR_CODE:
             self._finish(packet)
             return
@@ -113,7 +113,7 @@
         self._connection.write(packets.Packet(packets.PUBREL, packet.id, code))
 
     def on_pubcomp(self, packet: packets.Packet) -> None:
-        """The identifier of an answer of QoS 2 is free again."""
+        """Finish an answer of QoS 2: its identifier is free again."""
         if packet.id in self.in_flight and self.in_flight[packet.id] is None:
             self._finish(packet)
 
@@ -128,8 +128,9 @@
     def resend(self, session_present: bool) -> None:
         """Send again after a reconnect what the broker may not have.
 
-        Answers of QoS 1 left with their acknowledgement: what came of both is seen from what the broker
-        delivers again, so they are not sent again here. Those of QoS 2 go on where the session was kept.
+        An answer of QoS 1 was written together with the acknowledgement of its message: the broker delivers
+        the message again if it has neither, so the answer is not sent again here. Answers of QoS 2 are
+        continued where the broker has kept the session, and sent anew where it has not.
         """
         earlier = self.in_flight
         self.in_flight = OrderedDict()
--- a/petrelwood/fronts/mqtt_connection.py
+++ b/petrelwood/fronts/mqtt_connection.py
@@ -39,7 +39,7 @@
         self._client_id = client_id
         self._now = now
         self._reader = packets.Reader(terms.most)
-        self._heard_at = 0  # ns
+        self._last_read_at = 0  # ns
         self._pinged_at = 0  # ns
 
     @property
@@ -51,7 +51,7 @@
         """Connect, and return the broker's CONNACK.
 
         Raises:
-            BrokerError: the broker rejects the session.
+            BrokerError: The broker rejects the session.
             OSError: there is no connection; also TimeoutError.
             packets.MqttError: the broker does not keep to the standard.
         """
@@ -64,7 +64,7 @@
         if accepted.type != packets.CONNACK or accepted.code:
             raise BrokerError(f"the broker answered {accepted!r}")
         self.is_up = True
-        self._heard_at = self._now()
+        self._last_read_at = self._now()
         self._pinged_at = 0
         return accepted
 
@@ -105,13 +105,13 @@
         """Return the packets that the next bytes complete.
 
         Raises:
-            OSError: the connection is lost.
+            OSError: The connection is lost.
             packets.MqttError: while they are iterated over: the broker does not keep to the standard.
         """
         if self.stream is None:
             raise BrokerError("there is no connection to the broker")
         data = await self.stream.read_bytes(READ_SIZE, partial=True)
-        self._heard_at = self._now()
+        self._last_read_at = self._now()
         return self._reader.feed(data)
 
     def write(self, *sent: packets.Packet) -> None:
@@ -125,7 +125,7 @@
         """Return what is due: nothing, a PINGREQ, or the end of a connection whose broker is silent."""
         if not self.is_up:
             return KeepAlive.NOTHING
-        silence = now - self._heard_at
+        silence = now - self._last_read_at
         if silence > self.terms.keep_alive:
             return KeepAlive.CLOSE
         is_ping_old = now - self._pinged_at > self.terms.keep_alive // PING_INTERVAL_SHARE
--- a/petrelwood/fronts/mqtt_decoding.py
+++ b/petrelwood/fronts/mqtt_decoding.py
@@ -1,4 +1,4 @@
-"""What the PUBLISH packets of one customer ask for: topic, identity, patience."""
+"""Decoding of the PUBLISH packets of one customer: topic, identity, patience."""
 
 from petrelwood.decide.delivery import mqtt_topics
 from petrelwood.decide.overload.intake import ActivationRequest
@@ -14,8 +14,8 @@
 class MessageRejectedError(ProtocolError):
     """A message that is no activation.
 
-    `code` is the reason code of its acknowledgement; `response_topic` is where its answer goes, None where
-    there may be none. `str()` is the detail of the answer.
+    `code` is the reason code of its acknowledgement; `response_topic` is where it is answered, None where it
+    may not be. `str()` is the detail of the answer.
     """
 
     def __init__(self, code: int, detail: str, response_topic: str | None) -> None:
@@ -44,7 +44,7 @@
         """Return the topic of a message, and note its alias.
 
         Raises:
-            packets.MqttError: it has an alias that was not given on this connection.
+            packets.MqttError: It has an alias that was not given on this connection.
         """
         alias = packet.props.get("topic_alias")
         if alias is None:
@@ -59,7 +59,7 @@
         """Return the message of a packet; `now` is the clock of the core, in ns.
 
         Raises:
-            MessageRejectedError: it is no activation, or its answer may not go where it wants.
+            MessageRejectedError: It is no activation, or its answer may not go where it wants.
         """
         response_topic = packet.props.get("response_topic")
         request = mqtt_topics.parse_request(topic, self._customer)
--- a/petrelwood/fronts/mqtt_message.py
+++ b/petrelwood/fronts/mqtt_message.py
@@ -51,14 +51,14 @@
 
 
 class AnswerHandler(Protocol):
-    """The session that a message came by."""
+    """The session that a message arrived by."""
 
     def message_answered(self, message: "Message", has_completed: bool) -> None:
-        """A message has its final answer."""
+        """Send the final answer of a message, or keep it until that may be done."""
 
 
 class Message:
-    """What a PUBLISH asks for. The core sees it as its exchange.
+    """The activation that a PUBLISH requests. The core sees it as its exchange.
 
     `response_topic` is None where no answer is wanted, `correlation` where the client gave none;
     `target_latency` is the one of the function's type, in ns.
@@ -102,7 +102,7 @@
         self.final_answer: Answer | None = None
 
     def check_departure(self) -> None:
-        """Do nothing: a message outlives the connection that it came by."""
+        """Do nothing: a message outlives the connection that it arrived by."""
 
     def answer(
         self, outcome: str, body: bytes = b"", retry_after: int = 0, why: str = "", act: str | None = None
@@ -112,7 +112,7 @@
         Args:
             outcome: an `ActivationState` in which an activation may end, or a verdict of the intake.
             body: the result, of what has completed.
-            retry_after: when a rejected client may retry, ns from now; 0: not told.
+            retry_after: when a rejected client may retry, ns from now; 0: no such property.
             why: why it did not complete.
             act: the id of the activation; None where none was made.
         """
--- a/petrelwood/fronts/mqtt_session.py
+++ b/petrelwood/fronts/mqtt_session.py
@@ -92,7 +92,7 @@
             return str(error)
         except (BrokerError, TimeoutError, OSError, ValueError) as error:
             return str(error) or repr(error)
-        except Exception as error:  # the session goes on after a defect of ours, on a new connection
+        except Exception as error:  # boundary: after a defect of ours the session connects again
             self.core.defect("mqtt", error)
             return repr(error)
 
@@ -206,13 +206,13 @@
 
     # From the core.
     def message_answered(self, message: Message, has_completed: bool) -> None:
-        """A message has its final answer."""
+        """Send the final answer of a message, or keep it until that may be done."""
         if message.delivery is None:  # it has not begun, so that nobody can have answered it
             return
         now = self.core.now()
-        took = now - message.request.arrived_at
-        in_time = has_completed and took <= message.target_latency
-        self.deliveries.on_answer(now, message.delivery, in_time, took)
+        latency = now - message.request.arrived_at
+        in_time = has_completed and latency <= message.target_latency
+        self.deliveries.on_answer(now, message.delivery, in_time, latency)
 
     # What is decided of deliveries.
     def acknowledge(self, packet_id: int, qos: int) -> None:
@@ -278,7 +278,7 @@
 
     # The end.
     async def drain(self) -> None:
-        """Take nothing new: unsubscribe, and reject what has not begun. The rest goes on."""
+        """Unsubscribe, and reject what has not begun; what is in flight is finished."""
         if self.connection.is_up:
             self._unsubscribed = self.core.loop.create_future()
             self.connection.write(
--- a/petrelwood/fronts/unread_answers.py
+++ b/petrelwood/fronts/unread_answers.py
@@ -27,7 +27,7 @@
         return bool(self._sizes)
 
     def add(self, size: int) -> bool:
-        """Note an answer of `size` bytes; whether so many may wait."""
+        """Note an answer of `size` bytes; return whether so many may wait."""
         if not self._sizes:
             self._deadline = time.monotonic_ns() + self._timeout
         if self._admission.reserve_bytes(self._now(), self._peer, size):
@@ -37,7 +37,7 @@
         return False
 
     def oldest_read(self) -> None:
-        """The peer has taken the oldest of them."""
+        """Forget the oldest of them, which the peer has read."""
         self._admission.release_bytes(self._peer, self._sizes.popleft())
         self._deadline = time.monotonic_ns() + self._timeout
 
--- a/petrelwood/fronts/webhook.py
+++ b/petrelwood/fronts/webhook.py
@@ -69,7 +69,7 @@
         """Listen on an address, and return the one that it became.
 
         Raises:
-            OSError: it can't be bound.
+            OSError: It can't be bound.
         """
         host, port = address
         return self.listen_on(bind_sockets(port, host, family=socket.AF_UNSPEC, reuse_port=False))
@@ -89,8 +89,8 @@
     def pause(self) -> None:
         """Accept nothing more; the sockets stay open.
 
-        Connections stay too: a request that is on its way is answered, with word that it was the last of its
-        connection; those that send nothing are closed with the process.
+        Connections stay open too: a request that is on its way is answered, with `Connection: close`; those
+        that send nothing are closed with the process.
         """
         self._paused = list(self._sockets.values())
         for descriptor in list(self._sockets):
@@ -130,7 +130,7 @@
         written.add_done_callback(lambda _: stream.close())
 
     def connection_closed(self, connection: HttpConnection) -> None:
-        """A connection has ended."""
+        """Forget a connection that has ended."""
         self.connections.discard(connection)
 
     def count(self, event: str) -> None:
@@ -139,7 +139,7 @@
 
     # Requests.
     def handle(self, request: HttpRequest) -> None:
-        """Have the core run what a complete request asks for, or answer what is wrong with it."""
+        """Hand a complete request to the core, or answer why it is rejected."""
         body = b"".join(request.body)
         try:
             call = self._decoder.decode(request, body)
@@ -156,13 +156,13 @@
         self.admission.record_signature(self.now(), request.connection.peer, is_valid)
 
     def client_departed(self, request: HttpRequest) -> None:
-        """The client of a request that the core has not answered is gone."""
+        """Handle the departure of the client of a request that the core has not answered."""
         if request.act is not None:
             self.core.client_left(request.act, request)
 
     # From the dispatcher.
     def storm_changed(self, name: str, on: bool) -> None:
-        """A symptom of a storm has begun or ended."""
+        """Admit connections more slowly during a storm of reconnects."""
         if name == SymptomName.RECONNECTS:
             self.admission.is_storm = on
 
@@ -172,15 +172,16 @@
             connection.check_deadlines(now)
 
     def drain(self) -> None:
-        """The process ends: what still comes is rejected, with word that it was the last of its connection.
+        """Make each further answer the last of its connection, as the process ends.
 
-        It listens until `close_idle`, as a connection that the machine has accepted may have a request in it.
+        The front listens until `close_idle`: a connection that the machine has accepted may have a request
+        in it, which is rejected.
         """
         for connection in self.connections:
             connection.is_draining = True
 
     def quiet(self) -> bool:
-        """Return whether all answers have left and all that came was read: connections, requests, ends."""
+        """Return whether all answers have left, and no connection, request or end is unread."""
         streams = [each.stream for each in self.connections if not each.stream.closed()]
         if any(stream.writing() for stream in streams):
             return False
--- a/petrelwood/fronts/webhook_call.py
+++ b/petrelwood/fronts/webhook_call.py
@@ -1,4 +1,4 @@
-"""What a webhook asks for: its customer, its function and its deadline, once its signature is valid."""
+"""Decoding of webhooks: customer, function, signature and patience."""
 
 import time
 from collections.abc import Callable, Mapping
@@ -67,7 +67,7 @@
         """Return the call that a complete request makes.
 
         Raises:
-            WebhookRejectedError: it is none, or its signature is not valid.
+            WebhookRejectedError: It is none, or its signature is not valid.
         """
         customer, function = parse_target(request)
         check_content_type(request.headers)
@@ -93,7 +93,7 @@
     """Return the customer and the function that a request is posted to.
 
     Raises:
-        WebhookRejectedError: the path or the method is another.
+        WebhookRejectedError: The path or the method is another.
     """
     parts = request.url.split(b"?", 1)[0].split(b"/")
     if len(parts) != PATH_PARTS or parts[1] != ROOT:
@@ -110,7 +110,7 @@
     """Check that the body is of a type that functions take.
 
     Raises:
-        WebhookRejectedError: it is of another.
+        WebhookRejectedError: It is of another.
     """
     content_type = headers.get(b"content-type", DEFAULT_TYPE).split(b";")[0].strip().lower()
     if content_type not in ACCEPTED_TYPES:
@@ -122,7 +122,7 @@
     """Return what the headers of Standard Webhooks say.
 
     Raises:
-        WebhookRejectedError: one is missing or malformed.
+        WebhookRejectedError: One is missing or malformed.
     """
     id_ = headers.get(b"webhook-id")
     timestamp = headers.get(b"webhook-timestamp")
