--- a/petrelwood/fronts/interfaces.py
+++ b/petrelwood/fronts/interfaces.py
@@ -1,12 +1,12 @@
-"""The types that the fronts expect of what they are given: the core, its settings and a logger.
+"""The types that the fronts expect of what they are given: the core and its settings.
 
 The core and the settings are in packages above and beside this one, which must not be imported here.
 """
 
 import asyncio
-from collections.abc import Callable, Coroutine, Iterable, Mapping
+from collections.abc import Callable, Iterable, Mapping
 from random import Random
-from typing import Any, Protocol
+from typing import Protocol
 
 from petrelwood import ports
 from petrelwood.decide.delivery import pending
@@ -15,13 +15,6 @@
 from petrelwood.links.tls import Identity
 
 
-class Logger(Protocol):
-    """A structured logger, as structlog makes them: one line for each event, with its fields."""
-
-    def info(self, event: str, **fields: object) -> object:
-        """Log a normal event."""
-
-
 class FunctionRule(pending.FunctionRule, Protocol):
     """What the settings say of a function; see `settings.gateway.FunctionRule`."""
 
@@ -246,11 +239,11 @@
     def known_ids(self) -> Ledger:
         """The ids of earlier activations."""
 
-    def submit(self, call: Callable[..., object], *args: Any) -> None:
+    def submit(self, call: Callable[..., object], *args: object) -> None:
         """Make a call at once, or after the one that is being made."""
 
     def defect(self, where: str, fault: Exception) -> None:
         """Report an unexpected error; the activations that it touched are aborted."""
 
-    def sleep_until(self, when: int) -> Coroutine[Any, Any, None]:
+    async def sleep_until(self, when: int) -> None:
         """Wait for a time of the monotonic clock, in ns."""
--- a/petrelwood/fronts/mqtt.py
+++ b/petrelwood/fronts/mqtt.py
@@ -8,9 +8,10 @@
 
 import asyncio
 
-from petrelwood.fronts.interfaces import Logger, MqttCore, MqttTerms
+from petrelwood.fronts.interfaces import MqttCore, MqttTerms
 from petrelwood.fronts.mqtt_counts import MqttCounts
 from petrelwood.fronts.mqtt_session import MqttSession
+from petrelwood.links.interfaces import Logger
 
 
 class Mqtt:
--- a/petrelwood/fronts/mqtt_answers.py
+++ b/petrelwood/fronts/mqtt_answers.py
@@ -3,11 +3,12 @@
 from collections import OrderedDict, deque
 
 from petrelwood.decide.delivery.mqtt_acknowledgement import AT_LEAST_ONCE, EXACTLY_ONCE
-from petrelwood.fronts.interfaces import Logger, MqttTerms
+from petrelwood.fronts.interfaces import MqttTerms
 from petrelwood.fronts.mqtt_connection import MqttConnection
 from petrelwood.fronts.mqtt_counts import MqttCounts
 from petrelwood.fronts.mqtt_message import Answer
 from petrelwood.links import packets
+from petrelwood.links.interfaces import Logger
 
 PACKET_IDS = 256  # few, so that a new process can release all that an earlier one had used
 IDS_LEFT_FREE = 8  # for SUBSCRIBE and UNSUBSCRIBE
--- a/petrelwood/fronts/mqtt_session.py
+++ b/petrelwood/fronts/mqtt_session.py
@@ -16,13 +16,14 @@
 from petrelwood.decide.overload import deadlines
 from petrelwood.decide.overload.backoff import Backoff
 from petrelwood.decide.overload.intake import RejectionReason
-from petrelwood.fronts.interfaces import Logger, MqttCore, MqttTerms
+from petrelwood.fronts.interfaces import MqttCore, MqttTerms
 from petrelwood.fronts.mqtt_answers import FIRST_ERROR_CODE, AnswerSender
 from petrelwood.fronts.mqtt_connection import BrokerError, KeepAlive, MqttConnection
 from petrelwood.fronts.mqtt_counts import MqttCounts
 from petrelwood.fronts.mqtt_decoding import MessageDecoder, MessageRejectedError, fingerprint
 from petrelwood.fronts.mqtt_message import Answer, AnswerStatus, Message, problem_answer
 from petrelwood.links import packets
+from petrelwood.links.interfaces import Logger
 
 MILLISECOND = 1_000_000  # ns
 MAY_RUN_ELSEWHERE = "the session was lost before its message was begun; it may run elsewhere"
--- a/petrelwood/fronts/webhook.py
+++ b/petrelwood/fronts/webhook.py
@@ -22,11 +22,10 @@
 from petrelwood.fronts.signing import Verifier
 from petrelwood.fronts.webhook_call import WebhookDecoder, WebhookRejectedError
 from petrelwood.links import sockets as link_sockets
+from petrelwood.links.interfaces import Address
 from petrelwood.links.listener import Listener
 
 UNAUTHORIZED = HttpStatus.UNAUTHORIZED  # a member of an enum takes longer to find than a name of the module
-Address = tuple[str, int]
-"""Host and port."""
 
 
 def _verifiers(customers: Mapping[str, Customer]) -> dict[str, Verifier]:
