--- a/petrelwood/fronts/webhook.py
+++ b/petrelwood/fronts/webhook.py
@@ -22,11 +22,10 @@
 from petrelwood.fronts.signing import Verifier
 from petrelwood.fronts.webhook_call import WebhookDecoder, WebhookRejectedError
 from petrelwood.links import sockets as link_sockets
+from petrelwood.links.interfaces import Address
 from petrelwood.links.listener import Listener
 
 UNAUTHORIZED = HttpStatus.UNAUTHORIZED  # a member of an enum takes longer to find than a name of the module
-Address = tuple[str, int]
-"""Host and port."""
 
 
 def _verifiers(customers: Mapping[str, Customer]) -> dict[str, Verifier]:
@@ -69,7 +68,7 @@
         """Listen on an address, and return the one that it became.
 
         Raises:
-            OSError: it can't be bound.
+            OSError: It can't be bound.
         """
         host, port = address
         return self.listen_on(bind_sockets(port, host, family=socket.AF_UNSPEC, reuse_port=False))
@@ -89,8 +88,8 @@
     def pause(self) -> None:
         """Accept nothing more; the sockets stay open.
 
-        Connections stay too: a request that is on its way is answered, with word that it was the last of its
-        connection; those that send nothing are closed with the process.
+        Connections stay open too: a request that is on its way is answered, with `Connection: close`; those
+        that send nothing are closed with the process.
         """
         self._paused = list(self._sockets.values())
         for descriptor in list(self._sockets):
@@ -130,7 +129,7 @@
         written.add_done_callback(lambda _: stream.close())
 
     def connection_closed(self, connection: HttpConnection) -> None:
-        """A connection has ended."""
+        """Forget a connection that has ended."""
         self.connections.discard(connection)
 
     def count(self, event: str) -> None:
@@ -139,7 +138,7 @@
 
     # Requests.
     def handle(self, request: HttpRequest) -> None:
-        """Have the core run what a complete request asks for, or answer what is wrong with it."""
+        """Hand a complete request to the core, or answer why it is rejected."""
         body = b"".join(request.body)
         try:
             call = self._decoder.decode(request, body)
@@ -150,19 +149,19 @@
             request.fail(error.status, str(error))
             return
         self._record_signature(request, is_valid=True)
-        self.core.admit(call.ask, call.function, call.rule, body, request)
+        self.core.admit(call.request, call.function, call.rule, body, request)
 
     def _record_signature(self, request: HttpRequest, is_valid: bool) -> None:
         self.admission.record_signature(self.now(), request.connection.peer, is_valid)
 
     def client_departed(self, request: HttpRequest) -> None:
-        """The client of a request that the core has not answered is gone."""
+        """Handle the departure of the client of a request that the core has not answered."""
         if request.act is not None:
             self.core.client_left(request.act, request)
 
     # From the dispatcher.
     def storm_changed(self, name: str, on: bool) -> None:
-        """A symptom of a storm has begun or ended."""
+        """Admit connections more slowly during a storm of reconnects."""
         if name == SymptomName.RECONNECTS:
             self.admission.is_storm = on
 
@@ -172,15 +171,16 @@
             connection.check_deadlines(now)
 
     def drain(self) -> None:
-        """The process ends: what still comes is rejected, with word that it was the last of its connection.
+        """Make each further answer the last of its connection, as the process ends.
 
-        It listens until `close_idle`, as a connection that the machine has accepted may have a request in it.
+        The front listens until `close_idle`: a connection that the machine has accepted may have a request
+        in it, which is rejected.
         """
         for connection in self.connections:
             connection.is_draining = True
 
     def quiet(self) -> bool:
-        """Return whether all answers have left and all that came was read: connections, requests, ends."""
+        """Return whether all answers have left, and no connection, request or end is unread."""
         streams = [each.stream for each in self.connections if not each.stream.closed()]
         if any(stream.writing() for stream in streams):
             return False
