--- a/tests/run_tests.py
+++ b/tests/run_tests.py
@@ -267,9 +267,10 @@
     arguments = argparse.ArgumentParser(description="Run the tests, several files side by side.")
     arguments.add_argument("--processes", type=int, default=PROCESSES, help=f"at a time ({PROCESSES})")
     arguments.add_argument("files", nargs="*", help="names of files in tests/ (all)")
+    arguments.add_argument("--tests", type=Path, default=TESTS, help="folder of the files (tests)")
     given = arguments.parse_args()
     end_when_terminated()
-    return run_all(TESTS, given.processes, given.files)
+    return run_all(given.tests, given.processes, given.files)
 
 
 if __name__ == "__main__":
--- a/tests/test_run_tests.py
+++ b/tests/test_run_tests.py
@@ -183,10 +183,8 @@
                     time.sleep(600)
         """
         self.write(test_a=hanging)
-        words = "import pathlib, sys, run_tests as r; r.end_when_terminated(); "
-        words += "r.run_all(pathlib.Path(sys.argv[1]), processes=1)"
-        command = [sys.executable, "-c", words, str(self.tests)]
-        run = subprocess.Popen(command, cwd=run_tests.TESTS, stdout=subprocess.PIPE, stderr=subprocess.STDOUT)
+        command = [sys.executable, str(run_tests.TESTS / "run_tests.py"), "--tests", str(self.tests)]
+        run = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.STDOUT)
         with run:
             ends = time.monotonic() + 60
             while not (left := self.root / "left").exists() and time.monotonic() < ends:
@@ -265,6 +263,18 @@
         self.assertEqual(self.run_all()[0], 1)
 
 
+class Command(Case):
+    def run_command(self, *words):
+        command = [sys.executable, str(run_tests.TESTS / "run_tests.py"), "--tests", str(self.tests), *words]
+        ended = subprocess.run(command, cwd=self.root, capture_output=True, text=True)
+        return ended.returncode, ended.stdout.splitlines()[-1]
+
+    def test_it_ends_with_the_verdict(self):
+        self.write(test_a=PASSING, test_b=FAILING)
+        self.assertEqual(self.run_command(), (1, "3 passed, 2 failed"))
+        self.assertEqual(self.run_command("--processes", "1", "test_a.py"), (0, "2 passed, 0 failed"))
+
+
 class KnownRed(Case):
     LINE = "test_b.Bad.test_red: it opens a second, needless connection, issue 39"
     OTHER = "test_b.Bad.test_also_red: a key is lost, issue 40"
@@ -350,12 +360,6 @@
         recipe = (run_tests.ROOT / "Makefile").read_text().partition("\ntest:")[2]
         self.assertTrue(recipe.rstrip().endswith("$(PY) tests/run_tests.py"), recipe)
 
-    def test_the_command_ends_with_the_verdict(self):
-        command = [sys.executable, "tests/run_tests.py", "test_capacity_page.py"]
-        ended = subprocess.run(command, cwd=run_tests.ROOT, capture_output=True, text=True)
-        self.assertEqual(ended.returncode, 0, ended.stdout + ended.stderr)
-        self.assertRegex(ended.stdout.splitlines()[-1], r"^\d+ passed, 0 failed$")
-
 
 if __name__ == "__main__":
     unittest.main()
