--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -18,7 +18,7 @@
 from petrelwood.decide.delivery.ledger import ActivationState, Ledger
 from petrelwood.decide.delivery.pending import PendingActivation, PendingActivations
 from petrelwood.decide.overload.backoff import Budget
-from petrelwood.decide.overload.intake import Ask, Intake
+from petrelwood.decide.overload.intake import ActivationRequest, Intake
 from petrelwood.decide.overload.storm import SymptomName
 from petrelwood.decide.scheduling.scheduler import Scheduler
 from petrelwood.dispatch.activations import COMPLETED, Activations, Exchange
@@ -33,7 +33,8 @@
 from petrelwood.ports import Listed
 
 if TYPE_CHECKING:  # the platform's dispatcher needs no settings in KDL and no log
-    from petrelwood.settings.gateway import FunctionRule, Gateway
+    from petrelwood.settings.functions import FunctionRule
+    from petrelwood.settings.gateway import Gateway
     from petrelwood.store.state_log import StateLog
 
 STORM_CHECK_INTERVAL = 500_000_000  # ns
@@ -221,10 +222,10 @@
     # Storms, forecasts and settings.
     def _check_storms(self) -> None:
         """What a storm changes is decided in `decide.overload.intake` and at the fronts."""
-        for name, on, value in self.intake.look(self.now()):
+        for name, on, value in self.intake.update(self.now()):
             report = self.log.warning if on else self.log.info
             event = "storm started" if on else "storm ended"
-            report(event, symptom=name, value=round(value, 2), held=self.intake.held)
+            report(event, symptom=name, value=round(value, 2), held=self.intake.unanswered)
             self.storm_changed(name, on)
         if self.durable_state is not None:
             self.durable_state.check()
@@ -282,7 +283,9 @@
             return rule
 
     # From the fronts.
-    def admit(self, ask: Ask, function: str, rule: Rule, body: bytes, exchange: Exchange) -> None:
+    def admit(
+        self, ask: ActivationRequest, function: str, rule: Rule, body: bytes, exchange: Exchange
+    ) -> None:
         """A request has come, and is who it says it is."""
         self.submit(self.activations.admit, ask, function, rule, body, exchange)
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -96,7 +96,7 @@
     async def test_too_many_connections(self):
         await self.begin(Worker("w1"), limits="connections 2")
         kept = [await self.caller.connect() for _ in range(2)]
-        await self.until(lambda: len(self.front.lines) == 2)
+        await self.until(lambda: len(self.front.connections) == 2)
         third = await self.caller.connect()
         reply = await asyncio.wait_for(third.read_until_close(), 30)
         self.assertTrue(reply.startswith(b"HTTP/1.1 503") and b"Retry-After: " in reply, reply)
@@ -113,7 +113,7 @@
     async def test_a_crowd_is_refused_with_when_to_come_back(self):
         await self.begin(Worker("w1", never), limits="held 2")
         first = [asyncio.ensure_future(self.post("once-1")) for _ in range(2)]
-        await self.until(lambda: self.core.intake.held == 2)
+        await self.until(lambda: self.core.intake.unanswered == 2)
         status, reply = await self.post()
         self.assertEqual(status, 503)
         self.assertGreaterEqual(int(reply.headers[b"retry-after"]), 1)
@@ -158,10 +158,10 @@
         await self.begin(w := Worker("w1", never))
         asked = asyncio.ensure_future(self.caller.call(self.message("again-1", "m"), 30))
         await self.until(lambda: w.runs)
-        line = next(iter(self.front.lines))
-        exchange = line.waiting[0]
+        line = next(iter(self.front.connections))
+        exchange = line.unanswered[0]
         link = self.core.links["w1"]
-        msgid = next(iter(link.out))
+        msgid = next(iter(link.in_flight))
         link._response(msgid, None, [*w.acts()[0], 1, b"{}", None])  # both in one turn of the loop
         self.front.core.client_left(exchange.act, exchange)
         line.stream.close()
@@ -176,9 +176,9 @@
         await self.begin(w := Worker("w1", never))
         asked = asyncio.ensure_future(self.caller.call(self.message("again-1", "m"), 30))
         await self.until(lambda: w.runs)
-        line, link = next(iter(self.front.lines)), self.core.links["w1"]
-        msgid = next(iter(link.out))
-        self.front.core.client_left(line.waiting[0].act, line.waiting[0])
+        line, link = next(iter(self.front.connections)), self.core.links["w1"]
+        msgid = next(iter(link.in_flight))
+        self.front.core.client_left(line.unanswered[0].act, line.unanswered[0])
         link._response(msgid, None, [*w.acts()[0], 1, b"{}", None])
         with self.assertRaises(asyncio.TimeoutError):  # nothing may be written for what was left
             await asyncio.wait_for(asyncio.shield(asked), 0.2)
@@ -196,7 +196,7 @@
         for i in range(6):
             status, _ = await self.post(f"once-{i}")
             self.assertEqual(status, 200)
-        self.assertTrue(self.core.log.said("link lost"))
+        self.assertTrue(self.core.log.said("worker connection lost"))
         self.assertEqual(self.runs(), 6)
 
     async def test_a_worker_that_is_not_there_never_ran(self):
@@ -245,7 +245,7 @@
         self.roster.tell(free.entry())
         self.roster.tell(stuck.entry("draining"))
         self.assertEqual((await behind)[0], 200)
-        self.assertEqual((link.counts["recalled"], len(free.runs) >= 1), (1, True))
+        self.assertEqual((link.counts.recalled, len(free.runs) >= 1), (1, True))
         self.assertFalse(link.waiting)
         await big
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -18,8 +18,10 @@
 from tornado.iostream import SSLIOStream
 from tornado.tcpclient import TCPClient
 
-from petrelwood.links.tls import BadIdentity, Identity
-from petrelwood.settings import document, gateway
+from petrelwood.links.errors import IdentityError
+from petrelwood.links.tls import Identity
+from petrelwood.settings import gateway
+from petrelwood.settings.errors import SettingsError
 from petrelwood.standins.caller import Broken, Caller
 
 
@@ -58,17 +60,17 @@
             (("good.key", "good.key", "ca.pem"), "no certificate"),
         )
         for (cert, key, trusts), words in cases:
-            with self.assertRaises(BadIdentity) as caught:
+            with self.assertRaises(IdentityError) as caught:
                 Identity(place.file(cert), place.file(key), place.file(trusts))
             self.assertIn(words, str(caught.exception))
             path = place.path / "g.kdl"
             path.write_text(
                 GOOD.replace('zone "n"', f'zone "n"\n    tls cert="{cert}" key="{key}" trusts="{trusts}"')
             )
-            with self.assertRaises(document.BadFile) as caught:
+            with self.assertRaises(SettingsError) as caught:
                 gateway.read(path)
             self.assertEqual(caught.exception.line, 5)
-        with self.assertRaises(BadIdentity):
+        with self.assertRaises(IdentityError):
             Identity(place.file("good.pem"), place.file("good.key"), mutual=True)
 
     def test_a_renewed_file_is_loaded_and_a_broken_one_is_not(self):
@@ -170,10 +172,10 @@
         worker.ssl_options = place.identity("foreign").server()
         for stream in worker.streams:
             stream.close()
-        lost = self.cores[0].links["w1"].counts["lost"]
+        lost = self.cores[0].links["w1"].counts.lost
         self.client.ask("once-2", b"2", 2)
         self.assertEqual(await self.answered(b"2"), ["rejected"])  # it never ran: no connection was ever up
-        self.assertGreater(self.cores[0].links["w1"].counts["lost"], lost)
+        self.assertGreater(self.cores[0].links["w1"].counts.lost, lost)
         self.assertEqual(len(worker.runs), 1)
 
     async def test_a_broker_over_tls(self):
