--- a/benchmarks/scale/parts.py
+++ b/benchmarks/scale/parts.py
@@ -20,7 +20,8 @@
 from petrelwood.clocks import WALL, VirtualClock
 from petrelwood.decide.cluster import membership
 from petrelwood.decide.overload.intake import ActivationRequest
-from petrelwood.decide.scheduling.scheduler import Function, Scheduler
+from petrelwood.decide.scheduling.records import Function
+from petrelwood.decide.scheduling.scheduler import Scheduler
 from petrelwood.dispatch.core import Core
 from petrelwood.emulate.platform import Silent
 from petrelwood.links import sse
@@ -154,7 +155,8 @@
 # Placement.
 def place(module, key):
     """A first call of a function."""
-    module.activation_arrived(SECOND, f"act-{key}", key, "call", "caller", 5 * SECOND, 4, 0, 0)
+    arrival = ports.Arrival(f"act-{key}", key, "call", "caller", 5 * SECOND, 4, 0, 0)
+    module.activation_arrived(SECOND, arrival)
 
 
 def placement_seconds(workers):
@@ -269,23 +271,23 @@
     place(module, "known")
     for worker in outlet.probes:
         module.health_check_ended(SECOND, worker, ports.EndReason.COMPLETED, {"running": 0})
-    act = module.acts["act-known"]
-    (send,) = act.sends
+    act = module.activations["act-known"]
+    (send,) = act.attempts
     place_answer(module, "act-known", send.worker.id, 2 * SECOND)
     return lambda: call_again(module, 3 * SECOND)
 
 
 def place_answer(module, act_id, worker, now):
     """A worker's answer to a first send."""
-    module.attempt_ended(
-        now, act_id, 0, worker, ports.EndReason.COMPLETED, ports.CopyNote.FOUND_WARM, True, SECOND // 20, None
-    )
+    reason, note = ports.EndReason.COMPLETED, ports.CopyNote.FOUND_WARM
+    module.attempt_ended(now, ports.AttemptEnd(act_id, 0, worker, reason, note, True, SECOND // 20, None))
 
 
 def call_again(module, now):
     """A call of the known function, and its answer."""
-    module.activation_arrived(now, "act-again", "known", "call", "caller", now + 4 * SECOND, 4, 0, 0)
-    (send,) = module.acts["act-again"].sends
+    arrival = ports.Arrival("act-again", "known", "call", "caller", now + 4 * SECOND, 4, 0, 0)
+    module.activation_arrived(now, arrival)
+    (send,) = module.activations["act-again"].attempts
     place_answer(module, "act-again", send.worker.id, now + SECOND // 20)
 
 
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -7,7 +7,10 @@
 from petrelwood.cli.logs import open_log
 from petrelwood.decide.cluster.membership import ListChange, Membership
 from petrelwood.decide.delivery import send_outcome
-from petrelwood.decide.scheduling.scheduler import Copy, Scheduler
+from petrelwood.decide.scheduling import scheduler as scheduler_module
+from petrelwood.decide.scheduling.queueing import Queueing
+from petrelwood.decide.scheduling.records import Copy
+from petrelwood.decide.scheduling.scheduler import Scheduler
 from petrelwood.dispatch import serve
 from petrelwood.dispatch.activations import Activations
 from petrelwood.dispatch.dispatcher import Dispatcher
@@ -28,20 +31,30 @@
 class Chases(Scheduler):
     """Rule 1: sends again after the final answer."""
 
-    def attempt_ended(self, now, act_id, n, worker_id, *rest):
-        super().attempt_ended(now, act_id, n, worker_id, *rest)
-        core, link = self.out.core, self.out.links[worker_id]
-        core.loop.call_later(1.0, link.run, act_id, n + 1, "applicant-1", "mittelland/late", 10**9, 4, b"{}")
-
-
-class Floods(Scheduler):
+    def attempt_ended(self, now, end):
+        super().attempt_ended(now, end)
+        core, link = self.actions.outlet.core, self.actions.outlet.links[end.worker]
+        core.loop.call_later(
+            1.0,
+            link.run,
+            end.activation_id,
+            end.attempt + 1,
+            "applicant-1",
+            "mittelland/late",
+            10**9,
+            4,
+            b"{}",
+        )
+
+
+class Floods(Queueing):
     """Rule 4: gives a worker that has just started all it can."""
 
-    def _hold(self, act, now, front=False):
-        cold = next((w for w in self.fleet if w.booted), None)
-        if cold is None or act.sends:
-            return super()._hold(act, now, front)
-        self._send(act, act.fn.copies.setdefault(cold.id, Copy(cold, now)), now)
+    def enqueue(self, act, now, is_retry=False):
+        cold = next((w for w in self.placement.order.fleet.usable if w.booted), None)
+        if cold is None or act.attempts:
+            return super().enqueue(act, now, is_retry)
+        self.actions.send(act, act.function.copies.setdefault(cold.id, Copy(cold, now, now)), now)
 
 
 class Orders(Scheduler):
@@ -49,11 +62,13 @@
 
     seen = 0
 
-    def activation_arrived(self, now, act_id, key, *rest):
-        super().activation_arrived(now, act_id, key, *rest)
+    def activation_arrived(self, now, arrival):
+        super().activation_arrived(now, arrival)
         Orders.seen += 1
-        if Orders.seen % 2 and self.fleet:
-            self.out.order_load(self.fleet[Orders.seen % len(self.fleet)].id, key, 1)
+        if Orders.seen % 2 and self.fleet.usable:
+            self.actions.outlet.order_load(
+                self.fleet.usable[Orders.seen % len(self.fleet.usable)].id, arrival.function, 1
+            )
 
 
 def break_rule(name):
@@ -77,7 +92,7 @@
 
         Membership._apply = usable
     elif name == "floods":
-        return Floods
+        scheduler_module.Queueing = Floods
     elif name == "orders":
         return Orders
     return Scheduler
