--- a/petrelwood/decide/forecasting/account.py
+++ b/petrelwood/decide/forecasting/account.py
@@ -1,153 +1,193 @@
-"""The account of early loads: how each one ended, what it cost and what it saved, and when to hold back by
-itself.
+"""The account of early loads: how each one ended, what it cost and saved, and when to suspend them.
 
-An early load ends in one of: used in time, used late (called while it was still loading), never used, pushed
-another out, failed, stopped by a rule. The balance of a function, a hall and the whole is in seconds of cold
-wait, with what has been spent priced in; it forgets slowly. Where it turns negative early loads are held
-back, and tried again after a wait that doubles."""
+The balances of each function, of each zone and of all are in seconds of cold wait, less the price of what was
+spent; they forget slowly. Where one turns negative, early loads are suspended, and tried again after a
+backoff.
+"""
 
 from collections import Counter
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass
+from enum import StrEnum
 
+from petrelwood.decide.forecasting.planner import Prices
 from petrelwood.decide.overload.backoff import Backoff
 
-IN_TIME, LATE, NEVER, PUSHED, FAILED, STOPPED = (
-    "in time",
-    "late",
-    "never used",
-    "pushed another out",
-    "failed",
-    "stopped",
-)
-ENDS = (IN_TIME, LATE, NEVER, PUSHED, FAILED, STOPPED)
-FORGETS = 0.02  # of a balance, with each end
-TRUST = 2.0  # seconds of wait a balance may fall before it counts as negative
+SECOND = 1_000_000_000
+GIGABYTE = 1_000_000_000
+FORGETTING = 0.02  # of a balance, with each end
+CREDIT = 2.0  # seconds of cold wait that a balance may fall before early loads are suspended
+LONGEST_SUSPENSION = 64  # times the first one
+MOST_OPEN_LOADS = 10_000  # that are tracked at a time; also the balances of each kind
+WORST_FUNCTIONS = 10  # that the table for people has
 
 
-class EarlyLoad:
-    """One early load that is under way or stands unused."""
+class LoadEnd(StrEnum):
+    """How an early load ended; the strings are those of the log of early loads."""
+
+    USED_IN_TIME = "in time"
+    USED_LATE = "late"  # called while it was still loading
+    NEVER_USED = "never used"
+    EVICTED_ANOTHER = "pushed another out"  # which was then missing
+    FAILED = "failed"
+    STOPPED = "stopped"  # by a rule, before it was ordered
 
-    __slots__ = ("function", "hall", "worker", "asked", "stood", "until", "size", "load", "pushed")
 
-    def __init__(self, function, hall, worker, asked, until, size, load):
-        self.function, self.hall, self.worker, self.asked, self.until = function, hall, worker, asked, until
-        self.size, self.load, self.stood, self.pushed = size, load, None, None
+@dataclass(slots=True, eq=False)
+class EarlyLoad:
+    """One early load that is being loaded, or that nothing has used yet. Times in ns."""
+
+    function: str
+    zone: str
+    worker: str
+    ordered_at: int
+    expires_at: int
+    size: int  # bytes
+    load_time: int
+    loaded_at: int | None = None
+    evicted: str | None = None  # the function whose copy it replaced
 
 
 class Balance:
-    def __init__(self, first_wait, chance):
-        self.seconds, self.ends = 0.0, Counter()
-        self.backoff, self.held, self.spent_memory, self.saved = (
-            Backoff(first_wait, 64 * first_wait, chance),
-            False,
-            0.0,
-            0.0,
-        )
-
-    def book(self, now, end, seconds, memory):
+    """The balance of one function, of one zone or of all; `chance` is drawn in [0, 1)."""
+
+    __slots__ = ("backoff", "ends", "gigabyte_seconds", "is_suspended", "saved_seconds", "seconds")
+
+    def __init__(self, first_suspension: int, chance: Callable[[], float]) -> None:
+        self.seconds = 0.0  # of cold wait that were saved, less what they cost
+        self.ends: Counter[LoadEnd] = Counter()
+        self.backoff = Backoff(first_suspension, LONGEST_SUSPENSION * first_suspension, chance)
+        self.is_suspended = False
+        self.gigabyte_seconds = 0.0  # for which copies stood unused
+        self.saved_seconds = 0.0
+
+    def record(self, now: int, end: LoadEnd, seconds: float, gigabyte_seconds: float) -> None:
+        """Take in the end of an early load; `seconds` is what it saved less its costs."""
         self.ends[end] += 1
-        self.seconds = self.seconds * (1 - FORGETS) + seconds
-        self.spent_memory += memory
-        self.saved += max(0.0, seconds)
-        if self.seconds < -TRUST and not self.held:
-            self.held = True
+        self.seconds = self.seconds * (1 - FORGETTING) + seconds
+        self.gigabyte_seconds += gigabyte_seconds
+        self.saved_seconds += max(0.0, seconds)
+        if self.seconds < -CREDIT and not self.is_suspended:
+            self.is_suspended = True
             self.backoff.failed(now)
         elif self.seconds >= 0:
-            self.held = False
+            self.is_suspended = False
             self.backoff.succeeded()
 
-    def may(self, now):
-        """Whether early loads may go on; a held one is tried again when its wait is over."""
-        if self.held and self.backoff.may_retry(now):
-            self.held, self.seconds = False, -TRUST / 2  # one more trial, on short credit
-        return not self.held
+    def may_load(self, now: int) -> bool:
+        """Return whether early loads may be ordered; after its backoff a suspension is lifted on trial."""
+        if self.is_suspended and self.backoff.may_retry(now):
+            self.is_suspended = False
+            self.seconds = -CREDIT / 2  # the trial has half of the credit
+        return not self.is_suspended
+
+
+EndObserver = Callable[[int, EarlyLoad, LoadEnd, float, float], object]
+"""Hears of each end: now, the load, how it ended, seconds saved less costs, gigabyte-seconds unused."""
 
 
 class Account:
-    """Times in ns; `prices` as `planner.Prices`. `told(now, early, end, seconds, gigabyte-seconds)` hears of
-    each end."""
-
-    def __init__(self, prices, first_wait, chance, most=10_000):
-        self.prices, self.first_wait, self.chance, self.most = prices, first_wait, chance, most
-        self.open, self.whole = {}, Balance(first_wait, chance)
-        self.functions, self.halls, self.lost, self.told = {}, {}, 0, None
-
-    def may(self, now, function, hall):
-        for table, key in ((self.functions, function), (self.halls, hall)):
-            balance = table.get(key)
-            if balance is not None and not balance.may(now):
+    """The early loads of one dispatcher. Times in ns; `chance` is drawn in [0, 1)."""
+
+    def __init__(
+        self,
+        prices: Prices,
+        first_suspension: int,
+        chance: Callable[[], float],
+        most: int = MOST_OPEN_LOADS,
+    ) -> None:
+        self.prices = prices
+        self.first_suspension = first_suspension
+        self.chance = chance
+        self.most = most
+        self.open_loads: dict[tuple[str, str], EarlyLoad] = {}  # by function and worker
+        self.total = Balance(first_suspension, chance)
+        self.functions: dict[str, Balance] = {}
+        self.zones: dict[str, Balance] = {}
+        self.untracked = 0  # orders that were not tracked, as too many were open
+        self.on_end: EndObserver | None = None
+
+    def may_load(self, now: int, function: str, zone: str) -> bool:
+        """Return whether a function may be loaded early in a zone."""
+        for balance in (self.functions.get(function), self.zones.get(zone)):
+            if balance is not None and not balance.may_load(now):
                 return False
-        return self.whole.may(now)
-
-    def ordered(self, now, function, hall, worker, until, size, load):
-        if len(self.open) >= self.most:
-            self.lost += 1
+        return self.total.may_load(now)
+
+    def record_order(
+        self, now: int, function: str, zone: str, worker: str, expires_at: int, size: int, load_time: int
+    ) -> None:
+        """Track an early load that was ordered; `size` in bytes."""
+        if len(self.open_loads) >= self.most:
+            self.untracked += 1
             return
-        self.open[function, worker] = EarlyLoad(function, hall, worker, now, until, size, load)
-
-    def stands(self, now, function, worker, good, pushed=None):
-        """Its order was answered."""
-        early = self.open.get((function, worker))
-        if early is None:
+        load = EarlyLoad(function, zone, worker, now, expires_at, size, load_time)
+        self.open_loads[function, worker] = load
+
+    def load_ended(
+        self, now: int, function: str, worker: str, completed: bool, evicted: str | None = None
+    ) -> None:
+        """A load order has ended; `evicted` is the function whose copy made way."""
+        load = self.open_loads.get((function, worker))
+        if load is None:
             return
-        if not good:
-            self._end(now, early, FAILED, 0.0)
-        elif early.stood is None:
-            early.stood, early.pushed = now, pushed
-
-    def called(self, now, function, worker, warm):
-        """A call of the function began there: what it found. The end of the early load that it used, or
-        None."""
-        early = self.open.get((function, worker))
-        if early is None:
+        if not completed:
+            self._end(now, load, LoadEnd.FAILED, 0.0)
+        elif load.loaded_at is None:
+            load.loaded_at = now
+            load.evicted = evicted
+
+    def call_completed(self, now: int, function: str, worker: str, warm: bool) -> LoadEnd | None:
+        """A call has run; `warm`: it found a copy. Returns how the early load that it used ended, or None."""
+        load = self.open_loads.get((function, worker))
+        if load is None:
             return None
-        if early.stood is not None and warm:
-            return self._end(now, early, IN_TIME, early.load / 1e9)
-        if early.stood is None:  # still loading: it waited less than without
-            return self._end(now, early, LATE, min(early.load, now - early.asked) / 1e9)
+        if load.loaded_at is None:  # still loading: the call waited less than without
+            saved = min(load.load_time, now - load.ordered_at)
+            return self._end(now, load, LoadEnd.USED_LATE, saved / SECOND)
+        if warm:
+            return self._end(now, load, LoadEnd.USED_IN_TIME, load.load_time / SECOND)
         return None
 
-    def stopped(self, now, function, hall):
-        """A rule, or traffic that needed the room, kept a wish from being an order: it costs nothing."""
-        for balance in self._balances(function, hall):
-            balance.ends[STOPPED] += 1
-
-    def pushed_out(self, now, function):
-        """A copy of this function was missed where an early load had pushed it out."""
-        for early in list(self.open.values()):
-            if early.pushed == function:
-                self._end(now, early, PUSHED, -early.load / 1e9)
-
-    def sweep(self, now):
-        """What lapsed without use."""
-        for early in [e for e in self.open.values() if now >= e.until]:
-            self._end(now, early, NEVER, 0.0)
-
-    def _balances(self, function, hall):
-        for table, key in ((self.functions, function), (self.halls, hall)):
+    def record_stopped(self, function: str, zone: str) -> None:
+        """An early load was not ordered, by a rule or as calls needed the capacity: it costs nothing."""
+        for balance in self._balances(function, zone):
+            balance.ends[LoadEnd.STOPPED] += 1
+
+    def copy_missing(self, now: int, function: str) -> None:
+        """A copy of a function was missing: the early loads that evicted it pay for it."""
+        for load in list(self.open_loads.values()):
+            if load.evicted == function:
+                self._end(now, load, LoadEnd.EVICTED_ANOTHER, -load.load_time / SECOND)
+
+    def expire(self, now: int) -> None:
+        """End the early loads whose time has passed without a call."""
+        for load in [each for each in self.open_loads.values() if now >= each.expires_at]:
+            self._end(now, load, LoadEnd.NEVER_USED, 0.0)
+
+    def lines(self) -> Iterator[str]:
+        """Yield a table for people: all, the zones, then the functions with the worst balances."""
+        worst = sorted(self.functions.items(), key=lambda item: item[1].seconds)[:WORST_FUNCTIONS]
+        for name, balance in [("all", self.total), *sorted(self.zones.items()), *worst]:
+            ends = ", ".join(f"{end} {balance.ends[end]}" for end in LoadEnd if balance.ends[end])
+            state = "held back" if balance.is_suspended else "goes on"
+            yield f"{name}: {balance.seconds:+.1f} s, {state}; {ends or 'nothing yet'}"
+
+    def _balances(self, function: str, zone: str) -> Iterator[Balance]:
+        for table, key in ((self.functions, function), (self.zones, zone)):
             if key not in table:
                 if len(table) >= self.most:
                     table.pop(next(iter(table)))
-                table[key] = Balance(self.first_wait, self.chance)
+                table[key] = Balance(self.first_suspension, self.chance)
             yield table[key]
-        yield self.whole
-
-    def _end(self, now, early, end, saved):
-        del self.open[early.function, early.worker]
-        stood = (now - (early.stood or now)) / 1e9 * early.size / 1e9
-        seconds = saved - self.prices.fetch - self.prices.memory * stood
-        for balance in self._balances(early.function, early.hall):
-            balance.book(now, end, seconds, stood)
-        if self.told is not None:
-            self.told(now, early, end, seconds, stood)
+        yield self.total
+
+    def _end(self, now: int, load: EarlyLoad, end: LoadEnd, saved: float) -> LoadEnd:
+        del self.open_loads[load.function, load.worker]
+        unused = (now - (load.loaded_at or now)) / SECOND * load.size / GIGABYTE
+        seconds = saved - self.prices.fetch - self.prices.memory * unused
+        for balance in self._balances(load.function, load.zone):
+            balance.record(now, end, seconds, unused)
+        if self.on_end is not None:
+            self.on_end(now, load, end, seconds, unused)
         return end
-
-    def lines(self):
-        """A table for people: whole, halls, then the functions with the worst balances."""
-        rows = [("all", self.whole)] + sorted(self.halls.items())
-        rows += sorted(self.functions.items(), key=lambda p: p[1].seconds)[:10]
-        for name, balance in rows:
-            ends = ", ".join(f"{end} {balance.ends[end]}" for end in ENDS if balance.ends[end])
-            yield (
-                f"{name}: {balance.seconds:+.1f} s, {'held back' if balance.held else 'goes on'}; "
-                f"{ends or 'nothing yet'}"
-            )
--- a/petrelwood/decide/forecasting/planner.py
+++ b/petrelwood/decide/forecasting/planner.py
@@ -1,84 +1,119 @@
-"""Which copies to load ahead, where and when: what is expected to be saved, against what it costs.
+"""Which copies to load early, and until when they are of use: expected savings against costs.
 
-A wish is worth the cold waits it should save (calls that would come before the copy that demand loads stands,
-times the load's time, times how sure it is that any comes), less the fetch, the memory it holds idle, and
-what it pushes out. Wishes are made in the order of worth for each byte until room, ration and the store's
-present pace are used up: greedy, which is within one wish of the best for a knapsack whose items are small
-against it, and never exceeds a bound (both are tested).
+An early load saves the cold waits of the calls that would come before demand's own load is over. It costs
+the fetch, and the memory that the copy takes while it is idle. Loads are planned in the order of savings for
+each byte until memory, load orders or the store's free capacity are used up: greedy, which is within one load
+of the best for a knapsack whose items are small against it, and never exceeds a limit (both are tested).
 
-Only a first copy is wished, where none is known to stand: further ones are demand's, which knows what it
-needs. Guessed ones went to workers that nobody asked after, and cost most of the fetches that many
-dispatchers spent for nothing.
+Only a first copy is planned, where none is known. Further ones are demand's, which knows what it needs:
+guessed ones went to workers that no call was sent to, and were most of the useless fetches of many
+dispatchers.
 
-Hundreds of dispatchers plan alone. Each wants its own part: it draws for each copy with the chance of one in
-as many as there are, so that about one of them wishes it; since all name the same workers in a function's
-hash order, two that draw the same copy find it standing, which costs an order and no load. The planner only
-wishes; the module's guard decides."""
+Hundreds of dispatchers plan alone. For each copy each one draws with the chance of one in as many as there
+are, so that about one of them plans it. All choose workers in a function's hash order, so two that draw the
+same copy find it loaded, which costs an order and no load. The planner proposes; the scheduler decides.
+"""
 
+from collections.abc import Callable, Mapping
 from typing import NamedTuple
 
-from petrelwood.decide.forecasting.forecast import at_least_one
+from petrelwood.decide.forecasting.distribution import at_least_one
+
+SECOND = 1_000_000_000
+GIGABYTE = 1_000_000_000
+MOST_LOADS = 64  # of one plan
 
 
 class FreeCapacity(NamedTuple):
-    """What may be used now. Bytes, ns, and shares."""
+    """What early loads may use now."""
 
-    memory: int  # free for idle copies, over the workers
-    orders: float  # of the ration, what early loads may use
-    store: float  # of the store's pace that is free, 0 to 1
+    memory: int  # bytes, over the workers
+    orders: float  # load orders, of their rate limit
+    store: float  # the share of the store's pace that is free, 0 to 1
 
 
 class Model(NamedTuple):
+    """The model of a function, as far as it is known."""
+
     size: int  # bytes of a copy
-    load: int  # ns of a load
+    load_time: int  # ns
     work: int  # ns of one call
-    copies: int  # that are known to stand
+    copies: int  # that are known to be loaded
 
 
 class PlannedLoad(NamedTuple):
+    """A first copy of a function that should be loaded early."""
+
     function: str
-    worth: float  # seconds of cold wait that it should save, net
-    until: int  # when it is of no use any more
+    savings: float  # seconds of cold wait that it should save, less its costs
+    expires_at: int  # ns; from then on it is of no use
 
 
 class Prices(NamedTuple):
-    """Seconds of cold wait that each is worth: a fetch, and a gigabyte held idle for a second."""
+    """What is spent, in seconds of cold wait."""
+
+    fetch: float  # a fetch from the store
+    memory: float  # a gigabyte that is idle for a second
+
+
+class PlanTerms(NamedTuple):
+    """What all plans of a dispatcher have in common."""
+
+    slot: int  # ns that a plan looks ahead
+    keep: int  # ns that an idle copy stays loaded at least
+    prices: Prices
+    dispatchers: int  # that plan side by side
+    most: int = MOST_LOADS  # early loads of one plan
 
-    fetch: float
-    memory: float
 
+def expected_savings(mean: float, spread: float, model: Model, terms: PlanTerms) -> float:
+    """Return the seconds of cold wait that a first copy should save, less its costs.
 
-def worth(mean, spread, model, slot, keep, prices):
-    """Seconds that the first copy saves, net of its costs; what follows saves less."""
+    `mean` and `spread` are those of the calls in the next slot.
+    """
     chance = at_least_one(mean, spread)
-    pace = mean / slot  # calls a ns
-    # those that come while demand's own load is under way wait too
-    waiting = 1 + pace * model.load / 2
-    saved = chance * waiting * model.load / 1e9
-    idle = min(keep, slot) / 1e9 * (1 - min(1.0, mean * model.work / slot))
-    return saved - prices.fetch - prices.memory * idle * model.size / 1e9
-
-
-def plan(now, functions, forecast, room, slot, keep, prices, dispatchers, chance, most=64):
-    """The wishes of this turn, best first. `functions`: name -> `Model`; `forecast(name)` -> (mean, spread)
-    of calls of
-    all dispatchers together in the next slot; `chance` draws in [0, 1)."""
-    found = []
-    for name in sorted(functions):
-        model = functions[name]
+    pace = mean / terms.slot  # calls a ns
+    # the calls that come while demand's own load is under way wait too
+    waiting = 1 + pace * model.load_time / 2
+    saved = chance * waiting * model.load_time / SECOND
+    idle = min(terms.keep, terms.slot) / SECOND * (1 - min(1.0, mean * model.work / terms.slot))
+    return saved - terms.prices.fetch - terms.prices.memory * idle * model.size / GIGABYTE
+
+
+def plan(
+    now: int,
+    models: Mapping[str, Model],
+    forecast: Callable[[str], tuple[float, float]],
+    capacity: FreeCapacity,
+    terms: PlanTerms,
+    chance: Callable[[], float],
+) -> list[PlannedLoad]:
+    """Return the early loads of the next slot, best first.
+
+    `models` has the functions by name; `forecast` returns the mean and the spread of the calls of one in the
+    next slot, at all dispatchers together; `chance` is drawn in [0, 1).
+    """
+    candidates = []
+    for name in sorted(models):
+        model = models[name]
         mean, spread = forecast(name)
         if model.copies or mean <= 0:
             continue
-        each = worth(mean, spread, model, slot, keep, prices)
-        if each > 0 and chance() * dispatchers < 1:
-            found.append((each / model.size, each, name, model))
-    found.sort(key=lambda f: (-f[0], f[2]))
-    wishes, memory, orders, pace = [], room.memory, room.orders, room.store
-    for _, value, name, model in found:
-        if len(wishes) >= most or orders < 1 or pace <= 0:
+        savings = expected_savings(mean, spread, model, terms)
+        if savings > 0 and chance() * terms.dispatchers < 1:
+            candidates.append((savings / model.size, savings, name))
+    candidates.sort(key=lambda candidate: (-candidate[0], candidate[2]))
+    loads: list[PlannedLoad] = []
+    memory, orders = capacity.memory, capacity.orders
+    store = capacity.store
+    for _, savings, name in candidates:
+        if len(loads) >= terms.most or orders < 1 or store <= 0:
             break
-        if model.size > memory:
+        size = models[name].size
+        if size > memory:
             continue
-        memory, orders, pace = memory - model.size, orders - 1, pace - 1 / most
-        wishes.append(PlannedLoad(name, value, now + keep))
-    return wishes
+        memory -= size
+        orders -= 1
+        store -= 1 / terms.most
+        loads.append(PlannedLoad(name, savings, now + terms.keep))
+    return loads
--- a/petrelwood/dispatch/forecast_storage.py
+++ b/petrelwood/dispatch/forecast_storage.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Iterator
 
-from petrelwood.decide.forecasting.account import EarlyLoad
+from petrelwood.decide.forecasting.account import EarlyLoad, LoadEnd
 from petrelwood.dispatch.interfaces import Clock, Logger
 from petrelwood.dispatch.load_forecasts import LoadForecasts
 from petrelwood.store import snapshot
@@ -38,7 +38,7 @@
         self.next_snapshot = clock.now() + SLOTS_PER_SNAPSHOT * forecasts.slot
         self.unsaved: Iterator[object] | None = None  # what is not in the snapshot yet that is being made
         self.parts: list[object] = []
-        self.early.account.told = self._record_end
+        self.early.account.on_end = self._record_end
         self._load()
 
     def _load(self) -> None:
@@ -51,16 +51,16 @@
             functions = self.early.forecast.restore(found[1])
             self.log.info("forecast snapshot loaded", functions=functions)
 
-    def _record_end(self, now: int, load: EarlyLoad, end: str, seconds: float, memory: float) -> None:
+    def _record_end(self, now: int, load: EarlyLoad, end: LoadEnd, seconds: float, memory: float) -> None:
         """An early load has ended. The account has wall-clock times."""
         offset = self.clock.steady_wall() - now
         self.account.record(
             EarlyLoadEnd(
-                load.asked + offset,
-                load.stood and load.stood + offset,
+                load.ordered_at + offset,
+                load.loaded_at and load.loaded_at + offset,
                 now + offset,
                 load.function,
-                load.hall,
+                load.zone,
                 load.worker,
                 end,
                 round(seconds, 6),
--- a/petrelwood/dispatch/load_forecasts.py
+++ b/petrelwood/dispatch/load_forecasts.py
@@ -1,13 +1,12 @@
 """Loads functions ahead of the calls that are forecast, and learns the forecasts from those that came."""
 
-from collections.abc import Callable
 from random import Random
 from typing import TYPE_CHECKING
 
 from petrelwood import ports
-from petrelwood.decide.forecasting.forecast import Calendar
+from petrelwood.decide.forecasting.early_loads import EarlyLoads, EarlyLoadTerms, LoadOrder
 from petrelwood.decide.forecasting.planner import Prices
-from petrelwood.decide.forecasting.prefetch import EarlyLoads
+from petrelwood.decide.forecasting.slot_calendar import Calendar
 from petrelwood.dispatch.interfaces import Clock, Rule
 
 if TYPE_CHECKING:
@@ -15,9 +14,6 @@
 
 UNLIMITED_ORDERS = 1e9  # of one slot, where load orders have no ration
 
-Wish = Callable[[str, int, int], str | None]
-"""Asks the module for a load of (function, lanes, load time); the worker that it chose, or None."""
-
 
 class LoadForecasts:
     """The forecasts of one dispatcher.
@@ -32,46 +28,45 @@
         clock: Clock,
         chance: Random,
         *,
-        wish: Wish,
+        wish: LoadOrder,
         sliced: bool,
     ) -> None:
         self.slot = forecast_terms.slot
         self.clock = clock
         orders = terms.orders
         self.orders_per_slot = orders.free if orders.period else UNLIMITED_ORDERS
-        self.early = EarlyLoads(
+        early_terms = EarlyLoadTerms(
             Calendar(forecast_terms.slot, forecast_terms.season, forecast_terms.week, forecast_terms.events),
             Prices(forecast_terms.fetch, forecast_terms.memory_price),
             orders.keep,
             terms.dispatchers,
-            chance.random,
-            wish,
             terms.zone,
             forecast_terms.size,
             forecast_terms.memory,
             sliced=sliced,
         )
+        self.early = EarlyLoads(early_terms, chance.random, wish)
 
     def plan_slot(self) -> None:
         """Orders the loads that pay off in the next slot."""
-        self.early.turn(self.clock.now(), self.clock.steady_wall(), self.orders_per_slot)
+        self.early.plan_slot(self.clock.now(), self.clock.steady_wall(), self.orders_per_slot)
 
     def activation_admitted(self, now: int, function: str, rule: Rule, type_: str) -> None:
         """A call has come."""
-        self.early.called(now, self.clock.steady_wall(), function, rule.lanes, rule.load_time, type_)
+        self.early.call_arrived(self.clock.steady_wall(), function, rule.lanes, rule.load_time, type_)
 
     def send_completed(self, now: int, function: str, worker: str, warm: bool, took: int) -> None:
         """A send has completed `took` ns after it was made; `warm`: it found a copy."""
-        self.early.ran(now, function, worker, warm, took, 0 if warm else took)
+        self.early.call_completed(now, function, worker, warm, took, 0 if warm else took)
 
     def copy_missing(self, now: int, function: str, worker: str) -> None:
         """A send was not run, as the worker had no copy of the function."""
-        self.early.missed(now, function, worker)
+        self.early.copy_missing(now, function, worker)
 
     def order_ended(self, now: int, function: str, worker: str, completed: bool) -> None:
         """A load order has ended."""
-        self.early.stands(now, function, worker, completed)
+        self.early.load_ended(now, function, worker, completed)
 
     def learn(self, functions: int) -> bool:
         """Learns the forecasts of so many functions; whether some are left."""
-        return bool(self.early.forecast.work(functions))
+        return self.early.forecast.learn(functions)
--- a/petrelwood/emulate/foresight.py
+++ b/petrelwood/emulate/foresight.py
@@ -6,7 +6,7 @@
 
 import collections
 
-from petrelwood.decide.forecasting.prefetch import ModelEstimate
+from petrelwood.decide.forecasting.early_loads import ModelEstimate
 
 CERTAIN = 1.0  # the spread of a forecast that can't be wrong beyond chance
 
@@ -35,7 +35,7 @@
         if core.forecasts is None:
             return
         early = core.forecasts.early
-        early.expected = self.ahead
+        early.expected_calls = self.ahead
         for function, kind in self.types.items():
             rule = core.rule(function)
-            early.known[function] = ModelEstimate(rule.lanes, rule.load_time, kind)
+            early.models[function] = ModelEstimate(rule.lanes, rule.load_time, kind)
--- a/petrelwood/emulate/platform.py
+++ b/petrelwood/emulate/platform.py
@@ -306,12 +306,20 @@
 
     def _account_of(self, core):
         if core.forecasts is not None:
-            core.forecasts.early.account.told = self._early_ended
+            core.forecasts.early.account.on_end = self._early_ended
 
     def _early_ended(self, now, load, end, seconds, memory):
         self.ends.record(
             EarlyLoadEnd(
-                load.asked, load.stood, now, load.function, load.hall, load.worker, end, seconds, memory
+                load.ordered_at,
+                load.loaded_at,
+                now,
+                load.function,
+                load.zone,
+                load.worker,
+                end,
+                seconds,
+                memory,
             )
         )
 
--- a/petrelwood/emulate/result.py
+++ b/petrelwood/emulate/result.py
@@ -4,7 +4,7 @@
 import collections
 from dataclasses import asdict
 
-from petrelwood.decide.forecasting import account
+from petrelwood.decide.forecasting.account import LoadEnd
 
 SECOND = 1_000_000_000
 LATE, OVER = 0.3, 0.1  # utility of an answer after its target latency, and of what lies beyond a share
@@ -94,11 +94,11 @@
         "events": platform.events,
     }
     early = [c.forecasts.early for c in cores if c.forecasts is not None]
-    figures["early loads"] = sum(e.made for e in early)
-    figures["early refused"] = sum(e.refused for e in early)
-    for end in account.ENDS:
-        figures[f"early {end}"] = sum(e.account.whole.ends[end] for e in early)
-    figures["early balance s"] = sum(e.account.whole.seconds for e in early)
+    figures["early loads"] = sum(e.ordered for e in early)
+    figures["early refused"] = sum(e.rejected for e in early)
+    for end in LoadEnd:
+        figures[f"early {end}"] = sum(e.account.total.ends[end] for e in early)
+    figures["early balance s"] = sum(e.account.total.seconds for e in early)
     seen = [c["fetched"] for c in platform.time_course if "fetched" in c]
     figures["fetched in the busiest 5 s"] = max(
         (b - a for a, b in zip([0] * 5 + seen, seen, strict=False)), default=0
--- a/petrelwood/lab/past.py
+++ b/petrelwood/lab/past.py
@@ -4,7 +4,10 @@
 
 import numpy
 
-from petrelwood.decide.forecasting import account, forecast
+from petrelwood.decide.forecasting import distribution
+from petrelwood.decide.forecasting.account import LoadEnd
+from petrelwood.decide.forecasting.series import Series
+from petrelwood.decide.forecasting.slot_calendar import Calendar
 from petrelwood.store import early_load_log, history_files
 
 SECOND = 10**9
@@ -27,11 +30,11 @@
 def _replay(row, first, calendar):
     """Each slot's forecasts by method and the believed one, before it is learnt: [(count, {method: (mean,
     spread)})]"""
-    series, steps = forecast.Series(), []
+    series, steps = Series(), []
     for number, count in enumerate(row.tolist()):
         keys = calendar.keys((first + number) * calendar.slot)
         made = {m: (mean, series.spreads[m]) for m, mean in series.means(keys).items() if mean is not None}
-        mean, spread, _ = series.forecast(keys)
+        mean, spread, _ = series.predict(keys)
         if mean is not None:
             made["believed"] = (mean, spread)
         steps.append((count, made))
@@ -44,17 +47,17 @@
     names, matrix, first = counts(folder, slot)
     if matrix.shape[1] < 3:
         return None
-    calendar = forecast.Calendar(slot, season, 7 * season)
+    calendar = Calendar(slot, season, 7 * season)
     sums, believed, scored = collections.defaultdict(lambda: [0.0, 0]), collections.Counter(), 0
     for index in numpy.argsort(-matrix.sum(axis=1))[:most]:
         series, steps = _replay(matrix[index], first, calendar)
-        believed[series.believed] += 1
+        believed[series.selected] += 1
         for count, made in steps[2 * len(steps) // 3 :]:
             if {"seasonal", "recent", "both", "believed"} - set(made):
                 continue
             scored += 1
             for method, (mean, spread) in made.items():
-                sums[method][0] += forecast.score(mean, spread, count)
+                sums[method][0] += distribution.ranked_probability_score(mean, spread, count)
                 sums[method][1] += 1
     return {
         "scores": {m: s / n for m, (s, n) in sorted(sums.items())},
@@ -68,25 +71,27 @@
     names, matrix, first = counts(folder, slot)
     if function not in names:
         raise KeyError(function)
-    calendar = forecast.Calendar(slot, season, 7 * season)
+    calendar = Calendar(slot, season, 7 * season)
     row = matrix[names.index(function)]
     series, steps = _replay(row, first, calendar)
     at = (first + len(row)) * slot
-    mean, spread, _ = series.forecast(calendar.keys(at))
+    mean, spread, _ = series.predict(calendar.keys(at))
     yield f"{function}: {row.sum()} calls in {len(row)} slots of {slot / SECOND:g} s"
     for method, value in series.means(calendar.keys(at)).items():
         score = series.scores[method]
         yield (
             f"  {method:9s} expects {'nothing yet' if value is None else f'{value:.2f}'} in the next slot"
             + (f", mean score {score:.3f}" if score is not None else "")
-            + (", believed" if method == series.believed else "")
+            + (", believed" if method == series.selected else "")
         )
     if mean is not None:
-        below = forecast.probabilities(mean, spread, int(mean + 6 * (mean * spread) ** 0.5) + 2)
+        below = distribution.cumulative_probabilities(
+            mean, spread, int(mean + 6 * (mean * spread) ** 0.5) + 2
+        )
         low, high = (next((k for k, p in enumerate(below) if p >= part), len(below)) for part in (0.1, 0.9))
         yield (
             f"  next: {mean:.2f} calls, {low} to {high} in eight of ten; a call at all: "
-            f"{forecast.at_least_one(mean, spread):.0%}" + ("; it is hot" if series.hot else "")
+            f"{distribution.at_least_one(mean, spread):.0%}" + ("; it is hot" if series.hot else "")
         )
     if chart:
         _draw(function, steps, slot, chart)
@@ -119,11 +124,11 @@
 
 
 COLORS = {
-    account.IN_TIME: "#3a7d44",
-    account.LATE: "#b5c99a",
-    account.NEVER: "#e9c46a",
-    account.PUSHED: "#9c89b8",
-    account.FAILED: "#e76f51",
+    LoadEnd.USED_IN_TIME: "#3a7d44",
+    LoadEnd.USED_LATE: "#b5c99a",
+    LoadEnd.NEVER_USED: "#e9c46a",
+    LoadEnd.EVICTED_ANOTHER: "#9c89b8",
+    LoadEnd.FAILED: "#e76f51",
 }
 
 
@@ -151,7 +156,7 @@
     return (
         f"{name:24s} {len(rows):6d} {saved:9.1f} {spent:9.1f} {saved - spent:+9.1f} "
         f"{sum(r.memory for r in rows):8.1f}  "
-        + ", ".join(f"{end} {seen[end]}" for end in account.ENDS if seen[end])
+        + ", ".join(f"{end} {seen[end]}" for end in LoadEnd if seen[end])
     )
 
 
--- a/petrelwood/store/early_load_log.py
+++ b/petrelwood/store/early_load_log.py
@@ -37,7 +37,7 @@
     function: str
     hall: str
     worker: str
-    end: str  # of `decide.forecasting.account`
+    end: str  # of `decide.forecasting.account.LoadEnd`
     seconds: float  # what it saved less its costs
     memory: float  # the gigabyte-seconds for which it stood
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -37,7 +37,8 @@
     IncarnationStarted,
     LoadOrdered,
 )
-from petrelwood.decide.forecasting.forecast import Calendar, Forecast
+from petrelwood.decide.forecasting.forecast import Forecast
+from petrelwood.decide.forecasting.slot_calendar import Calendar
 from petrelwood.decide.wall_clock import FOLLOWED, UnsteppedWallClock
 from petrelwood.dispatch.load_forecasts import LoadForecasts
 from petrelwood.dispatch.rollout import VersionRollout, VersionSource
@@ -534,8 +535,8 @@
             ended = 0
             for second in range(100):
                 wall = WALL + second * S + (step if second >= 45 else 0)
-                ended += forecast.called(unstepped.read(second * S, wall), "f")
-            self.assertEqual((ended, forecast.broken), (9, 0), step)
+                ended += forecast.record_call(unstepped.read(second * S, wall), "f")
+            self.assertEqual((ended, forecast.discarded_slots), (9, 0), step)
 
     def test_the_core_asks_them_so(self):
         platform = Platform(stepped_day()._replace(early=True), 1)
@@ -547,7 +548,7 @@
         )
         with mock.patch.object(core.forecasts, "early") as early:
             core._plan_loads()
-            self.assertEqual(early.turn.call_args.args[1], clocks.WALL)
+            self.assertEqual(early.plan_slot.call_args.args[1], clocks.WALL)
 
 
 def stepped_day(step=0, share="one", moment="under load"):
--- a/tests/test_early.py
+++ b/tests/test_early.py
@@ -49,7 +49,7 @@
         await self.begin_early(Worker("w1"), Worker("w2"))
         await self.call(1.0)
         early = self.core.forecasts.early
-        await self.until(lambda: early.made >= 1)
+        await self.until(lambda: early.ordered >= 1)
         self.assertTrue([h for w in self.workers for h in w.holds if h[0] == "again-1"])
         self.assertEqual(early.plans > 3, True)
 
@@ -96,7 +96,7 @@
                 Worker("w1"), Worker("w2"), more=f'history {{{{ folder "{folder}/h" }}}}\n'
             )
             await self.call(1.0)
-            await self.until(lambda: self.core.forecasts.early.made >= 1)
+            await self.until(lambda: self.core.forecasts.early.ordered >= 1)
             known = sorted(self.core.forecasts.early.forecast.series)
             await self.core.close()
             self.assertEqual(known, ["again-1"])
@@ -132,8 +132,8 @@
         await self.until(
             lambda: (
                 forecast.series.get("again-7") is not None
-                and forecast.ahead(self.core.clock.wall(), "again-7")[0]
-                > 4 * forecast.ahead(self.core.clock.wall(), "again-1")[0]
+                and forecast.predict(self.core.clock.wall(), "again-7")[0]
+                > 4 * forecast.predict(self.core.clock.wall(), "again-1")[0]
             )
         )
         turns = self.core.forecasts.early.plans
@@ -152,7 +152,7 @@
                 platform.clock.at(
                     draining,
                     lambda cores=platform.cores: seen.setdefault(
-                        "made", sum(c.forecasts.early.made for c in cores.values())
+                        "made", sum(c.forecasts.early.ordered for c in cores.values())
                     ),
                 )
             platform.run()
--- a/tests/test_finished.py
+++ b/tests/test_finished.py
@@ -17,6 +17,7 @@
     "petrelwood/control",
     "petrelwood/decide/cluster",
     "petrelwood/decide/delivery",
+    "petrelwood/decide/forecasting",
     "petrelwood/decide/overload",
     "petrelwood/decide/overload/admission.py",
     "petrelwood/decide/overload/backoff.py",
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -8,13 +8,15 @@
 
 from kept import compare
 
-from petrelwood.decide.forecasting import forecast, planner
-from petrelwood.decide.forecasting.account import IN_TIME, Account
-from petrelwood.decide.forecasting.prefetch import EarlyLoads
+from petrelwood.decide.forecasting import distribution, forecast, planner
+from petrelwood.decide.forecasting.account import Account, LoadEnd
+from petrelwood.decide.forecasting.early_loads import EarlyLoads, EarlyLoadTerms
+from petrelwood.decide.forecasting.series import Series
+from petrelwood.decide.forecasting.slot_calendar import Calendar
 
 S = 10**9
 SLOT, DAY = 600 * S, 86_400 * S
-CALENDAR = forecast.Calendar(SLOT, DAY, 7 * DAY)
+CALENDAR = Calendar(SLOT, DAY, 7 * DAY)
 
 
 def poisson(chance, mean):
@@ -37,39 +39,52 @@
         chance = random.Random(2)
         counts = [poisson(chance, 6.0) for _ in range(4000)]
         found = {
-            mean: sum(forecast.score(mean, 1.0001, c) for c in counts) for mean in (3.0, 5.0, 6.0, 7.0, 10.0)
+            mean: sum(distribution.ranked_probability_score(mean, 1.0001, c) for c in counts)
+            for mean in (3.0, 5.0, 6.0, 7.0, 10.0)
         }
         self.assertEqual(min(found, key=found.get), 6.0)
-        spread = {s: sum(forecast.score(6.0, s, c) for c in counts) for s in (1.0001, 2.0, 5.0)}
+        spread = {
+            s: sum(distribution.ranked_probability_score(6.0, s, c) for c in counts)
+            for s in (1.0001, 2.0, 5.0)
+        }
         self.assertEqual(min(spread, key=spread.get), 1.0001)
 
     def test_the_normals_form_meets_the_sum(self):
-        self.assertLess(abs(forecast.score(390, 2.0, 380) / forecast.score(410, 2.0, 400) - 1), 0.05)
+        self.assertLess(
+            abs(
+                distribution.ranked_probability_score(390, 2.0, 380)
+                / distribution.ranked_probability_score(410, 2.0, 400)
+                - 1
+            ),
+            0.05,
+        )
 
     def test_probabilities_sum_up(self):
-        self.assertLess(abs(forecast.probabilities(5.0, 3.0, 200)[-1] - 1), 1e-9)
-        self.assertLess(abs(forecast.at_least_one(0.5, 1.0001) - (1 - math.exp(-0.5))), 1e-3)
+        self.assertLess(abs(distribution.cumulative_probabilities(5.0, 3.0, 200)[-1] - 1), 1e-9)
+        self.assertLess(abs(distribution.at_least_one(0.5, 1.0001) - (1 - math.exp(-0.5))), 1e-3)
 
 
 class BackTest(unittest.TestCase):
     def play(self, pace, days, chance):
         """(scores of the believed, of the plain method) over the last third, and the series."""
-        series, mine, plain = forecast.Series(), [], []
+        series, mine, plain = Series(), [], []
         for slot in range(days * 144):
             at = slot * SLOT
             keys, count = CALENDAR.keys(at), poisson(chance, pace(at))
             if slot > days * 96:
-                mean, spread, _ = series.forecast(keys)
-                mine.append(forecast.score(mean, spread, count))
+                mean, spread, _ = series.predict(keys)
+                mine.append(distribution.ranked_probability_score(mean, spread, count))
                 plain.append(
-                    forecast.score(series.means(keys)["seasonal"], series.spreads["seasonal"], count)
+                    distribution.ranked_probability_score(
+                        series.means(keys)["seasonal"], series.spreads["seasonal"], count
+                    )
                 )
             series.learn(keys, count)
         return sum(mine) / len(mine), sum(plain) / len(plain), series
 
     def test_the_plain_method_stays_where_nothing_pays(self):
         mine, plain, series = self.play(busy, 21, random.Random(1))
-        self.assertEqual(series.believed, "seasonal")
+        self.assertEqual(series.selected, "seasonal")
         self.assertLess(abs(mine / plain - 1), 1e-9)
 
     def test_another_is_believed_where_it_pays(self):
@@ -77,7 +92,7 @@
             return busy(at) * 1.12 ** (at // DAY)
 
         mine, plain, series = self.play(doubling, 21, random.Random(1))
-        self.assertNotEqual(series.believed, "seasonal")
+        self.assertNotEqual(series.selected, "seasonal")
         self.assertLess(mine, 0.9 * plain)
 
     def test_seasons_beat_the_recent_pace_at_the_edges_of_the_day(self):
@@ -91,52 +106,52 @@
         for slot in range(days * 144):
             for number in range(functions):
                 for _ in range(poisson(chance, busy(slot * SLOT) / (number + 1))):
-                    found.called(slot * SLOT + 1, f"ab{number}")
-            found.passes((slot + 1) * SLOT)
+                    found.record_call(slot * SLOT + 1, f"ab{number}")
+            found.advance((slot + 1) * SLOT)
         return found
 
     def test_what_has_no_history_borrows_from_its_kind(self):
         found, noon = self.learned(), 8 * DAY + 13 * 3600 * S
-        mean, spread = found.ahead(noon, "ab99")
+        mean, spread = found.predict(noon, "ab99")
         self.assertTrue(1 < mean < 12, mean)
-        self.assertEqual(found.ahead(noon, "zz1"), (0.0, 2.0))
+        self.assertEqual(found.predict(noon, "zz1"), (0.0, 2.0))
 
     def test_a_function_that_turns_hot_is_seen_within_a_slot(self):
         found, at = self.learned(), 8 * DAY
         for _ in range(300):
-            found.called(at + 1, "ab4")
-        found.passes(at + SLOT)
-        self.assertGreater(found.ahead(at + SLOT, "ab4")[0], 200)
+            found.record_call(at + 1, "ab4")
+        found.advance(at + SLOT)
+        self.assertGreater(found.predict(at + SLOT, "ab4")[0], 200)
         for slot in range(1, 8):
-            found.passes(at + (slot + 1) * SLOT)
-        self.assertLess(found.ahead(at + 9 * SLOT, "ab4")[0], 5)
+            found.advance(at + (slot + 1) * SLOT)
+        self.assertLess(found.predict(at + 9 * SLOT, "ab4")[0], 5)
 
     def test_a_known_date_counts_and_one_that_does_not_come_is_forgotten(self):
         noon = 8 * DAY + 13 * 3600 * S
-        calendar = forecast.Calendar(SLOT, DAY, 7 * DAY, [(noon, noon + SLOT, 5.0, "ab")])
+        calendar = Calendar(SLOT, DAY, 7 * DAY, [(noon, noon + SLOT, 5.0, "ab")])
         found, plain = self.learned(calendar=calendar), self.learned()
-        self.assertAlmostEqual(found.ahead(noon, "ab0")[0] / plain.ahead(noon, "ab0")[0], 5.0)
-        self.assertEqual(found.ahead(noon + SLOT, "ab0")[0], plain.ahead(noon + SLOT, "ab0")[0])
+        self.assertAlmostEqual(found.predict(noon, "ab0")[0] / plain.predict(noon, "ab0")[0], 5.0)
+        self.assertEqual(found.predict(noon + SLOT, "ab0")[0], plain.predict(noon + SLOT, "ab0")[0])
 
     def test_gaps_steps_and_a_doubled_day(self):
         found, at = self.learned(), 8 * DAY
-        before = found.ahead(9 * DAY + 13 * 3600 * S, "ab0")
-        found.called(at, "ab0")
-        found.passes(at - 3 * DAY)  # the clock steps back: that slot is thrown away
-        self.assertEqual((found.broken, found.ahead(9 * DAY + 13 * 3600 * S, "ab0")), (1, before))
-        found.passes(at + 30 * DAY)  # nobody was here for a month
-        self.assertEqual(found.broken, 2)
-        self.assertFalse(found.stale(at + 30 * DAY))
-        self.assertTrue(found.stale(at + 31 * DAY))
+        before = found.predict(9 * DAY + 13 * 3600 * S, "ab0")
+        found.record_call(at, "ab0")
+        found.advance(at - 3 * DAY)  # the clock steps back: that slot is thrown away
+        self.assertEqual((found.discarded_slots, found.predict(9 * DAY + 13 * 3600 * S, "ab0")), (1, before))
+        found.advance(at + 30 * DAY)  # nobody was here for a month
+        self.assertEqual(found.discarded_slots, 2)
+        self.assertFalse(found.is_stale(at + 30 * DAY))
+        self.assertTrue(found.is_stale(at + 31 * DAY))
 
     def test_daylight_saving_costs_two_edges_and_no_more(self):
         """The wall clock of the calls shifts by an hour: within two days the forecast has followed."""
-        chance, series, errors = random.Random(6), forecast.Series(), []
+        chance, series, errors = random.Random(6), Series(), []
         for slot in range(21 * 144):
             at = slot * SLOT
             keys, mean = CALENDAR.keys(at), busy(at + (3600 * S if slot >= 14 * 144 else 0))
             if slot >= 14 * 144:
-                errors.append(abs((series.forecast(keys)[0] or 0) - mean))
+                errors.append(abs((series.predict(keys)[0] or 0) - mean))
             series.learn(keys, poisson(chance, mean))
         days = [sum(errors[i * 144 : (i + 1) * 144]) / 144 for i in range(7)]
         self.assertLess(days[5], days[0])
@@ -147,23 +162,25 @@
         for slot in range(2 * 144):
             for number in range(5):
                 for _ in range(poisson(chance, busy(slot * SLOT) / (number + 1))):
-                    sliced.called(slot * SLOT + 1, f"ab{number}")
-            sliced.passes((slot + 1) * SLOT)
-            while sliced.work(2):
+                    sliced.record_call(slot * SLOT + 1, f"ab{number}")
+            sliced.advance((slot + 1) * SLOT)
+            while sliced.learn(2):
                 pass
         for number in range(5):
-            self.assertEqual(whole.ahead(2 * DAY, f"ab{number}"), sliced.ahead(2 * DAY, f"ab{number}"))
+            self.assertEqual(whole.predict(2 * DAY, f"ab{number}"), sliced.predict(2 * DAY, f"ab{number}"))
         # nobody works: it stays bounded, and says what it gave up
         for slot in range(288, 300):
-            sliced.called(slot * SLOT, "ab0")
-        self.assertEqual((len(sliced.jobs), sliced.broken > 0), (forecast.JOBS, True))
+            sliced.record_call(slot * SLOT, "ab0")
+        self.assertEqual(
+            (len(sliced.ended_slots), sliced.discarded_slots > 0), (forecast.MOST_ENDED_SLOTS, True)
+        )
 
     def test_thousands_of_functions_are_bounded(self):
         found = forecast.Forecast(CALENDAR, lambda f: "", most=50)
         for slot in range(40):
             for number in range(200):
-                found.called(slot * SLOT, f"f{slot}-{number}")
-        found.passes(41 * SLOT)
+                found.record_call(slot * SLOT, f"f{slot}-{number}")
+        found.advance(41 * SLOT)
         self.assertLessEqual(len(found.series), 50)
 
 
@@ -181,10 +198,7 @@
             functions,
             lambda n: (means[n], 1.2),
             planner.FreeCapacity(memory, orders, store),
-            60 * S,
-            60 * S,
-            PRICES,
-            dispatchers,
+            planner.PlanTerms(60 * S, 60 * S, PRICES, dispatchers),
             chance or (lambda: 0.0),
         )
 
@@ -197,7 +211,7 @@
         }
         found = self.plan(functions, {"often": 30, "never": 0.0, "stands": 30, "once": 0.3})
         self.assertEqual({w.function for w in found}, {"often"})
-        self.assertTrue(all(w.worth > 0 for w in found))
+        self.assertTrue(all(w.savings > 0 for w in found))
 
     def test_room_ration_and_store_bound_it(self):
         functions = {f"f{i}": model() for i in range(20)}
@@ -217,10 +231,9 @@
             memory = chance.randrange(8, 25) * 10**8
             found = self.plan(functions, means, memory=memory)
             self.assertLessEqual(sum(functions[w.function].size for w in found), memory)
-            worths = {
-                n: planner.worth(means[n], 1.2, m, 60 * S, 60 * S, PRICES) for n, m in functions.items()
-            }
-            once = {w.function: w.worth for w in found}
+            terms = planner.PlanTerms(60 * S, 60 * S, PRICES, 1)
+            worths = {n: planner.expected_savings(means[n], 1.2, m, terms) for n, m in functions.items()}
+            once = {w.function: w.savings for w in found}
             best = max(
                 (
                     sum(max(0, worths[n]) for n in some)
@@ -251,22 +264,24 @@
         account, lines = Account(PRICES, 60 * S, lambda: 0.5), []
 
         def say(text, end=None):
-            lines.append(f"{text}: {end or '-'}; {account.whole.seconds:+.2f} s, open {len(account.open)}")
+            lines.append(
+                f"{text}: {end or '-'}; {account.total.seconds:+.2f} s, open {len(account.open_loads)}"
+            )
 
         for name in "abcdef":
-            account.ordered(0, name, "n", "w1", 60 * S, 10**9, 2 * S)
-        account.stands(S, "a", "w1", True)
-        say("a called warm at 5 s", account.called(5 * S, "a", "w1", True))
-        say("b called while it loads", account.called(S, "b", "w1", False))
-        account.stands(S, "c", "w1", False)
+            account.record_order(0, name, "n", "w1", 60 * S, 10**9, 2 * S)
+        account.load_ended(S, "a", "w1", True)
+        say("a called warm at 5 s", account.call_completed(5 * S, "a", "w1", True))
+        say("b called while it loads", account.call_completed(S, "b", "w1", False))
+        account.load_ended(S, "c", "w1", False)
         say("c failed")
-        account.stands(S, "d", "w1", True, pushed="z")
-        account.pushed_out(9 * S, "z")
+        account.load_ended(S, "d", "w1", True, evicted="z")
+        account.copy_missing(9 * S, "z")
         say("z missed what d pushed out")
-        account.stands(S, "e", "w1", True)
-        account.sweep(60 * S)
+        account.load_ended(S, "e", "w1", True)
+        account.expire(60 * S)
         say("e and f lapse")
-        account.stopped(61 * S, "g", "n")
+        account.record_stopped("g", "n")
         say("g was stopped")
         compare(self, "account", lines + list(account.lines()))
 
@@ -274,10 +289,10 @@
         account, tried = Account(planner.Prices(1.0, 0.0), 60 * S, lambda: 0.99), []
         for minute in range(600):
             now = minute * 60 * S
-            if account.may(now, "f", "n"):
+            if account.may_load(now, "f", "n"):
                 tried.append(minute)
-                account.ordered(now, "f", "n", "w", now + 30 * S, 1, S)
-                account.sweep(now + 31 * S)
+                account.record_order(now, "f", "n", "w", now + 30 * S, 1, S)
+                account.expire(now + 31 * S)
         gaps = [b - a for a, b in itertools.pairwise(tried)]
         self.assertLess(len(tried), 40)
         self.assertGreater(max(gaps), 4 * min(gaps))
@@ -286,31 +301,24 @@
         account = Account(PRICES, 60 * S, lambda: 0.5)
         for turn in range(100):
             now = turn * 60 * S
-            self.assertTrue(account.may(now, "f", "n"))
-            account.ordered(now, "f", "n", "w", now + 60 * S, 1, 2 * S)
-            account.stands(now + S, "f", "w", True)
-            self.assertEqual(account.called(now + 5 * S, "f", "w", True), IN_TIME)
+            self.assertTrue(account.may_load(now, "f", "n"))
+            account.record_order(now, "f", "n", "w", now + 60 * S, 1, 2 * S)
+            account.load_ended(now + S, "f", "w", True)
+            self.assertEqual(account.call_completed(now + 5 * S, "f", "w", True), LoadEnd.USED_IN_TIME)
 
 
 class Early(unittest.TestCase):
     def made(self, wish, dispatchers=1):
-        return EarlyLoads(
-            forecast.Calendar(10 * S, 3600 * S, 0),
-            PRICES,
-            60 * S,
-            dispatchers,
-            random.Random(1).random,
-            wish,
-            "n",
-        )
+        terms = EarlyLoadTerms(Calendar(10 * S, 3600 * S, 0), PRICES, 60 * S, dispatchers, "n")
+        return EarlyLoads(terms, random.Random(1).random, wish)
 
     def play(self, early, slots, functions=("a", "b")):
         for slot in range(slots):
             now = slot * 10 * S
             for name in functions:
                 for _ in range(3):
-                    early.called(now + S, now + S, name, 1, S, "t")
-                early.ran(now + 2 * S, name, "w0", True, S // 5, 0)
+                    early.call_arrived(now + S, name, 1, S, "t")
+                early.call_completed(now + 2 * S, name, "w0", True, S // 5, 0)
             yield now + 9 * S
 
     def test_it_wishes_what_is_called_and_takes_a_refusal(self):
@@ -319,33 +327,33 @@
             lambda fn, lanes, load: wished.append(fn) or (f"w{len(wished)}" if len(wished) % 2 else None)
         )
         for now in self.play(early, 30):
-            early.known["a"].copies.clear()
-            early.turn(now, now, 10)
+            early.models["a"].copies.clear()
+            early.plan_slot(now, now, 10)
         self.assertEqual(set(wished), {"a"})
-        self.assertEqual(early.made + early.refused, len(wished))
+        self.assertEqual(early.ordered + early.rejected, len(wished))
 
     def test_stale_absurd_or_missing_forecasts_wish_nothing(self):
         wished = []
         early = self.made(lambda fn, lanes, load: wished.append(fn))
-        self.assertEqual(early.turn(S, S, 10), 0)
+        self.assertEqual(early.plan_slot(S, S, 10), 0)
         now = list(self.play(early, 30))[-1]
-        early.known["a"].copies.clear()
-        self.assertEqual(early.turn(now + 3600 * S, now + 3600 * S, 10), 0)
+        early.models["a"].copies.clear()
+        self.assertEqual(early.plan_slot(now + 3600 * S, now + 3600 * S, 10), 0)
         early.forecast.calendar.events = [(0, 1 << 62, 10_000.0, "")]
         early.forecast.slot = (now + 3600 * S) // (10 * S)
-        early.turn(now + 3600 * S, now + 3600 * S, 10)
+        early.plan_slot(now + 3600 * S, now + 3600 * S, 10)
         self.assertEqual(wished, [])
 
     def test_a_store_that_fails_stops_early_loads_before_it_is_pushed_over(self):
         wished = []
         early = self.made(lambda fn, lanes, load: wished.append(fn) or f"w{len(wished)}")
         for now in self.play(early, 40):
-            early.known["a"].copies.clear()
-            early.turn(now, now, 10)
+            early.models["a"].copies.clear()
+            early.plan_slot(now, now, 10)
             if now > 150 * S:
                 for _ in range(5):
-                    early.stands(now, "b", "w9", False)
+                    early.load_ended(now, "b", "w9", False)
         late = len(wished)
-        self.assertLess(early.store, 0.5)
-        self.assertEqual(early.turn(now + 10 * S, now + 10 * S, 10), 0)
+        self.assertLess(early.store_health, 0.5)
+        self.assertEqual(early.plan_slot(now + 10 * S, now + 10 * S, 10), 0)
         self.assertLess(late, 30)
