--- a/petrelwood/decide/forecasting/series.py
+++ b/petrelwood/decide/forecasting/series.py
@@ -157,11 +157,8 @@
         """Return the forecast for a slot."""
         counts = self.seasonal.counts(keys)
         mean, spread = self._believed(self._means(_mean(counts)))
-        slots: float
-        if counts and self.selected is not RECENT:
-            slots = len(counts)
-        else:
-            slots = min(RECENT_SLOTS, self.slots_seen)
+        is_seasonal = counts and self.selected is not RECENT
+        slots = len(counts) if is_seasonal else min(RECENT_SLOTS, self.slots_seen)
         if self.hot and self.last_count is not None and self.last_count > (mean or 0.0):
             return Prediction(float(self.last_count), spread, 1.0)  # it says more than the past does
         return Prediction(mean, spread, slots)
