--- a/benchmarks/bgp.py
+++ b/benchmarks/bgp.py
@@ -25,7 +25,7 @@
 from tornado.tcpserver import TCPServer
 
 from petrelwood.bgp.heartbeats import HeartbeatSender
-from petrelwood.decide.routing.serving import HealthReport
+from petrelwood.decide.bgp.service_health import HealthReport
 from petrelwood.standins.router import Router
 from petrelwood.wire import bgp
 
--- a/petrelwood/bgp/heartbeats.py
+++ b/petrelwood/bgp/heartbeats.py
@@ -7,7 +7,7 @@
 
 import msgpack
 
-from petrelwood.decide.routing.serving import HealthReport
+from petrelwood.decide.bgp.service_health import HealthReport
 from petrelwood.links.local import Bound
 
 EVERY = 0.05  # seconds between heartbeats
--- a/petrelwood/bgp/speaker.py
+++ b/petrelwood/bgp/speaker.py
@@ -13,7 +13,7 @@
 from tornado.netutil import bind_sockets
 
 from petrelwood.bgp.heartbeats import HeartbeatReceiver
-from petrelwood.decide.routing import announce, neighbor, serving
+from petrelwood.decide.bgp import announcement, neighbor, service_health
 from petrelwood.links import sockets
 from petrelwood.links.listener import Listener
 from petrelwood.wire import bgp
@@ -47,7 +47,7 @@
         described = speaker.described
         families = sorted({(s.prefix[0], bgp.UNICAST) for s in described.services})
         self.neighbor = neighbor.Neighbor(
-            neighbor.Terms(
+            neighbor.NeighborTerms(
                 described.asn,
                 terms.asn,
                 described.id,
@@ -61,8 +61,8 @@
             speaker.chance.random,
         )
         self.outbox, self.inbox = (
-            announce.Outbox(described.asn),
-            announce.Inbox(described.services, terms.most),
+            announcement.AnnouncedRoutes(described.asn),
+            announcement.ReceivedRoutes(described.services, terms.most),
         )
         self.most, self.four = bgp.MOST, True
 
@@ -81,10 +81,10 @@
         except (TimeoutError, OSError):
             if stream is not None:
                 stream.close()
-            self.neighbor.failed(self.speaker.now())
+            self.neighbor.connect_failed(self.speaker.now())
             self.speaker.wake()
             return
-        await self.serve(stream, neighbor.OURS)
+        await self.serve(stream, neighbor.Opener.US)
 
     async def serve(self, stream, key):
         sockets.disable_delay(stream.socket)
@@ -92,19 +92,19 @@
             stream.close()
             return
         self.streams[key] = stream
-        if not self.neighbor.connected(self.speaker.now(), key):
+        if not self.neighbor.connection_made(self.speaker.now(), key):
             self.close(key)
             return
         self.speaker.wake()
         try:
             while self.streams.get(key) is stream:
                 data = await stream.read_bytes(65_536, partial=True)
-                self.neighbor.data(self.speaker.now(), key, data)
+                self.neighbor.data_received(self.speaker.now(), key, data)
                 self.speaker.wake()
         except OSError:  # errors of the socket come as they are, or as a closed stream
             pass
         if self.streams.get(key) is stream:
-            self.neighbor.lost(self.speaker.now(), key)
+            self.neighbor.connection_lost(self.speaker.now(), key)
             self.speaker.wake()
 
     def write(self, key, data):
@@ -153,16 +153,16 @@
         self.speaker.log.warning("peer down", peer=self.terms.name, why=why)
         self.speaker.look()
 
-    def heard(self, update):
+    def update_received(self, update):
         for note in update.notes:
             self.speaker.log.info("an update with a fault", peer=self.terms.name, what=note)
-        if not self.inbox.heard(update):
-            self.neighbor.too_many(self.speaker.now())
+        if not self.inbox.apply(update):
+            self.neighbor.route_limit_exceeded(self.speaker.now())
         else:
             self.speaker.look()
 
     def refresh(self, afi):
-        self.outbox.forget(afi)
+        self.outbox.forget_family(afi)
         self.tell()
 
     def tell(self):
@@ -184,7 +184,7 @@
     def __init__(self, described, log, seed=None):
         self.described, self.log, self.loop = described, log, asyncio.get_running_loop()
         self.chance = random.Random(described.id if seed is None else seed)
-        self.serving = serving.Serving(described.bounds, self.now())
+        self.serving = service_health.ServiceHealth(described.bounds, self.now())
         self.peers = [Peer(self, terms) for terms in described.peers]
         self.timer, self.server, self.heartbeats = None, None, None
 
@@ -214,14 +214,15 @@
         """Judges anew; peers hear at once what has changed, and before anything else what takes traffic
         away."""
         before = self.serving.level
-        changed = self.serving.look(
-            self.now(), announce.others_for_all(self.described.services, [p.inbox for p in self.peers])
+        changed = self.serving.update(
+            self.now(),
+            announcement.all_seen_elsewhere(self.described.services, [p.inbox for p in self.peers]),
         )
         if self.serving.level != before:
             for peer in self.peers:
                 peer.tell()
         if changed:
-            self.log.info("serves", level=self.serving.level, why=self.serving.why, before=before)
+            self.log.info("serves", level=self.serving.level, why=self.serving.reason, before=before)
         self.wake()
 
     def wake(self):
@@ -230,7 +231,7 @@
             self.timer.cancel()
         due = [
             t
-            for t in (self.serving.due(self.now()), *(p.neighbor.due() for p in self.peers))
+            for t in (self.serving.next_change(self.now()), *(p.neighbor.next_timer() for p in self.peers))
             if t is not None
         ]
         wait = max(0.0, (min(due) - self.now()) / 1e9) if due else 1.0
@@ -239,21 +240,21 @@
     def _due(self):
         now = self.now()
         for peer in self.peers:
-            peer.neighbor.check(now)
+            peer.neighbor.check_timers(now)
         self.look()
 
     def figures(self):
         return {
             "level": self.serving.level,
-            "why": self.serving.why,
-            "flaps": self.serving.flaps,
+            "why": self.serving.reason,
+            "flaps": self.serving.withdrawals,
             "beats_wrong": self.heartbeats.wrong,
             "peers": {
                 p.terms.name: {
                     "state": p.neighbor.state,
-                    "why": p.neighbor.why,
+                    "why": p.neighbor.down_reason,
                     "routes": p.inbox.count,
-                    "told": len(p.outbox.told),
+                    "told": len(p.outbox.routes),
                     **p.neighbor.counts,
                 }
                 for p in self.peers
@@ -284,7 +285,7 @@
 
     async def handle_stream(self, stream, address):
         for peer in self.speaker.peers:
-            if peer.terms.address[0] == address[0] and neighbor.THEIRS not in peer.streams:
-                await peer.serve(stream, neighbor.THEIRS)
+            if peer.terms.address[0] == address[0] and neighbor.Opener.PEER not in peer.streams:
+                await peer.serve(stream, neighbor.Opener.PEER)
                 return
         stream.close()
--- a/petrelwood/cli/bgp.py
+++ b/petrelwood/cli/bgp.py
@@ -64,13 +64,13 @@
     @click.option("--level", type=click.Choice(["full", "less"]), default="full", show_default=True)
     def routes(file, level):
         """What FILE's speaker announces at a level, as attributes."""
-        from petrelwood.decide.routing import announce
+        from petrelwood.decide.bgp import announcement
         from petrelwood.settings import speaker
         from petrelwood.wire import bgp as wire
 
         described = speaker.read(file)
         for service in described.services:
-            _show(wire, service.prefix, announce.attributes(service, level, described.asn))
+            _show(wire, service.prefix, announcement.attributes(service, level, described.asn))
 
     @command(bgp, "decode")
     @click.argument("data", type=click.File("rb"), default="-")
--- /dev/null
+++ b/petrelwood/decide/bgp/neighbor.py
@@ -0,0 +1,334 @@
+"""The state machine of one BGP neighbour (RFC 4271, section 8), free of I/O.
+
+    idle -> connect -> (open sent -> open confirm) of each connection -> established
+
+Two connections may be open for a while, one by each side; one stays. Its owner reports what happens, and
+calls `check_timers` at `next_timer()` or later. Times in ns of our own clock. Attempts to connect go through
+a `Backoff`, which is forgotten once a session has lasted.
+"""
+
+import struct
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass, field
+from enum import StrEnum
+from typing import NamedTuple, Protocol
+
+from petrelwood.decide.overload.backoff import Backoff
+from petrelwood.wire import bgp
+
+SECOND = 1_000_000_000
+OPEN_TIMEOUT = 240 * SECOND  # in which an OPEN has to come
+GOOD_HOLD_TIMES = 3  # that a session must last for its backoff to be forgotten
+KEEPALIVES_PER_HOLD = 3
+KEEPALIVE_JITTER = 0.25  # of the interval, drawn off it so that those of many do not fall together
+MOST_ROUTES = 10_000
+LONGEST_BACKOFF = 60 * SECOND
+REFRESH_SIZE = 4  # octets of a ROUTE-REFRESH
+CUT_SHORT = 2  # the subcode of a message of a bad length
+
+
+class State(StrEnum):
+    """The states of a session, in their order; the strings are those of the status file."""
+
+    IDLE = "idle"
+    CONNECT = "connect"
+    OPEN_SENT = "open sent"
+    OPEN_CONFIRM = "open confirm"
+    ESTABLISHED = "established"
+
+
+STATES = tuple(State)
+
+
+class Opener(StrEnum):
+    """Who opened a connection, which names it: there is one of each at most."""
+
+    US = "ours"
+    PEER = "theirs"
+
+
+class NeighborTerms(NamedTuple):
+    """What is settled for a neighbour before a session."""
+
+    asn: int
+    peer_asn: int  # 0: any
+    id: int  # our BGP identifier
+    hold: int  # seconds
+    families: Sequence[tuple[int, int]]  # pairs of address family and SAFI
+    role: int | None = None  # RFC 9234
+    passive: bool = False  # never connects itself
+    most: int = MOST_ROUTES  # that are accepted from the peer
+    first_backoff: int = SECOND
+    longest_backoff: int = LONGEST_BACKOFF
+
+
+class SessionOwner(Protocol):
+    """What a neighbour asks of its owner, and reports to it."""
+
+    def connect(self) -> object:
+        """Open a connection; its end is reported by `connection_made` or `connect_failed`."""
+
+    def write(self, key: Opener, data: bytes, /) -> object:
+        """Write to a connection."""
+
+    def close(self, key: Opener, /) -> object:
+        """Close a connection."""
+
+    def up(self, found: bgp.Open, /) -> object:
+        """A session is established with the peer of this OPEN."""
+
+    def down(self, why: str, /) -> object:
+        """The established session has ended."""
+
+    def update_received(self, update: bgp.Update, /) -> object:
+        """The peer announces or withdraws routes."""
+
+    def refresh(self, afi: int, /) -> object:
+        """The peer wants the routes of an address family again."""
+
+
+@dataclass(slots=True, eq=False)
+class Connection:
+    """One connection to the peer."""
+
+    key: Opener
+    opened_at: int  # or when its session was established
+    hold_expires: int  # 0: never
+    state: State = State.OPEN_SENT
+    reader: bgp.Reader = field(default_factory=bgp.Reader)
+    open: bgp.Open | None = None  # the peer's
+    hold: int = 0  # seconds, as agreed
+    keepalive_due: int = 0  # 0: never
+
+    def has_lasted(self, now: int) -> bool:
+        """Return whether its session has lasted for so long that it counts as good."""
+        return self.hold > 0 and now - self.opened_at > GOOD_HOLD_TIMES * self.hold * SECOND
+
+
+class Neighbor:
+    """The sessions with one peer; `chance` is drawn in [0, 1)."""
+
+    def __init__(self, terms: NeighborTerms, owner: SessionOwner, chance: Callable[[], float]) -> None:
+        self.terms = terms
+        self.owner = owner
+        self.chance = chance
+        self.connections: dict[Opener, Connection] = {}
+        self.running = False
+        self.connecting = False
+        self.retry_at = 0
+        self.backoff = Backoff(terms.first_backoff, terms.longest_backoff, chance)
+        self.counts = {"up": 0, "down": 0, "updates": 0, "notes": 0, "collisions": 0, "refused": 0}
+        self.down_reason = ""  # why there is no session; "" while there is one
+
+    @property
+    def state(self) -> State:
+        """The state of the connection that is furthest."""
+        states = [connection.state for connection in self.connections.values()]
+        none = State.CONNECT if self.running and self.connecting else State.IDLE
+        return max(states, key=STATES.index, default=none)
+
+    @property
+    def established(self) -> Connection | None:
+        """The connection of the established session, or None."""
+        for connection in self.connections.values():
+            if connection.state is State.ESTABLISHED:
+                return connection
+        return None
+
+    # What its owner reports.
+    def start(self, now: int) -> None:
+        """Connect to the peer, and accept its connections."""
+        self.running = True
+        self.retry_at = now
+        self.check_timers(now)
+
+    def stop(self, now: int, subcode: int = bgp.SHUTDOWN, text: str = "") -> None:
+        """End every connection with a CEASE; nothing is attempted again until `start`."""
+        self.running = False
+        self.connecting = False
+        for connection in list(self.connections.values()):
+            data = bgp.shutdown_text(text) if text else b""
+            self._end(now, connection, bgp.Wrong(bgp.CEASE, subcode, text or "stopped here", data))
+
+    def connection_made(self, now: int, key: Opener) -> bool:
+        """A connection is open; returns False where it may not be, and its owner closes it."""
+        if key is Opener.US:
+            self.connecting = False
+        if not self.running or key in self.connections or self.established is not None:
+            self.counts["refused"] += 1
+            return False
+        self.connections[key] = Connection(key, now, now + OPEN_TIMEOUT)
+        terms = self.terms
+        message = bgp.open_message(terms.asn, terms.hold, terms.id, terms.families, terms.role)
+        self.owner.write(key, message)
+        return True
+
+    def connect_failed(self, now: int) -> None:
+        """Our attempt to connect has failed."""
+        self.connecting = False
+        self.retry_at = self.backoff.failed(now)
+
+    def connection_lost(self, now: int, key: Opener, why: str = "the connection broke") -> None:
+        """A connection is gone."""
+        connection = self.connections.get(key)
+        if connection is not None:
+            self._close(now, connection, why)
+
+    def data_received(self, now: int, key: Opener, data: bytes) -> None:
+        """Bytes have come on a connection."""
+        connection = self.connections.get(key)
+        if connection is None:
+            return
+        try:
+            for kind, body in connection.reader.feed(data):
+                self._message(now, connection, kind, body)
+                if self.connections.get(key) is not connection:
+                    return
+        except bgp.Wrong as fault:
+            self._end(now, connection, fault)
+        except struct.error:  # shorter than its kind has to be, in a way that no rule names
+            self._end(now, connection, bgp.Wrong(bgp.HEADER_ERROR, CUT_SHORT, "a message that is cut short"))
+
+    def route_limit_exceeded(self, now: int) -> None:
+        """The peer has announced more routes than are accepted: the session ends."""
+        connection = self.established
+        if connection is not None:
+            self._end(now, connection, bgp.Wrong(bgp.CEASE, bgp.PREFIXES, f"over {self.terms.most} routes"))
+
+    # Timers.
+    def check_timers(self, now: int) -> None:
+        """Do what is due: expire hold times, send KEEPALIVEs, connect."""
+        for connection in list(self.connections.values()):
+            if connection.hold_expires and now >= connection.hold_expires:
+                fault = bgp.Wrong(bgp.HOLD_EXPIRED, 0, "nothing was heard for the hold time")
+                self._end(now, connection, fault)
+            elif connection.keepalive_due and now >= connection.keepalive_due:
+                self._send_keepalive(now, connection)
+        session = self.established
+        if session is not None and self.backoff.failures and session.has_lasted(now):
+            self.backoff.succeeded()
+        if self._wants_connection() and now >= self.retry_at:
+            self.connecting = True
+            self.owner.connect()
+
+    def next_timer(self) -> int | None:
+        """Return when `check_timers` has something to do, or None."""
+        times = []
+        for connection in self.connections.values():
+            times += [time for time in (connection.hold_expires, connection.keepalive_due) if time]
+        if self._wants_connection():
+            times.append(self.retry_at)
+        return min(times, default=None)
+
+    def _wants_connection(self) -> bool:
+        return self.running and not self.connections and not self.connecting and not self.terms.passive
+
+    def _send_keepalive(self, now: int, connection: Connection) -> None:
+        self.owner.write(connection.key, bgp.KEEPALIVE_MESSAGE)
+        connection.keepalive_due = 0
+        if connection.hold:
+            interval = connection.hold * SECOND / KEEPALIVES_PER_HOLD
+            connection.keepalive_due = now + int(interval * (1 - KEEPALIVE_JITTER * self.chance()))
+
+    # Messages.
+    def _message(self, now: int, connection: Connection, kind: int, body: bytes) -> None:
+        if kind == bgp.NOTIFICATION:
+            found = bgp.read_notification(body)
+            why = f"the peer ended it: {found.code}/{found.sub} {found.text()}".strip()
+            self._close(now, connection, why)
+        elif connection.state is State.OPEN_SENT:
+            if kind != bgp.OPEN:
+                raise bgp.Wrong(bgp.FSM_ERROR, 1, f"a {bgp.NAMES[kind]} before the OPEN")
+            self._on_open(now, connection, bgp.read_open(body))
+        elif connection.state is State.OPEN_CONFIRM:
+            if kind != bgp.KEEPALIVE:
+                raise bgp.Wrong(bgp.FSM_ERROR, 2, f"a {bgp.NAMES[kind]} before the first KEEPALIVE")
+            self._establish(now, connection)
+        else:
+            self._session_message(now, connection, kind, body)
+
+    def _session_message(self, now: int, connection: Connection, kind: int, body: bytes) -> None:
+        if connection.hold:
+            connection.hold_expires = now + connection.hold * SECOND
+        if kind == bgp.UPDATE:
+            has_four_octets = connection.open is not None and connection.open.four
+            update = bgp.read_update(body, has_four_octets)
+            self.counts["updates"] += 1
+            self.counts["notes"] += len(update.notes)
+            self.owner.update_received(update)
+        elif kind == bgp.REFRESH:
+            if len(body) == REFRESH_SIZE:
+                afi, _, _ = struct.unpack("!HBB", body)
+                self.owner.refresh(afi)
+        elif kind == bgp.OPEN:
+            raise bgp.Wrong(bgp.FSM_ERROR, 3, "an OPEN in an established session")
+
+    def _on_open(self, now: int, connection: Connection, found: bgp.Open) -> None:
+        self._check_open(found)
+        connection.open = found
+        connection.hold = min(self.terms.hold, found.hold)
+        if self._loses_collision(now, connection, found):
+            return
+        if found.extended:
+            connection.reader.most = bgp.EXTENDED
+        connection.state = State.OPEN_CONFIRM
+        connection.hold_expires = now + (connection.hold * SECOND or OPEN_TIMEOUT)
+        self._send_keepalive(now, connection)
+
+    def _check_open(self, found: bgp.Open) -> None:
+        """Raise `bgp.Wrong` where the peer does not fit our terms."""
+        terms = self.terms
+        if terms.peer_asn and found.asn != terms.peer_asn:
+            raise bgp.Wrong(bgp.OPEN_ERROR, 2, f"AS {found.asn}, and {terms.peer_asn} was expected")
+        if found.id == terms.id and found.asn == terms.asn:
+            raise bgp.Wrong(bgp.OPEN_ERROR, 3, "the peer has our own identifier")
+        if terms.role is not None and found.role is not None and (terms.role, found.role) not in bgp.AGREE:
+            raise bgp.Wrong(bgp.OPEN_ERROR, 11, f"roles {terms.role} and {found.role} do not go together")
+
+    def _loses_collision(self, now: int, connection: Connection, found: bgp.Open) -> bool:
+        """End one of two connections; returns whether it is this one.
+
+        The one stays that was opened by the higher identifier (RFC 4271, 6.8; RFC 6286 where they are equal),
+        unless a session is established already.
+        """
+        others = (each for each in self.connections.values() if each is not connection)
+        other = next((each for each in others if each.state is not State.OPEN_SENT), None)
+        if other is None:
+            return False
+        self.counts["collisions"] += 1
+        is_higher = (self.terms.id, self.terms.asn) > (found.id, found.asn)
+        winner = Opener.US if is_higher else Opener.PEER
+        loses = other.state is State.ESTABLISHED or other.key is winner
+        self._end_duplicate(now, connection if loses else other)
+        return loses
+
+    def _establish(self, now: int, connection: Connection) -> None:
+        connection.state = State.ESTABLISHED
+        connection.opened_at = now
+        connection.hold_expires = now + connection.hold * SECOND if connection.hold else 0
+        for other in [each for each in self.connections.values() if each is not connection]:
+            self._end_duplicate(now, other)
+        self.counts["up"] += 1
+        self.down_reason = ""
+        if connection.open is not None:
+            self.owner.up(connection.open)
+
+    # Ends.
+    def _end_duplicate(self, now: int, connection: Connection) -> None:
+        fault = bgp.Wrong(bgp.CEASE, bgp.COLLISION, "another connection is kept")
+        self._end(now, connection, fault, is_failure=False)
+
+    def _end(self, now: int, connection: Connection, fault: bgp.Wrong, is_failure: bool = True) -> None:
+        """End a connection with a NOTIFICATION."""
+        self.owner.write(connection.key, bgp.notification(fault.code, fault.sub, fault.data))
+        self._close(now, connection, str(fault), is_failure)
+
+    def _close(self, now: int, connection: Connection, why: str, is_failure: bool = True) -> None:
+        self.connections.pop(connection.key, None)
+        self.owner.close(connection.key)
+        if is_failure and not self.connections:
+            self.retry_at = self.backoff.failed(now)
+            self.down_reason = why
+        if connection.state is State.ESTABLISHED:
+            self.counts["down"] += 1
+            self.owner.down(why)
--- a/petrelwood/dispatch/health.py
+++ b/petrelwood/dispatch/health.py
@@ -8,8 +8,8 @@
 from typing import TYPE_CHECKING
 
 from petrelwood.bgp.heartbeats import EVERY, HeartbeatSender
+from petrelwood.decide.bgp.service_health import HealthReport
 from petrelwood.decide.overload.sliding_window import SlidingWindowCounter
-from petrelwood.decide.routing.serving import HealthReport
 
 if TYPE_CHECKING:
     from petrelwood.dispatch.dispatcher import Dispatcher
@@ -42,12 +42,12 @@
         membership = core.membership
         return HealthReport(
             closing=core.intake.closing,
-            listed=now - membership.heard_at if membership.is_lost else 0,
-            usable=sum(1 for worker in membership.members if membership.is_usable(worker)),
-            good=core.recent_answers.completed.sum(now),
-            bad=core.recent_answers.failed.sum(now),
+            list_age=now - membership.heard_at if membership.is_lost else 0,
+            usable_workers=sum(1 for worker in membership.members if membership.is_usable(worker)),
+            completed=core.recent_answers.completed.sum(now),
+            failed=core.recent_answers.failed.sum(now),
             stalled=self.stalls.sum(now),
-            keeps=core.durable_state is None or core.durable_state.log.stopped is None,
+            is_durable=core.durable_state is None or core.durable_state.log.stopped is None,
         )
 
     def _note_stall(self, now: int) -> None:
--- a/petrelwood/settings/speaker.py
+++ b/petrelwood/settings/speaker.py
@@ -4,8 +4,8 @@
 import pathlib
 from typing import NamedTuple
 
-from petrelwood.decide.routing.announce import Service
-from petrelwood.decide.routing.serving import Bounds
+from petrelwood.decide.bgp.announcement import Service
+from petrelwood.decide.bgp.service_health import HealthBounds
 from petrelwood.settings import document
 from petrelwood.wire import bgp
 
@@ -36,7 +36,7 @@
     listen: object  # (host, port), or None
     health: str  # path of the socket on which the dispatcher's heartbeats come
     hold: int  # s
-    bounds: Bounds
+    bounds: HealthBounds
     peers: tuple
     services: tuple
 
@@ -135,7 +135,7 @@
     node = file.child("speaker")
     bounds = node.child("bounds", None)
     read_ = bounds.prop if bounds else lambda name, kind, default: default
-    made_bounds = Bounds(
+    made_bounds = HealthBounds(
         read_("silent", document.duration, SECOND * 3 // 20),
         read_("fresh", document.duration, 30 * SECOND),
         read_("stall", document.duration, SECOND // 2),
--- a/petrelwood/standins/router.py
+++ b/petrelwood/standins/router.py
@@ -16,8 +16,8 @@
 from tornado.netutil import bind_sockets
 from tornado.tcpserver import TCPServer
 
-from petrelwood.decide.routing import neighbor
-from petrelwood.decide.routing.routing_table import RoutingTable
+from petrelwood.decide.bgp import neighbor
+from petrelwood.decide.bgp.routing_table import RouteLimitError, RoutingTable
 from petrelwood.wire import bgp
 
 FAMILIES = ((bgp.IPV4, bgp.UNICAST), (bgp.IPV6, bgp.UNICAST))
@@ -36,7 +36,7 @@
             {},
         )
         self.neighbor = neighbor.Neighbor(
-            neighbor.Terms(
+            neighbor.NeighborTerms(
                 router.asn, 0, router.id, router.hold, FAMILIES, router.role, passive=True, most=router.most
             ),
             self,
@@ -70,14 +70,14 @@
     def down(self, why):
         if self.router.sides.get(self.id) is self:
             del self.router.sides[self.id]
-            self.router.changed(self, self.router.table.gone(self.id))
+            self.router.changed(self, self.router.table.remove_peer(self.id))
         self.router.saw("down", self, why=why)
 
-    def heard(self, update):
+    def update_received(self, update):
         try:
-            changed = self.router.table.heard(self.id, update)
-        except ValueError:
-            self.neighbor.too_many(self.router.now())
+            changed = self.router.table.apply(self.id, update)
+        except RouteLimitError:
+            self.neighbor.route_limit_exceeded(self.router.now())
             return
         for prefix in update.withdrawn:
             self.router.saw("withdrawn", self, prefix=bgp.shown(prefix))
@@ -131,7 +131,7 @@
             await asyncio.sleep(0.05)
             for side in list(self.all):
                 if not side.mute:
-                    side.neighbor.check(self.now())
+                    side.neighbor.check_timers(self.now())
 
     async def handle_stream(self, stream, address):
         if not self.accepts:
@@ -140,15 +140,15 @@
         side = Side(self, stream)
         self.all.add(side)
         side.neighbor.start(self.now())
-        side.neighbor.connected(self.now(), neighbor.THEIRS)
+        side.neighbor.connection_made(self.now(), neighbor.Opener.PEER)
         try:
             while True:
                 data = await stream.read_bytes(65_536, partial=True)
                 while side.mute:
                     await asyncio.sleep(0.02)
-                side.neighbor.data(self.now(), neighbor.THEIRS, data)
+                side.neighbor.data_received(self.now(), neighbor.Opener.PEER, data)
         except StreamClosedError:
-            side.neighbor.lost(self.now(), neighbor.THEIRS)
+            side.neighbor.connection_lost(self.now(), neighbor.Opener.PEER)
         self.all.discard(side)
 
     def saw(self, what, side, **facts):
--- a/petrelwood/wire/bgp.py
+++ b/petrelwood/wire/bgp.py
@@ -71,14 +71,14 @@
     origin: int
     path: tuple  # ((SEQUENCE or SET, (AS number, ...)), ...)
     next_hop: bytes  # 4 or 16
-    med: object  # or None
+    med: int | None
     communities: tuple
 
 
 class Update(NamedTuple):
     withdrawn: tuple
     announced: tuple
-    attrs: object  # Attrs, or None where nothing is announced
+    attrs: Attrs | None  # None where nothing is announced
     notes: tuple  # what was wrong and passed over
 
 
@@ -268,13 +268,13 @@
     return tuple(found)
 
 
-def _length(path):
+def path_length(path):
     return sum(len(asns) if kind == SEQUENCE else kind == SET for kind, asns in path)
 
 
 def _merged(path, wide):
     """RFC 6793: what a peer of two octets has put before the path of four."""
-    more = _length(path) - _length(wide)
+    more = path_length(path) - path_length(wide)
     if more < 0:
         return path
     front = []
--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 from kept import compare
 
-from petrelwood.decide.routing import announce, neighbor, serving
-from petrelwood.decide.routing.routing_table import RoutingTable
+from petrelwood.decide.bgp import announcement, neighbor, service_health
+from petrelwood.decide.bgp.routing_table import RouteLimitError, RoutingTable
 from petrelwood.wire import bgp
 
 S = 10**9
@@ -224,13 +224,13 @@
     def joins(self, ours, theirs):
         """A connection that one has asked for reaches the other."""
         if not theirs.neighbor.running:
-            ours.neighbor.failed(self.now)
+            ours.neighbor.connect_failed(self.now)
             return
-        taken = theirs.neighbor.connected(self.now, neighbor.THEIRS)
-        if not ours.neighbor.connected(self.now, neighbor.OURS):
-            self.flying.append((theirs.name, neighbor.OURS, None))
+        taken = theirs.neighbor.connection_made(self.now, neighbor.Opener.PEER)
+        if not ours.neighbor.connection_made(self.now, neighbor.Opener.US):
+            self.flying.append((theirs.name, neighbor.Opener.US, None))
         elif not taken:
-            self.flying.append((ours.name, neighbor.THEIRS, None))
+            self.flying.append((ours.name, neighbor.Opener.PEER, None))
 
     def run(self, until, deaf=()):
         """Passes bytes on, ten ms each way, and time."""
@@ -240,23 +240,23 @@
             for to, key, data in going:
                 if to in deaf:
                     if data == SYN:  # nobody answers: the try times out
-                        self.other(to).neighbor.failed(self.now)
+                        self.other(to).neighbor.connect_failed(self.now)
                     continue
-                other_key = neighbor.THEIRS if key == neighbor.OURS else neighbor.OURS
+                other_key = neighbor.Opener.PEER if key == neighbor.Opener.US else neighbor.Opener.US
                 if data == SYN:
                     self.joins(self.other(to), self.ends[to])
                 elif data is None:
-                    self.ends[to].neighbor.lost(self.now, other_key)
+                    self.ends[to].neighbor.connection_lost(self.now, other_key)
                 else:
-                    self.ends[to].neighbor.data(self.now, other_key, data)
+                    self.ends[to].neighbor.data_received(self.now, other_key, data)
             for name, end in self.ends.items():
                 if name not in deaf:
-                    end.neighbor.check(self.now)
+                    end.neighbor.check_timers(self.now)
 
 
 def terms_of(asn, peer, id_, **more):
     made = {"hold": 9, "families": FAMILIES, **more}
-    return neighbor.Terms(asn, peer, id_, **made)
+    return neighbor.NeighborTerms(asn, peer, id_, **made)
 
 
 class End:
@@ -265,7 +265,7 @@
 
     def connect(self):
         self.wire.say(self.name, "connects")
-        self.wire.flying.append((self.wire.other(self.name).name, neighbor.OURS, SYN))
+        self.wire.flying.append((self.wire.other(self.name).name, neighbor.Opener.US, SYN))
 
     def write(self, key, data):
         kind = data[18]
@@ -291,7 +291,7 @@
     def down(self, why):
         self.wire.say(self.name, f"is down: {why}")
 
-    def heard(self, update):
+    def update_received(self, update):
         self.heard_.append(update)
 
 
@@ -312,9 +312,9 @@
             }
             self.assertEqual(
                 keys,
-                {"A": neighbor.OURS, "B": neighbor.THEIRS}
+                {"A": neighbor.Opener.US, "B": neighbor.Opener.PEER}
                 if ids[0] > ids[1]
-                else {"A": neighbor.THEIRS, "B": neighbor.OURS},
+                else {"A": neighbor.Opener.PEER, "B": neighbor.Opener.US},
             )
             self.assertTrue(all(len(end.neighbor.connections) == 1 for end in wire.ends.values()))
         compare(self, "bgp_collision", wire.lines)
@@ -328,7 +328,7 @@
         wire.ends["A"].neighbor.stop(wire.now, bgp.SHUTDOWN, "drained")
         wire.run(29 * S)
         compare(self, "bgp_session", wire.lines)
-        self.assertEqual(wire.ends["A"].neighbor.state, neighbor.IDLE)
+        self.assertEqual(wire.ends["A"].neighbor.state, neighbor.State.IDLE)
 
     def test_who_does_not_fit_is_told_why_and_tried_ever_less(self):
         lines = []
@@ -373,14 +373,14 @@
                 if chance.random() < 0.3:
                     end = wire.ends[chance.choice("AB")]
                     for key in list(end.neighbor.connections):
-                        end.neighbor.lost(wire.now, key)
+                        end.neighbor.connection_lost(wire.now, key)
                         end.close(key)
                 for end in wire.ends.values():
                     states = [c.state for c in end.neighbor.connections.values()]
-                    self.assertLessEqual(states.count(neighbor.ESTABLISHED), 1)
+                    self.assertLessEqual(states.count(neighbor.State.ESTABLISHED), 1)
                     self.assertEqual(
                         end.neighbor.counts["up"] - end.neighbor.counts["down"],
-                        states.count(neighbor.ESTABLISHED),
+                        states.count(neighbor.State.ESTABLISHED),
                     )
             wire.run(wire.now + 150 * S)  # whatever came, it heals
             self.assertTrue(
@@ -389,19 +389,19 @@
 
 
 class Serves(unittest.TestCase):
-    FINE = serving.HealthReport(False, 0, 9, 100, 0, 0, True)
-    BOUNDS = serving.Bounds(S * 3 // 20, 30 * S, S // 2, S)
+    FINE = service_health.HealthReport(False, 0, 9, 100, 0, 0, True)
+    BOUNDS = service_health.HealthBounds(S * 3 // 20, 30 * S, S // 2, S)
 
     def play(self, steps, every=S // 20):
         """`steps`: (seconds, facts or None: silence, whether others are seen)."""
-        made, lines, now = serving.Serving(self.BOUNDS, 0), [], 0
+        made, lines, now = service_health.ServiceHealth(self.BOUNDS, 0), [], 0
         for seconds, facts, others in steps:
             for _ in range(round(seconds * S / every)):
                 now += every
                 if facts is not None:
                     made.heartbeat(now, facts)
-                if made.look(now, others):
-                    lines.append(f"{now / S:7.2f}  {made.level:5s} {made.why}")
+                if made.update(now, others):
+                    lines.append(f"{now / S:7.2f}  {made.level:5s} {made.reason}")
         return lines, made
 
     def test_late_on_early_off(self):
@@ -416,15 +416,15 @@
                 (4, f, False),
                 (0.5, f._replace(stalled=S), True),
                 (6, f, True),
-                (0.5, f._replace(listed=40 * S), True),
-                (0.2, f._replace(keeps=False), True),
+                (0.5, f._replace(list_age=40 * S), True),
+                (0.2, f._replace(is_durable=False), True),
                 (12, f, True),
             ]
         )
         compare(self, "serving_own", lines)
 
     def test_what_may_be_everyones_never_takes_the_last_one_away(self):
-        f, ill = self.FINE, self.FINE._replace(usable=0)
+        f, ill = self.FINE, self.FINE._replace(usable_workers=0)
         lines, made = self.play(
             [
                 (2, f, False),
@@ -432,13 +432,13 @@
                 (2, ill, True),
                 (1, ill, False),
                 (3, f, True),
-                (1, f._replace(good=10, bad=90), False),
-                (1, f._replace(good=70, bad=30), False),
+                (1, f._replace(completed=10, failed=90), False),
+                (1, f._replace(completed=70, failed=30), False),
                 (3, f, False),
             ]
         )
         compare(self, "serving_shared", lines)
-        self.assertEqual(made.level, serving.FULL)
+        self.assertEqual(made.level, service_health.ServiceLevel.FULL)
 
     def test_flapping_is_damped_and_forgiven(self):
         f, lines = self.FINE, []
@@ -446,8 +446,8 @@
         for _ in range(12):
             steps += [(0.5, None, True), (4, f, True)]
         lines, made = self.play([*steps, (400, f, True)])
-        self.assertLess(made.flaps, 7, lines)  # of twelve hangs
-        self.assertEqual(made.level, serving.FULL)
+        self.assertLess(made.withdrawals, 7, lines)  # of twelve hangs
+        self.assertEqual(made.level, service_health.ServiceLevel.FULL)
 
     def test_all_ill_at_once_and_one_stays_whatever_the_order(self):
         """Many speakers and a router that tells each the best path of another: never is nobody announced for
@@ -455,9 +455,9 @@
         for seed in range(8):
             chance, count = random.Random(seed), random.Random(seed).choice((2, 4, 30))
             nodes, table, update = (
-                [serving.Serving(self.BOUNDS, 0) for _ in range(count)],
+                [service_health.ServiceHealth(self.BOUNDS, 0) for _ in range(count)],
                 RoutingTable(),
-                announce.Service(PREFIX, b"\x7f\0\0\1", (), None, 1000, 3),
+                announcement.Service(PREFIX, b"\x7f\0\0\1", (), None, 1000, 3),
             )
             told, gone, ill = [None] * count, 0, [False] * count
             for turn in range(600):
@@ -469,15 +469,17 @@
                         else [False] * count
                     )
                 for i in chance.sample(range(count), count):
-                    others = any(not announce.is_less(a) for peer, a in table.best(PREFIX)[:1] if peer != i)
-                    nodes[i].heartbeat(now, self.FINE._replace(usable=0 if ill[i] else 5))
-                    nodes[i].look(now, others)
-                    want = announce.attributes(
+                    others = any(
+                        not announcement.is_reduced(a) for peer, a in table.best(PREFIX)[:1] if peer != i
+                    )
+                    nodes[i].heartbeat(now, self.FINE._replace(usable_workers=0 if ill[i] else 5))
+                    nodes[i].update(now, others)
+                    want = announcement.attributes(
                         update._replace(next_hop=bytes((127, 0, 0, i))), nodes[i].level, 65001
                     )
                     if want != told[i]:
                         told[i] = want
-                        table.heard(
+                        table.apply(
                             i, bgp.Update(() if want else (PREFIX,), (PREFIX,) if want else (), want, ())
                         )
                 if turn > 60:
@@ -490,7 +492,7 @@
         table = RoutingTable()
 
         def hears(peer, found):
-            table.heard(peer, bgp.Update((), (PREFIX,), found, ()))
+            table.apply(peer, bgp.Update((), (PREFIX,), found, ()))
 
         hears(1, attrs((65001,)))
         hears(2, attrs((65001,)))
@@ -500,23 +502,23 @@
         self.assertEqual([p for p, _ in table.best(PREFIX)], [2])
         hears(2, attrs((65001,), communities=(bgp.GRACEFUL_SHUTDOWN,)))
         self.assertEqual([p for p, _ in table.best(PREFIX)], [1])
-        table.gone(1)
+        table.remove_peer(1)
         self.assertEqual([p for p, _ in table.best(PREFIX)], [3])
-        table.heard(3, bgp.Update((PREFIX,), (), None, ()))
+        table.apply(3, bgp.Update((PREFIX,), (), None, ()))
         self.assertEqual([p for p, _ in table.best(PREFIX)], [2])
         small = RoutingTable(most=1)
-        small.heard(1, bgp.Update((), (PREFIX,), attrs(), ()))
-        with self.assertRaises(ValueError):
-            small.heard(2, bgp.Update((), (PREFIX,), attrs(), ()))
+        small.apply(1, bgp.Update((), (PREFIX,), attrs(), ()))
+        with self.assertRaises(RouteLimitError):
+            small.apply(2, bgp.Update((), (PREFIX,), attrs(), ()))
 
     def test_resilient_flows_move_only_where_they_must(self):
         moved = {}
         for resilient in (False, True):
             table = RoutingTable()
             for peer in range(8):
-                table.heard(peer, bgp.Update((), (PREFIX,), attrs(), ()))
+                table.apply(peer, bgp.Update((), (PREFIX,), attrs(), ()))
             before = {flow: table.pick(PREFIX, flow, resilient) for flow in range(2000)}
-            table.gone(3)
+            table.remove_peer(3)
             moved[resilient] = sum(
                 before[f] != table.pick(PREFIX, f, resilient) for f in before if before[f] != 3
             )
--- a/tests/test_finished.py
+++ b/tests/test_finished.py
@@ -15,6 +15,7 @@
 FINISHED_BEFORE = {
     "petrelwood/clocks.py",
     "petrelwood/control",
+    "petrelwood/decide/bgp",
     "petrelwood/decide/cluster",
     "petrelwood/decide/delivery",
     "petrelwood/decide/forecasting",
--- a/tests/test_speaker.py
+++ b/tests/test_speaker.py
@@ -15,7 +15,7 @@
 
 from petrelwood.bgp.heartbeats import HeartbeatSender
 from petrelwood.bgp.speaker import Speaker
-from petrelwood.decide.routing.serving import HealthReport
+from petrelwood.decide.bgp.service_health import HealthReport
 from petrelwood.settings import document, speaker
 from petrelwood.standins.router import Router
 from petrelwood.wire import bgp
@@ -100,7 +100,7 @@
             (found.path, found.communities, found.next_hop),
             (((2, (65001,)),), (65000 << 16 | 100,), b"\x7f\0\2\1"),
         )
-        box["facts"] = FINE._replace(usable=0)  # it may be everyone's: it gives way, and stays
+        box["facts"] = FINE._replace(usable_workers=0)  # it may be everyone's: it gives way, and stays
         await self.until(
             lambda: bgp.GRACEFUL_SHUTDOWN in router.table.best(bgp.prefix(FOUR))[0][1].communities
         )
@@ -119,7 +119,7 @@
         await self.until(lambda: self.has(router))
         box["facts"] = None
         await self.until(lambda: not self.has(router))
-        self.assertEqual(one.serving.why, "it says nothing")
+        self.assertEqual(one.serving.reason, "it says nothing")
 
     async def test_a_reset_in_the_middle_of_a_drain_announces_nothing_anew(self):
         router = self.router()
@@ -141,9 +141,9 @@
         speakers = [self.speaker(left, right, number=n) for n in (1, 2)]
         boxes = [self.beats(one) for one in speakers]
         await self.until(lambda: all(len(self.has(r)) == 2 for r in (left, right)))
-        boxes[0]["facts"] = FINE._replace(usable=0)
+        boxes[0]["facts"] = FINE._replace(usable_workers=0)
         await self.until(lambda: speakers[0].serving.level == "none")  # the other is well
-        boxes[1]["facts"] = FINE._replace(usable=0)
+        boxes[1]["facts"] = FINE._replace(usable_workers=0)
         await self.until(lambda: [s.serving.level for s in speakers] == ["less", "less"])
         await asyncio.sleep(0.5)
         self.assertTrue(self.has(left) and self.has(right))
@@ -207,7 +207,7 @@
         )
         await self.until(lambda: one.peers[0].neighbor.counts["down"] == 1)
         self.assertIn("over 500 routes", str(one.log.said("peer down")))
-        self.assertEqual(len(one.peers[0].inbox.seen), 0)
+        self.assertEqual(len(one.peers[0].inbox.routes), 0)
         await self.until(lambda: self.has(router))  # it comes back, later each time
 
     async def test_beats_that_are_none(self):
@@ -290,7 +290,7 @@
             await self.until(lambda: self.has(router))
             process.send_signal(signal.SIGSTOP)  # it hangs, and its sockets stay open
             await self.until(lambda: not self.has(router))
-            self.assertEqual(one.serving.why, "it says nothing")
+            self.assertEqual(one.serving.reason, "it says nothing")
             process.send_signal(signal.SIGCONT)
             await self.until(lambda: self.has(router))
             process.send_signal(signal.SIGTERM)
