--- a/tests/test_finished.py
+++ b/tests/test_finished.py
@@ -15,8 +15,10 @@
 FINISHED_BEFORE = {
     "petrelwood/clocks.py",
     "petrelwood/control",
+    "petrelwood/decide/bgp",
     "petrelwood/decide/cluster",
     "petrelwood/decide/delivery",
+    "petrelwood/decide/forecasting",
     "petrelwood/decide/overload",
     "petrelwood/decide/overload/admission.py",
     "petrelwood/decide/overload/backoff.py",
