--- a/petrelwood/node/__main__.py
+++ b/petrelwood/node/__main__.py
@@ -15,7 +15,7 @@
 import os
 import sys
 
-from petrelwood.node import told
+from petrelwood.node import configuration
 from petrelwood.node.log import Log
 from petrelwood.node.service import Node
 
@@ -43,12 +43,12 @@
         """The file may be half written when its signal comes: it is read again for a while."""
         self.later = None
         try:
-            self.node.reload(told.read(os.environ))
-        except told.NoDescriptor as fault:
+            self.node.reload(configuration.read(os.environ))
+        except configuration.NoDescriptorError as fault:
             if not waits:
                 self.log.warning("the new configuration has to wait", why=str(fault))
             self.later = self.node.loop.call_later(AGAIN, self._read, tries, True)
-        except told.Bad as fault:
+        except configuration.ConfigurationError as fault:
             if tries == TRIES:
                 self.log.error("the new configuration is wrong; nothing changes", why=str(fault))
             if tries:
@@ -85,8 +85,8 @@
 def main():
     log = Log(sys.stderr)
     try:
-        gateway = told.read(os.environ)
-    except told.Bad as fault:
+        gateway = configuration.read(os.environ)
+    except configuration.ConfigurationError as fault:
         print(f"petrelwood: {fault}", file=sys.stderr)
         return 2
     try:
--- a/petrelwood/node/told.py
+++ b/petrelwood/node/configuration.py
@@ -39,31 +39,31 @@
 NAME, LISTEN, FILE = "PROXY_NAME", "PROXY_LISTEN", "PROXY_CONFIG"
 
 
-class Bad(Exception):
+class ConfigurationError(Exception):
     """What the dispatcher was told can't be used; the text names what."""
 
 
-class NoDescriptor(Bad):
+class NoDescriptorError(ConfigurationError):
     """The file could not be opened for lack of a descriptor, of the process or of the machine."""
 
 
-class Part:
+class JsonObject:
     """One object of what is told. Each value is taken by its name; one of an unknown shape is named with the
     way there. Null is absent, and what nobody asks for is passed over."""
 
     def __init__(self, raw, way):
         if not isinstance(raw, dict):
-            raise Bad(f"{way} must be an object")
+            raise ConfigurationError(f"{way} must be an object")
         self.raw, self.way = raw, way
 
     def _take(self, name, fits, shape, default):
         value = self.raw.get(name)
         if value is None:
             if default is None:
-                raise Bad(f"{self.way} lacks '{name}'")
+                raise ConfigurationError(f"{self.way} lacks '{name}'")
             return default
         if not fits(value):
-            raise Bad(f"{self.way}.{name} must be {shape}, not {value!r:.40}")
+            raise ConfigurationError(f"{self.way}.{name} must be {shape}, not {value!r:.40}")
         return value
 
     def number(self, name, default=None, least=0):
@@ -92,18 +92,18 @@
         )
 
     def part(self, name, default=None):
-        return Part(
+        return JsonObject(
             self._take(name, lambda v: isinstance(v, dict), "an object", default), f"{self.way}.{name}"
         )
 
     def each(self, name, default=None):
         rows = self._take(name, lambda v: isinstance(v, list), "a list", default)
-        return [Part(row, f"{self.way}.{name}[{n}]") for n, row in enumerate(rows)]
+        return [JsonObject(row, f"{self.way}.{name}[{n}]") for n, row in enumerate(rows)]
 
 
-def terms(raw):
-    """`ports.Terms` of the settings. Raises `Bad`."""
-    o = Part(raw, "settings")
+def module_terms(raw):
+    """`ports.Terms` of the settings. Raises `ConfigurationError`."""
+    o = JsonObject(raw, "settings")
     fam, g, p, fees = o.part("familyInfo"), o.part("guarantees"), o.part("permissions"), o.part("fees", {})
     types = {
         c.text("name"): ports.NamespaceType(
@@ -117,7 +117,7 @@
         for c in o.each("classes")
     }
     if not types:
-        raise Bad("settings.classes must hold one at least")
+        raise ConfigurationError("settings.classes must hold one at least")
     asks = o.word("membershipMode", ("push", "ask"), "push") == "ask"
     return ports.Terms(
         zone=o.text("zone", ""),
@@ -160,7 +160,7 @@
     )
 
 
-def report(gauge):
+def load_report(gauge):
     """A load report under the module's names; None or empty where there is none."""
     return gauge and {REPORT[name]: value for name, value in gauge.items() if name in REPORT}
 
@@ -176,7 +176,7 @@
     cancels: bool
 
 
-class Told(NamedTuple):
+class Configuration(NamedTuple):
     """As `settings.gateway.Gateway`, as far as the core asks it."""
 
     name: str
@@ -196,16 +196,16 @@
     limits: object = None
 
 
-def address(text):
+def parse_address(text):
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
-def entry(raw):
+def decode_endpoint(raw):
     """A `membership.Endpoint` of an endpoint."""
     return membership.Endpoint(
         raw["name"],
-        address(raw["address"]),
+        parse_address(raw["address"]),
         raw.get("zone") or "",
         int(raw.get("group") or 0),
         int(raw.get("since_ms") or 0) * MS,
@@ -218,23 +218,26 @@
     for event in known["batch"]:
         topology = event["topology"]
         batches.append(
-            (bool(topology.get("snapshot")) or not batches, tuple(entry(e) for e in topology["endpoints"]))
+            (
+                bool(topology.get("snapshot")) or not batches,
+                tuple(decode_endpoint(e) for e in topology["endpoints"]),
+            )
         )
     return tuple(batches)
 
 
 def decode(raw):
-    """A `Told` of the file's object. Raises `Bad`, and KeyError, TypeError, ValueError, AttributeError where
-    lists of workers or addresses do not fit."""
-    file = Part(raw, "the file")
+    """A `Configuration` of the file's object. Raises `ConfigurationError`, and KeyError, TypeError,
+    ValueError, AttributeError where lists of workers or addresses do not fit."""
+    file = JsonObject(raw, "the file")
     settings, limits = file.part("settings"), file.part("limits")
     settings.way = "settings"
     allowed, family = settings.part("permissions"), settings.part("familyInfo")
     timeouts = {c.text("name"): c.time("deadline", least=1) for c in settings.each("classes")}
-    return Told(
+    return Configuration(
         file.text("name"),
-        address(file.text("listen")),
-        address(file.text("names")),
+        parse_address(file.text("listen")),
+        parse_address(file.text("names")),
         int(file.part("known").number("offset")),
         _known(raw["known"]),
         str(raw["seed"]),
@@ -249,7 +252,7 @@
             family.time("orderLimit", 0) or ORDER,
             allowed.flag("cancelling"),
         ),
-        terms(settings.raw),
+        module_terms(settings.raw),
     )
 
 
@@ -261,28 +264,28 @@
 
 def read(environ):
     """What the environment's variables and the file they name tell, within the process's own limits. Raises
-    `Bad`, and `NoDescriptor` where the file may well be good."""
+    `ConfigurationError`, and `NoDescriptorError` where the file may well be good."""
     for variable in (NAME, LISTEN, FILE):
         if not environ.get(variable):
-            raise Bad(f"the variable {variable} is not set")
+            raise ConfigurationError(f"the variable {variable} is not set")
     path = environ[FILE]
     try:
         with open(path, "rb") as file:
             told = decode(json.load(file))
     except OSError as fault:
-        kind = NoDescriptor if fault.errno in (errno.EMFILE, errno.ENFILE) else Bad
+        kind = NoDescriptorError if fault.errno in (errno.EMFILE, errno.ENFILE) else ConfigurationError
         raise kind(f"can't read {path}: {fault.strerror}") from None
-    except Bad as fault:
-        raise Bad(f"{path}: {fault}") from None
+    except ConfigurationError as fault:
+        raise ConfigurationError(f"{path}: {fault}") from None
     except KeyError as fault:
-        raise Bad(f"{path} lacks {fault}") from None
+        raise ConfigurationError(f"{path} lacks {fault}") from None
     except (ValueError, TypeError, AttributeError, IndexError) as fault:
-        raise Bad(f"{path} can't be used: {fault}") from None
+        raise ConfigurationError(f"{path} can't be used: {fault}") from None
     try:
         return told._replace(
             name=environ[NAME],
-            listen=address(environ[LISTEN]),
+            listen=parse_address(environ[LISTEN]),
             sockets=_most_descriptors(told.sockets),
         )
     except ValueError:
-        raise Bad(f"{LISTEN} must be HOST:PORT, not {environ[LISTEN]!r}") from None
+        raise ConfigurationError(f"{LISTEN} must be HOST:PORT, not {environ[LISTEN]!r}") from None
--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -12,7 +12,7 @@
 from petrelwood.decide.scheduling.scheduler import Scheduler
 from petrelwood.dispatch.activations import Activations
 from petrelwood.dispatch.core import Core
-from petrelwood.node import told
+from petrelwood.node import configuration
 from petrelwood.node.front import Figures, Front
 from petrelwood.node.roster import DnsRoster
 from petrelwood.node.worker import NodeLink
@@ -43,7 +43,7 @@
 
 
 class Node(Core):
-    """`gateway` is a `told.Told`."""
+    """`gateway` is a `configuration.Configuration`."""
 
     def __init__(self, gateway, log, scheduler=Scheduler):
         self.loop, self.room = asyncio.get_running_loop(), ResourceLimits(gateway.sockets, gateway.memory)
@@ -178,7 +178,7 @@
             known.update((e.worker, e) for e in entries)
         listed = self.membership.apply_list(
             f"dns-{self.gateway.number}",
-            [e for e in known.values() if e.state != told.membership.EndpointState.GONE],
+            [e for e in known.values() if e.state != configuration.membership.EndpointState.GONE],
             now,
             wall,
         )
--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -12,9 +12,9 @@
 from petrelwood.decide.overload import resource_limits
 from petrelwood.links import sockets
 from petrelwood.links.calls import Call, Calls
-from petrelwood.node import lines
+from petrelwood.node import worker_protocol
+from petrelwood.node.configuration import MS
 from petrelwood.node.stream import Stream
-from petrelwood.node.told import MS
 
 READ = 16_384
 # ns that a frame may take to leave: what a worker reads later is told more time than its client has left
@@ -39,7 +39,7 @@
 
 
 class NodeLink(Calls):
-    """`terms` as `told.WorkerTerms`; `core` hears of each end through `submit`."""
+    """`terms` as `configuration.WorkerTerms`; `core` hears of each end through `submit`."""
 
     LEAST_LEFT = MS
 
@@ -55,19 +55,27 @@
         content = (owed.type, owed.idempotency_mark, owed.body)
         tag = (owed.id, n)
         call = Call(
-            "run", owed.id, n, owed.function, now, content, lines.run_size(owed.body), tag, now + left
+            "run",
+            owed.id,
+            n,
+            owed.function,
+            now,
+            content,
+            worker_protocol.run_size(owed.body),
+            tag,
+            now + left,
         )
         self.runs[tag] = call
         self._call(call)
 
     def order_load(self, fn, lanes, copies):
         tag = self.core.next_tag()
-        frame = lines.hold(tag, fn, copies)
+        frame = worker_protocol.encode_load_order(tag, fn, copies)
         self._call(Call("hold", tag, copies, fn, self.core.now(), frame, len(frame), tag))
 
     def check_health(self):
         tag = self.core.next_tag()
-        frame = lines.probe(tag)
+        frame = worker_protocol.encode_health_check(tag)
         self._call(Call("probe", tag, 0, None, self.core.now(), frame, len(frame), tag))
 
     def _call(self, call):
@@ -126,7 +134,7 @@
             return call.content
         type_, mark, body = call.content
         left = (call.until - self.core.now()) // MS
-        return lines.run(call.act, type_, call.fn, max(1, left), mark, body)
+        return worker_protocol.encode_run(call.act, type_, call.fn, max(1, left), mark, body)
 
     def _put(self, line, call):
         frame = self._hand(call)
@@ -149,7 +157,7 @@
         line = call.line
         if call.kind == "run" and self.terms.cancels and line is not None and not line.stream.closed():
             try:
-                line.stream.write(lines.kill(call.act))
+                line.stream.write(worker_protocol.encode_cancel(call.act))
             except (StreamClosedError, StreamBufferFullError):
                 pass
 
@@ -179,7 +187,7 @@
             if line.timer is None:  # given up meanwhile
                 return
             self._up(line)
-            reader = lines.Reader(resource_limits.FRAME)
+            reader = worker_protocol.AnswerReader(resource_limits.FRAME)
             while True:
                 data = await line.stream.read_bytes(READ, partial=True)
                 line.heard = self.core.now()
@@ -187,7 +195,7 @@
                     self._answer(line, answer)
         except StreamClosedError as fault:
             why = str(fault.real_error or why)
-        except (lines.Garbage, OSError) as fault:
+        except (worker_protocol.MalformedAnswerError, OSError) as fault:
             why = str(fault)
         except Exception as fault:
             why = repr(fault)
--- a/petrelwood/node/lines.py
+++ b/petrelwood/node/worker_protocol.py
@@ -9,7 +9,7 @@
 import orjson
 
 from petrelwood import ports
-from petrelwood.node import told
+from petrelwood.node import configuration
 
 # What an answer proves, in the module's codes. Whatever else a worker says can't be read.
 ENDS = {
@@ -32,7 +32,7 @@
 RUN_FIELDS = 192  # bytes of a run beside its body
 
 
-class Garbage(Exception):
+class MalformedAnswerError(Exception):
     """The peer does not speak the protocol any more."""
 
 
@@ -45,7 +45,7 @@
     report: object  # as the module reads it, or None
 
 
-def run(tag, type_, fn, patience, mark, body):
+def encode_run(tag, type_, fn, patience, mark, body):
     """`patience`: ms; `mark`: the client's idempotency key, "" for none."""
     meta = {"sort": type_, "asset": fn, "patience": patience}
     if mark:
@@ -63,15 +63,15 @@
     return RUN_FIELDS + (len(body) + 2) // 3 * 4
 
 
-def kill(tag):
+def encode_cancel(tag):
     return orjson.dumps({"type": "KILL", "req": tag}) + b"\n"
 
 
-def probe(tag):
+def encode_health_check(tag):
     return orjson.dumps({"type": "TOP", "req": tag}) + b"\n"
 
 
-def hold(tag, fn, copies):
+def encode_load_order(tag, fn, copies):
     return orjson.dumps({"type": "SPAWN", "req": tag, "meta": {"asset": fn, "pods": copies}}) + b"\n"
 
 
@@ -82,17 +82,17 @@
         try:
             found[name] = float(value)
         except ValueError:
-            raise Garbage("a report that is no report") from None
-    return told.report(found)
+            raise MalformedAnswerError("a report that is no report") from None
+    return configuration.load_report(found)
 
 
-def answer(line):
-    """An `Answer` of one line without its end. Raises `Garbage`."""
+def decode_answer(line):
+    """An `Answer` of one line without its end. Raises `MalformedAnswerError`."""
     try:
         raw = orjson.loads(line)
         tag, meta, data = raw["req"], raw.get("meta") or {}, raw.get("data")
         if not isinstance(tag, str):
-            raise Garbage("an answer without a tag")
+            raise MalformedAnswerError("an answer without a tag")
         text = meta.get("l")
         return Answer(
             tag,
@@ -104,21 +104,21 @@
         )
     # orjson's own is a ValueError
     except (KeyError, TypeError, ValueError, AttributeError, RecursionError, Error) as fault:
-        raise Garbage(f"not an answer: {fault!r}") from None
+        raise MalformedAnswerError(f"not an answer: {fault!r}") from None
 
 
-class Reader:
+class AnswerReader:
     """Bytes to answers. `most`: bytes of one line."""
 
     def __init__(self, most):
         self.most, self.rest = most, b""
 
     def feed(self, data):
-        """Yields the answers that are whole now. Raises `Garbage` at what can't be read; what came before it
-        stands."""
+        """Yields the answers that are whole now. Raises `MalformedAnswerError` at what can't be read; what
+        came before it stands."""
         parts = (self.rest + data if self.rest else data).split(b"\n")
         self.rest = parts.pop()
         for part in parts:
-            yield answer(part)
+            yield decode_answer(part)
         if len(self.rest) > self.most:
-            raise Garbage("a line without end")
+            raise MalformedAnswerError("a line without end")
--- a/tests/ration.py
+++ b/tests/ration.py
@@ -16,7 +16,7 @@
 from node_site import SETTINGS
 
 from petrelwood.decide.overload.intake import Ask
-from petrelwood.node import service, told, worker
+from petrelwood.node import configuration, service, worker
 from petrelwood.node.front import Figures
 
 MS = virtual.MS
@@ -170,7 +170,7 @@
 
     async def run(self):
         self.clock = virtual.Clock()
-        gateway = told.decode(
+        gateway = configuration.decode(
             {
                 "name": "n0",
                 "listen": "127.0.0.1:1",
@@ -213,7 +213,7 @@
     def tell(self):
         self.serial += 1
         entries = [
-            told.entry({"name": w.name, "address": f"h:{port}", "status": "Ready"})
+            configuration.decode_endpoint({"name": w.name, "address": f"h:{port}", "status": "Ready"})
             for port, w in self.hosts.items()
             if w.gone is None
         ]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -25,7 +25,7 @@
 from petrelwood.decide.overload import resource_limits
 from petrelwood.dispatch import event_queue
 from petrelwood.links import sockets
-from petrelwood.node import told
+from petrelwood.node import configuration
 from petrelwood.node import worker as link
 from petrelwood.node.service import Node
 
@@ -60,7 +60,7 @@
         super().__init__(workers, **settings(**changes))
 
     async def start(self):
-        self.node = Node(told.read(self.environ(self.write())), Said(self.log))
+        self.node = Node(configuration.read(self.environ(self.write())), Said(self.log))
         self.node.begin()
 
     async def until(self, what, within=SLOW):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -21,7 +21,7 @@
 from petrelwood.decide.cluster.polling import INTERVAL, RETRY_INTERVAL, RosterPolling
 from petrelwood.decide.overload.resource_limits import CapacityIntake, ResourceLimits
 from petrelwood.links import rpc
-from petrelwood.node import front, lines, roster, told
+from petrelwood.node import configuration, front, roster, worker_protocol
 
 MS = 1_000_000
 PARTS = rpc.Parts(16_384, 1_024, 64)
@@ -162,7 +162,7 @@
                 front.asked("plain", fields, body, 5, customers, timeouts)
 
     def test_lines_out_and_back(self):
-        said = json.loads(lines.run("0" * 16, "plain", "a" * 16, 300, "k" * 32, b"\x00\xff"))
+        said = json.loads(worker_protocol.encode_run("0" * 16, "plain", "a" * 16, 300, "k" * 32, b"\x00\xff"))
         self.assertEqual(
             said,
             {
@@ -172,8 +172,8 @@
                 "meta": {"sort": "plain", "asset": "a" * 16, "patience": 300, "op": "k" * 32},
             },
         )
-        self.assertNotIn("op", json.loads(lines.run("t", "plain", "a", 3, "", b""))["meta"])
-        found = lines.answer(
+        self.assertNotIn("op", json.loads(worker_protocol.encode_run("t", "plain", "a", 3, "", b""))["meta"])
+        found = worker_protocol.decode_answer(
             b'{"type":"HIT","req":"t","meta":{"n":"cold","pods":"2","l":"inflight:7;util:0.5"},"data":"AP8="}'
         )
         self.assertEqual(
@@ -194,7 +194,10 @@
             ("LATE", ports.EndReason.NOT_SENT),
         ):
             self.assertEqual(
-                lines.answer(json.dumps({"type": word, "req": "t", "meta": {}}).encode()).code, code
+                worker_protocol.decode_answer(
+                    json.dumps({"type": word, "req": "t", "meta": {}}).encode()
+                ).code,
+                code,
             )
 
     def test_spoilt_lines_are_garbage_wherever_they_are_cut(self):
@@ -203,19 +206,19 @@
             random.Random(3),
         )
         for cut in range(1, len(whole)):
-            with self.assertRaises(lines.Garbage):
-                lines.answer(whole[:cut])
+            with self.assertRaises(worker_protocol.MalformedAnswerError):
+                worker_protocol.decode_answer(whole[:cut])
         for _ in range(3000):
             bad = bytearray(whole)
             bad[chance.randrange(len(bad))] = chance.randrange(256)
             try:
-                self.assertIsInstance(lines.answer(bytes(bad)).body, bytes)
-            except lines.Garbage:
+                self.assertIsInstance(worker_protocol.decode_answer(bytes(bad)).body, bytes)
+            except worker_protocol.MalformedAnswerError:
                 pass
-        reader = lines.Reader(100)
+        reader = worker_protocol.AnswerReader(100)
         self.assertEqual([a.tag for a in reader.feed(whole + b"\n" + whole[:20])], ["0123456789abcdef"])
         self.assertEqual(len(list(reader.feed(whole[20:] + b"\n"))), 1)
-        with self.assertRaises(lines.Garbage):
+        with self.assertRaises(worker_protocol.MalformedAnswerError):
             list(reader.feed(b"x" * 101))
 
     def test_the_rosters_answers(self):
@@ -392,7 +395,7 @@
         def decoded(change):
             raw = copy.deepcopy(SETTINGS)
             change(raw)
-            return told.terms(raw)
+            return configuration.module_terms(raw)
 
         for change, named in (
             (lambda o: o["classes"][0].update(slo="400"), "settings.classes[0].slo"),
@@ -417,7 +420,10 @@
             (lambda o: o["loadInfo"].update(how="whisper"), "settings.loadInfo.how"),
             (lambda o: o.update(fees=0.1), "settings.fees"),
         ):
-            with self.subTest(named), self.assertRaisesRegex(told.Bad, re.escape(named)):
+            with (
+                self.subTest(named),
+                self.assertRaisesRegex(configuration.ConfigurationError, re.escape(named)),
+            ):
                 decoded(change)
 
     def test_what_nobody_asks_for_and_what_is_left_out_is_passed_over(self):
@@ -426,7 +432,7 @@
         raw["classes"][0].update(mood=7, window=None, keyScope=None)
         for name in ("freeLoads", "loadPart", "loadPeriod", "orderLimit"):
             raw["familyInfo"].pop(name)
-        made = told.terms(raw)
+        made = configuration.module_terms(raw)
         self.assertEqual((made.quotas, made.reports_by_probe, made.orders.period), ({}, False, 0))
         self.assertEqual(
             made.types["plain"],
--- a/tests/test_restart_readiness.py
+++ b/tests/test_restart_readiness.py
@@ -22,7 +22,7 @@
 from node_site import ROOT, Roster, Site, Worker, answer
 from test_crossings import Said
 
-from petrelwood.node import told
+from petrelwood.node import configuration
 from petrelwood.node.service import Node
 
 SLOW = 120  # s until a dispatcher that is not ready is called lost
@@ -226,7 +226,7 @@
 
         sys.setprofile(called)
         try:
-            node = Node(told.read(environ), Said([]))
+            node = Node(configuration.read(environ), Said([]))
             node.begin()
         finally:
             sys.setprofile(None)
