--- a/petrelwood/control/server.py
+++ b/petrelwood/control/server.py
@@ -7,7 +7,6 @@
 """
 
 import asyncio
-import errno
 import time
 from collections.abc import Mapping
 from random import Random
@@ -27,9 +26,9 @@
 from petrelwood.decide.cluster.log_proposal import MS
 from petrelwood.decide.cluster.replicated_log import Replica
 from petrelwood.errors import ProtocolError
+from petrelwood.links.accept_errors import AcceptError, classify
 from petrelwood.links.listener import Listener
 
-OUT_OF_DESCRIPTORS = frozenset((errno.EMFILE, errno.ENFILE))
 DISK_CHECK_INTERVAL = 0.05  # seconds between two looks whether a failed disk is to be written to again
 
 
@@ -93,7 +92,7 @@
     def accept_failed(self, error: OSError, pause: int) -> None:
         """Logs that no connection is taken for a moment; an idle one makes room where descriptors run out."""
         self._log.warning("accept failed", error=error.strerror, pause_ms=pause // MS)
-        if error.errno in OUT_OF_DESCRIPTORS:
+        if classify(error) is AcceptError.DESCRIPTORS:
             self._close_idlest_connection()
 
     def _close_idlest_connection(self) -> None:
--- a/petrelwood/links/listener.py
+++ b/petrelwood/links/listener.py
@@ -6,7 +6,6 @@
 """
 
 import asyncio
-import errno
 import random
 import socket
 from collections.abc import Iterable
@@ -14,13 +13,12 @@
 from tornado.tcpserver import TCPServer
 
 from petrelwood.decide.overload.backoff import Backoff
-from petrelwood.links.sockets import CONNECTION_FAULTS, CONNECTION_FAULTS_IN_A_ROW
+from petrelwood.links.accept_errors import CONNECTION_ERRORS_IN_A_ROW, AcceptError, classify
 
 ACCEPTS_PER_TURN = 128  # connections taken before others on the loop have their turn
 MILLISECOND = 1_000_000
 FIRST_PAUSE = 50 * MILLISECOND
 LONGEST_PAUSE = 1_000 * MILLISECOND
-NOTHING_TO_ACCEPT = frozenset((errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR))
 
 
 class _ListeningSocket:
@@ -31,7 +29,7 @@
         self.sock = sock
         self.loop = asyncio.get_running_loop()
         self.backoff = Backoff(FIRST_PAUSE, LONGEST_PAUSE, random.random)
-        self.connection_faults = 0
+        self.connection_errors = 0
         self.resumption: asyncio.TimerHandle | None = None
         self.listen()
 
@@ -51,22 +49,23 @@
             try:
                 connection, address = self.sock.accept()
             except OSError as error:
-                if error.errno not in NOTHING_TO_ACCEPT:
-                    self._failed(error)
-                if error.errno not in CONNECTION_FAULTS:
+                kind = classify(error)
+                if kind is not AcceptError.NOTHING_PENDING:
+                    self._failed(error, kind)
+                if kind is not AcceptError.CONNECTION:
                     return
             else:
-                self.connection_faults = 0
+                self.connection_errors = 0
                 self.backoff.succeeded()
                 self.server.take_connection(connection, address)
             if self.resumption is not None or self.sock.fileno() < 0:
                 return
 
-    def _failed(self, error: OSError) -> None:
-        self.connection_faults += 1
-        if error.errno in CONNECTION_FAULTS and self.connection_faults < CONNECTION_FAULTS_IN_A_ROW:
+    def _failed(self, error: OSError, kind: AcceptError) -> None:
+        self.connection_errors += 1
+        if kind is AcceptError.CONNECTION and self.connection_errors < CONNECTION_ERRORS_IN_A_ROW:
             return
-        self.connection_faults = 0
+        self.connection_errors = 0
         now = int(self.loop.time() * 1_000 * MILLISECOND)
         pause = self.backoff.failed(now) - now
         self.loop.remove_reader(self.sock)
--- a/petrelwood/links/sockets.py
+++ b/petrelwood/links/sockets.py
@@ -1,33 +1,12 @@
 """New sockets for numeric addresses, and what is asked of accepted ones."""
 
 import contextlib
-import errno
 import select
 import socket
 from collections.abc import Iterable
 
 from tornado.iostream import IOStream
 
-# Errors of accept(2) that belong to the new connection, which is gone: what was pending on it, or a firewall
-# forbids it. They say nothing of those that wait behind it.
-CONNECTION_FAULTS = frozenset(
-    (
-        errno.ECONNABORTED,
-        errno.ECONNRESET,
-        errno.EHOSTDOWN,
-        errno.EHOSTUNREACH,
-        errno.ENETDOWN,
-        errno.ENETUNREACH,
-        errno.ENONET,
-        errno.ENOPROTOOPT,
-        errno.EOPNOTSUPP,
-        errno.EPERM,
-        errno.EPROTO,
-        errno.ETIMEDOUT,
-    )
-)
-CONNECTION_FAULTS_IN_A_ROW = 16  # after which a listener pauses all the same
-
 
 def fresh(host: str, kind: socket.SocketKind = socket.SOCK_STREAM) -> socket.socket:
     """A socket, neither bound nor connected, of the family that `host` is an address of. Raises OSError."""
--- /dev/null
+++ b/petrelwood/node/client_connection.py
@@ -0,0 +1,331 @@
+"""One connection of a client: MessagePack-RPC, with a namespace type, `cancel` or `health` as the method.
+
+An invalid request is answered with an error; what can't be read ends the connection. A valid call goes to the
+core, whose answer comes back through `Exchange.answer`, once.
+"""
+
+import asyncio
+from typing import Any, Protocol
+
+from tornado.iostream import StreamBufferFullError, StreamClosedError
+
+from petrelwood.decide.delivery.ledger import ActivationState
+from petrelwood.decide.overload import resource_limits
+from petrelwood.links import rpc, sockets
+from petrelwood.node import call_request
+from petrelwood.node.call_request import InvalidRequestError
+from petrelwood.node.exchange import Exchange, PumpedLink
+from petrelwood.node.interfaces import Dispatcher
+from petrelwood.node.stream import Stream
+from petrelwood.node.units import MS
+
+READ_SIZE = 16_384  # bytes of one read at most
+MOST_SPARE_READERS = 8  # kept for the connections that receive next: one has some 40 KB
+LARGEST_ANSWER = resource_limits.BODY + resource_limits.TEXT  # bytes
+MESSAGE_PARTS = rpc.Parts(resource_limits.BODY, resource_limits.TEXT, resource_limits.MEMBERS)
+CALL_PARAMETERS = 2  # the fields and the body
+
+# the errors that answers carry
+THROTTLED = "Throttled"
+BROKEN = "Broken"
+INVALID = "Invalid"
+
+
+class ConnectionTable(Protocol):
+    """All connections of clients, as one of them needs it: `node.front.Front`."""
+
+    core: Dispatcher
+    clients: "dict[ClientConnection, bool]"
+    counts: dict[str, int]
+    spare_readers: list[rpc.Reader]
+    reads: int  # of all connections
+
+    def is_full(self) -> bool:
+        """Whether there are as many connections as there is capacity for."""
+
+    def note_fault(self, kind: str, reason: str) -> None:
+        """Counts and logs a client's fault."""
+
+    def connection_idle(self, connection: "ClientConnection") -> None:
+        """Notes that a connection has no open request since now."""
+
+    def connection_busy(self, connection: "ClientConnection") -> None:
+        """Notes that a connection has an open request or is closed."""
+
+
+class ClientConnection:
+    """One connection of a client.
+
+    It drains once nothing more is taken from it, and is closed when all its requests are answered. Times are
+    in ns.
+    """
+
+    __slots__ = (
+        "deferred_links",
+        "draining",
+        "emptying_reads",
+        "front",
+        "invalid_requests",
+        "last_write",
+        "open",
+        "over_capacity",
+        "partial_since",
+        "pending_read",
+        "reader",
+        "requested",
+        "since",
+        "stream",
+        "unreadable",
+    )
+
+    def __init__(self, front: ConnectionTable, stream: Stream, now: int, over_capacity: bool = False) -> None:
+        self.front = front
+        self.stream = stream
+        self.over_capacity = over_capacity  # there was no capacity for it: its calls are rejected
+        self.open: dict[int, Exchange] = {}  # requests without an answer, by message id
+        self.since = now  # when it was made, last had no open request, or began to drain
+        self.requested = False  # it has sent a whole request, other than an invalid one
+        self.invalid_requests = 0
+        self.draining = False
+        self.unreadable = False  # it has sent what can't be read: what follows is dropped
+        self.reader: rpc.Reader | None = None  # while a message is partly received
+        self.partial_since = 0  # when that began to come; 0: none
+        self.pending_read: asyncio.Future[bytes] | None = None  # resolved with the next bytes
+        self.emptying_reads = 0  # reads that left nothing unread
+        self.deferred_links: dict[PumpedLink, bool] = {}  # with sends that wait until this client was read
+        self.last_write: asyncio.Future[None] | None = None  # resolved once all is in the kernel's hands
+
+    def now(self) -> int:
+        """Return the monotonic time in ns."""
+        return self.front.core.now()
+
+    async def serve(self) -> None:
+        """Serve the connection to its end."""
+        front = self.front
+        core = front.core
+        try:
+            while True:
+                # A client that does not read its answers gets no further ones.
+                while self._is_write_buffer_full() and self.last_write is not None:
+                    await self.last_write
+                self.pending_read = self.stream.read_bytes(READ_SIZE, partial=True)
+                self._pump_deferred_links()
+                data = await self.pending_read
+                now = core.now()
+                core.answer_due(now)
+                front.reads += 1
+                if not self.unreadable:
+                    self._receive(data, now)
+                if len(data) < READ_SIZE:
+                    self.emptying_reads += 1
+        except StreamClosedError:
+            pass
+        except Exception as error:  # a fault of the program costs this connection, not the dispatcher
+            core.defect("front", error)
+        self.close()
+
+    # What comes.
+    def _receive(self, data: bytes, now: int) -> None:
+        """Handle the messages that are complete with `data`."""
+        front = self.front
+        reader = self.reader
+        if reader is None:
+            reader = self.reader = front.spare_readers.pop() if front.spare_readers else _new_reader()
+        try:
+            messages = reader.feed(data)
+            if reader.whole():
+                if len(front.spare_readers) < MOST_SPARE_READERS:
+                    front.spare_readers.append(reader)
+                self.reader = None
+                self.partial_since = 0
+            elif messages or not self.partial_since:
+                self.partial_since = now
+            for message in messages:
+                self._handle(message, now)
+        except rpc.Garbage as error:
+            front.note_fault("unreadable", str(error))
+            self._fail_unreadable(now)
+
+    def _handle(self, message: list[Any], now: int) -> None:
+        """Handle one message; a fault of the program costs that message alone."""
+        try:
+            self._handle_message(message, now)
+        except rpc.Garbage:
+            raise
+        except Exception as error:  # the boundary between this message and all others
+            self.front.core.defect("front", error)
+            if message[0] != rpc.REQUEST:
+                return
+            exchange = self.open.get(message[1])
+            if exchange is not None:
+                exchange.answer(ActivationState.ABORTED)
+            else:
+                self.send_failure(message[1])
+
+    def _handle_message(self, message: list[Any], now: int) -> None:
+        kind = message[0]
+        if kind == rpc.REQUEST:
+            self._handle_request(message[1], message[2], message[3], now)
+        elif kind == rpc.NOTICE and message[1] == "cancel":
+            for msgid in message[2]:
+                exchange = self.open.pop(msgid, None) if isinstance(msgid, int) else None
+                if exchange is not None and exchange.act is not None:
+                    self.front.core.client_left(exchange.act, exchange)
+            self.request_ended()
+        else:
+            raise rpc.Garbage("neither a request nor a cancel")
+
+    def _handle_request(self, msgid: int, method: str, params: list[Any], now: int) -> None:
+        core = self.front.core
+        if msgid in self.open:  # nobody could tell which of the two an answer is for
+            raise rpc.Garbage("a number that is open")
+        if self.draining:
+            self.send_rejection(msgid, core.intake.usual)
+        elif method in core.terms.types:
+            self._handle_call(msgid, method, params, now)
+        elif method == "health":
+            self.requested = True
+            self._write(rpc.response(msgid, None, [core.serves(), {}]))
+            self.request_ended()
+        else:
+            self._send_invalid(msgid, "no such class")
+
+    def _handle_call(self, msgid: int, namespace_type: str, params: list[Any], now: int) -> None:
+        core = self.front.core
+        gateway = core.gateway
+        try:
+            if len(params) != CALL_PARAMETERS:
+                raise InvalidRequestError("a call has a map and a body")
+            ask, function, figures = call_request.decode_call(
+                namespace_type, params[0], params[1], core.arrived(now), gateway.customers, gateway.timeouts
+            )
+            if core.is_open(ask.id):
+                raise InvalidRequestError("an id that is open")
+        except InvalidRequestError as error:
+            self._send_invalid(msgid, str(error))
+            return
+        self.requested = True
+        if not self._has_capacity():
+            self.send_rejection(msgid, core.intake.usual)
+            return
+        exchange = self.open[msgid] = Exchange(self, msgid)
+        self.front.connection_busy(self)
+        core.admit(ask, function, figures, params[1], exchange)
+
+    def _has_capacity(self) -> bool:
+        """Return whether one more call may be open on this connection."""
+        if self.over_capacity:
+            self.over_capacity = self.front.is_full()
+            if self.over_capacity:
+                return False
+        calls = len(self.open)
+        if (
+            calls >= resource_limits.OPEN
+            or self.stream.unsent() + (calls + 1) * LARGEST_ANSWER > resource_limits.UNREAD
+        ):
+            self.front.counts["over request limit"] += 1
+            return False
+        return True
+
+    def _fail_unreadable(self, now: int) -> None:
+        """Answer each open request as failed, since those that follow can't be told apart.
+
+        What still comes is dropped: to close over unread bytes would reset the connection, and the reset
+        would overtake the answers.
+        """
+        self.reader = None
+        self.partial_since = 0
+        if not self.open and not self.stream.writing():
+            self.close()
+            return
+        self._drain(now)
+        self.unreadable = True
+        for msgid, exchange in list(self.open.items()):
+            del self.open[msgid]
+            if exchange.act is not None:
+                self.front.core.client_left(exchange.act, exchange)
+            self.send_failure(msgid)
+
+    def _drain(self, now: int) -> None:
+        """Take nothing more; `Front.check` closes it."""
+        if not self.draining:
+            self.draining = True
+            self.since = now
+
+    def _pump_deferred_links(self) -> None:
+        if self.deferred_links:
+            links = self.deferred_links
+            self.deferred_links = {}
+            for link in links:
+                self.front.core.submit(link.pump)
+
+    # What goes.
+    def _is_write_buffer_full(self) -> bool:
+        """Return whether answers that are not sent, or not made yet, need all the memory for them."""
+        return self.stream.unsent() + len(self.open) * LARGEST_ANSWER > resource_limits.UNREAD
+
+    def _write(self, frame: bytes) -> None:
+        try:
+            self.last_write = self.stream.write(frame)
+        except (StreamClosedError, StreamBufferFullError):
+            self.front.core.loop.call_soon(self.close)
+
+    def send_result(self, msgid: int, body: bytes) -> None:
+        """Answer a request with its result."""
+        self._write(rpc.response(msgid, None, [body, {}]))
+
+    def send_rejection(self, msgid: int, retry_after: int) -> None:
+        """Answer a request as rejected; `retry_after` in ns, 0 where it is not told."""
+        fields = {"pushback": str(-(-retry_after // MS))} if retry_after else {}
+        self._write(rpc.response(msgid, [THROTTLED, fields], None))
+
+    def send_failure(self, msgid: int) -> None:
+        """Answer a request as failed."""
+        self._write(rpc.response(msgid, [BROKEN, {}], None))
+
+    def _send_invalid(self, msgid: int, reason: str) -> None:
+        """Answer an invalid request; a client that sends many is drained."""
+        self.front.note_fault("invalid", reason)
+        self.invalid_requests += 1
+        self._write(rpc.response(msgid, [INVALID, {"why": reason}], None))
+        if self.invalid_requests >= resource_limits.FAULTS:
+            self._drain(self.front.core.now())
+
+    # Its state.
+    def request_ended(self) -> None:
+        """Note that a request is no longer open, perhaps the last one."""
+        if not self.open and not self.draining:
+            self.since = self.front.core.now()
+            self.front.connection_idle(self)
+
+    def has_unread_input(self) -> bool:
+        """Return whether anything has come that was not handled yet, here or in the kernel.
+
+        To close then would lose a request, and the reset that follows overtakes what was written.
+        """
+        return (
+            self.pending_read is None
+            or self.pending_read.done()
+            or (not self.stream.closed() and bool(sockets.readable((self.stream.socket,))))
+        )
+
+    def is_quiescent(self) -> bool:
+        """Return whether all that was written has been sent, and all that has come was handled."""
+        return not self.stream.writing() and not self.has_unread_input()
+
+    def close(self) -> None:
+        """Close the connection; its open requests are cancelled."""
+        self.draining = True
+        if self.front.clients.pop(self, None) is None:
+            return
+        self.front.connection_busy(self)
+        self.reader = None
+        self.stream.close()
+        for exchange in list(self.open.values()):
+            if exchange.act is not None:
+                self.front.core.client_left(exchange.act, exchange)
+        self.open.clear()
+
+
+def _new_reader() -> rpc.Reader:
+    return rpc.Reader(resource_limits.FRAME + READ_SIZE, MESSAGE_PARTS)
--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -13,7 +13,8 @@
 from petrelwood.decide.scheduling.scheduler import Scheduler
 from petrelwood.dispatch.activations import Activations
 from petrelwood.dispatch.core import Core
-from petrelwood.node.front import Figures, Front
+from petrelwood.node.call_request import FunctionFigures
+from petrelwood.node.front import Front
 from petrelwood.node.roster import DnsRoster
 from petrelwood.node.worker import NodeLink
 
@@ -26,7 +27,7 @@
 LATE_LOOKS, TIMELY_LOOKS = 3, 10
 TIDY = 20  # looks between two at connections that rest
 STANDING = 100  # looks between two log lines of what is believed
-UNKNOWN = Figures(1, 0, 0)
+UNKNOWN = FunctionFigures(1, 0, 0)
 
 
 class NodeActivations(Activations):
@@ -236,7 +237,7 @@
         while not ends.over(self.now(), len(self.pending.activations), self.front.quiet()):
             self.intake.closing = ends.closed(self.now())
             if ends.closed(self.now()) and not self.pending.activations:
-                self.front.close_resting()  # those that go on sending keep only themselves
+                self.front.close_idle()  # those that go on sending keep only themselves
             if ends.out_of_time(self.now()):
                 for act_id in sorted(self.pending.activations):
                     self.submit(self._cut, act_id)
--- a/petrelwood/node/stream.py
+++ b/petrelwood/node/stream.py
@@ -1,5 +1,8 @@
 """Tornado's stream without its first look at the socket: most reads here begin before there is anything."""
 
+import asyncio
+from typing import TYPE_CHECKING
+
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream
 
@@ -9,6 +12,11 @@
 class Stream(IOStream):
     """A connection of a client or to a worker."""
 
+    if TYPE_CHECKING:
+
+        def read_bytes(self, num_bytes: int, partial: bool = False) -> asyncio.Future[bytes]:
+            """As in IOStream, whose annotation hides that it returns a future."""
+
     def _try_inline_read(self) -> None:
         """As in IOStream, but what is not in the buffer is waited for: one system call a read and not two."""
         pos = self._find_read_pos()
--- a/tests/ration.py
+++ b/tests/ration.py
@@ -17,7 +17,7 @@
 
 from petrelwood.decide.overload.intake import Ask
 from petrelwood.node import configuration, service, worker
-from petrelwood.node.front import Figures
+from petrelwood.node.call_request import FunctionFigures
 
 MS = virtual.MS
 GRACE = 2.0  # s, as `node_site.SETTINGS` tells it
@@ -289,7 +289,7 @@
             self.node.admit(
                 Ask("acme", id_, 0, "plain", self.clock.now(), ttl * MS, ""),
                 fn,
-                Figures(4, 200 * MS, 5 * MS),
+                FunctionFigures(4, 200 * MS, 5 * MS),
                 b"x",
                 exchange,
             )
--- a/tests/test_always_answered.py
+++ b/tests/test_always_answered.py
@@ -246,7 +246,9 @@
             requests = {client: ask(fn=1, ttl=30_000) for client in (soon, late, never)}
             for client, fields in requests.items():
                 client.call(fields, part=slice(None, 40))
-            await site.until(lambda: sum(bool(client.part) for client in site.node.front.clients) == 3)
+            await site.until(
+                lambda: sum(bool(client.partial_since) for client in site.node.front.clients) == 3
+            )
             ending = asyncio.ensure_future(site.node.close())
             await site.turns()
             soon.call(requests[soon], part=slice(40, None))
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -205,7 +205,7 @@
                     msgpack.packb([0, 2 + n, "nothing", [{}, b""]]) for n in range(resource_limits.FAULTS)
                 ]
                 bad.sock.sendall(b"".join(wrongs) + msgpack.packb([2, "cancel", [1]]))
-                await site.until(lambda: any(client.ending for client in site.node.front.clients))
+                await site.until(lambda: any(client.draining for client in site.node.front.clients))
                 worker.answer(worker.runs()[0])
                 await site.until(lambda: site.node.pending.counts["completed"] == 1)
                 await site.turns()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -501,9 +501,9 @@
             busy = Caller(site.address)
             number = busy.call(ask(fn=1))
             await site.until(worker.runs)
-            calls, accept = [], site.node.front._accept
-            site.node.loop.remove_reader(site.node.front.sock)
-            site.node.loop.add_reader(site.node.front.sock, lambda: (calls.append(1), accept()))
+            calls, accept = [], site.node.front.listener._accept
+            site.node.loop.remove_reader(site.node.front.listener.sock)
+            site.node.loop.add_reader(site.node.front.listener.sock, lambda: (calls.append(1), accept()))
             late = Caller(site.address)
             with no_descriptors():
                 await site.turns(200)
@@ -592,13 +592,13 @@
             # until what it does not read has filled both buffers: a busy machine turns some away in few bytes
             for _ in range(100):
                 bad.call(ask(fn=1), b"z" * resource_limits.BODY)
-                await site.until(lambda: not there.open and there.asked)
+                await site.until(lambda: not there.open and there.requested)
                 await asyncio.sleep(0.05)
                 if there.stream.writing():
                     break
             for _ in range(resource_limits.FAULTS):
                 bad.call(ask(fn=1), type_="nothing")
-            await site.until(lambda: there.ending)
+            await site.until(lambda: there.draining)
             self.assertTrue(there.stream.writing())
             await site.until(lambda: not site.node.front.clients)
             bad.sock.close()
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -14,10 +14,10 @@
 from petrelwood.decide.overload.backoff import Backoff, Budget
 from petrelwood.decide.overload.intake import Ask, Intake
 from petrelwood.decide.overload.resource_limits import CapacityIntake, ResourceLimits
-from petrelwood.node.front import Figures
+from petrelwood.node.call_request import FunctionFigures
 from petrelwood.settings.gateway import Limits, WorkerTerms
 
-RULE = Figures(1, 0, 0)
+RULE = FunctionFigures(1, 0, 0)
 MS, S = 1_000_000, 1_000_000_000
 WALL = 1_700_000_000 * S
 TYPES = {
--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -45,9 +45,9 @@
     setattr(owner, name, outer)
 
 counted(asyncio.base_events.BaseEventLoop, "_run_once", "turns")
-from petrelwood.node import front, roster, service
+from petrelwood.node import client_listener, roster, service
 counted(service.Node, "_check", "looks")
-counted(front.Front, "_accept", "accepts")
+counted(client_listener.ClientListener, "_accept", "accepts")
 counted(roster.DnsRoster, "_good", "answers")
 signal.signal(signal.SIGUSR1, lambda *_: os.write(2, json.dumps({"counts": counts}).encode() + b"\\n"))
 sys.argv = ["petrelwood.node"]
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -19,8 +19,9 @@
 from test_crossings import Caller, Inside, Raw
 
 from petrelwood.decide.overload import resource_limits
+from petrelwood.node import call_request, client_connection, client_listener, service
+from petrelwood.node import exchange as node_exchange
 from petrelwood.node import front as node_front
-from petrelwood.node import service
 
 
 def wrongs(first, count):
@@ -107,7 +108,7 @@
             client = Caller(site.address)
             first = client.call(ask(fn=1))
             await site.until(worker.runs)
-            with mock.patch.object(node_front, "asked", side_effect=RuntimeError("a defect")):
+            with mock.patch.object(call_request, "decode_call", side_effect=RuntimeError("a defect")):
                 second = client.call(ask(fn=1))
                 await site.until(lambda: second in client.read() or client.ended)
             worker.answer(worker.runs()[0])
@@ -126,7 +127,7 @@
             for client in busy:
                 client.call(ask(fn=1, ttl=3900))
             await site.until(lambda: len(worker.runs()) == 2)
-            more = [Caller(site.address) for _ in range(3 * node_front.GUESTS)]
+            more = [Caller(site.address) for _ in range(3 * node_front.CONNECTIONS_OVER_CAPACITY)]
             for client in more:
                 client.call(ask(fn=1, ttl=3900))
             for client in more:
@@ -151,7 +152,7 @@
                 clients.append(Caller(site.address))
                 await site.until(lambda number=number: site.node.front.counts["connections"] == number)
                 await site.turns()
-            self.assertEqual(site.node.front.counts["crowded out"], 0)
+            self.assertEqual(site.node.front.counts["evicted"], 0)
             for client in clients:
                 client.close()
 
@@ -164,11 +165,11 @@
             busy = Caller(site.address)
             busy.call(ask(fn=1, ttl=3900))
             await site.until(worker.runs)
-            with mock.patch.object(node_front.Client, "at_rest", lambda self: False):
-                guests = [Caller(site.address) for _ in range(node_front.GUESTS)]
+            with mock.patch.object(client_connection.ClientConnection, "is_quiescent", lambda self: False):
+                guests = [Caller(site.address) for _ in range(node_front.CONNECTIONS_OVER_CAPACITY)]
                 late = Caller(site.address)
                 late.call(ask(fn=1, ttl=3900))
-                await site.until(lambda: site.node.front.deaf)
+                await site.until(lambda: site.node.front.listener.paused)
                 self.assertEqual(late.read(), {})
                 self.assertIsNone(late.ended)
             await site.until(lambda: late.read() or late.ended)
@@ -212,7 +213,7 @@
                     work()
             whole = client.last - 1 if data else client.last
             self.assertGreater(site.node.pending.counts["completed"], resource_limits.OPEN // 2)
-            self.assertFalse(there.ending)
+            self.assertFalse(there.draining)
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
             there.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
 
@@ -288,7 +289,7 @@
             await site.until(worker.runs)
             opened = [Caller(site.address) for _ in range(10)]
             await site.until(lambda: len(site.node.front.clients) == 11)
-            order, take, answer = [], site.node.admit, node_front.Exchange.answer
+            order, take, answer = [], site.node.admit, node_exchange.Exchange.answer
 
             def admits(*args):
                 order.append("taken")
@@ -301,7 +302,7 @@
 
             with (
                 mock.patch.object(site.node, "admit", admits),
-                mock.patch.object(node_front.Exchange, "answer", answers),
+                mock.patch.object(node_exchange.Exchange, "answer", answers),
             ):
                 for client in opened:
                     client.call(ask(fn=2, ttl=3900))
@@ -333,9 +334,9 @@
             stop = self.strain(site, 0.15)
             looks = site.node.looks
             await site.until(lambda: site.node.looks > looks + 2 * service.LATE_LOOKS)
-            self.assertLessEqual(connected(connect(site)), 4 * node_front.SHORT_QUEUE)
+            self.assertLessEqual(connected(connect(site)), 4 * client_listener.SHORT_BACKLOG)
             stop()
-            await site.until(lambda: not site.node.front.shedding)
+            await site.until(lambda: not site.node.front.listener.shedding)
             await site.turns()
             self.assertEqual(connected(connect(site)), 100)
 
@@ -349,8 +350,8 @@
                 turn.append(1)
                 return made(*args, **more)
 
-            accept = site.node.front._accept
-            site.node.loop.remove_reader(site.node.front.sock)
+            accept = site.node.front.listener._accept
+            site.node.loop.remove_reader(site.node.front.listener.sock)
 
             def accepts():
                 nonlocal most
@@ -358,7 +359,7 @@
                 accept()
                 most = max(most, len(turn))
 
-            site.node.loop.add_reader(site.node.front.sock, accepts)
+            site.node.loop.add_reader(site.node.front.listener.sock, accepts)
             with mock.patch.object(node_front, "Stream", slowly):
                 clients = [Caller(site.address) for _ in range(20)]
                 await site.until(lambda: len(site.node.front.clients) == 20)
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -74,7 +74,7 @@
                 waiting = asyncio.create_task(self.greeted())
                 await asyncio.sleep(0.1)
                 # worked out: five pauses at most in 0.1 s, more if the loop is held up; a spin has hundreds
-                self.assertLess(self.calls, 10 * listener.CONNECTION_FAULTS_IN_A_ROW)
+                self.assertLess(self.calls, 10 * listener.CONNECTION_ERRORS_IN_A_ROW)
                 self.assertGreater(len(self.server.pauses), 1)
             self.assertEqual(await waiting, b"hello")
             self.server.pauses.clear()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -21,7 +21,8 @@
 from petrelwood.decide.cluster.polling import INTERVAL, RETRY_INTERVAL, RosterPolling
 from petrelwood.decide.overload.resource_limits import CapacityIntake, ResourceLimits
 from petrelwood.links import rpc
-from petrelwood.node import front, roster, worker_protocol
+from petrelwood.node import roster, worker_protocol
+from petrelwood.node.call_request import InvalidRequestError, decode_call
 from petrelwood.node.json_object import ConfigurationError
 from petrelwood.node.module_terms import module_terms
 
@@ -125,16 +126,16 @@
             for message in messages:
                 if message[0] == rpc.REQUEST and len(message[3]) == 2:
                     try:
-                        front.asked("plain", *message[3], 0, customers, timeouts)
+                        decode_call("plain", *message[3], 0, customers, timeouts)
                         ended["taken"] += 1
-                    except front.Wrong:
+                    except InvalidRequestError:
                         ended["wrong"] += 1
         self.assertTrue(all(ended.values()), ended)
 
     def test_requests_that_can_be_read_and_not_be_taken(self):
         customers, timeouts = frozenset(("acme",)), {"plain": 2000 * MS}
         good = ask()
-        taken, fn, figures = front.asked("plain", good, b"x", 5, customers, timeouts)
+        taken, fn, figures = decode_call("plain", good, b"x", 5, customers, timeouts)
         self.assertEqual((taken.id, taken.came, taken.wait, fn), (good["call"], 5, 2000 * MS, good["row"]))
         self.assertEqual(figures, (4, 20 * MS, 5 * MS))
         for changes in (
@@ -154,14 +155,14 @@
             {"dedupe": "short"},
             {"ttl": 1500},
         ):
-            with self.subTest(changes), self.assertRaises(front.Wrong):
-                front.asked("plain", {**good, **changes}, b"x", 5, customers, timeouts)
+            with self.subTest(changes), self.assertRaises(InvalidRequestError):
+                decode_call("plain", {**good, **changes}, b"x", 5, customers, timeouts)
         self.assertEqual(
-            front.asked("plain", {**good, "org": "any"}, b"x", 5, frozenset(), timeouts)[0].customer, "any"
+            decode_call("plain", {**good, "org": "any"}, b"x", 5, frozenset(), timeouts)[0].customer, "any"
         )
         for fields, body in ((good, "text"), ([], b"x"), (None, b"x")):
-            with self.assertRaises(front.Wrong):
-                front.asked("plain", fields, body, 5, customers, timeouts)
+            with self.assertRaises(InvalidRequestError):
+                decode_call("plain", fields, body, 5, customers, timeouts)
 
     def test_lines_out_and_back(self):
         said = json.loads(worker_protocol.encode_run("0" * 16, "plain", "a" * 16, 300, "k" * 32, b"\x00\xff"))
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -133,7 +133,7 @@
             with mock.patch.object(site.node.front, "quiet", lambda: False):
                 ending = asyncio.ensure_future(site.node.close())
                 await site.until(lambda: rests.read() is not None and rests.ended)
-                self.assertIsNotNone(site.node.front.sock)  # it still listens
+                self.assertIsNotNone(site.node.front.listener.sock)  # it still listens
                 await asyncio.wait_for(ending, 10)
             chatty.close()
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -34,7 +34,7 @@
 )
 from test_crossings import Caller, Inside, Raw
 
-from petrelwood.links import sockets
+from petrelwood.links.accept_errors import CONNECTION_ERRORS_IN_A_ROW
 
 IDLE = 12  # connections that rest
 TURNS = 300  # of a loop that never waits
@@ -104,7 +104,7 @@
                         await self.failed(site, fault)
                         await site.turns(TURNS)
                         pauses = 1 + site.node.looks - looks
-                        of_one = sockets.CONNECTION_FAULTS_IN_A_ROW if error == errno.EPERM else 1
+                        of_one = CONNECTION_ERRORS_IN_A_ROW if error == errno.EPERM else 1
                         self.assertLessEqual(fault.calls, of_one * (1 + pauses))
                     await self.answered(site, waiting, number, worker, fields["call"])
                     await self.served(site, worker)
@@ -125,7 +125,7 @@
                         self.addCleanup(waiting.sock.close)
                         await self.failed(site, fault)
                         await site.turns(TURNS)
-                        crowded_out = site.node.front.counts["crowded out"]
+                        crowded_out = site.node.front.counts["evicted"]
                         self.assertLessEqual(crowded_out, 1 + site.node.looks - looks)
                     number = waiting.call(fields := ask(fn=1), type_="single")
                     await self.answered(site, waiting, number, worker, fields["call"])
