--- a/petrelwood/node/log.py
+++ b/petrelwood/node/log.py
@@ -17,7 +17,8 @@
 
     def _write(self, level: str, event: str, fields: dict[str, object]) -> None:
         line = {"at": round(time.time(), 3), "level": level, "event": event, **fields}
-        self.out.write(orjson.dumps(line, default=str).decode() + "\n")
+        text = orjson.dumps(line, default=str, option=orjson.OPT_NON_STR_KEYS)  # members of an enum as keys
+        self.out.write(text.decode() + "\n")
         self.out.flush()
 
     def debug(self, event: str, **fields: object) -> None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -3,6 +3,7 @@
 
 import asyncio
 import copy
+import io
 import json
 import os
 import random
@@ -24,6 +25,7 @@
 from petrelwood.node import roster, worker_protocol
 from petrelwood.node.call_request import InvalidRequestError, decode_call
 from petrelwood.node.json_object import ConfigurationError
+from petrelwood.node.log import JsonLogger
 from petrelwood.node.module_terms import module_terms
 
 MS = 1_000_000
@@ -224,6 +226,14 @@
         with self.assertRaises(worker_protocol.MalformedAnswerError):
             list(reader.feed(b"x" * 101))
 
+    def test_log_lines_take_members_of_enums(self):
+        """Also as keys, as in the `ends` of `standing`."""
+        out = io.StringIO()
+        JsonLogger(out).info("standing", ends={"s-1": {ports.EndReason.FULL: 2}}, code=ports.EndReason.ERROR)
+        line = json.loads(out.getvalue())
+        self.assertEqual((line["event"], line["level"]), ("standing", "info"))
+        self.assertEqual((line["ends"], line["code"]), ({"s-1": {"full": 2}}, "error"))
+
     def test_the_rosters_answers(self):
         asked = b"\x12\x34" + roster.question()
         entries = {"s-1": (5050, "Ready", "east", 0), "s-2": (5051, "Terminating", "west", 1_700_000_000_123)}
