--- a/benchmarks/scale/parts.py
+++ b/benchmarks/scale/parts.py
@@ -56,7 +56,7 @@
 
     run = order_load = check_health = cancel = late = withdraw = recall = give_up = _nothing
 
-    def owes(self):
+    def has_open_calls(self):
         """Nothing is ever out."""
         return False
 
@@ -354,7 +354,7 @@
 
 def read_event_list(data):
     """The membership's entries of its bytes, as a dispatcher reads them."""
-    ((_, text, _),) = sse.Events().feed(data)
+    ((_, text, _),) = sse.EventReader().feed(data)
     return [membership.decode_endpoint(one) for one in orjson.loads(text)]
 
 
--- a/petrelwood/dispatch/serve.py
+++ b/petrelwood/dispatch/serve.py
@@ -26,7 +26,7 @@
 from petrelwood.dispatch.upgrade import UpgradeCommand, Upgrader
 from petrelwood.fronts.mqtt import Mqtt
 from petrelwood.fronts.webhook import Webhooks
-from petrelwood.settings.document import BadFile
+from petrelwood.settings.errors import SettingsError
 from petrelwood.settings.gateway import Gateway
 from petrelwood.store.errors import StateUnreadableError
 
@@ -54,7 +54,7 @@
         self.failed: str | None = None
         self.rollout = self._make_rollout(gateway)
         self.core = Dispatcher(gateway, log, options.scheduler, options.follows)
-        self.front = Webhooks(gateway, self.core, log)
+        self.front = Webhooks(gateway, self.core)
         self.updater = SettingsUpdater(gateway, self.core, self.front, log)
         self.triggers: Mqtt | None = None
         self.follower: ConfigurationFollower | None = None
@@ -139,7 +139,7 @@
             return
         try:
             new = await self.core.loop.run_in_executor(None, self.options.read_settings)
-        except BadFile as fault:
+        except SettingsError as fault:
             self.log.error("new settings invalid; nothing changes", why=str(fault))
             return
         self.updater.update(new)
@@ -149,7 +149,7 @@
         if self.successor is not None:
             await self.successor.take_over(self.core.now)
             self.core.open_state(predecessor_runs=True)
-            host, port = self.front.follow(self.successor.listeners)
+            host, port = self.front.listen_on(self.successor.listeners)
             self.core.handover.on_answer = self.successor.machine.record_answer
             self._start(self._follow(self.successor))
         else:
--- a/petrelwood/node/call_request.py
+++ b/petrelwood/node/call_request.py
@@ -38,6 +38,7 @@
     ask: Ask
     function: str
     figures: FunctionFigures
+    body: bytes
 
 
 def _number(text: str | None, least: float, most: float, name: str) -> float:
@@ -73,21 +74,25 @@
     return lanes, int(load * MS)
 
 
-def _checked_fields(fields: object, body: object) -> dict[str, str]:
-    """Return the fields, which are strings; the body is bytes."""
-    if not isinstance(fields, dict) or not isinstance(body, bytes):
-        raise InvalidRequestError("a call has a map and a body")
+def _check_fields(fields: dict[str, str]) -> None:
     if not (
         ONLY_STRINGS.issuperset(map(type, fields)) and ONLY_STRINGS.issuperset(map(type, fields.values()))
     ):
         raise InvalidRequestError("fields are strings")
-    return fields
+
+
+def _decode_figures(fields: dict[str, str], timeout: int) -> FunctionFigures:
+    """Return what a call says of its function and its work; `timeout` in ns."""
+    longest_work = LONGEST_WORK * timeout / MS
+    work = _number(fields["work"], 0, longest_work, "work") if "work" in fields else 0.0
+    lanes, load_time = _decode_facts(fields.get("facts", ""), longest_work)
+    return FunctionFigures(lanes, load_time, int(work * MS))
 
 
 def decode_call(
     namespace_type: str,
-    raw_fields: object,
-    raw_body: object,
+    fields: object,
+    body: object,
     received_at: int,
     customers: Collection[str],
     timeouts: Mapping[str, int],
@@ -96,8 +101,8 @@
 
     Args:
         namespace_type: the request's method.
-        raw_fields: the first parameter.
-        raw_body: the second parameter.
+        fields: the first parameter.
+        body: the second parameter.
         received_at: ns; the client's patience runs from then.
         customers: names of the customers; empty where the platform has none, so that any may call.
         timeouts: the action timeout of each namespace type, ns.
@@ -105,7 +110,9 @@
     Raises:
         InvalidRequestError: a parameter is missing, malformed or out of range.
     """
-    fields = _checked_fields(raw_fields, raw_body)
+    if not isinstance(fields, dict) or not isinstance(body, bytes):
+        raise InvalidRequestError("a call has a map and a body")
+    _check_fields(fields)
     customer = fields.get("org", "")
     if customers and customer not in customers:
         raise InvalidRequestError("no such tenant")
@@ -114,12 +121,11 @@
     if idempotency_key:
         _id(idempotency_key, IDEMPOTENCY_KEY_DIGITS, "dedupe")
     patience = _number(fields.get("ttl"), 1, LONGEST_PATIENCE * timeout / MS, "ttl")
-    longest_work = LONGEST_WORK * timeout / MS
-    work = _number(fields["work"], 0, longest_work, "work") if "work" in fields else 0.0
-    lanes, load_time = _decode_facts(fields.get("facts", ""), longest_work)
+    figures = _decode_figures(fields, timeout)
     call_id = _id(fields.get("call"), ID_DIGITS, "call")
     return CallRequest(
         Ask(customer, call_id, 0, namespace_type, received_at, int(patience * MS), idempotency_key),
         _id(fields.get("row"), ID_DIGITS, "row"),
-        FunctionFigures(lanes, load_time, int(work * MS)),
+        figures,
+        body,
     )
--- a/petrelwood/node/client_connection.py
+++ b/petrelwood/node/client_connection.py
@@ -5,7 +5,7 @@
 """
 
 import asyncio
-from typing import Any, Protocol
+from typing import Protocol
 
 from tornado.iostream import StreamBufferFullError, StreamClosedError
 
@@ -22,7 +22,7 @@
 READ_SIZE = 16_384  # bytes of one read at most
 MOST_SPARE_READERS = 8  # kept for the connections that receive next: one has some 40 KB
 LARGEST_ANSWER = resource_limits.BODY + resource_limits.TEXT  # bytes
-MESSAGE_PARTS = rpc.Parts(resource_limits.BODY, resource_limits.TEXT, resource_limits.MEMBERS)
+MESSAGE_LIMITS = rpc.MessageLimits(resource_limits.BODY, resource_limits.TEXT, resource_limits.MEMBERS)
 CALL_PARAMETERS = 2  # the fields and the body
 
 # the errors that answers carry
@@ -133,7 +133,7 @@
             reader = self.reader = front.spare_readers.pop() if front.spare_readers else _new_reader()
         try:
             messages = reader.feed(data)
-            if reader.whole():
+            if reader.is_between_messages():
                 if len(front.spare_readers) < MOST_SPARE_READERS:
                     front.spare_readers.append(reader)
                 self.reader = None
@@ -142,47 +142,48 @@
                 self.partial_since = now
             for message in messages:
                 self._handle(message, now)
-        except rpc.Garbage as error:
+        except rpc.MalformedRpcError as error:
             front.note_fault("unreadable", str(error))
             self._fail_unreadable(now)
 
-    def _handle(self, message: list[Any], now: int) -> None:
+    def _handle(self, message: rpc.Message, now: int) -> None:
         """Handle one message; a fault of the program costs that message alone."""
         try:
             self._handle_message(message, now)
-        except rpc.Garbage:
+        except rpc.MalformedRpcError:
             raise
         except Exception as error:  # the boundary between this message and all others
             self.front.core.defect("front", error)
-            if message[0] != rpc.REQUEST:
+            if not isinstance(message, rpc.Request):
                 return
-            exchange = self.open.get(message[1])
+            exchange = self.open.get(message.message_id)
             if exchange is not None:
                 exchange.answer(ActivationState.ABORTED)
             else:
-                self.send_failure(message[1])
-
-    def _handle_message(self, message: list[Any], now: int) -> None:
-        kind = message[0]
-        if kind == rpc.REQUEST:
-            self._handle_request(message[1], message[2], message[3], now)
-        elif kind == rpc.NOTICE and message[1] == "cancel":
-            for msgid in message[2]:
+                self.send_failure(message.message_id)
+
+    def _handle_message(self, message: rpc.Message, now: int) -> None:
+        if isinstance(message, rpc.Request):
+            self._handle_request(message, now)
+        elif isinstance(message, rpc.Notification) and message.method == "cancel":
+            for msgid in message.params:
                 exchange = self.open.pop(msgid, None) if isinstance(msgid, int) else None
                 if exchange is not None and exchange.act is not None:
                     self.front.core.client_left(exchange.act, exchange)
             self.request_ended()
         else:
-            raise rpc.Garbage("neither a request nor a cancel")
+            raise rpc.MalformedRpcError("neither a request nor a cancel")
 
-    def _handle_request(self, msgid: int, method: str, params: list[Any], now: int) -> None:
+    def _handle_request(self, request: rpc.Request, now: int) -> None:
         core = self.front.core
+        msgid = request.message_id
+        method = request.method
         if msgid in self.open:  # nobody could tell which of the two an answer is for
-            raise rpc.Garbage("a number that is open")
+            raise rpc.MalformedRpcError("a number that is open")
         if self.draining:
             self.send_rejection(msgid, core.intake.usual)
         elif method in core.terms.types:
-            self._handle_call(msgid, method, params, now)
+            self._handle_call(msgid, method, request.params, now)
         elif method == "health":
             self.requested = True
             self._write(rpc.response(msgid, None, [core.serves(), {}]))
@@ -190,16 +191,16 @@
         else:
             self._send_invalid(msgid, "no such class")
 
-    def _handle_call(self, msgid: int, namespace_type: str, params: list[Any], now: int) -> None:
+    def _handle_call(self, msgid: int, namespace_type: str, params: list[object], now: int) -> None:
         core = self.front.core
         gateway = core.gateway
         try:
             if len(params) != CALL_PARAMETERS:
                 raise InvalidRequestError("a call has a map and a body")
-            ask, function, figures = call_request.decode_call(
+            call = call_request.decode_call(
                 namespace_type, params[0], params[1], core.arrived(now), gateway.customers, gateway.timeouts
             )
-            if core.is_open(ask.id):
+            if core.is_open(call.ask.id):
                 raise InvalidRequestError("an id that is open")
         except InvalidRequestError as error:
             self._send_invalid(msgid, str(error))
@@ -210,7 +211,7 @@
             return
         exchange = self.open[msgid] = Exchange(self, msgid)
         self.front.connection_busy(self)
-        core.admit(ask, function, figures, params[1], exchange)
+        core.admit(call.ask, call.function, call.figures, call.body, exchange)
 
     def _has_capacity(self) -> bool:
         """Return whether one more call may be open on this connection."""
@@ -328,4 +329,4 @@
 
 
 def _new_reader() -> rpc.Reader:
-    return rpc.Reader(resource_limits.FRAME + READ_SIZE, MESSAGE_PARTS)
+    return rpc.Reader(resource_limits.FRAME + READ_SIZE, MESSAGE_LIMITS)
