--- a/benchmarks/scale/parts.py
+++ b/benchmarks/scale/parts.py
@@ -19,7 +19,7 @@
 from petrelwood import ports
 from petrelwood.clocks import WALL, VirtualClock
 from petrelwood.decide.cluster import membership
-from petrelwood.decide.overload.intake import Ask
+from petrelwood.decide.overload.intake import ActivationRequest
 from petrelwood.decide.scheduling.scheduler import Function, Scheduler
 from petrelwood.dispatch.core import Core
 from petrelwood.emulate.platform import Silent
@@ -310,7 +310,7 @@
 def ask(dispatcher, number, function):
     """A call that is answered at once."""
     now = dispatcher.now()
-    asked = Ask("caller", f"id-{number}", dispatcher.clock.wall() + SECOND, "call", now, 0)
+    asked = ActivationRequest("caller", f"id-{number}", dispatcher.clock.wall() + SECOND, "call", now, 0)
     dispatcher.admit(asked, function, dispatcher.rule(function), 0, IgnoringExchange())
 
 
--- a/petrelwood/fronts/interfaces.py
+++ b/petrelwood/fronts/interfaces.py
@@ -11,7 +11,7 @@
 from petrelwood import ports
 from petrelwood.decide.delivery import pending
 from petrelwood.decide.delivery.ledger import Ledger
-from petrelwood.decide.overload.intake import Ask, Intake
+from petrelwood.decide.overload.intake import ActivationRequest, Intake
 from petrelwood.links.tls import Identity
 
 
@@ -123,7 +123,9 @@
     def rule(self, function: str) -> FunctionRule | None:
         """The rule of a function, or None where it may not be called."""
 
-    def admit(self, ask: Ask, function: str, rule: FunctionRule, body: bytes, exchange: Exchange) -> None:
+    def admit(
+        self, ask: ActivationRequest, function: str, rule: FunctionRule, body: bytes, exchange: Exchange
+    ) -> None:
         """Admits a request of an authenticated client; `exchange` gets the final answer."""
 
     def client_left(self, act_id: str, exchange: Exchange) -> None:
--- a/petrelwood/links/tls.py
+++ b/petrelwood/links/tls.py
@@ -45,16 +45,16 @@
         """What this was made of; the comparison of two settings goes by it."""
         return self.cert, self.key, self.trusts, self.mutual, self.name
 
-    def check(self, now: datetime.datetime) -> None:
-        """Check that the files can be used at `now`.
+    def check(self, now: datetime.datetime) -> datetime.timedelta | None:
+        """Return how long the certificate is still valid, or None if there is none.
 
         Raises:
-            IdentityError: They can't.
+            IdentityError: The files can't be used at `now`.
         """
         if self.mutual and not self.trusts:
             raise IdentityError("mutual TLS needs to know whom to trust")
         if not self.cert:
-            return
+            return None
         found = self._read_certificate()
         if now >= found.not_valid_after_utc:
             raise IdentityError(f"{self.cert} ran out on {found.not_valid_after_utc:%Y-%m-%d %H:%M} UTC")
@@ -63,6 +63,7 @@
                 f"{self.cert} holds only from {found.not_valid_before_utc:%Y-%m-%d %H:%M} UTC on"
             )
         self._load(ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER))
+        return found.not_valid_after_utc - now
 
     def _read_certificate(self) -> x509.Certificate:
         try:
--- a/petrelwood/node/call_request.py
+++ b/petrelwood/node/call_request.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection, Mapping
 from typing import NamedTuple
 
-from petrelwood.decide.overload.intake import Ask
+from petrelwood.decide.overload.intake import ActivationRequest
 from petrelwood.errors import PetrelwoodError
 from petrelwood.node.units import MS
 
@@ -35,7 +35,7 @@
 class CallRequest(NamedTuple):
     """A decoded call."""
 
-    ask: Ask
+    activation: ActivationRequest
     function: str
     figures: FunctionFigures
     body: bytes
@@ -81,6 +81,13 @@
         raise InvalidRequestError("fields are strings")
 
 
+def _customer(fields: dict[str, str], customers: Collection[str]) -> str:
+    customer = fields.get("org", "")
+    if customers and customer not in customers:
+        raise InvalidRequestError("no such tenant")
+    return customer
+
+
 def _decode_figures(fields: dict[str, str], timeout: int) -> FunctionFigures:
     """Return what a call says of its function and its work; `timeout` in ns."""
     longest_work = LONGEST_WORK * timeout / MS
@@ -113,9 +120,7 @@
     if not isinstance(fields, dict) or not isinstance(body, bytes):
         raise InvalidRequestError("a call has a map and a body")
     _check_fields(fields)
-    customer = fields.get("org", "")
-    if customers and customer not in customers:
-        raise InvalidRequestError("no such tenant")
+    customer = _customer(fields, customers)
     timeout = timeouts[namespace_type]
     idempotency_key = fields.get("dedupe", "")
     if idempotency_key:
@@ -124,7 +129,9 @@
     figures = _decode_figures(fields, timeout)
     call_id = _id(fields.get("call"), ID_DIGITS, "call")
     return CallRequest(
-        Ask(customer, call_id, 0, namespace_type, received_at, int(patience * MS), idempotency_key),
+        ActivationRequest(
+            customer, call_id, 0, namespace_type, received_at, int(patience * MS), idempotency_key
+        ),
         _id(fields.get("row"), ID_DIGITS, "row"),
         figures,
         body,
--- a/petrelwood/node/client_connection.py
+++ b/petrelwood/node/client_connection.py
@@ -20,7 +20,7 @@
 from petrelwood.node.units import MS
 
 READ_SIZE = 16_384  # bytes of one read at most
-MOST_SPARE_READERS = 8  # kept for the connections that receive next: one has some 40 KB
+READER_POOL_SIZE = 8  # kept for the connections that receive next: one has some 40 KB
 LARGEST_ANSWER = resource_limits.BODY + resource_limits.TEXT  # bytes
 MESSAGE_LIMITS = rpc.MessageLimits(resource_limits.BODY, resource_limits.TEXT, resource_limits.MEMBERS)
 CALL_PARAMETERS = 2  # the fields and the body
@@ -37,7 +37,7 @@
     core: Dispatcher
     clients: "dict[ClientConnection, bool]"
     counts: dict[str, int]
-    spare_readers: list[rpc.Reader]
+    reader_pool: list[rpc.Reader]
     reads: int  # of all connections
 
     def is_full(self) -> bool:
@@ -130,12 +130,12 @@
         front = self.front
         reader = self.reader
         if reader is None:
-            reader = self.reader = front.spare_readers.pop() if front.spare_readers else _new_reader()
+            reader = self.reader = front.reader_pool.pop() if front.reader_pool else _new_reader()
         try:
             messages = reader.feed(data)
             if reader.is_between_messages():
-                if len(front.spare_readers) < MOST_SPARE_READERS:
-                    front.spare_readers.append(reader)
+                if len(front.reader_pool) < READER_POOL_SIZE:
+                    front.reader_pool.append(reader)
                 self.reader = None
                 self.partial_since = 0
             elif messages or not self.partial_since:
@@ -200,7 +200,7 @@
             call = call_request.decode_call(
                 namespace_type, params[0], params[1], core.arrived(now), gateway.customers, gateway.timeouts
             )
-            if core.is_open(call.ask.id):
+            if core.is_open(call.activation.id):
                 raise InvalidRequestError("an id that is open")
         except InvalidRequestError as error:
             self._send_invalid(msgid, str(error))
@@ -211,7 +211,7 @@
             return
         exchange = self.open[msgid] = Exchange(self, msgid)
         self.front.connection_busy(self)
-        core.admit(call.ask, call.function, call.figures, call.body, exchange)
+        core.admit(call.activation, call.function, call.figures, call.body, exchange)
 
     def _has_capacity(self) -> bool:
         """Return whether one more call may be open on this connection."""
--- a/petrelwood/node/client_listener.py
+++ b/petrelwood/node/client_listener.py
@@ -90,8 +90,8 @@
         listening = self.sock
         if listening is None:
             return
-        began = self.core.now()
-        self.core.answer_due(began)  # what is due must not wait for new connections
+        started_at = self.core.now()
+        self.core.answer_due(started_at)  # what is due must not wait for new connections
         connection_errors = 0  # in a row
         evicted = False  # for a connection that could not be accepted yet
         for _ in range(SHORT_BACKLOG if self.shedding else ACCEPTS_PER_TURN):
@@ -117,5 +117,5 @@
             connection_errors = 0
             evicted = False
             self.table.take_connection(sock)
-            if self.core.now() - began > ACCEPT_TIME_PER_TURN:
+            if self.core.now() - started_at > ACCEPT_TIME_PER_TURN:
                 return
--- a/petrelwood/node/exchange.py
+++ b/petrelwood/node/exchange.py
@@ -7,13 +7,13 @@
 
 # ns after a client's end or cancel in which an attempt for it may still begin, by the operators' rules
 DEPARTURE_GRACE = 100_000_000
-# ns for which one look at a client's unread bytes counts; a new look is then due
-LOOK_LIFETIME = DEPARTURE_GRACE // 2
-# reads that emptied the socket, after which all is read that lay there at the look, however much still comes
+# ns for which one check for a client's unread bytes counts; a new check is then due
+CHECK_LIFETIME = DEPARTURE_GRACE // 2
+# reads that emptied the socket, after which all is read that lay there at the check, however much still comes
 READS_TO_CATCH_UP = 2
 
 COMPLETED = ActivationState.COMPLETED
-REJECTIONS = (ActivationState.REJECTED, intake.REFUSE)
+REJECTIONS = (ActivationState.REJECTED, intake.REJECT)
 
 
 class PumpedLink(Protocol):
@@ -52,14 +52,14 @@
 class Exchange:
     """One request of a client, which gets one answer at most; a `dispatch.activations.Exchange`."""
 
-    __slots__ = ("act", "client", "looked_at", "msgid", "reads_at_look")
+    __slots__ = ("act", "client", "checked_at", "msgid", "reads_at_check")
 
     def __init__(self, client: Client, msgid: int) -> None:
         self.client = client
         self.msgid = msgid
         self.act: str | None = None  # the id of its activation, once it is admitted
-        self.looked_at = 0  # ns, when an attempt was first held back until its client is read; 0: none is
-        self.reads_at_look = 0  # the client's `emptying_reads` then
+        self.checked_at = 0  # ns, when an attempt was first held back until its client is read; 0: none is
+        self.reads_at_check = 0  # the client's `emptying_reads` then
 
     def waits(self) -> bool:
         """Return whether the client still waits for the answer."""
@@ -73,14 +73,14 @@
         client = self.client
         if client.has_unread_input():
             now = client.now()
-            if now - self.looked_at > LOOK_LIFETIME:
-                self.looked_at = now
-                self.reads_at_look = client.emptying_reads
-            if client.emptying_reads - self.reads_at_look < READS_TO_CATCH_UP:
+            if now - self.checked_at > CHECK_LIFETIME:
+                self.checked_at = now
+                self.reads_at_check = client.emptying_reads
+            if client.emptying_reads - self.reads_at_check < READS_TO_CATCH_UP:
                 client.deferred_links[link] = True
                 return False
-        self.looked_at = 0
-        self.reads_at_look = 0
+        self.checked_at = 0
+        self.reads_at_check = 0
         return True
 
     def answer(
--- a/petrelwood/node/front.py
+++ b/petrelwood/node/front.py
@@ -38,7 +38,7 @@
         self.clients: dict[ClientConnection, bool] = {}
         # those without an open request, idle longest first
         self.idle: OrderedDict[ClientConnection, bool] = OrderedDict()
-        self.spare_readers: list[rpc.Reader] = []
+        self.reader_pool: list[rpc.Reader] = []
         self.reads = 0  # of all connections
         self.counts = {
             "connections": 0,
@@ -78,13 +78,11 @@
     # New connections.
     def is_full(self) -> bool:
         """Return whether there are as many connections as there is capacity for."""
-        capacity: int = self.limits.clients
-        return len(self.clients) >= capacity
+        return len(self.clients) >= self.limits.clients
 
     def has_capacity(self) -> bool:
         """Return whether one more may be accepted, if only to reject what it asks."""
-        capacity: int = self.limits.clients
-        return len(self.clients) < capacity + CONNECTIONS_OVER_CAPACITY
+        return len(self.clients) < self.limits.clients + CONNECTIONS_OVER_CAPACITY
 
     def evict_idle(self) -> bool:
         """Close the connection that has been idle longest; return whether there was one.
@@ -150,9 +148,9 @@
             if client.is_quiescent() or now - client.since > resource_limits.PART:
                 client.close()
             return
-        partial_too_long = client.partial_since and now - client.partial_since > resource_limits.PART
-        silent_too_long = not client.requested and now - client.since > resource_limits.SILENT
-        if (partial_too_long or silent_too_long) and not client.has_unread_input():
+        partial_request_too_old = client.partial_since and now - client.partial_since > resource_limits.PART
+        no_request_in_time = not client.requested and now - client.since > resource_limits.SILENT
+        if (partial_request_too_old or no_request_in_time) and not client.has_unread_input():
             self.counts["timed out"] += 1
             client.close()
 
--- a/petrelwood/node/interfaces.py
+++ b/petrelwood/node/interfaces.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Collection, Mapping
 from typing import Protocol
 
-from petrelwood.decide.overload.intake import Ask
+from petrelwood.decide.overload.intake import ActivationRequest
 from petrelwood.dispatch.activations import Exchange
 from petrelwood.dispatch.interfaces import Rule
 
@@ -71,10 +71,18 @@
     def answer_due(self, now: int) -> None:
         """Answers the activations whose deadline has come."""
 
-    def admit(self, ask: Ask, function: str, rule: Rule, body: bytes, exchange: Exchange) -> None:
+    def admit(
+        self,
+        activation: ActivationRequest,
+        function: str,
+        rule: Rule,
+        body: bytes,
+        exchange: Exchange,
+        /,
+    ) -> None:
         """Takes a call in, or answers it at once."""
 
-    def client_left(self, act_id: str, exchange: Exchange) -> None:
+    def client_left(self, act_id: str, exchange: Exchange, /) -> None:
         """Ends what a client no longer waits for, where it may be ended."""
 
     def submit(self, call: Callable[..., object], *args: object) -> None:
--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -263,7 +263,7 @@
             "completed": counts[ledger.ActivationState.COMPLETED],
             "rejected": counts[ledger.ActivationState.REJECTED],
             "aborted": counts[ledger.ActivationState.ABORTED],
-            "held": self.intake.held,
+            "held": self.intake.unanswered,
             "out": scheduler.out_now,
             "slow": round(scheduler.slow, 2),
             "turned": round(scheduler.turned, 2),
