--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -5,6 +5,7 @@
 
 from petrelwood.clocks import LoopClock
 from petrelwood.decide.cluster import shutdown
+from petrelwood.decide.cluster.membership import EndpointState
 from petrelwood.decide.cluster.polling import RosterPolling
 from petrelwood.decide.delivery import ledger
 from petrelwood.decide.overload import intake
@@ -12,8 +13,8 @@
 from petrelwood.decide.scheduling.scheduler import Scheduler
 from petrelwood.dispatch.activations import Activations
 from petrelwood.dispatch.core import Core
-from petrelwood.node import told
-from petrelwood.node.front import Figures, Front
+from petrelwood.node.call_request import FunctionFigures
+from petrelwood.node.front import Front
 from petrelwood.node.roster import DnsRoster
 from petrelwood.node.worker import NodeLink
 
@@ -26,7 +27,7 @@
 LATE_LOOKS, TIMELY_LOOKS = 3, 10
 TIDY = 20  # looks between two at connections that rest
 STANDING = 100  # looks between two log lines of what is believed
-UNKNOWN = Figures(1, 0, 0)
+UNKNOWN = FunctionFigures(1, 0, 0)
 
 
 class NodeActivations(Activations):
@@ -43,7 +44,7 @@
 
 
 class Node(Core):
-    """`gateway` is a `told.Told`."""
+    """`gateway` is a `configuration.Configuration`."""
 
     def __init__(self, gateway, log, scheduler=Scheduler):
         self.loop, self.room = asyncio.get_running_loop(), ResourceLimits(gateway.sockets, gateway.memory)
@@ -178,7 +179,7 @@
             known.update((e.worker, e) for e in entries)
         listed = self.membership.apply_list(
             f"dns-{self.gateway.number}",
-            [e for e in known.values() if e.state != told.membership.EndpointState.GONE],
+            [e for e in known.values() if e.state != EndpointState.GONE],
             now,
             wall,
         )
@@ -236,7 +237,7 @@
         while not ends.over(self.now(), len(self.pending.activations), self.front.quiet()):
             self.intake.closing = ends.closed(self.now())
             if ends.closed(self.now()) and not self.pending.activations:
-                self.front.close_resting()  # those that go on sending keep only themselves
+                self.front.close_idle()  # those that go on sending keep only themselves
             if ends.out_of_time(self.now()):
                 for act_id in sorted(self.pending.activations):
                     self.submit(self._cut, act_id)
--- a/tests/ration.py
+++ b/tests/ration.py
@@ -16,8 +16,8 @@
 from node_site import SETTINGS
 
 from petrelwood.decide.overload.intake import ActivationRequest
-from petrelwood.node import service, told, worker
-from petrelwood.node.front import Figures
+from petrelwood.node import configuration, service, worker
+from petrelwood.node.call_request import FunctionFigures
 
 MS = virtual.MS
 GRACE = 2.0  # s, as `node_site.SETTINGS` tells it
@@ -170,7 +170,7 @@
 
     async def run(self):
         self.clock = virtual.Clock()
-        gateway = told.decode(
+        gateway = configuration.decode(
             {
                 "name": "n0",
                 "listen": "127.0.0.1:1",
@@ -213,7 +213,7 @@
     def tell(self):
         self.serial += 1
         entries = [
-            told.entry({"name": w.name, "address": f"h:{port}", "status": "Ready"})
+            configuration.decode_endpoint({"name": w.name, "address": f"h:{port}", "status": "Ready"})
             for port, w in self.hosts.items()
             if w.gone is None
         ]
@@ -289,7 +289,7 @@
             self.node.admit(
                 ActivationRequest("acme", id_, 0, "plain", self.clock.now(), ttl * MS, ""),
                 fn,
-                Figures(4, 200 * MS, 5 * MS),
+                FunctionFigures(4, 200 * MS, 5 * MS),
                 b"x",
                 exchange,
             )
