--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -544,7 +544,7 @@
         core.clock.step = HOUR
         slots = EarlyTerms(10 * S, 86_400 * S, 7 * 86_400 * S, (), 0.0, 0.0, 0, 0)
         core.forecasts = LoadForecasts(
-            slots, core.terms, core.clock, random.Random(1), wish=mock.Mock(), sliced=False
+            slots, core.terms, core.clock, random.Random(1), prefetch=mock.Mock(), sliced=False
         )
         with mock.patch.object(core.forecasts, "early") as early:
             core._plan_loads()
