--- a/petrelwood/dispatch/handover/predecessor.py
+++ b/petrelwood/dispatch/handover/predecessor.py
@@ -9,14 +9,18 @@
 import contextlib
 import pathlib
 import socket
-from collections.abc import Callable, Coroutine
-from typing import TYPE_CHECKING
+from collections.abc import Callable, Coroutine, Sequence
+from typing import Protocol
 
 from petrelwood.decide.cluster import handover
+from petrelwood.decide.cluster.completion import CompletionRate
 from petrelwood.decide.cluster.handover import PredecessorAction, PredecessorPhase
 from petrelwood.decide.delivery.ledger import ActivationState
+from petrelwood.decide.delivery.pending import PendingActivations
+from petrelwood.dispatch.durable_state import DurableState
 from petrelwood.dispatch.errors import HandoverError, HandoverRejectedError
 from petrelwood.dispatch.handover.channel import Channel
+from petrelwood.dispatch.handover.hooks import ActivationEndHandler
 from petrelwood.dispatch.handover.messages import (
     ActivationEnded,
     Alive,
@@ -36,15 +40,67 @@
 from petrelwood.links.unix_socket import UnixSocket
 from petrelwood.store.state_segments import PLAIN_FORMAT
 
-if TYPE_CHECKING:
-    from petrelwood.dispatch.dispatcher import Dispatcher
-    from petrelwood.fronts.webhook import Webhooks
-
 CHECK_INTERVAL = 0.05  # seconds
 GREETING_TIMEOUT = 5.0  # seconds
 DISMISSAL_TIMEOUT = 5.0  # seconds
 
 
+class DrainedFront(Protocol):
+    """A front whose connections are waited for."""
+
+    def quiet(self) -> bool:
+        """Return whether no connection is in use any more."""
+
+
+class HandedOverListeners(Protocol):
+    """The front whose listeners the successor gets; see `fronts.webhook.Webhooks`."""
+
+    def descriptors(self) -> list[int]:
+        """Return the file descriptors of its listeners."""
+
+    def pause(self) -> object:
+        """Accept no connections until `resume` is called."""
+
+    def resume(self) -> object:
+        """Accept connections again."""
+
+
+class PredecessorCore(Protocol):
+    """What the predecessor's side needs of the core."""
+
+    @property
+    def name(self) -> str:
+        """The name of the dispatcher."""
+
+    @property
+    def loop(self) -> asyncio.AbstractEventLoop:
+        """The loop that the dispatcher runs on."""
+
+    @property
+    def pending(self) -> PendingActivations:
+        """The activations without a final answer."""
+
+    @property
+    def fronts(self) -> Sequence[DrainedFront]:
+        """The fronts that are open."""
+
+    @property
+    def durable_state(self) -> DurableState | None:
+        """The record of activations, where one is made."""
+
+    def now(self) -> int:
+        """Return the monotonic time in ns."""
+
+    def recent_completion(self) -> CompletionRate:
+        """Return how the activations ended that were answered in the last ten seconds."""
+
+    def stop_admitting(self, on_end: ActivationEndHandler, /) -> object:
+        """Admit nothing new; `on_end` is called for each activation that ends."""
+
+    def resume_admitting(self) -> object:
+        """Admit again."""
+
+
 class PredecessorProcess:
     """Serves the control socket at `path`.
 
@@ -55,8 +111,8 @@
     def __init__(
         self,
         path: str,
-        core: "Dispatcher",
-        webhooks: "Webhooks",
+        core: PredecessorCore,
+        webhooks: HandedOverListeners,
         log: Logger,
         *,
         on_hand_over: Callable[[], object],
--- a/petrelwood/dispatch/handover/successor.py
+++ b/petrelwood/dispatch/handover/successor.py
@@ -9,13 +9,15 @@
 import os
 import socket
 from collections.abc import Callable
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from petrelwood.decide.cluster import handover
 from petrelwood.decide.cluster.completion import CompletionRate
 from petrelwood.decide.cluster.handover import SuccessorAction, SuccessorPhase, TakeoverRequest
+from petrelwood.decide.delivery.ledger import ActivationState
 from petrelwood.dispatch.errors import HandoverError, HandoverRejectedError, PeerLostError, PeerTimeoutError
 from petrelwood.dispatch.handover.channel import Channel
+from petrelwood.dispatch.handover.hooks import HandoverHooks
 from petrelwood.dispatch.handover.messages import (
     ActivationEnded,
     Alive,
@@ -33,9 +35,6 @@
 from petrelwood.dispatch.interfaces import Logger
 from petrelwood.store.state_segments import NEWEST_FORMAT, OLDEST_FORMAT
 
-if TYPE_CHECKING:
-    from petrelwood.dispatch.dispatcher import Dispatcher
-
 CHECK_INTERVAL = 0.05  # seconds
 CHECKS_PER_HEARTBEAT = 5
 OFFER_TIMEOUT = 10.0  # seconds
@@ -46,6 +45,25 @@
 NowFunction = Callable[[], int]
 
 
+class SuccessorCore(Protocol):
+    """What the successor's side needs of the core."""
+
+    @property
+    def handover(self) -> HandoverHooks:
+        """Whom the core asks whether this process may be superseded."""
+
+    def now(self) -> int:
+        """Return the monotonic time in ns."""
+
+    def note_predecessor_outcome(
+        self, customer: str, id_: str, outcome: ActivationState, sent: bool, body: bytes | None, /
+    ) -> object:
+        """Learn how an activation ended that the predecessor had in flight."""
+
+    def predecessor_gone(self) -> object:
+        """Learn that the predecessor has ended: the outcomes that it did not send are not known."""
+
+
 class SuccessorProcess:
     """Takes over from the process at the control socket `path`, for the gateway `name`."""
 
@@ -105,7 +123,7 @@
         if self.machine.on_go(now(), before) != SuccessorAction.ACCEPT:
             raise HandoverRejectedError("the old process did not give way")
 
-    async def follow(self, core: "Dispatcher", log: Logger, on_failure: Callable[[], object]) -> None:
+    async def follow(self, core: SuccessorCore, log: Logger, on_failure: Callable[[], object]) -> None:
         """Serves beside the predecessor until that one is gone.
 
         Where this process fails before that, it calls `on_failure()` and returns.
@@ -122,7 +140,7 @@
         finally:
             await asyncio.wait([outcomes], timeout=None if self.machine.phase == SuccessorPhase.PROVEN else 0)
 
-    async def _watch_itself(self, core: "Dispatcher", log: Logger, outcomes: asyncio.Task[None]) -> None:
+    async def _watch_itself(self, core: SuccessorCore, log: Logger, outcomes: asyncio.Task[None]) -> None:
         checks = 0
         while not outcomes.done():
             await asyncio.sleep(CHECK_INTERVAL)
@@ -150,7 +168,7 @@
         phase = self.machine.phase
         return phase == SuccessorPhase.FAILED or phase == SuccessorPhase.OWNING and stalled
 
-    async def _receive_outcomes(self, core: "Dispatcher", log: Logger) -> None:
+    async def _receive_outcomes(self, core: SuccessorCore, log: Logger) -> None:
         try:
             while True:
                 match await self.channel.receive():
--- a/petrelwood/dispatch/health.py
+++ b/petrelwood/dispatch/health.py
@@ -5,14 +5,16 @@
 """
 
 import asyncio
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from petrelwood.bgp.heartbeats import EVERY, HeartbeatSender
 from petrelwood.decide.bgp.service_health import HealthReport
+from petrelwood.decide.cluster.membership import Membership
+from petrelwood.decide.overload.intake import Intake
 from petrelwood.decide.overload.sliding_window import SlidingWindowCounter
-
-if TYPE_CHECKING:
-    from petrelwood.dispatch.dispatcher import Dispatcher
+from petrelwood.dispatch.durable_state import DurableState
+from petrelwood.dispatch.handover.hooks import HandoverHooks
+from petrelwood.dispatch.recent_answers import RecentAnswers
 
 SECOND = 1_000_000_000
 HEARTBEAT_INTERVAL = int(EVERY * SECOND)  # ns
@@ -20,10 +22,41 @@
 STALL_BUCKETS = 5  # a stall is reported for two seconds at least
 
 
+class HealthCore(Protocol):
+    """What a report of health needs of the core."""
+
+    @property
+    def loop(self) -> asyncio.AbstractEventLoop:
+        """The loop that the dispatcher runs on."""
+
+    @property
+    def intake(self) -> Intake:
+        """The admission, which is closed during a graceful shutdown."""
+
+    @property
+    def membership(self) -> Membership:
+        """The workers by the endpoint list."""
+
+    @property
+    def recent_answers(self) -> RecentAnswers:
+        """How many of the last answers were good."""
+
+    @property
+    def durable_state(self) -> DurableState | None:
+        """The record of activations, where one is made."""
+
+    @property
+    def handover(self) -> HandoverHooks:
+        """Whether another process owns what is new."""
+
+    def now(self) -> int:
+        """Return the monotonic time in ns."""
+
+
 class HeartbeatReporter:
     """Reports the health of a dispatcher at a fixed interval. `path`: the speaker's datagram socket."""
 
-    def __init__(self, path: str, core: "Dispatcher") -> None:
+    def __init__(self, path: str, core: HealthCore) -> None:
         self.core = core
         self.sender = HeartbeatSender(path)
         self.task: asyncio.Task[None] | None = None
--- a/petrelwood/dispatch/rollout.py
+++ b/petrelwood/dispatch/rollout.py
@@ -8,10 +8,10 @@
 import json
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from petrelwood.decide.cluster.rollout import Rollout, RolloutAction, RolloutStep
-from petrelwood.dispatch.interfaces import Logger
+from petrelwood.dispatch.interfaces import Clock, Logger
 from petrelwood.dispatch.settings_update import ReadSettings, SettingsUpdater, UpdateResult
 from petrelwood.dispatch.upgrade import Upgrader
 from petrelwood.settings.errors import SettingsError
@@ -20,9 +20,6 @@
 from petrelwood.store import versions
 from petrelwood.store.errors import VersionUnreadableError
 
-if TYPE_CHECKING:
-    from petrelwood.dispatch.dispatcher import Dispatcher
-
 POLL_INTERVAL = 1.0  # seconds between two looks at the folder
 ROLLBACK_RETRY_INTERVAL = 5.0  # seconds between two attempts to go back by an upgrade
 DID_WORSE = "it did worse"
@@ -58,6 +55,22 @@
     return settings
 
 
+class RolloutCore(Protocol):
+    """What the roll-out needs of the core."""
+
+    @property
+    def loop(self) -> asyncio.AbstractEventLoop:
+        """The loop that the dispatcher runs on."""
+
+    @property
+    def clock(self) -> Clock:
+        """The clock of the dispatcher."""
+
+    @property
+    def answered(self) -> tuple[int, int]:
+        """How many activations have completed, and how many have not, since the start."""
+
+
 class VersionRollout:
     """Applies the versions of one folder.
 
@@ -68,7 +81,7 @@
         self,
         rollout: Rollout,
         source: VersionSource,
-        core: "Dispatcher",
+        core: RolloutCore,
         log: Logger,
         updater: SettingsUpdater,
         upgrader: Upgrader,
@@ -86,7 +99,7 @@
     async def run(self, answers_counted: tuple[int, int]) -> None:
         """Follows the folder until it is cancelled.
 
-        `answers_counted`: those that say nothing of a version, as `Dispatcher.answered`.
+        `answers_counted`: those that say nothing of a version, as `RolloutCore.answered`.
         """
         completed, failed = answers_counted
         while True:
--- a/petrelwood/dispatch/serve.py
+++ b/petrelwood/dispatch/serve.py
@@ -189,7 +189,7 @@
             self.core,
             self.log,
             self.updater,
-            Upgrader(self.core, self.log, self.options.upgrade_command, self.predecessor),
+            Upgrader(self.core.loop, self.log, self.options.upgrade_command, self.predecessor),
             self._report_call_off,
         )
         # what a successor has answered so far counts for the version that it was started with
--- a/petrelwood/dispatch/settings_update.py
+++ b/petrelwood/dispatch/settings_update.py
@@ -1,17 +1,13 @@
 """Applies new settings to a running dispatcher: as a whole or not at all."""
 
 import enum
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
 from petrelwood.dispatch.interfaces import Logger
 from petrelwood.settings import comparison
 from petrelwood.settings.comparison import Change, TakesEffect
 from petrelwood.settings.gateway import Gateway
 
-if TYPE_CHECKING:
-    from petrelwood.dispatch.dispatcher import Dispatcher
-    from petrelwood.fronts.webhook import Webhooks
-
 
 class ReadSettings(Protocol):
     """Reads the settings anew, from the dispatcher's file or from `text`.
@@ -31,10 +27,17 @@
     NEEDS_UPGRADE = enum.auto()
 
 
+class SettingsUser(Protocol):
+    """A part of the dispatcher that takes new settings while it runs: the core and the webhooks."""
+
+    def apply(self, gateway: Gateway, /) -> object:
+        """Take new settings."""
+
+
 class SettingsUpdater:
     """Holds the settings in force. Each update that is applied has a version of its own, for the log."""
 
-    def __init__(self, gateway: Gateway, core: "Dispatcher", front: "Webhooks", log: Logger) -> None:
+    def __init__(self, gateway: Gateway, core: SettingsUser, front: SettingsUser, log: Logger) -> None:
         self.gateway = gateway
         self.core = core
         self.front = front
--- a/petrelwood/dispatch/upgrade.py
+++ b/petrelwood/dispatch/upgrade.py
@@ -3,14 +3,10 @@
 import asyncio
 import subprocess
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
 from petrelwood.dispatch.handover.predecessor import PredecessorProcess
 from petrelwood.dispatch.interfaces import Logger
 
-if TYPE_CHECKING:
-    from petrelwood.dispatch.dispatcher import Dispatcher
-
 EXIT_CHECK_INTERVAL = 0.1  # seconds
 HANDOVER_CHECK_INTERVAL = 0.05  # seconds
 
@@ -19,16 +15,19 @@
 
 
 class Upgrader:
-    """`command`: None where no process can be started; `predecessor`: None without a control socket."""
+    """Starts successors of this process, one at a time.
+
+    `command`: None where no process can be started; `predecessor`: None without a control socket.
+    """
 
     def __init__(
         self,
-        core: "Dispatcher",
+        loop: asyncio.AbstractEventLoop,
         log: Logger,
         command: UpgradeCommand | None,
         predecessor: PredecessorProcess | None,
     ) -> None:
-        self.core = core
+        self.loop = loop
         self.log = log
         self.command = command
         self.predecessor = predecessor
@@ -52,7 +51,7 @@
             return
         command = self.command(rollout_state)
         try:
-            child = await self.core.loop.run_in_executor(
+            child = await self.loop.run_in_executor(
                 None, lambda: subprocess.Popen(command, stdin=subprocess.DEVNULL, stdout=subprocess.DEVNULL)
             )
         except OSError as fault:
