--- a/petrelwood/node/configuration.py
+++ b/petrelwood/node/configuration.py
@@ -132,8 +132,8 @@
     for event in events["batch"]:
         topology = event["topology"]
         complete = bool(topology.get("snapshot")) or not batches
-        endpoints = tuple(decode_endpoint(each) for each in topology["endpoints"])
-        batches.append(EndpointBatch(complete, endpoints))
+        endpoints = [decode_endpoint(each) for each in topology["endpoints"]]  # a generator costs a call each
+        batches.append(EndpointBatch(complete, tuple(endpoints)))
     return tuple(batches)
 
 
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -819,7 +819,7 @@
                 rejected += 1
                 self.assertEqual((await self.post("again-1"))[0], 200)
             self.assertIsNotNone(state.stopped)
-            self.assertFalse(HeartbeatReporter(f"{folder}/h", self.core).report().keeps)
+            self.assertFalse(HeartbeatReporter(f"{folder}/h", self.core).report().is_durable)
             setattr(state.files, call, broken)
             await self.until(lambda: state.stopped is None)
             self.assertEqual((await self.post("once-1"))[0], 200)
