--- a/petrelwood/decide/delivery/send_outcome.py
+++ b/petrelwood/decide/delivery/send_outcome.py
@@ -44,33 +44,33 @@
     return stage
 
 
-def of_error(word: object) -> str:
+def of_error(word: object) -> ports.EndReason:
     """The worker answered with an error."""
     return (
         _CODES_OF_ERRORS.get(word, ports.EndReason.ERROR) if isinstance(word, str) else ports.EndReason.ERROR
     )
 
 
-def of_loss(stage: SendStage) -> str:
+def of_loss(stage: SendStage) -> ports.EndReason:
     """The connection was lost, or never made."""
     return ports.EndReason.NO_CONNECTION if stage == SendStage.QUEUED else ports.EndReason.RESET
 
 
-def of_time(stage: SendStage) -> str:
+def of_time(stage: SendStage) -> ports.EndReason:
     """Its time ran out."""
     return ports.EndReason.NOT_SENT if stage == SendStage.QUEUED else ports.EndReason.TIMED_OUT
 
 
-def of_cancel(stage: SendStage) -> str:
+def of_cancel(stage: SendStage) -> ports.EndReason:
     """The dispatcher cancelled it."""
     return ports.EndReason.NOT_SENT if stage == SendStage.QUEUED else ports.EndReason.CANCELLED
 
 
-def of_recall(stage: SendStage) -> str | None:
+def of_recall(stage: SendStage) -> ports.EndReason | None:
     """It is recalled as its worker drains or is gone; None: it has left and takes its course."""
     return ports.EndReason.NOT_SENT if stage == SendStage.QUEUED else None
 
 
-def of_crowding() -> str:
+def of_crowding() -> ports.EndReason:
     """The queue to the worker is over its bound: nothing was sent."""
     return ports.EndReason.FULL
--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -259,7 +259,7 @@
             "completed": counts[ledger.ActivationState.COMPLETED],
             "rejected": counts[ledger.ActivationState.REJECTED],
             "aborted": counts[ledger.ActivationState.ABORTED],
-            "held": self.intake.held,
+            "held": self.intake.unanswered,
             "out": believed.in_flight,
             "slow": round(believed.slow_share, 2),
             "turned": round(believed.shed_probability, 2),
--- a/petrelwood/node/told.py
+++ b/petrelwood/node/told.py
@@ -109,7 +109,7 @@
         c.text("name"): ports.NamespaceType(
             c.time("slo", least=1),
             EFFECTS[c.word("effect", EFFECTS)],
-            c.word("keyScope", SCOPES, "all"),
+            ports.Scope(c.word("keyScope", SCOPES, "all")),
             c.time("window", 0),
             c.number("aimStretch", 0),
             c.time("deadline", 0),
