--- a/petrelwood/node/told.py
+++ b/petrelwood/node/told.py
@@ -1,8 +1,8 @@
 """What the platform tells: its JSON file and the settings in it, decoded once to what core and module are
 told.
 
-The settings are those of the simulator's first message, in microseconds; `drill.py` takes its terms from here
-too."""
+The settings are those of the simulator's first message, in microseconds; `simulator_adapter.py` takes its
+terms from here too."""
 
 import errno
 import json
--- a/tests/test_finished.py
+++ b/tests/test_finished.py
@@ -26,13 +26,16 @@
     "petrelwood/decide/overload/sliding_window.py",
     "petrelwood/decide/overload/storm.py",
     "petrelwood/decide/overload/throughput.py",
+    "petrelwood/decide/scheduling",
     "petrelwood/decide/wall_clock.py",
     "petrelwood/dispatch",
     "petrelwood/emulate/configuration_servers.py",
     "petrelwood/errors.py",
     "petrelwood/links",
     "petrelwood/node/stream.py",
+    "petrelwood/ports.py",
     "petrelwood/settings",
+    "petrelwood/simulator_adapter.py",
     "petrelwood/store",
 }
 EXCUSE = re.compile(r"#\s*(noqa|fmt:|ruff:|type:\s*ignore|mypy:|pylint:)")
