--- a/petrelwood/decide/scheduling/load_order_limit.py
+++ b/petrelwood/decide/scheduling/load_order_limit.py
@@ -11,6 +11,10 @@
 from petrelwood.decide.scheduling.records import Activation, Copy, Function, LoadCredit
 from petrelwood.decide.scheduling.window_counter import BUCKETS, BackdatedCounter
 
+# Python 3.11 is slow to look a member up on its enum, and these are looked up for each activation.
+NO_CREDIT = LoadCredit.NONE
+PENDING = LoadCredit.PENDING
+COUNTED = LoadCredit.COUNTED
 # Part of the target latency for which a client must have stayed before its activation counts.
 CREDIT_DELAY = 1 / 6
 # Further copies that load at a time, for each worker of this dispatcher's part of the fleet: a copy pushes
@@ -50,17 +54,17 @@
         """Let an activation that was sent count soon, if its function exists and its client is there."""
         if (
             activation.function.exists
-            and activation.load_credit is LoadCredit.NONE
+            and activation.load_credit is NO_CREDIT
             and self.activations.get(activation.id) is activation
         ):
-            activation.load_credit = LoadCredit.PENDING
+            activation.load_credit = PENDING
             self.pending.append((now + self.credit_delay, activation))
         self._count_pending(now)
 
     def revoke(self, activation: Activation) -> None:
         """Let an activation count no longer, as its client has departed."""
-        self.credited.add(activation.arrived_at, -1 if activation.load_credit is LoadCredit.COUNTED else 0)
-        activation.load_credit = LoadCredit.NONE
+        self.credited.add(activation.arrived_at, -1 if activation.load_credit is COUNTED else 0)
+        activation.load_credit = NO_CREDIT
 
     def may_order(self, now: int, part: float = 1.0) -> bool:
         """Return whether one more load may be ordered within `part` of the limit."""
@@ -112,6 +116,6 @@
         pending = self.pending
         while pending and pending[0][0] <= now:
             activation = pending.popleft()[1]
-            if activation.load_credit is LoadCredit.PENDING:
-                activation.load_credit = LoadCredit.COUNTED
+            if activation.load_credit is PENDING:
+                activation.load_credit = COUNTED
                 self.credited.add(activation.arrived_at)
--- a/petrelwood/decide/scheduling/outcomes.py
+++ b/petrelwood/decide/scheduling/outcomes.py
@@ -8,6 +8,11 @@
 from petrelwood.decide.scheduling.slow_start import SlowStart
 from petrelwood.ports import NEVER_RAN, AttemptEnd, CopyNote, EndReason
 
+# Python 3.11 is slow to look a member up on its enum, and these are looked up for each attempt.
+COMPLETED = EndReason.COMPLETED
+NOTHING = CopyNote.NOTHING
+FOUND_WARM = CopyNote.FOUND_WARM
+BEGAN_LOAD = CopyNote.BEGAN_LOAD
 FUNCTION_EXISTS = frozenset((EndReason.COMPLETED, EndReason.MISSING))
 TELLS_NOTHING = frozenset((EndReason.CANCELLED, EndReason.NOT_SENT))
 BROKEN_CONNECTION = frozenset((EndReason.RESET, EndReason.NO_CONNECTION))
@@ -43,7 +48,7 @@
         self.load_orders.credit(activation, now)
         self.estimates.record_report(attempt.worker, end.report, now)
         self.outliers.record_end(attempt.worker, reason, now)
-        if reason == EndReason.COMPLETED:
+        if reason == COMPLETED:
             self._learn_from_completion(attempt, end.note, end.duration, now)
         elif reason not in TELLS_NOTHING and not (was_lost and reason == EndReason.TIMED_OUT):
             self._learn_from_failure(attempt, reason, end.note, now)
@@ -55,11 +60,11 @@
         self.estimates.record_answer_time(duration)
         self.slow_start.record_answer(worker, now)
         self.placement.record_completion(attempt, now)
-        has_no_note = note == CopyNote.NOTHING and not attempt.is_cold
-        if note == CopyNote.FOUND_WARM or has_no_note:
+        has_no_note = note == NOTHING and not attempt.is_cold
+        if note == FOUND_WARM or has_no_note:
             self.estimates.record_service_time(attempt, duration, self.outliers.is_overloaded)
             self.outliers.record_latency(attempt, duration, now)
-        if not attempt.is_cold and note < CopyNote.BEGAN_LOAD:
+        if not attempt.is_cold and note < BEGAN_LOAD:
             is_slow = duration > self.estimates.slow_after(attempt.activation)
             self.outliers.record_slowness(is_slow, attempt, now)
 
--- a/petrelwood/decide/scheduling/outlier_detection.py
+++ b/petrelwood/decide/scheduling/outlier_detection.py
@@ -85,13 +85,17 @@
 
         Copies there are of no use.
         """
-        fleet_latency = max(1.0, self.estimates.mean_relative_latency)
         limit = worker.send_limit.limit
-        return limit is not None and limit <= 1 and worker.relative_latency > SLOW_FACTOR * fleet_latency
+        if limit is None or limit > 1:
+            return False
+        fleet_latency = max(1.0, self.estimates.mean_relative_latency)
+        return worker.relative_latency > SLOW_FACTOR * fleet_latency
 
     def can_use(self, worker: Worker, now: int) -> bool:
         """Return whether copies on the worker are of use for what is queued, perhaps after a while."""
-        return not worker.is_unresponsive and now >= worker.ejected_until and not self.is_congested(worker)
+        if worker.is_unresponsive or now < worker.ejected_until:
+            return False
+        return worker.send_limit.limit is None or not self.is_congested(worker)
 
     def attempt_sent(self, attempt: Attempt) -> None:
         """Count an attempt as in flight."""
--- a/petrelwood/decide/scheduling/placement.py
+++ b/petrelwood/decide/scheduling/placement.py
@@ -95,11 +95,12 @@
         best: Copy | None = None
         best_load: float = 0
         if not self.outliers.is_send_limit_reached():
+            oldest = now - self.load_terms.keep
             for copy in list(function.copies.values()):
-                if self._has_expired(copy, now):
-                    del function.copies[copy.worker.id]
+                worker = copy.worker
+                if copy.last_seen < oldest and not copy.in_flight and not copy.loading_since:
+                    del function.copies[worker.id]  # idle for so long that the worker may have dropped it
                 elif self._may_run(copy, activation, now):
-                    worker = copy.worker
                     load = self.estimates.worker_load(worker, now) + (worker.zone != self.zone)
                     if best is None or load < best_load:
                         best = copy
@@ -246,10 +247,6 @@
             if is_idle and not function.copies:
                 del self.functions[function.key]
 
-    def _has_expired(self, copy: Copy, now: int) -> bool:
-        """Return whether the worker may have dropped the copy, as it was idle for so long."""
-        return not copy.in_flight and not copy.loading_since and now - copy.last_seen > self.load_terms.keep
-
     def _may_run(self, copy: Copy, activation: Activation, now: int) -> bool:
         """Return whether the copy has a free slot for the activation."""
         return (
--- a/petrelwood/decide/scheduling/send_rules.py
+++ b/petrelwood/decide/scheduling/send_rules.py
@@ -5,6 +5,9 @@
 from petrelwood.decide.scheduling.records import Activation, Worker
 from petrelwood.ports import Effect, Scope
 
+# Python 3.11 is slow to look a member up on its enum, and these are looked up for each activation.
+REPEATABLE = Effect.REPEATABLE
+DEDUPLICATED = Effect.DEDUPLICATED
 # An attempt must have half of its expected time left, and so many sweeps: what leaves later is answered late.
 LEAST_SWEEPS_LEFT = 2
 
@@ -27,9 +30,9 @@
         if activation.due - now <= self._time_needed(activation):
             return False
         first = activation.first_attempt
-        if first is None or activation.type.effect == Effect.REPEATABLE:
+        if first is None or activation.type.effect == REPEATABLE:
             return True
-        if activation.type.effect != Effect.DEDUPLICATED:
+        if activation.type.effect != DEDUPLICATED:
             return False
         return now < first.sent_at + activation.type.window
 
@@ -40,21 +43,21 @@
                 return False
         first = activation.first_attempt
         type_ = activation.type
-        if first is None or type_.effect == Effect.REPEATABLE or type_.scope == Scope.ALL:
+        if first is None or type_.effect == REPEATABLE or type_.scope == Scope.ALL:
             return True
         return worker.is_in_group_of(first.worker, type_.scope)
 
     def may_reject(self, activation: Activation) -> bool:
         """Return whether a client that is told to come back does no harm by that."""
         type_ = activation.type
-        if not activation.first_attempt or type_.effect == Effect.REPEATABLE:
+        if not activation.first_attempt or type_.effect == REPEATABLE:
             return True
-        return type_.effect == Effect.DEDUPLICATED and type_.scope == Scope.ALL
+        return type_.effect == DEDUPLICATED and type_.scope == Scope.ALL
 
     def expiry(self, activation: Activation) -> int:
         """Return when to give up the activation unless it is sent before, ns, by what is known now."""
         expiry = activation.due - self._time_needed(activation)
-        if activation.first_attempt and activation.type.effect == Effect.DEDUPLICATED:
+        if activation.first_attempt and activation.type.effect == DEDUPLICATED:
             expiry = min(expiry, activation.first_attempt.sent_at + activation.type.window)
         if activation.in_flight:
             return expiry
