--- a/petrelwood/settings/namespaces.py
+++ b/petrelwood/settings/namespaces.py
@@ -37,7 +37,8 @@
     window = node.value("window", DURATION, REQUIRED if is_deduplicated else 0)
     remember = node.value("remember", DURATION, 0)
     node.reject_unknown(1)
-    return NamespaceSettings(name, ports.NamespaceType(target, effect, scope, window), timeout, remember)
+    namespace_type = ports.NamespaceType(target, ports.Effect(effect), ports.Scope(scope), window)
+    return NamespaceSettings(name, namespace_type, timeout, remember)
 
 
 def decode_namespaces(file: Node, tolerance: int) -> Namespaces:
