--- a/petrelwood/dispatch/activations.py
+++ b/petrelwood/dispatch/activations.py
@@ -98,12 +98,12 @@
         self.next_deadline = 0
 
     def admit(
-        self, ask: ActivationRequest, function: str, rule: Rule, body: bytes, exchange: Exchange
+        self, request: ActivationRequest, function: str, rule: Rule, body: bytes, exchange: Exchange
     ) -> None:
         """Takes a request in, or answers it at once."""
         core = self.core
         now = self.now()
-        key = (ask.customer, ask.id)
+        key = (request.customer, request.id)
         hooks = core.handover
         if hooks.may_be_superseded is not None and hooks.may_be_superseded(now):
             retry_after = self.intake.retry_after(now, *key)
@@ -111,13 +111,13 @@
                 intake_stage.REJECT, retry_after=retry_after, why=intake_stage.RejectionReason.SHUTTING_DOWN
             )
             return
-        verdict = self.intake.decide(now, core.clock.wall(), ask)
+        verdict = self.intake.decide(now, core.clock.wall(), request)
         if verdict.outcome == intake_stage.ADMIT:
             state = core.durable_state
-            if state is not None and not state.can_admit(ask.type):
+            if state is not None and not state.can_admit(request.type):
                 self._reject_for_outage(now, key, state, exchange)
             else:
-                self._take(now, key, ask, verdict, function, rule, body, exchange)
+                self._take(now, key, request, verdict, function, rule, body, exchange)
         elif verdict.outcome == intake_stage.JOIN:
             self._join(now, key, verdict, exchange)
         else:
@@ -143,7 +143,7 @@
         self,
         now: int,
         key: Key,
-        ask: ActivationRequest,
+        request: ActivationRequest,
         verdict: Verdict,
         function: str,
         rule: Rule,
@@ -151,12 +151,12 @@
         exchange: Exchange,
     ) -> None:
         core = self.core
-        act = self.pending.admit(ask, verdict.due, function, rule, body, exchange)
+        act = self.pending.admit(request, verdict.due, function, rule, body, exchange)
         exchange.act = act.id
         core.events.touched.add(act.id)
         self._set_deadline_timer()
         if core.forecasts is not None:
-            core.forecasts.activation_admitted(now, function, rule, ask.type)
+            core.forecasts.activation_admitted(now, function, rule, request.type)
         if core.durable_state is None or core.durable_state.record_admitted(act):
             self.begin(act)
 
@@ -245,8 +245,8 @@
 
     def _answer_overdue(self) -> None:
         self.deadline_timer = None
-        for act, late, whole in self.pending.overdue(self.now()):
-            if whole:
+        for act, late, is_over in self.pending.overdue(self.now()):
+            if is_over:
                 self.core.submit(self.time_out, act.id)
             for exchange in late:
                 exchange.answer(ABORTED, why="the first try still runs", act=act.id)
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -215,7 +215,7 @@
         if self.known_ids.end_elsewhere(key, outcome, sent, body) and self.durable_state is not None:
             self.durable_state.record_ended(key, outcome, sent, body)
 
-    def predecessor_gone(self) -> None:
+    def predecessor_ended(self) -> None:
         """The predecessor has ended: the outcomes that it did not send are not known."""
         self.known_ids.abandon_elsewhere()
 
@@ -283,10 +283,10 @@
 
     # From the fronts.
     def admit(
-        self, ask: ActivationRequest, function: str, rule: Rule, body: bytes, exchange: Exchange
+        self, request: ActivationRequest, function: str, rule: Rule, body: bytes, exchange: Exchange
     ) -> None:
         """A request has come, and is who it says it is."""
-        self.submit(self.activations.admit, ask, function, rule, body, exchange)
+        self.submit(self.activations.admit, request, function, rule, body, exchange)
 
     def client_left(self, act_id: str, exchange: Exchange) -> None:
         """The client of an exchange hung up."""
@@ -298,86 +298,88 @@
         act_id: str,
         attempt: int,
         worker: str,
-        code: ports.EndReason,
+        reason: ports.EndReason,
         note: int,
         body: bytes,
         sent_at: int,
-        gauge: dict[str, float] | None,
+        report: dict[str, float] | None,
     ) -> None:
-        """A send has ended for the reason `code`; `gauge`: the worker's load report, if it sent one."""
+        """A send has ended for the reason `reason`; `report`: the worker's load report, if it sent one."""
         now = self.now()
         self.links.in_flight.pop((act_id, attempt), None)
         act = self.pending.activations.get(act_id)
-        is_owed = self.pending.end_attempt(act_id, attempt)
-        if is_owed and code == ports.EndReason.COMPLETED:
+        is_unanswered = self.pending.end_attempt(act_id, attempt)
+        if is_unanswered and reason == ports.EndReason.COMPLETED:
             self.activations.finish(act_id, COMPLETED, body)
-        if code == ports.EndReason.COMPLETED and self.intake.damps:
+        if reason == ports.EndReason.COMPLETED and self.intake.damps:
             self.intake.storms.record_attempt(now, note not in (0, ports.CopyNote.FOUND_WARM))
         if act is not None and (self.forecasts is not None or self.record_execution is not None):
-            self._learn(now, act, worker, code, note, now - sent_at)
+            self._learn(now, act, worker, reason, note, now - sent_at)
         self.events.touched.add(act_id)
         has_ended = act_id not in self.pending.activations
-        end = ports.AttemptEnd(act_id, attempt, worker, code, note, has_ended, now - sent_at, gauge)
+        end = ports.AttemptEnd(act_id, attempt, worker, reason, note, has_ended, now - sent_at, report)
         self.scheduler.attempt_ended(now, end)
 
     def _learn(
-        self, now: int, act: PendingActivation, worker: str, code: ports.EndReason, note: int, took: int
+        self, now: int, act: PendingActivation, worker: str, reason: ports.EndReason, note: int, duration: int
     ) -> None:
         """What the history and the forecasts learn from the end of a send."""
         warm = note in (0, ports.CopyNote.FOUND_WARM)
         if self.forecasts is not None:
-            if code == ports.EndReason.COMPLETED:
-                self.forecasts.send_completed(now, act.function, worker, warm, took)
-            elif code == ports.EndReason.MISSING:
+            if reason == ports.EndReason.COMPLETED:
+                self.forecasts.send_completed(now, act.function, worker, warm, duration)
+            elif reason == ports.EndReason.MISSING:
                 self.forecasts.copy_missing(now, act.function, worker)
-        if self.record_execution is not None and code == ports.EndReason.COMPLETED:
+        if self.record_execution is not None and reason == ports.EndReason.COMPLETED:
             self.record_execution(
                 self.clock.steady_wall(),
                 act.function,
                 act.customer,
                 self.terms.zone,
                 note & 3,
-                now - took - act.arrived_at,
-                took,
-                0 if warm else took,
+                now - duration - act.arrived_at,
+                duration,
+                0 if warm else duration,
             )
 
-    def transmit(self, link: WorkerLink, act: PendingActivation, attempt: int, time_left: int) -> None:
+    def transmit(self, link: WorkerLink, act: PendingActivation, attempt: int, remaining: int) -> None:
         """Hands a send to a link."""
         mark = f"{act.key[0]}/{act.key[1]}"
-        link.run(act.id, attempt, act.function, mark, time_left, act.lanes, act.body or b"")
+        link.run(act.id, attempt, act.function, mark, remaining, act.lanes, act.body or b"")
 
-    def may_send_order(self, given: int) -> bool:
-        """Whether a load order that was given at `given` may leave now."""
-        return self.scheduler.may_load_order_leave(self.now(), given)
+    def may_send_order(self, given_at: int) -> bool:
+        """Whether a load order that was given at `given_at` may leave now."""
+        return self.scheduler.may_load_order_leave(self.now(), given_at)
 
-    def order_not_sent(self, given: int) -> None:
-        """A load order that was given at `given` will never leave."""
-        self.scheduler.load_order_withdrawn(self.now(), given)
+    def order_not_sent(self, given_at: int) -> None:
+        """A load order that was given at `given_at` will never leave."""
+        self.scheduler.load_order_withdrawn(self.now(), given_at)
 
-    def load_order_ended(self, worker: str, function: str, code: ports.EndReason, copies: int) -> None:
+    def load_order_ended(self, worker: str, function: str, reason: ports.EndReason, copies: int) -> None:
         """A load order has ended; the worker has so many copies."""
         if self.forecasts is not None:
-            self.forecasts.order_ended(self.now(), function, worker, code == ports.EndReason.COMPLETED)
-        self.scheduler.load_order_ended(self.now(), worker, function, code, copies)
+            self.forecasts.order_ended(self.now(), function, worker, reason == ports.EndReason.COMPLETED)
+        self.scheduler.load_order_ended(self.now(), worker, function, reason, copies)
 
-    def health_check_ended(self, worker: str, code: ports.EndReason, gauge: dict[str, float] | None) -> None:
+    def health_check_ended(
+        self, worker: str, reason: ports.EndReason, report: dict[str, float] | None
+    ) -> None:
         """A health check has ended."""
-        self.scheduler.health_check_ended(self.now(), worker, code, gauge)
+        self.scheduler.health_check_ended(self.now(), worker, reason, report)
 
     def timer_fired(self, mark: str) -> None:
         """A time has passed that the module waited for."""
         self.scheduler.timer_fired(self.now(), mark)
 
     # From the endpoint list.
-    def endpoints_changed(self, entries: list[Listed], leaving: list[str], whole: bool) -> None:
-        """Workers have changed; `leaving` drain or are gone, `whole`: `entries` are all there are."""
-        self.submit(self._endpoints_changed, entries, leaving, whole)
+    def endpoints_changed(self, entries: list[Listed], draining: list[str], is_whole: bool) -> None:
+        """Workers have changed; `draining` drain or are gone, `is_whole`: `entries` are all there are."""
+        self.submit(self._endpoints_changed, entries, draining, is_whole)
 
-    def _endpoints_changed(self, entries: list[Listed], leaving: list[str], whole: bool) -> None:
-        self.links.drain(leaving)
+    def _endpoints_changed(self, entries: list[Listed], draining: list[str], is_whole: bool) -> None:
+        self.links.drain(draining)
         self.links.connect(entries, self.membership)
-        self.scheduler.endpoints_changed(self.now(), entries, whole)
+        self.scheduler.endpoints_changed(self.now(), entries, is_whole)
         self.links.release_unused(self.membership.members)
 
     def endpoint_list_lost(self) -> None:
--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -173,9 +173,9 @@
         """A link is not at rest any more."""
         self.busy[link] = True
 
-    def endpoints_changed(self, entries: list[Listed], leaving: list[str], whole: bool) -> None:
+    def endpoints_changed(self, entries: list[Listed], draining: list[str], is_whole: bool) -> None:
         """Workers have changed."""
-        super().endpoints_changed(entries, leaving, whole)
+        super().endpoints_changed(entries, draining, is_whole)
         self.endpoints_known.set()
 
     # The end.
--- a/petrelwood/dispatch/handover/predecessor.py
+++ b/petrelwood/dispatch/handover/predecessor.py
@@ -52,7 +52,7 @@
         """Return whether no connection is in use any more."""
 
 
-class HandedOverListeners(Protocol):
+class ListenerOwner(Protocol):
     """The front whose listeners the successor gets; see `fronts.webhook.Webhooks`."""
 
     def descriptors(self) -> list[int]:
@@ -104,7 +104,7 @@
 class PredecessorProcess:
     """Serves the control socket at `path`.
 
-    `on_hand_over` and `on_resume` are called beside the pause and the resumption of the webhooks,
+    `on_handover` and `on_resume` are called beside the pause and the resumption of the webhooks,
     `on_finished` when this process may end.
     """
 
@@ -112,10 +112,10 @@
         self,
         path: str,
         core: PredecessorCore,
-        webhooks: HandedOverListeners,
+        webhooks: ListenerOwner,
         log: Logger,
         *,
-        on_hand_over: Callable[[], object],
+        on_handover: Callable[[], object],
         on_resume: Callable[[], object],
         on_finished: Callable[[], object],
     ) -> None:
@@ -123,7 +123,7 @@
         self.core = core
         self.webhooks = webhooks
         self.log = log
-        self.on_hand_over = on_hand_over
+        self.on_handover = on_handover
         self.on_resume = on_resume
         self.on_finished = on_finished
         self.machine = handover.Predecessor()
@@ -242,7 +242,7 @@
         """Nothing new is admitted here from now on, and all that was admitted is in the log of state."""
         self.core.stop_admitting(self._activation_ended)
         self.webhooks.pause()
-        self.on_hand_over()
+        self.on_handover()
 
     def _activation_ended(
         self, customer: str, id_: str, outcome: ActivationState, sent: bool, body: bytes | None
--- a/petrelwood/dispatch/handover/successor.py
+++ b/petrelwood/dispatch/handover/successor.py
@@ -60,7 +60,7 @@
     ) -> object:
         """Learn how an activation ended that the predecessor had in flight."""
 
-    def predecessor_gone(self) -> object:
+    def predecessor_ended(self) -> object:
         """Learn that the predecessor has ended: the outcomes that it did not send are not known."""
 
 
@@ -185,7 +185,7 @@
             if not self.predecessor_drained.is_set():
                 log.warning("the old process ended before it had drained")
         self.machine.on_predecessor_lost()
-        core.predecessor_gone()
+        core.predecessor_ended()
         self.predecessor_drained.set()
 
     async def give_back(self, why: str) -> None:
--- a/petrelwood/dispatch/load_forecasts.py
+++ b/petrelwood/dispatch/load_forecasts.py
@@ -55,9 +55,9 @@
         """A call has come."""
         self.early.call_arrived(self.clock.steady_wall(), function, rule.lanes, rule.load_time, type_)
 
-    def send_completed(self, now: int, function: str, worker: str, warm: bool, took: int) -> None:
-        """A send has completed `took` ns after it was made; `warm`: it found a copy."""
-        self.early.call_completed(now, function, worker, warm, took, 0 if warm else took)
+    def send_completed(self, now: int, function: str, worker: str, warm: bool, duration: int) -> None:
+        """A send has completed `duration` ns after it was made; `warm`: it found a copy."""
+        self.early.call_completed(now, function, worker, warm, duration, 0 if warm else duration)
 
     def copy_missing(self, now: int, function: str, worker: str) -> None:
         """A send was not run, as the worker had no copy of the function."""
--- a/petrelwood/dispatch/outlet.py
+++ b/petrelwood/dispatch/outlet.py
@@ -63,31 +63,31 @@
     def rule(self, function: str, /) -> Rule | None:
         """Return what is known of a function, or None where it may not be called."""
 
-    def transmit(self, link: WorkerLink, act: PendingActivation, attempt: int, time_left: int, /) -> object:
-        """Hand an attempt to a link; `time_left`: ns until its deadline."""
+    def transmit(self, link: WorkerLink, act: PendingActivation, attempt: int, remaining: int, /) -> object:
+        """Hand an attempt to a link; `remaining`: ns until its deadline."""
 
-    def order_not_sent(self, given: int, /) -> object:
-        """Note that a load order that was given at `given` will never leave."""
+    def order_not_sent(self, given_at: int, /) -> object:
+        """Note that a load order that was given at `given_at` will never leave."""
 
     def send_ended(
         self,
         act_id: str,
         attempt: int,
         worker: str,
-        code: ports.EndReason,
+        reason: ports.EndReason,
         note: int,
         body: bytes,
         sent_at: int,
-        gauge: dict[str, float] | None,
+        report: dict[str, float] | None,
         /,
     ) -> object:
         """Handle the end of an attempt."""
 
-    def load_order_ended(self, worker: str, function: str, code: ports.EndReason, copies: int, /) -> object:
+    def load_order_ended(self, worker: str, function: str, reason: ports.EndReason, copies: int, /) -> object:
         """Handle the end of a load order."""
 
     def health_check_ended(
-        self, worker: str, code: ports.EndReason, gauge: dict[str, float] | None, /
+        self, worker: str, reason: ports.EndReason, report: dict[str, float] | None, /
     ) -> object:
         """Handle the end of a health check."""
 
--- a/petrelwood/dispatch/serve.py
+++ b/petrelwood/dispatch/serve.py
@@ -172,7 +172,7 @@
                 self.core,
                 self.front,
                 self.log,
-                on_hand_over=self.close_triggers,
+                on_handover=self.close_triggers,
                 on_resume=self.open_triggers,
                 on_finished=self.shutdown.set,
             )
@@ -230,14 +230,14 @@
 
     async def _follow(self, successor: SuccessorProcess) -> None:
         """Until the predecessor is gone; then this process has all."""
-        await successor.follow(self.core, self.log, lambda: self._hand_back(successor))
+        await successor.follow(self.core, self.log, lambda: self._give_back(successor))
         if self.failed is None:
             self.core.handover.on_answer = None
             self.core.handover.may_be_superseded = None
             self.core.open_history()
             self._open_exclusive()
 
-    def _hand_back(self, successor: SuccessorProcess) -> None:
+    def _give_back(self, successor: SuccessorProcess) -> None:
         self.failed = successor.machine.reason
         self.front.pause()
         if self.core.durable_state is not None:
--- a/petrelwood/dispatch/stall.py
+++ b/petrelwood/dispatch/stall.py
@@ -1,4 +1,4 @@
-"""Detects that the event loop stands still, and logs the code that held it."""
+"""Detects that the event loop stands still, and logs the code that blocked it."""
 
 import asyncio
 import sys
@@ -8,8 +8,8 @@
 
 from petrelwood.dispatch.interfaces import Logger
 
-LEAST_INTERVAL = 20_000_000  # ns between two signs of life of the loop
-MISSED_SIGNS = 4  # after so many intervals without one the loop is stalled
+LEAST_INTERVAL = 20_000_000  # ns between two heartbeats of the loop
+MISSED_HEARTBEATS = 4  # after so many intervals without a heartbeat the loop is stalled
 STACK_DEPTH = 6  # frames that are logged of a stalled loop
 MOST_LINES = 100
 
@@ -26,8 +26,8 @@
         self.loop = loop
         self.log = log
         self.interval = max(tick, LEAST_INTERVAL) / 1e9  # seconds
-        self.lines_left = most_lines
-        self.last_sign = time.monotonic()
+        self.remaining_lines = most_lines
+        self.last_heartbeat = time.monotonic()
         self.loop_thread = threading.get_ident()
         self.stalls = 0
         self.stack: str | None = None
@@ -35,25 +35,25 @@
 
     def open(self) -> None:
         """Begins to watch the loop of the calling thread."""
-        self._show_life()
+        self._record_heartbeat()
         threading.Thread(target=self._watch, daemon=True, name="stall-detector").start()
 
-    def _show_life(self) -> None:
+    def _record_heartbeat(self) -> None:
         now = time.monotonic()
-        if self.stack is not None and self.lines_left > 0:
-            self.lines_left -= 1
-            stalled = round((now - self.last_sign) * 1000)
+        if self.stack is not None and self.remaining_lines > 0:
+            self.remaining_lines -= 1
+            stalled = round((now - self.last_heartbeat) * 1000)
             self.log.warning("event loop stalled", ms=stalled, at=self.stack)
         self.stack = None
-        self.last_sign = now
+        self.last_heartbeat = now
         if not self.closed:
-            self.loop.call_later(self.interval, self._show_life)
+            self.loop.call_later(self.interval, self._record_heartbeat)
 
     def _watch(self) -> None:
         while not self.closed:
             time.sleep(self.interval)
-            silent = time.monotonic() - self.last_sign
-            if silent > MISSED_SIGNS * self.interval and self.stack is None:
+            silence = time.monotonic() - self.last_heartbeat
+            if silence > MISSED_HEARTBEATS * self.interval and self.stack is None:
                 self.stalls += 1
                 self.stack = _stack_of(self.loop_thread)
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -153,7 +153,7 @@
         pair[1].close()
         await asyncio.wait_for(successor.follow(core, Mock(), lambda: failures.append(1)), 30)
         self.assertEqual(successor.machine.phase, handover.SuccessorPhase.PROVEN)
-        core.predecessor_gone.assert_called_once_with()
+        core.predecessor_ended.assert_called_once_with()
         self.assertEqual(failures, [])
         successor.close()
 
--- a/tests/test_system_calls_of_serve.py
+++ b/tests/test_system_calls_of_serve.py
@@ -363,7 +363,7 @@
         )
         with tempfile.TemporaryDirectory() as folder:
             path = f"{folder}/control"
-            calls = {name: mock.Mock() for name in ("on_hand_over", "on_resume", "on_finished")}
+            calls = {name: mock.Mock() for name in ("on_handover", "on_resume", "on_finished")}
             process = PredecessorProcess(path, core, mock.Mock(), rig.Quiet(), **calls)
             for error in (*ACCEPT_FAILS, *ACCEPT_LOSES):
                 with self.subTest(errno.errorcode[error]), Turns() as turns:
