--- a/petrelwood/dispatch/activations.py
+++ b/petrelwood/dispatch/activations.py
@@ -39,11 +39,11 @@
     def answer(
         self, outcome: str, body: bytes = b"", retry_after: int = 0, why: str = "", act: str | None = None
     ) -> object:
-        """Gives the client its final answer. `retry_after`: ns, 0 where it is not told."""
+        """Give the client its final answer. `retry_after`: ns, 0 where it is not told."""
 
 
 class ActivationsCore(CoreRuntime, Protocol):
-    """What the activations need of the core. Those of its parts that may be None come and go."""
+    """What the activations need of the core. Parts that may be None are set and unset while it runs."""
 
     @property
     def intake(self) -> Intake:
@@ -100,7 +100,7 @@
     def admit(
         self, request: ActivationRequest, function: str, rule: Rule, body: bytes, exchange: Exchange
     ) -> None:
-        """Takes a request in, or answers it at once."""
+        """Admit a request, or answer it at once."""
         core = self.core
         now = self.now()
         key = (request.customer, request.id)
@@ -124,7 +124,7 @@
             exchange.answer(verdict.outcome, verdict.body, verdict.retry_after, verdict.reason)
 
     def _join(self, now: int, key: Key, verdict: Verdict, exchange: Exchange) -> None:
-        """A retry waits for the answer of the attempt that is in flight."""
+        """Have a retry wait for the answer of the attempt that is in flight."""
         act = self.pending.by_key.get(key)
         if act is not None and self.pending.join(key, verdict.due, exchange):
             exchange.act = act.id
@@ -133,7 +133,7 @@
         exchange.answer(intake_stage.ABORT, why="an earlier try may have run and must not run again")
 
     def _reject_for_outage(self, now: int, key: Key, state: DurableState, exchange: Exchange) -> None:
-        """Its id can't be made durable, and it must not run twice."""
+        """Reject an activation that must not run twice while its id can't be made durable."""
         core = self.core
         core.known_ids.end(key, CLIENT_LEFT)
         retry_after = self.intake.retry_after(now, *key, state.reject(now))
@@ -161,7 +161,7 @@
             self.begin(act)
 
     def begin(self, act: PendingActivation) -> None:
-        """Hands an activation to the module."""
+        """Hand an activation to the module."""
         self.core.events.touched.add(act.id)
         arrival = ports.Arrival(
             activation_id=act.id,
@@ -176,13 +176,13 @@
         self.core.scheduler.activation_arrived(self.now(), arrival)
 
     def reject(self, act: PendingActivation, least_wait: int = 0) -> None:
-        """Rejects an activation that the module has not heard of; it may come back after `least_wait` ns."""
+        """Reject an activation that the module has not heard of; it may come back after `least_wait` ns."""
         customer, id_ = act.key
         retry_after = self.intake.retry_after(self.now(), customer, id_, least_wait)
         self.finish(act.id, REJECTED, retry_after=retry_after)
 
     def client_left(self, act_id: str, exchange: Exchange) -> None:
-        """A client hung up; the activation ends unless others wait for it, or it has to go on."""
+        """End an activation whose client hung up, unless others wait for it or it has to go on."""
         if self.pending.client_left(act_id, exchange):
             act = self.pending.end(self.now(), act_id, CLIENT_LEFT)
             if act is None:
@@ -200,7 +200,7 @@
         retry_after: int = 0,
         why: str = "",
     ) -> None:
-        """Gives an activation its final answer."""
+        """Give an activation its final answer."""
         act = self.pending.end(self.now(), act_id, outcome, body)
         if act is None:
             self.core.log.error("second final answer suppressed", act=act_id, outcome=outcome)
@@ -238,7 +238,7 @@
         self.deadline_timer = self.core.clock.at(due, self._answer_overdue)
 
     def answer_due(self, now: int) -> None:
-        """Answers what is overdue without waiting for the timer."""
+        """Answer what is overdue without waiting for the timer."""
         if self.deadline_timer is not None and self.next_deadline <= now:
             self.deadline_timer.cancel()
             self._answer_overdue()
@@ -253,7 +253,7 @@
         self._set_deadline_timer()
 
     def time_out(self, act_id: str) -> None:
-        """The sends of an activation time out, of which the module makes an answer.
+        """Let the attempts of an activation time out, of which the module makes a final answer.
 
         If it does not, there is one all the same.
         """
@@ -271,7 +271,7 @@
             self.core.scheduler.client_departed(self.now(), act_id)
 
     def abort_defective(self, act_id: str) -> None:
-        """Aborts an activation that a defect of this program has touched."""
+        """Abort an activation that a defect of this program has touched."""
         core = self.core
         if act_id not in self.pending.activations:
             return
--- a/petrelwood/dispatch/configuration.py
+++ b/petrelwood/dispatch/configuration.py
@@ -61,7 +61,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Polls the servers, round after round, until it is cancelled; then closes its connections."""
+        """Poll the servers, round after round, until it is cancelled; then close the connections."""
         try:
             while True:
                 for server in self.watch.servers_to_poll(self.clock.now()):
@@ -84,7 +84,7 @@
         self._apply(server, extract)
 
     def _apply(self, server: str, extract: Extract) -> None:
-        """Stores an answer. The position is stored last: what a kill cuts off is read again."""
+        """Store an answer. The position is stored last: what a kill cuts off is read again."""
         position = self.watch.position
         try:
             for event in self.watch.on_answer(server, extract, self.clock.now(), self.clock.steady_wall()):
@@ -96,7 +96,11 @@
             self.log.error("storing a version failed; it will be read again", why=str(fault))
 
     def _store(self, event: Version | Revocation) -> None:
-        """Puts one decided record into the folder. Raises OSError."""
+        """Put one decided record into the folder.
+
+        Raises:
+            OSError: The folder does not take it.
+        """
         if isinstance(event, Revocation):
             versions.call_off(self.folder, event.number, event.reason)
         else:
@@ -109,7 +113,7 @@
         self.log.info("version received", number=event.number, off=isinstance(event, Revocation))
 
     def call_off(self, number: int, why: str) -> None:
-        """Reports to the servers that this dispatcher has found a version bad.
+        """Report to the servers that this dispatcher has found a version bad.
 
         It is retried until one of them has it decided.
         """
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -96,7 +96,7 @@
         return Activations(self)
 
     def _make_connections(self, link: MakeLink) -> None:
-        """What the core has to do with workers."""
+        """Make the membership, the links and the budget for connecting again."""
         gateway = self.gateway
         connect_timeout = gateway.workers.connect_within
         self.membership = Membership(self.terms.orders.keep, connect_timeout, self.chance.random)
@@ -106,7 +106,7 @@
             self.reconnects = Budget(1.0, RECONNECTS_AT_ONCE, connect_timeout)
 
     def _make_stages(self) -> tuple[Ledger | None, Intake, str | None]:
-        """What an activation passes before the module: the ledger, the intake, and the prefix of its id."""
+        """Return what an activation passes before the module: ledger, intake, and the prefix of its id."""
         gateway = self.gateway
         wall = self.clock.wall()
         ledger = Ledger(
@@ -124,14 +124,14 @@
 
     # One call after the other.
     def submit(self, call: Call, *args: Any) -> None:
-        """Makes a call at once, or after the one that is being made."""
+        """Make a call at once, or after the one that is being made."""
         events = self.events
         events.waiting.append((call, args))
         if not events.running:
             events.run()
 
     def defect(self, where: str, fault: Exception, args: Arguments = ()) -> None:
-        """Aborts the activations that a failed call has touched, and goes on."""
+        """Log a failed call, and abort the activations that it has touched."""
         acts = self.pending.activations
         touched = self.events.touched | {arg for arg in args if isinstance(arg, str) and arg in acts}
         place = traceback.extract_tb(fault.__traceback__)[-1]
@@ -155,11 +155,11 @@
         return self.ledger
 
     def record_time(self) -> int:
-        """The wall-clock time as the log of state has it: without steps since this process began."""
+        """Return the wall-clock time (ns) that records carry: without steps since this process began."""
         return self.now() + self.record_epoch
 
     def adopt(self, log: "StateLog", predecessor_runs: bool = False) -> None:
-        """Goes on from what the incarnations before have left in a log.
+        """Go on from what earlier incarnations have left in a log.
 
         `predecessor_runs`: the one before still finishes what it has in flight.
         """
@@ -169,19 +169,19 @@
         self.durable_state.adopt(log, predecessor_runs)
 
     def sync_state(self, done: Callable[[bool], object]) -> None:
-        """Syncs the log of state, then calls `done(durable)`; a dispatcher on a loop does it in a thread."""
+        """Sync the log of state, then call `done(durable)`; a dispatcher on a loop does it in a thread."""
         if self.durable_state is not None:
             done(self.durable_state.log.sync_task()())
 
     def clock_offset_found(self, least_epoch: int) -> None:
-        """A process before has seen the wall clock at this offset: workers may be younger than thought."""
+        """Learn that an earlier process saw another clock offset: workers may be younger than thought."""
         younger = self.membership.correct_clock(least_epoch, self.now())
         if younger:
             self.submit(self._endpoints_changed, younger, [], False)
 
     # A hand-over: see `decide.cluster.handover`.
     def recent_completion(self) -> CompletionRate:
-        """How the activations ended that were answered in the last ten seconds."""
+        """Return how the activations ended that were answered in the last ten seconds."""
         return self.recent_answers.rate(self.now())
 
     @property
@@ -192,7 +192,7 @@
         return counts[ActivationState.COMPLETED], failed
 
     def stop_admitting(self, on_end: ActivationEndHandler) -> None:
-        """Admits and loads nothing new from now on; `on_end` is called for each activation that ends."""
+        """Admit and load nothing new from now on; `on_end` is called for each activation that ends."""
         self.intake.closing = True
         self.handover.retired = True
         self.handover.on_activation_end = on_end
@@ -200,7 +200,7 @@
             self.durable_state.log.flush()
 
     def resume_admitting(self) -> None:
-        """The successor has failed: what it admitted is read from its log, and this process admits again."""
+        """Admit again, as the successor has failed; what it admitted is read from its log."""
         if self.durable_state is not None:
             self.durable_state.take_over_again()
         self.intake.closing = False
@@ -210,18 +210,18 @@
     def note_predecessor_outcome(
         self, customer: str, id_: str, outcome: ActivationState, sent: bool, body: bytes | None
     ) -> None:
-        """The predecessor has finished an activation that it had in flight."""
+        """Learn how an activation ended that the predecessor had in flight."""
         key = (customer, id_)
         if self.known_ids.end_elsewhere(key, outcome, sent, body) and self.durable_state is not None:
             self.durable_state.record_ended(key, outcome, sent, body)
 
     def predecessor_ended(self) -> None:
-        """The predecessor has ended: the outcomes that it did not send are not known."""
+        """Learn that the predecessor has ended: the outcomes that it did not send stay unknown."""
         self.known_ids.abandon_elsewhere()
 
     # Storms, forecasts and settings.
     def _check_storms(self) -> None:
-        """What a storm changes is decided in `decide.overload.intake` and at the fronts."""
+        """Look for storms that begin or end, and tell the fronts; also check the durable state."""
         for name, on, value in self.intake.update(self.now()):
             report = self.log.warning if on else self.log.info
             event = "storm started" if on else "storm ended"
@@ -232,7 +232,7 @@
         self.clock.at(self.now() + STORM_CHECK_INTERVAL, self._check_storms)
 
     def storm_changed(self, name: str, on: bool) -> None:
-        """A symptom has begun or ended; for a dispatcher that has fronts."""
+        """Learn that a symptom of a storm has begun or ended; for a dispatcher that has fronts."""
 
     def _begin_forecasts(self) -> None:
         terms = self.gateway.early
@@ -261,7 +261,7 @@
             self.forecasts.plan_slot()
 
     def apply(self, gateway: "Gateway") -> None:
-        """Takes new settings that can act at once: customers' keys, functions, limits.
+        """Put new settings in force that can act at once: customers' keys, functions, limits.
 
         What is in flight keeps its deadline, and its customer until it has its answer.
         """
@@ -272,7 +272,7 @@
         self.intake.concurrency_limit.set_most(gateway.limits.held)
 
     def rule(self, function: str) -> "FunctionRule | None":
-        """The rule of a function, looked up once; None where it may not be called."""
+        """Return the rule of a function, looked up once; None where it may not be called."""
         try:
             return self.rules[function]
         except KeyError:
@@ -285,11 +285,11 @@
     def admit(
         self, request: ActivationRequest, function: str, rule: Rule, body: bytes, exchange: Exchange
     ) -> None:
-        """A request has come, and is who it says it is."""
+        """Admit the request of an authenticated client, or answer it at once."""
         self.submit(self.activations.admit, request, function, rule, body, exchange)
 
     def client_left(self, act_id: str, exchange: Exchange) -> None:
-        """The client of an exchange hung up."""
+        """Learn that the client of an exchange hung up."""
         self.submit(self.activations.client_left, act_id, exchange)
 
     # From the links.
@@ -304,7 +304,7 @@
         sent_at: int,
         report: dict[str, float] | None,
     ) -> None:
-        """A send has ended for the reason `reason`; `report`: the worker's load report, if it sent one."""
+        """Handle the end of an attempt; `report`: the worker's load report, if it sent one."""
         now = self.now()
         self.links.in_flight.pop((act_id, attempt), None)
         act = self.pending.activations.get(act_id)
@@ -323,7 +323,7 @@
     def _learn(
         self, now: int, act: PendingActivation, worker: str, reason: ports.EndReason, note: int, duration: int
     ) -> None:
-        """What the history and the forecasts learn from the end of a send."""
+        """Record the end of an attempt in the history and the forecasts."""
         warm = note in (0, ports.CopyNote.FOUND_WARM)
         if self.forecasts is not None:
             if reason == ports.EndReason.COMPLETED:
@@ -343,20 +343,20 @@
             )
 
     def transmit(self, link: WorkerLink, act: PendingActivation, attempt: int, remaining: int) -> None:
-        """Hands a send to a link."""
+        """Hand an attempt to a link; `remaining`: ns until its deadline."""
         mark = f"{act.key[0]}/{act.key[1]}"
         link.run(act.id, attempt, act.function, mark, remaining, act.lanes, act.body or b"")
 
     def may_send_order(self, given_at: int) -> bool:
-        """Whether a load order that was given at `given_at` may leave now."""
+        """Return whether a load order that was given at `given_at` may leave now."""
         return self.scheduler.may_load_order_leave(self.now(), given_at)
 
     def order_not_sent(self, given_at: int) -> None:
-        """A load order that was given at `given_at` will never leave."""
+        """Learn that a load order that was given at `given_at` will never leave."""
         self.scheduler.load_order_withdrawn(self.now(), given_at)
 
     def load_order_ended(self, worker: str, function: str, reason: ports.EndReason, copies: int) -> None:
-        """A load order has ended; the worker has so many copies."""
+        """Learn how a load order has ended; the worker has `copies` of the function now."""
         if self.forecasts is not None:
             self.forecasts.order_ended(self.now(), function, worker, reason == ports.EndReason.COMPLETED)
         self.scheduler.load_order_ended(self.now(), worker, function, reason, copies)
@@ -364,16 +364,16 @@
     def health_check_ended(
         self, worker: str, reason: ports.EndReason, report: dict[str, float] | None
     ) -> None:
-        """A health check has ended."""
+        """Learn how a health check has ended; `report`: the worker's load report, if it sent one."""
         self.scheduler.health_check_ended(self.now(), worker, reason, report)
 
     def timer_fired(self, mark: str) -> None:
-        """A time has passed that the module waited for."""
+        """Tell the module that a timer of its own has fired."""
         self.scheduler.timer_fired(self.now(), mark)
 
     # From the endpoint list.
     def endpoints_changed(self, entries: list[Listed], draining: list[str], is_whole: bool) -> None:
-        """Workers have changed; `draining` drain or are gone, `is_whole`: `entries` are all there are."""
+        """Learn of a change of the endpoint list, or of the whole; `draining`: they drain or are gone."""
         self.submit(self._endpoints_changed, entries, draining, is_whole)
 
     def _endpoints_changed(self, entries: list[Listed], draining: list[str], is_whole: bool) -> None:
@@ -383,12 +383,12 @@
         self.links.release_unused(self.membership.members)
 
     def endpoint_list_lost(self) -> None:
-        """Nothing is heard of the list of workers any more; the last one stays in use."""
+        """Learn that no changes of the endpoint list come any more; the last list stays in use."""
         self.submit(self._endpoint_list_lost)
 
     def _endpoint_list_lost(self) -> None:
         self.scheduler.endpoint_list_lost(self.now())
 
     def figures(self) -> dict[str, Any]:
-        """What is counted, for logs and tests."""
+        """Return all counts, for logs and tests."""
         return {**self.pending.counts, **asdict(self.outlet.counts), **self.intake.figures()}
--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -30,7 +30,7 @@
 
 
 def machine_boot_id() -> str:
-    """What names this start of the machine; empty where the system does not tell."""
+    """Return what names this start of the machine; empty where the system does not tell."""
     try:
         return BOOT_ID.read_text().strip()
     except OSError:
@@ -74,7 +74,7 @@
 
     # Folders.
     def sync_state(self, done: Callable[[bool], object]) -> None:
-        """Syncs the log of state in a thread, then calls `done(durable)`; the loop goes on meanwhile."""
+        """Sync the log of state in a thread, then call `done(durable)`; the loop goes on meanwhile."""
         if self.durable_state is None:
             return
 
@@ -86,9 +86,12 @@
         self.loop.run_in_executor(None, sync).add_done_callback(_report)
 
     def open_state(self, predecessor_runs: bool = False) -> None:
-        """Goes on from the log of state. Raises `store.errors.StateUnreadableError`.
+        """Go on from the log of state.
 
         `predecessor_runs`: the process before still finishes what it has in flight.
+
+        Raises:
+            StateUnreadableError: The folder does not give it.
         """
         terms = self.gateway.state
         if terms is None:
@@ -106,7 +109,7 @@
             gc.enable()
 
     def open_history(self) -> None:
-        """Opens the history of executions, and the storage of forecasts beside it."""
+        """Open the history of executions, and the storage of forecasts beside it."""
         terms = self.gateway.history
         if terms is None:
             return
@@ -119,7 +122,7 @@
 
     # While it runs.
     def open(self) -> None:
-        """Begins to hear of workers, and to check what is not at rest."""
+        """Follow the endpoint list, and check the links and fronts a few times a second."""
         self.roster.open()
         self.checks = self.loop.call_later(CHECK_INTERVAL, self._check)
 
@@ -143,7 +146,7 @@
             self.endpoint_list_lost()
 
     def _renew(self) -> None:
-        """Reads certificates that have changed, and writes what people read."""
+        """Read certificates that have changed, and write the history and the account of early loads."""
         for identity in self.identities:
             identity.renew(self.log)
         if self.forecast_storage is not None:
@@ -153,7 +156,7 @@
             self._report_history(self.history)
 
     def _report_history(self, history: History) -> None:
-        """Logs when the history stops, and when it goes on again."""
+        """Log when the history stops, and when it goes on again."""
         if history.stopped and not self.history_has_stopped:
             self.log.warning("history stopped; dispatching goes on", why=history.stopped)
         elif self.history_has_stopped and not history.stopped:
@@ -161,26 +164,26 @@
         self.history_has_stopped = bool(history.stopped)
 
     async def sleep_until(self, when: int) -> None:
-        """Waits for a time of the monotonic clock."""
+        """Wait for a time of the monotonic clock."""
         await asyncio.sleep(max(0, when - self.now()) / 1e9)
 
     def storm_changed(self, name: str, on: bool) -> None:
-        """Tells the fronts of a symptom that has begun or ended."""
+        """Tell the fronts of a symptom that has begun or ended."""
         for front in self.fronts:
             front.storm_changed(name, on)
 
     def active(self, link: WorkerLink) -> None:
-        """A link is not at rest any more."""
+        """Have a link checked a few times a second, until it says that it is at rest."""
         self.busy[link] = True
 
     def endpoints_changed(self, entries: list[Listed], draining: list[str], is_whole: bool) -> None:
-        """Workers have changed."""
+        """Learn of a change of the endpoint list, or of the whole list."""
         super().endpoints_changed(entries, draining, is_whole)
         self.endpoints_known.set()
 
     # The end.
     def still_wanted(self, activation_id: str) -> bool:
-        """Whether an attempt of an activation may leave.
+        """Return whether an attempt of an activation may leave.
 
         Its client may have hung up while the loop was held up. What outlives its client goes on.
         """
@@ -192,7 +195,7 @@
         return activation_id in self.pending.activations
 
     async def close(self) -> None:
-        """Admits nothing new, answers all that is in flight, and ends."""
+        """Shut down gracefully: admit nothing new, and answer all that is queued or in flight."""
         self.intake.closing = True
         for front in self.fronts:
             front.drain()
--- a/petrelwood/dispatch/durable_state.py
+++ b/petrelwood/dispatch/durable_state.py
@@ -83,7 +83,7 @@
         self.syncing = False
 
     def adopt(self, log: "StateLog", predecessor_runs: bool = False) -> None:
-        """Goes on from what the incarnations before have left in a log.
+        """Go on from what earlier incarnations have left in a log.
 
         `predecessor_runs`: the one before still finishes what it has in flight.
         """
@@ -112,7 +112,7 @@
             )
 
     def is_warm_enough(self, worker: str, now: int) -> bool:
-        """Whether a worker may be sent anything so soon after the restart: cold ones have to wait."""
+        """Return whether a worker may be sent anything so soon after the restart: cold ones have to wait."""
         restart = self.restart
         if restart is None or now >= restart.cold_workers_from:
             return True
@@ -122,16 +122,16 @@
 
     # The admission of activations.
     def can_admit(self, type_: str) -> bool:
-        """Whether an activation of this type may be admitted: not in an outage if it must not run twice."""
+        """Return whether this type may be admitted: in an outage not if it must not run twice."""
         effect = self.core.terms.types[type_].effect
         return bool(recovery.may_admit(effect, self.log.stopped is None))
 
     def reject(self, now: int) -> int:
-        """Notes that an activation is rejected for the outage; the time (ns) until that may be over."""
+        """Count an activation that is rejected for the outage; return the ns until that may be over."""
         return self.state_recovery.rejected_for(now)
 
     def record_admitted(self, act: PendingActivation) -> bool:
-        """Records a new activation. Returns whether it may begin at once.
+        """Record a new activation; return whether it may begin at once.
 
         What must not run twice waits until its record is durable, and is rejected where it can't be.
         """
@@ -151,7 +151,7 @@
         return False
 
     def _sync(self) -> None:
-        """One sync at a time; what comes meanwhile is the next one's."""
+        """Sync the log, unless a sync is under way: what comes meanwhile is the next one's."""
         if self.syncing or not self.unsynced:
             return
         self.syncing = True
@@ -180,11 +180,11 @@
     def record_ended(
         self, key: tuple[str, str], outcome: ActivationState, sent: bool, body: bytes | None
     ) -> None:
-        """Records how an activation ended. `body`: the answer, where it is short enough to be cached."""
+        """Record how an activation ended. `body`: the answer, where it is short enough to be cached."""
         self.log.add(ActivationEnded(self.core.record_time(), *key, outcome, sent, body))
 
     def record_order(self, worker: str, function: str, copies: int) -> bool:
-        """Records a load order. Whether it is durable, and may go out."""
+        """Record a load order; return whether it is durable, and may go out."""
         core = self.core
         self.log.add(LoadOrdered(core.record_time(), worker, function, copies))
         if not self.log.flush():
@@ -193,15 +193,15 @@
         return True
 
     def flush(self) -> None:
-        """Writes what was recorded in a turn of the dispatcher."""
+        """Write what was recorded in a turn of the dispatcher."""
         self.log.flush()
 
     def check(self) -> None:
-        """Called a few times a second: begins segments, and recovers the log after its disk failed."""
+        """Begin segments, and recover the log after its disk failed; called a few times a second."""
         self.log.check(self.core.record_time())
         self.state_recovery.check()
 
     def take_over_again(self) -> None:
-        """The successor has failed: reads what it recorded, and records here again."""
+        """Read what the failed successor recorded, and record here again."""
         self.log.take_over_again(self.core.record_time())
         self.adopt(self.log)
--- a/petrelwood/dispatch/event_queue.py
+++ b/petrelwood/dispatch/event_queue.py
@@ -34,7 +34,7 @@
         self.touched: set[str] = set()  # ids of the activations that the present call has to do with
 
     def run(self) -> None:
-        """Makes the calls that wait, and those that follow from them."""
+        """Make the calls that wait, and those that follow from them."""
         self.running = True
         waiting = self.waiting
         try:
--- a/petrelwood/dispatch/forecast_storage.py
+++ b/petrelwood/dispatch/forecast_storage.py
@@ -52,7 +52,7 @@
             self.log.info("forecast snapshot loaded", functions=functions)
 
     def _record_end(self, now: int, load: EarlyLoad, end: LoadEnd, seconds: float, memory: float) -> None:
-        """An early load has ended. The account has wall-clock times."""
+        """Record the end of an early load, with wall-clock times."""
         offset = self.clock.steady_wall() - now
         self.account.record(
             EarlyLoadEnd(
@@ -69,7 +69,7 @@
         )
 
     def step(self, now: int) -> None:
-        """Goes on with a snapshot when one is due: a few functions, and at last the file in a thread."""
+        """Go on with a snapshot when one is due: a few functions at a time, then the file in a thread."""
         if self.unsaved is None:
             if now < self.next_snapshot:
                 return
@@ -92,10 +92,10 @@
             self.log.warning("saving the forecast snapshot failed", why=f"{self.file}: {fault}")
 
     def flush(self) -> None:
-        """Writes what is known of ended loads."""
+        """Write the account of the early loads that have ended."""
         self.account.flush()
 
     def close(self) -> None:
-        """Ends the account, and saves the forecasts as they are."""
+        """Close the account, and save the forecasts as they are."""
         self.account.close()
         self._write(list(self.early.forecast.dump()))
--- a/petrelwood/dispatch/handover/channel.py
+++ b/petrelwood/dispatch/handover/channel.py
@@ -35,7 +35,11 @@
         self.sending = asyncio.Lock()
 
     async def send(self, message: Message, descriptors: Sequence[int] = ()) -> None:
-        """Sends a message, and descriptors with it. Raises `PeerLostError`."""
+        """Send a message, and descriptors with it.
+
+        Raises:
+            PeerLostError: The connection is broken.
+        """
         body = messages.encode(message)
         data = LENGTH.pack(len(body)) + body
         try:
@@ -49,13 +53,18 @@
             raise PeerLostError(str(fault)) from fault
 
     async def receive(self) -> Message:
-        """The next message. Raises `PeerLostError` and `MalformedMessageError`."""
+        """Return the next message.
+
+        Raises:
+            PeerLostError: The connection is broken or has ended.
+            MalformedMessageError: What came is no message of the protocol.
+        """
         while (body := self._next_body()) is None:
             await self._read()
         return messages.decode(body)
 
     def _next_body(self) -> bytes | None:
-        """Takes the next message off the buffer; None where it is not complete."""
+        """Take the next message off the buffer; return None where it is not complete."""
         if len(self.buffer) < LENGTH.size:
             return None
         size = LENGTH.unpack_from(self.buffer)[0]
@@ -92,13 +101,13 @@
         self.buffer += data
 
     def take_descriptors(self) -> list[int]:
-        """The descriptors that came; from now on their closing is the caller's."""
+        """Return the descriptors that came; from now on the caller has to close them."""
         taken = self.descriptors
         self.descriptors = []
         return taken
 
     def close(self) -> None:
-        """Ends the connection, and closes the descriptors that nobody took."""
+        """Close the connection, and the descriptors that nobody took."""
         if not self.closed:
             self.closed = True
             # before its descriptor may be another's
--- a/petrelwood/dispatch/handover/messages.py
+++ b/petrelwood/dispatch/handover/messages.py
@@ -147,7 +147,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """The wire form of a message, without its length."""
+    """Return the wire form of a message, without its length."""
     if isinstance(message, Hello):
         return _pack([HELLO, message.request.as_message()])
     return _pack([KIND_OF[type(message)], *astuple(message)])
@@ -159,7 +159,11 @@
 
 
 def decode(data: bytes) -> Message:
-    """The message of a wire form. Raises `MalformedMessageError`."""
+    """Return the message of a wire form.
+
+    Raises:
+        MalformedMessageError: It is no message of the protocol.
+    """
     try:
         fields = msgpack.unpackb(data, raw=False)
     except ValueError as fault:
--- a/petrelwood/dispatch/handover/predecessor.py
+++ b/petrelwood/dispatch/handover/predecessor.py
@@ -131,7 +131,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def open(self) -> None:
-        """Takes the path over: a successor binds it anew, so the newest process is always found there."""
+        """Listen at the path: a successor binds it anew, so the newest process is always found there."""
         self.server = UnixSocket(self.path, socket.SOCK_STREAM)
         self._start(self._accept())
         self._start(self._watch())
@@ -142,7 +142,7 @@
         task.add_done_callback(self.tasks.discard)
 
     def close(self) -> None:
-        """Gives up the control socket and the successor."""
+        """Close the control socket and the connection to the successor."""
         for task in list(self.tasks):
             task.cancel()
         self.server.close()
@@ -239,7 +239,7 @@
             self._carry_out(self.machine.on_successor_lost(reason))
 
     def _hand_over(self) -> None:
-        """Nothing new is admitted here from now on, and all that was admitted is in the log of state."""
+        """Stop admitting: all that was admitted is in the log of state then."""
         self.core.stop_admitting(self._activation_ended)
         self.webhooks.pause()
         self.on_handover()
--- a/petrelwood/dispatch/handover/successor.py
+++ b/petrelwood/dispatch/handover/successor.py
@@ -83,7 +83,11 @@
         return self.connection
 
     async def request(self, now: int) -> None:
-        """Greets the predecessor and takes its listeners. Raises `HandoverError`."""
+        """Greet the predecessor and take its listeners.
+
+        Raises:
+            HandoverError: The predecessor does not hand over, or is gone.
+        """
         self.connection = Channel(self._connect(), self.loop)
         formats = (OLDEST_FORMAT, NEWEST_FORMAT)
         request = TakeoverRequest(self.name, handover.PROTOCOL_VERSION, formats, os.getpid())
@@ -110,7 +114,11 @@
         return sock
 
     async def take_over(self, now: NowFunction) -> None:
-        """Says that this process can serve, and waits for the word to go. Raises `HandoverError`."""
+        """Say that this process can serve, and wait until the predecessor gives way.
+
+        Raises:
+            HandoverError: The predecessor does not give way, or is gone.
+        """
         self.machine.on_ready_to_serve(now())
         await self.channel.send(Ready())
         try:
@@ -124,7 +132,7 @@
             raise HandoverRejectedError("the old process did not give way")
 
     async def follow(self, core: SuccessorCore, log: Logger, on_failure: Callable[[], object]) -> None:
-        """Serves beside the predecessor until that one is gone.
+        """Serve beside the predecessor until that one is gone.
 
         Where this process fails before that, it calls `on_failure()` and returns.
         """
@@ -163,7 +171,7 @@
                 return
 
     def _may_be_superseded(self, now: int) -> bool:
-        """Whether the predecessor may serve again: it does, or this process stood still and can't know."""
+        """Return whether the predecessor may serve again: it does, or this process was stalled too long."""
         stalled = now - self.last_check > STALL
         phase = self.machine.phase
         return phase == SuccessorPhase.FAILED or phase == SuccessorPhase.OWNING and stalled
@@ -189,12 +197,12 @@
         self.predecessor_drained.set()
 
     async def give_back(self, why: str) -> None:
-        """Tells the predecessor to serve again."""
+        """Tell the predecessor to serve again."""
         with contextlib.suppress(HandoverError):
             await self.channel.send(GiveBack(why))
         self.close()
 
     def close(self) -> None:
-        """Ends the connection, if there is one."""
+        """End the connection, if there is one."""
         if self.connection is not None:
             self.connection.close()
--- a/petrelwood/dispatch/health.py
+++ b/petrelwood/dispatch/health.py
@@ -64,11 +64,11 @@
         self.stalls = SlidingWindowCounter(STALL_BUCKET, STALL_BUCKETS)
 
     def open(self) -> None:
-        """Begins to send heartbeats."""
+        """Begin to send heartbeats."""
         self.task = self.core.loop.create_task(self._send_heartbeats())
 
     def report(self) -> HealthReport:
-        """The health of the dispatcher at this moment."""
+        """Return the health of the dispatcher at this moment."""
         core = self.core
         now = core.now()
         self._note_stall(now)
@@ -84,7 +84,7 @@
         )
 
     def _note_stall(self, now: int) -> None:
-        """Adds the time by which this report is late.
+        """Add the time by which this report is late.
 
         The sum over the window is at least the longest stall in it.
         """
@@ -99,12 +99,12 @@
             await asyncio.sleep(EVERY)
 
     def send_now(self) -> None:
-        """Sends a heartbeat out of turn, as at the beginning of a graceful shutdown."""
+        """Send a heartbeat out of turn, as at the beginning of a graceful shutdown."""
         if not self.core.handover.retired:
             self.sender.send(self.report())
 
     def close(self) -> None:
-        """Ends the heartbeats."""
+        """End the heartbeats."""
         if self.task is not None:
             self.task.cancel()
         self.sender.close()
--- a/petrelwood/dispatch/interfaces.py
+++ b/petrelwood/dispatch/interfaces.py
@@ -13,39 +13,39 @@
     """A structured logger, as structlog makes them: one line for each event, with its fields."""
 
     def debug(self, event: str, **fields: object) -> object:
-        """Logs what only a developer wants to know."""
+        """Log what only a developer wants to know."""
 
     def info(self, event: str, **fields: object) -> object:
-        """Logs a normal event."""
+        """Log a normal event."""
 
     def warning(self, event: str, **fields: object) -> object:
-        """Logs a fault that service survives."""
+        """Log a fault that service survives."""
 
     def error(self, event: str, **fields: object) -> object:
-        """Logs a fault that an operator should see to."""
+        """Log a fault that an operator should see to."""
 
 
 class Timer(Protocol):
     """A call that a clock will make."""
 
     def cancel(self) -> object:
-        """Takes the call back."""
+        """Cancel the call."""
 
 
 class Clock(Protocol):
     """Monotonic and wall-clock time in ns, and timers; see `petrelwood.clocks`."""
 
     def now(self) -> int:
-        """The monotonic time."""
+        """Return the monotonic time."""
 
     def wall(self) -> int:
-        """The time since the epoch. It may be stepped in both directions."""
+        """Return the time since the epoch, which may be stepped in both directions."""
 
     def steady_wall(self) -> int:
-        """The same without its steps, for spans of time."""
+        """Return the time since the epoch without its steps, for spans of time."""
 
     def at(self, when: int, call: Callable[..., object], *args: object) -> Timer:
-        """Calls `call(*args)` at the monotonic time `when`."""
+        """Call `call(*args)` at the monotonic time `when`."""
 
 
 RandomFraction = Callable[[], float]
--- a/petrelwood/dispatch/load_forecasts.py
+++ b/petrelwood/dispatch/load_forecasts.py
@@ -48,25 +48,25 @@
         self.early = EarlyLoads(early_terms, chance.random, prefetch)
 
     def plan_slot(self) -> None:
-        """Orders the loads that pay off in the next slot."""
+        """Order the loads that pay off in the next slot."""
         self.early.plan_slot(self.clock.now(), self.clock.steady_wall(), self.orders_per_slot)
 
     def activation_admitted(self, now: int, function: str, rule: Rule, type_: str) -> None:
-        """A call has come."""
+        """Learn that a call has come."""
         self.early.call_arrived(self.clock.steady_wall(), function, rule.lanes, rule.load_time, type_)
 
     def send_completed(self, now: int, function: str, worker: str, warm: bool, duration: int) -> None:
-        """A send has completed `duration` ns after it was made; `warm`: it found a copy."""
+        """Learn that an attempt has completed after `duration` ns; `warm`: it found a copy."""
         self.early.call_completed(now, function, worker, warm, duration, 0 if warm else duration)
 
     def copy_missing(self, now: int, function: str, worker: str) -> None:
-        """A send was not run, as the worker had no copy of the function."""
+        """Learn that an attempt was not run, as the worker had no copy of the function."""
         self.early.copy_missing(now, function, worker)
 
     def order_ended(self, now: int, function: str, worker: str, completed: bool) -> None:
-        """A load order has ended."""
+        """Learn how a load order has ended."""
         self.early.load_ended(now, function, worker, completed)
 
     def learn(self, functions: int) -> bool:
-        """Learns the forecasts of so many functions; whether some are left."""
+        """Learn the forecasts of so many functions; return whether some are left."""
         return self.early.forecast.learn(functions)
--- a/petrelwood/dispatch/outlet.py
+++ b/petrelwood/dispatch/outlet.py
@@ -124,7 +124,7 @@
         self.retries = retries
 
     def send(self, act: str, worker: str, limit: int) -> None:
-        """Sends an activation to a worker. `limit` is not used: links pass the deadline."""
+        """Send an activation to a worker; `limit` is not used, as links pass the deadline."""
         core = self.core
         core.events.touched.add(act)
         activation = self.pending.activations.get(act)
@@ -160,7 +160,7 @@
         core.submit(core.send_ended, act, attempt, worker, ports.EndReason.NOT_SENT, 0, b"", now, None)
 
     def reject(self, act: str, retry_after: int) -> None:
-        """Rejects an activation; `retry_after` (ns): 0 where the client is not told when to come back."""
+        """Reject an activation; `retry_after` (ns): 0 where the client is not told when to come back."""
         core = self.core
         core.events.touched.add(act)
         activation = self.pending.activations.get(act)
@@ -171,16 +171,16 @@
         core.activations.finish(act, ActivationState.REJECTED, retry_after=wait)
 
     def abort(self, act: str) -> None:
-        """Aborts an activation, which may have run."""
+        """Abort an activation, which may have run."""
         self.core.events.touched.add(act)
         self.core.activations.finish(act, ActivationState.ABORTED)
 
     def cancel(self, act: str, n: int) -> None:
-        """Asks the worker to end the send number `n` of an activation."""
+        """Ask the worker to end the attempt `n` of an activation."""
         self.links.cancel(act, n)
 
     def order_load(self, worker: str, fn: str, copies: int) -> None:
-        """Orders a worker to have so many copies of a function."""
+        """Order a worker to have so many copies of a function."""
         core = self.core
         link = self.links.get(worker)
         rule = core.rule(fn)
@@ -201,7 +201,7 @@
         core.submit(core.load_order_ended, worker, fn, ports.EndReason.NOT_SENT, 0)
 
     def check_health(self, worker: str) -> None:
-        """Sends a worker a health check."""
+        """Send a worker a health check."""
         self.counts.probes += 1
         link = self.links.get(worker)
         if link is not None:
@@ -211,9 +211,9 @@
             core.submit(core.health_check_ended, worker, ports.EndReason.NO_CONNECTION, None)
 
     def set_timer(self, mark: str, wait: int) -> None:
-        """Calls the module again in `wait` ns."""
+        """Call the module again in `wait` ns."""
         core = self.core
         core.clock.at(self.now() + wait, core.submit, core.timer_fired, mark)
 
     def request_endpoint_list(self) -> None:
-        """Nothing has to be asked for: the endpoint list is pushed."""
+        """Do nothing: the endpoint list is pushed."""
--- a/petrelwood/dispatch/recent_answers.py
+++ b/petrelwood/dispatch/recent_answers.py
@@ -17,12 +17,12 @@
         self.failed = SlidingWindowCounter(BUCKET, BUCKETS)
 
     def record(self, now: int, completed: bool) -> None:
-        """Counts one final answer."""
+        """Count one final answer."""
         counter = self.completed if completed else self.failed
         counter.add(now)
 
     def rate(self, now: int) -> CompletionRate:
-        """The share that completed; all, where there was no answer."""
+        """Return the share that completed; all, where there was no answer."""
         completed: int = self.completed.sum(now)
         answers = completed + self.failed.sum(now)
         return CompletionRate(completed / answers, answers) if answers else NO_ANSWERS
--- a/petrelwood/dispatch/rollout.py
+++ b/petrelwood/dispatch/rollout.py
@@ -35,9 +35,11 @@
     read_settings: ReadSettings
 
     def read(self, number: int) -> Gateway:
-        """The settings of a version; 0 for the dispatcher's own.
+        """Return the settings of a version; 0 for the dispatcher's own.
 
-        Raises `settings.SettingsError` and `store.errors.VersionUnreadableError`.
+        Raises:
+            SettingsError: What the version says is wrong.
+            VersionUnreadableError: The folder does not give it.
         """
         if not number:
             return self.own
@@ -45,10 +47,11 @@
 
 
 def read_version(read_settings: ReadSettings, own: Gateway, folder: str, number: int) -> Gateway:
-    """The settings of a version for the dispatcher whose own file says `own`.
+    """Return the settings of a version for the dispatcher whose own file says `own`.
 
-    Raises `settings.SettingsError` for what it says, and `store.errors.VersionUnreadableError` where the
-    folder does not give it.
+    Raises:
+        SettingsError: What the version says is wrong.
+        VersionUnreadableError: The folder does not give it.
     """
     text = read_unchanging(versions.require_readable(folder, number))
     settings: Gateway = read_settings(text).as_of(own)
@@ -97,7 +100,7 @@
         self.unwritten_call_offs: dict[int, str] = {}  # that the folder did not take yet
 
     async def run(self, answers_counted: tuple[int, int]) -> None:
-        """Follows the folder until it is cancelled.
+        """Follow the folder until it is cancelled.
 
         `answers_counted`: those that say nothing of a version, as `RolloutCore.answered`.
         """
@@ -145,9 +148,11 @@
             await self._call_off(number, reason)
 
     async def _read(self, number: int, is_rollback: bool) -> Gateway:
-        """The settings of a version. What it goes back to is read until the folder gives it.
+        """Return the settings of a version; that of a rollback is read until the folder gives it.
 
-        Raises as `VersionSource.read`.
+        Raises:
+            SettingsError: What the version says is wrong.
+            VersionUnreadableError: The folder does not give it, and it is no rollback.
         """
         while True:
             try:
@@ -159,7 +164,7 @@
                 await asyncio.sleep(POLL_INTERVAL)
 
     async def _apply(self, new: Gateway, is_rollback: bool) -> UpdateResult:
-        """Applies settings, by an upgrade where it must be: a version that is bad is left in any case."""
+        """Apply settings, by an upgrade where needed; a rollback is attempted until it succeeds."""
         result = self.updater.update(new, self.upgrader.available)
         while result is UpdateResult.NEEDS_UPGRADE:
             clock = self.core.clock
@@ -172,13 +177,13 @@
         return result
 
     async def _call_off(self, number: int, why: str) -> None:
-        """For whoever reads the same folder, and by the configuration servers for all others."""
+        """Revoke a version in the folder, and by the configuration servers for all other dispatchers."""
         self.on_call_off(number, why)
         self.unwritten_call_offs[number] = f"{self.updater.gateway.name}: {why}"
         await self._write_call_offs()
 
     async def _write_call_offs(self) -> None:
-        """Puts call-offs into the folder; those that it does not take are attempted again later."""
+        """Put revocations into the folder; those that it does not take are attempted again later."""
         for number, reason in list(self.unwritten_call_offs.items()):
             try:
                 await self.core.loop.run_in_executor(
--- a/petrelwood/dispatch/serve.py
+++ b/petrelwood/dispatch/serve.py
@@ -81,7 +81,7 @@
         self.tasks.append(self.core.loop.create_task(work))
 
     async def run(self) -> None:
-        """Serves until the end of the process; `failed` then tells why, if it is not as it was asked to."""
+        """Serve until the end of the process; `failed` then tells why, if it has failed."""
         stalls = StallDetector(self.core.loop, self.gateway.terms.tick, self.log)
         self._handle_signals()
         try:
@@ -134,7 +134,7 @@
             one.cancel()
 
     async def _reload(self) -> None:
-        """SIGHUP: new settings, applied between two turns of the loop."""
+        """Read the settings anew (SIGHUP), and apply them between two turns of the loop."""
         if self.options.read_settings is None:
             return
         try:
@@ -161,7 +161,7 @@
         print(json.dumps({"ready": f"{host}:{port}"}), flush=True)
 
     def _open_exclusive(self) -> None:
-        """What only one process at a time may have.
+        """Open what only one process at a time may have.
 
         Sessions at the broker, the folder of versions, the control socket.
         """
@@ -200,7 +200,7 @@
             self.follower.call_off(number, why)
 
     def _follow_configuration(self) -> None:
-        """Keeps the folder of versions as the configuration servers have it."""
+        """Keep the folder of versions as the configuration servers have it."""
         if self.own.configuration is None:
             return
         self.follower = ConfigurationFollower(
@@ -214,7 +214,7 @@
         self._start(self.follower.run())
 
     def open_triggers(self) -> None:
-        """Opens the MQTT front, anew after a hand-over that failed."""
+        """Open the MQTT front, anew after a hand-over that failed."""
         if self.triggers is not None:
             self.triggers.close_idle()
             self.core.fronts.remove(self.triggers)
@@ -224,12 +224,12 @@
             self.triggers.open()
 
     def close_triggers(self) -> None:
-        """Ends the sessions at the broker; answers still go out."""
+        """End the sessions at the broker; answers still go out."""
         if self.triggers is not None:
             self.triggers.stop()
 
     async def _follow(self, successor: SuccessorProcess) -> None:
-        """Until the predecessor is gone; then this process has all."""
+        """Serve beside the predecessor until that one has ended; then open what only one process may have."""
         await successor.follow(self.core, self.log, lambda: self._give_back(successor))
         if self.failed is None:
             self.core.handover.on_answer = None
@@ -256,7 +256,7 @@
 
 
 def run(gateway: Gateway, log: Logger, options: ServeOptions | None = None) -> int:
-    """Blocks until the end. Returns the exit code.
+    """Serve until the end of the process; return the exit code.
 
     It is 1 where the listener or the state can't be opened, or the hand-over failed.
     """
--- a/petrelwood/dispatch/settings_update.py
+++ b/petrelwood/dispatch/settings_update.py
@@ -12,11 +12,12 @@
 class ReadSettings(Protocol):
     """Reads the settings anew, from the dispatcher's file or from `text`.
 
-    Raises `settings.SettingsError`.
+    Raises:
+        SettingsError: What they say is wrong.
     """
 
     def __call__(self, text: str | None = None) -> Gateway:
-        """The settings."""
+        """Return the settings."""
 
 
 class UpdateResult(enum.Enum):
@@ -45,7 +46,7 @@
         self.version = 1
 
     def update(self, new: Gateway, can_upgrade: bool = False) -> UpdateResult:
-        """Applies settings if all of their changes can act at once.
+        """Apply settings if all of their changes can act at once.
 
         `can_upgrade`: whether an upgrade may follow where they can't.
         """
--- a/petrelwood/dispatch/stall.py
+++ b/petrelwood/dispatch/stall.py
@@ -34,7 +34,7 @@
         self.closed = False
 
     def open(self) -> None:
-        """Begins to watch the loop of the calling thread."""
+        """Begin to watch the loop of the calling thread."""
         self._record_heartbeat()
         threading.Thread(target=self._watch, daemon=True, name="stall-detector").start()
 
@@ -58,12 +58,12 @@
                 self.stack = _stack_of(self.loop_thread)
 
     def close(self) -> None:
-        """Ends the thread and the timer, each at its next turn."""
+        """End the thread and the timer, each at its next turn."""
         self.closed = True
 
 
 def _stack_of(thread: int) -> str:
-    """The innermost frames of a thread, in one line."""
+    """Return the innermost frames of a thread, in one line."""
     frame: FrameType | None = sys._current_frames().get(thread)
     places: list[str] = []
     while frame is not None and len(places) < STACK_DEPTH:
--- a/petrelwood/dispatch/state_recovery.py
+++ b/petrelwood/dispatch/state_recovery.py
@@ -89,7 +89,7 @@
         self.rejected = 0  # activations that were rejected in this outage
 
     def check(self) -> None:
-        """Called a few times a second: notices a failure, and begins the log anew when that is due."""
+        """Notice a failure, and begin the log anew when that is due; called a few times a second."""
         log = self.state.log
         now = self.core.now()
         if log.stopped is None or self.unwritten is not None and not log.failed:
@@ -100,7 +100,7 @@
             self._attempt(now)
 
     def rejected_for(self, now: int) -> int:
-        """Notes that an activation is rejected for the outage; the time until the next attempt to end it."""
+        """Count an activation that is rejected for the outage; return the ns until that may be over."""
         self.rejected += 1
         if not self.schedule.in_outage:
             self.check()
--- a/petrelwood/dispatch/upgrade.py
+++ b/petrelwood/dispatch/upgrade.py
@@ -43,7 +43,7 @@
         return self.predecessor is not None and self.predecessor.machine.is_busy()
 
     async def run(self, rollout_state: str) -> None:
-        """Starts a successor and returns when it has failed: where it succeeds, this process ends.
+        """Start a successor, and return when it has failed: where it succeeds, this process ends.
 
         The successor outlives this process, so no asyncio transport may own it.
         """
--- a/petrelwood/dispatch/worker_links.py
+++ b/petrelwood/dispatch/worker_links.py
@@ -23,31 +23,31 @@
     def run(
         self, activation: str, attempt: int, function: str, mark: str, remaining: int, lanes: int, body: bytes
     ) -> object:
-        """Sends an activation; `mark`: its idempotency key, `remaining`: ns until its deadline."""
+        """Send an activation; `mark`: its idempotency key, `remaining`: ns until its deadline."""
 
     def order_load(self, function: str, lanes: int, copies: int) -> object:
-        """Orders the worker to have so many copies of a function."""
+        """Order the worker to have so many copies of a function."""
 
     def check_health(self) -> object:
-        """Sends a health check."""
+        """Send a health check."""
 
     def cancel(self, activation: str, attempt: int) -> object:
-        """Asks the worker to end a send."""
+        """Ask the worker to end an attempt."""
 
     def late(self, activation: str, attempt: int) -> object:
-        """The deadline of a send has passed."""
+        """Learn that the deadline of an attempt has passed."""
 
     def withdraw(self, activation: str, attempt: int) -> object:
-        """Takes back a send that has not left yet."""
+        """Take back an attempt that has not left yet."""
 
     def recall(self) -> object:
-        """The worker drains: takes back all that has not left yet."""
+        """Take back all that has not left yet, as the worker drains."""
 
     def has_open_calls(self) -> bool:
-        """Whether a send or an order has not ended yet."""
+        """Return whether an attempt or a load order has not ended yet."""
 
     def give_up(self, why: str) -> object:
-        """Closes the connection; all that was sent on it ends."""
+        """Close the connection; all that was sent on it ends."""
 
 
 class WorkerLinks(dict[str, WorkerLink]):
@@ -59,13 +59,13 @@
         self.in_flight: dict[Send, str] = {}  # the worker of each send that has not ended
 
     def drain(self, workers: Iterable[str]) -> None:
-        """These workers drain or are gone: nothing more leaves for them."""
+        """Take back what has not left yet for workers that drain or are gone."""
         for worker in workers:
             if worker in self:
                 self[worker].recall()
 
     def connect(self, entries: Iterable[Listed], membership: Membership) -> None:
-        """Makes links to workers that are new and usable, and moves those whose address has changed."""
+        """Make links to workers that are new and usable, and move those whose address has changed."""
         for entry in entries:
             link = self.get(entry.worker)
             address = membership.address_of(entry.worker)
@@ -77,7 +77,7 @@
                 link.give_up("the worker has moved")
 
     def release_unused(self, members: Container[str]) -> None:
-        """Closes links to workers that have left the endpoint list and that owe nothing any more."""
+        """Close links to workers that have left the endpoint list, where nothing is in flight any more."""
         unused = [
             worker for worker, link in self.items() if worker not in members and not link.has_open_calls()
         ]
@@ -86,7 +86,7 @@
 
     # Sends that are in flight.
     def withdraw(self, activation: str, attempts: Iterable[int]) -> None:
-        """The activation has ended: a send of it that waits in a link for a connection never leaves.
+        """Take back the attempts, of an activation that has ended, that wait in a link for a connection.
 
         Against sends after the end, also where nothing may be cancelled.
         """
@@ -96,12 +96,12 @@
                 link.withdraw(activation, attempt)
 
     def time_out(self, activation: str, attempts: Iterable[int]) -> None:
-        """The deadline of the activation has passed."""
+        """Tell the links that the deadline of these attempts has passed."""
         for attempt in sorted(attempts):
             self[self.in_flight[activation, attempt]].late(activation, attempt)
 
     def cancel(self, activation: str, attempt: int) -> None:
-        """Asks the worker to end a send, if it is in flight."""
+        """Ask the worker to end an attempt, if it is in flight."""
         link = self._link_of(activation, attempt)
         if link is not None:
             link.cancel(activation, attempt)
