--- a/petrelwood/fronts/interfaces.py
+++ b/petrelwood/fronts/interfaces.py
@@ -1,12 +1,12 @@
-"""The types that the fronts expect of what they are given: the core, its settings and a logger.
+"""The types that the fronts expect of what they are given: the core and its settings.
 
 The core and the settings are in packages above and beside this one, which must not be imported here.
 """
 
 import asyncio
-from collections.abc import Callable, Coroutine, Iterable, Mapping
+from collections.abc import Callable, Iterable, Mapping
 from random import Random
-from typing import Any, Protocol
+from typing import Protocol
 
 from petrelwood import ports
 from petrelwood.decide.delivery import pending
@@ -15,13 +15,6 @@
 from petrelwood.links.tls import Identity
 
 
-class Logger(Protocol):
-    """A structured logger, as structlog makes them: one line for each event, with its fields."""
-
-    def info(self, event: str, **fields: object) -> object:
-        """Logs a normal event."""
-
-
 class FunctionRule(pending.FunctionRule, Protocol):
     """What the settings say of a function; see `settings.gateway.FunctionRule`."""
 
@@ -38,11 +31,11 @@
     def answer(
         self, outcome: str, body: bytes = b"", retry_after: int = 0, why: str = "", act: str | None = None
     ) -> None:
-        """Gives the client its final answer. `retry_after`: ns, 0 where it is not told."""
+        """Give the client its final answer. `retry_after`: ns, 0 for no Retry-After."""
 
 
 class Customer(Protocol):
-    """Who may call; see `settings.gateway.Customer`."""
+    """Who may call; see `settings.customers.Customer`."""
 
     @property
     def keys(self) -> Iterable[tuple[str, bytes]]:
@@ -50,7 +43,7 @@
 
 
 class ConnectionLimits(Protocol):
-    """The limits of the webhook front; see `settings.gateway.Limits`."""
+    """The limits of the webhook front; see `settings.limits.Limits`."""
 
     @property
     def connections(self) -> int:
@@ -121,15 +114,15 @@
         """The source of random numbers."""
 
     def rule(self, function: str) -> FunctionRule | None:
-        """The rule of a function, or None where it may not be called."""
+        """Return the rule of a function, or None where it may not be called."""
 
     def admit(
-        self, ask: ActivationRequest, function: str, rule: FunctionRule, body: bytes, exchange: Exchange
+        self, request: ActivationRequest, function: str, rule: FunctionRule, body: bytes, exchange: Exchange
     ) -> None:
-        """Admits a request of an authenticated client; `exchange` gets the final answer."""
+        """Admit a request of an authenticated client; `exchange` gets the final answer."""
 
     def client_left(self, act_id: str, exchange: Exchange) -> None:
-        """The client of an exchange needs no answer any more."""
+        """Note that the client of an exchange needs no answer any more."""
 
 
 class WebhookCore(FrontCore, Protocol):
@@ -141,18 +134,18 @@
 
 
 class MqttTerms(Protocol):
-    """The settings of the MQTT front; see `settings.gateway.MqttTerms`. Times in ns."""
+    """The settings of the MQTT front; see `settings.mqtt.MqttTerms`. Times in ns."""
 
     @property
     def broker(self) -> tuple[str, int]:
         """Host and port of the broker."""
 
     @property
-    def user(self) -> str:
-        """The name that the dispatcher logs in with."""
+    def user(self) -> str | None:
+        """The name that the dispatcher logs in with; None without a login."""
 
     @property
-    def password(self) -> bytes:
+    def password(self) -> bytes | None:
         """The password that it logs in with."""
 
     @property
@@ -184,7 +177,7 @@
         """Bytes of one packet at most."""
 
     @property
-    def answers_kept(self) -> int:
+    def max_queued_answers(self) -> int:
         """Answers of one customer that may be queued for the broker."""
 
     @property
@@ -216,7 +209,7 @@
     """The clock of the core; see `petrelwood.clocks`."""
 
     def steady_wall(self) -> int:
-        """The wall-clock time in ns, without its steps."""
+        """Return the wall-clock time in ns, without its steps."""
 
 
 class MqttCore(FrontCore, Protocol):
@@ -246,11 +239,11 @@
     def known_ids(self) -> Ledger:
         """The ids of earlier activations."""
 
-    def submit(self, call: Callable[..., object], *args: Any) -> None:
-        """Makes a call at once, or after the one that is being made."""
+    def submit(self, call: Callable[..., object], *args: object) -> None:
+        """Make a call at once, or after the one that is being made."""
 
     def defect(self, where: str, fault: Exception) -> None:
-        """Reports an error that nothing foresaw; the activations that it touched are aborted."""
+        """Report an unexpected error; the activations that it touched are aborted."""
 
-    def sleep_until(self, when: int) -> Coroutine[Any, Any, None]:
-        """Waits for a time of the monotonic clock."""
+    async def sleep_until(self, when: int) -> None:
+        """Wait for a time of the monotonic clock, in ns."""
