--- a/petrelwood/node/client_connection.py
+++ b/petrelwood/node/client_connection.py
@@ -41,16 +41,16 @@
     reads: int  # of all connections
 
     def is_full(self) -> bool:
-        """Whether there are as many connections as there is capacity for."""
+        """Return whether there are as many connections as there is capacity for."""
 
     def note_fault(self, kind: str, reason: str) -> None:
-        """Counts and logs a client's fault."""
+        """Count and log a client's fault."""
 
     def connection_idle(self, connection: "ClientConnection") -> None:
-        """Notes that a connection has no open request since now."""
+        """Note that a connection has no open request since now."""
 
     def connection_busy(self, connection: "ClientConnection") -> None:
-        """Notes that a connection has an open request or is closed."""
+        """Note that a connection has an open request or is closed."""
 
 
 class ClientConnection:
--- a/petrelwood/node/client_listener.py
+++ b/petrelwood/node/client_listener.py
@@ -17,29 +17,29 @@
 SHORT_BACKLOG = 8
 
 
-class ConnectionTable(Protocol):
-    """The connections, as the listener needs them: `node.front.Front`."""
+class ConnectionOwner(Protocol):
+    """Whoever serves the accepted connections: `node.front.Front`."""
 
     def has_capacity(self) -> bool:
-        """Whether one more connection may be taken, with those beyond the clients' capacity."""
+        """Return whether one more connection may be accepted."""
 
     def evict_idle(self) -> bool:
-        """Closes the connection that has been idle longest; whether there was one."""
+        """Close the connection that has been idle longest; return whether there was one."""
 
     def take_connection(self, sock: socket.socket) -> None:
-        """Serves an accepted connection."""
+        """Serve an accepted connection."""
 
 
 class ClientListener:
-    """Accepts connections.
+    """Accepts the connections of clients.
 
     It pauses after an error that is the machine's, and where there is no capacity: the socket stays readable,
     so that the event loop would come back at once, over and over. Connections wait in the kernel until it
     resumes.
     """
 
-    def __init__(self, table: ConnectionTable, core: Dispatcher) -> None:
-        self.table = table
+    def __init__(self, owner: ConnectionOwner, core: Dispatcher) -> None:
+        self.owner = owner
         self.core = core
         self.sock: socket.socket | None = None
         self.paused = False
@@ -95,7 +95,7 @@
         connection_errors = 0  # in a row
         evicted = False  # for a connection that could not be accepted yet
         for _ in range(SHORT_BACKLOG if self.shedding else ACCEPTS_PER_TURN):
-            if not self.table.has_capacity() and not self.table.evict_idle():
+            if not self.owner.has_capacity() and not self.owner.evict_idle():
                 self._pause(listening)
                 return
             try:
@@ -109,13 +109,13 @@
                     if connection_errors < CONNECTION_ERRORS_IN_A_ROW:
                         continue
                 # Where one descriptor more did not help, another would not: the machine is out of them.
-                elif kind is AcceptError.DESCRIPTORS and not evicted and self.table.evict_idle():
+                elif kind is AcceptError.DESCRIPTORS and not evicted and self.owner.evict_idle():
                     evicted = True
                     continue
                 self._pause(listening)
                 return
             connection_errors = 0
             evicted = False
-            self.table.take_connection(sock)
+            self.owner.take_connection(sock)
             if self.core.now() - started_at > ACCEPT_TIME_PER_TURN:
                 return
--- a/petrelwood/node/exchange.py
+++ b/petrelwood/node/exchange.py
@@ -20,7 +20,7 @@
     """A link to a worker, with sends that wait."""
 
     def pump(self) -> None:
-        """Sends what may be sent now."""
+        """Send what may be sent now."""
 
 
 class Client(Protocol):
@@ -31,22 +31,22 @@
     deferred_links: dict[PumpedLink, bool]  # links with sends that wait until this client was read
 
     def now(self) -> int:
-        """The monotonic time in ns."""
+        """Return the monotonic time in ns."""
 
     def has_unread_input(self) -> bool:
-        """Whether anything has come that was not handled yet."""
+        """Return whether anything has come that was not handled yet."""
 
     def send_result(self, msgid: int, body: bytes) -> None:
-        """Answers a request with its result."""
+        """Answer a request with its result."""
 
     def send_rejection(self, msgid: int, retry_after: int) -> None:
-        """Answers a request as rejected; `retry_after` in ns, 0 where it is not told."""
+        """Answer a request as rejected; `retry_after` in ns, 0 where it is not told."""
 
     def send_failure(self, msgid: int) -> None:
-        """Answers a request as failed."""
+        """Answer a request as failed."""
 
     def request_ended(self) -> None:
-        """Notes that a request is no longer open."""
+        """Note that a request is no longer open."""
 
 
 class Exchange:
--- a/petrelwood/node/interfaces.py
+++ b/petrelwood/node/interfaces.py
@@ -57,19 +57,19 @@
         """The event loop that all runs on."""
 
     def now(self) -> int:
-        """The monotonic time in ns."""
+        """Return the monotonic time in ns."""
 
     def arrived(self, now: int) -> int:
-        """When what is read now came at the earliest; before `now` after the loop was held up."""
+        """Return when what is read now came at the earliest: before `now`, if the loop was held up."""
 
     def serves(self) -> bool:
-        """Whether it takes calls: its start is over, and its end has not begun."""
+        """Return whether it takes calls: its start is over, and its end has not begun."""
 
     def is_open(self, act_id: str) -> bool:
-        """Whether an activation has this id, or an attempt of an earlier one is still in flight."""
+        """Return whether an activation has this id, or an attempt of an earlier one is still in flight."""
 
     def answer_due(self, now: int) -> None:
-        """Answers the activations whose deadline has come."""
+        """Answer the activations whose deadline has come."""
 
     def admit(
         self,
@@ -80,13 +80,13 @@
         exchange: Exchange,
         /,
     ) -> None:
-        """Takes a call in, or answers it at once."""
+        """Admit a call, or answer it at once."""
 
     def client_left(self, act_id: str, exchange: Exchange, /) -> None:
-        """Ends what a client no longer waits for, where it may be ended."""
+        """End what a client no longer waits for, where it may be ended."""
 
     def submit(self, call: Callable[..., object], *args: object) -> None:
-        """Makes a call, after the one that is being made."""
+        """Make a call, after the one that is being made."""
 
     def defect(self, where: str, fault: Exception) -> None:
-        """Logs a fault of the program and aborts the activations that it touched."""
+        """Log a fault of the program and abort the activations that it touched."""
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -9,6 +9,7 @@
 from tornado.netutil import bind_sockets
 
 from petrelwood.links import listener
+from petrelwood.links.accept_errors import AcceptError, classify
 
 PATIENT = 30  # seconds; far over what a busy machine needs
 OF_THE_MACHINE = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINVAL, errno.EBADF)
@@ -32,6 +33,20 @@
         self.pauses.append((error.errno, pause))
 
 
+class Classification(unittest.TestCase):
+    def test_whom_an_error_concerns(self):
+        descriptors = (errno.EMFILE, errno.ENFILE)
+        for kind, numbers in (
+            (AcceptError.NOTHING_PENDING, OF_NOTHING),
+            (AcceptError.CONNECTION, OF_A_CONNECTION),
+            (AcceptError.DESCRIPTORS, descriptors),
+            (AcceptError.OTHER, [each for each in OF_THE_MACHINE if each not in descriptors]),
+        ):
+            for number in numbers:
+                with self.subTest(errno.errorcode[number]):
+                    self.assertIs(classify(OSError(number, "injected")), kind)
+
+
 class Errors(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.enterContext(mock.patch.object(listener, "FIRST_PAUSE", listener.FIRST_PAUSE // 5))
