--- a/petrelwood/settings/speaker.py
+++ b/petrelwood/settings/speaker.py
@@ -5,8 +5,8 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from petrelwood.decide.routing.announce import Service
-from petrelwood.decide.routing.serving import Bounds
+from petrelwood.decide.bgp.announcement import Service
+from petrelwood.decide.bgp.service_health import HealthBounds
 from petrelwood.settings.decoders import (
     ADDRESS,
     COUNT,
@@ -33,11 +33,11 @@
     "customer": bgp.CUSTOMER,
     "peer": bgp.PEER,
 }
-DEFAULT_BOUNDS = Bounds(
-    silent=SECOND * 3 // 20,
-    fresh=30 * SECOND,
+DEFAULT_BOUNDS = HealthBounds(
+    silence=SECOND * 3 // 20,
+    list_age=30 * SECOND,
     stall=SECOND // 2,
-    settle=SECOND,
+    settling=SECOND,
 )
 DEFAULT_HOLD = 9 * SECOND
 MIN_HOLD = 3 * SECOND  # RFC 4271, 4.2
@@ -69,7 +69,7 @@
     listen: Address | None
     health: str  # path of the socket on which the dispatcher's heartbeats come
     hold: int  # s
-    bounds: Bounds
+    bounds: HealthBounds
     peers: tuple[PeerTerms, ...]
     services: tuple[Service, ...]
 
@@ -163,14 +163,14 @@
     return service
 
 
-def _decode_bounds(node: Node | None) -> Bounds:
+def _decode_bounds(node: Node | None) -> HealthBounds:
     if node is None:
         return DEFAULT_BOUNDS
-    bounds = Bounds(
-        silent=node.prop("silent", DURATION, DEFAULT_BOUNDS.silent),
-        fresh=node.prop("fresh", DURATION, DEFAULT_BOUNDS.fresh),
+    bounds = HealthBounds(
+        silence=node.prop("silent", DURATION, DEFAULT_BOUNDS.silence),
+        list_age=node.prop("fresh", DURATION, DEFAULT_BOUNDS.list_age),
         stall=node.prop("stall", DURATION, DEFAULT_BOUNDS.stall),
-        settle=node.prop("settle", DURATION, DEFAULT_BOUNDS.settle),
+        settling=node.prop("settle", DURATION, DEFAULT_BOUNDS.settling),
     )
     node.reject_unknown()
     return bounds
--- a/tests/test_finished.py
+++ b/tests/test_finished.py
@@ -15,8 +15,10 @@
 FINISHED_BEFORE = {
     "petrelwood/clocks.py",
     "petrelwood/control",
+    "petrelwood/decide/bgp",
     "petrelwood/decide/cluster",
     "petrelwood/decide/delivery",
+    "petrelwood/decide/forecasting",
     "petrelwood/decide/overload",
     "petrelwood/decide/overload/admission.py",
     "petrelwood/decide/overload/backoff.py",
@@ -26,13 +28,16 @@
     "petrelwood/decide/overload/sliding_window.py",
     "petrelwood/decide/overload/storm.py",
     "petrelwood/decide/overload/throughput.py",
+    "petrelwood/decide/scheduling",
     "petrelwood/decide/wall_clock.py",
     "petrelwood/dispatch",
     "petrelwood/emulate/configuration_servers.py",
     "petrelwood/errors.py",
     "petrelwood/links",
     "petrelwood/node/stream.py",
+    "petrelwood/ports.py",
     "petrelwood/settings",
+    "petrelwood/simulator_adapter.py",
     "petrelwood/store",
 }
 EXCUSE = re.compile(r"#\s*(noqa|fmt:|ruff:|type:\s*ignore|mypy:|pylint:)")
