--- a/petrelwood/node/client_listener.py
+++ b/petrelwood/node/client_listener.py
@@ -5,7 +5,7 @@
 
 from petrelwood.links import sockets
 from petrelwood.links.accept_errors import CONNECTION_ERRORS_IN_A_ROW, AcceptError, classify
-from petrelwood.node.configuration import Address
+from petrelwood.links.interfaces import Address
 from petrelwood.node.interfaces import Dispatcher
 
 # Connections accepted in one turn of the event loop, and ns that this may take: answers wait meanwhile.
--- a/petrelwood/node/configuration.py
+++ b/petrelwood/node/configuration.py
@@ -11,6 +11,7 @@
 
 from petrelwood import ports
 from petrelwood.decide.cluster.membership import Endpoint, EndpointState
+from petrelwood.links.interfaces import Address
 from petrelwood.node.json_object import ConfigurationError, JsonObject
 from petrelwood.node.module_terms import module_terms
 from petrelwood.node.units import MS
@@ -26,9 +27,6 @@
 LISTEN_VARIABLE = "PROXY_LISTEN"
 FILE_VARIABLE = "PROXY_CONFIG"
 
-Address = tuple[str, int]
-"""A host and a port."""
-
 
 class NoDescriptorError(ConfigurationError):
     """The file could not be opened: the process or the machine has no file descriptor left."""
--- a/petrelwood/node/front.py
+++ b/petrelwood/node/front.py
@@ -11,9 +11,9 @@
 from petrelwood.decide.overload.resource_limits import ResourceLimits
 from petrelwood.dispatch.interfaces import Logger
 from petrelwood.links import rpc, sockets
+from petrelwood.links.interfaces import Address
 from petrelwood.node.client_connection import READ_SIZE, ClientConnection
 from petrelwood.node.client_listener import ClientListener
-from petrelwood.node.configuration import Address
 from petrelwood.node.interfaces import Dispatcher
 from petrelwood.node.stream import Stream
 
