--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -19,6 +19,7 @@
 from petrelwood.decide.delivery import ledger
 from petrelwood.decide.scheduling.actions import Actions
 from petrelwood.decide.scheduling.scheduler import Scheduler
+from petrelwood.dispatch.interfaces import DecisionModule
 from petrelwood.emulate import policies, result, script
 from petrelwood.emulate.machine import Build, Machine, Model
 from petrelwood.emulate.platform import Platform
@@ -282,6 +283,21 @@
         self.assertEqual(len(set(asked)), 1)
 
 
+class Baselines(unittest.TestCase):
+    def test_each_policy_has_every_event_of_the_module(self):
+        events = [name for name in vars(DecisionModule) if not name.startswith("_")]
+        self.assertGreater(len(events), 10)
+        for name, policy in policies.named().items():
+            self.assertEqual([each for each in events if not callable(getattr(policy, each, None))], [], name)
+
+    def test_no_baseline_loads_ahead(self):
+        day = script.read(script.find("seasons-rough"))
+        for name, policy in policies.named().items():
+            platform = Platform(day, 1, policy)
+            self.assertIsNotNone(platform.gateway_early, name)
+            self.assertEqual(platform.gateway.early is None, name != "petrelwood", name)
+
+
 class Experiments(unittest.TestCase):
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
