--- /dev/null
+++ b/petrelwood/decide/scheduling/scheduler.py
@@ -0,0 +1,252 @@
+"""The scheduler: every decision of one dispatcher, and nothing else; `ports.py` holds the interface.
+
+`Scheduler(now, terms, seed, outlet)` starts an instance. Its public methods are then called in the order of
+the events. It acts only through its `ports.Outlet`, within these calls. Times are whole nanoseconds on the
+caller's clock.
+
+An activation passes admission, the queue of its function, placement and an attempt; the attempt's end goes
+the other way. The modules, each of which imports only those before it:
+
+- `send_limit`, `window_counter`, `records`: what is known; `parameters`: what is given at the start
+- `fleet`: the workers, by the endpoint list; `popularity`, `worker_order`: which of them a function prefers
+- `load_order_limit`: the rate limit of load orders; `estimates`: service times and loads
+- `slow_start`, `outlier_detection`: what a worker may be given
+- `send_rules`: whether, where and until when an activation may be sent
+- `placement`: copies and workers; `admission`: priority and load shedding
+- `actions`: carries out, the only one that calls the outlet
+- `queueing`: the functions' queues; `outcomes`, `attempts`: ends of attempts, retries, hedged requests
+- `snapshot`: what is believed of the fleet, for logs
+"""
+
+from collections.abc import Sequence
+
+from petrelwood.decide.scheduling.actions import Actions
+from petrelwood.decide.scheduling.admission import Admission
+from petrelwood.decide.scheduling.attempts import Attempts
+from petrelwood.decide.scheduling.estimates import Estimates
+from petrelwood.decide.scheduling.fleet import HASH_MASK, Fleet
+from petrelwood.decide.scheduling.load_order_limit import LoadOrderLimit
+from petrelwood.decide.scheduling.outcomes import Outcomes
+from petrelwood.decide.scheduling.outlier_detection import OutlierDetection
+from petrelwood.decide.scheduling.parameters import Parameters
+from petrelwood.decide.scheduling.placement import Placement
+from petrelwood.decide.scheduling.popularity import Popularity
+from petrelwood.decide.scheduling.queueing import Queueing
+from petrelwood.decide.scheduling.records import LONG_TIME, NEVER, Activation, Function
+from petrelwood.decide.scheduling.send_rules import SendRules
+from petrelwood.decide.scheduling.slow_start import SlowStart
+from petrelwood.decide.scheduling.snapshot import SchedulerSnapshot, take_snapshot
+from petrelwood.decide.scheduling.worker_order import WorkerOrder
+from petrelwood.ports import Arrival, AttemptEnd, EndReason, Listed, Outlet, Terms
+
+CHECKS = 8  # in each look interval
+# The endpoint list is requested after half of the time in which it must be, so that a lost request can
+# follow.
+LIST_REQUEST_DIVISOR = 2
+CLEANUPS = 16  # in the time that idle copies are kept
+
+
+class Scheduler:
+    """The decisions of one dispatcher.
+
+    Attributes:
+        functions: known functions by key.
+        activations: activations without a final answer, by id.
+    """
+
+    def __init__(self, now: int, terms: Terms, seed: int, outlet: Outlet) -> None:
+        parameters = Parameters.of(terms, seed)
+        self.terms = terms
+        self.parameters = parameters
+        self.functions: dict[str, Function] = {}
+        self.activations: dict[str, Activation] = {}
+        functions = self.functions
+        activations = self.activations
+        fleet = Fleet(terms.zone, salt=int(parameters.draw() * HASH_MASK))
+        popularity = Popularity(fleet, terms.dispatchers)
+        order = WorkerOrder(fleet, popularity)
+        estimates = Estimates(parameters)
+        load_orders = LoadOrderLimit(now, parameters, activations)
+        slow_start = SlowStart(parameters, estimates)
+        outliers = OutlierDetection(parameters, fleet, estimates, slow_start)
+        rules = SendRules(parameters, estimates)
+        placement = Placement(parameters, functions, estimates, outliers, load_orders, rules, order)
+        admission = Admission(now, parameters, estimates, outliers)
+        actions = Actions(parameters, outlet, activations, estimates, outliers, load_orders, rules)
+        queueing = Queueing(parameters, functions, activations, rules, admission, placement, actions)
+        outcomes = Outcomes(estimates, slow_start, outliers, load_orders, placement)
+        self.fleet = fleet
+        self.popularity = popularity
+        self.order = order
+        self.estimates = estimates
+        self.load_orders = load_orders
+        self.slow_start = slow_start
+        self.outliers = outliers
+        self.placement = placement
+        self.admission = admission
+        self.actions = actions
+        self.queueing = queueing
+        self.attempts = Attempts(fleet, activations, outliers, rules, outcomes, actions, queueing)
+        self.time_between_checks = parameters.check_interval // CHECKS  # ns
+        self.next_check = now
+        self.next_cleanup = now
+        self.list_requested_at = now - LONG_TIME
+        actions.set_timer(now, parameters.sweep_interval)
+
+    def endpoints_changed(self, now: int, entries: Sequence[Listed], is_whole: bool) -> None:
+        """Learn of a change of the endpoint list, or of the whole list."""
+        for worker in self.fleet.apply(now, entries, is_whole):
+            self.placement.forget_copies(worker)
+        self.slow_start.fleet_changed(self.fleet.usable, now)
+        self.order.fleet_changed()
+        self.queueing.dispatch_all(now)
+
+    def endpoint_list_lost(self, now: int) -> None:
+        """Learn that no changes of the endpoint list will come: it is requested soon, not by all at once."""
+        delay = int(self.parameters.draw() * self.parameters.check_interval)
+        self.list_requested_at = now - self._list_request_time() + delay
+
+    def activation_arrived(self, now: int, arrival: Arrival) -> None:
+        """Take in an activation: it is sent, queued or rejected."""
+        function = self._function(arrival.function, arrival.slots, arrival.load_time)
+        function.called_at = now
+        self.popularity.record_call(function)
+        activation = self.admission.admit(arrival, function, now)
+        self.activations[activation.id] = activation
+        self.estimates.record_arrival(arrival.work_hint, len(self.popularity.recent))
+        self.queueing.enqueue(activation, now)
+        if self.admission.sheds(activation):
+            self.actions.give_up(activation, now)
+        if self.terms.reports_by_probe:
+            self._check_one(function, now)
+
+    def attempt_ended(self, now: int, end: AttemptEnd) -> None:
+        """Learn how an attempt has ended."""
+        self.attempts.end(end, now)
+
+    def stream_started(self, now: int, activation_id: str, attempt: int, worker_id: str) -> None:
+        """Learn that a stream has begun its answer: it takes as long as it takes."""
+        activation = self.activations.get(activation_id)
+        if activation is not None:
+            activation.due = NEVER
+            self.fleet.workers[worker_id].answered_at = now
+
+    def client_departed(self, now: int, activation_id: str) -> None:
+        """Forget an activation that its client has taken back; it earns no load orders any more."""
+        activation = self.activations.get(activation_id)
+        if activation is not None:
+            self.load_orders.revoke(activation)
+            self.actions.finish(activation)
+
+    def process_ending(self, now: int, activation_id: str) -> None:
+        """Give up an activation, as this dispatcher ends; the caller stops what is in flight."""
+        activation = self.activations.get(activation_id)
+        if activation is not None:
+            activation.due = now
+            self.actions.give_up(activation, now)
+
+    def load_order_ended(self, now: int, worker_id: str, key: str, reason: EndReason, copies: int) -> None:
+        """Learn how a load order has ended; `copies` of the function are on the worker now."""
+        worker = self.fleet.workers.get(worker_id)
+        function = self.functions.get(key)
+        if worker is None or function is None:
+            return
+        self.outliers.record_load_order_end(worker, reason, now)
+        self.placement.load_order_ended(function, worker, reason, copies, now)
+        self.queueing.dispatch(function, now)
+
+    def may_load_order_leave(self, now: int, given_at: int) -> bool:
+        """Return whether a load order that was given at `given_at` and has waited may leave now."""
+        return self.load_orders.may_leave(now, given_at)
+
+    def load_order_withdrawn(self, now: int, given_at: int) -> None:
+        """Learn that a load order that was given at `given_at` never left."""
+        self.load_orders.withdraw(given_at)
+
+    def load_orders_restored(self, now: int, orders: int) -> None:
+        """Learn that an earlier incarnation gave so many load orders in the last period."""
+        self.load_orders.restore(now, orders)
+
+    def prefetch(self, now: int, key: str, slots: int, load_time: int) -> str | None:
+        """Order one copy ahead of a call, if the dispatcher has nothing else to do.
+
+        Never while anything is queued, answers are slow or loads fail; within a part of the rate limit.
+
+        Returns:
+            The worker that it is ordered on, or None.
+        """
+        function = self._function(key, slots, load_time)
+        if self.queueing.waiting or self.outliers.is_overloaded:
+            return None
+        worker = self.placement.prefetch(function, now)
+        if worker is None:
+            return None
+        self.actions.order_load(function, worker, now)
+        return worker.id
+
+    def health_check_ended(
+        self, now: int, worker_id: str, reason: EndReason, report: dict[str, float] | None
+    ) -> None:
+        """Learn how a health check has ended, and the load report that it brought."""
+        worker = self.fleet.workers.get(worker_id)
+        if worker is not None and reason == EndReason.COMPLETED:
+            self.estimates.record_report(worker, report, now)
+        self.queueing.dispatch_all(now)
+
+    def timer_fired(self, now: int, mark: str) -> None:
+        """Check what is due, and dispatch what is queued."""
+        if not self.actions.clear_timer(now):
+            return  # it was replaced by an earlier one
+        try:
+            if now >= self.next_check:
+                self._check_all(now)
+            self.queueing.dispatch_all(now)
+        finally:  # whatever fails, the sweeps go on
+            if self.queueing.waiting:
+                wait = self.queueing.time_to_sweep(now)
+            else:
+                wait = max(self.parameters.sweep_interval, self.next_check - now)
+            self.actions.set_timer(now, wait)
+
+    def snapshot(self) -> SchedulerSnapshot:
+        """Return what is believed of the fleet now, for logs."""
+        return take_snapshot(self.fleet.usable, self.functions.values(), self.outliers)
+
+    def _function(self, key: str, slots: int, load_time: int) -> Function:
+        """Return the function, which need not be known yet, with its latest facts."""
+        function = self.functions.get(key)
+        if function is None:
+            function = self.functions[key] = Function(key)
+        function.slots = slots
+        function.load_time = load_time or function.load_time
+        return function
+
+    def _check_one(self, function: Function, now: int) -> None:
+        """Check the health of the worker with a copy that was not heard of for longest."""
+        workers = [copy.worker for copy in function.copies.values() if copy.worker.is_usable]
+        workers.sort(key=lambda worker: max(worker.health_checked_at, worker.load_known_at))
+        self.actions.check_health(workers[:1], now)
+
+    def _list_request_time(self) -> int:
+        return self.terms.guarantees.ask_within // LIST_REQUEST_DIVISOR
+
+    def _check_all(self, now: int) -> None:
+        """Do what is due now and then; it must cost little on a large fleet."""
+        fleet_size = len(self.fleet.usable)
+        self.slow_start.update(now, now - self.next_check + self.time_between_checks, fleet_size)
+        self.next_check = now + self.time_between_checks
+        self.estimates.update_mean_load(self.outliers.in_flight, fleet_size)
+        for worker in list(self.outliers.workers_in_use.values()):
+            self.attempts.hedge_overdue(worker, now)
+        if self.terms.asks and now - self.list_requested_at > self._list_request_time():
+            self.list_requested_at = now
+            self.actions.request_endpoint_list()
+        if now >= self.next_cleanup:
+            self.next_cleanup = now + self.terms.orders.keep // CLEANUPS
+            self._clean_up(now)
+
+    def _clean_up(self, now: int) -> None:
+        """Forget what is not used any more, and keep the copies that are."""
+        for function, worker in self.placement.renewals(now):
+            self.actions.order_load(function, worker, now)
+        self.fleet.forget_unused()
--- a/petrelwood/dispatch/activations.py
+++ b/petrelwood/dispatch/activations.py
@@ -7,6 +7,7 @@
 
 from typing import TYPE_CHECKING, Protocol
 
+from petrelwood import ports
 from petrelwood.decide.delivery.ledger import ActivationState
 from petrelwood.decide.delivery.pending import PendingActivation
 from petrelwood.decide.overload import intake as intake_stage
@@ -116,17 +117,17 @@
     def begin(self, act: PendingActivation) -> None:
         """Hands an activation to the module."""
         self.core.events.touched.add(act.id)
-        self.core.brain.activation(
-            self.now(),
-            act.id,
-            act.function,
-            act.type,
-            act.customer,
-            act.due,
-            act.lanes,
-            act.work,
-            act.load_time,
+        arrival = ports.Arrival(
+            activation_id=act.id,
+            function=act.function,
+            type_name=act.type,
+            customer=act.customer,
+            due=act.due,
+            slots=act.lanes,
+            work_hint=act.work,
+            load_time=act.load_time,
         )
+        self.core.scheduler.activation_arrived(self.now(), arrival)
 
     def reject(self, act: PendingActivation, least_wait: int = 0) -> None:
         """Rejects an activation that the module has not heard of; it may come back after `least_wait` ns."""
@@ -143,7 +144,7 @@
             self._record_end(act, CLIENT_LEFT, None)
             if act.in_flight:
                 self.core.links.withdraw(act.id, act.in_flight)
-            self.core.brain.left(self.now(), act_id)
+            self.core.scheduler.client_departed(self.now(), act_id)
 
     def finish(
         self,
@@ -221,7 +222,7 @@
             self.pending.counts["overdue"] += 1
             self.core.log.error("overdue", act=act_id, sends=act.attempts)
             self.finish(act_id, ABORTED, why="out of time")
-            self.core.brain.left(self.now(), act_id)
+            self.core.scheduler.client_departed(self.now(), act_id)
 
     def abort_defective(self, act_id: str) -> None:
         """Aborts an activation that a defect of this program has touched."""
@@ -230,6 +231,6 @@
             return
         self.finish(act_id, ABORTED, why="a defect in the dispatcher")
         try:
-            core.brain.left(self.now(), act_id)
+            core.scheduler.client_departed(self.now(), act_id)
         except Exception as fault:
             core.log.error("defect", where="left", fault=repr(fault), act=act_id)
--- a/petrelwood/dispatch/serve.py
+++ b/petrelwood/dispatch/serve.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from petrelwood.brain import Brain
 from petrelwood.decide.cluster.rollout import DWELL, Rollout, dwell_for
+from petrelwood.decide.scheduling.scheduler import Scheduler
 from petrelwood.dispatch.configuration import ConfigurationFollower
 from petrelwood.dispatch.dispatcher import Dispatcher
 from petrelwood.dispatch.errors import HandoverError
@@ -26,7 +26,7 @@
 from petrelwood.dispatch.upgrade import UpgradeCommand, Upgrader
 from petrelwood.fronts.mqtt import Mqtt
 from petrelwood.fronts.webhook import Webhooks
-from petrelwood.settings.document import BadFile
+from petrelwood.settings.errors import SettingsError
 from petrelwood.settings.gateway import Gateway
 from petrelwood.store.errors import StateUnreadableError
 
@@ -35,7 +35,7 @@
 class ServeOptions:
     """How a process is to run a dispatcher, beside its settings."""
 
-    brain: type[Brain] = Brain
+    scheduler: type[Scheduler] = Scheduler
     follows: bool = False  # it takes over from the process at the control socket
     read_settings: ReadSettings | None = None  # None: the settings can't change while it runs
     upgrade_command: UpgradeCommand | None = None  # None: it can't start an upgrade by itself
@@ -53,8 +53,8 @@
         self.follows = options.follows
         self.failed: str | None = None
         self.rollout = self._make_rollout(gateway)
-        self.core = Dispatcher(gateway, log, options.brain, options.follows)
-        self.front = Webhooks(gateway, self.core, log)
+        self.core = Dispatcher(gateway, log, options.scheduler, options.follows)
+        self.front = Webhooks(gateway, self.core)
         self.updater = SettingsUpdater(gateway, self.core, self.front, log)
         self.triggers: Mqtt | None = None
         self.follower: ConfigurationFollower | None = None
@@ -139,7 +139,7 @@
             return
         try:
             new = await self.core.loop.run_in_executor(None, self.options.read_settings)
-        except BadFile as fault:
+        except SettingsError as fault:
             self.log.error("new settings invalid; nothing changes", why=str(fault))
             return
         self.updater.update(new)
@@ -149,7 +149,7 @@
         if self.successor is not None:
             await self.successor.take_over(self.core.now)
             self.core.open_state(predecessor_runs=True)
-            host, port = self.front.follow(self.successor.listeners)
+            host, port = self.front.listen_on(self.successor.listeners)
             self.core.handover.on_answer = self.successor.machine.record_answer
             self._start(self._follow(self.successor))
         else:
--- a/petrelwood/links/rpc_client.py
+++ b/petrelwood/links/rpc_client.py
@@ -34,7 +34,7 @@
         self._listening: asyncio.Task[None] | None = None
 
     async def call(self, method: str, params: list[Any], within: float) -> object:
-        """The result of a call that is answered `within` seconds. Raises `RpcError`."""
+        """Return the result of a call that is answered `within` seconds. Raises `RpcError`."""
         received = self._received
         try:
             # not `wait_for`, which loses a cancellation that comes as the call ends
@@ -42,7 +42,7 @@
                 return await self._call(method, params)
         except TimeoutError as error:
             if received == self._received:
-                self._drop_silent_connection()
+                self._close_unresponsive_connection()
             raise RpcError("no answer in time") from error
         except (StreamBufferFullError, OSError) as error:
             raise RpcError(str(error) or "the connection is lost") from error
@@ -68,7 +68,7 @@
         return result
 
     async def _connected(self) -> IOStream:
-        """The connection, made anew if there is none. Raises OSError."""
+        """Return the connection, made anew if there is none. Raises OSError."""
         async with self._connecting:
             if self._stream is None or self._stream.closed():
                 self._stream = await self._connect()
@@ -98,10 +98,12 @@
                 self._received += len(data)
                 for message in reader.feed(data):
                     self.messages += 1
-                    if message[0] == rpc.RESPONSE:
-                        _, message_id, error, result = message
-                        self._answered(message_id, error, result)
-        except (OSError, rpc.Garbage) as error:  # tornado hands some errors of the socket on as they are
+                    if isinstance(message, rpc.Response):
+                        self._answered(message.message_id, message.error, message.result)
+        except (
+            OSError,
+            rpc.MalformedRpcError,
+        ) as error:  # tornado hands some errors of the socket on as they are
             stream.close()
             if self._stream is stream:
                 self._fail_open_calls(str(error) or "the connection is lost")
@@ -116,16 +118,17 @@
             if not answer.done():
                 answer.set_exception(RpcError(reason))
 
-    def _drop_silent_connection(self) -> None:
-        """Nothing came for as long as a call may take: the other end may be gone without a word.
+    def _close_unresponsive_connection(self) -> None:
+        """Close a connection on which nothing came for as long as a call may take.
 
-        TCP tells that only after minutes of its own retries, and finds a machine that is back no sooner.
+        The other end may be gone without a FIN or RST. TCP finds that only after minutes of retries, and a
+        machine that is back no sooner.
         """
         if self._stream is not None:
             self._stream.close()
 
     def close(self) -> None:
-        """Ends the connection; calls without an answer fail."""
+        """End the connection; calls without an answer fail."""
         if self._stream is not None:
             self._stream.close()
         self._fail_open_calls("closed")
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -145,7 +145,7 @@
     """`await self.begin(workers...)`, then `self.post(...)`."""
 
     async def begin(
-        self, *workers, limits='body "20KB"', terms="", brain=None, tolerance=None, slowly="300ms"
+        self, *workers, limits='body "20KB"', terms="", scheduler=None, tolerance=None, slowly="300ms"
     ):
         self.roster, self.log, self.workers = Roster(), Quiet(), workers
         sock, port = bind_unused_port()
@@ -159,12 +159,12 @@
                 )
             )
             self.gateway = gateway.read(path)
-        self.core = Dispatcher(self.gateway, self.log, **({"brain": brain} if brain else {}))
+        self.core = Dispatcher(self.gateway, self.log, **({"scheduler": scheduler} if scheduler else {}))
         # What was signed before this life began is refused; a test begins inside a second.
         self.core.ledger.complete_since -= 10_000_000_000
         self.core.open()
         await asyncio.wait_for(self.core.endpoints_known.wait(), 30)
-        self.front = Webhooks(self.gateway, self.core, self.log)
+        self.front = Webhooks(self.gateway, self.core)
         self.core.fronts.append(self.front)
         self.address = self.front.open(("127.0.0.1", 0))
         self.caller, self.number, self.stamp = Caller(self.address), 0, int(time.time())
@@ -177,7 +177,7 @@
             for link in self.core.links.values():
                 link.give_up("the test is over")
             self.front.stop()
-            for line in list(self.front.lines):
+            for line in list(self.front.connections):
                 line.stream.close()
             self.caller.close()
             for worker in self.workers:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,6 +20,7 @@
 from unittest import mock
 
 import msgpack
+from free_ports import free_port
 from node_site import ROOT, SETTINGS, Roster, Site, Worker, ask, hit
 
 from petrelwood.decide.overload import resource_limits
@@ -331,7 +332,7 @@
             client.close()
             await site.until(lambda: site.node.pending.counts["left"] == 1)
             worker.answer(worker.runs()[0], type="SHED")
-            await site.until(lambda: not site.node.links[worker.name].owes())
+            await site.until(lambda: not site.node.links[worker.name].has_open_calls())
             await site.turns()
             self.assertEqual(len(first.runs()) + len(second.runs()), 1)
             client = Caller(site.address)
@@ -427,7 +428,7 @@
             client.call(ask(fn=3, ttl=3900))
             narrow.opens()
             await site.turns()
-            node.submit(node.outlet.hold, "s-2", f"{4:016x}", 1)
+            node.submit(node.outlet.order_load, "s-2", f"{4:016x}", 1)
             await site.until(narrow.orders)  # the way is open now
             self.assertNotIn(fields["call"], [said["req"] for _, said in narrow.runs()])
             client.close()
@@ -781,9 +782,7 @@
         await site.roster.open()
         await site.workers[0].open()
         site.roster.tell(site.workers[0])
-        with socket.socket() as free:
-            free.bind(("127.0.0.1", 0))
-            site.address = free.getsockname()
+        site.address = ("127.0.0.1", free_port())
         self.addCleanup(site.folder.cleanup)
         path = site.write()
         for before in (True, False):
@@ -843,13 +842,13 @@
             client.close()
             await site.until(lambda: site.node.pending.counts["left"] == 1)
             link = site.node.links["s-1"]
-            self.assertTrue(link.owes())
+            self.assertTrue(link.has_open_calls())
             await loud.open()
             site.workers.append(loud)
             site.roster.tell(loud)
             site.roster.tell(silent, "Gone")
             await site.until(lambda: "s-1" not in site.node.links)
-            self.assertFalse(link.owes() or link.lines or site.node.links.in_flight)
+            self.assertFalse(link.has_open_calls() or link.lines or site.node.links.in_flight)
             # not allowed
             self.assertEqual([said["type"] for _, said in silent.read() if said["type"] == "KILL"], [])
             client = Caller(site.address)
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -15,16 +15,17 @@
 from petrelwood.decide.overload.intake import ActivationRequest, Intake
 from petrelwood.decide.overload.resource_limits import CapacityIntake, ResourceLimits
 from petrelwood.node.front import Figures
-from petrelwood.settings.gateway import Limits, WorkerTerms
+from petrelwood.settings.limits import Limits
+from petrelwood.settings.workers import WorkerTerms
 
 RULE = Figures(1, 0, 0)
 MS, S = 1_000_000, 1_000_000_000
 WALL = 1_700_000_000 * S
 TYPES = {
-    "again": ports.NamespaceType(S, ports.REPEATABLE, "all", 0),
-    "hall": ports.NamespaceType(S, ports.DEDUPLICATED, "zone", 2 * S),
-    "all": ports.NamespaceType(S, ports.DEDUPLICATED, "all", 2 * S),
-    "once": ports.NamespaceType(S, ports.ONCE_ONLY, "all", 0),
+    "again": ports.NamespaceType(S, ports.Effect.REPEATABLE, "all", 0),
+    "hall": ports.NamespaceType(S, ports.Effect.DEDUPLICATED, "zone", 2 * S),
+    "all": ports.NamespaceType(S, ports.Effect.DEDUPLICATED, "all", 2 * S),
+    "once": ports.NamespaceType(S, ports.Effect.ONCE_ONLY, "all", 0),
 }
 TIMEOUTS = {name: 4 * S for name in TYPES}
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -11,11 +11,14 @@
 import sys
 import tempfile
 import unittest
+from unittest import mock
 
+from petrelwood import ports
 from petrelwood.audit import rules
-from petrelwood.brain import Brain
 from petrelwood.clocks import VirtualClock
 from petrelwood.decide.delivery import ledger
+from petrelwood.decide.scheduling.actions import Actions
+from petrelwood.decide.scheduling.scheduler import Scheduler
 from petrelwood.emulate import policies, result, script
 from petrelwood.emulate.machine import Build, Machine, Model
 from petrelwood.emulate.platform import Platform
@@ -224,21 +227,21 @@
 
 class SameCode(unittest.TestCase):
     def test_a_bug_in_what_serves_shows_in_the_emulator(self):
-        class Forgetful(Brain):
-            def _give_up(self, act, now):
-                pass
-
         day = script.read(script.find("bad"))
-        sound, broken = Platform(day, 1).run(), Platform(day, 1, Forgetful).run()
+        sound = Platform(day, 1).run()
+        with mock.patch.object(Actions, "give_up", lambda self, act, now: None):
+            broken = Platform(day, 1).run()
         self.assertEqual(result.row(sound)["overdue"], 0)
         self.assertGreater(result.row(broken)["overdue"], 0)
 
     def test_an_effect_that_happens_twice_is_caught_by_the_same_audit(self):
         may, ledger.Ledger._may_repeat = ledger.Ledger._may_repeat, lambda self, entry, now: True
 
-        class Careless(Brain):
-            def answer(self, now, act_id, n, worker_id, code, *rest):
-                super().answer(now, act_id, n, worker_id, "no connection" if code == "reset" else code, *rest)
+        class Careless(Scheduler):
+            def attempt_ended(self, now, end):
+                is_reset = end.reason == ports.EndReason.RESET
+                reason = ports.EndReason.NO_CONNECTION if is_reset else end.reason
+                super().attempt_ended(now, end._replace(reason=reason))
 
         try:
             platform = Platform(script.read(script.find("bad")), 1, Careless).run()
@@ -269,7 +272,7 @@
 
     def test_a_policy_does_not_change_the_traffic(self):
         asked = []
-        for policy in (Brain, policies.RandomOfTwo, policies.Oracle):
+        for policy in (Scheduler, policies.RandomOfTwo, policies.Oracle):
             platform = Platform(small(), 4, policy).run()
             asked.append(
                 hashlib.sha256(
--- a/tests/test_finished.py
+++ b/tests/test_finished.py
@@ -32,11 +32,9 @@
     "petrelwood/dispatch",
     "petrelwood/emulate/configuration_servers.py",
     "petrelwood/errors.py",
-    "petrelwood/links/listener.py",
-    "petrelwood/links/rpc_client.py",
-    "petrelwood/links/sockets.py",
+    "petrelwood/links",
     "petrelwood/node/stream.py",
-    "petrelwood/settings/comparison.py",
+    "petrelwood/settings",
     "petrelwood/store",
 }
 EXCUSE = re.compile(r"#\s*(noqa|fmt:|ruff:|type:\s*ignore|mypy:|pylint:)")
@@ -112,7 +110,7 @@
     def test_no_finding_is_excused(self):
         ruff = tomllib.loads((finished.ROOT / "pyproject.toml").read_text())["tool"]["ruff"]
         files = finished.files(finished.finished())
-        for name in [*ruff["lint"]["per-file-ignores"], *ruff["format"]["exclude"]]:
+        for name in [*ruff["lint"]["per-file-ignores"], *ruff.get("format", {}).get("exclude", [])]:
             self.assertNotIn(finished.ROOT / name, files)
         for file in files:
             self.assertEqual(EXCUSE.findall(file.read_text()), [], file)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -24,7 +24,7 @@
 from petrelwood.node import front, lines, roster, told
 
 MS = 1_000_000
-PARTS = rpc.Parts(16_384, 1_024, 64)
+PARTS = rpc.MessageLimits(16_384, 1_024, 64)
 
 
 class Codecs(unittest.TestCase):
@@ -34,9 +34,9 @@
         for cut in range(1, len(frame)):
             reader = rpc.Reader(50_000, PARTS)
             self.assertEqual(len(reader.feed(frame + frame[:cut])), 1)
-            self.assertFalse(reader.whole(), cut)
+            self.assertFalse(reader.is_between_messages(), cut)
             self.assertEqual(len(reader.feed(frame[cut:])), 1)
-            self.assertTrue(reader.whole())
+            self.assertTrue(reader.is_between_messages())
 
     def test_what_is_too_large_ends_before_much_of_it_is_held(self):
         """All is told from the length that is announced."""
@@ -51,7 +51,7 @@
         ):
             with self.subTest(bad.hex()):
                 reader, fed = rpc.Reader(50_000, PARTS), 0
-                with self.assertRaises(rpc.Garbage):
+                with self.assertRaises(rpc.MalformedRpcError):
                     reader.feed(head + bad)
                     while fed < 200_000:
                         fed += 10_000
@@ -65,7 +65,7 @@
             for cut in range(1, len(frame)):
                 reader = rpc.Reader(50_000, PARTS)
                 self.assertEqual(reader.feed(frame[:cut]), [])
-                with self.assertRaises(rpc.Garbage, msg=f"{bad.hex()} cut at {cut}"):
+                with self.assertRaises(rpc.MalformedRpcError, msg=f"{bad.hex()} cut at {cut}"):
                     reader.feed(frame[cut:])
 
     def test_what_fits_is_read_the_same_wherever_it_is_cut(self):
@@ -103,7 +103,8 @@
             for cut in sorted(chance.randrange(len(twice)) for _ in range(4)) + [len(twice)]:
                 found += reader.feed(twice[last:cut])
                 last = cut
-            self.assertEqual(found, [message, message])
+            self.assertEqual(found, [rpc.Request(*message)] * 2)
+            self.assertTrue(all(isinstance(each, rpc.Request) for each in found))
 
     def test_mutated_requests_end_in_messages_or_garbage(self):
         chance = random.Random(11)
@@ -116,7 +117,7 @@
                 bad[chance.randrange(len(bad))] = chance.randrange(256)
             try:
                 messages = rpc.Reader(50_000, PARTS).feed(bytes(bad))
-            except rpc.Garbage:
+            except rpc.MalformedRpcError:
                 ended["garbage"] += 1
                 continue
             ended["whole"] += 1
@@ -179,13 +180,21 @@
             b'{"type":"HIT","req":"t","meta":{"n":"cold","pods":"2","l":"inflight:7;util:0.5"},"data":"AP8="}'
         )
         self.assertEqual(
-            found, ("t", ports.COMPLETED, ports.BEGAN_LOAD, 2, b"\x00\xff", {"running": 7.0, "cores": 0.5})
+            found,
+            (
+                "t",
+                ports.EndReason.COMPLETED,
+                ports.CopyNote.BEGAN_LOAD,
+                2,
+                b"\x00\xff",
+                {"running": 7.0, "cores": 0.5},
+            ),
         )
         for word, code in (
-            ("NONE", ports.MISSING),
-            ("SHED", ports.FULL),
-            ("FAULT", ports.ERROR),
-            ("LATE", ports.NOT_SENT),
+            ("NONE", ports.EndReason.MISSING),
+            ("SHED", ports.EndReason.FULL),
+            ("FAULT", ports.EndReason.ERROR),
+            ("LATE", ports.EndReason.NOT_SENT),
         ):
             self.assertEqual(
                 lines.answer(json.dumps({"type": word, "req": "t", "meta": {}}).encode()).code, code
@@ -423,7 +432,8 @@
         made = told.terms(raw)
         self.assertEqual((made.quotas, made.reports_by_probe, made.orders.period), ({}, False, 0))
         self.assertEqual(
-            made.types["plain"], ports.NamespaceType(400 * MS, ports.REPEATABLE, "all", 0, 0, 2000 * MS)
+            made.types["plain"],
+            ports.NamespaceType(400 * MS, ports.Effect.REPEATABLE, "all", 0, 0, 2000 * MS),
         )
 
     def test_run_imports_only_what_it_uses(self):
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -14,7 +14,7 @@
 from rig import FILE, KEY, Case, IOStream, Quiet, Worker, answer, later, never, says
 
 from petrelwood import ports
-from petrelwood.brain import Brain
+from petrelwood.decide.scheduling.scheduler import Scheduler
 from petrelwood.links import rpc
 
 
@@ -96,7 +96,7 @@
     async def test_too_many_connections(self):
         await self.begin(Worker("w1"), limits="connections 2")
         kept = [await self.caller.connect() for _ in range(2)]
-        await self.until(lambda: len(self.front.lines) == 2)
+        await self.until(lambda: len(self.front.connections) == 2)
         third = await self.caller.connect()
         reply = await asyncio.wait_for(third.read_until_close(), 30)
         self.assertTrue(reply.startswith(b"HTTP/1.1 503") and b"Retry-After: " in reply, reply)
@@ -158,10 +158,10 @@
         await self.begin(w := Worker("w1", never))
         asked = asyncio.ensure_future(self.caller.call(self.message("again-1", "m"), 30))
         await self.until(lambda: w.runs)
-        line = next(iter(self.front.lines))
-        exchange = line.waiting[0]
+        line = next(iter(self.front.connections))
+        exchange = line.unanswered[0]
         link = self.core.links["w1"]
-        msgid = next(iter(link.out))
+        msgid = next(iter(link.in_flight))
         link._response(msgid, None, [*w.acts()[0], 1, b"{}", None])  # both in one turn of the loop
         self.front.core.client_left(exchange.act, exchange)
         line.stream.close()
@@ -176,9 +176,9 @@
         await self.begin(w := Worker("w1", never))
         asked = asyncio.ensure_future(self.caller.call(self.message("again-1", "m"), 30))
         await self.until(lambda: w.runs)
-        line, link = next(iter(self.front.lines)), self.core.links["w1"]
-        msgid = next(iter(link.out))
-        self.front.core.client_left(line.waiting[0].act, line.waiting[0])
+        line, link = next(iter(self.front.connections)), self.core.links["w1"]
+        msgid = next(iter(link.in_flight))
+        self.front.core.client_left(line.unanswered[0].act, line.unanswered[0])
         link._response(msgid, None, [*w.acts()[0], 1, b"{}", None])
         with self.assertRaises(asyncio.TimeoutError):  # nothing may be written for what was left
             await asyncio.wait_for(asyncio.shield(asked), 0.2)
@@ -196,7 +196,7 @@
         for i in range(6):
             status, _ = await self.post(f"once-{i}")
             self.assertEqual(status, 200)
-        self.assertTrue(self.core.log.said("link lost"))
+        self.assertTrue(self.core.log.said("worker connection lost"))
         self.assertEqual(self.runs(), 6)
 
     async def test_a_worker_that_is_not_there_never_ran(self):
@@ -245,7 +245,7 @@
         self.roster.tell(free.entry())
         self.roster.tell(stuck.entry("draining"))
         self.assertEqual((await behind)[0], 200)
-        self.assertEqual((link.counts["recalled"], len(free.runs) >= 1), (1, True))
+        self.assertEqual((link.counts.recalled, len(free.runs) >= 1), (1, True))
         self.assertFalse(link.waiting)
         await big
 
@@ -363,15 +363,15 @@
 
 class Defects(Case):
     async def test_a_defect_aborts_what_it_touched_and_nothing_else(self):
-        class Faulty(Brain):
-            def answer(self, now, act_id, *rest):
-                if self.acts[act_id].fn.key == "again-bad":
+        class Faulty(Scheduler):
+            def attempt_ended(self, now, end):
+                if self.activations[end.activation_id].function.key == "again-bad":
                     raise RuntimeError("a defect")
-                super().answer(now, act_id, *rest)
+                super().attempt_ended(now, end)
 
         on_run = {"again-bad": says("error")}
         await self.begin(
-            Worker("w1", lambda w, s, m, p: on_run.get(p[2], later(0.1))(w, s, m, p)), brain=Faulty
+            Worker("w1", lambda w, s, m, p: on_run.get(p[2], later(0.1))(w, s, m, p)), scheduler=Faulty
         )
         good, bad = asyncio.ensure_future(self.post("again-1")), asyncio.ensure_future(self.post("again-bad"))
         self.assertEqual((await bad)[0], 504)
@@ -381,23 +381,23 @@
         self.assertEqual((await self.post("again-2"))[0], 200)
 
     async def test_a_module_that_forgets_is_answered_for_and_counted_apart(self):
-        class Forgetful(Brain):
-            def activation(self, *args):
+        class Forgetful(Scheduler):
+            def activation_arrived(self, *args):
                 pass
 
-        await self.begin(Worker("w1"), brain=Forgetful)
+        await self.begin(Worker("w1"), scheduler=Forgetful)
         begun = time.monotonic()
         status, _ = await self.post("again-1", Prefer="wait=1")
         self.assertEqual((status, self.core.pending.counts["overdue"]), (504, 1))
         self.assertLess(time.monotonic() - begun, 1)
 
     async def test_a_send_after_the_final_answer_is_held_back(self):
-        class Late(Brain):
-            def left(self, now, act_id):
-                super().left(now, act_id)
-                self.out.send(act_id, "w1", 0)
+        class Late(Scheduler):
+            def client_departed(self, now, act_id):
+                super().client_departed(now, act_id)
+                self.actions.outlet.send(act_id, "w1", 0)
 
-        await self.begin(w := Worker("w1", never), brain=Late)
+        await self.begin(w := Worker("w1", never), scheduler=Late)
         with self.assertRaises(asyncio.TimeoutError):
             await self.caller.call(self.message("again-1", "m"), 0.1)
         await self.until(lambda: self.core.log.said("send after the final answer suppressed"))
