--- a/petrelwood/decide/delivery/pending.py
+++ b/petrelwood/decide/delivery/pending.py
@@ -110,7 +110,7 @@
     # Clients.
     def admit(
         self,
-        ask: "ActivationRequest",
+        request: "ActivationRequest",
         due: int,
         function: object,
         rule: FunctionRule,
@@ -119,22 +119,22 @@
     ) -> PendingActivation:
         """A new activation, from an `intake.ActivationRequest` whose outcome was ADMIT."""
         self.last_number += 1
-        key = (ask.customer, ask.id)
-        id_ = ask.id if self.prefix is None else f"{self.prefix}{self.last_number}"
+        key = (request.customer, request.id)
+        id_ = request.id if self.prefix is None else f"{self.prefix}{self.last_number}"
         # by position: for each request, names would cost a third more
         activation = PendingActivation(
             id_,
             key,
-            ask.customer,
-            ask.type,
-            ask.arrived_at,
+            request.customer,
+            request.type,
+            request.arrived_at,
             due,
             function,
             body,
             rule.lanes,
             rule.load_time,
             rule.work,
-            ask.idempotency_mark,
+            request.idempotency_mark,
             self.last_number,
             set(),
             [],
