--- a/petrelwood/control/appending.py
+++ b/petrelwood/control/appending.py
@@ -68,7 +68,11 @@
             self._waiting -= 1
 
     async def fill_slot(self) -> None:
-        """Has a record decided that does nothing. Raises as `append` does."""
+        """Append a record without effect: the slot that it fills is decided, and so are all before it.
+
+        Raises:
+            DiskFailedError, QueueFullError, NoQuorumError: as `append` does.
+        """
         record_id = f"{self.proposer.identity}.{self._durable.replica.chosen}"
         await self.append(Record(record_id, RecordKind.NO_OPERATION, 0, 0, b""))
 
--- a/petrelwood/decide/cluster/completion.py
+++ b/petrelwood/decide/cluster/completion.py
@@ -4,7 +4,7 @@
 
 
 class CompletionRate(NamedTuple):
-    """How large a share of the answers completed, and of how many answers that is said."""
+    """The share of answers that completed, and the number of answers that it rests on."""
 
     share: float
     answers: int
@@ -40,7 +40,7 @@
         self.failed //= 2
 
     def restart(self, completed: int = 0, failed: int = 0) -> None:
-        """Counts from here on, beginning with so many."""
+        """Reset the counts to these, and go on counting from there."""
         self.completed = completed
         self.failed = failed
 
--- a/petrelwood/decide/cluster/connection_pool.py
+++ b/petrelwood/decide/cluster/connection_pool.py
@@ -13,7 +13,7 @@
 
 
 class Connection(Protocol):
-    """What of a connection its choice depends on."""
+    """The properties of a connection by which it is chosen."""
 
     up: bool
     open: dict[str, object]  # the calls in flight, by id
@@ -24,7 +24,7 @@
 
 
 def remember(connection: Connection, call_id: str) -> None:
-    """Notes on a connection that it carries this id."""
+    """Record that a connection carries a call of this id, and forget the oldest of too many."""
     connection.carried[call_id] = True
     if len(connection.carried) > MOST_REMEMBERED_IDS:
         del connection.carried[next(iter(connection.carried))]
--- a/petrelwood/decide/cluster/handover.py
+++ b/petrelwood/decide/cluster/handover.py
@@ -66,7 +66,7 @@
 
 
 class TakeoverRequest(NamedTuple):
-    """What a process that asks to take over says of itself."""
+    """What a process reports of itself when it requests to take over."""
 
     gateway: object  # its name; a peer may say anything
     protocol: object  # version of the hand-over's messages
@@ -89,7 +89,11 @@
 
 
 def rejection_reason(request: TakeoverRequest, gateway: str, state_format: int, is_busy: bool) -> str | None:
-    """Why a process may not take over from the gateway, or None. ValueError and TypeError tell of garbage."""
+    """Return why a process may not take over from the gateway, or None.
+
+    Raises:
+        ValueError, TypeError: a field of the request is not of the form that it should have.
+    """
     if is_busy:
         return "an upgrade is under way"
     if request.gateway != gateway:
--- a/petrelwood/decide/cluster/log_proposal.py
+++ b/petrelwood/decide/cluster/log_proposal.py
@@ -102,7 +102,7 @@
         return self.decided_slot is not None or self.failed
 
     def check(self, now: int) -> None:
-        """Tries a higher ballot after one that found no majority; to be called often."""
+        """Start a higher ballot where the last one found no majority, or give up; called often."""
         if self.ended:
             return
         if now >= self._deadline:
@@ -111,7 +111,10 @@
             self._start_ballot(now)
 
     def handle_reply(self, server: str, message: Message, reply: Reply, now: int) -> None:
-        """Takes in a server's reply to `message`."""
+        """Process a server's reply to `message`.
+
+        A server that lacks decided records is sent them; a reply to another ballot or slot is ignored else.
+        """
         if self.ended or isinstance(message, Learn):
             return
         if isinstance(reply, Behind):
--- a/petrelwood/decide/cluster/log_records.py
+++ b/petrelwood/decide/cluster/log_records.py
@@ -52,7 +52,7 @@
 
 
 class Extract(NamedTuple):
-    """All that was decided in the slots after `since` up to `chosen`, but for what is superseded."""
+    """The records decided in the slots after `since` up to `chosen`, without the superseded ones."""
 
     since: int
     chosen: int
--- a/petrelwood/decide/cluster/membership.py
+++ b/petrelwood/decide/cluster/membership.py
@@ -104,12 +104,12 @@
         return None if self.epoch is None else f"{self.epoch}-{self.number}"
 
     def forget_position(self) -> None:
-        """Something was missed: nothing to resume after, the whole list is wanted."""
+        """Request the complete list next: an event was missed, so there is none to resume after."""
         self.epoch = None
         self.number = 0
 
     def order_of(self, event_id: str) -> EventOrder:
-        """How an event follows what is known."""
+        """Return whether an event is the next one, was already applied, or follows a gap."""
         epoch, _, number = event_id.rpartition("-")
         if not number.isdigit() or epoch != self.epoch:
             return EventOrder.GAP
--- a/petrelwood/decide/cluster/polling.py
+++ b/petrelwood/decide/cluster/polling.py
@@ -12,7 +12,7 @@
 
 
 class RosterPolling:
-    """The queries to one roster; `chance()` is drawn in [0, 1)."""
+    """The open queries to one roster, and when to send the next; `chance()` is drawn in [0, 1)."""
 
     __slots__ = ("chance", "next_at", "open_queries")
 
@@ -40,10 +40,10 @@
         return self.open_queries.pop(query_id, None)
 
     def on_usable_answer(self, now: int) -> None:
-        """The list is known: the next query can wait."""
+        """Schedule the next query after the usual interval: an answer had a list that can be used."""
         self.next_at = now + INTERVAL
 
     def restart(self, now: int) -> None:
-        """Another roster: nothing that was asked of the one before counts."""
+        """Begin with another roster: open queries to the one before are dropped."""
         self.open_queries.clear()
         self.next_at = now
--- a/petrelwood/decide/delivery/mqtt_acknowledgement.py
+++ b/petrelwood/decide/delivery/mqtt_acknowledgement.py
@@ -78,7 +78,7 @@
     """Carries out what `Deliveries` decides, in the same turn."""
 
     def acknowledge(self, packet_id: int, qos: int) -> None:
-        """Sends a PUBACK or PUBREC."""
+        """Send the first acknowledgement of a message: PUBACK for QoS 1, PUBREC for QoS 2."""
 
     def complete(self, packet_id: int) -> None:
         """Sends a PUBCOMP."""
@@ -249,7 +249,7 @@
 
     # The connection.
     def on_connection_lost(self) -> None:
-        """What runs goes on, what is queued may come again."""
+        """Forget queued messages of QoS 1, which the broker delivers again; activations in flight go on."""
         self._in_ping = []
         self._unproved = []
         self.pings = 0
--- a/petrelwood/decide/delivery/state_rewrite.py
+++ b/petrelwood/decide/delivery/state_rewrite.py
@@ -49,7 +49,7 @@
         return self.failed_at is not None
 
     def failed(self, now: int, cause: str) -> int:
-        """Notes that the log, or an attempt to begin it anew, has failed; the delay before the next one."""
+        """Record a failure of the log or of a rewrite; returns the ns until the next attempt."""
         if self.failed_at is None:
             self.failed_at = now
             self.attempts = 0
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -192,7 +192,7 @@
         return counts[ActivationState.COMPLETED], failed
 
     def stop_admitting(self, on_end: ActivationEndHandler) -> None:
-        """Admits and loads nothing new from now on; `on_end` is called for each activation that ends."""
+        """Admit no request and order no load from now on, and call `on_end` for each activation that ends."""
         self.intake.closing = True
         self.handover.retired = True
         self.handover.on_activation_end = on_end
@@ -232,7 +232,7 @@
         self.clock.at(self.now() + STORM_CHECK_INTERVAL, self._check_storms)
 
     def storm_changed(self, name: str, on: bool) -> None:
-        """A symptom has begun or ended; for a dispatcher that has fronts."""
+        """React to a symptom of a storm that has begun or ended; a dispatcher with fronts overrides this."""
 
     def _begin_forecasts(self) -> None:
         terms = self.gateway.early
--- a/petrelwood/dispatch/handover/channel.py
+++ b/petrelwood/dispatch/handover/channel.py
@@ -92,7 +92,7 @@
         self.buffer += data
 
     def take_descriptors(self) -> list[int]:
-        """The descriptors that came; from now on their closing is the caller's."""
+        """Return the file descriptors received so far; the caller has to close them."""
         taken = self.descriptors
         self.descriptors = []
         return taken
--- a/petrelwood/dispatch/handover/messages.py
+++ b/petrelwood/dispatch/handover/messages.py
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GiveBack:
-    """The successor does not do well: the predecessor is to serve again."""
+    """The successor has not proven itself: the predecessor is to serve again."""
 
     reason: str
 
--- a/petrelwood/dispatch/interfaces.py
+++ b/petrelwood/dispatch/interfaces.py
@@ -21,10 +21,10 @@
 
 
 class Timer(Protocol):
-    """A call that a clock will make."""
+    """A call that is scheduled on a clock."""
 
     def cancel(self) -> object:
-        """Takes the call back."""
+        """Cancel the call."""
 
 
 class Clock(Protocol):
--- a/petrelwood/dispatch/outlet.py
+++ b/petrelwood/dispatch/outlet.py
@@ -137,4 +137,4 @@
         core.clock.at(self.now() + wait, core.submit, core.timer_fired, mark)
 
     def request_endpoint_list(self) -> None:
-        """Nothing has to be asked for: the endpoint list is pushed."""
+        """Do nothing: this dispatcher gets its endpoint list pushed, and never polls."""
--- a/petrelwood/dispatch/rollout.py
+++ b/petrelwood/dispatch/rollout.py
@@ -132,9 +132,10 @@
             await self._call_off(number, reason)
 
     async def _read(self, number: int, is_rollback: bool) -> Gateway:
-        """The settings of a version. What it goes back to is read until the folder gives it.
+        """Return the settings of a version; a rollback's are read again and again until the folder has them.
 
-        Raises as `VersionSource.read`.
+        Raises:
+            VersionUnreadableError, SettingsError: as `VersionSource.read` does.
         """
         while True:
             try:
--- a/petrelwood/store/history.py
+++ b/petrelwood/store/history.py
@@ -104,7 +104,7 @@
     def note(
         self, at: int, function: str, customer: str, hall: str, how: int, waited: int, took: int, load: int
     ) -> None:
-        """Notes one execution; times in ns. Cheap: most calls only append to a list."""
+        """Record one execution; times in ns. Most calls append to a list and write nothing."""
         if self.stopped is not None and len(self.rows) >= 2 * self.roll:
             self.lost += 1
             return
