--- a/petrelwood/lab/walk.py
+++ b/petrelwood/lab/walk.py
@@ -23,9 +23,11 @@
 TOLERANCE = 300 * SECOND
 KEY = ("x", "id")
 KINDS = {
-    ports.Effect.ONCE_ONLY: ports.NamespaceType(SECOND, ports.Effect.ONCE_ONLY, "all", 0),
-    ports.Effect.DEDUPLICATED: ports.NamespaceType(SECOND, ports.Effect.DEDUPLICATED, "all", 30 * SECOND),
-    ports.Effect.REPEATABLE: ports.NamespaceType(SECOND, ports.Effect.REPEATABLE, "all", 0),
+    ports.Effect.ONCE_ONLY: ports.NamespaceType(SECOND, ports.Effect.ONCE_ONLY, ports.Scope.ALL, 0),
+    ports.Effect.DEDUPLICATED: ports.NamespaceType(
+        SECOND, ports.Effect.DEDUPLICATED, ports.Scope.ALL, 30 * SECOND
+    ),
+    ports.Effect.REPEATABLE: ports.NamespaceType(SECOND, ports.Effect.REPEATABLE, ports.Scope.ALL, 0),
 }
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -3,6 +3,7 @@
 
 import asyncio
 import copy
+import io
 import json
 import os
 import random
@@ -21,7 +22,11 @@
 from petrelwood.decide.cluster.polling import INTERVAL, RETRY_INTERVAL, RosterPolling
 from petrelwood.decide.overload.resource_limits import CapacityIntake, ResourceLimits
 from petrelwood.links import rpc
-from petrelwood.node import front, lines, roster, told
+from petrelwood.node import roster, worker_protocol
+from petrelwood.node.call_request import InvalidRequestError, decode_call
+from petrelwood.node.json_object import ConfigurationError
+from petrelwood.node.log import JsonLogger
+from petrelwood.node.module_terms import module_terms
 
 MS = 1_000_000
 PARTS = rpc.MessageLimits(16_384, 1_024, 64)
@@ -124,20 +129,20 @@
             for message in messages:
                 if message[0] == rpc.REQUEST and len(message[3]) == 2:
                     try:
-                        front.asked("plain", *message[3], 0, customers, timeouts)
+                        decode_call("plain", *message[3], 0, customers, timeouts)
                         ended["taken"] += 1
-                    except front.Wrong:
+                    except InvalidRequestError:
                         ended["wrong"] += 1
         self.assertTrue(all(ended.values()), ended)
 
     def test_requests_that_can_be_read_and_not_be_taken(self):
         customers, timeouts = frozenset(("acme",)), {"plain": 2000 * MS}
         good = ask()
-        taken, fn, figures = front.asked("plain", good, b"x", 5, customers, timeouts)
+        taken, fn, figures, body = decode_call("plain", good, b"x", 5, customers, timeouts)
         self.assertEqual(
             (taken.id, taken.arrived_at, taken.patience, fn), (good["call"], 5, 2000 * MS, good["row"])
         )
-        self.assertEqual(figures, (4, 20 * MS, 5 * MS))
+        self.assertEqual((figures, body), ((4, 20 * MS, 5 * MS), b"x"))
         for changes in (
             {"ttl": "-1"},
             {"ttl": "nan"},
@@ -155,17 +160,17 @@
             {"dedupe": "short"},
             {"ttl": 1500},
         ):
-            with self.subTest(changes), self.assertRaises(front.Wrong):
-                front.asked("plain", {**good, **changes}, b"x", 5, customers, timeouts)
+            with self.subTest(changes), self.assertRaises(InvalidRequestError):
+                decode_call("plain", {**good, **changes}, b"x", 5, customers, timeouts)
         self.assertEqual(
-            front.asked("plain", {**good, "org": "any"}, b"x", 5, frozenset(), timeouts)[0].customer, "any"
+            decode_call("plain", {**good, "org": "any"}, b"x", 5, frozenset(), timeouts)[0].customer, "any"
         )
         for fields, body in ((good, "text"), ([], b"x"), (None, b"x")):
-            with self.assertRaises(front.Wrong):
-                front.asked("plain", fields, body, 5, customers, timeouts)
+            with self.assertRaises(InvalidRequestError):
+                decode_call("plain", fields, body, 5, customers, timeouts)
 
     def test_lines_out_and_back(self):
-        said = json.loads(lines.run("0" * 16, "plain", "a" * 16, 300, "k" * 32, b"\x00\xff"))
+        said = json.loads(worker_protocol.encode_run("0" * 16, "plain", "a" * 16, 300, "k" * 32, b"\x00\xff"))
         self.assertEqual(
             said,
             {
@@ -175,8 +180,8 @@
                 "meta": {"sort": "plain", "asset": "a" * 16, "patience": 300, "op": "k" * 32},
             },
         )
-        self.assertNotIn("op", json.loads(lines.run("t", "plain", "a", 3, "", b""))["meta"])
-        found = lines.answer(
+        self.assertNotIn("op", json.loads(worker_protocol.encode_run("t", "plain", "a", 3, "", b""))["meta"])
+        found = worker_protocol.decode_answer(
             b'{"type":"HIT","req":"t","meta":{"n":"cold","pods":"2","l":"inflight:7;util:0.5"},"data":"AP8="}'
         )
         self.assertEqual(
@@ -197,7 +202,10 @@
             ("LATE", ports.EndReason.NOT_SENT),
         ):
             self.assertEqual(
-                lines.answer(json.dumps({"type": word, "req": "t", "meta": {}}).encode()).code, code
+                worker_protocol.decode_answer(
+                    json.dumps({"type": word, "req": "t", "meta": {}}).encode()
+                ).code,
+                code,
             )
 
     def test_spoilt_lines_are_garbage_wherever_they_are_cut(self):
@@ -206,21 +214,29 @@
             random.Random(3),
         )
         for cut in range(1, len(whole)):
-            with self.assertRaises(lines.Garbage):
-                lines.answer(whole[:cut])
+            with self.assertRaises(worker_protocol.MalformedAnswerError):
+                worker_protocol.decode_answer(whole[:cut])
         for _ in range(3000):
             bad = bytearray(whole)
             bad[chance.randrange(len(bad))] = chance.randrange(256)
             try:
-                self.assertIsInstance(lines.answer(bytes(bad)).body, bytes)
-            except lines.Garbage:
+                self.assertIsInstance(worker_protocol.decode_answer(bytes(bad)).body, bytes)
+            except worker_protocol.MalformedAnswerError:
                 pass
-        reader = lines.Reader(100)
+        reader = worker_protocol.AnswerReader(100)
         self.assertEqual([a.tag for a in reader.feed(whole + b"\n" + whole[:20])], ["0123456789abcdef"])
         self.assertEqual(len(list(reader.feed(whole[20:] + b"\n"))), 1)
-        with self.assertRaises(lines.Garbage):
+        with self.assertRaises(worker_protocol.MalformedAnswerError):
             list(reader.feed(b"x" * 101))
 
+    def test_log_lines_take_members_of_enums(self):
+        """Also as keys, as in the `ends` of `standing`."""
+        out = io.StringIO()
+        JsonLogger(out).info("standing", ends={"s-1": {ports.EndReason.FULL: 2}}, code=ports.EndReason.ERROR)
+        line = json.loads(out.getvalue())
+        self.assertEqual((line["event"], line["level"]), ("standing", "info"))
+        self.assertEqual((line["ends"], line["code"]), ({"s-1": {"full": 2}}, "error"))
+
     def test_the_rosters_answers(self):
         asked = b"\x12\x34" + roster.question()
         entries = {"s-1": (5050, "Ready", "east", 0), "s-2": (5051, "Terminating", "west", 1_700_000_000_123)}
@@ -395,7 +411,7 @@
         def decoded(change):
             raw = copy.deepcopy(SETTINGS)
             change(raw)
-            return told.terms(raw)
+            return module_terms(raw)
 
         for change, named in (
             (lambda o: o["classes"][0].update(slo="400"), "settings.classes[0].slo"),
@@ -420,7 +436,10 @@
             (lambda o: o["loadInfo"].update(how="whisper"), "settings.loadInfo.how"),
             (lambda o: o.update(fees=0.1), "settings.fees"),
         ):
-            with self.subTest(named), self.assertRaisesRegex(told.Bad, re.escape(named)):
+            with (
+                self.subTest(named),
+                self.assertRaisesRegex(ConfigurationError, re.escape(named)),
+            ):
                 decoded(change)
 
     def test_what_nobody_asks_for_and_what_is_left_out_is_passed_over(self):
@@ -429,7 +448,7 @@
         raw["classes"][0].update(mood=7, window=None, keyScope=None)
         for name in ("freeLoads", "loadPart", "loadPeriod", "orderLimit"):
             raw["familyInfo"].pop(name)
-        made = told.terms(raw)
+        made = module_terms(raw)
         self.assertEqual((made.quotas, made.reports_by_probe, made.orders.period), ({}, False, 0))
         self.assertEqual(
             made.types["plain"],
@@ -438,7 +457,11 @@
 
     def test_run_imports_only_what_it_uses(self):
         said = subprocess.run(
-            [sys.executable, "-c", "import sys, petrelwood.node.__main__; print(*sys.modules)"],
+            [
+                sys.executable,
+                "-c",
+                "import sys, petrelwood.node.__main__, petrelwood.node.program; print(*sys.modules)",
+            ],
             cwd=ROOT,
             capture_output=True,
             text=True,
