--- a/petrelwood/decide/overload/resource_limits.py
+++ b/petrelwood/decide/overload/resource_limits.py
@@ -10,33 +10,35 @@
 from petrelwood.decide.overload.intake import ADMIT, REJECT, ActivationRequest, RejectionReason, Verdict
 from petrelwood.decide.overload.storm import SymptomChange
 
-OWN = 24  # descriptors: standard streams, the loop, listeners, the roster, spares
+OWN_DESCRIPTORS = 24  # descriptors: standard streams, the loop, listeners, the roster, spares
 LEAST_CONNECTIONS = 8  # to workers and from clients, however few descriptors there are
-WORKERS = 0.4  # the share of the rest for connections to workers,
+WORKER_SHARE = 0.4  # the share of the rest for connections to workers,
 LEAST_WORKERS = 4  # and their number at least
-BODY = 16_384  # bytes of a body at most, as the protocol has it
-TEXT = 1_024  # bytes of one field of a message: none that is known has more
-MEMBERS = 64  # fields of a message: none that is known has more
-FRAME = 2 * BODY  # bytes of a complete message with its fields
-BODIES = 1 / 4  # the share of the memory for bodies of activations
+MAX_BODY = 16_384  # bytes of a body at most, as the protocol has it
+MAX_TEXT = 1_024  # bytes of one field of a message: none that is known has more
+MAX_MEMBERS = 64  # fields of a message: none that is known has more
+FRAME = 2 * MAX_BODY  # bytes of a complete message with its fields
+BODY_SHARE = 1 / 4  # the share of the memory for bodies of activations
 LEAST_ACTIVATIONS = 16  # that are admitted, however little memory there is
-OPEN = 32  # requests that one connection may have unanswered
-FAULTS = 8  # malformed requests on a connection, after which it is closed
+MAX_OPEN_REQUESTS = 32  # requests that one connection may have unanswered
+MAX_FAULTS = 8  # malformed requests on a connection, after which it is closed
 SECOND = 1_000_000_000
-SILENT = SECOND * 3 // 2  # ns that a connection may take to send its first complete request
-PART = SECOND * 3 // 2  # ns that a request may take from its first byte to its last
-IDLE = 5 * SECOND  # ns without a request after which a connection may be closed; usual clients close sooner
-UNREAD = OPEN * (BODY + TEXT)  # bytes of answers that a client may leave unread: all that it can be owed
+FIRST_REQUEST_TIMEOUT = SECOND * 3 // 2  # ns that a connection may take to send its first complete request
+REQUEST_TIMEOUT = SECOND * 3 // 2  # ns that a request may take from its first byte to its last
+# ns without a request after which a connection may be closed; usual clients close theirs sooner
+IDLE_TIMEOUT = 5 * SECOND
+# bytes of answers that a client may leave unread: all that it can be owed
+MAX_UNREAD = MAX_OPEN_REQUESTS * (MAX_BODY + MAX_TEXT)
 
 
 class ResourceLimits:
     """The limits of one process that may use `sockets` descriptors and `memory` bytes."""
 
     def __init__(self, sockets: int, memory: int) -> None:
-        connections = max(LEAST_CONNECTIONS, sockets - OWN)
-        self.workers = max(LEAST_WORKERS, int(connections * WORKERS))  # connections to workers
+        connections = max(LEAST_CONNECTIONS, sockets - OWN_DESCRIPTORS)
+        self.workers = max(LEAST_WORKERS, int(connections * WORKER_SHARE))  # connections to workers
         self.clients = connections - self.workers  # connections from clients
-        self.held = max(LEAST_ACTIVATIONS, int(memory * BODIES) // FRAME)  # activations without an answer
+        self.held = max(LEAST_ACTIVATIONS, int(memory * BODY_SHARE) // FRAME)  # activations without an answer
 
 
 class CapacityIntake:
--- a/petrelwood/node/client_connection.py
+++ b/petrelwood/node/client_connection.py
@@ -21,8 +21,10 @@
 
 READ_SIZE = 16_384  # bytes of one read at most
 READER_POOL_SIZE = 8  # kept for the connections that receive next: one has some 40 KB
-LARGEST_ANSWER = resource_limits.BODY + resource_limits.TEXT  # bytes
-MESSAGE_LIMITS = rpc.MessageLimits(resource_limits.BODY, resource_limits.TEXT, resource_limits.MEMBERS)
+LARGEST_ANSWER = resource_limits.MAX_BODY + resource_limits.MAX_TEXT  # bytes
+MESSAGE_LIMITS = rpc.MessageLimits(
+    resource_limits.MAX_BODY, resource_limits.MAX_TEXT, resource_limits.MAX_MEMBERS
+)
 CALL_PARAMETERS = 2  # the fields and the body
 
 # the errors that answers carry
@@ -221,8 +223,8 @@
                 return False
         calls = len(self.open)
         if (
-            calls >= resource_limits.OPEN
-            or self.stream.unsent() + (calls + 1) * LARGEST_ANSWER > resource_limits.UNREAD
+            calls >= resource_limits.MAX_OPEN_REQUESTS
+            or self.stream.unsent() + (calls + 1) * LARGEST_ANSWER > resource_limits.MAX_UNREAD
         ):
             self.front.counts["over request limit"] += 1
             return False
@@ -263,7 +265,7 @@
     # What goes.
     def _is_write_buffer_full(self) -> bool:
         """Return whether answers that are not sent, or not made yet, need all the memory for them."""
-        return self.stream.unsent() + len(self.open) * LARGEST_ANSWER > resource_limits.UNREAD
+        return self.stream.unsent() + len(self.open) * LARGEST_ANSWER > resource_limits.MAX_UNREAD
 
     def _write(self, frame: bytes) -> None:
         try:
@@ -289,7 +291,7 @@
         self.front.note_fault("invalid", reason)
         self.invalid_requests += 1
         self._write(rpc.response(msgid, [INVALID, {"why": reason}], None))
-        if self.invalid_requests >= resource_limits.FAULTS:
+        if self.invalid_requests >= resource_limits.MAX_FAULTS:
             self._drain(self.front.core.now())
 
     # Its state.
--- a/petrelwood/node/front.py
+++ b/petrelwood/node/front.py
@@ -112,7 +112,7 @@
             sock,
             max_buffer_size=2 * READ_SIZE + resource_limits.FRAME,
             read_chunk_size=READ_SIZE,
-            max_write_buffer_size=resource_limits.UNREAD + REJECTIONS_SIZE,
+            max_write_buffer_size=resource_limits.MAX_UNREAD + REJECTIONS_SIZE,
         )
         client = ClientConnection(self, stream, self.core.now(), over_capacity)
         self.clients[client] = True
@@ -137,7 +137,7 @@
                 self._check_timeouts(client, now)
         for client in list(self.idle):
             idle = now - client.since
-            if idle <= resource_limits.IDLE:
+            if idle <= resource_limits.IDLE_TIMEOUT:
                 break
             if client.is_quiescent() or (client.stream.writing() and idle > UNREAD_ANSWER_TIMEOUT):
                 client.close()
@@ -145,11 +145,15 @@
     def _check_timeouts(self, client: ClientConnection, now: int) -> None:
         """Close a connection that has drained, or whose request takes too long to come."""
         if client.draining:
-            if client.is_quiescent() or now - client.since > resource_limits.PART:
+            if client.is_quiescent() or now - client.since > resource_limits.REQUEST_TIMEOUT:
                 client.close()
             return
-        partial_request_too_old = client.partial_since and now - client.partial_since > resource_limits.PART
-        no_request_in_time = not client.requested and now - client.since > resource_limits.SILENT
+        partial_request_too_old = (
+            client.partial_since and now - client.partial_since > resource_limits.REQUEST_TIMEOUT
+        )
+        no_request_in_time = (
+            not client.requested and now - client.since > resource_limits.FIRST_REQUEST_TIMEOUT
+        )
         if (partial_request_too_old or no_request_in_time) and not client.has_unread_input():
             self.counts["timed out"] += 1
             client.close()
--- a/tests/test_always_answered.py
+++ b/tests/test_always_answered.py
@@ -52,7 +52,8 @@
         "import sys; from petrelwood.node import __main__ as node; "
         "from petrelwood.decide.cluster import shutdown; "
         "from petrelwood.decide.overload import resource_limits as limits; "
-        f"shutdown.LONGEST_TIMEOUT = limits.SILENT = limits.PART = {SLOW}_000_000_000; sys.exit(node.main())",
+        f"shutdown.LONGEST_TIMEOUT = limits.FIRST_REQUEST_TIMEOUT = {SLOW}_000_000_000; "
+        f"limits.REQUEST_TIMEOUT = {SLOW}_000_000_000; sys.exit(node.main())",
     )
 
     def __init__(self, workers):
@@ -234,7 +235,7 @@
         worker, steps = Raw("s-1"), Steps(0, 0)
         with (
             mock.patch.object(service.shutdown, "Shutdown", lambda *_: steps),
-            mock.patch.object(resource_limits, "PART", SLOW * 1_000_000_000),
+            mock.patch.object(resource_limits, "REQUEST_TIMEOUT", SLOW * 1_000_000_000),
         ):
             await self._pieces_across_a_drain(worker, steps)
 
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -173,7 +173,7 @@
             async with Inside([worker], **NO_CANCEL) as site:
                 site.node.room.workers = 1
                 stays, gone = Caller(site.address), Caller(site.address)
-                stays.call(first := ask(fn=1), b"z" * resource_limits.BODY)
+                stays.call(first := ask(fn=1), b"z" * resource_limits.MAX_BODY)
                 await site.until(
                     lambda: (
                         site.node.links
@@ -204,7 +204,7 @@
                 site.node.front, "check"
             ):  # it ends its connection, if it reads, at a look
                 wrongs = [
-                    msgpack.packb([0, 2 + n, "nothing", [{}, b""]]) for n in range(resource_limits.FAULTS)
+                    msgpack.packb([0, 2 + n, "nothing", [{}, b""]]) for n in range(resource_limits.MAX_FAULTS)
                 ]
                 bad.sock.sendall(b"".join(wrongs) + msgpack.packb([2, "cancel", [1]]))
                 await site.until(lambda: any(client.draining for client in site.node.front.clients))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -381,7 +381,7 @@
         with mock.patch.object(link.sockets, "fresh", narrow):
             async with Inside([worker], **NO_CANCEL) as site:
                 gone = Caller(site.address)
-                gone.call(ask(fn=1), b"z" * resource_limits.BODY)
+                gone.call(ask(fn=1), b"z" * resource_limits.MAX_BODY)
                 await site.until(
                     lambda: (
                         any(
@@ -438,7 +438,7 @@
     async def test_a_request_that_comes_as_its_connection_is_closed_for_rest(self):
         """The look at idle connections and the request come in one turn of the loop."""
         async with Inside([Worker("s-1")]) as site:
-            with mock.patch.object(resource_limits, "IDLE", 200_000_000):
+            with mock.patch.object(resource_limits, "IDLE_TIMEOUT", 200_000_000):
                 for _ in range(3):
                     client = Caller(site.address)
                     number = client.call(ask(fn=1))
@@ -457,8 +457,8 @@
     async def test_a_first_request_that_comes_as_its_silence_ends(self):
         async with Inside([Worker("s-1")]) as site:
             with (
-                mock.patch.object(resource_limits, "SILENT", 200_000_000),
-                mock.patch.object(resource_limits, "PART", 200_000_000),
+                mock.patch.object(resource_limits, "FIRST_REQUEST_TIMEOUT", 200_000_000),
+                mock.patch.object(resource_limits, "REQUEST_TIMEOUT", 200_000_000),
             ):
                 for cut in (0, 40):  # all of it comes then, or what it lacked
                     client, fields = Caller(site.address), ask(fn=1)
@@ -558,7 +558,9 @@
             first = other.call(ask(fn=1))
             await site.until(other.read)
             client.sock.setblocking(False)
-            bodies = [bytes([65 + n]) * resource_limits.BODY for n in range(resource_limits.OPEN)]
+            bodies = [
+                bytes([65 + n]) * resource_limits.MAX_BODY for n in range(resource_limits.MAX_OPEN_REQUESTS)
+            ]
             for body in bodies:
                 client.last += 1
                 data = msgpack.packb([0, client.last, "plain", [ask(fn=1), body]])
@@ -569,7 +571,7 @@
             await site.until(lambda: site.node.pending.counts["completed"] == len(bodies) + 1)
             looks = site.node.looks
             # nothing of it is open, and its answers have not gone out
-            with mock.patch.object(resource_limits, "IDLE", 1):
+            with mock.patch.object(resource_limits, "IDLE_TIMEOUT", 1):
                 await site.until(lambda: site.node.looks > looks + 2)
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
             for there in site.node.front.clients:
@@ -592,12 +594,12 @@
             there.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             # until what it does not read has filled both buffers: a busy machine turns some away in few bytes
             for _ in range(100):
-                bad.call(ask(fn=1), b"z" * resource_limits.BODY)
+                bad.call(ask(fn=1), b"z" * resource_limits.MAX_BODY)
                 await site.until(lambda: not there.open and there.requested)
                 await asyncio.sleep(0.05)
                 if there.stream.writing():
                     break
-            for _ in range(resource_limits.FAULTS):
+            for _ in range(resource_limits.MAX_FAULTS):
                 bad.call(ask(fn=1), type_="nothing")
             await site.until(lambda: there.draining)
             self.assertTrue(there.stream.writing())
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -45,7 +45,7 @@
             await site.until(worker.runs)
             client.call(ask(fn=1, facts=one_lane))
             await site.until(lambda: site.node.intake.unanswered == 2)
-            client.sock.sendall(wrongs(100, resource_limits.FAULTS) + call(3, ask(fn=1)))
+            client.sock.sendall(wrongs(100, resource_limits.MAX_FAULTS) + call(3, ask(fn=1)))
             looks = site.node.looks
             await site.until(lambda: site.node.looks > looks + 3)
             client.sock.sendall(call(4, ask(fn=1)))
@@ -88,7 +88,7 @@
     async def test_a_request_that_stays_half_beside_good_ones(self):
         """The text before closed it as too slow, with an open request."""
         worker = Raw("s-1")
-        with mock.patch.object(resource_limits, "PART", 100_000_000):
+        with mock.patch.object(resource_limits, "REQUEST_TIMEOUT", 100_000_000):
             async with Inside([worker]) as site:
                 client = Caller(site.address)
                 number = client.call(ask(fn=1))
@@ -190,7 +190,7 @@
             there = next(iter(site.node.front.clients))
             there.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)
             client.sock.setblocking(False)
-            body, answered, whole, data = b"y" * resource_limits.BODY, 0, 0, b""
+            body, answered, whole, data = b"y" * resource_limits.MAX_BODY, 0, 0, b""
             large = base64.b64encode(body).decode()
 
             def work():
@@ -203,7 +203,7 @@
                 end = time.monotonic() + 0.5
                 asked = 0
                 while time.monotonic() < end:
-                    if not data and asked < resource_limits.OPEN:
+                    if not data and asked < resource_limits.MAX_OPEN_REQUESTS:
                         asked += 1
                         client.last += 1
                         data = msgpack.packb([0, client.last, "plain", [ask(fn=1, ttl=3900), body]])
@@ -212,7 +212,7 @@
                     await asyncio.sleep(0)
                     work()
             whole = client.last - 1 if data else client.last
-            self.assertGreater(site.node.pending.counts["completed"], resource_limits.OPEN // 2)
+            self.assertGreater(site.node.pending.counts["completed"], resource_limits.MAX_OPEN_REQUESTS // 2)
             self.assertFalse(there.draining)
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
             there.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
@@ -223,7 +223,7 @@
 
             await site.until(all_read)
             self.assertEqual(set(range(1, whole + 1)) - set(client.answers), set())
-            self.assertGreater(whole, resource_limits.OPEN)
+            self.assertGreater(whole, resource_limits.MAX_OPEN_REQUESTS)
             client.close()
 
 
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -142,7 +142,7 @@
         """A send whose rest has not left, and one behind it on the only connection."""
         site.node.room.workers = 1
         clients = [Caller(site.address) for _ in range(2)]
-        clients[0].call(first := ask(fn=1, ttl=TTL), b"z" * resource_limits.BODY)
+        clients[0].call(first := ask(fn=1, ttl=TTL), b"z" * resource_limits.MAX_BODY)
         await site.until(
             lambda: site.node.links and any(line.stream.writing() for line in site.node.links["s-1"].lines)
         )
@@ -197,7 +197,7 @@
                 stays, gone = Caller(site.address), Caller(site.address)
                 number = stays.call(first := ask(fn=1, ttl=TTL), type_="single")
                 await site.until(worker.runs)
-                gone.call(left := ask(fn=2, ttl=TTL), b"z" * resource_limits.BODY)
+                gone.call(left := ask(fn=2, ttl=TTL), b"z" * resource_limits.MAX_BODY)
                 link = site.node.links["s-1"]
                 await site.until(lambda: any(line.stream.writing() for line in link.lines))
                 gone.close()
