--- a/petrelwood/decide/scheduling/actions.py
+++ b/petrelwood/decide/scheduling/actions.py
@@ -102,7 +102,7 @@
         self._cancel_attempts(activation)
 
     def order_load(self, function: Function, worker: Worker, now: int) -> bool:
-        """Order a load of the function on the worker, and return whether the rate limit bears it."""
+        """Order a load of the function on the worker, and return whether the rate limit allows it."""
         if not worker.is_usable or not self.load_orders.may_order(now):
             return False
         self.load_orders.record_order(now)
@@ -135,7 +135,7 @@
             self.outlet.set_timer(TIMER_MARK, wait)
 
     def clear_timer(self, now: int) -> bool:
-        """Return whether the timer that was set last is due; it is set no more then."""
+        """Clear the timer if it is due, and return whether it was."""
         if now < self.timer_at:
             return False
         self.timer_at = NEVER
--- a/petrelwood/decide/scheduling/admission.py
+++ b/petrelwood/decide/scheduling/admission.py
@@ -74,7 +74,7 @@
             is_over_quota=bucket is not None and not bucket.take(now, self.target_latency),
         )
 
-    def sheds(self, activation: Activation) -> bool:
+    def should_shed(self, activation: Activation) -> bool:
         """Return whether an activation that has just arrived is rejected at once, by a draw.
 
         Under overload a part of what finds no free slot is told at once to come back. What would be queued
--- a/petrelwood/decide/scheduling/attempts.py
+++ b/petrelwood/decide/scheduling/attempts.py
@@ -31,10 +31,10 @@
         self.actions = actions
         self.queueing = queueing
 
-    def end(self, end: AttemptEnd, now: int) -> None:
-        """Learn from the end of an attempt, and retry, give up or forget its activation.
+    def handle_end(self, end: AttemptEnd, now: int) -> None:
+        """Record the end of an attempt, and retry, give up or forget its activation.
 
-        What is not in flight, or ends a second time, is passed over.
+        The end of an attempt that is not in flight, or has ended before, is passed over.
         """
         worker = self.fleet.workers.get(end.worker)
         if worker is None:
@@ -50,7 +50,7 @@
         activation.in_flight -= 1
         if lost is None:
             self.outliers.release(attempt)
-        self.outcomes.learn(attempt, end, lost is not None, now)
+        self.outcomes.record(attempt, end, lost is not None, now)
         current = self.activations.get(end.activation_id)
         if end.is_final:
             if current is not None:
@@ -62,7 +62,7 @@
         self.queueing.dispatch(function, now)
 
     def hedge_overdue(self, worker: Worker, now: int) -> None:
-        """Hedge what the worker should have answered."""
+        """Hedge the attempts that the worker should have answered."""
         for activation in self.outliers.overdue(worker, now):
             self._hedge(activation, now)
 
--- a/petrelwood/decide/scheduling/estimates.py
+++ b/petrelwood/decide/scheduling/estimates.py
@@ -60,12 +60,12 @@
         return activation.function.service_time or self.usual_service_time
 
     def slow_after(self, activation: Activation) -> float:
-        """Return the time from which an answer of a loaded copy is slow, ns."""
+        """Return the time after which an answer of a loaded copy counts as slow, ns."""
         expected = SLOW_FACTOR * self.expected_time(activation)
         return max(expected, activation.target_latency // SLOW_TARGET_DIVISOR)
 
     def worker_load(self, worker: Worker, now: int) -> float:
-        """Return how many activations the worker has in hand.
+        """Return the estimated number of activations that the worker has in hand.
 
         By its latency and its report against the fleet's means, which count for less the older they are, and
         by what was sent to it since.
@@ -78,11 +78,11 @@
         return known + len(worker.in_flight) - worker.in_flight_at_report * freshness
 
     def record_arrival(self, work: int, arrivals: int) -> None:
-        """Learn from the work hint of an activation; the mean runs over so many arrivals."""
+        """Update the mean work hint with that of an activation; it runs over so many arrivals."""
         self.mean_arriving_work += (work - self.mean_arriving_work) / arrivals
 
     def record_report(self, worker: Worker, report: dict[str, float] | None, now: int) -> None:
-        """Learn from a load report; a field that is absent is not told, which is not none."""
+        """Record a load report; a field that is absent is not known, and not 0."""
         if not report:
             return
         worker.in_flight_at_report = len(worker.in_flight)
@@ -97,12 +97,15 @@
             self.mean_reported_load = (REPORT_WEIGHT * mean + load) / (REPORT_WEIGHT + 1)
 
     def record_answer_time(self, duration: int) -> None:
-        """Learn the time of an answer, whether or not its copy had to load."""
+        """Update the mean time of all answers, whether or not their copies had to load."""
         self.answers = min(self.answers + 1, RECENT_ANSWERS)
         self.mean_answer_time += (duration - self.mean_answer_time) / self.answers
 
     def record_service_time(self, attempt: Attempt, duration: int, is_overloaded: bool) -> None:
-        """Learn the time of an answer of a loaded copy: the less, the more was ahead of it at its worker."""
+        """Update the usual service times with an answer of a loaded copy.
+
+        The more attempts were ahead of it at its worker, the less it counts.
+        """
         damping = OVERLOAD_DAMPING if is_overloaded else 1
         part = 1 / (USUAL_TIME_ANSWERS * (1 + attempt.ahead) ** 2) / damping
         function = attempt.activation.function
@@ -115,7 +118,7 @@
             self.mean_work_time += (duration - self.mean_work_time) * part
 
     def record_latency(self, attempt: Attempt, duration: int, now: int) -> None:
-        """Learn how long the attempt's worker takes in proportion to the usual."""
+        """Update the relative latency of the attempt's worker, and the mean of all workers."""
         worker = attempt.worker
         usual = self.usual_service_time
         expected = self.expected_time(attempt.activation)
@@ -126,6 +129,9 @@
         self.mean_relative_latency += (relative - self.mean_relative_latency) / FLEET_LATENCY_ANSWERS
 
     def update_mean_load(self, in_flight: int, fleet_size: int) -> None:
-        """Learn the mean load of a worker from the attempts in flight here, as others send as much."""
+        """Update the mean load of a worker.
+
+        Other dispatchers are taken to have as many attempts in flight as this one.
+        """
         load = in_flight * self.dispatchers / max(1, fleet_size)
         self.mean_worker_load += (load - self.mean_worker_load) / MEAN_LOAD_UPDATES
--- a/petrelwood/decide/scheduling/fleet.py
+++ b/petrelwood/decide/scheduling/fleet.py
@@ -56,7 +56,7 @@
             worker = self.workers[entry.worker] = Worker(*entry, first_seen=now)
         has_restarted = entry.booted != worker.booted
         if has_restarted:
-            worker.restarted()
+            worker.reset()
         worker.zone = entry.zone
         worker.cell = entry.cell
         worker.booted = entry.booted
--- a/petrelwood/decide/scheduling/load_order_limit.py
+++ b/petrelwood/decide/scheduling/load_order_limit.py
@@ -1,6 +1,6 @@
 """The rate limit of load orders, and of the further copies that load at a time.
 
-The platform bears so many load orders in each period, and so many more for each activation that was taken
+The platform allows so many load orders in each period, and so many more for each activation that was taken
 (`ports.LoadOrders`). An activation counts once it was sent to a function that exists and its client has
 stayed for a while: floods of activations that are taken back, or that call what nobody has, earn nothing.
 """
@@ -47,11 +47,13 @@
         self.ordered = BackdatedCounter(orders.period or 1)
         self.credit_delay = min(int(self.target_latency * CREDIT_DELAY), orders.period // BUCKETS)
         self.pending: deque[tuple[int, Activation]] = deque()  # with the time when each counts
-        self.loading: list[tuple[Copy, int]] = []  # further copies, with the time when they count no longer
+        self.copies_loading: list[
+            tuple[Copy, int]
+        ] = []  # further copies, with the time when they count no longer
         self.no_further_copies_until = now
 
     def credit(self, activation: Activation, now: int) -> None:
-        """Let an activation that was sent count soon, if its function exists and its client is there."""
+        """Let an activation that was sent count soon, if its function exists and its client stays."""
         if (
             activation.function.exists
             and activation.load_credit is NO_CREDIT
@@ -62,7 +64,7 @@
         self._count_pending(now)
 
     def revoke(self, activation: Activation) -> None:
-        """Let an activation count no longer, as its client has departed."""
+        """Take an activation off the count, as its client has departed."""
         self.credited.add(activation.arrived_at, -1 if activation.load_credit is COUNTED else 0)
         activation.load_credit = NO_CREDIT
 
@@ -98,17 +100,19 @@
         self.ordered.add(now, orders)
 
     def may_add_further_copy(self, now: int, fleet_size: int) -> bool:
-        """Return whether a function that has a copy may get another: few load at a time."""
-        self.loading = [(copy, until) for copy, until in self.loading if copy.loading_since and now < until]
+        """Return whether a function that has a copy may get another, as few may load at a time."""
+        self.copies_loading = [
+            (copy, until) for copy, until in self.copies_loading if copy.loading_since and now < until
+        ]
         at_once = max(1, int(LOADS_AT_ONCE * fleet_size / self.dispatchers))
-        return now >= self.no_further_copies_until and len(self.loading) < at_once
+        return now >= self.no_further_copies_until and len(self.copies_loading) < at_once
 
     def record_further_copy(self, copy: Copy, function: Function, now: int) -> None:
         """Count a further copy of the function as loading."""
-        self.loading.append((copy, now + LONGEST_LOAD * max(self.target_latency, function.load_time)))
+        self.copies_loading.append((copy, now + LONGEST_LOAD * max(self.target_latency, function.load_time)))
 
     def load_failed(self, function: Function, now: int) -> None:
-        """Ask the store for less, above all for further copies."""
+        """Pause loads after one that failed, above all of further copies: the store may be overloaded."""
         function.placement_paused_until = now + self.target_latency // FUNCTION_PAUSE_DIVISOR
         self.no_further_copies_until = now + FURTHER_COPIES_PAUSE * self.target_latency
 
--- a/petrelwood/decide/scheduling/outcomes.py
+++ b/petrelwood/decide/scheduling/outcomes.py
@@ -19,7 +19,7 @@
 
 
 class Outcomes:
-    """Hands what an attempt's end tells to those who learn from it."""
+    """Updates estimates, health and copies after each attempt."""
 
     def __init__(
         self,
@@ -35,8 +35,8 @@
         self.load_orders = load_orders
         self.placement = placement
 
-    def learn(self, attempt: Attempt, end: AttemptEnd, was_lost: bool, now: int) -> None:
-        """Learn from the end of an attempt; `was_lost`: its answer was believed lost."""
+    def record(self, attempt: Attempt, end: AttemptEnd, was_lost: bool, now: int) -> None:
+        """Record the end of an attempt; `was_lost`: its answer was believed lost."""
         activation = attempt.activation
         reason = end.reason
         if reason in NEVER_RAN:
@@ -49,11 +49,11 @@
         self.estimates.record_report(attempt.worker, end.report, now)
         self.outliers.record_end(attempt.worker, reason, now)
         if reason == COMPLETED:
-            self._learn_from_completion(attempt, end.note, end.duration, now)
+            self._record_completion(attempt, end.note, end.duration, now)
         elif reason not in TELLS_NOTHING and not (was_lost and reason == EndReason.TIMED_OUT):
-            self._learn_from_failure(attempt, reason, end.note, now)
+            self._record_failure(attempt, reason, end.note, now)
 
-    def _learn_from_completion(self, attempt: Attempt, note: int, duration: int, now: int) -> None:
+    def _record_completion(self, attempt: Attempt, note: int, duration: int, now: int) -> None:
         worker = attempt.worker
         worker.newest_answered_sent_at = max(worker.newest_answered_sent_at, attempt.sent_at)
         worker.unresponsive_periods = 0
@@ -68,7 +68,7 @@
             is_slow = duration > self.estimates.slow_after(attempt.activation)
             self.outliers.record_slowness(is_slow, attempt, now)
 
-    def _learn_from_failure(self, attempt: Attempt, reason: EndReason, note: int, now: int) -> None:
+    def _record_failure(self, attempt: Attempt, reason: EndReason, note: int, now: int) -> None:
         if reason == EndReason.RESET and self.outliers.is_single_connection(attempt, now):
             reason = EndReason.ERROR
         self.placement.record_failure(attempt, reason, note, now)
--- a/petrelwood/decide/scheduling/outlier_detection.py
+++ b/petrelwood/decide/scheduling/outlier_detection.py
@@ -81,7 +81,7 @@
         )
 
     def is_congested(self, worker: Worker) -> bool:
-        """Return whether the worker bears one attempt of ours and that slowly, where the fleet does not.
+        """Return whether the worker answers slowly even with one attempt in flight, unlike the fleet.
 
         Copies there are of no use.
         """
@@ -113,19 +113,22 @@
         attempt.worker.cold_attempts -= attempt.is_cold
 
     def record_end(self, worker: Worker, reason: EndReason, now: int) -> None:
-        """Learn that the worker is up, if the end of an attempt shows that."""
+        """Record that the worker is up, if the end of an attempt shows it."""
         if reason not in NO_SIGN_OF_LIFE:
             worker.answered_at = now
             worker.is_unresponsive = False
 
     def record_load_order_end(self, worker: Worker, reason: EndReason, now: int) -> None:
-        """Learn that the worker is up, if the end of a load order shows that."""
+        """Record that the worker is up, if the end of a load order shows it."""
         if reason not in NO_SIGN_OF_LIFE_BY_LOAD:
             worker.answered_at = now
             worker.is_unresponsive = False
 
     def record_latency(self, attempt: Attempt, duration: int, now: int) -> None:
-        """Learn from an answer of a loaded copy, and limit what its worker has of ours: against crowding."""
+        """Update a worker's latency and send limit after an answer of a loaded copy.
+
+        The limit keeps a slow worker from being sent more than it can answer.
+        """
         worker = attempt.worker
         self.estimates.record_latency(attempt, duration, now)
         is_slow = worker.relative_latency > SLOW_FACTOR
@@ -133,12 +136,13 @@
         worker.send_limit.record_answer(is_slow, len(worker.in_flight), now, sent_at)
 
     def record_slowness(self, is_slow: bool, attempt: Attempt, now: int) -> None:
-        """Learn from an answer how many of the fleet's are slow.
+        """Update the share of slow answers, the fleet's send limit and the shed probability.
 
-        Most answers slow: it is not single workers. Fewer attempts are in flight at once, the rest is queued.
+        If most answers are slow it is not single workers: fewer attempts are in flight at once, and the rest
+        is queued.
         """
         if is_slow and self.is_congested(attempt.worker):
-            return  # what it is known for tells nothing of the fleet
+            return  # that it is slow is known, and tells nothing of the fleet
         self.slow_share += (is_slow - self.slow_share) / SLOW_SHARE_ANSWERS
         least = max(1.0, LEAST_A_WORKER * len(self.fleet.usable) / self.dispatchers)
         self.send_limit.record_answer(self.is_overloaded, self.in_flight, now, attempt.sent_at, least)
@@ -146,7 +150,7 @@
         self.shed_probability = min(HIGHEST_SHED_PROBABILITY, SHED_SLOPE * excess)
 
     def record_full(self, worker: Worker, now: int) -> None:
-        """Learn that a worker has rejected an attempt as it is full."""
+        """Record that a worker has rejected an attempt as it is full."""
         worker.relative_latency = min(HIGHEST_RELATIVE_LATENCY, worker.relative_latency * FULL_FACTOR)
         worker.load_known_at = now
         worker.send_limit.record_answer(True, len(worker.in_flight) - 1, now, now)
--- a/petrelwood/decide/scheduling/placement.py
+++ b/petrelwood/decide/scheduling/placement.py
@@ -25,8 +25,7 @@
 PLACEMENT_PAUSE = 1 / 6
 CANDIDATES = 2  # the less loaded of two is nearly as good as the least loaded of all
 MOST_COLD_ATTEMPTS = 2  # that wait for loads at one worker: loads there get in each other's way
-# Most copies of one function: this part of the usable workers, or so many, so that one function can't take
-# all.
+# Most copies of one function, so that it can't take all workers: this part of the usable ones, or so many.
 COPY_LIMIT_PART = 0.5
 FEWEST_COPIES = 4
 PREFETCH_PART = 0.5  # of the rate limit on load orders, what loads ahead of calls may use
@@ -41,9 +40,7 @@
     """How a copy begins."""
 
     LOAD_ORDER = "load order"
-    ATTEMPT = (
-        "attempt"  # an activation is sent: the worker loads by itself, or another dispatcher's copy is there
-    )
+    ATTEMPT = "attempt"  # the worker loads by itself, or another dispatcher's copy is there
 
 
 @dataclass(slots=True, frozen=True)
@@ -176,7 +173,7 @@
             function.copies.pop(worker.id, None)
 
     def record_completion(self, attempt: Attempt, now: int) -> None:
-        """Learn that a copy has answered: it is loaded."""
+        """Record that a copy has answered, so that it is loaded."""
         copy = attempt.copy
         worker = attempt.worker
         if worker.is_usable:
@@ -186,9 +183,10 @@
         copy.errors = 0
 
     def record_failure(self, attempt: Attempt, reason: EndReason, note: int, now: int) -> None:
-        """Learn from a failed attempt whether its copy is there, and send nothing to it for a while.
+        """Record a failed attempt: whether its copy is still there, and the copy's backoff.
 
-        A fast error must not free its slot and draw the backlog: the backoff is longer each time.
+        Without a backoff, which doubles each time, a fast error would free its slot at once and draw the
+        whole backlog.
         """
         copy = attempt.copy
         function = attempt.activation.function
@@ -210,7 +208,7 @@
     def load_order_ended(
         self, function: Function, worker: Worker, reason: EndReason, copies: int, now: int
     ) -> None:
-        """Learn how a load order has ended; `copies` of the function are on the worker now."""
+        """Record the end of a load order; `copies` of the function are on the worker now."""
         copy = function.copies.get(worker.id)
         if copies and worker.is_usable:
             if copy is None:
--- a/petrelwood/decide/scheduling/queueing.py
+++ b/petrelwood/decide/scheduling/queueing.py
@@ -48,8 +48,9 @@
 
     def enqueue(self, activation: Activation, now: int, is_retry: bool = False) -> None:
         """Queue an activation, a retry or hedged request before all others, and dispatch its function."""
-        function = activation.function
-        function = activation.function = self.functions.setdefault(function.key, function)
+        # A function that was idle may have been forgotten, and be known anew, since its activation was sent.
+        function = self.functions.setdefault(activation.function.key, activation.function)
+        activation.function = function
         if not activation.is_queued:
             if is_retry:
                 function.queue.appendleft(activation)
@@ -85,7 +86,7 @@
             if activation.is_queued and self.activations.get(activation.id) is activation:
                 self._expire(activation, now)
         while function.queued and now >= function.placement_paused_until:
-            if not self._relieve(function, now):
+            if not self._handle_backlog(function, now):
                 break
         if (
             function.wants_copy
@@ -156,7 +157,7 @@
         else:
             self.actions.give_up(activation, now)
 
-    def _relieve(self, function: Function, now: int) -> bool:
+    def _handle_backlog(self, function: Function, now: int) -> bool:
         """Add a copy if the queue is long, or reject the newest where none may be added.
 
         Returns:
--- a/petrelwood/decide/scheduling/records.py
+++ b/petrelwood/decide/scheduling/records.py
@@ -91,8 +91,8 @@
         self.load_known_at = self.first_seen - LONG_TIME
         self.health_checked_at = self.first_seen - LONG_TIME
 
-    def restarted(self) -> None:
-        """Forget what was believed of the process that ran there before."""
+    def reset(self) -> None:
+        """Forget what was believed of the process there, as it has restarted."""
         self.send_limit = SendLimit()
         self.ejected_until = 0
         self.is_unresponsive = False
--- a/petrelwood/decide/scheduling/scheduler.py
+++ b/petrelwood/decide/scheduling/scheduler.py
@@ -94,7 +94,7 @@
         actions.set_timer(now, parameters.sweep_interval)
 
     def endpoints_changed(self, now: int, entries: Sequence[Listed], is_whole: bool) -> None:
-        """Learn of a change of the endpoint list, or of the whole list."""
+        """Apply a change of the endpoint list, or a whole list, and dispatch what is queued."""
         for worker in self.fleet.apply(now, entries, is_whole):
             self.placement.forget_copies(worker)
         self.slow_start.fleet_changed(self.fleet.usable, now)
@@ -102,7 +102,7 @@
         self.queueing.dispatch_all(now)
 
     def endpoint_list_lost(self, now: int) -> None:
-        """Learn that no changes of the endpoint list will come: it is requested soon, not by all at once."""
+        """Request the endpoint list soon, as no changes come; after a drawn time, so not all at once."""
         delay = int(self.parameters.draw() * self.parameters.check_interval)
         self.list_requested_at = now - self._list_request_time() + delay
 
@@ -115,17 +115,17 @@
         self.activations[activation.id] = activation
         self.estimates.record_arrival(arrival.work_hint, len(self.popularity.recent))
         self.queueing.enqueue(activation, now)
-        if self.admission.sheds(activation):
+        if self.admission.should_shed(activation):
             self.actions.give_up(activation, now)
         if self.terms.reports_by_probe:
-            self._check_one(function, now)
+            self._check_least_known_worker(function, now)
 
     def attempt_ended(self, now: int, end: AttemptEnd) -> None:
-        """Learn how an attempt has ended."""
-        self.attempts.end(end, now)
+        """Handle the end of an attempt."""
+        self.attempts.handle_end(end, now)
 
     def stream_started(self, now: int, activation_id: str, attempt: int, worker_id: str) -> None:
-        """Learn that a stream has begun its answer: it takes as long as it takes."""
+        """Let an activation take any time, as its streamed answer has begun."""
         activation = self.activations.get(activation_id)
         if activation is not None:
             activation.due = NEVER
@@ -146,7 +146,7 @@
             self.actions.give_up(activation, now)
 
     def load_order_ended(self, now: int, worker_id: str, key: str, reason: EndReason, copies: int) -> None:
-        """Learn how a load order has ended; `copies` of the function are on the worker now."""
+        """Handle the end of a load order; `copies` of the function are on the worker now."""
         worker = self.fleet.workers.get(worker_id)
         function = self.functions.get(key)
         if worker is None or function is None:
@@ -160,11 +160,11 @@
         return self.load_orders.may_leave(now, given_at)
 
     def load_order_withdrawn(self, now: int, given_at: int) -> None:
-        """Learn that a load order that was given at `given_at` never left."""
+        """Take a load order off the rate limit that was given at `given_at` and never left."""
         self.load_orders.withdraw(given_at)
 
     def load_orders_restored(self, now: int, orders: int) -> None:
-        """Learn that an earlier incarnation gave so many load orders in the last period."""
+        """Count load orders that an earlier incarnation gave in the last period."""
         self.load_orders.restore(now, orders)
 
     def prefetch(self, now: int, key: str, slots: int, load_time: int) -> str | None:
@@ -187,7 +187,7 @@
     def health_check_ended(
         self, now: int, worker_id: str, reason: EndReason, report: dict[str, float] | None
     ) -> None:
-        """Learn how a health check has ended, and the load report that it brought."""
+        """Handle the end of a health check, and the load report that it brought."""
         worker = self.fleet.workers.get(worker_id)
         if worker is not None and reason == EndReason.COMPLETED:
             self.estimates.record_report(worker, report, now)
@@ -221,7 +221,7 @@
         function.load_time = load_time or function.load_time
         return function
 
-    def _check_one(self, function: Function, now: int) -> None:
+    def _check_least_known_worker(self, function: Function, now: int) -> None:
         """Check the health of the worker with a copy that was not heard of for longest."""
         workers = [copy.worker for copy in function.copies.values() if copy.worker.is_usable]
         workers.sort(key=lambda worker: max(worker.health_checked_at, worker.load_known_at))
--- a/petrelwood/decide/scheduling/slow_start.py
+++ b/petrelwood/decide/scheduling/slow_start.py
@@ -1,6 +1,6 @@
 """Slow start: how much a worker that has just started is sent.
 
-A worker is cold for a while after its start, bears only a part of its capacity at first, and falls over
+A worker is cold for a while after its start, has only a part of its capacity at first, and falls over
 beyond a multiple of that. The dispatchers do not know of each other's sends: each takes its own part of the
 budget.
 """
@@ -38,7 +38,7 @@
         self.warm_worker_time = BackdatedCounter(self.guarantees.cold)
 
     def is_warm(self, worker: Worker, now: int) -> bool:
-        """Return whether the worker has been up long enough to bear its full load."""
+        """Return whether the worker has been up long enough for its full load."""
         return not worker.booted or max(0, now - worker.booted) >= self.guarantees.cold
 
     def budget(self, worker: Worker, now: int) -> int:
@@ -56,7 +56,7 @@
         self.warm_answers.add(now, int(self.is_warm(worker, now)))
 
     def fleet_changed(self, usable: Iterable[Worker], now: int) -> None:
-        """Learn of another endpoint list."""
+        """Look for workers that are warming up in another endpoint list."""
         self.warming_up = [worker for worker in usable if not self.is_warm(worker, now)]
 
     def update(self, now: int, elapsed: int, fleet_size: int) -> None:
@@ -66,7 +66,7 @@
         self.warm_workers = fleet_size - len(self.warming_up)
 
     def _draw_budget(self, step: int, now: int) -> int:
-        """Return this dispatcher's part of what a cold worker bears in one step.
+        """Return this dispatcher's part of what a cold worker can be sent in one step.
 
         As much as it makes a warm worker do, or its part of one core. A part under one attempt is drawn, so
         that all dispatchers together keep the budget.
--- a/petrelwood/decide/scheduling/worker_order.py
+++ b/petrelwood/decide/scheduling/worker_order.py
@@ -32,7 +32,7 @@
         self.cached: dict[str, list[Worker]] = {}
 
     def fleet_changed(self) -> None:
-        """Learn of another endpoint list."""
+        """Forget the cached orders, as the endpoint list has changed."""
         self.hashes = [worker.hash for worker in self.fleet.usable]
         self.cached.clear()
 
@@ -49,10 +49,10 @@
             if len(self.cached) >= CACHED_ORDERS:
                 del self.cached[next(iter(self.cached))]
             first = self.cached[function.key] = self.first_by_hash(function, wanted + FURTHER_CACHED)
-        shuffled = wanted if wanted > 1 else 0
-        if shuffled:
-            yield from sorted(islice(first, shuffled), key=attrgetter("preference"))
-        yield from islice(first, shuffled, None)
+        in_own_order = wanted if wanted > 1 else 0
+        if in_own_order:
+            yield from sorted(islice(first, in_own_order), key=attrgetter("preference"))
+        yield from islice(first, in_own_order, None)
         if len(first) < size:
             yield from islice(self.first_by_hash(function, size), len(first), None)
 
