--- a/petrelwood/dispatch/handover/channel.py
+++ b/petrelwood/dispatch/handover/channel.py
@@ -101,7 +101,7 @@
         self.buffer += data
 
     def take_descriptors(self) -> list[int]:
-        """Return the descriptors that came; from now on the caller has to close them."""
+        """Return the file descriptors received so far; the caller has to close them."""
         taken = self.descriptors
         self.descriptors = []
         return taken
--- a/petrelwood/dispatch/interfaces.py
+++ b/petrelwood/dispatch/interfaces.py
@@ -26,7 +26,7 @@
 
 
 class Timer(Protocol):
-    """A call that a clock will make."""
+    """A call that is scheduled on a clock."""
 
     def cancel(self) -> object:
         """Cancel the call."""
