--- a/petrelwood/decide/scheduling/actions.py
+++ b/petrelwood/decide/scheduling/actions.py
@@ -1,6 +1,6 @@
-"""Carries out what was decided: the only module that calls the outlet.
+"""Carries out what was decided: sends, final answers, load orders, health checks, the timer.
 
-It keeps the records of what it does, so that an attempt that was sent is in flight everywhere at once.
+The only module that calls the outlet. It updates the records of what it does in the same step.
 """
 
 from collections.abc import Sequence
@@ -21,19 +21,19 @@
 from petrelwood.decide.scheduling.send_rules import SendRules
 from petrelwood.ports import Outlet
 
-# Part of all utility that one health check an activation may cost; dearer ones are made more rarely.
+# Part of all utility that one health check for each activation may cost; if it costs more, fewer are made.
 HEALTH_CHECK_FEE = 0.01
-# Half a target latency: a worker whose load was learnt since is not asked for it again.
+# A worker whose load was learnt within the target latency, divided by this, is not checked again.
 LOAD_KNOWN_DIVISOR = 2
-NO_LIMIT = 0  # of the time that an attempt may take: its activation's own holds
-TIMER_MARK = "sweep"  # there is one timer
+NO_LIMIT = 0  # ns; the time of an attempt is limited by its activation's deadline alone
+TIMER_MARK = "sweep"  # handed back when the timer fires; there is only one timer
 
 
 class Actions:
-    """Sends, ends, load orders, health checks and the timer.
+    """Sends activations and ends them, orders loads, checks health and sets the timer.
 
     Attributes:
-        outlet: where all of it goes.
+        outlet: what carries it out.
         timer_at: when the next timer fires, ns; `NEVER` if none is set.
     """
 
@@ -83,12 +83,15 @@
         self.outlet.send(activation.id, worker.id, NO_LIMIT)
 
     def give_up(self, activation: Activation, now: int) -> None:
-        """Give the final answer, unless an attempt is in flight: a rejection where that can do no harm."""
+        """Give the final answer, unless an attempt is in flight: all rejections by the scheduler are here.
+
+        It is a rejection if the activation may run again (`SendRules.may_reject`), else an abort.
+        """
         activation.function.dequeue(activation)
         if activation.in_flight or self.activations.pop(activation.id, None) is None:
             return
         if activation.load_credit is LoadCredit.PENDING:
-            activation.load_credit = LoadCredit.NONE  # too soon to count
+            activation.load_credit = LoadCredit.NONE  # its client did not stay long enough for the credit
         if self.rules.may_reject(activation):
             self.outlet.reject(activation.id, self._retry_after(activation.function))
         else:
@@ -102,7 +105,7 @@
         self._cancel_attempts(activation)
 
     def order_load(self, function: Function, worker: Worker, now: int) -> bool:
-        """Order a load of the function on the worker, and return whether the rate limit bears it."""
+        """Order a load of the function on the worker, and return whether the rate limit allows it."""
         if not worker.is_usable or not self.load_orders.may_order(now):
             return False
         self.load_orders.record_order(now)
@@ -113,7 +116,7 @@
         """Check workers whose load was not learnt lately, where that is allowed.
 
         Returns:
-            Whether any of them is still to answer.
+            Whether any of them has not answered a recent check.
         """
         fee = self.health_check_fee
         is_too_dear = fee > HEALTH_CHECK_FEE and self.draw() * fee > HEALTH_CHECK_FEE
@@ -128,14 +131,14 @@
     def set_timer(self, now: int, wait: int) -> None:
         """Set the timer to fire in `wait` ns, unless one is set that fires before.
 
-        One that is overdue stays set, as its event may follow.
+        One that should have fired stays set, as its event may still come.
         """
         if self.timer_at > now + wait:
             self.timer_at = now + wait
             self.outlet.set_timer(TIMER_MARK, wait)
 
     def clear_timer(self, now: int) -> bool:
-        """Return whether the timer that was set last is due; it is set no more then."""
+        """Return whether the timer that was set last is due, and clear it if so."""
         if now < self.timer_at:
             return False
         self.timer_at = NEVER
@@ -146,7 +149,7 @@
         self.outlet.request_endpoint_list()
 
     def _retry_after(self, function: Function) -> int:
-        """Return how long a client is told to wait, ns: until what is queued has been answered."""
+        """Return the Retry-After of a rejection, ns: until what is queued should be answered; 0: none."""
         if not self.allowed.retry_after:
             return 0
         service_time = function.service_time or self.estimates.usual_service_time
@@ -154,7 +157,7 @@
         return min(service_time * (function.queued + 1) // slots, self.allowed.max_retry_after)
 
     def _cancel_attempts(self, activation: Activation) -> None:
-        """Cancel what is in flight, as no client waits for it any more."""
+        """Cancel the attempts in flight, where the platform allows it, as no client waits for them."""
         if self.allowed.cancel:
             for attempt in activation.attempts:
                 if attempt.is_in_flight:
--- a/petrelwood/decide/scheduling/admission.py
+++ b/petrelwood/decide/scheduling/admission.py
@@ -1,4 +1,8 @@
-"""Admission: what an arrival becomes, its priority, and load shedding."""
+"""Admission to the scheduler: customers' quotas, priority, and load shedding.
+
+The third admission on the way of a request: `decide.overload.admission` is for connections, and
+`decide.overload.intake` for requests.
+"""
 
 from dataclasses import dataclass
 
@@ -8,19 +12,19 @@
 from petrelwood.decide.scheduling.records import LONG_TIME, Activation, Function
 from petrelwood.ports import Arrival, Terms
 
-# A customer's quota here is so much more than an equal part of it, as dispatchers get unequal parts.
+# A customer's quota at one dispatcher is so many times an equal part of it, as dispatchers get unequal parts.
 QUOTA_FACTOR = 1.3
 SECOND = 1e9  # ns
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """A customer's quota at this dispatcher.
+    """A customer's quota at this dispatcher, as a token bucket.
 
     Attributes:
-        tokens: activations that it may have now.
-        updated_at: the time of that, ns.
-        rate: activations that it may have more in each ns.
+        tokens: activations that it may still have at `updated_at`.
+        updated_at: when `tokens` was computed, ns.
+        rate: tokens that are added in each ns.
     """
 
     tokens: float
@@ -28,7 +32,7 @@
     rate: float
 
     def take(self, now: int, span: int) -> bool:
-        """Take a token if there is one, and return whether there was; they add up over `span` ns."""
+        """Take a token if there is one, and return whether there was; at most those of `span` ns add up."""
         tokens = min(self.tokens + (now - self.updated_at) * self.rate, 1 + self.rate * span)
         has_token = tokens >= 1
         self.tokens = tokens - has_token
@@ -37,7 +41,7 @@
 
 
 def make_buckets(now: int, terms: Terms) -> dict[str, TokenBucket]:
-    """Return a bucket for each customer, none where work beyond a quota is worth as much as any."""
+    """Return a bucket for each customer; none where activations beyond a quota have full utility."""
     if terms.beyond >= 1:
         return {}
     factor = QUOTA_FACTOR / SECOND / terms.dispatchers
@@ -45,7 +49,7 @@
 
 
 class Admission:
-    """Takes arrivals in."""
+    """Makes activations of arrivals, and decides which are shed and which have low priority."""
 
     def __init__(
         self, now: int, parameters: Parameters, estimates: Estimates, outliers: OutlierDetection
@@ -77,10 +81,10 @@
     def sheds(self, activation: Activation) -> bool:
         """Return whether an activation that has just arrived is rejected at once, by a draw.
 
-        Under overload a part of what finds no free slot is told at once to come back. What would be queued
-        here and then at a crowded worker is answered late or in vain and makes the rest late, and no limit of
-        many dispatchers can go under one attempt each. May hurt: work that a short jam would have let
-        through.
+        Under overload a part of the activations that find no free slot is rejected. They would be queued
+        here and then at a busy worker, be answered late, and delay the rest; and a limit of attempts is no
+        help where there are many dispatchers, as none can be under one attempt. The cost: some are rejected
+        that a short overload would have let through.
         """
         shed_probability = self.outliers.shed_probability
         return activation.is_queued and shed_probability > 0 and self.draw() < shed_probability
--- a/petrelwood/decide/scheduling/attempts.py
+++ b/petrelwood/decide/scheduling/attempts.py
@@ -1,4 +1,4 @@
-"""What follows when an attempt ends or is overdue: a retry, a hedged request, or the end."""
+"""What follows when an attempt ends or is overdue: a retry, a hedged request, or the final answer."""
 
 from petrelwood.decide.scheduling.actions import Actions, forget_attempts
 from petrelwood.decide.scheduling.fleet import Fleet
@@ -34,7 +34,7 @@
     def end(self, end: AttemptEnd, now: int) -> None:
         """Learn from the end of an attempt, and retry, give up or forget its activation.
 
-        What is not in flight, or ends a second time, is passed over.
+        An attempt that is not in flight, or ends a second time, is ignored.
         """
         worker = self.fleet.workers.get(end.worker)
         if worker is None:
@@ -62,18 +62,19 @@
         self.queueing.dispatch(function, now)
 
     def hedge_overdue(self, worker: Worker, now: int) -> None:
-        """Hedge what the worker should have answered."""
-        for activation in self.outliers.overdue(worker, now):
+        """Hedge the activations that the worker should have answered."""
+        for activation in self.outliers.detect_overdue(worker, now):
             self._hedge(activation, now)
 
     def _retry_or_give_up(self, activation: Activation, now: int) -> None:
+        """Queue an activation for a retry if `SendRules` allows it, else give its final answer."""
         if self.rules.may_send(activation, now):
             self.queueing.enqueue(activation, now, is_retry=True)
         else:
             self.actions.give_up(activation, now)
 
     def _hedge(self, activation: Activation, now: int) -> None:
-        """Queue an activation for a second attempt beside the one in flight, where it may run twice."""
+        """Queue an activation for a second attempt beside the one in flight; never a once-only one."""
         if (
             self.activations.get(activation.id) is activation
             and activation.in_flight == 1
--- a/petrelwood/decide/scheduling/estimates.py
+++ b/petrelwood/decide/scheduling/estimates.py
@@ -3,50 +3,54 @@
 from petrelwood.decide.scheduling.parameters import Parameters
 from petrelwood.decide.scheduling.records import Activation, Attempt, Worker
 
+# Before the first answer, the usual service time and the work of an activation are the target latency divided
+# by these.
+FIRST_SERVICE_TIME_DIVISOR = 4
+FIRST_WORK_DIVISOR = 8
 RECENT_ANSWERS = 64  # over which the mean time of all answers runs
-# Answers over which the usual service time runs; a function's own moves so many times as fast, as it has
-# fewer.
-USUAL_TIME_ANSWERS = 64
+USUAL_TIME_ANSWERS = 64  # over which the usual service time runs
+# A function's own service time moves so many times as fast, as it has fewer answers.
 FUNCTION_SPEED = 8
-# While the fleet is overloaded, answers count for so much less: that is not usual.
+# While the fleet is overloaded, an answer counts for so much less: its time is not the usual one.
 OVERLOAD_DAMPING = 16
-# An answer counts as slow from so many times its usual time on, and a worker as congested whose answers are.
+# An answer counts as slow from so many times its expected time on; a worker as congested from so many times
+# the fleet's relative latency.
 SLOW_FACTOR = 1.8
 # A third of the target latency is never slow, however short the usual time is.
 SLOW_TARGET_DIVISOR = 3
 WORKER_LATENCY_ANSWERS = 8  # over which a worker's relative latency runs
 FLEET_LATENCY_ANSWERS = 64  # over which the mean of all runs
 MEAN_LOAD_UPDATES = 16  # over which the mean load of a worker runs
-HIGHEST_RELATIVE_LATENCY = 8  # so that one lost answer does not condemn a worker for long
-OWN_TIME_WEIGHT = 4  # of an answer's own time against the usual time: rough hints of little work count less
-REPORT_WEIGHT = 15  # of the mean reported load against one more report, which counts once
+HIGHEST_RELATIVE_LATENCY = 8  # bounds how long one very late answer makes a worker count as slow
+# Weight of an answer's own times against the usual service time, which damps rough hints of little work.
+OWN_TIME_WEIGHT = 4
+REPORT_WEIGHT = 15  # of the mean reported load so far against one more report, which has weight 1
 
 
 class Estimates:
-    """Running means.
+    """Running means of service times, work and loads.
 
     Attributes:
-        usual_service_time: time for an answer of a loaded copy, ns; before the first a quarter of the target.
-        mean_arriving_work: mean work hint of the last arrivals, ns; 0 where none is told.
-        mean_work: mean work hint of what was answered, ns.
-        mean_work_time: mean time for an answer of that, ns.
+        usual_service_time: time for an answer of a loaded copy, ns.
+        mean_arriving_work: mean work hint of the last arrivals, ns; 0 where none has one.
+        mean_work: mean work hint of the answered activations that had one, ns.
+        mean_work_time: mean time for an answer of these, ns.
         answers: answers so far, at most `RECENT_ANSWERS`.
         mean_answer_time: mean time of those, ns, loads included.
-        mean_worker_load: activations in flight at a worker from all dispatchers, by this one's own.
-        mean_reported_load: mean of the loads that workers report; None: none has.
+        mean_worker_load: activations in flight at a worker from all dispatchers, if each sends as this one.
+        mean_reported_load: mean of the loads that workers report; None: no worker has reported one.
         mean_relative_latency: mean of all answers' times in proportion to the expected ones.
     """
 
     def __init__(self, parameters: Parameters) -> None:
         target_latency = parameters.target_latency
         self.dispatchers = parameters.terms.dispatchers
-        self.load_lifetime = (
-            parameters.terms.orders.keep or 1
-        )  # ns in which what is known of a load loses weight
-        self.usual_service_time = target_latency // 4
+        # ns in which what is known of a worker's load loses its weight
+        self.load_lifetime = parameters.terms.orders.keep or 1
+        self.usual_service_time = target_latency // FIRST_SERVICE_TIME_DIVISOR
         self.mean_arriving_work: float = 0
-        self.mean_work = target_latency / 8
-        self.mean_work_time = target_latency / 8
+        self.mean_work = target_latency / FIRST_WORK_DIVISOR
+        self.mean_work_time = target_latency / FIRST_WORK_DIVISOR
         self.answers = 0
         self.mean_answer_time: float = 0
         self.mean_worker_load = 1.0
@@ -65,10 +69,10 @@
         return max(expected, activation.target_latency // SLOW_TARGET_DIVISOR)
 
     def worker_load(self, worker: Worker, now: int) -> float:
-        """Return how many activations the worker has in hand.
+        """Return an estimate of the activations that the worker runs or queues for all dispatchers.
 
-        By its latency and its report against the fleet's means, which count for less the older they are, and
-        by what was sent to it since.
+        Its latency and its report are compared with the fleet's means, and count for less the older they
+        are. To that are added the attempts that were sent to it since.
         """
         freshness = max(0, 1 - (now - worker.load_known_at) / self.load_lifetime)
         relative_load = worker.relative_latency / self.mean_relative_latency
@@ -82,7 +86,7 @@
         self.mean_arriving_work += (work - self.mean_arriving_work) / arrivals
 
     def record_report(self, worker: Worker, report: dict[str, float] | None, now: int) -> None:
-        """Learn from a load report; a field that is absent is not told, which is not none."""
+        """Learn from a load report; an absent field means that the load is unknown, not that it is 0."""
         if not report:
             return
         worker.in_flight_at_report = len(worker.in_flight)
@@ -102,7 +106,7 @@
         self.mean_answer_time += (duration - self.mean_answer_time) / self.answers
 
     def record_service_time(self, attempt: Attempt, duration: int, is_overloaded: bool) -> None:
-        """Learn the time of an answer of a loaded copy: the less, the more was ahead of it at its worker."""
+        """Learn the time of an answer of a loaded copy; it counts for less behind other attempts."""
         damping = OVERLOAD_DAMPING if is_overloaded else 1
         part = 1 / (USUAL_TIME_ANSWERS * (1 + attempt.ahead) ** 2) / damping
         function = attempt.activation.function
@@ -115,7 +119,7 @@
             self.mean_work_time += (duration - self.mean_work_time) * part
 
     def record_latency(self, attempt: Attempt, duration: int, now: int) -> None:
-        """Learn how long the attempt's worker takes in proportion to the usual."""
+        """Learn the relative latency of the attempt's worker from an answer."""
         worker = attempt.worker
         usual = self.usual_service_time
         expected = self.expected_time(attempt.activation)
@@ -126,6 +130,6 @@
         self.mean_relative_latency += (relative - self.mean_relative_latency) / FLEET_LATENCY_ANSWERS
 
     def update_mean_load(self, in_flight: int, fleet_size: int) -> None:
-        """Learn the mean load of a worker from the attempts in flight here, as others send as much."""
+        """Learn the mean load of a worker, as if all dispatchers had as many attempts in flight."""
         load = in_flight * self.dispatchers / max(1, fleet_size)
         self.mean_worker_load += (load - self.mean_worker_load) / MEAN_LOAD_UPDATES
--- a/petrelwood/decide/scheduling/fleet.py
+++ b/petrelwood/decide/scheduling/fleet.py
@@ -14,7 +14,7 @@
     """All known workers and those that the endpoint list has as usable.
 
     Attributes:
-        workers: known workers by id: usable ones, and others that still owe answers.
+        workers: known workers by id: usable ones, and others with attempts in flight.
         usable: the usable ones; a change of the list makes a new one.
         zone: the dispatcher's own zone.
         salt: drawn at the start, so that each dispatcher prefers other workers.
@@ -36,13 +36,13 @@
             named = {entry.worker for entry in entries}
             for worker in self.usable:
                 worker.is_usable = worker.id in named
-        restarted = [one for entry in entries if (one := self._apply_entry(entry, now))]
+        restarted = [found for entry in entries if (found := self._apply_entry(entry, now))]
         removed = [worker for worker in self.usable if not worker.is_usable]
         self.usable = [worker for worker in self.workers.values() if worker.is_usable]
         return restarted + removed
 
     def forget_unused(self) -> None:
-        """Forget workers that are not usable and owe no answer."""
+        """Forget workers that are not usable and have no attempt in flight."""
         self.workers = {
             worker.id: worker
             for worker in self.workers.values()
@@ -53,10 +53,17 @@
         """Apply one entry and return its worker if it has restarted."""
         worker = self.workers.get(entry.worker)
         if worker is None:
-            worker = self.workers[entry.worker] = Worker(*entry, first_seen=now)
+            worker = self.workers[entry.worker] = Worker(
+                id=entry.worker,
+                zone=entry.zone,
+                cell=entry.cell,
+                booted=entry.booted,
+                is_usable=entry.usable,
+                first_seen=now,
+            )
         has_restarted = entry.booted != worker.booted
         if has_restarted:
-            worker.restarted()
+            worker.forget_process()
         worker.zone = entry.zone
         worker.cell = entry.cell
         worker.booted = entry.booted
--- a/petrelwood/decide/scheduling/load_order_limit.py
+++ b/petrelwood/decide/scheduling/load_order_limit.py
@@ -1,8 +1,11 @@
-"""The rate limit of load orders, and of the further copies that load at a time.
+"""The rate limit of load orders, and the limit of further copies that load at a time.
 
-The platform bears so many load orders in each period, and so many more for each activation that was taken
-(`ports.LoadOrders`). An activation counts once it was sent to a function that exists and its client has
-stayed for a while: floods of activations that are taken back, or that call what nobody has, earn nothing.
+The platform allows so many load orders in each period, and so many more for each activation that was taken
+(`ports.LoadOrders`). An activation is credited once it was sent to a function that exists and its client has
+stayed for a while: floods of activations that are cancelled, or that call unknown functions, earn nothing.
+
+An order passes the limit twice: `may_order` when it is decided, and `may_leave` when a link hands it to the
+socket, as it may have waited for a connection meanwhile. `withdraw` takes off one that never left.
 """
 
 from collections import deque
@@ -20,20 +23,22 @@
 # Further copies that load at a time, for each worker of this dispatcher's part of the fleet: a copy pushes
 # others out of its worker, whose functions load again elsewhere.
 LOADS_AT_ONCE = 1 / 8
-# Target latencies for which a load that was not told to fail counts as loading.
-LONGEST_LOAD = 2
-# After a failed load, in target latencies: a crowded store rejects fetches and stops altogether when pushed.
+# Target latencies, or load times if these are longer, for which a further copy counts as loading unless its
+# load is known to have ended.
+FURTHER_LOAD_TIMEOUT = 2
+# Target latencies after a failed load in which no function gets a further copy: a crowded store rejects
+# fetches, and fails altogether if they go on.
 FURTHER_COPIES_PAUSE = 2
-# The same for any copy of the function whose load failed, as a divisor of the target latency.
+# The function whose load failed gets no copy at all for the target latency divided by this.
 FUNCTION_PAUSE_DIVISOR = 4
 
 
 class LoadOrderLimit:
-    """Counts load orders and the activations that bear them, over the last period.
+    """Counts load orders, and the activations that are credited for them, over the last period.
 
     Attributes:
-        credited: activations that count, at the time of their arrival.
-        ordered: load orders.
+        credited: activations that count, at their times of arrival.
+        ordered: load orders, at the times when they were decided or, if they waited, when they left.
         no_further_copies_until: no function gets a further copy before this time, ns.
     """
 
@@ -51,7 +56,7 @@
         self.no_further_copies_until = now
 
     def credit(self, activation: Activation, now: int) -> None:
-        """Let an activation that was sent count soon, if its function exists and its client is there."""
+        """Credit an activation that was sent, after a delay, if its function exists and its client stays."""
         if (
             activation.function.exists
             and activation.load_credit is NO_CREDIT
@@ -62,7 +67,7 @@
         self._count_pending(now)
 
     def revoke(self, activation: Activation) -> None:
-        """Let an activation count no longer, as its client has departed."""
+        """Take the credit of an activation back, as its client has departed."""
         self.credited.add(activation.arrived_at, -1 if activation.load_credit is COUNTED else 0)
         activation.load_credit = NO_CREDIT
 
@@ -80,9 +85,9 @@
         self.ordered.add(now)
 
     def may_leave(self, now: int, given_at: int) -> bool:
-        """Return whether an order that was given at `given_at` and has waited may leave now.
+        """Return whether an order that was decided at `given_at` and has waited may leave now.
 
-        If so, it counts as of now.
+        If so, it is counted at `now` in place of `given_at`.
         """
         self.ordered.add(given_at, -1)
         may_leave = self.may_order(now)
@@ -90,7 +95,7 @@
         return may_leave
 
     def withdraw(self, given_at: int) -> None:
-        """Take an order off again that was given at `given_at` and never left."""
+        """Take an order that was decided at `given_at` and never left off the count."""
         self.ordered.add(given_at, -1)
 
     def restore(self, now: int, orders: int) -> None:
@@ -98,21 +103,25 @@
         self.ordered.add(now, orders)
 
     def may_add_further_copy(self, now: int, fleet_size: int) -> bool:
-        """Return whether a function that has a copy may get another: few load at a time."""
+        """Return whether a function that has a copy may get another: few may load at a time.
+
+        Further copies whose load has ended are forgotten first.
+        """
         self.loading = [(copy, until) for copy, until in self.loading if copy.loading_since and now < until]
         at_once = max(1, int(LOADS_AT_ONCE * fleet_size / self.dispatchers))
         return now >= self.no_further_copies_until and len(self.loading) < at_once
 
     def record_further_copy(self, copy: Copy, function: Function, now: int) -> None:
         """Count a further copy of the function as loading."""
-        self.loading.append((copy, now + LONGEST_LOAD * max(self.target_latency, function.load_time)))
+        self.loading.append((copy, now + FURTHER_LOAD_TIMEOUT * max(self.target_latency, function.load_time)))
 
     def load_failed(self, function: Function, now: int) -> None:
-        """Ask the store for less, above all for further copies."""
+        """Pause loads of the function, and further copies of all functions, after a failed load."""
         function.placement_paused_until = now + self.target_latency // FUNCTION_PAUSE_DIVISOR
         self.no_further_copies_until = now + FURTHER_COPIES_PAUSE * self.target_latency
 
     def _count_pending(self, now: int) -> None:
+        """Credit the pending activations whose delay is over."""
         pending = self.pending
         while pending and pending[0][0] <= now:
             activation = pending.popleft()[1]
--- a/petrelwood/decide/scheduling/outcomes.py
+++ b/petrelwood/decide/scheduling/outcomes.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt tells of its worker, its copy and its function."""
+"""What is learnt from the end of an attempt: of its activation, its worker, its copy and its function."""
 
 from petrelwood.decide.scheduling.estimates import Estimates
 from petrelwood.decide.scheduling.load_order_limit import LoadOrderLimit
@@ -13,13 +13,14 @@
 NOTHING = CopyNote.NOTHING
 FOUND_WARM = CopyNote.FOUND_WARM
 BEGAN_LOAD = CopyNote.BEGAN_LOAD
-FUNCTION_EXISTS = frozenset((EndReason.COMPLETED, EndReason.MISSING))
-TELLS_NOTHING = frozenset((EndReason.CANCELLED, EndReason.NOT_SENT))
+FUNCTION_EXISTS = frozenset((EndReason.COMPLETED, EndReason.MISSING))  # a worker knows the function
+# The dispatcher ended the attempt itself: that shows nothing of the worker.
+ENDED_BY_US = frozenset((EndReason.CANCELLED, EndReason.NOT_SENT))
 BROKEN_CONNECTION = frozenset((EndReason.RESET, EndReason.NO_CONNECTION))
 
 
 class Outcomes:
-    """Hands what an attempt's end tells to those who learn from it."""
+    """Hands the end of an attempt to the estimates, the outlier detection and the placement."""
 
     def __init__(
         self,
@@ -39,7 +40,7 @@
         """Learn from the end of an attempt; `was_lost`: its answer was believed lost."""
         activation = attempt.activation
         reason = end.reason
-        if reason in NEVER_RAN:
+        if reason in NEVER_RAN:  # with no other attempt, a once-only activation may be sent again
             attempt.may_have_run = False
             if not any(each.may_have_run for each in activation.attempts):
                 activation.first_attempt = None
@@ -50,7 +51,7 @@
         self.outliers.record_end(attempt.worker, reason, now)
         if reason == COMPLETED:
             self._learn_from_completion(attempt, end.note, end.duration, now)
-        elif reason not in TELLS_NOTHING and not (was_lost and reason == EndReason.TIMED_OUT):
+        elif reason not in ENDED_BY_US and not (was_lost and reason == EndReason.TIMED_OUT):
             self._learn_from_failure(attempt, reason, end.note, now)
 
     def _learn_from_completion(self, attempt: Attempt, note: int, duration: int, now: int) -> None:
@@ -64,7 +65,7 @@
         if note == FOUND_WARM or has_no_note:
             self.estimates.record_service_time(attempt, duration, self.outliers.is_overloaded)
             self.outliers.record_latency(attempt, duration, now)
-        if not attempt.is_cold and note < BEGAN_LOAD:
+        if not attempt.is_cold and note < BEGAN_LOAD:  # neither began nor awaited a load
             is_slow = duration > self.estimates.slow_after(attempt.activation)
             self.outliers.record_slowness(is_slow, attempt, now)
 
--- a/petrelwood/decide/scheduling/outlier_detection.py
+++ b/petrelwood/decide/scheduling/outlier_detection.py
@@ -1,8 +1,8 @@
-"""Outlier detection: which workers get nothing, and how much the whole fleet is sent.
+"""Outlier detection: which workers are sent nothing, and how much the whole fleet is sent.
 
-A worker that resets connections is ejected for a while; one that owes answers and gives none is unresponsive;
-one that answers slowly gets fewer attempts at a time. If most answers are slow it is not single workers: then
-fewer attempts are in flight in all, and a part of the arrivals is shed.
+A worker whose connections break is ejected for a while; one that answers none of its attempts is unresponsive
+and gets no new one; one that answers slowly gets fewer attempts at a time. If most answers are slow, the
+fleet is overloaded: then fewer attempts are in flight in all, and a part of the arrivals is shed.
 """
 
 from collections.abc import Iterator
@@ -19,21 +19,22 @@
 OVERLOAD_SHARE = 0.5  # of slow answers, beyond which the fleet is overloaded
 # Attempts in flight at an overloaded fleet, at least, for each worker of this dispatcher's part of it.
 LEAST_A_WORKER = 2
-# Load shedding: from this share of slow answers on, so much more of the arrivals is shed, up to a limit, as
-# what is let in tells when the overload is over.
+# Load shedding: of the arrivals that find no free slot, `SHED_SLOPE` times the excess of the share of slow
+# answers over `BEARABLE_SLOW_SHARE` is shed. Some are always admitted: their answers show when it is over.
 BEARABLE_SLOW_SHARE = 0.15
 SHED_SLOPE = 4
 HIGHEST_SHED_PROBABILITY = 0.9
-# Expected times after which an attempt without an answer counts as lost, or its worker as unresponsive; and
-# load times, if it waits for a load.
+# An attempt without an answer counts as lost, or its worker as unresponsive, after so many expected times,
+# and so many load times more if it waits for a load.
 OVERDUE_TIMES = 6
 OVERDUE_LOADS = 3
-# An unresponsive worker is tried again after a target latency that doubles each time, up to 2 to this power.
+# An unresponsive worker is ejected for a target latency, doubled each time in a row, up to 2 to this power.
 MOST_DOUBLINGS = 4
 EJECTION_DIVISOR = 4  # of the target latency: how long a worker is ejected for a broken connection
-FULL_FACTOR = 2  # by which a worker's relative latency grows as it answers that it is full
-NO_SIGN_OF_LIFE = frozenset((EndReason.TIMED_OUT, EndReason.CANCELLED, EndReason.NOT_SENT))
-NO_SIGN_OF_LIFE_BY_LOAD = frozenset((EndReason.TIMED_OUT, EndReason.RESET, EndReason.NO_CONNECTION))
+FULL_FACTOR = 2  # by which a worker's relative latency is multiplied when it answers that it is full
+# Ends that do not show that the worker is up: of an attempt, and of a load order.
+UP_NOT_SHOWN = frozenset((EndReason.TIMED_OUT, EndReason.CANCELLED, EndReason.NOT_SENT))
+UP_NOT_SHOWN_BY_LOAD = frozenset((EndReason.TIMED_OUT, EndReason.RESET, EndReason.NO_CONNECTION))
 
 
 class OutlierDetection:
@@ -71,7 +72,10 @@
         return self.send_limit.is_reached(self.in_flight)
 
     def accepts(self, worker: Worker, now: int) -> bool:
-        """Return whether the worker may be given anything: usable, healthy and within its limits."""
+        """Return whether the worker may be sent an attempt or a load: usable, healthy and within its limits.
+
+        May draw the budget of a cold worker: calls and their order are part of a seeded run.
+        """
         return (
             worker.is_usable
             and not worker.is_unresponsive
@@ -81,9 +85,9 @@
         )
 
     def is_congested(self, worker: Worker) -> bool:
-        """Return whether the worker bears one attempt of ours and that slowly, where the fleet does not.
+        """Return whether the worker is limited to one attempt of ours and still slower than the fleet.
 
-        Copies there are of no use.
+        Its copies do not count as capacity then.
         """
         limit = worker.send_limit.limit
         if limit is None or limit > 1:
@@ -91,8 +95,8 @@
         fleet_latency = max(1.0, self.estimates.mean_relative_latency)
         return worker.relative_latency > SLOW_FACTOR * fleet_latency
 
-    def can_use(self, worker: Worker, now: int) -> bool:
-        """Return whether copies on the worker are of use for what is queued, perhaps after a while."""
+    def counts_as_capacity(self, worker: Worker, now: int) -> bool:
+        """Return whether the worker's copies will run queued activations, at once or after a while."""
         if worker.is_unresponsive or now < worker.ejected_until:
             return False
         return worker.send_limit.limit is None or not self.is_congested(worker)
@@ -114,18 +118,18 @@
 
     def record_end(self, worker: Worker, reason: EndReason, now: int) -> None:
         """Learn that the worker is up, if the end of an attempt shows that."""
-        if reason not in NO_SIGN_OF_LIFE:
+        if reason not in UP_NOT_SHOWN:
             worker.answered_at = now
             worker.is_unresponsive = False
 
     def record_load_order_end(self, worker: Worker, reason: EndReason, now: int) -> None:
         """Learn that the worker is up, if the end of a load order shows that."""
-        if reason not in NO_SIGN_OF_LIFE_BY_LOAD:
+        if reason not in UP_NOT_SHOWN_BY_LOAD:
             worker.answered_at = now
             worker.is_unresponsive = False
 
     def record_latency(self, attempt: Attempt, duration: int, now: int) -> None:
-        """Learn from an answer of a loaded copy, and limit what its worker has of ours: against crowding."""
+        """Learn from an answer of a loaded copy, and adapt the limit of attempts at its worker."""
         worker = attempt.worker
         self.estimates.record_latency(attempt, duration, now)
         is_slow = worker.relative_latency > SLOW_FACTOR
@@ -133,12 +137,13 @@
         worker.send_limit.record_answer(is_slow, len(worker.in_flight), now, sent_at)
 
     def record_slowness(self, is_slow: bool, attempt: Attempt, now: int) -> None:
-        """Learn from an answer how many of the fleet's are slow.
+        """Learn from an answer what share of the fleet's is slow, and adapt the fleet's limits.
 
-        Most answers slow: it is not single workers. Fewer attempts are in flight at once, the rest is queued.
+        Those are the limit of all attempts in flight, which is reduced under overload, and the shed
+        probability.
         """
         if is_slow and self.is_congested(attempt.worker):
-            return  # what it is known for tells nothing of the fleet
+            return  # a worker that is known to be slow says nothing about the fleet
         self.slow_share += (is_slow - self.slow_share) / SLOW_SHARE_ANSWERS
         least = max(1.0, LEAST_A_WORKER * len(self.fleet.usable) / self.dispatchers)
         self.send_limit.record_answer(self.is_overloaded, self.in_flight, now, attempt.sent_at, least)
@@ -146,15 +151,16 @@
         self.shed_probability = min(HIGHEST_SHED_PROBABILITY, SHED_SLOPE * excess)
 
     def record_full(self, worker: Worker, now: int) -> None:
-        """Learn that a worker has rejected an attempt as it is full."""
+        """Reduce what a worker is sent, as it has rejected an attempt because it is full."""
         worker.relative_latency = min(HIGHEST_RELATIVE_LATENCY, worker.relative_latency * FULL_FACTOR)
         worker.load_known_at = now
         worker.send_limit.record_answer(True, len(worker.in_flight) - 1, now, now)
 
     def is_single_connection(self, attempt: Attempt, now: int) -> bool:
-        """Return whether a reset tells nothing of the worker.
+        """Return whether a reset concerns one connection, and not the worker.
 
-        One connection of several may be reset, or cut for what came on it: who has just answered lives.
+        One of several may break, or be closed for what came on it. A worker whose load was learnt after the
+        attempt was sent, or within a usual service time, is up.
         """
         usual_start = now - self.estimates.usual_service_time
         return min(attempt.sent_at, usual_start) < attempt.worker.load_known_at
@@ -163,14 +169,15 @@
         """Send nothing to the worker for a while, as its connection broke."""
         worker.ejected_until = now + self.target_latency // EJECTION_DIVISOR
 
-    def overdue(self, worker: Worker, now: int) -> Iterator[Activation]:
+    def detect_overdue(self, worker: Worker, now: int) -> Iterator[Activation]:
         """Yield the activations of a worker that should have been answered, to be hedged.
 
-        Who owes answers and gives none gets nothing new. The caller hedges each before it takes the next: a
-        slot that a lost attempt has left is free for it.
+        A worker that has answered nothing for too long is marked as unresponsive; all its activations are
+        overdue then, else those of its lost attempts. The caller hedges each before it takes the next, which
+        may use the slot that a lost attempt has freed.
         """
         if not worker.in_flight:
-            self._all_answered(worker, now)
+            self._end_watch(worker, now)
             return
         oldest = next(iter(worker.in_flight.values()))
         usual = oldest.activation.function.service_time or self.estimates.usual_service_time
@@ -180,10 +187,10 @@
             for attempt in list(worker.in_flight.values()):
                 yield attempt.activation
             return
-        yield from self._lost(worker)
+        yield from self._detect_lost(worker)
 
-    def _all_answered(self, worker: Worker, now: int) -> None:
-        """Watch the worker no longer; one that was unresponsive is tried again later, by one attempt."""
+    def _end_watch(self, worker: Worker, now: int) -> None:
+        """Watch a worker without attempts no longer; an unresponsive one is ejected, then gets one."""
         del self.workers_in_use[worker.id]
         if worker.is_unresponsive:
             worker.is_unresponsive = False
@@ -191,8 +198,11 @@
             worker.send_limit.limit = 1.0
             worker.ejected_until = now + (self.target_latency << worker.unresponsive_periods)
 
-    def _lost(self, worker: Worker) -> Iterator[Activation]:
-        """Yield what newer attempts have overtaken by far: its answer is lost, its slot is not."""
+    def _detect_lost(self, worker: Worker) -> Iterator[Activation]:
+        """Free the slots of attempts that far newer ones have overtaken, and yield their activations.
+
+        Their answers are believed lost; one that comes all the same is handled.
+        """
         newest = worker.newest_answered_sent_at
         for key, attempt in list(worker.in_flight.items()):
             if attempt.sent_at + self.target_latency > newest:
--- a/petrelwood/decide/scheduling/parameters.py
+++ b/petrelwood/decide/scheduling/parameters.py
@@ -1,4 +1,4 @@
-"""What a scheduler is given at its start and keeps to the end."""
+"""The fixed parameters of a scheduler: its terms, and the intervals that follow from them."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,11 +14,12 @@
     """The terms, and what follows from them.
 
     Attributes:
-        terms: as the caller gave them. target_latency: the shortest target latency of all namespace types,
-        ns. check_interval: workers that owe answers and the endpoint list are checked eight times in it, ns.
-        sweep_interval: time between two timers while something is queued, ns. draw: gives a number in [0, 1)
-        of the one seeded generator. What draws, and in which order, decides how
-            a seeded run goes on.
+        terms: as the caller gave them.
+        target_latency: the shortest target latency of all namespace types, ns.
+        check_interval: the periodic checks (overdue attempts, the endpoint list) run eight times in it, ns.
+        sweep_interval: time between two timers while something is queued, ns.
+        draw: returns a number in [0, 1) from the one seeded generator. A seeded run repeats only while all
+            draws stay in their order.
     """
 
     terms: Terms
--- a/petrelwood/decide/scheduling/placement.py
+++ b/petrelwood/decide/scheduling/placement.py
@@ -1,6 +1,7 @@
 """Placement: which copy runs an activation, and on which worker a function gets another copy.
 
-What is decided here is returned, and carried out by `queueing` and `actions`.
+A copy is added to the records here; what it needs, an attempt or a load order, is carried out by `queueing`
+and `actions`.
 """
 
 from collections.abc import Iterator
@@ -21,19 +22,21 @@
 EQUAL_LOADS = 1.5
 # The same while a function has fewer copies than all dispatchers want.
 EQUAL_LOADS_WHILE_FEW = 1
-# Part of the target latency for which no copy is added after a place for one was not found.
+# Part of the target latency for which a function gets no copy after no worker for one was found.
 PLACEMENT_PAUSE = 1 / 6
 CANDIDATES = 2  # the less loaded of two is nearly as good as the least loaded of all
 MOST_COLD_ATTEMPTS = 2  # that wait for loads at one worker: loads there get in each other's way
-# Most copies of one function: this part of the usable workers, or so many, so that one function can't take
-# all.
+# Most copies of one function: this part of the usable workers, or so many if that is more, so that one
+# function can't take all workers.
 COPY_LIMIT_PART = 0.5
 FEWEST_COPIES = 4
-PREFETCH_PART = 0.5  # of the rate limit on load orders, what loads ahead of calls may use
+PREFETCH_PART = 0.5  # of the rate limit of load orders, that loads ahead of calls may use
 REFUSED_LOADS_DIVISOR = 2  # of the target latency: how long a worker with too many loads is given none
-LONGEST_LOAD = 3  # load times for which a copy counts as loading: longer than idle copies are kept
+# Load times after which a copy that still loads is forgotten, or the time that copies are kept if longer.
+LOAD_TIMEOUT = 3
 RENEWAL_PART = 3, 4  # of the time that idle copies are kept, after which a load is ordered to keep one
 MOST_BACKOFF_DOUBLINGS = 6  # of a copy's backoff, which begins at its service time
+# Ends of an attempt that show that its worker has no copy.
 COPY_UNLOADED = frozenset((EndReason.MISSING, EndReason.RESET, EndReason.NO_CONNECTION))
 
 
@@ -41,9 +44,8 @@
     """How a copy begins."""
 
     LOAD_ORDER = "load order"
-    ATTEMPT = (
-        "attempt"  # an activation is sent: the worker loads by itself, or another dispatcher's copy is there
-    )
+    # An activation is sent: the worker loads by itself, or has a copy that another dispatcher ordered.
+    ATTEMPT = "attempt"
 
 
 @dataclass(slots=True, frozen=True)
@@ -60,7 +62,7 @@
 
 
 class Placement:
-    """Chooses copies and workers, and keeps what is believed of the copies."""
+    """Chooses copies and workers, and keeps the records of copies."""
 
     def __init__(
         self,
@@ -90,7 +92,8 @@
     def find_free_copy(self, function: Function, activation: Activation, now: int) -> Copy | None:
         """Return the copy with a free slot on the least loaded worker, or None.
 
-        Sets whether the function wants a further copy, as even that worker is busier than the mean.
+        Forgets copies that were idle for too long, and sets whether the function wants a further copy, as
+        even that worker is busier than the mean.
         """
         best: Copy | None = None
         best_load: float = 0
@@ -111,9 +114,9 @@
         return best
 
     def useful_copies(self, function: Function, now: int) -> list[Copy]:
-        """Return the function's copies that can run what is queued, at once or after a while."""
-        can_use = self.outliers.can_use
-        return [copy for copy in function.copies.values() if can_use(copy.worker, now)]
+        """Return the function's copies that will run queued activations, at once or after a while."""
+        counts_as_capacity = self.outliers.counts_as_capacity
+        return [copy for copy in function.copies.values() if counts_as_capacity(copy.worker, now)]
 
     def copy_limit(self) -> int:
         """Return how many copies a function may get."""
@@ -186,13 +189,14 @@
         copy.errors = 0
 
     def record_failure(self, attempt: Attempt, reason: EndReason, note: int, now: int) -> None:
-        """Learn from a failed attempt whether its copy is there, and send nothing to it for a while.
+        """Forget the copy of a failed attempt if it is not loaded, and back off from it.
 
-        A fast error must not free its slot and draw the backlog: the backoff is longer each time.
+        The backoff doubles with each failure in a row: a copy that fails fast has free slots, and would be
+        sent the whole queue.
         """
         copy = attempt.copy
         function = attempt.activation.function
-        # One that was full while the copy loaded: no load has begun.
+        # A worker that was full while the copy was to load has not begun the load.
         is_unloaded = reason in COPY_UNLOADED or (reason == EndReason.FULL and copy.loading_since != 0)
         if is_unloaded or note == CopyNote.LOAD_FAILED:
             copy.loading_since = 0
@@ -210,7 +214,7 @@
     def load_order_ended(
         self, function: Function, worker: Worker, reason: EndReason, copies: int, now: int
     ) -> None:
-        """Learn how a load order has ended; `copies` of the function are on the worker now."""
+        """Update the copy after the end of a load order; `copies` of the function are on the worker now."""
         copy = function.copies.get(worker.id)
         if copies and worker.is_usable:
             if copy is None:
@@ -222,7 +226,7 @@
         elif copy and copy.loading_since:
             del function.copies[worker.id]
             copy.loading_since = 0
-            if reason in (EndReason.FULL, EndReason.NOT_SENT):  # its own loads wait, or it never left us
+            if reason in (EndReason.FULL, EndReason.NOT_SENT):  # too many loads there, or it never left
                 worker.loads_refused_until = now + self.target_latency // REFUSED_LOADS_DIVISOR
                 function.placement_paused_until = now + self.placement_pause
             else:
@@ -231,8 +235,8 @@
     def renewals(self, now: int) -> Iterator[tuple[Function, Worker]]:
         """Forget copies and functions that are not used, and yield copies to load once more.
 
-        An idle copy of a function that is still called is kept by a load order: one of all dispatchers gives
-        it. The caller gives each order before it takes the next.
+        An idle copy of a function that is still called is renewed by a load order. Each dispatcher draws, so
+        that one in all orders it. The caller gives each order before it takes the next.
         """
         keep = self.load_terms.keep
         for function in list(self.functions.values()):
@@ -287,8 +291,8 @@
         return list(islice(open_workers, CANDIDATES))
 
     def _is_unused(self, copy: Copy, function: Function, now: int) -> bool:
-        """Return whether nothing was heard of the copy for longer than it is kept, or than its load takes."""
-        longest_load = LONGEST_LOAD * function.load_time if copy.loading_since else 0
+        """Return whether the copy was idle for longer than it is kept, or than its load can take."""
+        longest_load = LOAD_TIMEOUT * function.load_time if copy.loading_since else 0
         idle_since = max(copy.last_seen, copy.loading_since)
         return not copy.in_flight and now - idle_since > max(self.load_terms.keep, longest_load)
 
--- a/petrelwood/decide/scheduling/popularity.py
+++ b/petrelwood/decide/scheduling/popularity.py
@@ -6,11 +6,12 @@
 from petrelwood.decide.scheduling.records import Function
 
 RECENT_CALLS = 64  # over which a function's part of all calls is counted
-# Copies of a function for each worker's worth of calls of it, so that no worker lives by one function.
+# A function with one worker's part of all calls gets so many copies, so that none runs just one function.
 COPIES_A_WORKER = 4
-# Calls that are doubted of the one that a function has had at least, and that a new dispatcher lacks.
-DOUBTED_CALL = 0.5
-MISSING_CALLS = RECENT_CALLS // 4
+# A few calls may be chance: a function counts as called so much less often, and all functions together as
+# called so much more often, which matters while a dispatcher is new.
+DOUBTED_CALLS = 0.5
+ASSUMED_CALLS = RECENT_CALLS // 4
 
 
 class Popularity:
@@ -33,9 +34,9 @@
             self.recent.popleft().recent_calls -= 1
 
     def wanted_copies(self, function: Function) -> int:
-        """Return on how many workers the other dispatchers need the function, if they have the same calls.
+        """Return how many copies the other dispatchers want, if they get the same mix of calls.
 
-        May be below 0 for a function without recent calls.
+        Below 0 for a function without recent calls.
         """
         others = COPIES_A_WORKER * len(self.fleet.usable) * (1 - 1 / self.dispatchers)
-        return int(others * (function.recent_calls - DOUBTED_CALL) / (len(self.recent) + MISSING_CALLS))
+        return int(others * (function.recent_calls - DOUBTED_CALLS) / (len(self.recent) + ASSUMED_CALLS))
--- a/petrelwood/decide/scheduling/queueing.py
+++ b/petrelwood/decide/scheduling/queueing.py
@@ -1,4 +1,4 @@
-"""The queue of each function: what is sent as slots become free, given up in time, and gets another copy."""
+"""The queue of each function: sends as slots become free, gives up in time, adds copies for a long queue."""
 
 from collections import deque
 from heapq import heappop, heappush
@@ -12,14 +12,15 @@
 
 # Queued activations for each slot that is taken or loading, beyond which a copy is added.
 BACKLOG_A_SLOT = 1.0
-# Part of the target latency for which the oldest must have been queued before that: a slot may become free.
+# Part of the target latency for which the oldest must have been queued before a function gets a further copy:
+# a slot may become free.
 COPY_DELAY = 1 / 6
-# Backlogs beyond which the newest are rejected where no copy may be added.
+# At the limit of copies the newest are rejected beyond so many times the backlog for which a copy is added.
 LONGEST_BACKLOG = 2
 
 
 class Queueing:
-    """Dispatches queued activations.
+    """Queues activations, and decides what becomes of them as slots, copies and time allow.
 
     Attributes:
         waiting: functions with queued activations, by key.
@@ -47,7 +48,7 @@
         self.waiting: dict[str, Function] = {}
 
     def enqueue(self, activation: Activation, now: int, is_retry: bool = False) -> None:
-        """Queue an activation, a retry or hedged request before all others, and dispatch its function."""
+        """Queue an activation, and dispatch its function; a retry or hedged request goes to the front."""
         function = activation.function
         function = activation.function = self.functions.setdefault(function.key, function)
         if not activation.is_queued:
@@ -64,7 +65,7 @@
             self.actions.set_timer(now, self.sweep_interval)
 
     def dispatch_all(self, now: int) -> None:
-        """Dispatch all functions, and then what is of low priority."""
+        """Dispatch the queues of all functions, then the activations of low priority to slots still free."""
         for function in list(self.waiting.values()):
             self.dispatch(function, now)
         remaining = [
@@ -76,16 +77,19 @@
             self.dispatch(function, now, with_low_priority=True)
 
     def dispatch(self, function: Function, now: int, with_low_priority: bool = False) -> None:
-        """Send to free slots, give up what is out of time, then add copies, or reject at their limit."""
+        """Send to free slots, give up what is out of time, then add copies, or reject at their limit.
+
+        The order matters: what a free slot takes needs no copy.
+        """
         if function.queued:
             self._send_queued(function, now, with_low_priority)
         expiries = function.expiries
         while expiries and expiries[0][0] <= now:
             activation = heappop(expiries)[1]
             if activation.is_queued and self.activations.get(activation.id) is activation:
-                self._expire(activation, now)
+                self._handle_expiry(activation, now)
         while function.queued and now >= function.placement_paused_until:
-            if not self._relieve(function, now):
+            if not self._shorten_queue(function, now):
                 break
         if (
             function.wants_copy
@@ -99,7 +103,7 @@
             self.waiting.pop(function.key, None)
 
     def time_to_sweep(self, now: int) -> int:
-        """Return the time to the next sweep, or to what is to be given up before it, ns."""
+        """Return the time to the next sweep, or to the next expiry if that is sooner, ns."""
         first = now + self.sweep_interval
         for function in self.waiting.values():
             if function.expiries:
@@ -107,7 +111,7 @@
         return min(self.sweep_interval, max(first - now, self.tick))
 
     def _send_queued(self, function: Function, now: int, with_low_priority: bool) -> None:
-        """Send what is queued to free slots: retries first, what is in time, and then perhaps the rest."""
+        """Send queued activations to free slots: those of low priority last, if at all."""
         if not any(copy.in_flight < function.slots for copy in function.copies.values()):
             function.wants_copy = False
             return
@@ -140,11 +144,16 @@
         queue.extendleft(reversed(unsent))
 
     def _send(self, activation: Activation, copy: Copy, now: int) -> None:
+        """Take an activation out of its queue and send it."""
         activation.function.dequeue(activation)
         self.actions.send(activation, copy, now)
 
-    def _expire(self, activation: Activation, now: int) -> None:
-        """Keep an activation queued, send it to a slot that all others have left free, or give it up."""
+    def _handle_expiry(self, activation: Activation, now: int) -> None:
+        """Send an activation that may be queued no longer to any free slot, or give it up.
+
+        What is expected of its service time may have changed, and one with an attempt in flight is given up
+        later: it stays queued then, with a new expiry.
+        """
         may_send = self.rules.may_send(activation, now)
         function = activation.function
         if may_send and (activation.in_flight or now <= self.rules.queueing_limit(activation)):
@@ -156,11 +165,11 @@
         else:
             self.actions.give_up(activation, now)
 
-    def _relieve(self, function: Function, now: int) -> bool:
-        """Add a copy if the queue is long, or reject the newest where none may be added.
+    def _shorten_queue(self, function: Function, now: int) -> bool:
+        """Add a copy if the queue is long, or reject the newest if the limit of copies is reached.
 
         Returns:
-            Whether a copy was added, so that another may be needed.
+            Whether a copy was added; another may be needed then.
         """
         copies = self.placement.useful_copies(function, now)
         slots = sum(function.slots if copy.loading_since else copy.in_flight for copy in copies)
@@ -178,21 +187,24 @@
         return self._add_copy(function, function.oldest_queued(), now)
 
     def _may_add_further_copy(self, function: Function, now: int) -> bool:
-        """Return whether it is the function's turn to get a further copy: of all it has the longest queue."""
+        """Return whether the function may get a further copy.
+
+        If it has a queue, that must be the longest of all by activations for each copy.
+        """
         if not self.placement.may_add_further_copy(now):
             return False
         if not function.queued:
             return True
-        longest = max(self.waiting.values(), default=function, key=_queue_for_each_copy)
+        longest = max(self.waiting.values(), default=function, key=_queued_per_copy)
         return function is longest
 
     def _add_copy(self, function: Function, activation: Activation | None, now: int) -> bool:
-        """Add a copy and begin it, and return whether it has begun."""
+        """Add a copy, begin it by an attempt or a load order, and return whether it has begun."""
         candidates = self.placement.find_candidates(function, activation, now)
         if candidates is None:
             return False
         if self.actions.check_health(candidates.workers, now):
-            return False  # placed once they answer, or at the next sweep
+            return False  # it is added once they answer, or at the next sweep
         copy = self.placement.add_copy(function, candidates, now)
         if candidates.start is CopyStart.ATTEMPT and activation is not None:
             self._send(activation, copy, now)
@@ -200,5 +212,5 @@
         return self.actions.order_load(function, copy.worker, now)
 
 
-def _queue_for_each_copy(function: Function) -> float:
+def _queued_per_copy(function: Function) -> float:
     return function.queued / (len(function.copies) or 1)
--- a/petrelwood/decide/scheduling/records.py
+++ b/petrelwood/decide/scheduling/records.py
@@ -45,16 +45,16 @@
         send_limit: limit of attempts in flight here, against crowding.
         answered_at: when it last answered anything, ns.
         newest_answered_sent_at: when the newest attempt left that it has answered, ns.
-        is_unresponsive: it owes answers and gives none: nothing is sent to it.
+        is_unresponsive: it has attempts in flight and answers none: nothing is sent to it.
         unresponsive_periods: how often in a row it was unresponsive (at most 4).
         ejected_until: nothing is sent to it before this time, ns.
         cold_attempts: attempts in flight that wait for a load here.
-        loads_refused_until: it has refused a load as it has too many; none is ordered before this time, ns.
+        loads_refused_until: it rejected a load order as it has too many; it gets none before this time, ns.
         relative_latency: how long it takes for an answer in proportion to the usual; 1.0 is usual.
-        reported_load: its load by its last report, in activations or cores; None: it has told none.
+        reported_load: its load by its last report, in activations or cores; None: it has reported none.
         in_flight_at_report: how many attempts were in flight when its load was last learnt.
         load_known_at: when its load was last learnt, ns.
-        health_checked_at: when it was last asked for a load report, ns.
+        health_checked_at: when the last health check was sent to it, ns.
         slow_start_step: number of the step of its slow start for which the budget was computed.
         slow_start_budget: attempts that may still be sent to it in that step.
     """
@@ -91,8 +91,8 @@
         self.load_known_at = self.first_seen - LONG_TIME
         self.health_checked_at = self.first_seen - LONG_TIME
 
-    def restarted(self) -> None:
-        """Forget what was believed of the process that ran there before."""
+    def forget_process(self) -> None:
+        """Forget what was believed of the process before, as the worker has restarted."""
         self.send_limit = SendLimit()
         self.ejected_until = 0
         self.is_unresponsive = False
@@ -132,8 +132,8 @@
 class Function:
     """A function, its copies and its queued activations.
 
-    What is queued no longer stays in the queues and is passed over when its turn comes, so that no event
-    walks over all that is queued.
+    An activation that leaves its queue is only marked (`Activation.is_queued`), and skipped when its turn
+    comes, so that no event walks over a whole queue.
 
     Attributes:
         key: its name.
@@ -144,7 +144,7 @@
         queue: queued activations, oldest first.
         low_priority_queue: those of them that are late, or beyond their customer's share.
         queued: how many of both are queued still.
-        expiries: a heap of (time, activation): when to look whether to give up a queued activation, ns.
+        expiries: a heap of (time in ns, activation): when to check whether to give up a queued activation.
         copies: its copies by the worker's id.
         service_time: its usual time for an answer, ns; 0: not known yet.
         placement_paused_until: no copy is added before this time, ns.
@@ -191,7 +191,7 @@
         return self.queue[-1] if self.queue else self.low_priority_queue[-1]
 
     def dequeue(self, activation: "Activation") -> None:
-        """Take the activation out of the queue, if it is there."""
+        """Mark the activation as not queued, if it is."""
         self.queued -= activation.is_queued
         activation.is_queued = False
 
@@ -204,14 +204,14 @@
         id: as the caller gave it.
         function: what it calls.
         type: the rules that hold for it.
-        due: when its final answer must be there, ns.
-        arrived_at: when the dispatcher was told of it, ns.
-        work: time that it is expected to compute, ns; 0: not told.
+        due: by when it must have its final answer, ns.
+        arrived_at: when the scheduler was given it, ns.
+        work: its work hint, the time that it is expected to compute, ns; 0: not known.
         slots: activations of its function that one copy runs at a time.
-        target_latency: the time in which its answer should be there, ns after its arrival.
+        target_latency: the time from its arrival in which it should be answered, ns.
         attempts: all its attempts, in their order.
         in_flight: how many of them have not ended.
-        first_attempt: the first of them, unless it is proved that none has run.
+        first_attempt: the first of them; None before it, and again once all are proved never to have run.
         full_workers: workers that have answered that they are full.
         is_queued: it waits for a free slot.
         is_over_quota: its customer has more activations here than its share.
--- a/petrelwood/decide/scheduling/scheduler.py
+++ b/petrelwood/decide/scheduling/scheduler.py
@@ -1,20 +1,23 @@
-"""The scheduler: every decision of one dispatcher, and nothing else; `ports.py` holds the interface.
+"""The scheduler: what one dispatcher sends, loads, retries and rejects; `ports.py` has its interface.
 
 `Scheduler(now, terms, seed, outlet)` starts an instance. Its public methods are then called in the order of
 the events. It acts only through its `ports.Outlet`, within these calls. Times are whole nanoseconds on the
 caller's clock.
 
-An activation passes admission, the queue of its function, placement and an attempt; the attempt's end goes
-the other way. The modules, each of which imports only those before it:
+An activation passes `admission`, the queue of its function (`queueing`), `placement` and `actions`, which
+sends an attempt. The attempt's end passes `attempts` and `outcomes`, and may bring the activation back into
+its queue as a retry. The modules, each of which imports only those before it:
 
-- `send_limit`, `window_counter`, `records`: what is known; `parameters`: what is given at the start
+- `send_limit`, `window_counter`: a limit of attempts in flight, and a counter, both without other records
+- `records`: workers, copies, functions, activations, attempts; `parameters`: what is given at the start
 - `fleet`: the workers, by the endpoint list; `popularity`, `worker_order`: which of them a function prefers
 - `load_order_limit`: the rate limit of load orders; `estimates`: service times and loads
-- `slow_start`, `outlier_detection`: what a worker may be given
+- `slow_start`, `outlier_detection`: which workers may be sent an attempt, and how many
 - `send_rules`: whether, where and until when an activation may be sent
 - `placement`: copies and workers; `admission`: priority and load shedding
-- `actions`: carries out, the only one that calls the outlet
-- `queueing`: the functions' queues; `outcomes`, `attempts`: ends of attempts, retries, hedged requests
+- `actions`: sends, load orders, health checks and final answers; the only module that calls the outlet
+- `queueing`: the functions' queues; `outcomes`: what is learnt from the end of an attempt; `attempts`: what
+  follows from it, a retry, a hedged request or the final answer
 - `snapshot`: what is believed of the fleet, for logs
 """
 
@@ -39,11 +42,11 @@
 from petrelwood.decide.scheduling.worker_order import WorkerOrder
 from petrelwood.ports import Arrival, AttemptEnd, EndReason, Listed, Outlet, Terms
 
-CHECKS = 8  # in each look interval
+CHECKS_PER_INTERVAL = 8  # periodic checks in each `Parameters.check_interval`
 # The endpoint list is requested after half of the time in which it must be, so that a lost request can
 # follow.
 LIST_REQUEST_DIVISOR = 2
-CLEANUPS = 16  # in the time that idle copies are kept
+CLEANUPS_PER_KEEP = 16  # in `LoadOrders.keep`, the time that idle copies stay
 
 
 class Scheduler:
@@ -87,14 +90,14 @@
         self.actions = actions
         self.queueing = queueing
         self.attempts = Attempts(fleet, activations, outliers, rules, outcomes, actions, queueing)
-        self.time_between_checks = parameters.check_interval // CHECKS  # ns
+        self.time_between_checks = parameters.check_interval // CHECKS_PER_INTERVAL  # ns
         self.next_check = now
         self.next_cleanup = now
         self.list_requested_at = now - LONG_TIME
         actions.set_timer(now, parameters.sweep_interval)
 
     def endpoints_changed(self, now: int, entries: Sequence[Listed], is_whole: bool) -> None:
-        """Learn of a change of the endpoint list, or of the whole list."""
+        """Apply a change of the endpoint list, or a whole list, and dispatch to the new workers."""
         for worker in self.fleet.apply(now, entries, is_whole):
             self.placement.forget_copies(worker)
         self.slow_start.fleet_changed(self.fleet.usable, now)
@@ -102,12 +105,12 @@
         self.queueing.dispatch_all(now)
 
     def endpoint_list_lost(self, now: int) -> None:
-        """Learn that no changes of the endpoint list will come: it is requested soon, not by all at once."""
+        """Request the endpoint list soon, as no changes come; the time is drawn, as all dispatchers do so."""
         delay = int(self.parameters.draw() * self.parameters.check_interval)
         self.list_requested_at = now - self._list_request_time() + delay
 
     def activation_arrived(self, now: int, arrival: Arrival) -> None:
-        """Take in an activation: it is sent, queued or rejected."""
+        """Send, queue or reject a new activation."""
         function = self._function(arrival.function, arrival.slots, arrival.load_time)
         function.called_at = now
         self.popularity.record_call(function)
@@ -118,21 +121,21 @@
         if self.admission.sheds(activation):
             self.actions.give_up(activation, now)
         if self.terms.reports_by_probe:
-            self._check_one(function, now)
+            self._check_least_known_worker(function, now)
 
     def attempt_ended(self, now: int, end: AttemptEnd) -> None:
-        """Learn how an attempt has ended."""
+        """Handle the end of an attempt: learn from it, and retry or end its activation."""
         self.attempts.end(end, now)
 
     def stream_started(self, now: int, activation_id: str, attempt: int, worker_id: str) -> None:
-        """Learn that a stream has begun its answer: it takes as long as it takes."""
+        """Let an activation whose answer has begun to stream take as long as it needs."""
         activation = self.activations.get(activation_id)
         if activation is not None:
             activation.due = NEVER
             self.fleet.workers[worker_id].answered_at = now
 
     def client_departed(self, now: int, activation_id: str) -> None:
-        """Forget an activation that its client has taken back; it earns no load orders any more."""
+        """Forget an activation that its client has cancelled; it no longer counts for load orders."""
         activation = self.activations.get(activation_id)
         if activation is not None:
             self.load_orders.revoke(activation)
@@ -146,7 +149,7 @@
             self.actions.give_up(activation, now)
 
     def load_order_ended(self, now: int, worker_id: str, key: str, reason: EndReason, copies: int) -> None:
-        """Learn how a load order has ended; `copies` of the function are on the worker now."""
+        """Handle the end of a load order; `copies` of the function are on the worker now."""
         worker = self.fleet.workers.get(worker_id)
         function = self.functions.get(key)
         if worker is None or function is None:
@@ -156,15 +159,18 @@
         self.queueing.dispatch(function, now)
 
     def may_load_order_leave(self, now: int, given_at: int) -> bool:
-        """Return whether a load order that was given at `given_at` and has waited may leave now."""
+        """Return whether a load order that was decided at `given_at` and has waited may leave now.
+
+        If so, it counts for the rate limit at this time.
+        """
         return self.load_orders.may_leave(now, given_at)
 
     def load_order_withdrawn(self, now: int, given_at: int) -> None:
-        """Learn that a load order that was given at `given_at` never left."""
+        """Take a load order that was decided at `given_at` and never left off the rate limit."""
         self.load_orders.withdraw(given_at)
 
     def load_orders_restored(self, now: int, orders: int) -> None:
-        """Learn that an earlier incarnation gave so many load orders in the last period."""
+        """Count the load orders that an earlier incarnation gave in the last period."""
         self.load_orders.restore(now, orders)
 
     def prefetch(self, now: int, key: str, slots: int, load_time: int) -> str | None:
@@ -187,19 +193,22 @@
     def health_check_ended(
         self, now: int, worker_id: str, reason: EndReason, report: dict[str, float] | None
     ) -> None:
-        """Learn how a health check has ended, and the load report that it brought."""
+        """Handle the end of a health check, and the load report that it brought."""
         worker = self.fleet.workers.get(worker_id)
         if worker is not None and reason == EndReason.COMPLETED:
             self.estimates.record_report(worker, report, now)
         self.queueing.dispatch_all(now)
 
     def timer_fired(self, now: int, mark: str) -> None:
-        """Check what is due, and dispatch what is queued."""
+        """Run the periodic checks if they are due, and dispatch what is queued.
+
+        There is one timer: `mark` is not looked at.
+        """
         if not self.actions.clear_timer(now):
             return  # it was replaced by an earlier one
         try:
             if now >= self.next_check:
-                self._check_all(now)
+                self._run_periodic_checks(now)
             self.queueing.dispatch_all(now)
         finally:  # whatever fails, the sweeps go on
             if self.queueing.waiting:
@@ -221,8 +230,8 @@
         function.load_time = load_time or function.load_time
         return function
 
-    def _check_one(self, function: Function, now: int) -> None:
-        """Check the health of the worker with a copy that was not heard of for longest."""
+    def _check_least_known_worker(self, function: Function, now: int) -> None:
+        """Check the health of the worker with a copy whose load was learnt longest ago."""
         workers = [copy.worker for copy in function.copies.values() if copy.worker.is_usable]
         workers.sort(key=lambda worker: max(worker.health_checked_at, worker.load_known_at))
         self.actions.check_health(workers[:1], now)
@@ -230,8 +239,11 @@
     def _list_request_time(self) -> int:
         return self.terms.guarantees.ask_within // LIST_REQUEST_DIVISOR
 
-    def _check_all(self, now: int) -> None:
-        """Do what is due now and then; it must cost little on a large fleet."""
+    def _run_periodic_checks(self, now: int) -> None:
+        """Update the slow start and the mean load, hedge what is overdue, request the endpoint list.
+
+        Only workers in use are walked over, so that it costs little on a large fleet.
+        """
         fleet_size = len(self.fleet.usable)
         self.slow_start.update(now, now - self.next_check + self.time_between_checks, fleet_size)
         self.next_check = now + self.time_between_checks
@@ -242,11 +254,11 @@
             self.list_requested_at = now
             self.actions.request_endpoint_list()
         if now >= self.next_cleanup:
-            self.next_cleanup = now + self.terms.orders.keep // CLEANUPS
+            self.next_cleanup = now + self.terms.orders.keep // CLEANUPS_PER_KEEP
             self._clean_up(now)
 
     def _clean_up(self, now: int) -> None:
-        """Forget what is not used any more, and keep the copies that are."""
+        """Renew idle copies that are still needed, and forget what is not used any more."""
         for function, worker in self.placement.renewals(now):
             self.actions.order_load(function, worker, now)
         self.fleet.forget_unused()
--- a/petrelwood/decide/scheduling/send_limit.py
+++ b/petrelwood/decide/scheduling/send_limit.py
@@ -27,11 +27,11 @@
         """Learn from one answer.
 
         Args:
-            is_slow: whether the answer duration too long.
+            is_slow: whether the answer took too long.
             in_flight: attempts that are still in flight.
             now: time of the answer, ns.
-            sent_at: time when its attempt left, ns. What left before the last reduction tells nothing
-                of it, so that answers that were slow for one reason reduce the limit once.
+            sent_at: when its attempt was sent, ns. One that was sent before the last reduction says nothing
+                about its effect: answers that are slow for one reason reduce the limit once.
             least: a reduction leaves the limit no lower than this.
         """
         if is_slow and sent_at >= self.reduced_at:
--- a/petrelwood/decide/scheduling/send_rules.py
+++ b/petrelwood/decide/scheduling/send_rules.py
@@ -1,4 +1,8 @@
-"""Whether, where and until when an activation may be sent, by the rules of its namespace type."""
+"""Whether, where and until when an activation may be sent, by the rules of its namespace type.
+
+`SendRules.may_send` is the one place that allows a second attempt, be it a retry or a hedged request.
+`Activation.first_attempt`, by which it knows of an earlier one that may have run, is cleared in `outcomes`.
+"""
 
 from petrelwood.decide.scheduling.estimates import Estimates
 from petrelwood.decide.scheduling.parameters import Parameters
@@ -8,7 +12,7 @@
 # Python 3.11 is slow to look a member up on its enum, and these are looked up for each activation.
 REPEATABLE = Effect.REPEATABLE
 DEDUPLICATED = Effect.DEDUPLICATED
-# An attempt must have half of its expected time left, and so many sweeps: what leaves later is answered late.
+# An attempt needs half of its expected time, and so many sweeps, before the deadline: else it would be late.
 LEAST_SWEEPS_LEFT = 2
 
 
@@ -22,7 +26,7 @@
         self.estimates = estimates
 
     def may_send(self, activation: Activation, now: int) -> bool:
-        """Return whether the activation may be sent once more, to whatever worker."""
+        """Return whether the activation may be sent, for the first time or once more, to any worker."""
         if len(activation.attempts) >= self.allowed.sends:
             return False
         if activation.in_flight and not self.allowed.overlap:
@@ -33,11 +37,15 @@
         if first is None or activation.type.effect == REPEATABLE:
             return True
         if activation.type.effect != DEDUPLICATED:
-            return False
+            return False  # once-only, and an attempt may have run
         return now < first.sent_at + activation.type.window
 
     def may_run_on(self, activation: Activation, worker: Worker) -> bool:
-        """Return whether the worker is new to the activation, and in the group that drops its repeats."""
+        """Return whether the worker may run the activation, by the attempts made so far.
+
+        No attempt may have run on it, and a repeat of a deduplicated activation stays in the group of the
+        first attempt's worker.
+        """
         for attempt in activation.attempts:
             if attempt.worker is worker and attempt.may_have_run:
                 return False
@@ -48,14 +56,17 @@
         return worker.is_in_group_of(first.worker, type_.scope)
 
     def may_reject(self, activation: Activation) -> bool:
-        """Return whether a client that is told to come back does no harm by that."""
+        """Return whether a rejection does no harm: its client may retry, and the activation may run again.
+
+        Else the final answer is an abort, which says that it may have run.
+        """
         type_ = activation.type
         if not activation.first_attempt or type_.effect == REPEATABLE:
             return True
         return type_.effect == DEDUPLICATED and type_.scope == Scope.ALL
 
     def expiry(self, activation: Activation) -> int:
-        """Return when to give up the activation unless it is sent before, ns, by what is known now."""
+        """Return the time at which to give up the activation unless it was sent, as estimated now, ns."""
         expiry = activation.due - self._time_needed(activation)
         if activation.first_attempt and activation.type.effect == DEDUPLICATED:
             expiry = min(expiry, activation.first_attempt.sent_at + activation.type.window)
@@ -64,12 +75,13 @@
         return min(expiry, self.queueing_limit(activation) + 1)
 
     def queueing_limit(self, activation: Activation) -> int:
-        """Return how long the activation may be queued with no attempt in flight, as a time in ns.
+        """Return the time until which the activation may be queued with no attempt in flight, ns.
 
-        It is answered by half of its time then, so that its client can come back in the other half.
+        That is a sweep before half of its time is over, so that a rejected client can retry in the other.
         """
         half = (activation.due - activation.arrived_at) // 2
         return activation.arrived_at + max(0, half - self.sweep_interval)
 
     def _time_needed(self, activation: Activation) -> int:
+        """Return the time before the deadline that an attempt needs at least, ns."""
         return max(self.estimates.expected_time(activation) // 2, self.shortest_attempt)
--- a/petrelwood/decide/scheduling/slow_start.py
+++ b/petrelwood/decide/scheduling/slow_start.py
@@ -1,8 +1,9 @@
 """Slow start: how much a worker that has just started is sent.
 
-A worker is cold for a while after its start, bears only a part of its capacity at first, and falls over
-beyond a multiple of that. The dispatchers do not know of each other's sends: each takes its own part of the
-budget.
+A worker is cold for a while after its start (`Guarantees.cold`): it has only a part of its capacity at first
+(`cold_from`), and falls over if it gets `fall_multiple` times that within `fall` ns. So it has a budget of
+attempts for each step of `fall` ns. The dispatchers do not know of each other's sends: each takes its own
+part of the budget.
 """
 
 from collections.abc import Iterable
@@ -12,19 +13,19 @@
 from petrelwood.decide.scheduling.records import Worker
 from petrelwood.decide.scheduling.window_counter import BackdatedCounter
 
-# Part of what makes a worker fall that all dispatchers use together: chance may give them more at a time.
+# All dispatchers together plan for what makes a worker fall over, divided by this: draws may add up to more.
 BUDGET_PART_DIVISOR = 3
-UNLIMITED = 1  # the budget of a warm worker: what is sent to it takes nothing off
+UNLIMITED = 1  # the budget of a warm worker: any number over 0, as sends are not taken off it
 
 
 class SlowStart:
-    """Budgets of workers that have just started, by what a warm worker is made to do.
+    """Budgets of cold workers, in proportion to what this dispatcher sends to a warm one.
 
     Attributes:
         warm_workers: usable workers that are warm, as of the last update.
         warming_up: those that are not.
-        warm_answers: answers of warm workers.
-        warm_worker_time: the time that warm workers were there, in all, ns.
+        warm_answers: answers of warm workers in the last `cold` ns.
+        warm_worker_time: the sum over warm workers of the time that each was warm then, ns.
     """
 
     def __init__(self, parameters: Parameters, estimates: Estimates) -> None:
@@ -42,7 +43,10 @@
         return not worker.booted or max(0, now - worker.booted) >= self.guarantees.cold
 
     def budget(self, worker: Worker, now: int) -> int:
-        """Return how many attempts may be sent to the worker now: more than 0 if it is warm."""
+        """Return how many attempts may still be sent to the worker in this step; over 0 if it is warm.
+
+        Draws the budget of a cold worker at the first call in each step.
+        """
         if self.is_warm(worker, now) or not self.guarantees.fall:
             return UNLIMITED
         step = max(0, now - worker.booted) // self.guarantees.fall
@@ -56,20 +60,21 @@
         self.warm_answers.add(now, int(self.is_warm(worker, now)))
 
     def fleet_changed(self, usable: Iterable[Worker], now: int) -> None:
-        """Learn of another endpoint list."""
+        """Note which of the usable workers are cold, after a change of the endpoint list."""
         self.warming_up = [worker for worker in usable if not self.is_warm(worker, now)]
 
     def update(self, now: int, elapsed: int, fleet_size: int) -> None:
-        """Count the warm workers, and the time that they were there in the last `elapsed` ns."""
+        """Count the warm workers, and the time that they were warm in the last `elapsed` ns."""
         self.warm_worker_time.add(now, self.warm_workers * elapsed)
         self.warming_up = [worker for worker in self.warming_up if not self.is_warm(worker, now)]
         self.warm_workers = fleet_size - len(self.warming_up)
 
     def _draw_budget(self, step: int, now: int) -> int:
-        """Return this dispatcher's part of what a cold worker bears in one step.
+        """Return this dispatcher's part of a cold worker's budget for one step, in attempts.
 
-        As much as it makes a warm worker do, or its part of one core. A part under one attempt is drawn, so
-        that all dispatchers together keep the budget.
+        It follows the rate of answers of a warm worker, or the dispatcher's part of what one core can do if
+        that is more. A fraction of an attempt is rounded by a draw, so that all dispatchers together keep
+        the budget.
         """
         terms = self.guarantees
         capacity = terms.cold_from + (1 - terms.cold_from) * step * terms.fall / terms.cold
--- a/petrelwood/decide/scheduling/window_counter.py
+++ b/petrelwood/decide/scheduling/window_counter.py
@@ -1,4 +1,4 @@
-"""Counts over the last while, to which events of a past time can still be added or taken off again.
+"""A counter over a sliding window, to which past events can still be added, or taken off again.
 
 `decide.overload.sliding_window.SlidingWindowCounter` counts events as they happen. Here an event may be
 counted late, at the time when it happened (an activation earns its credit only some time after its arrival),
@@ -26,7 +26,7 @@
         self.newest = 0
 
     def add(self, at: int, count: int = 1) -> None:
-        """Count events of time `at`, which may be past; those that have left the window are passed over."""
+        """Count events of time `at`, which may be past; those that have left the window are ignored."""
         self._advance(at)
         bucket = at // self.width
         if bucket + BUCKETS >= self.newest:
--- a/petrelwood/decide/scheduling/worker_order.py
+++ b/petrelwood/decide/scheduling/worker_order.py
@@ -1,4 +1,4 @@
-"""In which order a function's copies are placed on workers.
+"""The order of workers in which a function's copies are placed.
 
 Each function has its own order of all workers, by a hash of both names. All dispatchers have the same order,
 so that they use the same copies without knowing of each other.
@@ -12,10 +12,10 @@
 from petrelwood.decide.scheduling.popularity import Popularity
 from petrelwood.decide.scheduling.records import Function, Worker
 
-CACHED_ORDERS = 64  # functions whose first workers are cached; a hot one is placed again and again
+CACHED_ORDERS = 64  # functions whose first workers are cached, as popular ones are placed often
 SPARE_WORKERS = 32  # further workers that are ranked, as ranks are spread evenly only by chance
-FURTHER_CACHED = 4  # workers that are cached beyond those that are wanted: the first may take nothing
-POSITION_BITS = 20  # of a rank with the worker's place in the fleet: up to a million workers
+FURTHER_CACHED = 4  # workers that are cached beyond those that are wanted, as some may be full
+POSITION_BITS = 20  # that a worker's index in the fleet takes beside its rank: up to a million workers
 
 
 class WorkerOrder:
@@ -32,15 +32,16 @@
         self.cached: dict[str, list[Worker]] = {}
 
     def fleet_changed(self) -> None:
-        """Learn of another endpoint list."""
+        """Drop the cached orders, after a change of the endpoint list."""
         self.hashes = [worker.hash for worker in self.fleet.usable]
         self.cached.clear()
 
     def workers_for(self, function: Function) -> Iterator[Worker]:
         """Yield all usable workers in the function's order.
 
-        What other dispatchers need too begins anywhere among as many workers as all need, those of the own
-        zone first: else all dispatchers, each with a little of it, would take the same worker.
+        A function that other dispatchers call too needs several workers. Its first workers, as many as that,
+        come in this dispatcher's own order, those of its zone first: else all dispatchers would send their
+        few calls to the same one.
         """
         wanted = max(0, self.popularity.wanted_copies(function))
         size = len(self.fleet.usable)
