--- a/petrelwood/decide/overload/admission.py
+++ b/petrelwood/decide/overload/admission.py
@@ -1,10 +1,12 @@
-"""Who may open a connection, shake hands, be read and have a signature checked, before any of it costs much.
+"""Admission of connections, TLS handshakes, unfinished requests and signature checks, by client address.
 
-All by address: what a request says of its customer is not believed before its signature holds, or anyone
-could wear out another's share. An address has a rate of its own for connections, and a share of each bound
-once half of the bound is in use; so one crowd can't keep the others out, and a lone caller may use all. An
-address whose signatures fail goes through `Backoff`: it is rejected unread for a while that doubles. What is
-known of addresses is bounded; the one heard of longest ago is forgotten.
+The customer that a request names does not count: before its signature is checked, anyone could use up
+another's share. An address has a rate limit for connections, and a share of each bound once half of the bound
+is in use: many connections from one address don't keep the others out, and a single address may use nearly
+all. An address whose signatures fail is rejected unread, with backoff. The number of known addresses is
+bounded; the one that was seen longest ago is forgotten.
+
+What is admitted of requests is decided in `intake`, and in `decide.scheduling.admission`.
 """
 
 from collections import OrderedDict
@@ -14,20 +16,20 @@
 
 from petrelwood.decide.overload.backoff import Backoff
 
-SECOND = 1_000_000_000
-BURST = 1 / 4  # of the bound on connections, that one address may open at once
-LEAST_BURST = 16
-REFILL = 1 / 8  # of the bound on connections, each second
+SECOND = 1_000_000_000  # ns
+BURST = 1 / 4  # of the bound on connections, that one address may open at once,
+LEAST_BURST = 16  # or so many connections if that is more
+REFILL = 1 / 8  # of the bound on connections, that an address may open each second
 LEAST_RATE = 1.0  # connections a second
-STORM_RATE = 1 / 4  # of the rate, while connections come in a storm
-SHARED_FROM = 0.5  # of a bound in use, from which it is shared out
-LONE_SHARE = 7 / 8  # of a bound, for an address that is alone
+STORM_RATE = 1 / 4  # factor of the rate during a storm of reconnects
+SHARED_FROM = 0.5  # part of a bound in use, from which on each address has an equal share
+LONE_SHARE = 7 / 8  # of a bound, for the only address that uses it
 MOST_BAD_SIGNATURES = 16  # in a row, before an address is rejected unread
-FIRST_BAN = SECOND // 2
-LONGEST_BAN = 32 * SECOND
-MOST_ADDRESSES = 4096
-SPREAD = 2  # seconds over which retries of rejected connections are drawn
-STORM_SPREAD = 4
+FIRST_BAN = SECOND // 2  # ns that it is rejected unread at first,
+LONGEST_BAN = 32 * SECOND  # and at most
+MOST_ADDRESSES = 4096  # that are remembered
+SPREAD = 2  # seconds over which the Retry-After of rejected connections is drawn,
+STORM_SPREAD = 4  # and during a storm of reconnects
 
 
 class AdmissionVerdict(StrEnum):
@@ -61,7 +63,7 @@
 BYTES: Usage = attrgetter("bytes")
 
 
-class Admission:
+class ConnectionAdmission:
     """Bounds on connections, handshakes and bytes over all addresses.
 
     `chance` is drawn in [0, 1); without a bound on handshakes (0) none are counted. Times in ns.
@@ -89,7 +91,7 @@
         self.counts = {verdict.value: 0 for verdict in AdmissionVerdict}
 
     def admit_connection(self, now: int, name: str) -> AdmissionVerdict:
-        """A connection was accepted: ADMIT, or why it is closed again."""
+        """Return ADMIT for a connection that was accepted, or why it is to be closed."""
         address = self._address(now, name)
         rate = max(LEAST_RATE, self.connections * REFILL) * (STORM_RATE if self.is_storm else 1.0)
         address.tokens = min(self.burst, address.tokens + (now - address.seen_at) / SECOND * rate)
@@ -106,21 +108,21 @@
         return verdict
 
     def on_handshake_done(self, name: str) -> None:
-        """A connection that was admitted has its handshake behind it."""
+        """Note that the handshake of an admitted connection is over."""
         address = self.addresses.get(name)
         if self.handshakes and address is not None and address.handshaking:
             address.handshaking -= 1
             self.handshaking -= 1
 
     def on_closed(self, name: str) -> None:
-        """A connection that was admitted is gone."""
+        """Note that an admitted connection was closed."""
         address = self.addresses.get(name)
         self.open -= 1
         if address is not None:
             address.open = max(0, address.open - 1)
 
     def reserve_bytes(self, now: int, name: str, size: int) -> bool:
-        """Whether bytes of a request that is not complete yet may be held."""
+        """Reserve memory for bytes of an unfinished request, and return whether there was enough."""
         address = self._address(now, name)
         is_full = self.held_bytes + size > self.most_bytes
         if is_full or self._is_over_share(
@@ -133,21 +135,21 @@
         return True
 
     def release_bytes(self, name: str, size: int) -> None:
-        """A request is complete, or given up: its bytes are no longer held here."""
+        """Release the reserved bytes of a request that is complete or rejected."""
         address = self.addresses.get(name)
         self.held_bytes -= size
         if address is not None:
             address.bytes = max(0, address.bytes - size)
 
     def may_check_signature(self, now: int, name: str) -> bool:
-        """Whether a signature from there is worth checking; else the request is rejected unread."""
+        """Return whether a signature from this address is checked; else the request is rejected unread."""
         if self._address(now, name).backoff.may_retry(now):
             return True
         self.counts[AdmissionVerdict.BANNED] += 1
         return False
 
     def record_signature(self, now: int, name: str, is_good: bool) -> None:
-        """A signature from there was checked."""
+        """Note whether a signature from this address was valid."""
         address = self._address(now, name)
         if is_good:
             address.bad_signatures = 0
@@ -159,7 +161,7 @@
             address.backoff.failed(now)
 
     def retry_after_seconds(self, name: str, now: int) -> int:
-        """When a rejected connection may be tried again, for `Retry-After`; drawn, so that a crowd parts."""
+        """Return the `Retry-After` of a rejected connection; drawn, so that many do not retry together."""
         address = self.addresses.get(name)
         ban = max(0, address.backoff.not_before - now) if address is not None else 0
         return 1 + int(ban / SECOND + self.chance() * (STORM_SPREAD if self.is_storm else SPREAD))
@@ -178,9 +180,9 @@
         return AdmissionVerdict.TOO_FAST if address.tokens < 1 else AdmissionVerdict.ADMIT
 
     def _is_over_share(self, address: Address, usage: Usage, mine: int, used: int, bound: int) -> bool:
-        """Whether an address has its share of a bound that is half used.
+        """Return whether an address has used up its share of a bound that is half used.
 
-        A lone one may take all but an eighth, which is left for whoever comes next.
+        The only address that uses it may take all but an eighth, which is left for the next one.
         """
         if used <= bound * SHARED_FROM:
             return False
@@ -200,7 +202,7 @@
         return found
 
     def _forget_one(self, newest: str) -> None:
-        """Forgets the address that was heard of longest ago, of those without a connection."""
+        """Forget the address that was seen longest ago, of those without a connection."""
         for name, address in self.addresses.items():
             if not address.open and name != newest:
                 del self.addresses[name]
--- a/petrelwood/decide/overload/backoff.py
+++ b/petrelwood/decide/overload/backoff.py
@@ -1,4 +1,4 @@
-"""Backoff and a budget of retries, for links, the roster and whatever else is attempted again.
+"""Backoff and a budget of retries, for links, the roster, addresses and attempts.
 
 Waits double from `first` to `most`, each drawn from its upper half, or with `full` from all of it, so that
 those that failed together do not come back together. A `Budget` bounds retries by first attempts.
@@ -7,11 +7,11 @@
 from collections.abc import Callable
 
 MOST_DOUBLINGS = 16
-ROUNDING = 1e-9  # tenths do not sum to one exactly
+ROUNDING = 1e-9  # a sum of ratios, such as ten times 0.1, may be less than 1 by this
 
 
 class Backoff:
-    """The waits of one thing that is attempted again; times in ns, `chance()` is drawn in [0, 1)."""
+    """Exponential backoff with jitter; times in ns, `chance()` is drawn in [0, 1)."""
 
     __slots__ = ("chance", "failures", "first", "full", "most", "not_before")
 
@@ -24,7 +24,7 @@
         self.not_before = 0  # when the next attempt may be made
 
     def failed(self, now: int) -> int:
-        """Notes a failure; returns the time before which nothing is attempted again."""
+        """Note a failure, and return the time before which no retry may be made."""
         wait = min(self.first << min(self.failures, MOST_DOUBLINGS), self.most)
         self.failures += 1
         least = 0 if self.full else wait // 2
@@ -32,20 +32,20 @@
         return self.not_before
 
     def succeeded(self) -> None:
-        """Notes a success: the next failure costs the first wait again."""
+        """Note a success: the next failure is followed by the first wait again."""
         self.failures = 0
         self.not_before = 0
 
     def may_retry(self, now: int) -> bool:
-        """Whether the wait is over."""
+        """Return whether the wait is over."""
         return now >= self.not_before
 
 
 class Budget:
-    """So many retries for so many first attempts.
+    """A budget of retries, in proportion to first attempts.
 
-    Each first attempt earns `ratio` of a retry, up to `most` that are saved. With `every` (ns), time earns a
-    retry too, so that what has had no first attempt for long is attempted all the same.
+    Each first attempt earns `ratio` of a retry, up to `most` that are saved. With `every` (ns), each such
+    time earns a retry too, so that retries go on without first attempts.
     """
 
     __slots__ = ("every", "left", "most", "ratio", "rejected", "since")
@@ -59,11 +59,11 @@
         self.rejected = 0
 
     def earn(self) -> None:
-        """Notes a first attempt."""
+        """Note a first attempt."""
         self.left = min(self.most, self.left + self.ratio)
 
     def spend(self, now: int = 0) -> bool:
-        """Whether a retry may be made; it is then paid for."""
+        """Return whether a retry may be made, and charge it if so."""
         if self.every and now > self.since:
             self.left = min(self.most, self.left + (now - self.since) / self.every)
             self.since = now
--- a/petrelwood/decide/overload/concurrency_limit.py
+++ b/petrelwood/decide/overload/concurrency_limit.py
@@ -1,28 +1,31 @@
-"""How much may be held at a time: cut when answers are late, raised step by step as they are in time again.
+"""The limit of activations without an answer: cut when answers are late, raised as they are in time again.
 
-A queue that is longer than what can be answered in time makes all of it late, and the retries of what was
-late keep it long after what began it is gone. So the bound on what is held follows the answers: at the end of
-each turn, where most were late or aborted, it falls under what is held now; where nearly all are good it
-rises by a part, and by less once it is near where it was cut last. Between the two it stays. It never falls
-under `least`, so that there are always answers to learn from.
+A queue that is longer than what can be answered in time makes all answers late, and the retries of the late
+ones keep it long after its cause is gone. So the limit follows the answers: at the end of each turn it falls
+below the present number if over `CUT_SHARE` were late or aborted, and rises by a part if under `RISE_SHARE`
+were, more slowly once it is near the ceiling, where it was cut last. Between the two it stays. It never falls
+below `least`, so that there are always answers to learn from.
 """
 
 CUT_SHARE = 0.3  # of answers that were late, over which the limit is cut
 RISE_SHARE = 0.1  # under which it rises
-CUT = 0.75
-FAST_RISE = 1.25
-SLOW_RISE = 1.02
-SLOW_STEP = 0.5
+CUT = 0.75  # factor of a cut: of the present number to the ceiling, and again to the limit
+FAST_RISE = 1.25  # factor of a turn's rise below the ceiling, and
+SLOW_RISE = 1.02  # near it,
+SLOW_STEP = 0.5  # with this added
 NEAR_CEILING = 0.85  # of the ceiling, from which it rises slowly
-START_PART = 16  # a start begins at this part of the bound
-LONGEST_REST = 8  # turns that it waits at most after a cut
-CALM_TURNS = 24  # good turns in a row after which a cut is forgotten
-LEAST_ANSWERS = 8  # that a turn must have to say anything
-LONGEST_TURN = 3  # turns by which one with few answers is made longer
+START_DIVISOR = 16  # a restart begins with `most` divided by this
+LONGEST_REST = 8  # turns that the next one begins later at most, after a cut
+CALM_TURNS = 24  # turns with a rise since the last cut, after which its ceiling is forgotten
+LEAST_ANSWERS = 8  # in a turn, with fewer of which it is extended
+LONGEST_EXTENSION = 3  # turns by which it is extended at most
 
 
 class ConcurrencyLimit:
-    """`most` and `least` activations held; `turn` in ns, as all times."""
+    """A limit between `least` and `most` activations; times in ns.
+
+    Not `decide.scheduling.send_limit.SendLimit`, which limits attempts in flight at workers.
+    """
 
     __slots__ = (
         "calm_turns",
@@ -52,38 +55,38 @@
         self.reduced_since: int | None = None
 
     def start_slowly(self, now: int) -> None:
-        """A dispatcher that has just started begins low and rises by what it sees."""
-        self.limit = float(max(self.least, self.most // START_PART))
+        """Begin with a low limit, after a restart."""
+        self.limit = float(max(self.least, self.most // START_DIVISOR))
         self.turn_ends = now + self.turn
         self.reduced_since = now
 
     def set_most(self, most: int) -> None:
-        """Another bound on what may be held at all."""
+        """Change the highest limit, by new settings."""
         self.limit = float(most) if self.limit >= self.most else min(self.limit, float(most))
         self.most = most
         self.ceiling = min(self.ceiling, float(most))
 
     def record_answer(self, in_time: bool) -> None:
-        """An answer for something that had been admitted."""
+        """Count an answer to an admitted activation."""
         if in_time:
             self.in_time += 1
         else:
             self.late += 1
 
-    def update(self, now: int, held: int) -> bool:
-        """Whether the limit has changed; asked at any time, it acts once in a turn."""
+    def update(self, now: int, unanswered: int) -> bool:
+        """Adapt the limit if a turn has ended, and return whether it has changed."""
         if now < self.turn_ends:
             return False
         answers = self.in_time + self.late
-        if answers < LEAST_ANSWERS and now < self.turn_ends + LONGEST_TURN * self.turn:
-            return False  # a turn with few answers is made longer
+        if answers < LEAST_ANSWERS and now < self.turn_ends + LONGEST_EXTENSION * self.turn:
+            return False
         before = self.limit
         late_share = self.late / answers if answers else 0.0
         rest = 0.0
         if answers >= LEAST_ANSWERS and late_share > CUT_SHARE:
-            self._cut(now, held)
-            # what is held now still has to pass: it says nothing new
-            rest = min(LONGEST_REST, held / answers) * self.turn
+            self._cut(now, unanswered)
+            # what was admitted before the cut says nothing about it: the next turn begins after its answers
+            rest = min(LONGEST_REST, unanswered / answers) * self.turn
         elif late_share < RISE_SHARE:
             self._rise()
         self.in_time = 0
@@ -91,17 +94,17 @@
         self.turn_ends = now + int(rest) + self.turn
         return self.limit != before
 
-    def has_capacity(self, held: int) -> bool:
-        """Whether one more may be held."""
-        return held < self.limit
+    def has_capacity(self, unanswered: int) -> bool:
+        """Return whether one more may be admitted."""
+        return unanswered < self.limit
 
     @property
     def is_reduced(self) -> bool:
-        """Whether less may be held than at most."""
+        """Whether the limit is below its highest."""
         return self.limit < self.most
 
-    def _cut(self, now: int, held: int) -> None:
-        self.ceiling = max(self.least, min(self.limit, held) * CUT)
+    def _cut(self, now: int, unanswered: int) -> None:
+        self.ceiling = max(self.least, min(self.limit, unanswered) * CUT)
         self.limit = max(self.least, self.ceiling * CUT)
         self.calm_turns = 0
         self.cuts += 1
--- a/petrelwood/decide/overload/deadlines.py
+++ b/petrelwood/decide/overload/deadlines.py
@@ -1,7 +1,7 @@
 """How long an activation may take, and when its answer must leave.
 
-The client's patience never lengthens the namespace type's action timeout. A part of it is kept for the way
-back: an answer counts when the client has it, not when it is written.
+The client's patience never lengthens the namespace type's action timeout. A part of it is reserved for the
+answer's way to the client: it counts when the client has it, not when it is written.
 """
 
 from typing import NamedTuple
@@ -18,11 +18,17 @@
 
 
 def deadline(arrived: int, wait: int, timeout: int) -> Deadline:
-    """The deadline of an activation; `wait` is the client's patience, 0 where it told none."""
+    """Return the deadline of an activation.
+
+    Args:
+        arrived: when its request came, ns.
+        wait: the client's patience, ns; 0: not known.
+        timeout: the action timeout of its namespace type, ns.
+    """
     patience = min(wait, timeout) if wait else timeout
     return Deadline(arrived + patience - int(patience * WAY_BACK), arrived + patience)
 
 
 def is_hopeless(now: int, due: int, timeout: int) -> bool:
-    """Whether so little time is left that nothing should begin."""
+    """Return whether so little time is left that an attempt should not begin."""
     return due - now < timeout * LEAST_TIME
--- a/petrelwood/decide/overload/intake.py
+++ b/petrelwood/decide/overload/intake.py
@@ -1,8 +1,10 @@
 """Admission of activations: each request is admitted, joined to an earlier attempt, or answered at once.
 
-    capacity and quota -> retry or replay -> deadline -> load shedding -> the scheduler
+    a new request:    capacity and quota -> deadline -> load shedding -> ledger -> the scheduler
+    one with a known id:                                                  ledger -> capacity and quota
 
-Every front asks here, so that a request has one outcome whichever way it came. ADMIT and JOIN mean that the
+Every front calls `Intake.decide`, so that a request has one outcome on any protocol. Where a new
+`RejectionReason` goes is said there. ADMIT and JOIN mean that the
 answer comes later, through `PendingActivations`; any other outcome is the final answer.
 """
 
@@ -14,7 +16,7 @@
 from petrelwood.decide.delivery.ledger import ActivationState, Ledger, LedgerEntry, LedgerVerdict
 from petrelwood.decide.overload import deadlines
 from petrelwood.decide.overload.concurrency_limit import ConcurrencyLimit
-from petrelwood.decide.overload.retry_budget import EARLY, FIRST, LEAST_JITTER, Arrival, RetryPolicy
+from petrelwood.decide.overload.retry_budget import EARLY, FIRST, LEAST_JITTER, RetryPolicy, RetryTiming
 from petrelwood.decide.overload.storm import Storms, SymptomChange, SymptomName
 from petrelwood.decide.overload.throughput import ThroughputEstimate
 
@@ -57,14 +59,20 @@
 
 
 class RejectionReason(StrEnum):
-    """Why a request is rejected, in the words that its client reads."""
+    """Why a request is rejected, in the words that its client reads.
 
-    FULL = "crowded"
+    A new reason is a member here and a condition in `Intake._capacity_shortage` (also for retries),
+    `_rejection_reason` or `_overload_reason`; or, if it depends on the id, a `LedgerVerdict` and a row of
+    `_LEDGER_REJECTIONS`. `fronts.webhook_answer.response_to` answers 503 unless it names another status, and
+    `docs/operators.md` says what to do.
+    """
+
+    FULL = "crowded"  # `limits held`
     OVER_QUOTA = "over its part"  # of the capacity, for one customer
-    LEDGER_FULL = "ledger full"
-    NO_TIME = "no time"
-    SHUTTING_DOWN = "closing"
-    OVERLOADED = "more than can be answered in time"
+    LEDGER_FULL = "ledger full"  # `limits ledger`
+    NO_TIME = "no time"  # too little of the client's patience is left
+    SHUTTING_DOWN = "closing"  # or another process takes over
+    OVERLOADED = "more than can be answered in time"  # `ConcurrencyLimit` or `ThroughputEstimate`
     RETRIED_EARLY = "asked again before the time that it was told"
     SIGNED_TOO_EARLY = "signed before this dispatcher began; sign it anew"
     RUNNING_ELSEWHERE = "the process before this one still finishes it"
@@ -165,15 +173,15 @@
         deadline = deadlines.deadline(request.arrived_at, request.patience, self.timeouts[request.type])
         known = self.ledger.entries.get((request.customer, request.id))
         is_known = known is not None and (known.state != _REJECTED or request.timestamp <= known.timestamp)
-        arrival = FIRST
+        timing = FIRST
         if self.damps:
             if not is_known:
-                arrival = self.retry_policy.classify(now, request.customer, request.id)
-            self.storms.record_request(now, is_known or arrival is not FIRST)
+                timing = self.retry_policy.classify(now, request.customer, request.id)
+            self.storms.record_request(now, is_known or timing is not FIRST)
         if not is_known:  # a retry of what is known takes no capacity
-            reason = self._rejection_reason(now, request, deadline.due, arrival)
+            reason = self._rejection_reason(now, request, deadline.due, timing)
             if reason is not None:
-                return self._reject(now, request, reason, is_early=arrival is EARLY)
+                return self._reject(now, request, reason, is_early=timing is EARLY)
         return self._decide_by_ledger(now, wall, request, deadline, is_known)
 
     def _decide_by_ledger(
@@ -213,7 +221,7 @@
         return Verdict(REJECT, reason, retry_after=wait)
 
     def _rejection_reason(
-        self, now: int, request: ActivationRequest, due: int, arrival: Arrival
+        self, now: int, request: ActivationRequest, due: int, timing: RetryTiming
     ) -> RejectionReason | None:
         """Return why an activation that is not known yet is rejected, or None."""
         reason = self._capacity_shortage(request.customer)
@@ -221,7 +229,7 @@
             return reason
         if deadlines.is_hopeless(now, due, self.timeouts[request.type]):
             return RejectionReason.NO_TIME
-        return self._overload_reason(now, request, due, arrival) if self.damps else None
+        return self._overload_reason(now, request, due, timing) if self.damps else None
 
     def _capacity_shortage(self, customer: str) -> RejectionReason | None:
         """Return why the capacity does not allow one more activation of a customer, or None."""
@@ -236,7 +244,7 @@
         return None
 
     def _overload_reason(
-        self, now: int, request: ActivationRequest, due: int, arrival: Arrival
+        self, now: int, request: ActivationRequest, due: int, timing: RetryTiming
     ) -> RejectionReason | None:
         """Return why one more activation would make others late, or None.
 
@@ -249,7 +257,7 @@
             return RejectionReason.OVERLOADED
         if not is_quiet and self.throughput.is_too_late(now, self.unanswered, due):
             return RejectionReason.OVERLOADED
-        if arrival is EARLY and not self._may_retry_early(now, request):
+        if timing is EARLY and not self._may_retry_early(now, request):
             return RejectionReason.RETRIED_EARLY
         return None
 
--- a/petrelwood/decide/overload/sliding_window.py
+++ b/petrelwood/decide/overload/sliding_window.py
@@ -1,4 +1,7 @@
-"""Counts over the last while: buckets in a ring, of which the oldest fall out. Times in ns."""
+"""A counter over a sliding window, in a ring of buckets. Times in ns.
+
+`decide.scheduling.window_counter.BackdatedCounter` also takes past events, and bounds its counts.
+"""
 
 
 class SlidingWindowCounter:
@@ -9,7 +12,7 @@
     def __init__(self, width: int, count: int) -> None:
         self.width = width
         self.buckets = [0] * count
-        self.last: int | None = None  # number of the bucket that fills
+        self.last: int | None = None  # number of the bucket that is filling
 
     @property
     def span(self) -> int:
@@ -17,23 +20,23 @@
         return self.width * len(self.buckets)
 
     def add(self, now: int, count: int = 1) -> None:
-        """Counts events that happen now."""
-        last = self._advance(now)  # which may put other buckets there
+        """Count events that happen now."""
+        last = self._advance(now)  # before the line below looks up `self.buckets`, which it may replace
         self.buckets[last % len(self.buckets)] += count
 
     def sum(self, now: int) -> int:
-        """The events of the window, with those of the bucket that still fills."""
+        """Return the events of the window, with those of the bucket that is filling."""
         self._advance(now)
         return sum(self.buckets)
 
     def ended_buckets(self, now: int) -> list[int]:
-        """The buckets that have ended, oldest first: the one that still fills is left out."""
+        """Return the counts of the buckets that are full, oldest first, without the one that is filling."""
         last = self._advance(now)
         size = len(self.buckets)
         return [self.buckets[(last + 1 + i) % size] for i in range(size - 1)]
 
     def _advance(self, now: int) -> int:
-        """Empties the buckets that have fallen out; the number of the one that fills."""
+        """Empty the buckets that have left the window, and return the number of the one that is filling."""
         current = now // self.width
         last = self.last
         if last is None or current - last >= len(self.buckets):
--- a/petrelwood/decide/overload/storm.py
+++ b/petrelwood/decide/overload/storm.py
@@ -1,4 +1,4 @@
-"""Storms, told by their symptoms and not by their causes.
+"""Storms of requests and connections, detected by their symptoms and not by their causes.
 
     repeats     the share of requests that are retries (same id, same customer)
     surge       requests in a second against the usual second
@@ -7,10 +7,9 @@
     reconnects  connections opened against requests that came on them
     cold        the share of ended attempts that had to wait for a load
 
-Each symptom goes on when it has been over its upper mark at two looks in a row and off when it has stayed
-under its lower mark for a while that grows each time it comes back soon: it does not flap. What follows from
-a storm is decided where it matters (`retry_budget`, `admission`, `concurrency_limit`, early loads); here is
-only what there is.
+A symptom is switched on after two updates in a row over its upper mark, and off after a time under its lower
+mark, which doubles each time the symptom is soon back, so that it does not flap. What follows from a storm is
+decided in `intake`, `admission` and the early loads.
 """
 
 from collections import Counter
@@ -21,17 +20,17 @@
 from petrelwood.decide.overload.sliding_window import SlidingWindowCounter
 
 SECOND = 1_000_000_000
-LEAST_EVENTS = 20  # in a window, under which nothing is told from shares
-LOOKS = 2  # over the upper mark in a row, and a symptom is on
-CALM = 2 * SECOND  # under the lower mark so long, and a symptom is over
+LEAST_EVENTS = 20  # in a window, with fewer of which shares mean nothing
+LOOKS = 2  # updates in a row over the upper mark, after which a symptom is on
+CALM = 2 * SECOND  # ns under the lower mark, after which a symptom is off
 LONGEST_CALM = 16 * CALM
-SOON = 4  # calms within which one that comes back was not over
-USUAL_SMOOTHING = 1 / 60  # how fast the usual second follows, each second
-MOST_QUIET_SECONDS = 60  # without a request, of which the usual second learns at a time
+SOON = 4  # times its calm: a symptom that is back within that was not over
+USUAL_SMOOTHING = 1 / 60  # weight of one second in the running mean of the usual second
+MOST_QUIET_SECONDS = 60  # seconds without a request that the running mean takes in at a time
 BUCKET = SECOND // 4
 BUCKETS = 9
-FINE_BUCKET = 50_000_000  # ns; synchrony is told from buckets of this size
-FINE_BUCKETS = 41  # two seconds and the one that fills
+FINE_BUCKET = 50_000_000  # ns; synchrony is measured in buckets of this size
+FINE_BUCKETS = 41  # two seconds, and the bucket that is filling
 
 
 class SymptomName(StrEnum):
@@ -45,7 +44,7 @@
 
 
 class Marks(NamedTuple):
-    """Over the upper one a symptom goes on, under the lower one off."""
+    """The values over which a symptom is switched on, and under which off."""
 
     upper: float
     lower: float
@@ -61,7 +60,7 @@
 
 
 class SymptomChange(NamedTuple):
-    """A symptom that has just gone on or off."""
+    """A symptom that was just switched on or off."""
 
     name: str
     is_on: bool
@@ -83,7 +82,7 @@
         self.calm = CALM  # that it needs to be over
 
     def update(self, now: int, value: float) -> bool:
-        """Whether it has just changed."""
+        """Take the next value, and return whether the symptom was switched on or off."""
         self.value = value
         return self._may_end(now) if self.is_on else self._may_begin(now)
 
@@ -91,7 +90,7 @@
         self.looks_over = self.looks_over + 1 if self.value >= self.marks.upper else 0
         if self.looks_over < LOOKS:
             return False
-        # back so soon: what ended it was no end
+        # back so soon, it was not over: the next end needs a longer calm
         is_back = self.ended_at is not None and now - self.ended_at < SOON * self.calm
         self.calm = min(LONGEST_CALM, 2 * self.calm) if is_back else CALM
         self.is_on = True
@@ -113,7 +112,7 @@
 
 
 class Storms:
-    """All symptoms of one dispatcher, from what is recorded here; `update` them each half second or so."""
+    """All symptoms of one dispatcher; `update` is to be called about every half second."""
 
     __slots__ = (
         "cold_attempts",
@@ -143,7 +142,7 @@
         self.seen: Counter[str] = Counter()  # how often each symptom went on
 
     def record_request(self, now: int, is_retry: bool) -> None:
-        """A request has come."""
+        """Count a request."""
         self.requests.add(now)
         self.fine_requests.add(now)
         if is_retry:
@@ -157,25 +156,25 @@
         self.second_requests += 1
 
     def record_connection(self, now: int) -> None:
-        """A client has connected."""
+        """Count a connection of a client."""
         self.connections.add(now)
 
     def record_attempt(self, now: int, is_cold: bool) -> None:
-        """An attempt has ended; whether it had to wait for a load."""
+        """Count an attempt that has ended; `is_cold`: it had to wait for a load."""
         self.attempts.add(now)
         if is_cold:
             self.cold_attempts.add(now)
 
     def has_any(self) -> bool:
-        """Whether there is any symptom."""
+        """Return whether any symptom is on."""
         return any(symptom.is_on for symptom in self.symptoms.values())
 
     def has(self, name: SymptomName) -> bool:
-        """Whether there is this symptom."""
+        """Return whether this symptom is on."""
         return self.symptoms[name].is_on
 
     def update(self, now: int) -> list[SymptomChange]:
-        """The symptoms that have just changed."""
+        """Measure all symptoms, and return those that were just switched on or off."""
         changed = []
         for name, value in self._values(now).items():
             symptom = self.symptoms[name]
@@ -185,14 +184,14 @@
         return changed
 
     def figures(self) -> dict[str, dict[str, bool | float | int]]:
-        """What is counted, for logs and tests."""
+        """Return what is counted, for logs and tests."""
         return {
             name.value: {"on": symptom.is_on, "value": round(symptom.value, 3), "seen": self.seen[name.value]}
             for name, symptom in self.symptoms.items()
         }
 
     def _end_second(self, passed: int) -> None:
-        """The usual second is learnt slowly, and without a storm: a storm must not become usual."""
+        """Take a second that began `passed` seconds ago into the usual one's mean, unless a storm is on."""
         count = self.second_requests
         self.second_requests = 0
         if self.usual is None:
@@ -222,6 +221,6 @@
 
 
 def dispersion(counts: Sequence[int]) -> float:
-    """Variance over mean of counts: 1 where callers are independent, more where they come together."""
+    """Return the variance of counts over their mean: 1 for independent callers, more for synchronous ones."""
     mean = sum(counts) / len(counts)
     return sum((count - mean) ** 2 for count in counts) / len(counts) / mean if mean else 0.0
--- a/petrelwood/decide/overload/throughput.py
+++ b/petrelwood/decide/overload/throughput.py
@@ -1,20 +1,20 @@
-"""What can be served: how long what is held will take, and when those that were rejected should retry.
+"""How long one more activation would take to be answered, and when rejected ones should be sent again.
 
-By Little's law what is held, over the pace at which answers leave, is the time that one more will stay. It is
-believed only where enough is held for it to mean a queue and not a lull.
+By Little's law the expected time is the number of activations without an answer, divided by the rate of
+answers. It is trusted only from a number on that means a queue; below it a low rate means little traffic.
 """
 
 from petrelwood.decide.overload.sliding_window import SlidingWindowCounter
 
-SECOND = 1_000_000_000
-BUCKET = SECOND // 4
-BUCKETS = 17  # four seconds and the one that fills
-LEAST_QUEUE = 2
-FREE_PART = 0.25  # of the bound, that has to be free before a retry finds capacity
+SECOND = 1_000_000_000  # ns
+BUCKET = SECOND // 4  # ns
+BUCKETS = 17  # four seconds, and the bucket that is filling
+LEAST_QUEUE = 2  # activations without an answer that are never too few to mean a queue
+FREE_PART = 0.25  # of the limit, that has to be free before a retry is expected to be admitted
 
 
 class ThroughputEstimate:
-    """`enough`: activations held from which a queue is believed. Times in ns."""
+    """The rate of answers; `enough`: unanswered activations from which on they mean a queue. Times in ns."""
 
     __slots__ = ("answers", "enough")
 
@@ -23,27 +23,27 @@
         self.answers = SlidingWindowCounter(BUCKET, BUCKETS)
 
     def record_answer(self, now: int) -> None:
-        """One that was held has its answer, whatever it is."""
+        """Count a final answer, whatever it is."""
         self.answers.add(now)
 
-    def expected_stay(self, now: int, held: int) -> int | None:
-        """How long one more would stay; None where nothing is known or there is no queue."""
-        if held < self.enough:
+    def expected_stay(self, now: int, unanswered: int) -> int | None:
+        """Return how long one more would wait for its answer; None if there is no queue or no answer yet."""
+        if unanswered < self.enough:
             return None
         answered = sum(self.answers.ended_buckets(now))
-        return held * BUCKET * (BUCKETS - 1) // answered if answered else None
+        return unanswered * BUCKET * (BUCKETS - 1) // answered if answered else None
 
-    def is_too_late(self, now: int, held: int, due: int) -> bool:
-        """Whether one more could not be answered in time any more."""
-        stay = self.expected_stay(now, held)
+    def is_too_late(self, now: int, unanswered: int, due: int) -> bool:
+        """Return whether one more would not be answered by `due`."""
+        stay = self.expected_stay(now, unanswered)
         return stay is not None and now + stay > due
 
-    def retry_after(self, now: int, held: int, limit: float) -> int | None:
-        """How long until there should be capacity again; None where nothing is known.
+    def retry_after(self, now: int, unanswered: int, limit: float) -> int | None:
+        """Return how long until there should be capacity again; None where nothing is known.
 
-        That is until what is over three quarters of the bound has left.
+        That is until the number without an answer has fallen to three quarters of the limit.
         """
-        stay = self.expected_stay(now, held)
+        stay = self.expected_stay(now, unanswered)
         if stay is None:
             return None
-        return int(stay * max(FREE_PART, 1 - (1 - FREE_PART) * min(limit, held) / held))
+        return int(stay * max(FREE_PART, 1 - (1 - FREE_PART) * min(limit, unanswered) / unanswered))
--- a/petrelwood/fronts/http_connection.py
+++ b/petrelwood/fronts/http_connection.py
@@ -14,7 +14,7 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from petrelwood.decide.overload.admission import Admission
+from petrelwood.decide.overload.admission import ConnectionAdmission
 from petrelwood.fronts.http_parsing import HttpSyntaxError, RequestParser
 from petrelwood.fronts.http_request import HttpRequest
 from petrelwood.fronts.http_response import CONTINUE
@@ -38,7 +38,7 @@
     """The front that a connection belongs to."""
 
     limits: ConnectionLimits
-    admission: Admission
+    admission: ConnectionAdmission
 
     @property
     def now(self) -> Callable[[], int]:
--- a/petrelwood/fronts/http_parsing.py
+++ b/petrelwood/fronts/http_parsing.py
@@ -6,7 +6,7 @@
 
 import httptools
 
-from petrelwood.decide.overload.admission import Admission
+from petrelwood.decide.overload.admission import ConnectionAdmission
 from petrelwood.errors import ProtocolError
 from petrelwood.fronts.http_request import HttpRequest, Rejection, RequestConnection
 from petrelwood.fronts.http_status import HttpStatus
@@ -44,7 +44,7 @@
         self,
         connection: ParsedConnection,
         limits: ConnectionLimits,
-        admission: Admission,
+        admission: ConnectionAdmission,
         now: Callable[[], int],
         handle: Callable[[HttpRequest], None],
     ) -> None:
--- a/petrelwood/fronts/http_request.py
+++ b/petrelwood/fronts/http_request.py
@@ -55,7 +55,7 @@
         self.headers: dict[bytes, bytes] = {}  # by name in lower case
         self.body: list[bytes] = []  # in pieces, as they were read
         self.part_size = 0  # bytes of the head so far, then of the body
-        self.reserved_bytes = 0  # what `Admission` counts for it
+        self.reserved_bytes = 0  # what `ConnectionAdmission` counts for it
         self.rejection: Rejection | None = None  # decided before its head was complete
         self.response: HttpResponse | None = None
         self.is_last = False  # the connection is closed after its answer
--- a/petrelwood/fronts/unread_answers.py
+++ b/petrelwood/fronts/unread_answers.py
@@ -4,7 +4,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from petrelwood.decide.overload.admission import Admission
+from petrelwood.decide.overload.admission import ConnectionAdmission
 
 
 class UnreadAnswers:
@@ -15,7 +15,9 @@
     for one.
     """
 
-    def __init__(self, admission: Admission, now: Callable[[], int], peer: str, timeout: int) -> None:
+    def __init__(
+        self, admission: ConnectionAdmission, now: Callable[[], int], peer: str, timeout: int
+    ) -> None:
         self._admission = admission
         self._now = now
         self._peer = peer
--- a/petrelwood/fronts/webhook.py
+++ b/petrelwood/fronts/webhook.py
@@ -12,7 +12,7 @@
 from tornado.iostream import IOStream
 from tornado.netutil import bind_sockets
 
-from petrelwood.decide.overload.admission import Admission, AdmissionVerdict
+from petrelwood.decide.overload.admission import AdmissionVerdict, ConnectionAdmission
 from petrelwood.decide.overload.storm import SymptomName
 from petrelwood.fronts.http_connection import READ_SIZE, HttpConnection
 from petrelwood.fronts.http_request import HttpRequest
@@ -43,7 +43,7 @@
         self.core = core
         self.now: Callable[[], int] = core.now
         self.limits = gateway.limits
-        self.admission = Admission(
+        self.admission = ConnectionAdmission(
             gateway.limits.connections,
             gateway.limits.handshakes if is_tls else 0,
             gateway.limits.bytes,
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -99,9 +99,9 @@
         policy.retry_after(0, "calm", "c1", S, half, 60 * S, False)
         for at in range(12):  # he retries each 100 ms, whatever he is told
             how = policy.classify(at * S // 10, "loud", "l1")
-            may = how != retry_budget.Arrival.EARLY or policy.may_retry_early("loud")
+            may = how != retry_budget.RetryTiming.EARLY or policy.may_retry_early("loud")
             wait = policy.retry_after(
-                at * S // 10, "loud", "l1", S, half, 60 * S, how == retry_budget.Arrival.EARLY
+                at * S // 10, "loud", "l1", S, half, 60 * S, how == retry_budget.RetryTiming.EARLY
             )
             lines.append(
                 f"{at / 10:4.1f}  loud {how} {'goes on' if may else 'is over his budget'}, "
@@ -235,7 +235,7 @@
 
 class Doors(unittest.TestCase):
     def door(self, connections=80, handshakes=0, bytes_=10_000):
-        return admission.Admission(connections, handshakes, bytes_, half, most_addresses=100)
+        return admission.ConnectionAdmission(connections, handshakes, bytes_, half, most_addresses=100)
 
     def test_a_crowd_of_one_address_does_not_keep_others_out(self):
         door, crowd = self.door(), 0
--- a/tests/test_webhook_parts.py
+++ b/tests/test_webhook_parts.py
@@ -5,7 +5,7 @@
 
 from petrelwood.decide.delivery.ledger import ActivationState
 from petrelwood.decide.overload import intake
-from petrelwood.decide.overload.admission import Admission
+from petrelwood.decide.overload.admission import ConnectionAdmission
 from petrelwood.fronts.http_status import HttpStatus
 from petrelwood.fronts.unread_answers import UnreadAnswers
 from petrelwood.fronts.webhook_answer import response_to
@@ -67,7 +67,7 @@
 
 class Unread(unittest.TestCase):
     def setUp(self):
-        self.admission = Admission(10, 0, 1000, lambda: 0.5)
+        self.admission = ConnectionAdmission(10, 0, 1000, lambda: 0.5)
         self.unread = UnreadAnswers(self.admission, lambda: 0, "127.0.0.1", 1_000_000_000)
 
     def test_bytes_are_reserved_until_they_are_read(self):
