--- a/petrelwood/decide/bgp/neighbor.py
+++ b/petrelwood/decide/bgp/neighbor.py
@@ -48,7 +48,7 @@
 
 
 class NeighborTerms(NamedTuple):
-    """What is settled for a neighbour before a session."""
+    """The settings of the sessions with a neighbour."""
 
     asn: int
     peer_asn: int  # 0: any
@@ -63,7 +63,7 @@
 
 
 class SessionOwner(Protocol):
-    """What a neighbour asks of its owner, and reports to it."""
+    """The actions that a neighbour requests of its owner, and the events that it reports."""
 
     def connect(self) -> object:
         """Open a connection; its end is reported by `connection_made` or `connect_failed`."""
@@ -75,16 +75,16 @@
         """Close a connection."""
 
     def up(self, found: bgp.Open, /) -> object:
-        """A session is established with the peer of this OPEN."""
+        """Handle an established session with the peer of this OPEN."""
 
     def down(self, why: str, /) -> object:
-        """The established session has ended."""
+        """Handle the end of the established session."""
 
     def update_received(self, update: bgp.Update, /) -> object:
-        """The peer announces or withdraws routes."""
+        """Handle routes that the peer announces or withdraws."""
 
     def refresh(self, afi: int, /) -> object:
-        """The peer wants the routes of an address family again."""
+        """Send the routes of an address family again, as the peer requests."""
 
 
 @dataclass(slots=True, eq=False)
@@ -151,7 +151,7 @@
             self._end(now, connection, bgp.Wrong(bgp.CEASE, subcode, text or "stopped here", data))
 
     def connection_made(self, now: int, key: Opener) -> bool:
-        """A connection is open; returns False where it may not be, and its owner closes it."""
+        """Handle an opened connection, and return whether it is wanted; else its owner closes it."""
         if key is Opener.US:
             self.connecting = False
         if not self.running or key in self.connections or self.established is not None:
@@ -164,18 +164,18 @@
         return True
 
     def connect_failed(self, now: int) -> None:
-        """Our attempt to connect has failed."""
+        """Handle a failed attempt of ours to connect."""
         self.connecting = False
         self.retry_at = self.backoff.failed(now)
 
     def connection_lost(self, now: int, key: Opener, why: str = "the connection broke") -> None:
-        """A connection is gone."""
+        """Handle the end of a connection."""
         connection = self.connections.get(key)
         if connection is not None:
             self._close(now, connection, why)
 
     def data_received(self, now: int, key: Opener, data: bytes) -> None:
-        """Bytes have come on a connection."""
+        """Handle bytes that were read from a connection."""
         connection = self.connections.get(key)
         if connection is None:
             return
@@ -190,7 +190,7 @@
             self._end(now, connection, bgp.Wrong(bgp.HEADER_ERROR, CUT_SHORT, "a message that is cut short"))
 
     def route_limit_exceeded(self, now: int) -> None:
-        """The peer has announced more routes than are accepted: the session ends."""
+        """End the session, as the peer has announced more routes than are accepted."""
         connection = self.established
         if connection is not None:
             self._end(now, connection, bgp.Wrong(bgp.CEASE, bgp.PREFIXES, f"over {self.terms.most} routes"))
--- a/petrelwood/decide/forecasting/account.py
+++ b/petrelwood/decide/forecasting/account.py
@@ -127,7 +127,7 @@
     def load_ended(
         self, now: int, function: str, worker: str, completed: bool, evicted: str | None = None
     ) -> None:
-        """A load order has ended; `evicted` is the function whose copy made way."""
+        """Note the end of a load order; `evicted` is the function whose copy it replaced."""
         load = self.open_loads.get((function, worker))
         if load is None:
             return
@@ -138,7 +138,10 @@
             load.evicted = evicted
 
     def call_completed(self, now: int, function: str, worker: str, warm: bool) -> LoadEnd | None:
-        """A call has run; `warm`: it found a copy. Returns how the early load that it used ended, or None."""
+        """Note that a call has run, and return how the early load that it used ended, or None.
+
+        `warm`: it found a loaded copy.
+        """
         load = self.open_loads.get((function, worker))
         if load is None:
             return None
@@ -150,12 +153,12 @@
         return None
 
     def record_stopped(self, function: str, zone: str) -> None:
-        """An early load was not ordered, by a rule or as calls needed the capacity: it costs nothing."""
+        """Count an early load that was not ordered, by a rule or as calls needed the capacity; it is free."""
         for balance in self._balances(function, zone):
             balance.ends[LoadEnd.STOPPED] += 1
 
     def copy_missing(self, now: int, function: str) -> None:
-        """A copy of a function was missing: the early loads that evicted it pay for it."""
+        """End the early loads that evicted a copy of the function, as it was missing."""
         for load in list(self.open_loads.values()):
             if load.evicted == function:
                 self._end(now, load, LoadEnd.EVICTED_ANOTHER, -load.load_time / SECOND)
--- a/petrelwood/decide/forecasting/early_loads.py
+++ b/petrelwood/decide/forecasting/early_loads.py
@@ -42,7 +42,7 @@
 
 
 class EarlyLoadTerms(NamedTuple):
-    """What is settled for the early loads of a dispatcher."""
+    """The settings of a dispatcher's early loads."""
 
     calendar: Calendar
     prices: planner.Prices
@@ -84,7 +84,7 @@
 
     # What the dispatcher reports.
     def call_arrived(self, wall: int, function: str, lanes: int, load_time: int, type_: str) -> None:
-        """A call has arrived; `wall` is the wall clock."""
+        """Note a call that has arrived; `wall` is the wall clock, ns."""
         if function not in self.models:
             self.models[function] = ModelEstimate(lanes, load_time, type_)
         self.calls_in_slot += 1
@@ -95,7 +95,7 @@
     def call_completed(
         self, now: int, function: str, worker: str, warm: bool, duration: int, load_time: int
     ) -> None:
-        """A call was completed; `warm`: it found a copy, else it waited `load_time` for one."""
+        """Note a call that was completed; `warm`: it found a copy, else it waited `load_time` ns for one."""
         model = self.models.get(function)
         if model is None:
             return
@@ -107,13 +107,13 @@
         self.account.call_completed(now, function, worker, warm)
 
     def copy_missing(self, now: int, function: str, worker: str) -> None:
-        """A worker had no copy for a call."""
+        """Note that a worker had no copy for a call."""
         if function in self.models:
             self.models[function].copies.pop(worker, None)
         self.account.copy_missing(now, function)
 
     def load_ended(self, now: int, function: str, worker: str, completed: bool) -> None:
-        """A load order has ended; those that complete show that the store keeps up."""
+        """Note the end of a load order; those that complete show that the store has capacity."""
         self.store_health += STORE_SMOOTHING * ((1.0 if completed else 0.0) - self.store_health)
         self.account.load_ended(now, function, worker, completed)
         if completed and function in self.models:
--- a/petrelwood/fronts/webhook.py
+++ b/petrelwood/fronts/webhook.py
@@ -33,7 +33,7 @@
 
 
 class Webhooks(Listener):
-    """The listener. `core` admits what is signed."""
+    """The listening sockets, their connections, and the way of each request to `core`."""
 
     def __init__(self, gateway: WebhookSettings, core: WebhookCore) -> None:
         is_tls = gateway.tls is not None
--- a/petrelwood/fronts/webhook_answer.py
+++ b/petrelwood/fronts/webhook_answer.py
@@ -18,7 +18,8 @@
     intake.CONFLICT: HttpStatus.CONFLICT,
     intake.RESULT_DROPPED: HttpStatus.CONFLICT,
 }
-DEFAULT_DETAILS: dict[str, str] = {  # where the core gives no reason
+# Where no reason is given: all rejections and aborts by the scheduler, which gives none.
+DEFAULT_DETAILS: dict[str, str] = {
     ActivationState.REJECTED: "turned away; trying again does no harm",
     intake.REJECT: "turned away; trying again does no harm",
     ActivationState.ABORTED: "no answer in time, or none that proves anything",
--- a/petrelwood/links/calls.py
+++ b/petrelwood/links/calls.py
@@ -104,11 +104,11 @@
 
     # For the dispatcher.
     def cancel(self, activation: str, attempt: int) -> None:
-        """End the wait for an attempt; a worker that may have begun it is asked to stop."""
+        """End an attempt; a worker that may have begun it is requested to stop."""
         self._stop(activation, attempt, send_outcome.of_cancel)
 
     def late(self, activation: str, attempt: int) -> None:
-        """End an attempt whose time is up."""
+        """End an attempt whose time is up; its worker is requested to stop too."""
         self._stop(activation, attempt, send_outcome.of_time)
 
     def _stop(self, activation: str, attempt: int, code_of: Callable[[SendStage], EndReason]) -> None:
@@ -163,7 +163,7 @@
         """Return whether the first call of the queue may be written; one that may not is ended.
 
         An attempt whose time is up never leaves, which proves that it never ran. A load order that has waited
-        is checked against the rate limit as it is now: it counts when it arrives, not when it was given.
+        is checked against the rate limit of load orders once more, and counts at this time from now on.
         """
         if call.kind == RUN:
             if call.deadline is not None and call.deadline - self.core.now() < self.MIN_TIME_LEFT:
@@ -195,7 +195,7 @@
         """Return attempts in flight whose time is up.
 
         Those of activations that have ended have no other end on a silent connection: they would occupy
-        their lane, their connection and their link for good.
+        their slot, their connection and their link for good.
         """
         calls = self.in_flight.values()
         return [call for call in calls if call.deadline is not None and now > call.deadline]
@@ -208,7 +208,15 @@
         body: bytes = b"",
         gauge: Gauge | None = None,
     ) -> None:
-        """Remove a call that has not ended yet, and report its end."""
+        """Remove a call that has not ended yet, and report its end.
+
+        Args:
+            call: the call; without effect if it has ended.
+            code: how it has ended.
+            note: of an attempt a `ports.CopyNote`; of a load order the copies that the worker has now.
+            body: the result of an attempt that completed.
+            gauge: the worker's load report, if it sent one.
+        """
         if call.stage == QUEUED:
             try:
                 self.waiting.remove(call)
@@ -227,8 +235,9 @@
         body: bytes = b"",
         gauge: Gauge | None = None,
     ) -> None:
+        """Report the end of a call to the core, as an event that follows the present one."""
         core = self.core
-        if call.kind == LOAD_ORDER and call.stage == QUEUED:
+        if call.kind == LOAD_ORDER and call.stage == QUEUED:  # it no longer counts for the rate limit
             core.order_not_sent(call.made_at)
         call.stage = ANSWERED
         if call.kind == RUN:
