--- a/petrelwood/decide/scheduling/actions.py
+++ b/petrelwood/decide/scheduling/actions.py
@@ -138,7 +138,7 @@
             self.outlet.set_timer(TIMER_MARK, wait)
 
     def clear_timer(self, now: int) -> bool:
-        """Return whether the timer that was set last is due, and clear it if so."""
+        """Clear the timer if it is due, and return whether it was."""
         if now < self.timer_at:
             return False
         self.timer_at = NEVER
--- a/petrelwood/decide/scheduling/admission.py
+++ b/petrelwood/decide/scheduling/admission.py
@@ -78,7 +78,7 @@
             is_over_quota=bucket is not None and not bucket.take(now, self.target_latency),
         )
 
-    def sheds(self, activation: Activation) -> bool:
+    def should_shed(self, activation: Activation) -> bool:
         """Return whether an activation that has just arrived is rejected at once, by a draw.
 
         Under overload a part of the activations that find no free slot is rejected. They would be queued
--- a/petrelwood/decide/scheduling/fleet.py
+++ b/petrelwood/decide/scheduling/fleet.py
@@ -63,7 +63,7 @@
             )
         has_restarted = entry.booted != worker.booted
         if has_restarted:
-            worker.forget_process()
+            worker.reset()
         worker.zone = entry.zone
         worker.cell = entry.cell
         worker.booted = entry.booted
--- a/petrelwood/decide/scheduling/load_order_limit.py
+++ b/petrelwood/decide/scheduling/load_order_limit.py
@@ -52,7 +52,9 @@
         self.ordered = BackdatedCounter(orders.period or 1)
         self.credit_delay = min(int(self.target_latency * CREDIT_DELAY), orders.period // BUCKETS)
         self.pending: deque[tuple[int, Activation]] = deque()  # with the time when each counts
-        self.loading: list[tuple[Copy, int]] = []  # further copies, with the time when they count no longer
+        self.copies_loading: list[
+            tuple[Copy, int]
+        ] = []  # further copies, with the time when they count no longer
         self.no_further_copies_until = now
 
     def credit(self, activation: Activation, now: int) -> None:
@@ -103,17 +105,20 @@
         self.ordered.add(now, orders)
 
     def may_add_further_copy(self, now: int, fleet_size: int) -> bool:
-        """Return whether a function that has a copy may get another: few may load at a time.
+        """Return whether a function that has a copy may get another, as few may load at a time.
 
         Further copies whose load has ended are forgotten first.
         """
-        self.loading = [(copy, until) for copy, until in self.loading if copy.loading_since and now < until]
+        self.copies_loading = [
+            (copy, until) for copy, until in self.copies_loading if copy.loading_since and now < until
+        ]
         at_once = max(1, int(LOADS_AT_ONCE * fleet_size / self.dispatchers))
-        return now >= self.no_further_copies_until and len(self.loading) < at_once
+        return now >= self.no_further_copies_until and len(self.copies_loading) < at_once
 
     def record_further_copy(self, copy: Copy, function: Function, now: int) -> None:
         """Count a further copy of the function as loading."""
-        self.loading.append((copy, now + FURTHER_LOAD_TIMEOUT * max(self.target_latency, function.load_time)))
+        until = now + FURTHER_LOAD_TIMEOUT * max(self.target_latency, function.load_time)
+        self.copies_loading.append((copy, until))
 
     def load_failed(self, function: Function, now: int) -> None:
         """Pause loads of the function, and further copies of all functions, after a failed load."""
--- a/petrelwood/decide/scheduling/outlier_detection.py
+++ b/petrelwood/decide/scheduling/outlier_detection.py
@@ -28,7 +28,7 @@
 # and so many load times more if it waits for a load.
 OVERDUE_TIMES = 6
 OVERDUE_LOADS = 3
-# An unresponsive worker is ejected for a target latency, doubled each time in a row, up to 2 to this power.
+# An unresponsive worker is ejected for 2 to the power of the times in a row (up to this) target latencies.
 MOST_DOUBLINGS = 4
 EJECTION_DIVISOR = 4  # of the target latency: how long a worker is ejected for a broken connection
 FULL_FACTOR = 2  # by which a worker's relative latency is multiplied when it answers that it is full
@@ -85,7 +85,7 @@
         )
 
     def is_congested(self, worker: Worker) -> bool:
-        """Return whether the worker is limited to one attempt of ours and still slower than the fleet.
+        """Return whether the worker answers slowly even with one attempt in flight, unlike the fleet.
 
         Its copies do not count as capacity then.
         """
@@ -117,19 +117,22 @@
         attempt.worker.cold_attempts -= attempt.is_cold
 
     def record_end(self, worker: Worker, reason: EndReason, now: int) -> None:
-        """Learn that the worker is up, if the end of an attempt shows that."""
+        """Record that the worker is up, if the end of an attempt shows it."""
         if reason not in UP_NOT_SHOWN:
             worker.answered_at = now
             worker.is_unresponsive = False
 
     def record_load_order_end(self, worker: Worker, reason: EndReason, now: int) -> None:
-        """Learn that the worker is up, if the end of a load order shows that."""
+        """Record that the worker is up, if the end of a load order shows it."""
         if reason not in UP_NOT_SHOWN_BY_LOAD:
             worker.answered_at = now
             worker.is_unresponsive = False
 
     def record_latency(self, attempt: Attempt, duration: int, now: int) -> None:
-        """Learn from an answer of a loaded copy, and adapt the limit of attempts at its worker."""
+        """Update a worker's latency and send limit after an answer of a loaded copy.
+
+        The limit keeps a slow worker from being sent more than it can answer.
+        """
         worker = attempt.worker
         self.estimates.record_latency(attempt, duration, now)
         is_slow = worker.relative_latency > SLOW_FACTOR
@@ -137,10 +140,10 @@
         worker.send_limit.record_answer(is_slow, len(worker.in_flight), now, sent_at)
 
     def record_slowness(self, is_slow: bool, attempt: Attempt, now: int) -> None:
-        """Learn from an answer what share of the fleet's is slow, and adapt the fleet's limits.
+        """Update the share of slow answers, the fleet's send limit and the shed probability.
 
-        Those are the limit of all attempts in flight, which is reduced under overload, and the shed
-        probability.
+        If most answers are slow it is not single workers: fewer attempts are in flight at once, and the rest
+        is queued.
         """
         if is_slow and self.is_congested(attempt.worker):
             return  # a worker that is known to be slow says nothing about the fleet
--- a/petrelwood/decide/scheduling/placement.py
+++ b/petrelwood/decide/scheduling/placement.py
@@ -26,8 +26,7 @@
 PLACEMENT_PAUSE = 1 / 6
 CANDIDATES = 2  # the less loaded of two is nearly as good as the least loaded of all
 MOST_COLD_ATTEMPTS = 2  # that wait for loads at one worker: loads there get in each other's way
-# Most copies of one function: this part of the usable workers, or so many if that is more, so that one
-# function can't take all workers.
+# Most copies of one function, so that it can't take all workers: this part of the usable ones, or so many.
 COPY_LIMIT_PART = 0.5
 FEWEST_COPIES = 4
 PREFETCH_PART = 0.5  # of the rate limit of load orders, that loads ahead of calls may use
@@ -44,8 +43,7 @@
     """How a copy begins."""
 
     LOAD_ORDER = "load order"
-    # An activation is sent: the worker loads by itself, or has a copy that another dispatcher ordered.
-    ATTEMPT = "attempt"
+    ATTEMPT = "attempt"  # the worker loads by itself, or another dispatcher's copy is there
 
 
 @dataclass(slots=True, frozen=True)
@@ -179,7 +177,7 @@
             function.copies.pop(worker.id, None)
 
     def record_completion(self, attempt: Attempt, now: int) -> None:
-        """Learn that a copy has answered: it is loaded."""
+        """Record that a copy has answered, so that it is loaded."""
         copy = attempt.copy
         worker = attempt.worker
         if worker.is_usable:
@@ -214,7 +212,7 @@
     def load_order_ended(
         self, function: Function, worker: Worker, reason: EndReason, copies: int, now: int
     ) -> None:
-        """Update the copy after the end of a load order; `copies` of the function are on the worker now."""
+        """Record the end of a load order; `copies` of the function are on the worker now."""
         copy = function.copies.get(worker.id)
         if copies and worker.is_usable:
             if copy is None:
--- a/petrelwood/decide/scheduling/popularity.py
+++ b/petrelwood/decide/scheduling/popularity.py
@@ -36,7 +36,7 @@
     def wanted_copies(self, function: Function) -> int:
         """Return how many copies the other dispatchers want, if they get the same mix of calls.
 
-        Below 0 for a function without recent calls.
+        May be below 0 for a function without recent calls.
         """
         others = COPIES_A_WORKER * len(self.fleet.usable) * (1 - 1 / self.dispatchers)
         return int(others * (function.recent_calls - DOUBTED_CALLS) / (len(self.recent) + ASSUMED_CALLS))
--- a/petrelwood/decide/scheduling/queueing.py
+++ b/petrelwood/decide/scheduling/queueing.py
@@ -49,8 +49,9 @@
 
     def enqueue(self, activation: Activation, now: int, is_retry: bool = False) -> None:
         """Queue an activation, and dispatch its function; a retry or hedged request goes to the front."""
-        function = activation.function
-        function = activation.function = self.functions.setdefault(function.key, function)
+        # A function that was idle may have been forgotten, and be known anew, since its activation was sent.
+        function = self.functions.setdefault(activation.function.key, activation.function)
+        activation.function = function
         if not activation.is_queued:
             if is_retry:
                 function.queue.appendleft(activation)
@@ -89,7 +90,7 @@
             if activation.is_queued and self.activations.get(activation.id) is activation:
                 self._handle_expiry(activation, now)
         while function.queued and now >= function.placement_paused_until:
-            if not self._shorten_queue(function, now):
+            if not self._handle_backlog(function, now):
                 break
         if (
             function.wants_copy
@@ -165,7 +166,7 @@
         else:
             self.actions.give_up(activation, now)
 
-    def _shorten_queue(self, function: Function, now: int) -> bool:
+    def _handle_backlog(self, function: Function, now: int) -> bool:
         """Add a copy if the queue is long, or reject the newest if the limit of copies is reached.
 
         Returns:
--- a/petrelwood/decide/scheduling/scheduler.py
+++ b/petrelwood/decide/scheduling/scheduler.py
@@ -97,7 +97,7 @@
         actions.set_timer(now, parameters.sweep_interval)
 
     def endpoints_changed(self, now: int, entries: Sequence[Listed], is_whole: bool) -> None:
-        """Apply a change of the endpoint list, or a whole list, and dispatch to the new workers."""
+        """Apply a change of the endpoint list, or a whole list, and dispatch what is queued."""
         for worker in self.fleet.apply(now, entries, is_whole):
             self.placement.forget_copies(worker)
         self.slow_start.fleet_changed(self.fleet.usable, now)
@@ -105,7 +105,7 @@
         self.queueing.dispatch_all(now)
 
     def endpoint_list_lost(self, now: int) -> None:
-        """Request the endpoint list soon, as no changes come; the time is drawn, as all dispatchers do so."""
+        """Request the endpoint list soon, as no changes come; after a drawn time, so not all at once."""
         delay = int(self.parameters.draw() * self.parameters.check_interval)
         self.list_requested_at = now - self._list_request_time() + delay
 
@@ -118,17 +118,17 @@
         self.activations[activation.id] = activation
         self.estimates.record_arrival(arrival.work_hint, len(self.popularity.recent))
         self.queueing.enqueue(activation, now)
-        if self.admission.sheds(activation):
+        if self.admission.should_shed(activation):
             self.actions.give_up(activation, now)
         if self.terms.reports_by_probe:
             self._check_least_known_worker(function, now)
 
     def attempt_ended(self, now: int, end: AttemptEnd) -> None:
-        """Handle the end of an attempt: learn from it, and retry or end its activation."""
-        self.attempts.end(end, now)
+        """Handle the end of an attempt: record it, and retry or end its activation."""
+        self.attempts.handle_end(end, now)
 
     def stream_started(self, now: int, activation_id: str, attempt: int, worker_id: str) -> None:
-        """Let an activation whose answer has begun to stream take as long as it needs."""
+        """Let an activation take any time, as its streamed answer has begun."""
         activation = self.activations.get(activation_id)
         if activation is not None:
             activation.due = NEVER
--- a/petrelwood/decide/scheduling/slow_start.py
+++ b/petrelwood/decide/scheduling/slow_start.py
@@ -39,7 +39,7 @@
         self.warm_worker_time = BackdatedCounter(self.guarantees.cold)
 
     def is_warm(self, worker: Worker, now: int) -> bool:
-        """Return whether the worker has been up long enough to bear its full load."""
+        """Return whether the worker has been up long enough for its full load."""
         return not worker.booted or max(0, now - worker.booted) >= self.guarantees.cold
 
     def budget(self, worker: Worker, now: int) -> int:
