--- a/petrelwood/decide/__init__.py
+++ b/petrelwood/decide/__init__.py
@@ -1,1 +1,1 @@
-"""What the program decides outside the module: free of I/O, the clock handed in as whole nanoseconds."""
+"""All decisions of the program, free of I/O; the clock is handed in as whole nanoseconds."""
--- a/petrelwood/decide/overload/resource_limits.py
+++ b/petrelwood/decide/overload/resource_limits.py
@@ -1,6 +1,6 @@
-"""What fits into a small machine: connections, activations without an answer, what one client may have open.
+"""The limits of a small machine: connections, activations without an answer, requests of one client.
 
-All are shares of two limits that the start gives:
+All are shares of two limits that are given at the start:
 
     descriptors:  a few for ourselves, a share for connections to workers, the rest for clients
     memory:       a share for the bodies of activations; what would need more is rejected at once
@@ -55,6 +55,7 @@
         self.usual = usual
         self.unanswered = 0  # activations that were admitted and have no answer yet
         self.closing = False  # nothing more is admitted
+        # rejections, by each reason that is given here
         self.counts = {RejectionReason.FULL: 0, RejectionReason.SHUTTING_DOWN: 0}
 
     def decide(self, now: int, wall: int, request: ActivationRequest) -> Verdict:
--- a/petrelwood/decide/scheduling/__init__.py
+++ b/petrelwood/decide/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module: placement, admission, retries and load orders of one dispatcher, free of I/O."""
+"""The scheduler: placement, admission, retries and load orders of one dispatcher, free of I/O."""
--- a/petrelwood/fronts/interfaces.py
+++ b/petrelwood/fronts/interfaces.py
@@ -233,7 +233,7 @@
 
     @property
     def terms(self) -> ports.Terms:
-        """The terms of the decision module."""
+        """The terms of the scheduler."""
 
     @property
     def known_ids(self) -> Ledger:
--- a/petrelwood/settings/comparison.py
+++ b/petrelwood/settings/comparison.py
@@ -17,7 +17,7 @@
 MILLISECOND = 1_000_000
 SECOND = 1_000_000_000
 RISKY_RATIO = 0.5  # a bound that falls under this part of what it was is risky under load
-LEAST_DURATION = 1_000_000  # a whole number of the module's terms that is larger than this is a time in ns
+LEAST_DURATION = 1_000_000  # a whole number of the scheduler's terms that is larger than this is a time in ns
 
 LIMITS_IN_BYTES = frozenset(("header", "body", "results", "bytes"))
 LIMITS_AT_START = frozenset(("connections", "handshakes", "bytes", "ledger", "results"))
@@ -191,7 +191,7 @@
 
 
 def _type_takes_effect(old: Gateway, rule: FunctionRule) -> TakesEffect:
-    """Return when a function may be of the type that `rule` gives it: types reach the module at its start."""
+    """Return when a function may be of the type of `rule`: the scheduler is given the types at its start."""
     return TakesEffect.AT_ONCE if rule.type in old.terms.types else TakesEffect.BY_UPGRADE
 
 
--- a/petrelwood/settings/gateway.py
+++ b/petrelwood/settings/gateway.py
@@ -1,4 +1,4 @@
-"""The settings of a gateway: who calls, which functions there are, and the terms of the decision module."""
+"""The settings of a gateway: who calls, which functions there are, and the terms of the scheduler."""
 
 from pathlib import Path
 from typing import NamedTuple
@@ -116,7 +116,7 @@
 def _module_terms(
     identity: _Identity, namespaces: Namespaces, customers: dict[str, Customer], workers: WorkerSettings
 ) -> ports.Terms:
-    """Return what the decision module is given at its start."""
+    """Return the terms that the scheduler is given at its start."""
     return ports.Terms(
         zone=identity.zone,
         dispatchers=identity.dispatchers,
--- a/petrelwood/settings/workers.py
+++ b/petrelwood/settings/workers.py
@@ -1,4 +1,4 @@
-"""What workers guarantee, how links to them behave, and what the module may do with them."""
+"""What workers guarantee, how links to them behave, and what the scheduler may do with them."""
 
 from typing import NamedTuple
 
