--- a/petrelwood/fronts/webhook.py
+++ b/petrelwood/fronts/webhook.py
@@ -12,7 +12,7 @@
 from tornado.iostream import IOStream
 from tornado.netutil import bind_sockets
 
-from petrelwood.decide.overload.admission import Admission, AdmissionVerdict
+from petrelwood.decide.overload.admission import AdmissionVerdict, ConnectionAdmission
 from petrelwood.decide.overload.storm import SymptomName
 from petrelwood.fronts.http_connection import READ_SIZE, HttpConnection
 from petrelwood.fronts.http_request import HttpRequest
@@ -33,7 +33,7 @@
 
 
 class Webhooks(Listener):
-    """The listener. `core` admits what is signed."""
+    """The listening sockets, their connections, and the way of each request to `core`."""
 
     def __init__(self, gateway: WebhookSettings, core: WebhookCore) -> None:
         is_tls = gateway.tls is not None
@@ -43,7 +43,7 @@
         self.core = core
         self.now: Callable[[], int] = core.now
         self.limits = gateway.limits
-        self.admission = Admission(
+        self.admission = ConnectionAdmission(
             gateway.limits.connections,
             gateway.limits.handshakes if is_tls else 0,
             gateway.limits.bytes,
