--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -280,7 +280,8 @@
             return
         self.counts["answered"] += 1
         if answer.code != ports.EndReason.COMPLETED:
-            self.ends[answer.code] = self.ends.get(answer.code, 0) + 1
+            word = str(answer.code.value)  # the log takes only plain strings as names
+            self.ends[word] = self.ends.get(word, 0) + 1
         note = answer.copies if call.kind == "hold" else answer.note
         if answer.code == ports.EndReason.COMPLETED:
             note = note if call.kind == "hold" or note != ports.CopyNote.LOAD_FAILED else 0
