--- a/petrelwood/decide/scheduling/queueing.py
+++ b/petrelwood/decide/scheduling/queueing.py
@@ -163,12 +163,12 @@
         Returns:
             Whether a copy was added, so that another may be needed.
         """
-        if function.copies and now - function.oldest_queued().arrived_at < self.copy_delay:
-            return False
         copies = self.placement.useful_copies(function, now)
         slots = sum(function.slots if copy.loading_since else copy.in_flight for copy in copies)
         if function.queued <= BACKLOG_A_SLOT * slots:
             return False
+        if function.copies and now - function.oldest_queued().arrived_at < self.copy_delay:
+            return False
         if len(copies) >= self.placement.copy_limit():
             longest = LONGEST_BACKLOG * BACKLOG_A_SLOT * len(copies) * function.slots
             while function.queued > longest:
