--- a/petrelwood/decide/scheduling/outlier_detection.py
+++ b/petrelwood/decide/scheduling/outlier_detection.py
@@ -5,12 +5,12 @@
 fewer attempts are in flight in all, and a part of the arrivals is shed.
 """
 
-from collections.abc import Iterator
+from collections.abc import Iterable, Iterator
 
 from petrelwood.decide.scheduling.estimates import HIGHEST_RELATIVE_LATENCY, SLOW_FACTOR, Estimates
 from petrelwood.decide.scheduling.fleet import Fleet
 from petrelwood.decide.scheduling.parameters import Parameters
-from petrelwood.decide.scheduling.records import Activation, Attempt, Worker
+from petrelwood.decide.scheduling.records import Activation, Attempt, Copy, Worker
 from petrelwood.decide.scheduling.send_limit import SendLimit
 from petrelwood.decide.scheduling.slow_start import SlowStart
 from petrelwood.ports import EndReason
@@ -91,11 +91,15 @@
         fleet_latency = max(1.0, self.estimates.mean_relative_latency)
         return worker.relative_latency > SLOW_FACTOR * fleet_latency
 
-    def can_use(self, worker: Worker, now: int) -> bool:
-        """Return whether copies on the worker are of use for what is queued, perhaps after a while."""
-        if worker.is_unresponsive or now < worker.ejected_until:
-            return False
-        return worker.send_limit.limit is None or not self.is_congested(worker)
+    def useful_copies(self, copies: Iterable[Copy], now: int) -> list[Copy]:
+        """Return the copies on workers that can run what is queued, at once or after a while."""
+        return [
+            copy
+            for copy in copies
+            if not (worker := copy.worker).is_unresponsive
+            and now >= worker.ejected_until
+            and (worker.send_limit.limit is None or not self.is_congested(worker))
+        ]
 
     def attempt_sent(self, attempt: Attempt) -> None:
         """Count an attempt as in flight."""
--- a/petrelwood/decide/scheduling/placement.py
+++ b/petrelwood/decide/scheduling/placement.py
@@ -109,8 +109,7 @@
 
     def useful_copies(self, function: Function, now: int) -> list[Copy]:
         """Return the function's copies that can run what is queued, at once or after a while."""
-        can_use = self.outliers.can_use
-        return [copy for copy in function.copies.values() if can_use(copy.worker, now)]
+        return self.outliers.useful_copies(function.copies.values(), now)
 
     def copy_limit(self) -> int:
         """Return how many copies a function may get."""
--- a/petrelwood/decide/scheduling/queueing.py
+++ b/petrelwood/decide/scheduling/queueing.py
@@ -167,6 +167,7 @@
         slots = sum(function.slots if copy.loading_since else copy.in_flight for copy in copies)
         if function.queued <= BACKLOG_A_SLOT * slots:
             return False
+        # Last, as `oldest_queued` drops stale entries, and `dispatch_all` looks at queues that are not empty.
         if function.copies and now - function.oldest_queued().arrived_at < self.copy_delay:
             return False
         if len(copies) >= self.placement.copy_limit():
