--- a/petrelwood/decide/scheduling/placement.py
+++ b/petrelwood/decide/scheduling/placement.py
@@ -113,8 +113,7 @@
 
     def useful_copies(self, function: Function, now: int) -> list[Copy]:
         """Return the function's copies that will run queued activations, at once or after a while."""
-        counts_as_capacity = self.outliers.counts_as_capacity
-        return [copy for copy in function.copies.values() if counts_as_capacity(copy.worker, now)]
+        return self.outliers.useful_copies(function.copies.values(), now)
 
     def copy_limit(self) -> int:
         """Return how many copies a function may get."""
