--- a/petrelwood/decide/cluster/connection_pool.py
+++ b/petrelwood/decide/cluster/connection_pool.py
@@ -2,7 +2,8 @@
 
 One call to a connection as long as there is room for connections: where an answer comes damaged its
 connection is of no further use, and whatever else is in flight on it may have run. Only where the budget of
-descriptors is used up do calls share, the least loaded connection first.
+descriptors is used up do calls share, the least loaded connection first. A health check shares wherever its
+worker has a connection: its caller says that no other may be opened for it.
 """
 
 from collections.abc import Sequence
