--- a/benchmarks/scale/larger_fleet.py
+++ b/benchmarks/scale/larger_fleet.py
@@ -40,6 +40,7 @@
 ENDED = 0.1  # seconds in which the stand-ins see that their connections are closed
 CONNECTIONS = 8  # of clients
 TTL = 2_000  # ms that a client waits
+UNANSWERED = 6  # seconds after which a call is given up by the judge
 SOCKETS, MEMORY_MB = 512, 96  # the dispatcher's limits
 HOLLOW = "clients, workers and discovery are stand-ins on loopback; the other dispatchers are not played"
 COMMAND = (sys.executable, "-m", "petrelwood.node")
@@ -95,6 +96,7 @@
     figures: dict  # figure -> value
     listed: int  # workers that the dispatcher knew at its start
     truncated: bool  # whether the last answers of the discovery had no room for the list
+    unanswered: int  # calls that had no answer within `UNANSWERED`; none of them counts as served
 
 
 class Verdict(NamedTuple):
@@ -185,7 +187,7 @@
         clients = [await site.client() for _ in range(CONNECTIONS)]
         watch = asyncio.ensure_future(_watch(site))
         changes = asyncio.ensure_future(_replace(site.roster, fleet))
-        served = await _calls(clients, day)
+        served, unanswered = await _calls(clients, day)
         figures = {
             CPU: processor_seconds(site.process.pid),
             MEMORY: peak_memory(site.process.pid) / 1e6,
@@ -198,7 +200,7 @@
         for client in clients:
             client.close()
     await asyncio.sleep(ENDED)
-    return Played(figures, _listed(site.log), site.roster.truncated)
+    return Played(figures, _listed(site.log), site.roster.truncated, unanswered)
 
 
 def _listed(log):
@@ -218,16 +220,21 @@
 
 
 async def _calls(clients, day):
-    """The part of the calls that was completed in its time."""
+    """The part of the calls that was completed in its time, and how many had no answer at all."""
     chance, calls, due = random.Random(day.seed), [], time.monotonic()
     until = due + day.seconds
     while (due := due + chance.expovariate(day.calls_a_second)) < until:
         await asyncio.sleep(due - time.monotonic())
         function = int(day.functions * chance.random() ** 2)
-        call = clients[len(calls) % CONNECTIONS].call(fn=function, ttl=TTL)
+        call = clients[len(calls) % CONNECTIONS].call(fn=function, ttl=TTL, within=UNANSWERED)
         calls.append(asyncio.ensure_future(call))
-    ends = await asyncio.gather(*calls)
-    return sum(end[0] == "completed" for end in ends) / len(ends)
+    ends = await asyncio.gather(*calls, return_exceptions=True)
+    unanswered = sum(isinstance(end, TimeoutError) for end in ends)
+    for end in ends:
+        if isinstance(end, BaseException) and not isinstance(end, TimeoutError):
+            raise end
+    answered = [end for end in ends if not isinstance(end, TimeoutError)]
+    return sum(end[0] == "completed" for end in answered) / len(ends), unanswered
 
 
 async def _watch(site):
@@ -290,7 +297,10 @@
 
 def play(workers, day, run):
     """One fleet's day as samples."""
-    figures = asyncio.run(played(workers, day)).figures
+    day_played = asyncio.run(played(workers, day))
+    if day_played.unanswered:
+        raise TimeoutError(f"{day_played.unanswered} calls had no answer")
+    figures = day_played.figures
     return Outcome(
         tuple(
             Figure(
--- a/tests/test_larger_fleet.py
+++ b/tests/test_larger_fleet.py
@@ -106,6 +106,7 @@
     def test_the_usual_fleet_is_served_and_hears_of_changes(self):
         self.assertGreater(self.usual.figures[SERVED], 0.9)
         self.assertEqual((self.usual.listed, self.usual.truncated), (FLEETS[0], False))
+        self.assertEqual(self.usual.unanswered, 0)
 
     def test_it_needs_no_more_than_the_limits(self):
         for workers in FLEETS[1:]:
@@ -113,6 +114,7 @@
                 larger, beyond = self.verdicts(workers)
                 self.assertEqual(beyond, [])
                 self.assertEqual((larger.listed, larger.truncated), (workers, True))
+                self.assertEqual(larger.unanswered, 0)
 
     def test_a_module_that_looks_at_everybody_at_each_call_is_seen(self):
         _, beyond = self.verdicts(FLEETS[-1], (sys.executable, "-c", LOOKS_AT_EVERYBODY))
