--- a/petrelwood/cli/main.py
+++ b/petrelwood/cli/main.py
@@ -12,7 +12,7 @@
 import click
 
 from petrelwood.errors import StorageError
-from petrelwood.settings.document import BadFile
+from petrelwood.settings.errors import SettingsError
 
 EXAMPLES = {
     "serve": "petrelwood serve gateway.kdl",
@@ -283,11 +283,11 @@
 
 def _kinds_of(described):
     """(action timeouts in seconds, which namespace types are repeatable)"""
-    from petrelwood.settings import gateway
+    from petrelwood.settings import namespaces
 
     timeouts, repeatable = {}, set()
     for node in described.terms.every("namespace-type"):
-        name, type_, timeout, _ = gateway._type(node)
+        name, type_, timeout, _ = namespaces.decode_namespace_type(node)
         timeouts[name] = timeout / 1e9
         if type_.effect == "repeatable":
             repeatable.add(name)
@@ -359,7 +359,7 @@
     """Whether a signature of BODY holds under one of the keys: exit 0 or 1."""
     from petrelwood.fronts import signing
 
-    held = signing.Verifier([_signing_key(k) for k in key]).holds(signature, id_, timestamp, body.read())
+    held = signing.Verifier([_signing_key(k) for k in key]).is_valid(signature, id_, timestamp, body.read())
     click.echo("it holds" if held else "no signature holds")
     sys.exit(0 if held else 1)
 
@@ -447,7 +447,7 @@
 def main():
     try:
         cli(prog_name="petrelwood", standalone_mode=True)
-    except (BadFile, StorageError) as fault:
+    except (SettingsError, StorageError) as fault:
         click.echo(f"petrelwood: {fault}", err=True)
         return 2
     except KeyboardInterrupt:
--- a/petrelwood/dispatch/activations.py
+++ b/petrelwood/dispatch/activations.py
@@ -5,18 +5,21 @@
 and back. An activation ends once: with an answer, or because its client left and it need not go on.
 """
 
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
-from petrelwood.decide.delivery.ledger import ActivationState
-from petrelwood.decide.delivery.pending import PendingActivation
+from petrelwood import ports
+from petrelwood.decide.delivery.ledger import ActivationState, Ledger
+from petrelwood.decide.delivery.pending import PendingActivation, PendingActivations
 from petrelwood.decide.overload import intake as intake_stage
-from petrelwood.decide.overload.intake import Ask, Verdict
-from petrelwood.dispatch.interfaces import Rule, Timer
+from petrelwood.decide.overload.intake import ActivationRequest, Intake, Verdict
+from petrelwood.dispatch.durable_state import DurableState
+from petrelwood.dispatch.event_queue import EventQueue
+from petrelwood.dispatch.handover.hooks import HandoverHooks
+from petrelwood.dispatch.interfaces import CoreRuntime, DecisionModule, Rule, Timer
+from petrelwood.dispatch.load_forecasts import LoadForecasts
+from petrelwood.dispatch.recent_answers import RecentAnswers
 from petrelwood.dispatch.state_recovery import LONGEST_BODY
-
-if TYPE_CHECKING:
-    from petrelwood.dispatch.core import Core
-    from petrelwood.dispatch.durable_state import DurableState
+from petrelwood.dispatch.worker_links import WorkerLinks
 
 # Looked up once: a member of an enum takes longer to find than a name of the module.
 ABORTED = ActivationState.ABORTED
@@ -36,13 +39,57 @@
     def answer(
         self, outcome: str, body: bytes = b"", retry_after: int = 0, why: str = "", act: str | None = None
     ) -> object:
-        """Gives the client its final answer. `retry_after`: ns, 0 where it is not told."""
+        """Give the client its final answer. `retry_after`: ns, 0 where it is not told."""
+
+
+class ActivationsCore(CoreRuntime, Protocol):
+    """What the activations need of the core. Parts that may be None are set and unset while it runs."""
+
+    @property
+    def intake(self) -> Intake:
+        """The admission: capacity, quotas, retries by id."""
+
+    @property
+    def pending(self) -> PendingActivations:
+        """The activations without a final answer."""
+
+    @property
+    def known_ids(self) -> Ledger:
+        """The ledger, of a dispatcher that has one."""
+
+    @property
+    def events(self) -> EventQueue:
+        """The queue, which has to know which activations the present call touches."""
+
+    @property
+    def scheduler(self) -> DecisionModule:
+        """The decision module."""
+
+    @property
+    def links(self) -> WorkerLinks:
+        """The links to workers."""
+
+    @property
+    def recent_answers(self) -> RecentAnswers:
+        """How many of the last answers were good."""
+
+    @property
+    def handover(self) -> HandoverHooks:
+        """What a hand-over wants to know of answers and ends."""
+
+    @property
+    def durable_state(self) -> DurableState | None:
+        """The record of activations, where one is made."""
+
+    @property
+    def forecasts(self) -> LoadForecasts | None:
+        """The forecasts of load, where they are made."""
 
 
 class Activations:
     """The activations of one dispatcher."""
 
-    def __init__(self, core: "Core") -> None:
+    def __init__(self, core: ActivationsCore) -> None:
         self.core = core
         self.now = core.now
         self.intake = core.intake
@@ -50,30 +97,34 @@
         self.deadline_timer: Timer | None = None
         self.next_deadline = 0
 
-    def admit(self, ask: Ask, function: str, rule: Rule, body: bytes, exchange: Exchange) -> None:
-        """Takes a request in, or answers it at once."""
+    def admit(
+        self, request: ActivationRequest, function: str, rule: Rule, body: bytes, exchange: Exchange
+    ) -> None:
+        """Admit a request, or answer it at once."""
         core = self.core
         now = self.now()
-        key = (ask.customer, ask.id)
+        key = (request.customer, request.id)
         hooks = core.handover
         if hooks.may_be_superseded is not None and hooks.may_be_superseded(now):
-            retry_after = self.intake.come_back(now, *key)
-            exchange.answer(intake_stage.REFUSE, retry_after=retry_after, why=intake_stage.CLOSING)
+            retry_after = self.intake.retry_after(now, *key)
+            exchange.answer(
+                intake_stage.REJECT, retry_after=retry_after, why=intake_stage.RejectionReason.SHUTTING_DOWN
+            )
             return
-        verdict = self.intake.ask(now, core.clock.wall(), ask)
-        if verdict.what == intake_stage.TAKE:
+        verdict = self.intake.decide(now, core.clock.wall(), request)
+        if verdict.outcome == intake_stage.ADMIT:
             state = core.durable_state
-            if state is not None and not state.can_admit(ask.type):
+            if state is not None and not state.can_admit(request.type):
                 self._reject_for_outage(now, key, state, exchange)
             else:
-                self._take(now, key, ask, verdict, function, rule, body, exchange)
-        elif verdict.what == intake_stage.JOIN:
+                self._take(now, key, request, verdict, function, rule, body, exchange)
+        elif verdict.outcome == intake_stage.JOIN:
             self._join(now, key, verdict, exchange)
         else:
-            exchange.answer(verdict.what, verdict.body, verdict.retry_after, verdict.why)
+            exchange.answer(verdict.outcome, verdict.body, verdict.retry_after, verdict.reason)
 
     def _join(self, now: int, key: Key, verdict: Verdict, exchange: Exchange) -> None:
-        """A retry waits for the answer of the attempt that is in flight."""
+        """Have a retry wait for the answer of the attempt that is in flight."""
         act = self.pending.by_key.get(key)
         if act is not None and self.pending.join(key, verdict.due, exchange):
             exchange.act = act.id
@@ -81,18 +132,18 @@
             return
         exchange.answer(intake_stage.ABORT, why="an earlier try may have run and must not run again")
 
-    def _reject_for_outage(self, now: int, key: Key, state: "DurableState", exchange: Exchange) -> None:
-        """Its id can't be made durable, and it must not run twice."""
+    def _reject_for_outage(self, now: int, key: Key, state: DurableState, exchange: Exchange) -> None:
+        """Reject an activation that must not run twice while its id can't be made durable."""
         core = self.core
         core.known_ids.end(key, CLIENT_LEFT)
-        retry_after = self.intake.come_back(now, *key, state.reject(now))
-        exchange.answer(intake_stage.REFUSE, retry_after=retry_after, why="its id can't be kept now")
+        retry_after = self.intake.retry_after(now, *key, state.reject(now))
+        exchange.answer(intake_stage.REJECT, retry_after=retry_after, why="its id can't be kept now")
 
     def _take(
         self,
         now: int,
         key: Key,
-        ask: Ask,
+        request: ActivationRequest,
         verdict: Verdict,
         function: str,
         rule: Rule,
@@ -100,38 +151,38 @@
         exchange: Exchange,
     ) -> None:
         core = self.core
-        act = self.pending.admit(ask, verdict.due, function, rule, body, exchange)
+        act = self.pending.admit(request, verdict.due, function, rule, body, exchange)
         exchange.act = act.id
         core.events.touched.add(act.id)
         self._set_deadline_timer()
         if core.forecasts is not None:
-            core.forecasts.activation_admitted(now, function, rule, ask.type)
+            core.forecasts.activation_admitted(now, function, rule, request.type)
         if core.durable_state is None or core.durable_state.record_admitted(act):
             self.begin(act)
 
     def begin(self, act: PendingActivation) -> None:
-        """Hands an activation to the module."""
+        """Hand an activation to the module."""
         self.core.events.touched.add(act.id)
-        self.core.scheduler.activation_arrived(
-            self.now(),
-            act.id,
-            act.function,
-            act.type,
-            act.customer,
-            act.due,
-            act.lanes,
-            act.work,
-            act.load_time,
+        arrival = ports.Arrival(
+            activation_id=act.id,
+            function=act.function,
+            type_name=act.type,
+            customer=act.customer,
+            due=act.due,
+            slots=act.lanes,
+            work_hint=act.work,
+            load_time=act.load_time,
         )
+        self.core.scheduler.activation_arrived(self.now(), arrival)
 
     def reject(self, act: PendingActivation, least_wait: int = 0) -> None:
-        """Rejects an activation that the module has not heard of; it may come back after `least_wait` ns."""
+        """Reject an activation that the module has not heard of; it may come back after `least_wait` ns."""
         customer, id_ = act.key
-        retry_after = self.intake.come_back(self.now(), customer, id_, least_wait)
+        retry_after = self.intake.retry_after(self.now(), customer, id_, least_wait)
         self.finish(act.id, REJECTED, retry_after=retry_after)
 
     def client_left(self, act_id: str, exchange: Exchange) -> None:
-        """A client hung up; the activation ends unless others wait for it, or it has to go on."""
+        """End an activation whose client hung up, unless others wait for it or it has to go on."""
         if self.pending.client_left(act_id, exchange):
             act = self.pending.end(self.now(), act_id, CLIENT_LEFT)
             if act is None:
@@ -149,7 +200,7 @@
         retry_after: int = 0,
         why: str = "",
     ) -> None:
-        """Gives an activation its final answer."""
+        """Give an activation its final answer."""
         act = self.pending.end(self.now(), act_id, outcome, body)
         if act is None:
             self.core.log.error("second final answer suppressed", act=act_id, outcome=outcome)
@@ -187,22 +238,22 @@
         self.deadline_timer = self.core.clock.at(due, self._answer_overdue)
 
     def answer_due(self, now: int) -> None:
-        """Answers what is overdue without waiting for the timer."""
+        """Answer what is overdue without waiting for the timer."""
         if self.deadline_timer is not None and self.next_deadline <= now:
             self.deadline_timer.cancel()
             self._answer_overdue()
 
     def _answer_overdue(self) -> None:
         self.deadline_timer = None
-        for act, late, whole in self.pending.overdue(self.now()):
-            if whole:
+        for act, late, is_over in self.pending.overdue(self.now()):
+            if is_over:
                 self.core.submit(self.time_out, act.id)
             for exchange in late:
                 exchange.answer(ABORTED, why="the first try still runs", act=act.id)
         self._set_deadline_timer()
 
     def time_out(self, act_id: str) -> None:
-        """The sends of an activation time out, of which the module makes an answer.
+        """Let the attempts of an activation time out, of which the module makes a final answer.
 
         If it does not, there is one all the same.
         """
@@ -220,7 +271,7 @@
             self.core.scheduler.client_departed(self.now(), act_id)
 
     def abort_defective(self, act_id: str) -> None:
-        """Aborts an activation that a defect of this program has touched."""
+        """Abort an activation that a defect of this program has touched."""
         core = self.core
         if act_id not in self.pending.activations:
             return
--- a/petrelwood/dispatch/durable_state.py
+++ b/petrelwood/dispatch/durable_state.py
@@ -5,35 +5,85 @@
 `decide.delivery.recovery`, and the recovery of a log whose disk failed is in `state_recovery`.
 """
 
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Protocol
 
+from petrelwood.decide.cluster.membership import Membership
 from petrelwood.decide.delivery import recovery
 from petrelwood.decide.delivery.ledger import ActivationState, Ledger
-from petrelwood.decide.delivery.pending import PendingActivation
+from petrelwood.decide.delivery.pending import PendingActivation, PendingActivations
 from petrelwood.decide.delivery.state_records import ActivationEnded, ActivationTaken, LoadOrdered
-from petrelwood.dispatch.state_recovery import StateRecovery
+from petrelwood.decide.overload.intake import Intake
+from petrelwood.dispatch.interfaces import DecisionModule
+from petrelwood.dispatch.state_recovery import RecoveryCore, RecoverySettings, StateRecovery
 
-if TYPE_CHECKING:
-    from petrelwood.dispatch.core import Core
+if TYPE_CHECKING:  # the platform's dispatcher needs no log
     from petrelwood.store.state_log import StateLog
 
 SURVIVES_MACHINE = "machine"  # the durability of a log whose records are synced before they count
 
 
+class DurableStateSettings(RecoverySettings, Protocol):
+    """The settings in force that a restart follows; see `settings.gateway.Gateway`."""
+
+    @property
+    def damps(self) -> bool:
+        """Whether storms are damped."""
+
+
+class DurableStateCore(RecoveryCore, Protocol):
+    """What the durable state needs of the core."""
+
+    @property
+    def gateway(self) -> DurableStateSettings:
+        """The settings in force."""
+
+    @property
+    def intake(self) -> Intake:
+        """The admission, which may have to start slowly."""
+
+    @property
+    def membership(self) -> Membership:
+        """The workers by the endpoint list."""
+
+    @property
+    def pending(self) -> PendingActivations:
+        """The activations without a final answer."""
+
+    @property
+    def scheduler(self) -> DecisionModule:
+        """The decision module."""
+
+    def clock_offset_found(self, least_epoch: int, /) -> object:
+        """Learn that an earlier process has seen the wall clock this many ns ahead of the monotonic one."""
+
+
+class RecordedActivations(Protocol):
+    """What becomes of an activation whose record is durable, or can't be; see `dispatch.activations`."""
+
+    def begin(self, act: PendingActivation, /) -> object:
+        """Hand an activation to the decision module."""
+
+    def reject(self, act: PendingActivation, least_wait: int, /) -> object:
+        """Reject an activation that has not begun; it may come back after `least_wait` ns."""
+
+
 class DurableState:
     """What one dispatcher records in `log`, and what it read there at its start."""
 
-    def __init__(self, core: "Core", ledger: Ledger, log: "StateLog") -> None:
+    def __init__(
+        self, core: DurableStateCore, activations: RecordedActivations, ledger: Ledger, log: "StateLog"
+    ) -> None:
         self.core = core
+        self.activations = activations
         self.ledger = ledger
         self.log = log
-        self.state_recovery = StateRecovery(self)
+        self.state_recovery = StateRecovery(core, self)
         self.restart: recovery.RestartLimits | None = None  # what still follows from the incarnations before
         self.unsynced: dict[str, PendingActivation] = {}  # by id; they begin once their record is synced
         self.syncing = False
 
     def adopt(self, log: "StateLog", predecessor_runs: bool = False) -> None:
-        """Goes on from what the incarnations before have left in a log.
+        """Go on from what earlier incarnations have left in a log.
 
         `predecessor_runs`: the one before still finishes what it has in flight.
         """
@@ -45,7 +95,7 @@
         known = recovery.restore_ledger(self.ledger, found, now, time, predecessor_runs)
         log.found = []
         self.restart = recovery.RestartLimits(found, now, time, core.terms.guarantees, core.terms.orders)
-        if self.restart.recent_orders and hasattr(core.scheduler, "load_orders_restored"):
+        if self.restart.recent_orders:
             core.scheduler.load_orders_restored(now, self.restart.recent_orders)
         if self.restart.starts_slowly and core.gateway.damps and not predecessor_runs:
             core.intake.concurrency_limit.start_slowly(now)
@@ -62,7 +112,7 @@
             )
 
     def is_warm_enough(self, worker: str, now: int) -> bool:
-        """Whether a worker may be sent anything so soon after the restart: cold ones have to wait."""
+        """Return whether a worker may be sent anything so soon after the restart: cold ones have to wait."""
         restart = self.restart
         if restart is None or now >= restart.cold_workers_from:
             return True
@@ -72,16 +122,16 @@
 
     # The admission of activations.
     def can_admit(self, type_: str) -> bool:
-        """Whether an activation of this type may be admitted: not in an outage if it must not run twice."""
+        """Return whether this type may be admitted: in an outage not if it must not run twice."""
         effect = self.core.terms.types[type_].effect
         return bool(recovery.may_admit(effect, self.log.stopped is None))
 
     def reject(self, now: int) -> int:
-        """Notes that an activation is rejected for the outage; the time (ns) until that may be over."""
+        """Count an activation that is rejected for the outage; return the ns until that may be over."""
         return self.state_recovery.rejected_for(now)
 
     def record_admitted(self, act: PendingActivation) -> bool:
-        """Records a new activation. Returns whether it may begin at once.
+        """Record a new activation; return whether it may begin at once.
 
         What must not run twice waits until its record is durable, and is rejected where it can't be.
         """
@@ -97,11 +147,11 @@
             return False
         if self.log.flush():
             return True
-        core.activations.reject(act, self.reject(core.now()))
+        self.activations.reject(act, self.reject(core.now()))
         return False
 
     def _sync(self) -> None:
-        """One sync at a time; what comes meanwhile is the next one's."""
+        """Sync the log, unless a sync is under way: what comes meanwhile is the next one's."""
         if self.syncing or not self.unsynced:
             return
         self.syncing = True
@@ -117,25 +167,24 @@
             self._sync()
 
     def _begin_recorded(self, waiting: list[str], durable: bool) -> None:
-        activations = self.core.activations
         for act_id in waiting:
             act = self.unsynced.pop(act_id, None)
-            if act is None or act_id not in activations.pending.activations:
+            if act is None or act_id not in self.core.pending.activations:
                 continue
             if durable:
-                activations.begin(act)
+                self.activations.begin(act)
             else:
-                activations.reject(act, self.reject(self.core.now()))
+                self.activations.reject(act, self.reject(self.core.now()))
 
     # What ends, and what is ordered.
     def record_ended(
         self, key: tuple[str, str], outcome: ActivationState, sent: bool, body: bytes | None
     ) -> None:
-        """Records how an activation ended. `body`: the answer, where it is short enough to be cached."""
+        """Record how an activation ended. `body`: the answer, where it is short enough to be cached."""
         self.log.add(ActivationEnded(self.core.record_time(), *key, outcome, sent, body))
 
     def record_order(self, worker: str, function: str, copies: int) -> bool:
-        """Records a load order. Whether it is durable, and may go out."""
+        """Record a load order; return whether it is durable, and may go out."""
         core = self.core
         self.log.add(LoadOrdered(core.record_time(), worker, function, copies))
         if not self.log.flush():
@@ -144,15 +193,15 @@
         return True
 
     def flush(self) -> None:
-        """Writes what was recorded in a turn of the dispatcher."""
+        """Write what was recorded in a turn of the dispatcher."""
         self.log.flush()
 
     def check(self) -> None:
-        """Called a few times a second: begins segments, and recovers the log after its disk failed."""
+        """Begin segments, and recover the log after its disk failed; called a few times a second."""
         self.log.check(self.core.record_time())
         self.state_recovery.check()
 
     def take_over_again(self) -> None:
-        """The successor has failed: reads what it recorded, and records here again."""
+        """Read what the failed successor recorded, and record here again."""
         self.log.take_over_again(self.core.record_time())
         self.adopt(self.log)
--- a/petrelwood/emulate/platform.py
+++ b/petrelwood/emulate/platform.py
@@ -13,7 +13,7 @@
 from petrelwood.decide.scheduling.scheduler import Scheduler
 from petrelwood.decide.wall_clock import UnsteppedWallClock
 from petrelwood.dispatch.core import Core
-from petrelwood.emulate import script
+from petrelwood.emulate import policies, script
 from petrelwood.emulate.disk import Disk
 from petrelwood.emulate.link import Link, Node
 from petrelwood.emulate.machine import Machine
@@ -76,7 +76,7 @@
             ),
         )
         self.gateway_early, self.future, self.ends = self.gateway.early, future, None
-        if not day.early:
+        if not day.early or policies.is_baseline(policy):  # no baseline loads ahead
             self.gateway = self.gateway._replace(early=None)
         self.gateway = self.gateway._replace(damps=day.damps and self.gateway.damps)
         self.types, self.timeouts = self.gateway.terms.types, self.gateway.timeouts
@@ -306,12 +306,20 @@
 
     def _account_of(self, core):
         if core.forecasts is not None:
-            core.forecasts.early.account.told = self._early_ended
+            core.forecasts.early.account.on_end = self._early_ended
 
     def _early_ended(self, now, load, end, seconds, memory):
         self.ends.record(
             EarlyLoadEnd(
-                load.asked, load.stood, now, load.function, load.hall, load.worker, end, seconds, memory
+                load.ordered_at,
+                load.loaded_at,
+                now,
+                load.function,
+                load.zone,
+                load.worker,
+                end,
+                seconds,
+                memory,
             )
         )
 
--- a/petrelwood/ports.py
+++ b/petrelwood/ports.py
@@ -1,7 +1,7 @@
-"""The interface of the decision module: what it is told at its start, and what it may do.
+"""The interface of the decision module: what it is given at its start, what it is told, and what it may do.
 
 All times are whole nanoseconds on the caller's clock; ids are opaque and handed back as they came. The events
-that the module is told of are the public methods of `decide/scheduling/scheduler.py:Scheduler`.
+are the public methods of `decide.scheduling.scheduler.Scheduler`; the larger ones carry a record from here.
 """
 
 from enum import IntEnum, StrEnum
@@ -53,75 +53,124 @@
 
 
 class NamespaceType(NamedTuple):
-    target_latency: int
-    effect: str  # an Effect
-    scope: str  # DEDUPLICATED: a Scope, the group that drops repeats
-    window: int  # DEDUPLICATED: how long it remembers them
-    stretch: float = 0.0  # the target latency grows by so many times the activation's own work,
-    timeout: int = 0  # up to the action timeout; 0: not told
+    """The rules that hold for the activations of one namespace type."""
+
+    target_latency: int  # ns from arrival to answer
+    effect: Effect
+    scope: Scope  # of a deduplicated one: the group that drops repeats
+    window: int  # ns that the group remembers a deduplicated one
+    stretch: float = 0.0  # the target latency grows by so many times the activation's own work hint
+    timeout: int = 0  # ns, the action timeout, up to which it grows; 0: not told
 
 
 class Guarantees(NamedTuple):
-    ask_within: int
-    cold: int  # a worker is warm this long after its start
-    cold_from: float  # the part of its capacity that it starts with
-    fall_multiple: float
-    fall: int
+    """What the platform guarantees, and demands, of workers and their list."""
+
+    ask_within: int  # ns: the endpoint list must be requested as often, where it must be requested at all
+    cold: int  # ns after its start from which a worker is warm
+    cold_from: float  # the part of its capacity that a worker starts with
+    fall_multiple: float  # a cold worker falls over when it gets so many times its capacity
+    fall: int  # ns in which it gets that
 
 
 class LoadOrders(NamedTuple):
+    """What is allowed of load orders."""
+
     allowed: bool
     loads_on_send: bool  # a worker without a copy loads it by itself when an activation comes
-    keep: int  # an idle copy stays at least this long
-    free: float  # the ration: so many, and `part` of the activations taken, in each `period`
-    part: float
-    period: int  # 0: no ration
+    keep: int  # ns that an idle copy stays at least
+    free: float  # the rate limit: so many in each period,
+    part: float  # and so many more for each activation taken in it
+    period: int  # ns; 0: there is no rate limit
 
 
 class Allowed(NamedTuple):
-    sends: int  # at most, for one activation
-    overlap: bool  # two sends of one activation may be out at a time
-    cancel: bool
-    probe: bool
-    retry_after: bool
-    max_retry_after: int
+    """What is allowed of attempts and answers."""
+
+    sends: int  # attempts of one activation, at most
+    overlap: bool  # two attempts of one activation may be in flight at a time
+    cancel: bool  # an attempt may be cancelled
+    probe: bool  # a worker may be asked for a load report
+    retry_after: bool  # a rejection may tell when to come back
+    max_retry_after: int  # ns, the longest that it may tell
 
 
 class Terms(NamedTuple):
-    """All that the module is told at start."""
+    """All that the module is given at its start."""
 
-    zone: str
-    dispatchers: int
-    types: dict  # name -> NamespaceType
-    quotas: dict  # customer -> activations a second, at all dispatchers together
+    zone: str  # the dispatcher's own
+    dispatchers: int  # that share the workers
+    types: dict[str, NamespaceType]
+    quotas: dict[str, float]  # by customer: activations a second, at all dispatchers together
     guarantees: Guarantees
     orders: LoadOrders
     allowed: Allowed
-    asks: bool  # the list of workers must be asked for
-    reports_by_probe: bool
-    tick: int
-    probe_fee: float = 0.0  # utility that one probe an activation costs, as a part of all
-    beyond: float = 0.0  # utility of an activation beyond its customer's share, as a part of the usual
+    asks: bool  # the endpoint list must be requested
+    reports_by_probe: bool  # workers report their load only when asked
+    tick: int  # ns, the shortest time for a timer
+    probe_fee: float = 0.0  # utility that one health check an activation costs, as a part of all
+    beyond: float = 0.0  # utility of an activation beyond its customer's quota, as a part of the usual
 
 
 class Listed(NamedTuple):
-    """A worker as the list has it."""
+    """A worker as the endpoint list has it."""
 
     worker: str
     zone: str
     cell: int
-    booted: int  # 0: long ago
+    booted: int  # ns when it started; 0: long ago
     usable: bool  # False: it drains or is gone
 
 
+class Arrival(NamedTuple):
+    """An activation that has been admitted and waits for its first attempt."""
+
+    activation_id: str
+    function: str
+    type_name: str  # a key of `Terms.types`
+    customer: str
+    due: int  # ns on the caller's clock: its final answer must be there by then
+    slots: int  # activations of its function that one copy runs at a time
+    work_hint: int  # ns that it is expected to compute; 0: not told
+    load_time: int  # ns that loading a copy of its function takes; 0: not told
+
+
+class AttemptEnd(NamedTuple):
+    """How one attempt of an activation has ended."""
+
+    activation_id: str
+    attempt: int  # attempts of an activation are counted from 0
+    worker: str
+    reason: EndReason
+    note: int  # a `CopyNote`
+    is_final: bool  # the activation has its final answer, by this attempt or otherwise
+    duration: int  # ns from the send to the end
+    report: dict[str, float] | None  # the worker's load report, if it sent one
+
+
 class Outlet(Protocol):
-    """What the module may do. Every call takes effect at the clock time of the call being handled."""
-
-    def send(self, act: str, worker: str, limit: int) -> None: ...
-    def reject(self, act: str, retry_after: int) -> None: ...
-    def abort(self, act: str) -> None: ...
-    def cancel(self, act: str, n: int) -> None: ...
-    def order_load(self, worker: str, fn: str, copies: int) -> None: ...
-    def check_health(self, worker: str) -> None: ...
-    def set_timer(self, mark: str, wait: int) -> None: ...
-    def request_endpoint_list(self) -> None: ...
+    """What the module may do. Every call takes effect at the clock time of the event that is handled."""
+
+    def send(self, activation_id: str, worker: str, limit: int, /) -> None:
+        """Send an activation to a worker; `limit` (ns): how long the attempt may take, 0 without a limit."""
+
+    def reject(self, activation_id: str, retry_after: int, /) -> None:
+        """Give an activation its final answer: it did not run, come back in `retry_after` ns if not 0."""
+
+    def abort(self, activation_id: str, /) -> None:
+        """Give an activation its final answer: it failed, and it may have run."""
+
+    def cancel(self, activation_id: str, attempt: int, /) -> None:
+        """Cancel an attempt that is in flight."""
+
+    def order_load(self, worker: str, function: str, copies: int, /) -> None:
+        """Order a worker to load so many copies of a function."""
+
+    def check_health(self, worker: str, /) -> None:
+        """Ask a worker for a load report."""
+
+    def set_timer(self, mark: str, wait: int, /) -> None:
+        """Let a timer fire in `wait` ns, which hands `mark` back."""
+
+    def request_endpoint_list(self) -> None:
+        """Request the endpoint list and its changes."""
--- a/petrelwood/settings/comparison.py
+++ b/petrelwood/settings/comparison.py
@@ -7,15 +7,17 @@
 
 from collections.abc import Callable, Iterable, Iterator
 from enum import StrEnum
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from petrelwood import ports
-from petrelwood.settings.gateway import Customer, FunctionRule, Gateway
+from petrelwood.settings.customers import Customer
+from petrelwood.settings.functions import FunctionRule
+from petrelwood.settings.gateway import Gateway
 
 MILLISECOND = 1_000_000
 SECOND = 1_000_000_000
 RISKY_RATIO = 0.5  # a bound that falls under this part of what it was is risky under load
-LEAST_DURATION = 1_000_000  # a whole number of the module's terms that is larger than this is a time in ns
+LEAST_DURATION = 1_000_000  # a whole number of the scheduler's terms that is larger than this is a time in ns
 
 LIMITS_IN_BYTES = frozenset(("header", "body", "results", "bytes"))
 LIMITS_AT_START = frozenset(("connections", "handshakes", "bytes", "ledger", "results"))
@@ -24,7 +26,7 @@
 
 
 class TakesEffect(StrEnum):
-    """When a change of settings takes effect; shown by `petrelwood diff` and in logs."""
+    """When a change of settings takes effect; shown by `petrelwood config diff` and in logs."""
 
     AT_ONCE = "at once"
     BY_UPGRADE = "by an upgrade"
@@ -39,19 +41,19 @@
     risk: str = ""  # why it is risky under load; empty where it is not
 
     def as_json_object(self) -> dict[str, str]:
-        """The form that `petrelwood diff --json` prints."""
+        """Return the form that `petrelwood config diff --json` prints."""
         return {"what": self.description, "when": self.takes_effect.value, "risk": self.risk}
 
     def summary(self) -> str:
-        """The sentence, with its risk where there is one."""
+        """Return the sentence, with its risk where there is one."""
         return f"{self.description}; risky: {self.risk}" if self.risk else self.description
 
 
-def _format_duration(duration: int) -> str:
+def _format_duration(duration: float) -> str:
     return f"{duration / SECOND:g} s" if duration >= SECOND else f"{duration / MILLISECOND:g} ms"
 
 
-def _format_bytes(value: int) -> str:
+def _format_bytes(value: float) -> str:
     for unit, size in (("GB", 10**9), ("MB", 10**6), ("KB", 10**3)):
         if value >= size:
             return f"{value / size:g} {unit}"
@@ -189,7 +191,7 @@
 
 
 def _type_takes_effect(old: Gateway, rule: FunctionRule) -> TakesEffect:
-    """When a function may be of the type that `rule` gives it: the module learns of types at its start."""
+    """Return when a function may be of the type of `rule`: the scheduler is given the types at its start."""
     return TakesEffect.AT_ONCE if rule.type in old.terms.types else TakesEffect.BY_UPGRADE
 
 
@@ -233,7 +235,7 @@
         )
 
 
-def _limit_format(name: str) -> Callable[[Any], str]:
+def _limit_format(name: str) -> Callable[[float], str]:
     if name.endswith(("within", "idle")):
         return _format_duration
     return _format_bytes if name in LIMITS_IN_BYTES else str
@@ -256,7 +258,7 @@
 
 
 def _compare_parts(old: Gateway, new: Gateway) -> Iterator[Change]:
-    """Parts of the settings of which it is only said that they are other than before."""
+    """Yield the parts of the settings of which it is only said that they are other than before."""
     for subject, before, after in (
         ("the roster is", old.roster, new.roster),
         ("the control socket is", old.control, new.control),
@@ -326,14 +328,14 @@
 
 
 def _comparable(value: object) -> object:
-    """Something that can be compared: identities by the paths that they were made of."""
+    """Return a form that can be compared: identities as the paths that they were made of."""
     if isinstance(value, tuple):
         return tuple(map(_comparable, value))
     return getattr(value, "paths", value)
 
 
 def changes(old: Gateway, new: Gateway) -> list[Change]:
-    """All changes, in the order customers, types, functions, limits, the rest."""
+    """Return all changes, in the order customers, types, functions, limits, the rest."""
     return [
         *_compare_customers(old, new),
         *_compare_types(old, new),
@@ -347,7 +349,7 @@
 
 
 def takes_effect(found: Iterable[Change]) -> TakesEffect | None:
-    """The latest time that any of the changes asks for; None where nothing changes."""
-    asked = {change.takes_effect for change in found}
+    """Return the latest time at which any of the changes takes effect; None where nothing changes."""
+    found_times = {change.takes_effect for change in found}
     latest_first = (TakesEffect.AT_RESTART, TakesEffect.BY_UPGRADE, TakesEffect.AT_ONCE)
-    return next((when for when in latest_first if when in asked), None)
+    return next((when for when in latest_first if when in found_times), None)
--- a/tests/test_always_answered.py
+++ b/tests/test_always_answered.py
@@ -52,7 +52,8 @@
         "import sys; from petrelwood.node import __main__ as node; "
         "from petrelwood.decide.cluster import shutdown; "
         "from petrelwood.decide.overload import resource_limits as limits; "
-        f"shutdown.LONGEST_TIMEOUT = limits.SILENT = limits.PART = {SLOW}_000_000_000; sys.exit(node.main())",
+        f"shutdown.LONGEST_TIMEOUT = limits.FIRST_REQUEST_TIMEOUT = {SLOW}_000_000_000; "
+        f"limits.REQUEST_TIMEOUT = {SLOW}_000_000_000; sys.exit(node.main())",
     )
 
     def __init__(self, workers):
@@ -111,7 +112,7 @@
             early = client.call(ask(fn=1, ttl=600))
             self.assertEqual(await word(site, client, early), "Throttled")
             held = client.call(ask(fn=1, ttl=30_000))
-            await site.until(lambda: site.node.intake.held)
+            await site.until(lambda: site.node.intake.unanswered)
             await worker.open()
             site.workers.append(worker)
             site.roster.tell(worker)
@@ -234,7 +235,7 @@
         worker, steps = Raw("s-1"), Steps(0, 0)
         with (
             mock.patch.object(service.shutdown, "Shutdown", lambda *_: steps),
-            mock.patch.object(resource_limits, "PART", SLOW * 1_000_000_000),
+            mock.patch.object(resource_limits, "REQUEST_TIMEOUT", SLOW * 1_000_000_000),
         ):
             await self._pieces_across_a_drain(worker, steps)
 
@@ -246,7 +247,9 @@
             requests = {client: ask(fn=1, ttl=30_000) for client in (soon, late, never)}
             for client, fields in requests.items():
                 client.call(fields, part=slice(None, 40))
-            await site.until(lambda: sum(bool(client.part) for client in site.node.front.clients) == 3)
+            await site.until(
+                lambda: sum(bool(client.partial_since) for client in site.node.front.clients) == 3
+            )
             ending = asyncio.ensure_future(site.node.close())
             await site.turns()
             soon.call(requests[soon], part=slice(40, None))
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -37,7 +37,8 @@
     IncarnationStarted,
     LoadOrdered,
 )
-from petrelwood.decide.forecasting.forecast import Calendar, Forecast
+from petrelwood.decide.forecasting.forecast import Forecast
+from petrelwood.decide.forecasting.slot_calendar import Calendar
 from petrelwood.decide.wall_clock import FOLLOWED, UnsteppedWallClock
 from petrelwood.dispatch.load_forecasts import LoadForecasts
 from petrelwood.dispatch.rollout import VersionRollout, VersionSource
@@ -46,7 +47,7 @@
 from petrelwood.emulate.disk import Disk
 from petrelwood.emulate.platform import Platform
 from petrelwood.node import roster
-from petrelwood.settings.gateway import EarlyTerms
+from petrelwood.settings.early_loads import EarlyTerms
 from petrelwood.store import versions
 from petrelwood.store.state_log import StateLog
 
@@ -517,7 +518,7 @@
         with mock.patch("time.time_ns", lambda: system() - HOUR):
             self.client.answers.clear()
             for session in self.cores[0].fronts[0].sessions:
-                session.stamp = 0
+                session.decoder.last_timestamp = 0
             self.client.ask("once-1", b"a", 1)
             self.assertEqual(await self.answered(b"a"), ["completed"])
         self.assertEqual(self.runs(), 1)
@@ -534,8 +535,8 @@
             ended = 0
             for second in range(100):
                 wall = WALL + second * S + (step if second >= 45 else 0)
-                ended += forecast.called(unstepped.read(second * S, wall), "f")
-            self.assertEqual((ended, forecast.broken), (9, 0), step)
+                ended += forecast.record_call(unstepped.read(second * S, wall), "f")
+            self.assertEqual((ended, forecast.discarded_slots), (9, 0), step)
 
     def test_the_core_asks_them_so(self):
         platform = Platform(stepped_day()._replace(early=True), 1)
@@ -543,11 +544,11 @@
         core.clock.step = HOUR
         slots = EarlyTerms(10 * S, 86_400 * S, 7 * 86_400 * S, (), 0.0, 0.0, 0, 0)
         core.forecasts = LoadForecasts(
-            slots, core.terms, core.clock, random.Random(1), wish=mock.Mock(), sliced=False
+            slots, core.terms, core.clock, random.Random(1), prefetch=mock.Mock(), sliced=False
         )
         with mock.patch.object(core.forecasts, "early") as early:
             core._plan_loads()
-            self.assertEqual(early.turn.call_args.args[1], clocks.WALL)
+            self.assertEqual(early.plan_slot.call_args.args[1], clocks.WALL)
 
 
 def stepped_day(step=0, share="one", moment="under load"):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,12 +20,13 @@
 from unittest import mock
 
 import msgpack
+from free_ports import free_port
 from node_site import ROOT, SETTINGS, Roster, Site, Worker, ask, hit
 
 from petrelwood.decide.overload import resource_limits
 from petrelwood.dispatch import event_queue
 from petrelwood.links import sockets
-from petrelwood.node import told
+from petrelwood.node import configuration
 from petrelwood.node import worker as link
 from petrelwood.node.service import Node
 
@@ -60,7 +61,7 @@
         super().__init__(workers, **settings(**changes))
 
     async def start(self):
-        self.node = Node(told.read(self.environ(self.write())), Said(self.log))
+        self.node = Node(configuration.read(self.environ(self.write())), Said(self.log))
         self.node.begin()
 
     async def until(self, what, within=SLOW):
@@ -263,10 +264,10 @@
                     first.call(ask(fn=1, facts=facts))
                     await site.until(worker.runs)
                     gone.call(ask(fn=1, facts=facts))
-                    await site.until(lambda: site.node.intake.held == 2)
+                    await site.until(lambda: site.node.intake.unanswered == 2)
                     kept = ask(fn=1, facts=facts)
                     stays.call(kept)
-                    await site.until(lambda: site.node.intake.held == 3)
+                    await site.until(lambda: site.node.intake.unanswered == 3)
                     gone.close(how)
                     await site.until(lambda: site.node.pending.counts["left"] == 1)
                     worker.answer(worker.runs()[0])
@@ -287,7 +288,7 @@
                         await site.until(worker.runs)
                         left = ask(fn=1, facts=facts)
                         gone.call(left)
-                        await site.until(lambda: site.node.intake.held == 2)
+                        await site.until(lambda: site.node.intake.unanswered == 2)
                         worker.answer(worker.runs()[0], type=code)
                         gone.close(how)
                         held_up()
@@ -308,7 +309,7 @@
             await site.until(worker.runs)
             left = ask(fn=1, facts=facts)
             gone.call(left)
-            await site.until(lambda: site.node.intake.held == 2)
+            await site.until(lambda: site.node.intake.unanswered == 2)
             worker.answer(worker.runs()[0])
             for _ in range(20):
                 gone.call(ask(fn=1, facts=facts), body=b"y" * 12_000)
@@ -331,7 +332,7 @@
             client.close()
             await site.until(lambda: site.node.pending.counts["left"] == 1)
             worker.answer(worker.runs()[0], type="SHED")
-            await site.until(lambda: not site.node.links[worker.name].owes())
+            await site.until(lambda: not site.node.links[worker.name].has_open_calls())
             await site.turns()
             self.assertEqual(len(first.runs()) + len(second.runs()), 1)
             client = Caller(site.address)
@@ -380,7 +381,7 @@
         with mock.patch.object(link.sockets, "fresh", narrow):
             async with Inside([worker], **NO_CANCEL) as site:
                 gone = Caller(site.address)
-                gone.call(ask(fn=1), b"z" * resource_limits.BODY)
+                gone.call(ask(fn=1), b"z" * resource_limits.MAX_BODY)
                 await site.until(
                     lambda: (
                         any(
@@ -437,7 +438,7 @@
     async def test_a_request_that_comes_as_its_connection_is_closed_for_rest(self):
         """The look at idle connections and the request come in one turn of the loop."""
         async with Inside([Worker("s-1")]) as site:
-            with mock.patch.object(resource_limits, "IDLE", 200_000_000):
+            with mock.patch.object(resource_limits, "IDLE_TIMEOUT", 200_000_000):
                 for _ in range(3):
                     client = Caller(site.address)
                     number = client.call(ask(fn=1))
@@ -456,8 +457,8 @@
     async def test_a_first_request_that_comes_as_its_silence_ends(self):
         async with Inside([Worker("s-1")]) as site:
             with (
-                mock.patch.object(resource_limits, "SILENT", 200_000_000),
-                mock.patch.object(resource_limits, "PART", 200_000_000),
+                mock.patch.object(resource_limits, "FIRST_REQUEST_TIMEOUT", 200_000_000),
+                mock.patch.object(resource_limits, "REQUEST_TIMEOUT", 200_000_000),
             ):
                 for cut in (0, 40):  # all of it comes then, or what it lacked
                     client, fields = Caller(site.address), ask(fn=1)
@@ -501,9 +502,9 @@
             busy = Caller(site.address)
             number = busy.call(ask(fn=1))
             await site.until(worker.runs)
-            calls, accept = [], site.node.front._accept
-            site.node.loop.remove_reader(site.node.front.sock)
-            site.node.loop.add_reader(site.node.front.sock, lambda: (calls.append(1), accept()))
+            calls, accept = [], site.node.front.listener._accept
+            site.node.loop.remove_reader(site.node.front.listener.sock)
+            site.node.loop.add_reader(site.node.front.listener.sock, lambda: (calls.append(1), accept()))
             late = Caller(site.address)
             with no_descriptors():
                 await site.turns(200)
@@ -557,7 +558,9 @@
             first = other.call(ask(fn=1))
             await site.until(other.read)
             client.sock.setblocking(False)
-            bodies = [bytes([65 + n]) * resource_limits.BODY for n in range(resource_limits.OPEN)]
+            bodies = [
+                bytes([65 + n]) * resource_limits.MAX_BODY for n in range(resource_limits.MAX_OPEN_REQUESTS)
+            ]
             for body in bodies:
                 client.last += 1
                 data = msgpack.packb([0, client.last, "plain", [ask(fn=1), body]])
@@ -568,7 +571,7 @@
             await site.until(lambda: site.node.pending.counts["completed"] == len(bodies) + 1)
             looks = site.node.looks
             # nothing of it is open, and its answers have not gone out
-            with mock.patch.object(resource_limits, "IDLE", 1):
+            with mock.patch.object(resource_limits, "IDLE_TIMEOUT", 1):
                 await site.until(lambda: site.node.looks > looks + 2)
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
             for there in site.node.front.clients:
@@ -591,14 +594,14 @@
             there.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             # until what it does not read has filled both buffers: a busy machine turns some away in few bytes
             for _ in range(100):
-                bad.call(ask(fn=1), b"z" * resource_limits.BODY)
-                await site.until(lambda: not there.open and there.asked)
+                bad.call(ask(fn=1), b"z" * resource_limits.MAX_BODY)
+                await site.until(lambda: not there.open and there.requested)
                 await asyncio.sleep(0.05)
                 if there.stream.writing():
                     break
-            for _ in range(resource_limits.FAULTS):
+            for _ in range(resource_limits.MAX_FAULTS):
                 bad.call(ask(fn=1), type_="nothing")
-            await site.until(lambda: there.ending)
+            await site.until(lambda: there.draining)
             self.assertTrue(there.stream.writing())
             await site.until(lambda: not site.node.front.clients)
             bad.sock.close()
@@ -658,7 +661,7 @@
             await site.until(worker.runs)
             for which in (0, 2, 3):  # the first may have one lane, and one is taken
                 call(which)
-                await site.until(lambda: site.node.intake.held == len(sent))
+                await site.until(lambda: site.node.intake.unanswered == len(sent))
             await site.until(lambda: len(worker.runs()) == 3)
             await site.turns()
             here = [sent[said["req"]] for _, said in worker.runs()]
@@ -781,9 +784,7 @@
         await site.roster.open()
         await site.workers[0].open()
         site.roster.tell(site.workers[0])
-        with socket.socket() as free:
-            free.bind(("127.0.0.1", 0))
-            site.address = free.getsockname()
+        site.address = ("127.0.0.1", free_port())
         self.addCleanup(site.folder.cleanup)
         path = site.write()
         for before in (True, False):
@@ -843,13 +844,13 @@
             client.close()
             await site.until(lambda: site.node.pending.counts["left"] == 1)
             link = site.node.links["s-1"]
-            self.assertTrue(link.owes())
+            self.assertTrue(link.has_open_calls())
             await loud.open()
             site.workers.append(loud)
             site.roster.tell(loud)
             site.roster.tell(silent, "Gone")
             await site.until(lambda: "s-1" not in site.node.links)
-            self.assertFalse(link.owes() or link.lines or site.node.links.in_flight)
+            self.assertFalse(link.has_open_calls() or link.lines or site.node.links.in_flight)
             # not allowed
             self.assertEqual([said["type"] for _, said in silent.read() if said["type"] == "KILL"], [])
             client = Caller(site.address)
@@ -913,7 +914,7 @@
             client.call(ask(fn=1, facts=facts))
             await site.until(worker.runs)
             client.call(ask(fn=1, facts=facts))
-            await site.until(lambda: site.node.intake.held == 2)
+            await site.until(lambda: site.node.intake.unanswered == 2)
             told_ = []
             # it has the question now, and answers when it is told to
             site.roster.spoil = lambda wire: told_.append(wire)
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -25,7 +25,7 @@
         crowd, quiet = self.others("127.0.0.2"), self.others("127.0.0.3")
         streams = [await crowd.connect() for _ in range(40)]
         await self.until(lambda: sum(self.front.admission.counts.values()) == 40)
-        self.assertLessEqual(len(self.front.lines), 21)
+        self.assertLessEqual(len(self.front.connections), 21)
         refused = [s for s in streams if (await self.first(s)).startswith(b"HTTP/1.1 503")]
         self.assertGreaterEqual(len(refused), 19)
         await self.served(quiet, 20)
@@ -69,10 +69,10 @@
             streams.append(stream)
             await stream.write(b"".join(self.message(body=b'{"big":1}') for _ in range(5)))
         await self.until(lambda: self.front.admission.held_bytes > 10_000_000)
-        while self.front.lines:  # `body-within` is 300 ms
+        while self.front.connections:  # `body-within` is 300 ms
             most = max(most, self.front.admission.held_bytes)
             self.assertEqual((await quiet.call(self.message(), 30)).status, 200)
-            if all(line.peer == "127.0.0.3" for line in self.front.lines):
+            if all(line.peer == "127.0.0.3" for line in self.front.connections):
                 break
         self.assertLessEqual(most, 40_000_000)
         await self.until(lambda: self.front.admission.held_bytes == 0)
@@ -123,7 +123,7 @@
     async def test_hints_grow_for_one_that_does_not_listen(self):
         await self.begin(Worker("w1", never), limits="held 1", terms='most-retry-after "60s"')
         first = asyncio.ensure_future(self.caller.call(self.message("again-1"), 6))
-        await self.until(lambda: self.core.intake.held == 1)
+        await self.until(lambda: self.core.intake.unanswered == 1)
         other, told = self.others("127.0.0.2"), []
         for attempt in range(5):
             reply = await other.call(self.message("again-2", id_="deaf", stamp=self.stamp + attempt), 30)
--- a/tests/test_early.py
+++ b/tests/test_early.py
@@ -14,7 +14,8 @@
 from petrelwood.audit import rules
 from petrelwood.emulate import result, script
 from petrelwood.emulate.platform import Platform
-from petrelwood.settings import document, gateway
+from petrelwood.settings import gateway
+from petrelwood.settings.errors import SettingsError
 from petrelwood.store import history, history_files
 from petrelwood.store.errors import SnapshotError
 
@@ -49,7 +50,7 @@
         await self.begin_early(Worker("w1"), Worker("w2"))
         await self.call(1.0)
         early = self.core.forecasts.early
-        await self.until(lambda: early.made >= 1)
+        await self.until(lambda: early.ordered >= 1)
         self.assertTrue([h for w in self.workers for h in w.holds if h[0] == "again-1"])
         self.assertEqual(early.plans > 3, True)
 
@@ -96,7 +97,7 @@
                 Worker("w1"), Worker("w2"), more=f'history {{{{ folder "{folder}/h" }}}}\n'
             )
             await self.call(1.0)
-            await self.until(lambda: self.core.forecasts.early.made >= 1)
+            await self.until(lambda: self.core.forecasts.early.ordered >= 1)
             known = sorted(self.core.forecasts.early.forecast.series)
             await self.core.close()
             self.assertEqual(known, ["again-1"])
@@ -132,8 +133,8 @@
         await self.until(
             lambda: (
                 forecast.series.get("again-7") is not None
-                and forecast.ahead(self.core.clock.wall(), "again-7")[0]
-                > 4 * forecast.ahead(self.core.clock.wall(), "again-1")[0]
+                and forecast.predict(self.core.clock.wall(), "again-7")[0]
+                > 4 * forecast.predict(self.core.clock.wall(), "again-1")[0]
             )
         )
         turns = self.core.forecasts.early.plans
@@ -152,7 +153,7 @@
                 platform.clock.at(
                     draining,
                     lambda cores=platform.cores: seen.setdefault(
-                        "made", sum(c.forecasts.early.made for c in cores.values())
+                        "made", sum(c.forecasts.early.ordered for c in cores.values())
                     ),
                 )
             platform.run()
@@ -214,6 +215,6 @@
                 ('early { event "f-" from="soon" for="6h" factor=4 }', "must be a time like"),
             ):
                 path.write_text(GOOD + text + "\n")
-                with self.assertRaises(document.BadFile) as caught:
+                with self.assertRaises(SettingsError) as caught:
                     gateway.read(path)
                 self.assertIn(words, str(caught.exception))
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -11,11 +11,15 @@
 import sys
 import tempfile
 import unittest
+from unittest import mock
 
+from petrelwood import ports
 from petrelwood.audit import rules
 from petrelwood.clocks import VirtualClock
 from petrelwood.decide.delivery import ledger
+from petrelwood.decide.scheduling.actions import Actions
 from petrelwood.decide.scheduling.scheduler import Scheduler
+from petrelwood.dispatch.interfaces import DecisionModule
 from petrelwood.emulate import policies, result, script
 from petrelwood.emulate.machine import Build, Machine, Model
 from petrelwood.emulate.platform import Platform
@@ -224,12 +228,10 @@
 
 class SameCode(unittest.TestCase):
     def test_a_bug_in_what_serves_shows_in_the_emulator(self):
-        class Forgetful(Scheduler):
-            def _give_up(self, act, now):
-                pass
-
         day = script.read(script.find("bad"))
-        sound, broken = Platform(day, 1).run(), Platform(day, 1, Forgetful).run()
+        sound = Platform(day, 1).run()
+        with mock.patch.object(Actions, "give_up", lambda self, act, now: None):
+            broken = Platform(day, 1).run()
         self.assertEqual(result.row(sound)["overdue"], 0)
         self.assertGreater(result.row(broken)["overdue"], 0)
 
@@ -237,10 +239,10 @@
         may, ledger.Ledger._may_repeat = ledger.Ledger._may_repeat, lambda self, entry, now: True
 
         class Careless(Scheduler):
-            def attempt_ended(self, now, act_id, n, worker_id, code, *rest):
-                super().attempt_ended(
-                    now, act_id, n, worker_id, "no connection" if code == "reset" else code, *rest
-                )
+            def attempt_ended(self, now, end):
+                is_reset = end.reason == ports.EndReason.RESET
+                reason = ports.EndReason.NO_CONNECTION if is_reset else end.reason
+                super().attempt_ended(now, end._replace(reason=reason))
 
         try:
             platform = Platform(script.read(script.find("bad")), 1, Careless).run()
@@ -281,6 +283,21 @@
         self.assertEqual(len(set(asked)), 1)
 
 
+class Baselines(unittest.TestCase):
+    def test_each_policy_has_every_event_of_the_module(self):
+        events = [name for name in vars(DecisionModule) if not name.startswith("_")]
+        self.assertGreater(len(events), 10)
+        for name, policy in policies.named().items():
+            self.assertEqual([each for each in events if not callable(getattr(policy, each, None))], [], name)
+
+    def test_no_baseline_loads_ahead(self):
+        day = script.read(script.find("seasons-rough"))
+        for name, policy in policies.named().items():
+            platform = Platform(day, 1, policy)
+            self.assertIsNotNone(platform.gateway_early, name)
+            self.assertEqual(platform.gateway.early is None, name != "petrelwood", name)
+
+
 class Experiments(unittest.TestCase):
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -3,6 +3,7 @@
 
 import asyncio
 import copy
+import io
 import json
 import os
 import random
@@ -21,10 +22,14 @@
 from petrelwood.decide.cluster.polling import INTERVAL, RETRY_INTERVAL, RosterPolling
 from petrelwood.decide.overload.resource_limits import CapacityIntake, ResourceLimits
 from petrelwood.links import rpc
-from petrelwood.node import front, lines, roster, told
+from petrelwood.node import roster, worker_protocol
+from petrelwood.node.call_request import InvalidRequestError, decode_call
+from petrelwood.node.json_object import ConfigurationError
+from petrelwood.node.log import JsonLogger
+from petrelwood.node.module_terms import module_terms
 
 MS = 1_000_000
-PARTS = rpc.Parts(16_384, 1_024, 64)
+PARTS = rpc.MessageLimits(16_384, 1_024, 64)
 
 
 class Codecs(unittest.TestCase):
@@ -34,9 +39,9 @@
         for cut in range(1, len(frame)):
             reader = rpc.Reader(50_000, PARTS)
             self.assertEqual(len(reader.feed(frame + frame[:cut])), 1)
-            self.assertFalse(reader.whole(), cut)
+            self.assertFalse(reader.is_between_messages(), cut)
             self.assertEqual(len(reader.feed(frame[cut:])), 1)
-            self.assertTrue(reader.whole())
+            self.assertTrue(reader.is_between_messages())
 
     def test_what_is_too_large_ends_before_much_of_it_is_held(self):
         """All is told from the length that is announced."""
@@ -51,7 +56,7 @@
         ):
             with self.subTest(bad.hex()):
                 reader, fed = rpc.Reader(50_000, PARTS), 0
-                with self.assertRaises(rpc.Garbage):
+                with self.assertRaises(rpc.MalformedRpcError):
                     reader.feed(head + bad)
                     while fed < 200_000:
                         fed += 10_000
@@ -65,7 +70,7 @@
             for cut in range(1, len(frame)):
                 reader = rpc.Reader(50_000, PARTS)
                 self.assertEqual(reader.feed(frame[:cut]), [])
-                with self.assertRaises(rpc.Garbage, msg=f"{bad.hex()} cut at {cut}"):
+                with self.assertRaises(rpc.MalformedRpcError, msg=f"{bad.hex()} cut at {cut}"):
                     reader.feed(frame[cut:])
 
     def test_what_fits_is_read_the_same_wherever_it_is_cut(self):
@@ -103,7 +108,8 @@
             for cut in sorted(chance.randrange(len(twice)) for _ in range(4)) + [len(twice)]:
                 found += reader.feed(twice[last:cut])
                 last = cut
-            self.assertEqual(found, [message, message])
+            self.assertEqual(found, [rpc.Request(*message)] * 2)
+            self.assertTrue(all(isinstance(each, rpc.Request) for each in found))
 
     def test_mutated_requests_end_in_messages_or_garbage(self):
         chance = random.Random(11)
@@ -116,25 +122,27 @@
                 bad[chance.randrange(len(bad))] = chance.randrange(256)
             try:
                 messages = rpc.Reader(50_000, PARTS).feed(bytes(bad))
-            except rpc.Garbage:
+            except rpc.MalformedRpcError:
                 ended["garbage"] += 1
                 continue
             ended["whole"] += 1
             for message in messages:
                 if message[0] == rpc.REQUEST and len(message[3]) == 2:
                     try:
-                        front.asked("plain", *message[3], 0, customers, timeouts)
+                        decode_call("plain", *message[3], 0, customers, timeouts)
                         ended["taken"] += 1
-                    except front.Wrong:
+                    except InvalidRequestError:
                         ended["wrong"] += 1
         self.assertTrue(all(ended.values()), ended)
 
     def test_requests_that_can_be_read_and_not_be_taken(self):
         customers, timeouts = frozenset(("acme",)), {"plain": 2000 * MS}
         good = ask()
-        taken, fn, figures = front.asked("plain", good, b"x", 5, customers, timeouts)
-        self.assertEqual((taken.id, taken.came, taken.wait, fn), (good["call"], 5, 2000 * MS, good["row"]))
-        self.assertEqual(figures, (4, 20 * MS, 5 * MS))
+        taken, fn, figures, body = decode_call("plain", good, b"x", 5, customers, timeouts)
+        self.assertEqual(
+            (taken.id, taken.arrived_at, taken.patience, fn), (good["call"], 5, 2000 * MS, good["row"])
+        )
+        self.assertEqual((figures, body), ((4, 20 * MS, 5 * MS), b"x"))
         for changes in (
             {"ttl": "-1"},
             {"ttl": "nan"},
@@ -152,17 +160,17 @@
             {"dedupe": "short"},
             {"ttl": 1500},
         ):
-            with self.subTest(changes), self.assertRaises(front.Wrong):
-                front.asked("plain", {**good, **changes}, b"x", 5, customers, timeouts)
+            with self.subTest(changes), self.assertRaises(InvalidRequestError):
+                decode_call("plain", {**good, **changes}, b"x", 5, customers, timeouts)
         self.assertEqual(
-            front.asked("plain", {**good, "org": "any"}, b"x", 5, frozenset(), timeouts)[0].customer, "any"
+            decode_call("plain", {**good, "org": "any"}, b"x", 5, frozenset(), timeouts)[0].customer, "any"
         )
         for fields, body in ((good, "text"), ([], b"x"), (None, b"x")):
-            with self.assertRaises(front.Wrong):
-                front.asked("plain", fields, body, 5, customers, timeouts)
+            with self.assertRaises(InvalidRequestError):
+                decode_call("plain", fields, body, 5, customers, timeouts)
 
     def test_lines_out_and_back(self):
-        said = json.loads(lines.run("0" * 16, "plain", "a" * 16, 300, "k" * 32, b"\x00\xff"))
+        said = json.loads(worker_protocol.encode_run("0" * 16, "plain", "a" * 16, 300, "k" * 32, b"\x00\xff"))
         self.assertEqual(
             said,
             {
@@ -172,8 +180,8 @@
                 "meta": {"sort": "plain", "asset": "a" * 16, "patience": 300, "op": "k" * 32},
             },
         )
-        self.assertNotIn("op", json.loads(lines.run("t", "plain", "a", 3, "", b""))["meta"])
-        found = lines.answer(
+        self.assertNotIn("op", json.loads(worker_protocol.encode_run("t", "plain", "a", 3, "", b""))["meta"])
+        found = worker_protocol.decode_answer(
             b'{"type":"HIT","req":"t","meta":{"n":"cold","pods":"2","l":"inflight:7;util:0.5"},"data":"AP8="}'
         )
         self.assertEqual(
@@ -194,7 +202,10 @@
             ("LATE", ports.EndReason.NOT_SENT),
         ):
             self.assertEqual(
-                lines.answer(json.dumps({"type": word, "req": "t", "meta": {}}).encode()).code, code
+                worker_protocol.decode_answer(
+                    json.dumps({"type": word, "req": "t", "meta": {}}).encode()
+                ).code,
+                code,
             )
 
     def test_spoilt_lines_are_garbage_wherever_they_are_cut(self):
@@ -203,21 +214,29 @@
             random.Random(3),
         )
         for cut in range(1, len(whole)):
-            with self.assertRaises(lines.Garbage):
-                lines.answer(whole[:cut])
+            with self.assertRaises(worker_protocol.MalformedAnswerError):
+                worker_protocol.decode_answer(whole[:cut])
         for _ in range(3000):
             bad = bytearray(whole)
             bad[chance.randrange(len(bad))] = chance.randrange(256)
             try:
-                self.assertIsInstance(lines.answer(bytes(bad)).body, bytes)
-            except lines.Garbage:
+                self.assertIsInstance(worker_protocol.decode_answer(bytes(bad)).body, bytes)
+            except worker_protocol.MalformedAnswerError:
                 pass
-        reader = lines.Reader(100)
+        reader = worker_protocol.AnswerReader(100)
         self.assertEqual([a.tag for a in reader.feed(whole + b"\n" + whole[:20])], ["0123456789abcdef"])
         self.assertEqual(len(list(reader.feed(whole[20:] + b"\n"))), 1)
-        with self.assertRaises(lines.Garbage):
+        with self.assertRaises(worker_protocol.MalformedAnswerError):
             list(reader.feed(b"x" * 101))
 
+    def test_log_lines_take_members_of_enums(self):
+        """Also as keys, as in the `ends` of `standing`."""
+        out = io.StringIO()
+        JsonLogger(out).info("standing", ends={"s-1": {ports.EndReason.FULL: 2}}, code=ports.EndReason.ERROR)
+        line = json.loads(out.getvalue())
+        self.assertEqual((line["event"], line["level"]), ("standing", "info"))
+        self.assertEqual((line["ends"], line["code"]), ({"s-1": {"full": 2}}, "error"))
+
     def test_the_rosters_answers(self):
         asked = b"\x12\x34" + roster.question()
         entries = {"s-1": (5050, "Ready", "east", 0), "s-2": (5051, "Terminating", "west", 1_700_000_000_123)}
@@ -325,8 +344,8 @@
         self.assertLess(small.clients + small.workers, 256)
         self.assertLess(small.held, large.held)
         direct = CapacityIntake(small, 100 * MS)
-        direct.held = small.held
-        self.assertEqual(direct.ask(0, 0, None)[0], "refuse")
+        direct.unanswered = small.held
+        self.assertEqual(direct.decide(0, 0, None)[0], "refuse")
 
 
 class Told(unittest.TestCase):
@@ -392,7 +411,7 @@
         def decoded(change):
             raw = copy.deepcopy(SETTINGS)
             change(raw)
-            return told.terms(raw)
+            return module_terms(raw)
 
         for change, named in (
             (lambda o: o["classes"][0].update(slo="400"), "settings.classes[0].slo"),
@@ -417,7 +436,10 @@
             (lambda o: o["loadInfo"].update(how="whisper"), "settings.loadInfo.how"),
             (lambda o: o.update(fees=0.1), "settings.fees"),
         ):
-            with self.subTest(named), self.assertRaisesRegex(told.Bad, re.escape(named)):
+            with (
+                self.subTest(named),
+                self.assertRaisesRegex(ConfigurationError, re.escape(named)),
+            ):
                 decoded(change)
 
     def test_what_nobody_asks_for_and_what_is_left_out_is_passed_over(self):
@@ -426,7 +448,7 @@
         raw["classes"][0].update(mood=7, window=None, keyScope=None)
         for name in ("freeLoads", "loadPart", "loadPeriod", "orderLimit"):
             raw["familyInfo"].pop(name)
-        made = told.terms(raw)
+        made = module_terms(raw)
         self.assertEqual((made.quotas, made.reports_by_probe, made.orders.period), ({}, False, 0))
         self.assertEqual(
             made.types["plain"],
@@ -435,7 +457,11 @@
 
     def test_run_imports_only_what_it_uses(self):
         said = subprocess.run(
-            [sys.executable, "-c", "import sys, petrelwood.node.__main__; print(*sys.modules)"],
+            [
+                sys.executable,
+                "-c",
+                "import sys, petrelwood.node.__main__, petrelwood.node.program; print(*sys.modules)",
+            ],
             cwd=ROOT,
             capture_output=True,
             text=True,
--- a/tests/test_packets.py
+++ b/tests/test_packets.py
@@ -1,6 +1,7 @@
 """The MQTT 5 codec: round trips, every truncation, every flipped bit. A reason code, never another
 exception."""
 
+import dataclasses
 import random
 import unittest
 
@@ -9,6 +10,7 @@
 
 from petrelwood.links import packets as mqtt
 from petrelwood.links import rpc, sse
+from petrelwood.links.mqtt import properties
 
 P = mqtt.Packet
 WORD = st.text(st.characters(exclude_characters="+#\0", exclude_categories=("Cs",)), min_size=1, max_size=20)
@@ -79,9 +81,14 @@
     P(mqtt.PUBACK, 3, 0x97),
     P(mqtt.PUBREL, 3),
     P(mqtt.PUBCOMP, 3, 0x92, props={"user": [("a", "b")]}),
-    P(mqtt.SUBSCRIBE, 2, props={"subscription_id": 5}, filters=[("$share/g/act/+/#", 1)]),
+    P(
+        mqtt.SUBSCRIBE,
+        2,
+        props={"subscription_id": 5},
+        subscriptions=[mqtt.Subscription("$share/g/act/+/#", 1)],
+    ),
     P(mqtt.SUBACK, 2, props={}, codes=[1, 0x87]),
-    P(mqtt.UNSUBSCRIBE, 2, props={}, filters=["a/#"]),
+    P(mqtt.UNSUBSCRIBE, 2, props={}, topic_filters=["a/#"]),
     P(mqtt.PINGREQ),
     P(mqtt.PINGRESP),
     P(mqtt.DISCONNECT, code=0x8E, props={"reason": "taken over"}),
@@ -98,6 +105,24 @@
         for packet in CORPUS:
             self.assertEqual(read(mqtt.write(packet)), [packet])
 
+    def test_each_property_comes_back_where_it_belongs_and_is_refused_elsewhere(self):
+        values = {
+            properties.Form.TEXT: "t",
+            properties.Form.BINARY: b"b",
+            properties.Form.TEXT_PAIRS: [("a", "b")],
+        }
+        for each in properties.PROPERTIES:
+            value = values.get(each.form, 1)
+            for packet in CORPUS:
+                is_list = packet.type == mqtt.PUBLISH and each.name == "subscription_id"
+                changed = dataclasses.replace(packet, props={each.name: [value] if is_list else value})
+                if packet.type in each.carriers:
+                    self.assertEqual(read(mqtt.write(changed)), [changed])
+                elif packet.type not in (mqtt.PINGREQ, mqtt.PINGRESP):
+                    with self.assertRaises(mqtt.MqttError) as caught:
+                        read(mqtt.write(changed))
+                    self.assertEqual(caught.exception.code, mqtt.MALFORMED)
+
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.lists(st.one_of(PUBLISHED, ACK), max_size=5), st.integers(1, 17))
     def test_any_packets_come_back_in_pieces_of_any_size(self, packets, size):
@@ -115,7 +140,7 @@
                     short = bytes((whole[0], size - 2)) + whole[2:size]
                     try:
                         self.assertEqual(len(read(short)), 1)
-                    except mqtt.Wrong as fault:
+                    except mqtt.MqttError as fault:
                         self.assertGreaterEqual(fault.code, 0x80)
 
     def test_every_flipped_bit_is_a_packet_or_a_reason(self):
@@ -127,7 +152,7 @@
                 flipped[bit // 8] ^= 1 << bit % 8
                 try:
                     ends["packet" if read(bytes(flipped)) else "waits"] += 1
-                except mqtt.Wrong as fault:
+                except mqtt.MqttError as fault:
                     self.assertGreaterEqual(fault.code, 0x80)
                     ends["reason"] += 1
         self.assertTrue(all(ends.values()), ends)
@@ -138,14 +163,14 @@
         try:
             for packet in read(data):
                 mqtt.write(packet)
-        except mqtt.Wrong as fault:
+        except mqtt.MqttError as fault:
             self.assertGreaterEqual(fault.code, 0x80)
 
     def test_too_large_is_known_before_it_is_read(self):
-        with self.assertRaises(mqtt.Wrong) as caught:
+        with self.assertRaises(mqtt.MqttError) as caught:
             read(b"\x30\xff\xff\xff\x7f")
         self.assertEqual(caught.exception.code, mqtt.TOO_LARGE)
-        with self.assertRaises(mqtt.Wrong):
+        with self.assertRaises(mqtt.MqttError):
             read(b"\x30\xff\xff\xff\xff\x01")
 
     def test_topics_and_filters(self):
@@ -189,7 +214,7 @@
                 data[chance.randrange(len(data))] ^= 1 << chance.randrange(8)
             try:
                 rpc.Reader(10_000).feed(bytes(data))
-            except rpc.Garbage:
+            except rpc.MalformedRpcError:
                 garbage += 1
         self.assertGreater(garbage, 100)
 
@@ -202,7 +227,7 @@
             + noise.replace(b"\r", b"")
             + b"\n\n"
             + sse.event("change", "[2]", "e-2"),
-            sse.Events(),
+            sse.EventReader(),
             [],
         )
         for i in range(0, len(data), size):
--- a/tests/test_restart_readiness.py
+++ b/tests/test_restart_readiness.py
@@ -19,10 +19,11 @@
 import unittest
 
 import msgpack
+from free_ports import free_port
 from node_site import ROOT, Roster, Site, Worker, answer
 from test_crossings import Said
 
-from petrelwood.node import told
+from petrelwood.node import configuration
 from petrelwood.node.service import Node
 
 SLOW = 120  # s until a dispatcher that is not ready is called lost
@@ -133,11 +134,7 @@
     @staticmethod
     def addresses():
         """Free ones."""
-        with contextlib.ExitStack() as stack:
-            taken = [stack.enter_context(socket.socket()) for _ in range(TOGETHER)]
-            for sock in taken:
-                sock.bind(("127.0.0.1", 0))
-            return [sock.getsockname() for sock in taken]
+        return [("127.0.0.1", free_port()) for _ in range(TOGETHER)]
 
     async def start(self, site, address):
         began = time.monotonic()
@@ -226,7 +223,7 @@
 
         sys.setprofile(called)
         try:
-            node = Node(told.read(environ), Said([]))
+            node = Node(configuration.read(environ), Said([]))
             node.begin()
         finally:
             sys.setprofile(None)
