--- a/petrelwood/lab/past.py
+++ b/petrelwood/lab/past.py
@@ -136,7 +136,7 @@
     """Lines of the account that the ends of early loads make: the whole, then the worst of each group."""
     rows, groups = early_load_log.read(folder), collections.defaultdict(list)
     for row in rows:
-        key = f"{row.asked // (3600 * SECOND) % 24:02d}h" if by == "hour" else getattr(row, by)
+        key = f"{row.ordered_at // (3600 * SECOND) % 24:02d}h" if by == "hour" else getattr(row, by)
         groups[key].append(row)
     yield (
         f"{'':24s} {'loads':>6s} {'saved s':>9s} {'spent s':>9s} {'balance':>9s} {'GB s':>8s}  how they ended"
@@ -168,14 +168,14 @@
     import matplotlib.pyplot as plt
 
     called = [name for name, _ in collections.Counter(row.function for row in rows).most_common(most)]
-    spots, first = {name: i for i, name in enumerate(called)}, min(row.asked for row in rows)
+    spots, first = {name: i for i, name in enumerate(called)}, min(row.ordered_at for row in rows)
     figure, axes = plt.subplots(figsize=(11, 1 + 0.17 * len(called)))
     for row in rows:
         if row.function in spots:
             axes.barh(
                 spots[row.function],
-                (row.ended - row.asked) / SECOND,
-                left=(row.asked - first) / SECOND,
+                (row.ended_at - row.ordered_at) / SECOND,
+                left=(row.ordered_at - first) / SECOND,
                 color=COLORS[row.end],
                 height=0.8,
             )
--- a/petrelwood/store/append_log.py
+++ b/petrelwood/store/append_log.py
@@ -105,7 +105,7 @@
     def _open(self) -> None:
         self.handle = self.files.open(str(self.path))
         if self.dropped_size:
-            self.files.cut(self.handle, self.size)
+            self.files.truncate(self.handle, self.size)
         if not self.size:
             self.files.write_all(self.handle, MARK)
             self.size = len(MARK)
--- a/petrelwood/store/early_load_log.py
+++ b/petrelwood/store/early_load_log.py
@@ -31,9 +31,9 @@
 class EarlyLoadEnd(NamedTuple):
     """How one early load ended, in the order of its stored form. Times are wall-clock ns."""
 
-    asked: int
-    stood: int | None  # when the copy was loaded; None: never
-    ended: int
+    ordered_at: int
+    loaded_at: int | None  # when the copy was loaded; None: never
+    ended_at: int
     function: str
     hall: str
     worker: str
--- a/petrelwood/store/files.py
+++ b/petrelwood/store/files.py
@@ -35,7 +35,7 @@
         """Makes what was written to a file durable."""
         os.fsync(handle)
 
-    def cut(self, handle: int, size: int) -> None:
+    def truncate(self, handle: int, size: int) -> None:
         """Cuts a file after so many bytes."""
         os.ftruncate(handle, size)
 
--- a/petrelwood/store/history.py
+++ b/petrelwood/store/history.py
@@ -43,16 +43,16 @@
     def __init__(
         self,
         folder: str | os.PathLike[str],
-        most: int = MOST_BYTES,
-        keep: int = MOST_DAYS,
+        most_bytes: int = MOST_BYTES,
+        most_days: int = MOST_DAYS,
         files: Files | None = None,
         group: int = ROWS_OF_A_GROUP,
         roll: int = ROWS_OF_A_TAIL,
         now: Callable[[], int] = monotonic_ns,
     ) -> None:
         self.folder = pathlib.Path(folder)
-        self.most = most
-        self.keep = keep
+        self.most_bytes = most_bytes
+        self.most_days = most_days
         self.files = files or Files()
         self.group = group
         self.roll = roll
@@ -102,7 +102,7 @@
 
     # Noting.
     def note(
-        self, at: int, function: str, customer: str, hall: str, how: int, waited: int, took: int, load: int
+        self, at: int, function: str, customer: str, zone: str, how: int, waited: int, duration: int, load: int
     ) -> None:
         """Notes one execution; times in ns. Cheap: most calls only append to a list."""
         if self.stopped is not None and len(self.rows) >= 2 * self.roll:
@@ -112,10 +112,10 @@
             at,
             function,
             customer,
-            hall,
+            zone,
             how,
             min(waited // MICROSECOND, LONGEST_US),
-            min(took // MICROSECOND, LONGEST_US),
+            min(duration // MICROSECOND, LONGEST_US),
             min(load // MICROSECOND, LONGEST_US),
         )
         self.rows.append(row)
@@ -199,7 +199,7 @@
                 if self._unremoved[-1].exists():
                     self.files.remove(str(self._unremoved[-1]))
                 self._unremoved.pop()
-            history_files.retain(self.folder, self.keep, self.most)
+            history_files.retain(self.folder, self.most_days, self.most_bytes)
         except OSError:
             return
 
--- a/petrelwood/store/history_files.py
+++ b/petrelwood/store/history_files.py
@@ -194,23 +194,23 @@
 def verify(folder: Folder) -> list[str]:
     """What is wrong with a folder, a line each; empty if nothing is."""
     folder = pathlib.Path(folder)
-    wrong = []
+    faults = []
     for path in sorted(folder.glob("day=*/rows-*.parquet")):
         try:
             table = pyarrow.parquet.read_table(path)
         except (OSError, pyarrow.ArrowException) as error:
-            wrong.append(f"{path}: {str(error).splitlines()[0]}")
+            faults.append(f"{path}: {str(error).splitlines()[0]}")
             continue
         ends = (table["at"][0].as_py(), table["at"][-1].as_py()) if len(table) else ()
         days = {day_of(at) for at in ends}
         if days - {path.parent.name.removeprefix("day=")}:
-            wrong.append(f"{path}: holds rows of {', '.join(sorted(days))}")
+            faults.append(f"{path}: holds rows of {', '.join(sorted(days))}")
     for _, path in tails(folder):
         try:
             found = append_log.scan(path.read_bytes())
         except LogFormatError as error:
-            wrong.append(f"{path}: {error}")
+            faults.append(f"{path}: {error}")
             continue
         if found.damage:
-            wrong.append(f"{path}: {found.damage}, {path.stat().st_size - found.valid_size} bytes after it")
-    return wrong
+            faults.append(f"{path}: {found.damage}, {path.stat().st_size - found.valid_size} bytes after it")
+    return faults
--- a/petrelwood/store/versions.py
+++ b/petrelwood/store/versions.py
@@ -35,9 +35,9 @@
     for number in _numbers(folder, BEGINNING):
         try:
             if path_of(folder, number).exists():
-                begun = int(json.loads((folder / f"{number}{BEGINNING}").read_text())["begun"])
+                rollout_start = int(json.loads((folder / f"{number}{BEGINNING}").read_text())["begun"])
                 called_off = (folder / f"{number}{CALL_OFF}").exists()
-                found.append(Announcement(number, begun, called_off))
+                found.append(Announcement(number, rollout_start, called_off))
         except (OSError, ValueError, KeyError, TypeError):
             continue
     return found
@@ -52,16 +52,16 @@
     return sorted(int(name.stem) for name in names if name.suffix == ending and name.stem.isdigit())
 
 
-def announce(folder: Folder, text: str, begun: int) -> int:
+def announce(folder: Folder, text: str, rollout_start: int) -> int:
     """Announces a version; returns its number. Raises `OSError`; then it is not announced."""
     folder = pathlib.Path(folder)
     folder.mkdir(parents=True, exist_ok=True)
     number = max(_numbers(folder, SETTINGS), default=0) + 1
-    _write(folder, number, text, begun, Files())
+    _write(folder, number, text, rollout_start, Files())
     return number
 
 
-def receive(folder: Folder, number: int, text: str, begun: int, files: Files | None = None) -> None:
+def receive(folder: Folder, number: int, text: str, rollout_start: int, files: Files | None = None) -> None:
     """Announces a version that has its number from the configuration servers, and forgets the oldest ones.
 
     It outlives the machine: half of a version would be called off for everyone as one that can't be read.
@@ -70,15 +70,15 @@
     folder = pathlib.Path(folder)
     files = files or Files()
     folder.mkdir(parents=True, exist_ok=True)
-    _write(folder, number, text, begun, files)
+    _write(folder, number, text, rollout_start, files)
     for old in _numbers(folder, BEGINNING)[:-MOST_VERSIONS]:
         for ending in (BEGINNING, CALL_OFF, SETTINGS):
             _remove(folder / f"{old}{ending}", files)
 
 
-def _write(folder: pathlib.Path, number: int, text: str, begun: int, files: Files) -> None:
+def _write(folder: pathlib.Path, number: int, text: str, rollout_start: int, files: Files) -> None:
     put(path_of(folder, number), text.encode("utf-8"), durable=True, files=files)
-    beginning = json.dumps({"begun": begun}).encode()
+    beginning = json.dumps({"begun": rollout_start}).encode()
     put(folder / f"{number}{BEGINNING}", beginning, durable=True, files=files)
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -195,14 +195,14 @@
         self.assertGreater(stopped, 60)
 
     def test_days_and_bytes_are_bounded_oldest_first(self):
-        made = history.History(self.path, keep=3, group=8, roll=200)
+        made = history.History(self.path, most_days=3, group=8, roll=200)
         for day in range(8):
             for i in range(200):
                 made.note(T0 + day * DAY + i * 10**9, "f", "x", "n", 0, 0, 0, 0)
         made.close()
         days = sorted(p.name for p in self.path.glob("day=*"))
         self.assertEqual((len(days), days[-1]), (3, "day=" + history_files.day_of(T0 + 7 * DAY)))
-        small = history.History(self.path, keep=99, most=1, group=8, roll=200)
+        small = history.History(self.path, most_days=99, most_bytes=1, group=8, roll=200)
         for i in range(200):
             small.note(T0 + 9 * DAY + i * 10**9, "f", "x", "n", 0, 0, 0, 0)
         self.assertEqual(
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -109,9 +109,9 @@
         super().close(handle)
         self._check("close")
 
-    def cut(self, handle, size):
-        self._check("cut")
-        super().cut(handle, size)
+    def truncate(self, handle, size):
+        self._check("truncate")
+        super().truncate(handle, size)
 
     def replace(self, source, target):
         self._check("replace")
--- a/tests/test_store_recovery.py
+++ b/tests/test_store_recovery.py
@@ -376,7 +376,7 @@
                 self.assertIsNone(made.stopped)
                 made.record(EarlyLoadEnd(20, 0, 0, *self.ROW))
                 made.close()
-                asked = [row.asked for row in early_load_log.read(folder)]
+                asked = [row.ordered_at for row in early_load_log.read(folder)]
                 self.assertEqual(asked, sorted(set(asked)))
                 self.assertEqual(asked[-1], 20)
 
