--- a/petrelwood/store/history.py
+++ b/petrelwood/store/history.py
@@ -102,7 +102,15 @@
 
     # Noting.
     def note(
-        self, at: int, function: str, customer: str, zone: str, how: int, waited: int, duration: int, load: int
+        self,
+        at: int,
+        function: str,
+        customer: str,
+        zone: str,
+        how: int,
+        waited: int,
+        duration: int,
+        load: int,
     ) -> None:
         """Notes one execution; times in ns. Cheap: most calls only append to a list."""
         if self.stopped is not None and len(self.rows) >= 2 * self.roll:
--- a/petrelwood/store/state_log.py
+++ b/petrelwood/store/state_log.py
@@ -75,7 +75,7 @@
         self.log: AppendLog | None = None
         self.epoch = 0
         self.number = 0
-        self._segment_started_at = 0
+        self._segment_start = 0
         self._own: set[pathlib.Path] = set()  # the segments that this incarnation wrote
         self._attempt: set[pathlib.Path] = set()  # those of them that were begun since the last `reopen`
         self._superseded: set[pathlib.Path] = set()  # those of them of which nothing is needed any more
@@ -187,7 +187,10 @@
     # Segments.
     def check(self, time: int) -> None:
         """Called now and then: begins the next segment in time for each to be removed when it is too old."""
-        if self.stopped is None and self.now() - self._segment_started_at >= self.retention // SEGMENTS_IN_RETENTION:
+        if (
+            self.stopped is None
+            and self.now() - self._segment_start >= self.retention // SEGMENTS_IN_RETENTION
+        ):
             self.begin_next_segment(time)
 
     def begin_next_segment(self, time: int) -> None:
@@ -210,7 +213,7 @@
             self.log.flush()
             if self.durability == MACHINE:
                 self.files.sync_folder(str(self.folder))
-            self._segment_started_at = self.now()
+            self._segment_start = self.now()
         except (LogWriteError, LogFormatError, OSError) as error:
             self._sealed_at[path] = self.now()
             self._fail(str(error))
