--- a/petrelwood/store/append_log.py
+++ b/petrelwood/store/append_log.py
@@ -1,10 +1,11 @@
 """An append-only log that opens again after a kill at any byte.
 
-A file begins with a mark and its format; each record is its length, a CRC-32 of length and payload, and the
-payload. A record that is not whole, or whose checksum is wrong, ends what is believed: the file is cut there
-when it is opened, and what was dropped is known. Records are written in groups: `flush` gives the system what
-waits, `sync` makes it durable. A file whose write or fsync failed is of no more use: nobody can tell what of
-it is on the disk. It raises `LogWriteError` once and takes nothing more.
+A file begins with a mark and its format. Each record is its length, a CRC-32 over length and payload, and the
+payload. Reading ends at the first record that is incomplete or whose checksum is wrong: the file is truncated
+there when it is opened, and the number of dropped bytes is known. Records are written in groups: `flush`
+hands the buffered records to the operating system, `sync` makes them durable. A file whose write or fsync
+failed is of no more use, as nobody can tell how much of it is on the disk: the log raises `LogWriteError`
+once and takes no further record.
 """
 
 import contextlib
@@ -25,7 +26,7 @@
 
 
 class Scan(NamedTuple):
-    """What the bytes of a log hold."""
+    """The records that the bytes of a log hold, and where the valid part ends."""
 
     payloads: list[bytes]
     valid_size: int  # bytes up to the end of the last whole record
@@ -33,13 +34,17 @@
 
 
 def frame(payload: bytes) -> bytes:
-    """The stored form of one record."""
+    """Return the stored form of one record: header and payload."""
     length = LENGTH.pack(len(payload))
     return HEADER.pack(len(payload), zlib.crc32(length + payload)) + payload
 
 
 def scan(data: bytes) -> Scan:
-    """Reads the bytes of a log. Raises `LogFormatError`."""
+    """Return the records in the bytes of a log.
+
+    Raises:
+        LogFormatError: the bytes don't begin with the mark of this format.
+    """
     if not data:
         return Scan([], 0, None)
     if not data.startswith(MARK):
@@ -58,7 +63,7 @@
 
 
 def _record_end(data: bytes, at: int) -> tuple[int, str | None]:
-    """Where the record that begins at `at` ends, or why it is none."""
+    """Return where the record that begins at `at` ends, or `at` and why there is no valid record."""
     if at + HEADER.size > len(data):
         return at, "a record's header is not whole"
     size, checksum = HEADER.unpack_from(data, at)
@@ -73,11 +78,16 @@
 
 
 class AppendLog:
-    """One open file.
+    """An append-only log in one open file.
+
+    Attributes `payloads`: the records found when it was opened; `dropped_size`: how many bytes were truncated
+    then, and `damage` why; `failed`: why it takes no further record, or None. `longest` is the size bound in
+    bytes.
 
-    `payloads`: the records found when it was opened; `dropped_size`: how many bytes were cut then, and
-    `damage` why. `failed`: why it takes nothing more, or None. Raises `LogFormatError`, `LogWriteError` and
-    `OSError` where it can't be opened.
+    Raises:
+        LogFormatError: the file is no log of this format.
+        LogWriteError: the file could not be created, truncated or begun.
+        OSError: the file could not be read.
     """
 
     def __init__(
@@ -115,7 +125,7 @@
         return LogWriteError(f"{self.path}: {self.failed}")
 
     def append(self, payload: bytes) -> bool:
-        """Adds a record, which the next `flush` writes; whether there is room for it."""
+        """Buffer a record for the next `flush`; return False if the log is full or has failed."""
         size = len(payload) + HEADER.size
         if self.failed or self.size + self._waiting_size + size > self.longest:
             return False
@@ -124,7 +134,11 @@
         return True
 
     def flush(self) -> None:
-        """Gives the system what waits. Raises `LogWriteError`."""
+        """Hand the buffered records to the operating system.
+
+        Raises:
+            LogWriteError: the write failed.
+        """
         if self.failed or self.handle is None or not self._waiting:
             return
         data = b"".join(self._waiting)
@@ -137,7 +151,11 @@
         self.size += len(data)
 
     def sync(self) -> None:
-        """Makes durable what was appended. Raises `LogWriteError`."""
+        """Make all appended records durable.
+
+        Raises:
+            LogWriteError: the write or the fsync failed.
+        """
         self.flush()
         if self.failed or self.handle is None:
             return
@@ -147,14 +165,18 @@
             raise self._failure(error) from error
 
     def close(self) -> None:
-        """Makes it durable and closes it. Raises `LogWriteError`."""
+        """Make all appended records durable, and close the file.
+
+        Raises:
+            LogWriteError: the write or the fsync failed; the file is closed all the same.
+        """
         try:
             self.sync()
         finally:
             self.abandon()
 
     def abandon(self) -> None:
-        """Closes it as it is: it is durable already, or has failed. What closing it says matters no more."""
+        """Close the file as it is, without a flush or sync; errors of closing it are ignored."""
         if self.handle is None:
             return
         handle = self.handle
--- a/petrelwood/store/early_load_log.py
+++ b/petrelwood/store/early_load_log.py
@@ -1,8 +1,9 @@
-"""How early loads ended: a log of records beside the history, for the account that people read.
+"""A log of how early loads ended, from which `petrelwood forecast account` makes its tables.
 
-A full or failing disk stops the log, never the early loads. When it is as large as its bound it begins anew,
-and the one before stays as `early-old.log`. After a fault it begins anew in the same way, with backoff, as
-nobody knows what of the failed file is on the disk. What ends meanwhile is not in the account.
+A full or failing disk stops the log, never the early loads. When the file reaches its size bound a new one is
+begun, and the full one is renamed to `early-old.log`. After a fault a new file is begun in the same way, with
+backoff, as nobody can tell how much of the failed one is on the disk. Early loads that end meanwhile are not
+recorded.
 """
 
 import contextlib
@@ -29,7 +30,7 @@
 
 
 class EarlyLoadEnd(NamedTuple):
-    """How one early load ended, in the order of its stored form. Times are wall-clock ns."""
+    """How one early load ended, with the fields in the order of the stored form. Times are wall-clock ns."""
 
     ordered_at: int
     loaded_at: int | None  # when the copy was loaded; None: never
@@ -43,7 +44,11 @@
 
 
 class EarlyLoadLog:
-    """The log in one folder. `stopped`: why nothing is recorded now, or None."""
+    """The log in one folder.
+
+    `stopped`: why nothing is recorded now, or None. `largest`: the size bound of one file, bytes. `now`: the
+    monotonic clock, ns.
+    """
 
     def __init__(
         self,
@@ -71,7 +76,7 @@
         self.backoff.failed(self.now())
 
     def _begin_anew(self) -> AppendLog:
-        """A new file; the one before, complete or failed, is the old one then."""
+        """Begin a new file, after renaming the present one to `OLD_FILE`, and return its log."""
         if self.log is not None:
             self.log.abandon()
         with contextlib.suppress(FileNotFoundError):
@@ -80,7 +85,7 @@
         return self.log
 
     def record(self, end: EarlyLoadEnd) -> None:
-        """Records the end of an early load."""
+        """Record the end of an early load; a fault stops the log."""
         if self.stopped is not None or self.log is None:
             return
         payload = msgpack.packb(tuple(end))
@@ -92,7 +97,7 @@
             self._stop(error)
 
     def flush(self) -> None:
-        """Gives the system what was recorded; after a fault, begins anew when that is due."""
+        """Hand the recorded ends to the operating system; after a fault and its backoff, begin a new file."""
         try:
             if self.stopped is None and self.log is not None:
                 self.log.flush()
@@ -104,7 +109,7 @@
             self._stop(error)
 
     def close(self) -> None:
-        """Makes it durable and closes it."""
+        """Make the recorded ends durable, and close the file."""
         if self.log is None:
             return
         try:
@@ -114,7 +119,12 @@
 
 
 def read(folder: str | os.PathLike[str]) -> list[EarlyLoadEnd]:
-    """All records, the oldest first. Raises `LogFormatError` and `OSError`."""
+    """Return all recorded ends, the oldest first.
+
+    Raises:
+        LogFormatError: a file is no log of this format.
+        OSError: a file could not be read.
+    """
     ends = []
     for name in (OLD_FILE, FILE):
         path = pathlib.Path(folder) / name
--- a/petrelwood/store/errors.py
+++ b/petrelwood/store/errors.py
@@ -4,19 +4,19 @@
 
 
 class LogWriteError(StorageError):
-    """An append-only log failed to write or to become durable: it takes nothing more."""
+    """An append-only log could not be written or made durable; it takes no further record."""
 
 
 class LogFormatError(StorageError):
-    """A file is no append-only log, or of a format that this build does not know."""
+    """A file is no append-only log, or has a format that this build does not know."""
 
 
 class RecordError(StorageError):
-    """A stored record is whole but can't be decoded by this build."""
+    """A stored record is complete but can't be decoded by this build."""
 
 
 class StateUnreadableError(StorageError):
-    """The state log holds what this build can't read, or its folder does not give it."""
+    """The folder of the state log can't be read, or a segment in it can't be decoded by this build."""
 
 
 class SnapshotError(StorageError):
@@ -24,4 +24,4 @@
 
 
 class VersionUnreadableError(StorageError):
-    """The folder of versions could not be read just now: this says nothing of the version itself."""
+    """The settings of a version could not be read from the folder; the version itself may be good."""
--- a/petrelwood/store/files.py
+++ b/petrelwood/store/files.py
@@ -1,4 +1,4 @@
-"""What the stores do with files, in one place, so that tests can make each call fail."""
+"""The file operations of the stores, in one class, so that tests can make each of them fail."""
 
 import errno
 import os
@@ -8,22 +8,22 @@
 
 
 class Files:
-    """Calls of the operating system on files and folders. Each raises `OSError`."""
+    """The operating system's calls on files and folders; each method raises `OSError` if its call fails."""
 
     def open(self, path: str) -> int:
-        """Opens a log to read it and to append to it; makes it where there is none."""
+        """Open a log for reading and appending, and create it if it does not exist; return its descriptor."""
         return os.open(path, os.O_RDWR | os.O_CREAT | os.O_APPEND, PRIVATE)
 
     def create(self, path: str, mode: int = PRIVATE) -> int:
-        """Opens an empty file to write it."""
+        """Open an empty file for writing, truncating an existing one; return its descriptor."""
         return os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, mode)
 
     def write(self, handle: int, data: bytes | memoryview) -> int:
-        """Writes some of the data; how many bytes."""
+        """Write some of the data; return how many bytes were written."""
         return os.write(handle, data)
 
     def write_all(self, handle: int, data: bytes) -> None:
-        """Writes all of the data, in as many pieces as the system takes it in."""
+        """Write all of the data, in as many calls as it takes."""
         view = memoryview(data)
         while view:
             written = self.write(handle, view)
@@ -32,27 +32,27 @@
             view = view[written:]
 
     def sync(self, handle: int) -> None:
-        """Makes what was written to a file durable."""
+        """Make what was written to a file durable (fsync)."""
         os.fsync(handle)
 
     def truncate(self, handle: int, size: int) -> None:
-        """Cuts a file after so many bytes."""
+        """Truncate a file to `size` bytes."""
         os.ftruncate(handle, size)
 
     def close(self, handle: int) -> None:
-        """Closes a file."""
+        """Close a descriptor."""
         os.close(handle)
 
     def replace(self, source: str, target: str) -> None:
-        """Renames a file, in place of one that may stand there."""
+        """Rename a file, replacing the target if it exists."""
         os.replace(source, target)
 
     def remove(self, path: str) -> None:
-        """Removes a file."""
+        """Remove a file."""
         os.remove(path)
 
     def sync_folder(self, path: str) -> None:
-        """Makes the names in a folder durable."""
+        """Make the entries of a folder durable: files created, renamed and removed in it."""
         handle = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(handle)
--- a/petrelwood/store/history.py
+++ b/petrelwood/store/history.py
@@ -1,12 +1,13 @@
-"""The history of use: what was called, when, cold or warm, how long it waited. Columns, by day, compressed.
+"""The history of executions: which function ran when, cold or warm, and how long it waited.
 
-Rows are noted in memory and written to a tail in groups; when a tail has enough rows, files of columns are
-made of it, and only then a new tail begins. So a kill at any byte loses no more than what was noted since the
-last flush. What stands in a folder is known to `store.history_files`.
+Rows are buffered in memory and written in groups to a tail, an append-only log. When the tail has enough rows
+they are written to Parquet files, one a day, and a new tail is begun. So a kill at any byte loses no more
+than the rows since the last flush. `store.history_files` has the layout of the folder.
 
 A full or failing disk stops the history, never the dispatching: `stopped` tells why. The failed tail is given
-up, as nobody can tell what of it is on the disk; its rows stand in memory, and what is noted meanwhile beside
-them, up to as many again. With backoff they become files of that tail's number and a new tail begins.
+up, as nobody can tell how much of it is on the disk; its rows stay in memory, and new rows beside them, up to
+as many again. After a backoff they are written to Parquet files under that tail's number, and a new tail is
+begun.
 """
 
 import os
@@ -34,10 +35,11 @@
 
 
 class History:
-    """The history in one folder, of which it keeps `most` bytes and `keep` days.
+    """The history in one folder, bounded to `most_bytes` bytes and `most_days` days.
 
-    `stopped`: why nothing is written now, or None; `noted`: how many rows were; `lost`: how many were
-    dropped, as the disk had failed for too long. `now` is the monotonic clock.
+    `stopped`: why nothing is written now, or None; `noted`: how many rows were recorded; `lost`: how many
+    rows were dropped because the disk had failed for too long; `group`: rows in a write; `roll`: rows in a
+    tail; `now`: the monotonic clock, ns.
     """
 
     def __init__(
@@ -78,7 +80,7 @@
 
     # Opening.
     def _open(self) -> None:
-        """Finds the tail; a seal that a kill has cut short is finished."""
+        """Open the tail, after finishing the conversion of older tails that a kill has interrupted."""
         self.folder.mkdir(parents=True, exist_ok=True)
         for part in self.folder.glob("**/*.part"):
             part.unlink()
@@ -112,7 +114,17 @@
         duration: int,
         load: int,
     ) -> None:
-        """Notes one execution; times in ns. Cheap: most calls only append to a list."""
+        """Record one execution; most calls only append to a list.
+
+        Args:
+            at: when it ended, wall-clock ns.
+            function: its name, as `customer` is the customer's.
+            zone: the dispatcher's zone; the stored column is called `hall`.
+            how: the two low bits of the attempt's `ports.CopyNote`.
+            waited: ns from arrival to the send.
+            duration: ns from the send to the end.
+            load: ns of `duration` that count as loading; 0 if the copy was warm.
+        """
         if self.stopped is not None and len(self.rows) >= 2 * self.roll:
             self.lost += 1
             return
@@ -133,9 +145,10 @@
             self.flush()
 
     def flush(self, sync: bool = False) -> None:
-        """Writes what was noted, and makes files of columns when the tail has enough rows.
+        """Write the buffered rows to the tail; convert the tail to Parquet files when it has enough rows.
 
-        After a fault the history is begun again when that is due. With `sync` it is durable then.
+        After a fault the history is begun anew when the backoff is over. With `sync` the rows are durable on
+        return.
         """
         if self.stopped is not None:
             self._recover()
@@ -162,7 +175,7 @@
         self._unflushed = 0
 
     def _number_of(self, name: str) -> int:
-        """The number of a name in the tail, which is told there before it is used."""
+        """Return the number that stands for a name in the tail; a new name is written to the tail first."""
         number = self._numbers.get(name)
         if number is None:
             number = self._numbers[name] = len(self._numbers)
@@ -172,7 +185,7 @@
 
     # From tails to files of columns.
     def seal(self) -> None:
-        """The rows become files of columns, one a day; a new tail begins."""
+        """Convert the tail's rows to Parquet files, one a day, and begin a new tail."""
         if self.log is not None:
             self.log.sync()
             self._seal_rows(self.log)
@@ -201,7 +214,7 @@
             history_files.write_day(self.folder, some, number, self.files)
 
     def _remove_old(self) -> None:
-        """What can't be removed now only takes room; it is attempted again."""
+        """Remove tails that are no longer needed and days over the bounds; what fails is tried again."""
         try:
             while self._unremoved:
                 if self._unremoved[-1].exists():
@@ -212,7 +225,7 @@
             return
 
     def _recover(self) -> None:
-        """After a fault, once that is due: the rows become files of columns, and a new tail begins."""
+        """Once the backoff after a fault is over, convert the rows in memory and begin a new tail."""
         if not self.backoff.may_retry(self.now()):
             return
         try:
@@ -228,11 +241,11 @@
         self.backoff.succeeded()
 
     def compact(self) -> tuple[int, int]:
-        """Makes one file of each day's; how many files there were, and are."""
+        """Merge each day's Parquet files into one; return how many there were, and how many are left."""
         return history_files.compact(self.folder, self.files)
 
     def close(self) -> None:
-        """Writes what was noted, makes it durable, and closes the tail."""
+        """Write the buffered rows, make them durable, and close the tail."""
         self.flush(sync=True)
         if self.log is None:
             return
--- a/petrelwood/store/history_files.py
+++ b/petrelwood/store/history_files.py
@@ -1,10 +1,10 @@
-"""What a folder of the history holds: files of columns, one or more a day, and tails of rows.
+"""The layout of the history's folder: Parquet files, one or more a day, and tails of rows.
 
     day=2026-12-02/rows-FIRST-NUMBER.parquet    rows of one day; FIRST: the time of the first, ns
-    tail-NUMBER.log                             rows that are in no file of columns yet (`store.append_log`)
+    tail-NUMBER.log                             rows that are in no Parquet file yet (`store.append_log`)
 
-A tail's payload is "n", a number and a name, or "r" and rows in which names stand by their numbers. When a
-tail becomes files of columns, these carry its number, so while both stand no row counts twice.
+A tail's payload is "n", a number and a name, or "r" and rows in which a number stands for each name. The
+Parquet files made from a tail carry its number, so no row counts twice while both exist.
 """
 
 import datetime
@@ -41,7 +41,7 @@
 
 
 class Row(NamedTuple):
-    """One execution, in the order of `COLUMNS`."""
+    """One execution, with the fields in the order of `COLUMNS` and by their names."""
 
     at: int  # wall-clock ns
     function: str
@@ -54,29 +54,29 @@
 
 
 class Sealed(NamedTuple):
-    """A day's rows of a tail, which stand in a file of columns."""
+    """The rows of one day and one tail that have been written to a Parquet file."""
 
     number: int
     day: str
 
 
 def day_of(at: int) -> str:
-    """The day of a time, as the folders have it."""
+    """Return the UTC day of a wall-clock time in ns, as the folders' names have it."""
     return datetime.datetime.fromtimestamp(at / 1e9, datetime.UTC).strftime("%Y-%m-%d")
 
 
 def tail_path(folder: pathlib.Path, number: int) -> pathlib.Path:
-    """Where a tail stands."""
+    """Return the path of a tail."""
     return folder / f"tail-{number:08d}.log"
 
 
 def tails(folder: pathlib.Path) -> list[tuple[int, pathlib.Path]]:
-    """The tails by their numbers."""
+    """Return the numbers and paths of all tails, sorted by number."""
     return sorted((int(path.stem.split("-")[1]), path) for path in folder.glob("tail-*.log"))
 
 
 def sealed(folder: Folder) -> set[Sealed]:
-    """Which rows of which tails stand in files of columns. Compacted files carry their highest number."""
+    """Return which days of which tails are in Parquet files; merged files carry their highest tail number."""
     paths = pathlib.Path(folder).glob("day=*/rows-*-*.parquet")
     return {Sealed(_number(path), path.parent.name.removeprefix("day=")) for path in paths}
 
@@ -86,12 +86,12 @@
 
 
 def encode_name(number: int, name: str) -> bytes:
-    """The payload that numbers a name."""
+    """Return the payload that assigns a number to a name."""
     return NAME + STORED_NUMBER.pack(number) + name.encode("utf-8")
 
 
 def encode_rows(rows: Iterable[Row], number_of: Callable[[str], int]) -> bytes:
-    """The payload of some rows. `number_of`: the number of a name."""
+    """Return the payload of some rows; `number_of` gives the number that stands for a name."""
     return ROWS + b"".join(
         STORED_ROW.pack(
             row.at, number_of(row.function), number_of(row.customer), number_of(row.hall), *row[4:]
@@ -101,7 +101,7 @@
 
 
 def decode(payloads: Iterable[bytes]) -> tuple[dict[str, int], list[Row]]:
-    """The numbers of the names and the rows of a tail."""
+    """Return the numbers of the names, and the rows, of a tail's payloads."""
     numbers: dict[str, int] = {}
     names: dict[int, str] = {}
     rows: list[Row] = []
@@ -119,7 +119,7 @@
 
 
 def table_of(rows: Sequence[Row]) -> pyarrow.Table:
-    """Rows as columns."""
+    """Return rows as a table."""
     columns = list(zip(*rows, strict=True)) or [()] * len(COLUMNS)
     return pyarrow.table(
         {name: pyarrow.array(column, kind) for (name, kind), column in zip(COLUMNS, columns, strict=True)}
@@ -127,7 +127,11 @@
 
 
 def write_day(folder: pathlib.Path, rows: Iterable[Row], number: int, files: Files) -> None:
-    """Writes the rows of one day as a file of columns: beside, then renamed. Raises `OSError`."""
+    """Write the rows of one day as a Parquet file: to a temporary file, then renamed.
+
+    Raises:
+        OSError: the file could not be written; the target is not there then.
+    """
     in_order = sorted(rows)
     first = in_order[0].at
     target = folder / f"day={day_of(first)}" / f"rows-{first:020d}-{number}.parquet"
@@ -141,7 +145,7 @@
 
 
 def retain(folder: pathlib.Path, most_days: int, most_bytes: int) -> None:
-    """Removes the oldest days: those over `most_days`, then what is over `most_bytes`; the last one stays."""
+    """Remove the oldest days until both bounds hold; the newest day always stays."""
     days = sorted(folder.glob("day=*"))
     sizes = {day: sum(path.stat().st_size for path in day.iterdir()) for day in days}
     while len(days) > 1 and (len(days) > most_days or sum(sizes[day] for day in days) > most_bytes):
@@ -152,7 +156,7 @@
 
 
 def compact(folder: pathlib.Path, files: Files) -> tuple[int, int]:
-    """Makes one file of each day's, beside and then renamed; how many files there were, and are."""
+    """Merge each day's Parquet files into one; return how many there were, and how many are left."""
     before = 0
     after = 0
     for day in sorted(folder.glob("day=*")):
@@ -175,7 +179,7 @@
 
 
 def read(folder: Folder, since: int = 0, until: int = END_OF_TIME) -> pyarrow.Table:
-    """All rows with `since <= at < until`, the tails' among them, as a table sorted by time."""
+    """Return all rows with `since <= at < until`, those in tails included, sorted by time."""
     folder = pathlib.Path(folder)
     tables = [
         pyarrow.parquet.read_table(path, filters=[("at", ">=", since), ("at", "<", until)])
@@ -192,7 +196,7 @@
 
 
 def verify(folder: Folder) -> list[str]:
-    """What is wrong with a folder, a line each; empty if nothing is."""
+    """Return the faults of a folder, one line each; an empty list if there are none."""
     folder = pathlib.Path(folder)
     faults = []
     for path in sorted(folder.glob("day=*/rows-*.parquet")):
--- a/petrelwood/store/snapshot.py
+++ b/petrelwood/store/snapshot.py
@@ -1,9 +1,9 @@
-"""One value in one file, whole or not there: a kill at any byte leaves the value before or the value after.
+"""One value in one file, written atomically: a kill at any byte leaves the old value or the new one.
 
-The file is a mark, a kind, a version, a length, a CRC-32 over all of it, and the value in msgpack. It is
-written beside, made durable, and renamed over the old one; then the folder is made durable, so that the
-rename is not lost either. What can't be read is refused with a reason and left where it is, for people to
-look at.
+The file is a mark, a kind, a version, a length, a CRC-32 over all of these, and the value in msgpack. It is
+written to a temporary file, made durable, and renamed over the old one; then the folder is made durable, so
+that the rename is not lost either. A file that can't be read raises an error with the reason and stays where
+it is for inspection.
 """
 
 import os
@@ -26,7 +26,7 @@
 
 
 def pack(kind: str, version: int, value: object) -> bytes:
-    """The bytes of a snapshot."""
+    """Return the bytes of a snapshot."""
     name = kind.encode("ascii")
     body: bytes = msgpack.packb(value, use_bin_type=True)
     checksum = zlib.crc32(CHECKED.pack(len(name), version, len(body)) + name + body)
@@ -34,7 +34,11 @@
 
 
 def unpack(data: bytes, kind: str, newest: int, oldest: int = 1) -> tuple[int, Any]:
-    """The version and the value of a snapshot's bytes. Raises `SnapshotError`."""
+    """Return the version and the value of a snapshot's bytes.
+
+    Raises:
+        SnapshotError: the bytes are damaged, of another kind, or of a version outside `oldest` to `newest`.
+    """
     if len(data) < HEADER.size or data[: len(MARK)] != MARK:
         raise SnapshotError("this is no snapshot of petrelwood's")
     _, name_size, version, size, checksum = HEADER.unpack_from(data)
@@ -55,10 +59,11 @@
 
 
 def write(path: Path, kind: str, version: int, value: object, files: Files | None = None) -> None:
-    """Puts the value in place of what stood there.
+    """Write a snapshot, replacing the one that exists.
 
-    Raises `OSError`; then either the old value or the new one stands, whole, and which of them after a fall
-    of the machine is not known.
+    Raises:
+        OSError: a call failed. Either the old value or the new one is there, complete; after a crash of the
+            machine it may be either.
     """
     files = files or Files()
     path = pathlib.Path(path)
@@ -76,10 +81,14 @@
 def put(
     path: Path, data: bytes, mode: int | None = None, durable: bool = False, files: Files | None = None
 ) -> None:
-    """Bytes in place of what stood there, whole or not at all: written beside and renamed.
+    """Write bytes to a file atomically: to a temporary file, then renamed over the old one.
+
+    The bytes survive the process, and with `durable` also a crash of the machine. `write` adds a checksum for
+    data that must be verified when it is read. `mode`: the permissions of the file, None for those of the
+    umask.
 
-    They outlive the process, and with `durable` the machine; what has to be checked when it is read goes by
-    `write`. Raises `OSError`; what was written beside is then removed where that is possible.
+    Raises:
+        OSError: a call failed; the temporary file is removed if that is possible.
     """
     files = files or Files()
     path = pathlib.Path(path)
@@ -107,7 +116,12 @@
 
 
 def read(path: Path, kind: str, newest: int, oldest: int = 1) -> tuple[int, Any] | None:
-    """The version and the value, or None where there is none. Raises `SnapshotError` and `OSError`."""
+    """Return the version and the value of a snapshot, or None if there is no file.
+
+    Raises:
+        SnapshotError: the file is damaged, of another kind, or of a version outside `oldest` to `newest`.
+        OSError: the file could not be read.
+    """
     path = pathlib.Path(path)
     if not path.exists():
         return None
--- a/petrelwood/store/state_codec.py
+++ b/petrelwood/store/state_codec.py
@@ -32,13 +32,17 @@
 
 
 def encode(record: Record) -> bytes:
-    """The stored form of a record."""
+    """Return the stored form of a record."""
     encoded: bytes = msgpack.packb((STORED_NAMES[type(record)], *record), use_bin_type=True)
     return encoded
 
 
 def decode(payload: bytes) -> Record:
-    """The record of a stored form. Raises `RecordError` for what is none, or of a kind not known here."""
+    """Return the record of a stored form.
+
+    Raises:
+        RecordError: the payload is no record, or one of a kind or length that this build does not know.
+    """
     try:
         fields = msgpack.unpackb(payload, raw=False)
     except (ValueError, msgpack.UnpackException) as error:
--- a/petrelwood/store/state_log.py
+++ b/petrelwood/store/state_log.py
@@ -1,17 +1,18 @@
-"""The state that survives a dispatcher: a log of what it took, how it ended, and which loads it ordered.
-
-What is remembered for a time is forgotten with its segment: one is removed once all in it is older than that,
-so nothing is rewritten while the disk is well, and what a start has to read is bounded by what one memory's
-time wrote. The age of a segment is a span of the monotonic clock: one that this incarnation wrote counts from
-when it was sealed, one that was found from its least age at the start, so no step of the wall clock removes
-anything early.
-
-Durability says when a record counts: "process" once the system has it (it survives a kill of the process),
-"machine" once the disk has it. A failing disk stops the log, and its owner decides what it may still do
-(`decide.delivery.recovery`). A file whose write or fsync failed is never trusted again: `reopen` begins a new
-segment, the owner adds to it what is still remembered (`decide.delivery.state_rewrite`), and `resume` ends
-the outage. What this incarnation had written before is then superseded and removed. A kill on the way leaves
-the old segments, and of the new one a beginning that says nothing else.
+"""The state that survives a dispatcher: which activations it took, how they ended, and its load orders.
+
+Records are never rewritten while the disk works: they expire with their segment, which is removed once all of
+its records are older than the retention. So a start reads no more than the records of about one retention.
+The age of a segment is measured by the monotonic clock: one that this incarnation wrote counts from when it
+was sealed, one that it found from the least age that is certain at the start. So no step of the wall clock
+removes anything early.
+
+Durability says when a record counts as written: "process" once the operating system has it (it survives a
+kill of the process), "machine" once the disk has it. A failing disk stops the log, and its owner decides what
+it may still do (`decide.delivery.recovery`). A file whose write or fsync failed is never trusted again:
+`reopen` begins a new segment, the owner adds all that is still remembered to it
+(`decide.delivery.state_rewrite`), and `resume` ends the outage. The segments that this incarnation had
+written before are then superseded and removed. A kill between `reopen` and `resume` leaves the old segments,
+and an incomplete copy of the same records in the new one.
 """
 
 import contextlib
@@ -41,14 +42,18 @@
 
 
 class StateLog:
-    """The log that one incarnation writes.
+    """The log that one incarnation of a dispatcher writes.
 
-    `retention`: ns after which a record is of no use; `boot`: the mark of the machine's start; `now`: the
-    monotonic clock, by which segments age. `time` in the methods is a record's time.
+    `retention`: ns after which a record is of no use; `boot`: the mark of the machine's start (see
+    `recovery.boot_mark`); `now`: the monotonic clock, by which segments age. The `time` of a method is the
+    wall-clock time of the record, ns.
 
     `found`: the records of other incarnations. `stopped` is None while the log takes what must be recorded,
-    else why it does not: it is set by a failure, and stays so until the segment that `reopen` began holds all
-    that is remembered and `resume` was called. Raises `StateUnreadableError` where the folder can't be read.
+    else the reason why it does not: a failure sets it, and it stays set until the segment that `reopen` began
+    holds all that is remembered and `resume` was called.
+
+    Raises:
+        StateUnreadableError: the folder or a segment in it can't be read.
     """
 
     def __init__(
@@ -100,7 +105,7 @@
         self.epoch += 1
 
     def _read_segment(self, path: pathlib.Path, time: int) -> None:
-        """Reads a segment of another incarnation. It is as old as is known for sure."""
+        """Read a segment of another incarnation, and take the least age that is certain as its age."""
         found = scan(path)
         self.found += found.records
         self._sealed_at[path] = self.now() - least_age(found.records, time, self.boot)
@@ -108,17 +113,17 @@
 
     @property
     def format(self) -> int:
-        """The newest format that stands in the folder: a successor must be able to read it."""
+        """Return the newest format in the folder, which a successor must be able to read."""
         return max(self._formats.values(), default=PLAIN_FORMAT)
 
     @property
     def syncing(self) -> bool:
-        """Whether a thread makes a segment durable now."""
+        """Return whether a thread is making a segment durable now."""
         return bool(self._syncing)
 
     # Writing.
     def add(self, record: Record) -> bool:
-        """Adds a record, which counts once `flush` has returned; whether it was added."""
+        """Buffer a record, which is written by the next `flush`; return whether it was accepted."""
         if self.failed or self.log is None:
             return False
         payload = encode(record)
@@ -131,7 +136,7 @@
         return True
 
     def flush(self) -> bool:
-        """Gives the system what waits; whether all that must be recorded is there."""
+        """Hand the buffered records to the system; return whether all that must be recorded is there."""
         if not self.failed and self.log is not None:
             try:
                 self.log.flush()
@@ -140,13 +145,13 @@
         return self.stopped is None
 
     def sync(self) -> bool:
-        """Makes durable what was flushed; whether all that must be recorded is on the disk."""
+        """Make the flushed records durable; return whether all that must be recorded is on the disk."""
         return self.sync_task()() and self.stopped is None
 
     def sync_task(self) -> Callable[[], bool]:
-        """What another thread calls to make durable what is flushed now.
+        """Return a function for another thread, which makes durable what is flushed now.
 
-        It returns whether it is, and no failure came between.
+        The function returns True if that succeeded and the log has not failed meanwhile.
         """
         log = self.log
         if self.failed or log is None:
@@ -172,7 +177,7 @@
         return not self.failed
 
     def close(self, time: int) -> None:
-        """The process ends in order."""
+        """Close the log as the process ends in order."""
         if self.stopped is None:
             self.add(IncarnationEnded(time))
             self._seal()
@@ -186,7 +191,7 @@
 
     # Segments.
     def check(self, time: int) -> None:
-        """Called now and then: begins the next segment in time for each to be removed when it is too old."""
+        """Begin the next segment when the present one is old enough; to be called periodically."""
         if (
             self.stopped is None
             and self.now() - self._segment_start >= self.retention // SEGMENTS_IN_RETENTION
@@ -194,7 +199,7 @@
             self.begin_next_segment(time)
 
     def begin_next_segment(self, time: int) -> None:
-        """Begins the next segment, and removes those of which nothing is needed any more."""
+        """Begin the next segment, and remove those that are no longer needed."""
         if self._seal():
             self._begin_segment(time)
             self._remove_old()
@@ -219,7 +224,7 @@
             self._fail(str(error))
 
     def _seal(self) -> bool:
-        """Nothing more goes into the present segment; whether it is durable."""
+        """Make the present segment durable and close it to further records; return whether that succeeded."""
         if self.failed or self.log is None:
             return False
         self._sealed_at[self.log.path] = self.now()
@@ -232,7 +237,10 @@
         return True
 
     def _close(self, log: AppendLog) -> None:
-        """Closes a segment, but not under a thread that syncs it: its handle could be another file's then."""
+        """Close a segment's file; one that a thread is syncing is closed after that.
+
+        Its descriptor could otherwise be reused, and the thread would sync another file.
+        """
         with self._lock:
             if log in self._syncing:
                 self._to_close.append(log)
@@ -240,7 +248,7 @@
         log.abandon()
 
     def _remove_old(self) -> None:
-        """What can't be removed now is attempted again with the next segment."""
+        """Remove segments that are superseded or too old; what fails is tried again with the next segment."""
         for path, sealed_at in list(self._sealed_at.items()):
             if path in self._superseded or sealed_at < self.now() - self.retention:
                 self._remove(path)
@@ -258,10 +266,10 @@
 
     # After another incarnation had taken over.
     def take_over_again(self, time: int) -> None:
-        """This incarnation goes on after a successor had taken over; `found` is what that one wrote.
+        """Resume as the writing incarnation after a successor; `found` becomes the successor's records.
 
-        Where it can't be read the log has stopped, and `reopen` reads it first: what the successor took is
-        not known until then.
+        If they can't be read the log stops, and `reopen` reads them first: until then it is not known what
+        the successor took.
         """
         self._successor_unread = True
         if self._read_successor(time) and self._seal():
@@ -284,9 +292,9 @@
 
     # After a failure.
     def reopen(self, time: int) -> bool:
-        """Gives up the failed segment and begins one to which all that is remembered is to be added again.
+        """Give up the failed segment, and begin one to which all that is remembered must be added again.
 
-        Whether it could; it does not as long as a thread still syncs the failed one.
+        Returns False if that failed, or while a thread still syncs the failed segment.
         """
         if self._syncing:
             return False
@@ -307,9 +315,9 @@
         return not self.failed
 
     def resume(self) -> None:
-        """All that is remembered stands in the new segment, durable: the log counts again.
+        """End the outage: all that is remembered is in the new segment and durable.
 
-        What that segment supersedes is removed.
+        The segments that it supersedes are removed.
         """
         self.rewriting = False
         self.stopped = None
--- a/petrelwood/store/state_segments.py
+++ b/petrelwood/store/state_segments.py
@@ -2,9 +2,9 @@
 
     folder/state-EPOCH-NUMBER.log
 
-Each is a `store.append_log`, whose records `store.state_codec` knows. The first record of a segment is
+Each is a `store.append_log` with records in the form of `store.state_codec`. The first record of a segment is
 `IncarnationStarted`, with the segment's format. Only segments begun after an outage have `OUTAGE_FORMAT`:
-builds that know no outages go on reading all others.
+builds that do not know outage records can still read all others.
 """
 
 import os
@@ -25,7 +25,7 @@
 
 
 class Segment(NamedTuple):
-    """One file; they sort in the order in which they were written."""
+    """One file of the log; segments sort in the order in which they were written."""
 
     epoch: int
     number: int
@@ -33,7 +33,7 @@
 
 
 class SegmentScan(NamedTuple):
-    """What a segment holds."""
+    """The records of a segment, and where its valid part ends."""
 
     records: list[Record]
     valid_size: int  # bytes up to the end of the last whole record
@@ -41,13 +41,13 @@
 
     @property
     def format(self) -> int:
-        """The segment's format."""
+        """Return the segment's format."""
         first = self.records[0] if self.records else None
         return first.format if isinstance(first, IncarnationStarted) else PLAIN_FORMAT
 
 
 class Damage(NamedTuple):
-    """What a segment has after its last whole record, or all of it where it is no segment."""
+    """The bytes after a segment's last complete record, or all of its bytes if the file is no segment."""
 
     path: pathlib.Path
     size: int
@@ -55,12 +55,12 @@
 
 
 def segment_path(folder: pathlib.Path, epoch: int, number: int) -> pathlib.Path:
-    """Where a segment stands."""
+    """Return where a segment stands."""
     return folder / f"state-{epoch:06d}-{number:08d}.log"
 
 
 def segments(folder: Folder) -> list[Segment]:
-    """All segments, in the order in which they were written."""
+    """Return all segments, in the order in which they were written."""
     found = []
     for path in pathlib.Path(folder).glob("state-*-*.log"):
         _, epoch, *rest = path.stem.split("-")
@@ -70,7 +70,12 @@
 
 
 def scan(path: pathlib.Path) -> SegmentScan:
-    """Reads one segment. Raises `StateUnreadableError`."""
+    """Return the records of one segment.
+
+    Raises:
+        StateUnreadableError: the file can't be read or decoded, or has a format that this build does not
+            know.
+    """
     try:
         log = append_log.scan(path.read_bytes())
         found = SegmentScan([decode(payload) for payload in log.payloads], log.valid_size, log.damage)
@@ -85,7 +90,12 @@
 
 
 def read(folder: Folder) -> tuple[list[Record], list[Damage]]:
-    """The records of all segments in order, and what of them is not whole. Raises `StateUnreadableError`."""
+    """Return the records of all segments in order, and the damaged parts of the segments.
+
+    Raises:
+        StateUnreadableError: a segment can't be read or decoded, or has a format that this build does not
+            know.
+    """
     records: list[Record] = []
     damages = []
     for segment in segments(folder):
@@ -98,9 +108,9 @@
 
 
 def repair(folder: Folder) -> list[Damage]:
-    """Cuts each segment after its last whole record, and puts aside what is no segment.
+    """Truncate each segment after its last complete record, and rename files that are no segments.
 
-    No dispatcher may be writing. Returns what was cut or put aside, with its new path.
+    No dispatcher may be writing. Returns what was truncated or renamed, with its new path.
     """
     repaired = []
     for segment in segments(folder):
--- a/petrelwood/store/versions.py
+++ b/petrelwood/store/versions.py
@@ -1,12 +1,12 @@
-"""Versions of settings that are announced to all dispatchers: a folder that all of them read.
+"""Versions of settings that are announced to all dispatchers, in a folder that all of them read.
 
-    folder/7.kdl     the settings, whole
-    folder/7.json    {"begun": wall-clock ns}: written last, so a version is seen only once it is all there
-    folder/7.off     somebody has called it off; what is in it says who and why
+    folder/7.kdl     the settings, complete
+    folder/7.json    {"begun": wall-clock ns}: written last, so a version is seen only once it is complete
+    folder/7.off     present once the version was called off; its text says who did so and why
     folder/position  how far the log of the configuration servers has been read, where versions come from them
 
-Files are written beside and renamed. Numbers only grow. What outlives the machine is durable before the
-position that says so: after a fall of the machine nothing that was read is missing.
+Files are written atomically. Numbers only grow. Files of versions are made durable before the position that
+covers them: after a crash of the machine nothing that counts as read is missing.
 """
 
 import contextlib
@@ -29,7 +29,7 @@
 
 
 def announced(folder: Folder) -> list[Announcement]:
-    """All announced versions. What can't be read is not announced yet; a later look may find it."""
+    """Return all announced versions; one that can't be read is left out, and may be found by a later call."""
     folder = pathlib.Path(folder)
     found = []
     for number in _numbers(folder, BEGINNING):
@@ -44,7 +44,7 @@
 
 
 def _numbers(folder: pathlib.Path, ending: str) -> list[int]:
-    """The numbers of which a file of this kind stands there, sorted; none if the folder can't be listed."""
+    """Return the numbers of the versions with a file of this kind, sorted; none if listing fails."""
     try:
         names = [pathlib.Path(name) for name in os.listdir(folder)]
     except OSError:
@@ -53,7 +53,11 @@
 
 
 def announce(folder: Folder, text: str, rollout_start: int) -> int:
-    """Announces a version; returns its number. Raises `OSError`; then it is not announced."""
+    """Announce a version that begins at `rollout_start` (wall-clock ns); return its number.
+
+    Raises:
+        OSError: the version could not be written, and is not announced.
+    """
     folder = pathlib.Path(folder)
     folder.mkdir(parents=True, exist_ok=True)
     number = max(_numbers(folder, SETTINGS), default=0) + 1
@@ -62,10 +66,13 @@
 
 
 def receive(folder: Folder, number: int, text: str, rollout_start: int, files: Files | None = None) -> None:
-    """Announces a version that has its number from the configuration servers, and forgets the oldest ones.
+    """Announce a version under its number from the configuration servers; remove the oldest versions.
 
-    It outlives the machine: half of a version would be called off for everyone as one that can't be read.
-    Raises `OSError`; then it is not announced, and may be received again.
+    The files are made durable: if a crash left half of a version, this dispatcher would call it off for
+    everyone as one that can't be read. `rollout_start`: when its roll-out begins, wall-clock ns.
+
+    Raises:
+        OSError: the version could not be written; it is not announced, and may be received again.
     """
     folder = pathlib.Path(folder)
     files = files or Files()
@@ -83,13 +90,13 @@
 
 
 def _remove(path: pathlib.Path, files: Files) -> None:
-    """What can't be removed now is removed with a later version: it only takes room."""
+    """Remove a file; one that can't be removed stays until the next version is received."""
     with contextlib.suppress(OSError):
         files.remove(str(path))
 
 
 def position(folder: Folder) -> int:
-    """How far the log has been read; 0 where that is not known, and all is read again."""
+    """Return the slot up to which the log has been read; 0 if that is not known, and all is read again."""
     try:
         return int((pathlib.Path(folder) / POSITION).read_text())
     except (OSError, ValueError):
@@ -97,30 +104,40 @@
 
 
 def note_position(folder: Folder, slot: int, files: Files | None = None) -> None:
-    """Notes how far the log has been read, once all of it is in the folder. Raises `OSError`."""
+    """Store the slot up to which the log has been read, once all of it is in the folder.
+
+    Raises:
+        OSError: the position could not be written.
+    """
     folder = pathlib.Path(folder)
     folder.mkdir(parents=True, exist_ok=True)
     put(folder / POSITION, str(slot).encode(), files=files)
 
 
 def call_off(folder: Folder, number: int, why: str, files: Files | None = None) -> None:
-    """Calls a version off for all that read the folder. Raises `OSError`.
+    """Call a version off for all dispatchers that read the folder.
+
+    The file is made durable: the position that follows may survive a crash, and then the revocation would not
+    be read again.
 
-    It outlives the machine: the position that follows it may, and then nobody would ask for it again.
+    Raises:
+        OSError: the file could not be written.
     """
     put(pathlib.Path(folder) / f"{number}{CALL_OFF}", why.encode("utf-8"), durable=True, files=files)
 
 
 def path_of(folder: Folder, number: int) -> pathlib.Path:
-    """Where the settings of a version stand."""
+    """Return the path of a version's settings."""
     return pathlib.Path(folder) / f"{number}{SETTINGS}"
 
 
 def require_readable(folder: Folder, number: int) -> pathlib.Path:
-    """Where the settings of a version stand, once the folder gives them.
+    """Return the path of a version's settings after reading the file once.
+
+    A version is called off for what it says, never for a fault of one folder: hence an error of its own.
 
-    Raises `VersionUnreadableError` where it does not: a version is called off for what it says, never for the
-    fault of one folder.
+    Raises:
+        VersionUnreadableError: the file could not be read.
     """
     path = path_of(folder, number)
     try:
