--- a/benchmarks/scale/configuration_fleet.py
+++ b/benchmarks/scale/configuration_fleet.py
@@ -119,7 +119,7 @@
                 if news.number in one.announced:
                     one.announced[news.number] = one.announced[news.number]._replace(is_called_off=True)
             else:
-                one.announced[news.number] = Announcement(news.number, news.begun, False)
+                one.announced[news.number] = Announcement(news.number, news.rollout_start, False)
 
     def _look(self, one):
         """Each second, as `dispatch.serve` does: answers counted, then what is announced."""
@@ -131,8 +131,8 @@
         verdict = one.rollout.decide(self.cluster.now, list(known.values()))
         if verdict is not None:
             self.cluster.schedule(APPLY, self._in_force, one, verdict[1])
-            if one.rollout.bad_version is not None:
-                self._call_off(one, one.rollout.bad_version)
+            if one.rollout.faulty_version is not None:
+                self._call_off(one, one.rollout.faulty_version)
         self.cluster.schedule(SECOND, self._look, one)
 
     def _in_force(self, one, number):
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -133,7 +133,7 @@
         told = fleet.list_log.after(self.core.membership.resume_after or "")
         data = b"".join(fleet.list_log.event(*one) for one in told)
         fleet.traffic.count(flows.LIST_TO_DISPATCHERS, name, RESPONSE_HEAD + len(data), len(told))
-        self.core.membership.on_heard(self.core.now())
+        self.core.membership.on_contact(self.core.now())
         self.hear(data)
 
     def _again(self):
@@ -156,7 +156,7 @@
 
     def _arrives(self, data):
         if self.open:
-            self.core.membership.on_heard(self.core.now())
+            self.core.membership.on_contact(self.core.now())
             self.hear(data)
 
     def lose(self):
@@ -168,7 +168,7 @@
     def look(self, now):
         """What a running dispatcher looks at now and then."""
         if self.open:
-            self.core.membership.on_heard(now)
+            self.core.membership.on_contact(now)
         if self.core.membership.is_newly_lost(now):
             self.core.endpoint_list_lost()
 
--- a/petrelwood/control/messages.py
+++ b/petrelwood/control/messages.py
@@ -5,7 +5,7 @@
     catch-up [since]  ->  the same, complete    voted-in []  ->  [slot or nil]
     append [record]  ->  [slot]
 
-A record is [id, kind, number, begun, body]. The replies to the first three are [word, ...], see
+A record is [id, kind, number, rollout_start, body]. The replies to the first three are [word, ...], see
 `REPLY_WORDS`.
 """
 
@@ -96,7 +96,7 @@
 
 def decode_record(value: object) -> Record:
     """The record of plain values."""
-    id_, kind, number, begun, body = _list(value, 5, "a record")
+    id_, kind, number, rollout_start, body = _list(value, 5, "a record")
     if not id_:
         raise MalformedMessageError("a record needs an id")
     if not isinstance(body, bytes) or len(body) > MAX_TEXT_SIZE:
@@ -105,7 +105,7 @@
         _text(id_, MAX_ID_SIZE, "a record's id"),
         _text(kind, MAX_KIND_SIZE, "a record's kind"),
         _number(number, "a record's number"),
-        _number(begun, "a record's beginning"),
+        _number(rollout_start, "a record's beginning"),
         body,
     )
 
--- a/petrelwood/decide/cluster/link_state.py
+++ b/petrelwood/decide/cluster/link_state.py
@@ -71,7 +71,7 @@
     __slots__ = (
         "backoff",
         "connecting_since",
-        "heard_at",
+        "last_received_at",
         "incarnations",
         "phase",
         "pings",
@@ -94,7 +94,7 @@
         self.reconnect_budget = reconnect_budget
         self.backoff = Backoff(terms.connect_within, LONGEST_BACKOFF * terms.connect_within, chance)
         self.connecting_since = 0
-        self.heard_at = 0
+        self.last_received_at = 0
         self.pings = 0  # since it was last heard
         self.worker_started: int | None = None
         self.incarnations = 0  # of the worker, that this link has met
@@ -139,7 +139,7 @@
 
     def on_bytes(self, now: int) -> None:
         """Something came from the peer."""
-        self.heard_at = now
+        self.last_received_at = now
         self.pings = 0
 
     def on_lost(self, now: int) -> int:
@@ -156,7 +156,7 @@
             is_late = now - self.connecting_since >= self.terms.connect_within
             return LinkCheck.GIVE_UP if is_late else None
         if self.phase is UP and has_calls_in_flight:
-            silence = now - self.heard_at
+            silence = now - self.last_received_at
             if silence >= self.terms.quiet:
                 return LinkCheck.GIVE_UP
             if silence >= self.terms.quiet * (self.pings + 1) // (MOST_PINGS + 1):
--- a/petrelwood/decide/cluster/log_records.py
+++ b/petrelwood/decide/cluster/log_records.py
@@ -40,7 +40,7 @@
     id: str  # unique, so that a record that is appended again is found again
     kind: str  # a `RecordKind`
     number: int  # REVOCATION: the version that is revoked; a version's own number is its slot
-    begun: int  # VERSION: wall-clock ns at which its roll-out begins
+    rollout_start: int  # VERSION: wall-clock ns at which its roll-out begins
     body: bytes  # VERSION: the settings by `compress_text`; REVOCATION: who revokes it, and why, in UTF-8
 
 
--- a/petrelwood/decide/cluster/membership.py
+++ b/petrelwood/decide/cluster/membership.py
@@ -22,7 +22,7 @@
 
 # A list heard now may lack a worker that started up to this much earlier (ns): an age beyond it is an error
 # of the clocks, one within it is news that came late.
-NEWS_DELAY = 1_500_000_000
+MAX_EVENT_DELAY = 1_500_000_000
 MOST_DEPARTED = 4_096  # incarnations that have left the list and whose start is remembered
 LONGEST_BACKOFF = 64  # times the first wait
 
@@ -90,7 +90,7 @@
         self.epoch: str | None = None
         self.number = 0
         self.lost_after = lost_after
-        self.heard_at = 0
+        self.last_contact_at = 0
         self.is_lost = False
         self.backoff = Backoff(first_wait, LONGEST_BACKOFF * first_wait, chance)
         self.platform_clock = UnsteppedWallClock()
@@ -117,10 +117,10 @@
             return EventOrder.OLD
         return EventOrder.NEXT if int(number) == self.number + 1 else EventOrder.GAP
 
-    def on_heard(self, now: int) -> bool:
+    def on_contact(self, now: int) -> bool:
         """Bytes came from the roster. Whether this ends a time without it."""
         was_lost = self.is_lost
-        self.heard_at = now
+        self.last_contact_at = now
         self.is_lost = False
         self.backoff.succeeded()
         return was_lost
@@ -149,7 +149,7 @@
 
     def is_newly_lost(self, now: int) -> bool:
         """Whether the roster has been silent for too long; said once for each time."""
-        if self.is_lost or now - self.heard_at < self.lost_after:
+        if self.is_lost or now - self.last_contact_at < self.lost_after:
             return False
         self.is_lost = True
         return True
@@ -216,7 +216,7 @@
         age = max(0, platform_wall - endpoint.booted)
         if self.complete_at is not None:
             most = now - self.complete_at
-            if age > most + NEWS_DELAY:
+            if age > most + MAX_EVENT_DELAY:
                 age = most
         return now - age or 1
 
--- a/petrelwood/decide/cluster/rollout.py
+++ b/petrelwood/decide/cluster/rollout.py
@@ -43,7 +43,7 @@
     """A version as it is announced to all dispatchers."""
 
     number: int
-    begun: int  # wall-clock ns
+    rollout_start: int  # wall-clock ns
     is_called_off: bool
 
 
@@ -80,7 +80,7 @@
     __slots__ = (
         "answers",
         "applied_at",
-        "bad_version",
+        "faulty_version",
         "dwell",
         "first_seen_at",
         "name",
@@ -100,7 +100,7 @@
         self.applied_at: int | None = None  # while the version is watched
         self.answers = CompletionCounter()  # under the version
         self.usual: CompletionRate = NO_ANSWERS  # under the one before
-        self.bad_version: int | None = None  # the last one that this dispatcher has found bad
+        self.faulty_version: int | None = None  # the last one that this dispatcher has found bad
         self.rejected: set[int] = set()  # versions that are never applied here again
         self.first_seen_at: dict[int, int] = {}  # announced version -> when it was first seen here
 
@@ -161,7 +161,7 @@
             return self._roll_back()
         if self.applied_at is not None:
             if self._is_worse():
-                self.bad_version = self.version
+                self.faulty_version = self.version
                 return self._roll_back()
             if wall - self.applied_at >= WATCHED_STAGES * self.dwell:
                 # it stays, unless it is called off later: what is seen from now on is what is usual
@@ -194,8 +194,8 @@
         return None if newest.number in self.rejected else newest
 
     def _due_at(self, announcement: Announcement) -> int:
-        begun = min(announcement.begun, self.first_seen_at[announcement.number])
-        return begun + stage_delay(self.name, announcement.number, self.stages, self.dwell)
+        rollout_start = min(announcement.rollout_start, self.first_seen_at[announcement.number])
+        return rollout_start + stage_delay(self.name, announcement.number, self.stages, self.dwell)
 
     def _apply(self, version: int, wall: int) -> RolloutStep:
         if self.applied_at is None:  # else it goes on from the one before that
--- a/petrelwood/decide/cluster/shutdown.py
+++ b/petrelwood/decide/cluster/shutdown.py
@@ -18,14 +18,14 @@
     `started_at` is when SIGTERM came, at the earliest; `longest` is the longest action timeout.
     """
 
-    __slots__ = ("cut_after", "end_after", "started_at")
+    __slots__ = ("final_answers_after", "end_after", "started_at")
 
     def __init__(self, started_at: int, longest: int) -> None:
         timeout = min(longest, LONGEST_TIMEOUT)
         margin = min(LONGEST_MARGIN, timeout // MARGIN_PART)
         self.started_at = started_at
-        self.cut_after = STILL_ARRIVING + timeout - margin
-        self.end_after = self.cut_after + margin // 2
+        self.final_answers_after = STILL_ARRIVING + timeout - margin
+        self.end_after = self.final_answers_after + margin // 2
 
     def closed(self, now: int) -> bool:
         """Whether nothing new is admitted any more."""
@@ -33,7 +33,7 @@
 
     def out_of_time(self, now: int) -> bool:
         """Whether what is pending has to get its final answer now."""
-        return now - self.started_at >= self.cut_after
+        return now - self.started_at >= self.final_answers_after
 
     def over(self, now: int, pending: int, quiet: bool) -> bool:
         """Whether the process may end."""
--- a/petrelwood/decide/cluster/version_watch.py
+++ b/petrelwood/decide/cluster/version_watch.py
@@ -28,7 +28,7 @@
     """A version that this dispatcher has now heard of."""
 
     number: int
-    begun: int  # wall-clock ns at which its roll-out begins, for this dispatcher
+    rollout_start: int  # wall-clock ns at which its roll-out begins, for this dispatcher
     body: bytes  # see `log_records.decompress_text`
 
 
@@ -58,7 +58,7 @@
         "chance",
         "duplicates",
         "gaps",
-        "heard_at",
+        "last_answer_at",
         "next_round_at",
         "position",
         "rollout_time",
@@ -81,7 +81,7 @@
         self.backoffs = {server: Backoff(FIRST_BACKOFF, LONGEST_BACKOFF, chance) for server in self.servers}
         self.next_round_at = 0
         self.second_server = 0  # its place among those that work; the first is always polled
-        self.heard_at: int | None = None
+        self.last_answer_at: int | None = None
         self.gaps = 0  # answers that began after our position
         self.duplicates = 0  # answers that ended before our position
 
@@ -103,7 +103,7 @@
     def on_answer(self, server: str, extract: Extract, now: int, wall: int) -> list[Version | Revocation]:
         """What is new in an answer, in the log's order."""
         self.backoffs[server].succeeded()
-        self.heard_at = now
+        self.last_answer_at = now
         if extract.since > self.position:
             self.gaps += 1
             return []
@@ -118,14 +118,14 @@
         if record.kind == RecordKind.REVOCATION:
             return Revocation(record.number, record.body.decode("utf-8", "replace"))
         if record.kind == RecordKind.VERSION:
-            return Version(slot, self._begin_of_rollout(record.begun, wall), record.body)
+            return Version(slot, self._rollout_start(record.rollout_start, wall), record.body)
         return None  # of a later build: not ours to act on
 
-    def _begin_of_rollout(self, begun: int, wall: int) -> int:
+    def _rollout_start(self, proposed_start: int, wall: int) -> int:
         """When the stages of a version begin for this dispatcher.
 
         A record may be decided long after it was proposed, or be heard of late. Its stages are over then, and
         all who hear of it would take it together: so they begin when it is heard of. So they do where it is
         dated ahead of this clock: it was proposed before it is heard of, and the clocks differ.
         """
-        return begun if 0 <= wall - begun <= self.rollout_time else wall
+        return proposed_start if 0 <= wall - proposed_start <= self.rollout_time else wall
--- a/petrelwood/dispatch/configuration.py
+++ b/petrelwood/dispatch/configuration.py
@@ -105,7 +105,7 @@
             except CorruptVersionError as fault:
                 self.log.error("version unreadable; skipped", number=event.number, why=str(fault))
                 return
-            versions.receive(self.folder, event.number, text, event.begun)
+            versions.receive(self.folder, event.number, text, event.rollout_start)
         self.log.info("version received", number=event.number, off=isinstance(event, Revocation))
 
     def call_off(self, number: int, why: str) -> None:
--- a/petrelwood/dispatch/health.py
+++ b/petrelwood/dispatch/health.py
@@ -42,7 +42,7 @@
         membership = core.membership
         return HealthReport(
             closing=core.intake.closing,
-            list_age=now - membership.heard_at if membership.is_lost else 0,
+            list_age=now - membership.last_contact_at if membership.is_lost else 0,
             usable_workers=sum(1 for worker in membership.members if membership.is_usable(worker)),
             completed=core.recent_answers.completed.sum(now),
             failed=core.recent_answers.failed.sum(now),
--- a/petrelwood/dispatch/rollout.py
+++ b/petrelwood/dispatch/rollout.py
@@ -109,7 +109,7 @@
     async def _carry_out(self, step: RolloutStep) -> None:
         is_rollback = step.action is RolloutAction.ROLL_BACK
         number = step.version
-        called_off = self.rollout.bad_version
+        called_off = self.rollout.faulty_version
         event = "rolling back to a version" if is_rollback else "applying a version"
         self.log.info(event, number=number, calls_off=called_off)
         # at once: the other dispatchers must not wait for what is done here
--- a/petrelwood/links/roster.py
+++ b/petrelwood/links/roster.py
@@ -122,7 +122,7 @@
         await stream.write(self._request(resume_after))
         while True:
             data = await stream.read_bytes(READ_SIZE, partial=True)
-            if self.membership.on_heard(self.core.now()):
+            if self.membership.on_contact(self.core.now()):
                 self.log.info("roster heard again")
             parser.feed_data(data)
             status = parser.get_status_code()
--- a/petrelwood/node/roster.py
+++ b/petrelwood/node/roster.py
@@ -232,5 +232,5 @@
         self.counts["good"] += 1
         self.warned = False
         self.polling.on_usable_answer(now)
-        if self.membership.on_heard(now):
+        if self.membership.on_contact(now):
             self.log.info("roster heard again")
--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -183,7 +183,7 @@
             now,
             wall,
         )
-        self.membership.on_heard(now)
+        self.membership.on_contact(now)
         self.endpoints_changed(*listed, True)
         self.front.open(self.gateway.listen)
         # asked again where it can't be asked now: what is known serves without it
--- a/tests/ration.py
+++ b/tests/ration.py
@@ -218,7 +218,7 @@
             if w.gone is None
         ]
         node = self.node
-        node.membership.on_heard(node.now())
+        node.membership.on_contact(node.now())
         node.endpoints_changed(
             *node.membership.apply_list(f"dns-{self.serial}", entries, node.now(), node.clock.wall()), True
         )
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -21,8 +21,8 @@
 from petrelwood.decide.cluster.log_records import Entry as LogEntry
 from petrelwood.decide.cluster.log_records import Extract, Record, RecordKind
 from petrelwood.decide.cluster.membership import (
+    MAX_EVENT_DELAY,
     MOST_DEPARTED,
-    NEWS_DELAY,
     Endpoint,
     EndpointState,
     Membership,
@@ -163,10 +163,10 @@
     def test_one_that_starts_while_the_list_is_silent_is_as_old_as_told(self):
         m = self.membership()
         m.apply_list("e-1", [entry("old")], LATE, WALL + LATE)
-        m.on_heard(LATE + S)
+        m.on_contact(LATE + S)
         now = LATE + 300 * S
         m.is_newly_lost(now - S)
-        m.on_heard(now)
+        m.on_contact(now)
         listed, _ = m.apply_list("e-4", [entry("new", WALL + now - 200 * S)], now, WALL + now + HOUR)
         self.assertEqual(age(listed, now), 200 * S)
 
@@ -175,8 +175,8 @@
         m.apply_list("e-1", [entry("old")], LATE, WALL + LATE)
         m.on_complete(LATE + 60 * S)
         now = LATE + 60 * S + 250 * MS
-        listed, _ = m.apply_change("e-2", [entry("new", WALL + now - NEWS_DELAY)], now, WALL + now)
-        self.assertEqual(age(listed, now), NEWS_DELAY)
+        listed, _ = m.apply_change("e-2", [entry("new", WALL + now - MAX_EVENT_DELAY)], now, WALL + now)
+        self.assertEqual(age(listed, now), MAX_EVENT_DELAY)
 
     def test_one_that_leaves_the_list_and_comes_back_is_as_old_as_it_was(self):
         for back in ("e-3", "f-1"):
@@ -256,7 +256,7 @@
         updater.update = lambda *settings: taken.append(clock.now() // S) or UpdateResult.APPLIED
         with tempfile.TemporaryDirectory() as folder:
             for one in announced:
-                versions.receive(pathlib.Path(folder), one.number, "", one.begun)
+                versions.receive(pathlib.Path(folder), one.number, "", one.rollout_start)
             source = VersionSource(folder, None, mock.Mock())
             rolls = VersionRollout(rollout, source, core, log, updater, upgrader, mock.Mock())
             with mock.patch("asyncio.sleep", sleep), self.assertRaises(asyncio.CancelledError):
@@ -295,7 +295,7 @@
             record = Record("r", RecordKind.VERSION, 0, WALL + ahead, b"")
             extract = Extract(0, 1, (LogEntry(1, record),))
             (version,) = watch.on_answer("c1", extract, 0, WALL)
-            self.assertEqual(version.begun, WALL)
+            self.assertEqual(version.rollout_start, WALL)
 
 
 class Ids(unittest.TestCase):
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -338,10 +338,10 @@
         say("a list without b", m.apply_list("f-1", [entry("c", booted=WALL + 2 * S)], 15 * S, WALL))
         m.forget_position()
         say(f"after a gap f-2 is {m.order_of('f-2')}")
-        m.on_heard(15 * S)
+        m.on_contact(15 * S)
         lines.append(
             f"lost after 4 s {m.is_newly_lost(19 * S)}, 5 s {m.is_newly_lost(20 * S)}, "
-            f"said again {m.is_newly_lost(21 * S)}, heard again {m.on_heard(22 * S)}"
+            f"said again {m.is_newly_lost(21 * S)}, heard again {m.on_contact(22 * S)}"
         )
         compare(self, "membership", lines)
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -28,7 +28,7 @@
             told = [
                 a._replace(is_called_off=self.off.get(a.number, 1 << 62) <= at)
                 for a in self.announced
-                if a.begun <= at
+                if a.rollout_start <= at
             ]
             for node in self.nodes:
                 for _ in range(pace):
@@ -37,8 +37,8 @@
                     )
                 if not sees(node, at):
                     continue
-                if node.decide(at, told) and node.bad_version is not None:
-                    self.off.setdefault(node.bad_version, at + S)
+                if node.decide(at, told) and node.faulty_version is not None:
+                    self.off.setdefault(node.faulty_version, at + S)
             have = sum(n.version != 1 for n in self.nodes)
             self.most = max(self.most, sum(n.version in self.bad for n in self.nodes))
             if at % (10 * S) == 0:
@@ -74,7 +74,7 @@
                     node.record_answer(chance.random() < (share if node.version == 2 else 0.97))
                 was = node.version
                 node.decide(at, [Announcement(2, 20 * S, off)])
-                off = off or node.bad_version == 2
+                off = off or node.faulty_version == 2
                 if node.version != was or at == 40 * S:
                     node = Rollout.from_state("d1", node.to_state())
             self.assertEqual((node.version, off), (ends, ends == 0))
--- a/tests/test_version_watch.py
+++ b/tests/test_version_watch.py
@@ -72,12 +72,12 @@
 
     def test_one_that_hears_of_it_within_its_stages_keeps_to_the_common_beginning(self):
         (found,) = watch().on_answer("c1", extract(0, version(1, WALL - STAGED)), 0, WALL)
-        self.assertEqual(found.begun, WALL - STAGED)
+        self.assertEqual(found.rollout_start, WALL - STAGED)
 
     def test_one_decided_long_after_it_was_proposed_still_goes_stage_by_stage(self):
         """Else all would take it together: also one that is heard of after an hour apart."""
         (found,) = watch().on_answer("c1", extract(0, version(1, WALL - 3600 * SECOND)), 0, WALL)
-        self.assertEqual(found.begun, WALL)
+        self.assertEqual(found.rollout_start, WALL)
 
 
 class Questions(unittest.TestCase):
