--- a/petrelwood/decide/cluster/completion.py
+++ b/petrelwood/decide/cluster/completion.py
@@ -1,10 +1,10 @@
-"""The share of answers that completed: by it a process or a version is compared with the one before."""
+"""The share of answers that completed, by which a process or a version is compared with the one before it."""
 
 from typing import NamedTuple
 
 
 class CompletionRate(NamedTuple):
-    """How large a share of the answers completed, and of how many answers that is said."""
+    """The share of answers that completed, 0 to 1, and the number of answers that it was measured on."""
 
     share: float
     answers: int
@@ -24,28 +24,28 @@
 
     @property
     def answers(self) -> int:
-        """All answers, completed or not."""
+        """Return the number of all answers, completed or not."""
         return self.completed + self.failed
 
     def record(self, completed: bool) -> None:
-        """Counts one answer."""
+        """Count one answer; `completed`: whether it completed its activation."""
         if completed:
             self.completed += 1
         else:
             self.failed += 1
 
     def halve(self) -> None:
-        """Gives what was counted so far half of its weight."""
+        """Halve both counts, so that later answers weigh more."""
         self.completed //= 2
         self.failed //= 2
 
     def restart(self, completed: int = 0, failed: int = 0) -> None:
-        """Counts from here on, beginning with so many."""
+        """Replace both counts, by default with 0."""
         self.completed = completed
         self.failed = failed
 
     def rate(self) -> CompletionRate:
-        """The share that completed; all, where there was no answer yet."""
+        """Return the share of answers that completed; 1.0 if there were none."""
         if not self.answers:
             return NO_ANSWERS
         return CompletionRate(self.completed / self.answers, self.answers)
--- a/petrelwood/decide/cluster/connection_pool.py
+++ b/petrelwood/decide/cluster/connection_pool.py
@@ -1,8 +1,8 @@
-"""Which of a worker's connections carries a call, and when another one is opened.
+"""The choice of a worker's connection for a call, and whether another connection is needed.
 
-One call to a connection as long as there is room for connections: where an answer comes damaged its
-connection is of no further use, and whatever else is in flight on it may have run. Only where the budget of
-descriptors is used up do calls share, the least loaded connection first.
+One call to a connection as long as more connections may be opened: if an answer arrives damaged, its
+connection is of no further use, and every other call in flight on it may have run. Calls share connections
+only where the budget of file descriptors is used up, the least loaded connection first.
 """
 
 from collections.abc import Sequence
@@ -13,7 +13,7 @@
 
 
 class Connection(Protocol):
-    """What of a connection its choice depends on."""
+    """The state of a connection on which the choice depends."""
 
     up: bool
     open: dict[str, object]  # the calls in flight, by id
@@ -24,7 +24,7 @@
 
 
 def remember(connection: Connection, call_id: str) -> None:
-    """Notes on a connection that it carries this id."""
+    """Record on a connection that it carries the call with this id."""
     connection.carried[call_id] = True
     if len(connection.carried) > MOST_REMEMBERED_IDS:
         del connection.carried[next(iter(connection.carried))]
@@ -33,10 +33,13 @@
 def choose(
     connections: Sequence[AnyConnection], call_id: str, most_in_flight: int, may_open: bool
 ) -> AnyConnection | None:
-    """The connection for a call, or None where the call has to wait for one that is free or comes up.
+    """Return the connection for a call, or None if the call has to wait for one.
 
-    `connections`: those of its worker, the last used at the end; `most_in_flight`: calls that may share one;
-    `may_open`: whether another one may be opened.
+    Args:
+        connections: those of the worker, the last used at the end.
+        call_id: the call's id; a connection that carried a call of the same id recently is not chosen.
+        most_in_flight: calls that may share one connection.
+        may_open: whether another connection may be opened.
     """
     for connection in reversed(connections):
         if not connection.open and connection.up and call_id not in connection.carried:
--- a/petrelwood/decide/cluster/durable_replica.py
+++ b/petrelwood/decide/cluster/durable_replica.py
@@ -1,9 +1,9 @@
-"""A replica whose replies leave only once what they depend on is on its disk, also when the disk fails.
+"""A replica whose replies leave only once what they depend on is on its disk, even if the disk fails.
 
 After a failed write the replica in memory is ahead of the disk: it may have promised or accepted what a
 restart would forget. None of that has left, as each reply is given only after a write. Until a later write of
-the whole state has succeeded the replica does not vote, and says so (`NotVoting`); it goes on learning what
-others have decided, which is a fact whoever holds it. Writes are tried again with backoff.
+the whole state has succeeded the replica does not vote, and says so (`NotVoting`). It goes on learning what
+others have decided, as that is a fact whichever server stores it. Writes are retried with backoff.
 
 Free of I/O but for `save`, which is handed in, as the clock is. Times in ns.
 """
@@ -23,21 +23,25 @@
 
 
 class DiskFailedError(UnavailableError):
-    """The log can't be written at present; another server may do what was asked."""
+    """The log can't be written at present; another server may be able to serve the request."""
 
 
 class DiskObserver(Protocol):
-    """What is told of a replica's disk."""
+    """Receives the failures and recoveries of a replica's disk."""
 
     def disk_failed(self, error: OSError, retry_in: int) -> None:
-        """A write failed; from the first of them on the replica does not vote."""
+        """Handle a failed write, to be retried in `retry_in` ns; the replica does not vote until then."""
 
     def disk_recovered(self, outage: int) -> None:
-        """A write succeeded `outage` ns after the first one that failed; the replica votes again."""
+        """Handle the first successful write after an outage of `outage` ns; the replica may vote again."""
 
 
 class DurableReplica:
-    """A replica and its disk. `save(value)` makes `Replica.durable()` outlive a crash, or raises OSError."""
+    """A replica and its disk.
+
+    `save(value)` makes `Replica.durable_state()` survive a crash, or raises OSError. `chance()` is drawn in
+    [0, 1).
+    """
 
     def __init__(
         self,
@@ -55,18 +59,26 @@
 
     @property
     def failed(self) -> bool:
-        """Whether the disk has failed, so that the replica in memory may be ahead of it."""
+        """Return whether the disk has failed, so that the replica in memory may be ahead of it."""
         return self.failed_since is not None
 
     def require_disk(self) -> None:
-        """Raises `DiskFailedError` while the disk has failed."""
+        """Raise an error while the disk has failed.
+
+        Raises:
+            DiskFailedError: the last write failed.
+        """
         if self._error is not None:
             raise DiskFailedError(
                 f"this server does not vote: its log can't be written: {_reason(self._error)}"
             ) from self._error
 
     def answer(self, message: Message, now: int) -> Reply:
-        """The reply to a message, once it is durable. Raises `DiskFailedError` for a `Learn` that is not."""
+        """Return the reply to a message, once all that it depends on is durable.
+
+        Raises:
+            DiskFailedError: the message is a `Learn`, and what it carries could not be written.
+        """
         if isinstance(message, Learn):
             reply = self.replica.answer(message)
             self.save_changes(now)
@@ -78,22 +90,25 @@
         return reply if self.save_changes(now) else NotVoting()
 
     def learn(self, extract: Extract, now: int) -> None:
-        """Takes in what was decided."""
+        """Learn decided records, and write them."""
         self.replica.learn(extract)
         self.save_changes(now)
 
     def rejoin(self, voted_in: Mapping[str, int], servers: int, now: int) -> bool:
-        """`Replica.rejoin`; whether the replica votes from now on."""
+        """Rejoin as `Replica.rejoin` does; return whether the replica votes from now on."""
         return self.replica.rejoin(voted_in, servers) and self.save_changes(now)
 
     def save_changes(self, now: int) -> bool:
-        """Whether all that is in memory is on the disk. After a failure only `retry` writes."""
+        """Write the state if it has changed; return whether all of it is on the disk.
+
+        After a failure only `retry` writes.
+        """
         if self.replica.changed and not self.failed:
             self._write(now)
         return not self.failed
 
     def retry(self, now: int) -> None:
-        """Writes the whole state anew if the disk has failed and the backoff is over; to be called often."""
+        """Write the whole state again if the disk has failed and the backoff is over; to be called often."""
         if self.failed and self._backoff.may_retry(now):
             self._write(now)
 
--- a/petrelwood/decide/cluster/handover.py
+++ b/petrelwood/decide/cluster/handover.py
@@ -1,13 +1,13 @@
-"""The hand-over from a serving process to its successor: who serves when, and when the old one resumes.
+"""The handover from a serving process to its successor: who serves when, and when the old one resumes.
 
     the predecessor: serving -> offering -> handing -> watching -> over
     the successor:   checking -> waiting -> owning -> proven
 
-Every activation belongs to the process that admitted it, and only that one sends or answers for it. There is
-one moment at which new ones change hands: when the predecessor has stopped accepting, flushed its state, and
-says go. Before that, whatever happens, it goes on as if nothing had been asked. After it, it keeps the
-listeners, without accepting, until the successor has proven itself; if that dies, hands back, or sends no
-heartbeat for too long, the predecessor accepts again. Times in ns of each process's own clock.
+Every activation belongs to the process that admitted it, and only that one sends it to workers or answers it.
+New activations change over at one moment: when the predecessor has stopped accepting, has flushed its state,
+and says go. Until then it goes on serving whatever the successor does. After it, the predecessor keeps the
+listeners open without accepting until the successor has proven itself. If the successor dies, hands back, or
+misses its heartbeats before that, the predecessor accepts again. Times in ns of each process's own clock.
 """
 
 from collections.abc import Mapping
@@ -19,7 +19,7 @@
 SECOND = 1_000_000_000
 READY_TIMEOUT = 15 * SECOND  # from the offer until the successor can serve
 ACCEPT_TIMEOUT = 2 * SECOND  # from go until the successor accepts
-HEARTBEAT_TIMEOUT = 2 * SECOND  # a successor silent for so long has failed, until it has proven itself
+HEARTBEAT_TIMEOUT = 2 * SECOND  # after which a successor that has not proven itself has failed
 PROBATION = 5 * SECOND  # how long a successor serves before it has proven itself
 LEAST_ANSWERS = 20  # answers from which a completion rate is compared
 WORST_DROP = 0.2  # how much smaller the completed share may be than before
@@ -27,7 +27,7 @@
 
 
 class PredecessorPhase(StrEnum):
-    """How far the hand-over is in the process that serves."""
+    """The phase of the handover in the process that serves."""
 
     SERVING = "serving"
     OFFERING = "offering"
@@ -37,7 +37,7 @@
 
 
 class SuccessorPhase(StrEnum):
-    """How far the hand-over is in the process that follows."""
+    """The phase of the handover in the process that takes over."""
 
     CHECKING = "checking"
     WAITING = "waiting"
@@ -47,16 +47,16 @@
 
 
 class PredecessorAction(StrEnum):
-    """What the predecessor has to do next."""
+    """What the predecessor must do next."""
 
     OFFER = "offer"  # pass the listeners
     GO = "go"  # stop accepting and let the successor begin
     RESUME = "resume"  # accept again: the successor has failed
-    END = "end"  # nothing is left to do here
+    END = "end"  # the handover is over, and this process may end
 
 
 class SuccessorAction(StrEnum):
-    """What the successor has to do next."""
+    """What the successor must do next."""
 
     READY = "ready"  # say that it can serve
     ACCEPT = "accept"
@@ -66,7 +66,7 @@
 
 
 class TakeoverRequest(NamedTuple):
-    """What a process that asks to take over says of itself."""
+    """The facts that a process sends when it asks to take over; none of them is checked yet."""
 
     gateway: object  # its name; a peer may say anything
     protocol: object  # version of the hand-over's messages
@@ -75,11 +75,11 @@
 
     @classmethod
     def from_message(cls, facts: Mapping[str, object]) -> "TakeoverRequest":
-        """Decodes the facts of a `hello` message; what they say is checked by `rejection_reason`."""
+        """Return the request of a `hello` message's facts, which `rejection_reason` checks."""
         return cls(facts.get("name"), facts.get("protocol"), facts.get("reads", (0, -1)), facts.get("pid"))
 
     def as_message(self) -> dict[str, object]:
-        """The facts of a `hello` message."""
+        """Return the facts of a `hello` message."""
         return {
             "name": self.gateway,
             "pid": self.pid,
@@ -89,7 +89,12 @@
 
 
 def rejection_reason(request: TakeoverRequest, gateway: str, state_format: int, is_busy: bool) -> str | None:
-    """Why a process may not take over from the gateway, or None. ValueError and TypeError tell of garbage."""
+    """Return why a process may not take over from the gateway, or None if it may.
+
+    Raises:
+        ValueError: the state formats are not a pair.
+        TypeError: the state formats are no numbers.
+    """
     if is_busy:
         return "an upgrade is under way"
     if request.gateway != gateway:
@@ -103,7 +108,7 @@
 
 
 class Predecessor:
-    """The process that serves. Each event returns what is to be done, or None."""
+    """The handover in the process that serves; each event returns the action to carry out, or None."""
 
     __slots__ = ("deadline", "has_drained", "has_proven_successor", "phase", "reason")
 
@@ -121,17 +126,17 @@
         self.reason = ""  # why the last hand-over failed
 
     def is_busy(self) -> bool:
-        """Whether a hand-over is under way."""
+        """Return whether a handover is under way."""
         return self.phase != PredecessorPhase.SERVING
 
     def on_request(self, now: int) -> PredecessorAction:
-        """A successor has asked, and was not rejected."""
+        """Handle the request of a successor that was not rejected."""
         self.phase = PredecessorPhase.OFFERING
         self.deadline = now + READY_TIMEOUT
         return PredecessorAction.OFFER
 
     def on_ready(self, now: int) -> PredecessorAction | None:
-        """The successor can serve. From 'go' on nothing new is admitted here."""
+        """Handle that the successor can serve; after the returned GO nothing new is admitted here."""
         if self.phase != PredecessorPhase.OFFERING:
             return None
         self.phase = PredecessorPhase.HANDING
@@ -141,38 +146,38 @@
         return PredecessorAction.GO
 
     def on_accepting(self, now: int) -> None:
-        """The successor accepts."""
+        """Handle that the successor accepts connections."""
         if self.phase == PredecessorPhase.HANDING:
             self.phase = PredecessorPhase.WATCHING
             self.deadline = now + HEARTBEAT_TIMEOUT
 
     def on_heartbeat(self, now: int) -> None:
-        """The successor is there."""
+        """Handle a heartbeat of the successor."""
         if self.phase == PredecessorPhase.WATCHING:
             self.deadline = now + HEARTBEAT_TIMEOUT
 
     def on_proven(self) -> PredecessorAction | None:
-        """The successor has proven itself."""
+        """Handle that the successor has proven itself."""
         if self.phase != PredecessorPhase.WATCHING:
             return None
         self.has_proven_successor = True
         return self._end_if_done()
 
     def on_drained(self) -> PredecessorAction | None:
-        """All that was admitted here has its answer."""
+        """Handle that all activations that were admitted here have their answers."""
         self.has_drained = True
         return self._end_if_done()
 
     def on_successor_lost(self, reason: str) -> PredecessorAction | None:
-        """The successor is gone, or hands back."""
+        """Handle that the successor is gone or hands back; return RESUME if accepting had stopped here."""
         is_proven = self.phase == PredecessorPhase.WATCHING and self.has_proven_successor
         if is_proven or self.phase == PredecessorPhase.OVER:
-            # it has proven itself: what becomes of it now is not ours
+            # it has proven itself, so this process does not serve again
             return None
         return self._resume(reason)
 
     def check(self, now: int) -> PredecessorAction | None:
-        """Asked now and then: whether the successor was too slow, or went silent."""
+        """Return RESUME if the successor was too slow or missed its heartbeats; to be called periodically."""
         reason = self.TIMEOUT_REASONS.get(self.phase)
         if reason is not None and not self.has_proven_successor and now >= self.deadline:
             return self._resume(reason)
@@ -192,7 +197,7 @@
 
 
 class Successor:
-    """The process that follows. Each event returns what is to be done, or None."""
+    """The handover in the process that takes over; each event returns the action to carry out, or None."""
 
     __slots__ = ("answers", "before", "deadline", "phase", "probation", "reason")
 
@@ -205,13 +210,13 @@
         self.answers = CompletionCounter()
 
     def on_ready_to_serve(self, now: int) -> SuccessorAction:
-        """This process can serve from now on."""
+        """Handle that this process can serve from now on."""
         self.phase = SuccessorPhase.WAITING
         self.deadline = now + READY_TIMEOUT
         return SuccessorAction.READY
 
     def on_go(self, now: int, before: CompletionRate) -> SuccessorAction | None:
-        """The predecessor has stopped accepting; `before` is its own completion rate."""
+        """Handle that the predecessor has stopped accepting; `before` is its own completion rate."""
         if self.phase != SuccessorPhase.WAITING:
             return None
         self.phase = SuccessorPhase.OWNING
@@ -220,12 +225,12 @@
         return SuccessorAction.ACCEPT
 
     def record_answer(self, completed: bool) -> None:
-        """An activation that was admitted here got its answer."""
+        """Count the answer of an activation that was admitted here."""
         if self.phase == SuccessorPhase.OWNING:
             self.answers.record(completed)
 
     def check(self, now: int) -> SuccessorAction | None:
-        """Asked now and then: whether it has waited too long, does worse, or has proven itself."""
+        """Return the action that is due: give up, hand back, or report success; to be called periodically."""
         if self.phase in (SuccessorPhase.CHECKING, SuccessorPhase.WAITING) and now >= self.deadline:
             self.fail("there was no word to go in time")
             return SuccessorAction.GIVE_UP
@@ -241,7 +246,7 @@
         return None
 
     def on_predecessor_lost(self) -> SuccessorAction | None:
-        """The predecessor is gone: before go there is nothing to take over; after it this one is alone."""
+        """Handle that the predecessor is gone: give up before the go, serve alone after it."""
         if self.phase in (SuccessorPhase.CHECKING, SuccessorPhase.WAITING):
             self.fail("the old process went before it gave way")
             return SuccessorAction.GIVE_UP
@@ -250,7 +255,7 @@
         return None
 
     def fail(self, reason: str) -> None:
-        """This process does not serve, or no longer: the predecessor does."""
+        """Mark the handover as failed, so that the predecessor goes on serving."""
         self.phase = SuccessorPhase.FAILED
         self.reason = reason
 
--- a/petrelwood/decide/cluster/link_state.py
+++ b/petrelwood/decide/cluster/link_state.py
@@ -1,11 +1,11 @@
-"""The state of one link to a worker: when to connect, when a connection counts, when it is given up.
+"""The state of one link to a worker: when to connect, when it is up, and when it is given up.
 
     down -> connecting -> greeting -> up -> down
 
-A connection counts only once the worker has greeted with its id and start time: a peer that accepts and stays
-silent was never up, so what waited for it provably never ran. A greeting with another id is a wrong peer; one
-with another start time than before is a new incarnation of the worker, which knows nothing of calls made to
-the one before.
+A link is up only once the worker has sent a greeting with its id and start time. A peer that accepts the
+connection and stays silent was never up, so the calls that were queued for it provably never ran. A greeting
+with another id comes from the wrong peer; one with another start time than before comes from a new
+incarnation of the worker, which knows nothing of calls made to the one before.
 """
 
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 
 class LinkPhase(StrEnum):
-    """How far a link is connected."""
+    """The phase of a link's connection."""
 
     DOWN = "down"
     CONNECTING = "connecting"
@@ -28,7 +28,7 @@
 
 
 class CallDecision(StrEnum):
-    """What becomes of a call that has just come."""
+    """What to do with a new call."""
 
     QUEUE = "wait"
     CONNECT = "connect"  # begin to connect, and queue the call
@@ -44,28 +44,29 @@
 
 
 class LinkCheck(StrEnum):
-    """What a look at a link asks for."""
+    """What to do with a link after a periodic check."""
 
     GIVE_UP = "give up"
     PING = "ping"
 
 
 class LinkTerms(Protocol):
-    """What of the settings a link goes by; times in ns."""
+    """The settings of a link; times in ns."""
 
     @property
     def connect_within(self) -> int:
-        """From the begin of a connection until it has greeted."""
+        """Return the longest time from the start of a connection until the worker's greeting."""
 
     @property
     def quiet(self) -> int:
-        """How long a link with calls in flight may be silent."""
+        """Return how long a link with calls in flight may be silent."""
 
 
 class LinkState:
-    """One link to a worker; times in ns.
+    """The state of one link to a worker; times in ns.
 
-    `chance()` is drawn in [0, 1); `reconnect_budget` is shared by all links for connecting again.
+    `chance()` is drawn in [0, 1). `reconnect_budget` is shared by all links and limits reconnecting after
+    failures; None: no limit.
     """
 
     __slots__ = (
@@ -95,12 +96,12 @@
         self.backoff = Backoff(terms.connect_within, LONGEST_BACKOFF * terms.connect_within, chance)
         self.connecting_since = 0
         self.last_received_at = 0
-        self.pings = 0  # since it was last heard
+        self.pings = 0  # unanswered, since bytes were last received
         self.worker_started: int | None = None
-        self.incarnations = 0  # of the worker, that this link has met
+        self.incarnations = 0  # of the worker, that have sent a greeting on this link
 
     def on_call(self, now: int) -> CallDecision:
-        """What to do with a call that has just come."""
+        """Return what to do with a new call."""
         if self.phase is not DOWN:
             return QUEUE
         if not self.backoff.may_retry(now):
@@ -110,21 +111,21 @@
         return CONNECT
 
     def _may_reconnect(self, now: int) -> bool:
-        """It failed before, and so do many others: not all of them at once."""
+        """Return whether the shared budget allows another connection attempt after a failure."""
         return self.reconnect_budget is None or self.reconnect_budget.spend(now)
 
     def on_connecting(self, now: int) -> None:
-        """A connection is being made."""
+        """Handle that a connection is being made."""
         self.phase = LinkPhase.CONNECTING
         self.connecting_since = now
 
     def on_connected(self) -> None:
-        """The peer has accepted."""
+        """Handle that the peer has accepted the connection."""
         if self.phase == LinkPhase.CONNECTING:
             self.phase = LinkPhase.GREETING
 
     def on_greeting(self, now: int, worker: object, started: int) -> bool:
-        """Whether the peer is the worker that was meant; `started`: its start time as it says it."""
+        """Return whether the peer is the expected worker; `started`: the start time in its greeting."""
         if self.phase != LinkPhase.GREETING or worker != self.worker:
             return False
         if started != self.worker_started:
@@ -138,20 +139,20 @@
         return True
 
     def on_bytes(self, now: int) -> None:
-        """Something came from the peer."""
+        """Handle that bytes were received from the peer."""
         self.last_received_at = now
         self.pings = 0
 
     def on_lost(self, now: int) -> int:
-        """The connection is lost, or was not made; returns when the next one may be tried.
+        """Handle a lost or failed connection; return when the next one may be tried.
 
-        One that was up costs one short wait, each failure to connect a longer one.
+        The backoff is short after a connection that was up, and grows with each failure to connect.
         """
         self.phase = LinkPhase.DOWN
         return self.backoff.failed(now)
 
     def check(self, now: int, has_calls_in_flight: bool) -> LinkCheck | None:
-        """Asked now and then while the link is not down."""
+        """Return what the link needs, or None; to be called periodically while the link is not down."""
         if self.phase in (LinkPhase.CONNECTING, LinkPhase.GREETING):
             is_late = now - self.connecting_since >= self.terms.connect_within
             return LinkCheck.GIVE_UP if is_late else None
--- a/petrelwood/decide/cluster/log_proposal.py
+++ b/petrelwood/decide/cluster/log_proposal.py
@@ -1,4 +1,4 @@
-"""Having a record decided in the replicated log: the proposer's side of single-decree Paxos.
+"""The proposer's side of single-decree Paxos: having one record decided in the replicated log.
 
 Free of I/O. Times in ns of any clock that does not go back.
 """
@@ -25,16 +25,16 @@
 
 MS = 1_000_000
 PHASE_TIMEOUT = 1_000 * MS  # for each phase of a ballot to find a majority, before a higher one is tried
-QUORUM_TIMEOUT = 4_000 * MS  # for a record to be decided, before its author is told that there is no quorum
+QUORUM_TIMEOUT = 4_000 * MS  # for a record to be decided, before the proposal fails for want of a quorum
 FIRST_RETRY = 20 * MS  # the first wait after a rejected ballot; doubled each time and drawn from all of it
 LONGEST_RETRY = 500 * MS
 MOST_DOUBLINGS = 8
 
 
 class Proposer:
-    """Makes the ballots of one process.
+    """Creates the ballots of one process.
 
-    `identity`: unique to the process, so that no ballot is used twice for two records, also not after a
+    `identity`: unique to the process, so that no ballot is used twice for two records, not even after a
     restart or the loss of a disk.
     """
 
@@ -43,18 +43,18 @@
         self.round = 0
 
     def ballot(self, above: int) -> Ballot:
-        """A new ballot whose round is over `above` and over all before it."""
+        """Return a new ballot whose round is higher than `above` and than all before it."""
         self.round = max(self.round, above) + 1
         return Ballot(self.round, self.identity)
 
 
 class Proposal:
-    """Has one record decided, in whichever slot is free.
+    """The proposal of one record for the first slot that is free.
 
-    `send(server, message)` is called for each message that goes out, this server's own among them; its reply
-    comes back through `handle_reply`, late or never. `decided_slot`: the record's slot once it is decided;
-    `failed`: there was no quorum in time, and the record may still be decided later: appended again under its
-    id it is found.
+    `send(server, message)` is called for each message that goes out, those to this server among them; its
+    reply is passed to `handle_reply`, late or never. `decided_slot`: the record's slot once it is decided,
+    else None. `failed`: there was no quorum in time. The record may still be decided later; a new proposal of
+    the same id then finds its slot.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         self._start_ballot(now)
 
     def _start_ballot(self, now: int) -> None:
-        """A new ballot in the first undecided slot."""
+        """Start a new ballot in the first undecided slot, unless the record is decided already."""
         self.decided_slot = self._replica.slot_of(self.record.id)
         if self.decided_slot is not None:
             return
@@ -98,11 +98,11 @@
 
     @property
     def ended(self) -> bool:
-        """Whether the record is decided or there was no quorum in time."""
+        """Return whether the record is decided or there was no quorum in time."""
         return self.decided_slot is not None or self.failed
 
     def check(self, now: int) -> None:
-        """Tries a higher ballot after one that found no majority; to be called often."""
+        """Start a higher ballot after one that found no majority in time; to be called often."""
         if self.ended:
             return
         if now >= self._deadline:
@@ -111,7 +111,7 @@
             self._start_ballot(now)
 
     def handle_reply(self, server: str, message: Message, reply: Reply, now: int) -> None:
-        """Takes in a server's reply to `message`."""
+        """Handle a server's reply to `message`."""
         if self.ended or isinstance(message, Learn):
             return
         if isinstance(reply, Behind):
@@ -130,7 +130,7 @@
             self._handle_acceptance(server, now)
 
     def _handle_rejection(self, promised: Ballot, now: int) -> None:
-        """Another proposer is ahead: a wait that is drawn anew each time lets one of them finish."""
+        """Back off for a random time, so that another proposer with a higher ballot can finish."""
         if promised <= self._ballot:
             return
         self._proposer.round = max(self._proposer.round, promised.round)
--- a/petrelwood/decide/cluster/log_records.py
+++ b/petrelwood/decide/cluster/log_records.py
@@ -1,6 +1,6 @@
-"""What the replicated log holds, and the messages and replies of its servers.
+"""The records of the replicated log, and the messages and replies of its servers.
 
-A version's settings are kept compressed: what 400 dispatchers ask for at once is then a tenth of it.
+The settings of a version are stored compressed, to about a tenth: 400 dispatchers may request them at once.
 """
 
 import enum
@@ -13,11 +13,11 @@
 
 
 class CorruptVersionError(StorageError):
-    """The body of a version is none that `compress_text` has made."""
+    """The body of a version can't be decompressed, or is larger than `MAX_TEXT_SIZE`."""
 
 
 class RecordKind(enum.StrEnum):
-    """The kinds of records that this build knows; others are stored and passed on as they came."""
+    """The kinds of records that this build knows; others are stored and forwarded unchanged."""
 
     VERSION = "version"
     REVOCATION = "call off"
@@ -25,7 +25,7 @@
 
 
 class Ballot(NamedTuple):
-    """Ordered by round, then by the proposer's identity, which no other process ever has."""
+    """A ballot of Paxos, ordered by round, then by the proposer's identity, unique to its process."""
 
     round: int
     proposer: str
@@ -35,7 +35,7 @@
 
 
 class Record(NamedTuple):
-    """What a slot of the log holds. Its field order is that of the stored form and of the wire form."""
+    """The content of a slot; the order of its fields is that of the stored form and of the wire form."""
 
     id: str  # unique, so that a record that is appended again is found again
     kind: str  # a `RecordKind`
@@ -52,7 +52,7 @@
 
 
 class Extract(NamedTuple):
-    """All that was decided in the slots after `since` up to `chosen`, but for what is superseded."""
+    """The decided records in the slots after `since` up to `chosen`, without superseded ones."""
 
     since: int
     chosen: int
@@ -60,14 +60,14 @@
 
 
 class Prepare(NamedTuple):
-    """Asks for a promise to accept nothing of a lower ballot in this slot."""
+    """A request for a promise to accept no lower ballot in this slot."""
 
     slot: int
     ballot: Ballot
 
 
 class Accept(NamedTuple):
-    """Asks to accept a record in this slot."""
+    """A request to accept a record in this slot."""
 
     slot: int
     ballot: Ballot
@@ -75,46 +75,46 @@
 
 
 class Learn(NamedTuple):
-    """Tells what was decided."""
+    """A notification of decided records."""
 
     extract: Extract
 
 
 class Promise(NamedTuple):
-    """The replica accepts nothing of a lower ballot; what it has accepted before."""
+    """The reply that no lower ballot will be accepted, with the record that was accepted before."""
 
     accepted: Ballot  # LOWEST where no record was accepted
     record: Record | None
 
 
 class Accepted(NamedTuple):
-    """The replica has accepted the record."""
+    """The reply that the record was accepted."""
 
 
 class Rejected(NamedTuple):
-    """The slot is promised to a higher ballot."""
+    """The reply that the slot is promised to a higher ballot."""
 
     promised: Ballot
 
 
 class Behind(NamedTuple):
-    """The replica lacks decided slots before this one."""
+    """The reply that the replica lacks decided slots before this one."""
 
     chosen: int
 
 
 class Ahead(NamedTuple):
-    """The slot is decided already."""
+    """The reply that the slot is decided already."""
 
     extract: Extract
 
 
 class NotVoting(NamedTuple):
-    """The replica has lost its disk and may have voted in this slot before, or its disk fails at present."""
+    """The reply of a replica that may not vote in this slot: it lost its disk, or its disk fails now."""
 
 
 class Learned(NamedTuple):
-    """The replica has taken in what was decided, up to this slot."""
+    """The reply to `Learn`: the last slot up to which the replica knows all decided records."""
 
     chosen: int
 
@@ -124,12 +124,16 @@
 
 
 def compress_text(text: str) -> bytes:
-    """The body of a version, of its settings."""
+    """Return the body of a version with these settings."""
     return zlib.compress(text.encode("utf-8"))
 
 
 def decompress_text(body: bytes) -> str:
-    """The settings that a version's body holds. Raises `CorruptVersionError`."""
+    """Return the settings in a version's body.
+
+    Raises:
+        CorruptVersionError: the body can't be decompressed, or the settings are too large.
+    """
     decompressor = zlib.decompressobj()
     try:
         text = decompressor.decompress(body, MAX_TEXT_SIZE + 1).decode("utf-8")
--- a/petrelwood/decide/cluster/membership.py
+++ b/petrelwood/decide/cluster/membership.py
@@ -1,13 +1,13 @@
-"""The endpoint list: what the roster has said of workers, its gaps, and each worker's incarnations.
+"""The endpoint list: what the roster has reported of workers, gaps in its events, and workers' incarnations.
 
-The roster sends a whole list or watch events, each with an id that grows. An event that does not follow the
-one before means that something was missed: the list is then asked for anew.
+The roster sends a complete list or watch events, each with an id that grows. An event that does not follow
+the one before means that something was missed: the list is then requested anew.
 
-A worker's start is told as wall-clock time of the platform and turned into this dispatcher's own clock once
-an incarnation. Two things bound what is believed of its age. Our wall clock is read without its steps, so
-that the offset between the two clocks is the one of before a step. And an incarnation that was not on the
-list when that was last heard has started since: it is no older than that, whatever the clocks say, but for
-the time that news of it may take. An incarnation that left the list and comes back is as old as it was.
+A worker's start is reported as wall-clock time of the platform, and converted to this dispatcher's own clock
+once an incarnation. Two rules bound its age. This machine's wall clock is read without its steps, so the
+offset between the two clocks is the one from before a step. And an incarnation that was not on the list when
+the list was last known to be complete has started since: it is no older than that, whatever the clocks say,
+plus the delay that its event may have. An incarnation that left the list and comes back keeps its start.
 """
 
 from collections import OrderedDict
@@ -20,19 +20,19 @@
 from petrelwood.decide.wall_clock import FOLLOWED, UnsteppedWallClock
 from petrelwood.errors import ProtocolError
 
-# A list heard now may lack a worker that started up to this much earlier (ns): an age beyond it is an error
-# of the clocks, one within it is news that came late.
+# A list received now may lack a worker that started up to this much earlier (ns): an age beyond is an error
+# of the clocks, one within it is an event that came late.
 MAX_EVENT_DELAY = 1_500_000_000
 MOST_DEPARTED = 4_096  # incarnations that have left the list and whose start is remembered
 LONGEST_BACKOFF = 64  # times the first wait
 
 
 class MalformedEndpointError(ProtocolError):
-    """What a roster sent is no endpoint."""
+    """An entry that the roster sent can't be decoded as an endpoint."""
 
 
 class EndpointState(StrEnum):
-    """What the roster says of a worker."""
+    """The state of a worker as the roster reports it."""
 
     USABLE = "usable"
     DRAINING = "draining"
@@ -40,7 +40,7 @@
 
 
 class EventOrder(StrEnum):
-    """How a watch event follows what is known."""
+    """How the id of a watch event follows the last known one."""
 
     NEXT = "next"
     OLD = "old"  # known already
@@ -48,18 +48,18 @@
 
 
 class Endpoint(NamedTuple):
-    """One worker as the roster tells it."""
+    """One worker as the roster reports it."""
 
     worker: str
     address: tuple[str, int]
     zone: str
     cell: int
-    booted: int  # wall-clock ns of its start; 0: long ago
+    booted: int  # its start, wall-clock ns; 0: long ago
     state: EndpointState
 
 
 class ListChange(NamedTuple):
-    """What a list or a watch event has changed."""
+    """The changes by a list or a watch event."""
 
     listed: list[ports.Listed]
     leaving: list[str]  # workers that drain or are gone, and were not said to before
@@ -76,14 +76,19 @@
         self.draining_since = 0
 
     def listed(self) -> ports.Listed:
-        """The worker as the decision module is told of it."""
+        """Return the worker as the decision module is notified of it."""
         endpoint = self.endpoint
         is_usable = endpoint.state == EndpointState.USABLE
         return ports.Listed(endpoint.worker, endpoint.zone, endpoint.cell, self.booted, is_usable)
 
 
 class Membership:
-    """The endpoint list of one dispatcher. Times in ns of our clock unless said otherwise."""
+    """The endpoint list of one dispatcher.
+
+    Times in ns of this dispatcher's clock unless said otherwise. `lost_after`: silence after which the roster
+    counts as lost; `first_wait`: the first backoff before it is requested again; `chance()` is drawn in [0,
+    1).
+    """
 
     def __init__(self, lost_after: int, first_wait: int, chance: Callable[[], float]) -> None:
         self.members: dict[str, Member] = {}
@@ -95,21 +100,21 @@
         self.backoff = Backoff(first_wait, LONGEST_BACKOFF * first_wait, chance)
         self.platform_clock = UnsteppedWallClock()
         self.complete_at: int | None = None  # when the list was last known to be complete; None: never yet
-        # (worker, its start as told) -> its start on our clock
+        # (worker, its reported start) -> its start on our clock
         self.departed: OrderedDict[tuple[str, int], int] = OrderedDict()
 
     @property
     def resume_after(self) -> str | None:
-        """The id of the last event that is known, or None for a whole list."""
+        """Return the id of the last known event, or None if a complete list is needed."""
         return None if self.epoch is None else f"{self.epoch}-{self.number}"
 
     def forget_position(self) -> None:
-        """Something was missed: nothing to resume after, the whole list is wanted."""
+        """Forget the last event's id after a gap, so that a complete list is requested."""
         self.epoch = None
         self.number = 0
 
     def order_of(self, event_id: str) -> EventOrder:
-        """How an event follows what is known."""
+        """Return how an event follows the last known one."""
         epoch, _, number = event_id.rpartition("-")
         if not number.isdigit() or epoch != self.epoch:
             return EventOrder.GAP
@@ -118,7 +123,7 @@
         return EventOrder.NEXT if int(number) == self.number + 1 else EventOrder.GAP
 
     def on_contact(self, now: int) -> bool:
-        """Bytes came from the roster. Whether this ends a time without it."""
+        """Handle that bytes were received from the roster; return whether it was lost until now."""
         was_lost = self.is_lost
         self.last_contact_at = now
         self.is_lost = False
@@ -126,10 +131,11 @@
         return was_lost
 
     def correct_clock(self, ahead: int, now: int) -> list[ports.Listed]:
-        """Workers are as old as the lesser of two wall clocks says, of which either may have been wrong.
+        """Correct the platform clock by an earlier reading; return the workers that are younger by it.
 
-        An earlier process on this start of the machine had a wall clock that was ahead of the monotonic one
-        by `ahead` only. Returns the workers that are younger by it.
+        `ahead`: how far the wall clock was ahead of the monotonic one (ns) in an earlier process on this
+        start of the machine. Either reading may be wrong; the lesser one counts, so workers are no older than
+        either clock says.
         """
         clock = self.platform_clock
         difference = 0 if clock.ahead is None else clock.ahead - ahead
@@ -143,19 +149,19 @@
         return [member.listed() for member in younger]
 
     def on_complete(self, now: int) -> None:
-        """The list is complete as of `now`: what the roster has said so far is all that there was to say."""
+        """Handle that the list is complete as of `now`: the roster has reported all events up to then."""
         if self.complete_at is not None:
             self.complete_at = now
 
     def is_newly_lost(self, now: int) -> bool:
-        """Whether the roster has been silent for too long; said once for each time."""
+        """Return whether the roster has been silent for too long; True only once for each silence."""
         if self.is_lost or now - self.last_contact_at < self.lost_after:
             return False
         self.is_lost = True
         return True
 
     def apply_list(self, list_id: str, endpoints: Sequence[Endpoint], now: int, wall: int) -> ListChange:
-        """Takes a whole list."""
+        """Apply a complete list; return what it changed. `wall`: this machine's wall clock, ns."""
         self.epoch, _, number = list_id.rpartition("-")
         self.number = int(number)
         named = {endpoint.worker for endpoint in endpoints}
@@ -167,17 +173,17 @@
         return ListChange(change.listed, leaving + change.leaving)
 
     def apply_change(self, event_id: str, endpoints: Iterable[Endpoint], now: int, wall: int) -> ListChange:
-        """Takes a watch event that follows."""
+        """Apply a watch event that follows the last one; return what it changed."""
         self.number = int(event_id.rpartition("-")[2])
         return self._apply(endpoints, now, wall)
 
     def is_usable(self, worker: str) -> bool:
-        """Whether a worker is on the list and may be sent to."""
+        """Return whether a worker is on the list and may be sent activations."""
         member = self.members.get(worker)
         return member is not None and member.endpoint.state == EndpointState.USABLE
 
     def address_of(self, worker: str) -> tuple[str, int] | None:
-        """Where a worker listens; None where it is not on the list."""
+        """Return the address on which a worker listens, or None if it is not on the list."""
         member = self.members.get(worker)
         return member.endpoint.address if member else None
 
@@ -199,7 +205,7 @@
         return change
 
     def _member(self, endpoint: Endpoint, now: int, platform_wall: int) -> Member:
-        """The member that an endpoint tells of, a new one for a new incarnation."""
+        """Return the member of an endpoint, a new one for a new incarnation."""
         member = self.members.get(endpoint.worker)
         if member is None or member.endpoint.booted != endpoint.booted:
             member = Member(endpoint, self._start(endpoint, now, platform_wall))
@@ -207,7 +213,7 @@
         return member
 
     def _start(self, endpoint: Endpoint, now: int, platform_wall: int) -> int:
-        """When this incarnation, heard of for the first time, has started on our clock; 0: long ago."""
+        """Return when a new incarnation has started on this dispatcher's clock; 0: long ago."""
         if not endpoint.booted:
             return 0
         known = self.departed.pop((endpoint.worker, endpoint.booted), None)
@@ -230,7 +236,11 @@
 
 
 def decode_endpoint(raw: object) -> Endpoint:
-    """The endpoint that a roster sent as a JSON object. Raises MalformedEndpointError."""
+    """Return the endpoint that a roster sent as a JSON object.
+
+    Raises:
+        MalformedEndpointError: a field is missing or has the wrong form.
+    """
     if not isinstance(raw, dict):
         raise MalformedEndpointError("an entry must be an object")
     try:
--- a/petrelwood/decide/cluster/polling.py
+++ b/petrelwood/decide/cluster/polling.py
@@ -1,11 +1,11 @@
-"""When to poll the roster: often while it answers, soon again after a loss. Times in ns."""
+"""When to poll the roster: at a steady interval while it answers, sooner after a lost query. Times in ns."""
 
 from collections.abc import Callable
 
 MILLISECOND = 1_000_000
 INTERVAL = 250 * MILLISECOND  # the roster may know of an event 1.5 s late, and waits for no one
 RETRY_INTERVAL = 80 * MILLISECOND  # after a query that has no answer yet
-# what the roster would have told counts as told then, however late its answers come
+# an answer counts for the time of its query, up to this much later
 ANSWER_LIFETIME = 4_500 * MILLISECOND
 MOST_OPEN_QUERIES = ANSWER_LIFETIME // RETRY_INTERVAL  # whose answers are still taken
 QUERY_IDS = 65_536
@@ -22,11 +22,11 @@
         self.next_at = 0
 
     def is_due(self, now: int) -> bool:
-        """Whether a query is to be sent now."""
+        """Return whether a query is to be sent now."""
         return now >= self.next_at
 
     def begin_query(self, now: int) -> int:
-        """The id of a query that is sent now."""
+        """Return the id of a query that is sent now."""
         query_id = int(self.chance() * QUERY_IDS)
         self.open_queries.pop(query_id, None)
         self.open_queries[query_id] = now
@@ -36,14 +36,14 @@
         return query_id
 
     def end_query(self, query_id: int) -> int | None:
-        """When an answer's query was sent; None where none is open under this id."""
+        """Return when the query of an answer was sent, or None if none is open under this id."""
         return self.open_queries.pop(query_id, None)
 
     def on_usable_answer(self, now: int) -> None:
-        """The list is known: the next query can wait."""
+        """Schedule the next query a whole interval later, after an answer with a usable list."""
         self.next_at = now + INTERVAL
 
     def restart(self, now: int) -> None:
-        """Another roster: nothing that was asked of the one before counts."""
+        """Forget all open queries and poll at once, as another roster is polled from now on."""
         self.open_queries.clear()
         self.next_at = now
--- a/petrelwood/decide/cluster/replicated_log.py
+++ b/petrelwood/decide/cluster/replicated_log.py
@@ -3,14 +3,14 @@
 Each slot of the log is decided by single-decree Paxos (Lamport, "Paxos Made Simple", 2001). There is no
 leader and no lease: a few hundred records a day need neither, and a proposer that was paused finds its ballot
 rejected instead of acting on a lease that has expired. A replica votes in the first undecided slot only, so
-that its voting state is one promise and one accepted record, whatever happens.
+its voting state is always one promise and one accepted record.
 
 A replica that has lost its disk must not vote as if it had never promised anything. It asks a majority of all
 servers, itself not counted, for the highest slot that each has voted in, and votes again from the second slot
-after that one: see `Replica.rejoin`.
+after the highest of these: see `Replica.rejoin`.
 
-Free of I/O. Who drives a `Replica` makes `durable_state()` outlive a crash before any reply leaves that was
-given while `changed` was true; see `durable_replica`.
+Free of I/O. The owner of a `Replica` makes `durable_state()` survive a crash before it sends any reply that
+was given while `changed` was true; see `durable_replica`.
 """
 
 from collections.abc import Mapping, Sequence
@@ -42,7 +42,7 @@
 
 
 def majority(servers: int) -> int:
-    """How many of so many servers make a quorum."""
+    """Return how many of `servers` servers make a quorum."""
     return servers // 2 + 1
 
 
@@ -65,14 +65,19 @@
 
     # What survives a crash.
     def durable_state(self) -> list[Any]:
-        """All of it as plain values, the stored form; see `from_durable_state`."""
+        """Return the complete state as plain values, the stored form; see `from_durable_state`."""
         entries = [[slot, *record] for slot, record in self.records.items()]
         record = None if self.record is None else list(self.record)
         return [self.votes_from, self.chosen, entries, list(self.promised), list(self.accepted), record]
 
     @classmethod
     def from_durable_state(cls, value: Sequence[Any]) -> "Replica":
-        """The replica of a stored form. Raises ValueError or TypeError for what is none."""
+        """Return the replica of a stored form.
+
+        Raises:
+            ValueError: the value has another form.
+            TypeError: the value has another form.
+        """
         votes_from, chosen, entries, promised, accepted, record = value
         replica = cls(votes_from)
         replica.chosen = int(chosen)
@@ -84,7 +89,7 @@
 
     # Voting.
     def answer(self, message: Message) -> Reply:
-        """The reply to a message."""
+        """Return the reply to a message, and change the state by it."""
         if isinstance(message, Learn):
             self.learn(message.extract)
             return Learned(self.chosen)
@@ -108,21 +113,24 @@
         return Accepted()
 
     def voted_in(self) -> int | None:
-        """The highest slot that this replica may have voted in, for one that rejoins; None: not known."""
+        """Return the highest slot that this replica may have voted in, or None if that is not known."""
         if self.votes_from is None:
             return None
         return max(self.chosen + (self.promised > LOWEST), self.votes_from - 1)
 
     def rejoin(self, voted_in: Mapping[str, int], servers: int) -> bool:
-        """Rejoins after the loss of the disk; whether the replica votes again.
-
-        `voted_in`: what other servers know, by name. `servers`: how many there are, this one included.
-
-        A slot that it may have voted in before was proposed by a server that knew the slot before it to be
-        decided, so that a majority had voted there; of any majority that does not count this replica, one
-        at least was among them. Hence the second slot after the highest of these is new to it. Until then
-        the others decide; `lacks_slots` tells whether a NO_OPERATION should, as otherwise one replacement
-        after the other without a record between them would leave no quorum that votes.
+        """Rejoin after the loss of the disk; return whether the replica votes again.
+
+        Args:
+            voted_in: the results of other servers' `voted_in`, by server.
+            servers: how many servers there are, this one included.
+
+        A slot that this replica may have voted in before the loss was proposed by a server that knew the slot
+        before it to be decided, so a majority had voted there. Any majority that does not count this replica
+        contains at least one of those voters. Hence the second slot after the highest of these is new to it.
+        Until then the others decide. `lacks_slots` tells whether a NO_OPERATION should be appended: otherwise
+        one replacement of a disk after the other, without a record between them, would leave no quorum that
+        votes.
         """
         if self.votes_from is None and len(voted_in) >= majority(servers):
             self.votes_from = max(voted_in.values()) + 2
@@ -130,12 +138,12 @@
         return self.votes_from is not None
 
     def lacks_slots(self) -> bool:
-        """Whether slots have to be decided before it votes."""
+        """Return whether slots have to be decided before this replica votes."""
         return self.votes_from is not None and self.chosen + 1 < self.votes_from
 
     # The log.
     def learn(self, extract: Extract) -> bool:
-        """Takes in decided slots; whether there were new ones. A gap changes nothing: it is asked again."""
+        """Learn decided slots; return whether any were new. An extract that leaves a gap changes nothing."""
         if extract.since > self.chosen or extract.chosen <= self.chosen:
             return False
         for slot, record in extract.entries:
@@ -150,9 +158,10 @@
         return True
 
     def extract(self, since: int, compact: bool = False) -> Extract:
-        """What was decided after a slot.
+        """Return the decided records after the slot `since`.
 
-        `compact`: for followers, only the revocations and the newest version in force; else all that is kept.
+        `compact`: for dispatchers, only the revocations and the newest version in force; else all that are
+        retained.
         """
         entries = [Entry(slot, record) for slot, record in self.records.items() if slot > since]
         if compact:
@@ -165,18 +174,18 @@
         return Extract(since, self.chosen, tuple(entries))
 
     def slot_of(self, record_id: str) -> int | None:
-        """The slot of a record, or None."""
+        """Return the slot of a record, or None."""
         return next((slot for slot, record in self.records.items() if record.id == record_id), None)
 
     def is_revoked(self, number: int) -> bool:
-        """Whether a version was revoked."""
+        """Return whether a version was revoked."""
         return any(
             record.kind == RecordKind.REVOCATION and record.number == number
             for record in self.records.values()
         )
 
     def _versions_in_force(self) -> list[int]:
-        """The slots of the newest versions that were not revoked."""
+        """Return the slots of the newest versions that were not revoked, sorted."""
         versions = (slot for slot, record in self.records.items() if record.kind == RecordKind.VERSION)
         return sorted(slot for slot in versions if not self.is_revoked(slot))[-RETAINED_TEXTS:]
 
--- a/petrelwood/decide/cluster/rollout.py
+++ b/petrelwood/decide/cluster/rollout.py
@@ -1,17 +1,17 @@
-"""A staged roll-out of a version over many dispatchers that do not talk: who applies it when, and rollback.
-
-A version is announced to all (how is not ours: a folder that all read, a push): its number, when it began,
-and whether anyone has called it off. Each dispatcher has a place in the order, drawn by a hash of its name
-and the version, so that no one is always first; stage by stage a larger part applies it. One that applied it
-compares its answers with those before; where a smaller part completes it rolls back by itself and says so,
-after which those whose turn has not come do not apply it, and those that have it roll back too. Of two
-versions at once the newer number counts for everyone, whatever came first; one that missed some goes to the
-newest at its turn.
-
-Times are wall-clock ns, since all have to mean the same by them, but without the steps of this machine's
-clock (`decide.wall_clock`): a step neither skips a stage nor holds one. A version was announced before it is
-known of: one that is dated ahead of this clock shows that the clocks differ, and begins when it is first
-seen.
+"""A staged roll-out of a version over dispatchers that do not communicate: who applies it when, and rollback.
+
+A version is announced to all (by whatever way: a folder that all read, a push): its number, when its roll-out
+begins, and whether any dispatcher has called it off. Each dispatcher has a place in the order, drawn by a
+hash of its name and the version, so that none is always first; stage by stage a larger part applies it. A
+dispatcher that applied it compares its completion rate with the one before. If the rate has fallen it rolls
+back by itself and calls the version off; then dispatchers whose turn has not come do not apply it, and those
+that have applied it roll back too. Of two versions at once the newer number counts for everyone, whichever
+was announced first; a dispatcher that missed some goes to the newest at its turn.
+
+Times are wall-clock ns, since they must mean the same to all dispatchers, but without the steps of this
+machine's clock (`decide.wall_clock`): a step neither skips a stage nor delays one. A version was announced
+before it is seen: one that is dated ahead of this clock shows that the clocks differ, and begins when it is
+first seen.
 """
 
 import hashlib
@@ -23,14 +23,14 @@
 from petrelwood.decide.cluster.completion import NO_ANSWERS, CompletionCounter, CompletionRate
 
 SECOND = 1_000_000_000
-STAGES = (0.02, 0.1, 0.3, 1.0)  # parts of all dispatchers that have it by the end of each stage
+STAGES = (0.02, 0.1, 0.3, 1.0)  # parts of all dispatchers that have applied it by the end of each stage
 DWELL = 30 * SECOND  # between two stages
 LEAST_ANSWERS = 30  # answers under a version from which it is judged
-WORST_DROP = 0.1  # how much smaller a part may be completed than before
-DEVIATIONS = 3.5  # that chance may make, as it is looked at again and again
+WORST_DROP = 0.1  # how far the completed share may fall below the usual one
+DEVIATIONS = 3.5  # standard deviations that chance may make: the rate is compared again and again
 LEAST_VARIANCE = 0.01  # of an answer
-USUAL_ANSWERS = 2000  # so many answers, more or less, is the usual rate of
-ROLLBACK_ANSWERS = 100  # so many answers the usual rate counts for after a rollback
+USUAL_ANSWERS = 2000  # answers after which the usual rate halves its counts
+ROLLBACK_ANSWERS = 100  # answers that the usual rate counts as after a rollback
 WATCHED_STAGES = 2  # over which one that applied it watches itself
 # What a roll-out that is to end in time leaves for the last dispatchers: a poll of the configuration servers,
 # an answer, a look at the folder of versions, and applying it, each of them up to a second.
@@ -48,26 +48,26 @@
 
 
 class RolloutAction(StrEnum):
-    """What a dispatcher has to do about a version."""
+    """What a dispatcher must do about a version."""
 
     APPLY = "take"
     ROLL_BACK = "back"
 
 
 class RolloutStep(NamedTuple):
-    """Apply a version, or roll back to one."""
+    """The next step of a dispatcher: the version to apply, or to roll back to."""
 
     action: RolloutAction
     version: int
 
 
 def dwell_for(within: int, stages: Sequence[float] = STAGES) -> int:
-    """The time between two stages for a version that is to be in force everywhere `within` ns."""
+    """Return the time between two stages, ns, for a roll-out that is to end everywhere within `within` ns."""
     return (within - RESERVE) // (len(stages) - 1)
 
 
 def stage_delay(name: str, version: int, stages: Sequence[float] = STAGES, dwell: int = DWELL) -> int:
-    """How long after its beginning a dispatcher applies a version."""
+    """Return how long after the start of a roll-out a dispatcher applies the version, ns."""
     digest = hashlib.blake2b(f"{name}/{version}".encode(), digest_size=4).digest()
     place = int.from_bytes(digest, "big") / 2**32
     stage = next(number for number, part in enumerate(stages) if place < part or part == stages[-1])
@@ -75,7 +75,7 @@
 
 
 class Rollout:
-    """One dispatcher's part in the roll-outs, which runs `version` now."""
+    """One dispatcher's part in the roll-outs; `version` is the one that it runs now."""
 
     __slots__ = (
         "answers",
@@ -105,9 +105,10 @@
         self.first_seen_at: dict[int, int] = {}  # announced version -> when it was first seen here
 
     def to_state(self, clock_ahead: int = 0) -> list[object]:
-        """What a successor must know to go on as this dispatcher, as plain values; see `from_state`.
+        """Return what a successor process needs to continue, as plain values; see `from_state`.
 
-        `clock_ahead`: what the system's wall clock, from which that process begins, is ahead of `decide`'s.
+        `clock_ahead`: ns by which the system's wall clock, from which the successor begins, is ahead of the
+        clock without steps.
         """
         applied_at = None if self.applied_at is None else self.applied_at + clock_ahead
         return [self.version, self.previous_version, list(self.usual), applied_at, sorted(self.rejected)]
@@ -116,9 +117,10 @@
     def from_state(
         cls, name: str, state: Sequence[Any], stages: Sequence[float] = STAGES, dwell: int = DWELL
     ) -> "Rollout":
-        """The same dispatcher's part in a successor: it watches from here on what it took over with.
+        """Return the roll-out that a successor process continues from what `to_state` returned.
 
-        Raises ValueError for what `to_state` can't have made.
+        Raises:
+            ValueError: `to_state` can't have returned this.
         """
         try:
             version, previous_version, (share, answers), applied_at, rejected = state
@@ -132,29 +134,32 @@
         return rollout
 
     def on_apply_failed(self) -> int:
-        """The step could not be taken; returns the version that this dispatcher runs now.
+        """Handle that the last version could not be applied; return the version that runs here now.
 
-        The version that it was to apply is rejected here; one to roll back from stays, and is called off all
-        the same.
+        The version is rejected here for good. After a rollback there is none to go back to, and nothing
+        changes.
         """
         if self.previous_version is not None:
             self._leave_version()
         return self.version
 
     def on_apply_postponed(self) -> None:
-        """The version that was to be applied can't be read now: a later step asks for it again."""
+        """Handle that the version to apply can't be read now; a later step tries it again."""
         version = self.version
         self.on_apply_failed()
         self.rejected.discard(version)
 
     def record_answer(self, completed: bool) -> None:
-        """An activation that was admitted here got its answer."""
+        """Count the answer of an activation that was admitted here."""
         self.answers.record(completed)
         if self.applied_at is None and self.answers.answers >= USUAL_ANSWERS:
             self.answers.halve()  # what is usual follows slowly
 
     def decide(self, wall: int, announcements: Sequence[Announcement]) -> RolloutStep | None:
-        """The next step, if one is due. `wall`: the time, without steps; `announcements`: in any order."""
+        """Return the next step if one is due, else None.
+
+        `wall`: the wall-clock time without steps, ns; `announcements`: all known ones, in any order.
+        """
         known = {each.number: each for each in announcements}
         self.first_seen_at = {number: self.first_seen_at.get(number, wall) for number in known}
         if self._is_called_off(known):
@@ -185,7 +190,7 @@
         return now.share + noise < usual - WORST_DROP
 
     def _newest(self, announcements: Iterable[Announcement]) -> Announcement | None:
-        """The newest version to go to, or None."""
+        """Return the newest version to apply, or None."""
         newer = [each for each in announcements if each.number > self.version and not each.is_called_off]
         if not newer:
             return None
@@ -198,7 +203,7 @@
         return rollout_start + stage_delay(self.name, announcement.number, self.stages, self.dwell)
 
     def _apply(self, version: int, wall: int) -> RolloutStep:
-        if self.applied_at is None:  # else it goes on from the one before that
+        if self.applied_at is None:  # else a rollback goes to the version before the one on watch
             self.previous_version = self.version
             self.usual = self.answers.rate()
         self.version = version
--- a/petrelwood/decide/cluster/shutdown.py
+++ b/petrelwood/decide/cluster/shutdown.py
@@ -1,7 +1,7 @@
-"""Graceful shutdown: how long a dispatcher still admits what comes, and when it cuts what is left.
+"""Graceful shutdown: how long a dispatcher still admits activations, and when all must have final answers.
 
-The platform may kill it as early as its longest action timeout, or `LONGEST_TIMEOUT` where that is longer,
-plus `STILL_ARRIVING` after SIGTERM. Times in ns.
+The platform may kill it as early as its longest action timeout (at most `LONGEST_TIMEOUT`) plus
+`STILL_ARRIVING` after SIGTERM. Times in ns.
 """
 
 MILLISECOND = 1_000_000
@@ -13,9 +13,9 @@
 
 
 class Shutdown:
-    """One graceful shutdown.
+    """The times of one graceful shutdown.
 
-    `started_at` is when SIGTERM came, at the earliest; `longest` is the longest action timeout.
+    `started_at`: when SIGTERM came, at the earliest; `longest`: the longest action timeout.
     """
 
     __slots__ = ("final_answers_after", "end_after", "started_at")
@@ -28,13 +28,13 @@
         self.end_after = self.final_answers_after + margin // 2
 
     def closed(self, now: int) -> bool:
-        """Whether nothing new is admitted any more."""
+        """Return whether nothing new is admitted any more."""
         return now - self.started_at >= STILL_ARRIVING
 
     def out_of_time(self, now: int) -> bool:
-        """Whether what is pending has to get its final answer now."""
+        """Return whether every pending activation must get its final answer now."""
         return now - self.started_at >= self.final_answers_after
 
     def over(self, now: int, pending: int, quiet: bool) -> bool:
-        """Whether the process may end."""
+        """Return whether the process may end; `quiet`: the sockets have nothing left to send or read."""
         return self.closed(now) and not pending and quiet or now - self.started_at >= self.end_after
--- a/petrelwood/decide/cluster/version_watch.py
+++ b/petrelwood/decide/cluster/version_watch.py
@@ -1,10 +1,10 @@
-"""What a dispatcher knows of the configuration log, which servers it polls for more, and when.
+"""What a dispatcher knows of the configuration log, and which servers it polls for more and when.
 
 A decided record is a fact, so one server that has it is enough: a dispatcher needs no quorum to read, and
 goes on with what it knows when no server answers at all (static stability). Each round it polls two servers:
 the first that works in its own order of preference, by rendezvous hashing of its name (Thaler and
 Ravishankar, 1998), so that dispatchers spread evenly and a lost server's share spreads too; and one more in
-turn, so that a server that is cut off from the others is not the only one heard. Times in ns; `wall` is
+turn, so that a server that is partitioned from the others is not the only one polled. Times in ns; `wall` is
 wall-clock time without the steps of this machine's clock (`decide.wall_clock`).
 """
 
@@ -25,7 +25,7 @@
 
 
 class Version(NamedTuple):
-    """A version that this dispatcher has now heard of."""
+    """A new version that this dispatcher has read from the log."""
 
     number: int
     rollout_start: int  # wall-clock ns at which its roll-out begins, for this dispatcher
@@ -33,14 +33,14 @@
 
 
 class Revocation(NamedTuple):
-    """A version was called off by some dispatcher."""
+    """The revocation of a version by some dispatcher, read from the log."""
 
     number: int
     reason: str
 
 
 def preference(name: str, servers: Iterable[str]) -> list[str]:
-    """The servers in a dispatcher's own order."""
+    """Return the servers in the order in which the dispatcher `name` prefers them."""
     return sorted(
         servers, key=lambda server: hashlib.blake2b(f"{name}/{server}".encode(), digest_size=8).digest()
     )
@@ -49,8 +49,8 @@
 class VersionWatch:
     """Follows the log for one dispatcher.
 
-    `position`: the last slot of the log that it has taken in; `rollout_time`: how long a roll-out takes from
-    its beginning to its last stage; `chance()` is drawn in [0, 1).
+    `position`: the last slot of the log that it has read; `rollout_time`: ns that a roll-out takes from its
+    start to its last stage; `chance()` is drawn in [0, 1).
     """
 
     __slots__ = (
@@ -86,7 +86,7 @@
         self.duplicates = 0  # answers that ended before our position
 
     def servers_to_poll(self, now: int) -> tuple[str, ...]:
-        """The servers to poll now; none before the next round."""
+        """Return the servers to poll now; none before the next round."""
         if now < self.next_round_at:
             return ()
         self.next_round_at = now + int(ROUND * (1 - JITTER * self.chance()))
@@ -97,11 +97,11 @@
         return (working[0], working[self.second_server])
 
     def on_failure(self, server: str, now: int) -> None:
-        """No answer in time, or none that can be read."""
+        """Handle a server without an answer in time, or with one that can't be read."""
         self.backoffs[server].failed(now)
 
     def on_answer(self, server: str, extract: Extract, now: int, wall: int) -> list[Version | Revocation]:
-        """What is new in an answer, in the log's order."""
+        """Return the new events in an answer, in the log's order."""
         self.backoffs[server].succeeded()
         self.last_answer_at = now
         if extract.since > self.position:
@@ -122,10 +122,11 @@
         return None  # of a later build: not ours to act on
 
     def _rollout_start(self, proposed_start: int, wall: int) -> int:
-        """When the stages of a version begin for this dispatcher.
+        """Return when the stages of a version begin for this dispatcher, wall-clock ns.
 
-        A record may be decided long after it was proposed, or be heard of late. Its stages are over then, and
-        all who hear of it would take it together: so they begin when it is heard of. So they do where it is
-        dated ahead of this clock: it was proposed before it is heard of, and the clocks differ.
+        A record may be decided long after it was proposed, or be read late. The stages from its proposed
+        start are over then, and all dispatchers that read it would apply it together: so they begin when it
+        is read. They also do so for a start ahead of this clock: the record was proposed before it is read,
+        so the clocks differ.
         """
         return proposed_start if 0 <= wall - proposed_start <= self.rollout_time else wall
