--- a/petrelwood/decide/delivery/delivery_window.py
+++ b/petrelwood/decide/delivery/delivery_window.py
@@ -15,15 +15,15 @@
         self.least = least
         self.most = most
         self.size = float(min(most, INITIAL_SIZE * least))
-        self.next_cut_at = 0
+        self.next_decrease_at = 0
 
-    def on_answer(self, now: int, in_time: bool, took: int) -> None:
+    def on_answer(self, now: int, in_time: bool, duration: int) -> None:
         """An activation of the session has ended."""
         if in_time:
             self.size = min(self.most, self.size + 1 / self.size)
-        elif now >= self.next_cut_at:
+        elif now >= self.next_decrease_at:
             self.size = max(self.least, self.size * DECREASE)
-            self.next_cut_at = now + took
+            self.next_decrease_at = now + duration
 
     def has_room(self, in_flight: int) -> bool:
         """Whether one more may begin beside these."""
--- a/petrelwood/decide/delivery/ledger.py
+++ b/petrelwood/decide/delivery/ledger.py
@@ -92,14 +92,14 @@
         tolerance: int,
         types: dict[str, ports.NamespaceType],
         remember: dict[str, int],
-        began: int = 0,
+        started_at: int = 0,
     ) -> None:
         self.max_entries = max_entries
         self.max_result_bytes = max_result_bytes
         self.tolerance = tolerance
         self.types = types
         self.remember = remember  # by namespace type
-        self.complete_since = began // SECOND * SECOND  # wall clock; timestamps are whole seconds
+        self.complete_since = started_at // SECOND * SECOND  # wall clock; timestamps are whole seconds
         self.newest_forgotten = 0  # the newest timestamp of an id that is not remembered any more
         self.entries: dict[Key, LedgerEntry] = {}
         self.counts: dict[str, int] = {verdict.value: 0 for verdict in LedgerVerdict}
--- a/petrelwood/decide/delivery/mqtt_acknowledgement.py
+++ b/petrelwood/decide/delivery/mqtt_acknowledgement.py
@@ -217,10 +217,10 @@
                 self.actions.discard(delivery)
 
     # From the core.
-    def on_answer(self, now: int, delivery: Delivery, in_time: bool, took: int) -> None:
+    def on_answer(self, now: int, delivery: Delivery, in_time: bool, duration: int) -> None:
         """Its activation has its final answer, which is sent now or when the message comes again."""
         self.in_flight.discard(delivery)
-        self.window.on_answer(now, in_time, took)
+        self.window.on_answer(now, in_time, duration)
         is_acknowledged_last = delivery.plan is AcknowledgementPlan.LAST and delivery.packet_id is not None
         if is_acknowledged_last and (not self._is_connected or delivery.is_doubted):
             delivery.state = DeliveryState.ANSWER_READY
@@ -282,7 +282,7 @@
         for delivery in known:
             self._forget(delivery)
             delivery.packet_id = None
-            if delivery.plan is AcknowledgementPlan.LAST and _is_begun(delivery):
+            if delivery.plan is AcknowledgementPlan.LAST and _is_answer_due(delivery):
                 self.in_flight.discard(delivery)
                 self.actions.discard(delivery)
         self.queued = deque(delivery for delivery in self.queued if not delivery.qos)
@@ -371,7 +371,7 @@
     return delivery.packet_id
 
 
-def _is_begun(delivery: Delivery) -> bool:
+def _is_answer_due(delivery: Delivery) -> bool:
     """Whether it runs here or has run, and its answer has not left."""
     return delivery.state in (DeliveryState.RUNNING, DeliveryState.ANSWER_READY)
 
@@ -381,4 +381,4 @@
     if delivery.qos != AT_LEAST_ONCE:
         return False
     is_repeatable = delivery.plan is AcknowledgementPlan.LAST
-    return delivery.state is DeliveryState.PROVING or (is_repeatable and _is_begun(delivery))
+    return delivery.state is DeliveryState.PROVING or (is_repeatable and _is_answer_due(delivery))
--- a/petrelwood/decide/delivery/pending.py
+++ b/petrelwood/decide/delivery/pending.py
@@ -77,7 +77,7 @@
 
     activation: PendingActivation
     late: list[Any]  # exchanges that are answered apart, as they joined an activation that goes on
-    is_whole: bool  # the activation itself is out of time
+    is_final: bool  # the activation itself is out of time
 
 
 class PendingActivations:
@@ -110,7 +110,7 @@
     # Clients.
     def admit(
         self,
-        ask: "ActivationRequest",
+        request: "ActivationRequest",
         due: int,
         function: object,
         rule: FunctionRule,
@@ -119,22 +119,22 @@
     ) -> PendingActivation:
         """A new activation, from an `intake.ActivationRequest` whose outcome was ADMIT."""
         self.last_number += 1
-        key = (ask.customer, ask.id)
-        id_ = ask.id if self.prefix is None else f"{self.prefix}{self.last_number}"
+        key = (request.customer, request.id)
+        id_ = request.id if self.prefix is None else f"{self.prefix}{self.last_number}"
         # by position: for each request, names would cost a third more
         activation = PendingActivation(
             id_,
             key,
-            ask.customer,
-            ask.type,
-            ask.arrived_at,
+            request.customer,
+            request.type,
+            request.arrived_at,
             due,
             function,
             body,
             rule.lanes,
             rule.load_time,
             rule.work,
-            ask.idempotency_mark,
+            request.idempotency_mark,
             self.last_number,
             set(),
             [],
@@ -161,14 +161,14 @@
         activation.waiters.append(Waiter(exchange, due))
         heapq.heappush(self._deadlines, (due, activation.number, activation))
 
-    def client_left(self, activation_id: str, exchange: object) -> bool:
+    def client_departed(self, activation_id: str, exchange: object) -> bool:
         """A client has gone; whether nobody waits any more and the activation need not go on."""
         activation = self.activations.get(activation_id)
         if activation is None:
             return False
         activation.waiters = [one for one in activation.waiters if one.exchange is not exchange]
-        goes_on = self.ledger is not None and self.ledger.outlives_client(activation.type)
-        return not activation.waiters and not goes_on
+        outlives_client = self.ledger is not None and self.ledger.outlives_client(activation.type)
+        return not activation.waiters and not outlives_client
 
     # Attempts.
     def begin_attempt(self, activation_id: str) -> int | None:
@@ -203,8 +203,8 @@
         # the heap of deadlines still has it, for as long as its client would wait
         activation.body = b""
         self.counts[outcome] += 1
-        took = now - activation.arrived_at
-        self.intake.on_ended(now, activation.customer, activation.type, took, outcome)
+        duration = now - activation.arrived_at
+        self.intake.on_ended(now, activation.customer, activation.type, duration, outcome)
         if self.ledger is not None:
             self.ledger.end(activation.key, outcome, body, activation.attempts > 0)
         return activation
--- a/petrelwood/decide/delivery/recovery.py
+++ b/petrelwood/decide/delivery/recovery.py
@@ -80,19 +80,19 @@
         begins.insert(0, 0)
     found: list[_Block] = []
     end = len(records)
-    next_began = wall
+    next_started_at = wall
     for begin in reversed(begins):
         first = records[begin] if begin < end else None
         its_mark = BootMark(mark.name, None)
         if isinstance(first, IncarnationStarted):
             its_mark = _parse_boot_mark(first.boot)
         if its_mark.name != mark.name:
-            found.append(_Block(begin, end, 0, next_began))
+            found.append(_Block(begin, end, 0, next_started_at))
         else:
             block = _Block(begin, end, _shift(its_mark.epoch, mark.epoch), None)
             found.append(block)
             if first is not None:
-                next_began = min(next_began, block.time_of(first))
+                next_started_at = min(next_started_at, block.time_of(first))
         end = begin
     return reversed(found)
 
@@ -151,7 +151,7 @@
         self.state = RecoveredState()
         self.machine_starts: set[str] = set()
         self.epochs: list[int] = []
-        self.began: int | None = None
+        self.first_started_at: int | None = None
         self._incarnation: int | None = None
         self._running: set[Key] = set()
 
@@ -177,8 +177,8 @@
         self.machine_starts.add(mark.name)
         if block.youngest is None and mark.epoch is not None:
             self.epochs.append(mark.epoch)
-        if self.began is None:
-            self.began = record.time
+        if self.first_started_at is None:
+            self.first_started_at = record.time
         if record.epoch == self._incarnation:
             return
         # another incarnation: what the one before left open stays open
@@ -235,8 +235,8 @@
     state.clock_went_back = bool(state.last_record_at) and wall < state.last_record_at - CLOCK_TOLERANCE
     # After the machine itself fell, the last records may be gone unless each was on the disk first.
     is_complete = (state.same_machine_start or durable) and not state.clock_went_back
-    if reader.began is not None and is_complete:
-        state.complete_since = reader.began
+    if reader.first_started_at is not None and is_complete:
+        state.complete_since = reader.first_started_at
     return state
 
 
--- a/petrelwood/dispatch/activations.py
+++ b/petrelwood/dispatch/activations.py
@@ -137,7 +137,7 @@
 
     def client_left(self, act_id: str, exchange: Exchange) -> None:
         """A client hung up; the activation ends unless others wait for it, or it has to go on."""
-        if self.pending.client_left(act_id, exchange):
+        if self.pending.client_departed(act_id, exchange):
             act = self.pending.end(self.now(), act_id, CLIENT_LEFT)
             if act is None:
                 return
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -209,7 +209,7 @@
         b.ask("m3", "once", 10)
         for id_ in ("m2", "m3"):
             act = b.pending.by_key["x", id_]
-            ends = b.pending.client_left(act.id, act.waiters[0].exchange)
+            ends = b.pending.client_departed(act.id, act.waiters[0].exchange)
             b.say(f"the client of {id_} goes: {'end' if ends else None}")
         b.now = 5 * S
         for act, late, whole in b.pending.overdue(b.now):
