--- a/petrelwood/control/appending.py
+++ b/petrelwood/control/appending.py
@@ -1,4 +1,4 @@
-"""Appending to the log: records are proposed to all servers, one after the other."""
+"""Appending to the log: proposing records to all servers, one after the other."""
 
 import asyncio
 import secrets
@@ -21,16 +21,16 @@
 
 
 def new_identity(name: str) -> str:
-    """A proposer's identity that no other process ever has.
+    """Return a proposer's identity that no other process ever has.
 
-    It is not made of the wall clock, which may be stepped back to the moment of an earlier start.
+    It does not use the wall clock, which may be stepped back to the time of an earlier start.
     """
     beginning = name.encode()[:IDENTITY_NAME_SIZE].decode(errors="ignore")
     return f"{beginning}.{secrets.token_hex(IDENTITY_RANDOM_SIZE)}"
 
 
 class Appender:
-    """Has records decided by the servers, of which this one is `name`."""
+    """Appends records to the log on behalf of the server `name`."""
 
     def __init__(
         self,
@@ -52,10 +52,15 @@
         self._tasks = BackgroundTasks()
 
     async def append(self, record: Record) -> int:
-        """The slot of a record once it is decided.
+        """Return the slot of a record once it is decided.
 
-        Raises `DiskFailedError`, `QueueFullError`, `UnknownVersionError` and `NoQuorumError`. Cancelled, it
-        leaves the record perhaps decided.
+        If this is cancelled, the record may be decided all the same.
+
+        Raises:
+            DiskFailedError: this server's disk has failed.
+            QueueFullError: too many records wait to be decided.
+            UnknownVersionError: the record revokes a version that the log does not hold.
+            NoQuorumError: no majority accepted it in time; it may still be decided later.
         """
         self._durable.require_disk()
         if self._waiting >= MAX_WAITING:
@@ -68,7 +73,7 @@
             self._waiting -= 1
 
     async def fill_slot(self) -> None:
-        """Has a record decided that does nothing. Raises as `append` does."""
+        """Append a record that does nothing; the errors are those of `append`."""
         record_id = f"{self.proposer.identity}.{self._durable.replica.chosen}"
         await self.append(Record(record_id, RecordKind.NO_OPERATION, 0, 0, b""))
 
@@ -96,10 +101,10 @@
         self._tasks.start(self._exchange(server, message))
 
     async def _exchange(self, server: str, message: Message) -> None:
-        """Sends a message to one server, this one among them, and hands its reply to the proposal.
+        """Send a message to one server, this one included, and pass its reply to the current proposal.
 
-        A late reply goes to a later proposal, which tells by the ballot that it is not its own. Proposals
-        need nothing of this server's disk: only its own vote does.
+        A late reply goes to a later proposal, which tells by the ballot that it is not its own. A proposal
+        does not depend on this server's disk, only this server's vote does.
         """
         try:
             reply = await self._reply(server, message)
@@ -116,5 +121,5 @@
         return await self._peers.send(server, message)
 
     def close(self) -> None:
-        """Cancels what is on its way."""
+        """Cancel all messages that are on their way."""
         self._tasks.cancel()
--- a/petrelwood/control/catching_up.py
+++ b/petrelwood/control/catching_up.py
@@ -11,12 +11,12 @@
 from petrelwood.control.peers import Peers
 from petrelwood.decide.cluster.durable_replica import DiskFailedError, DurableReplica
 
-INTERVAL = 1.0  # seconds between two questions to a peer, on average
+INTERVAL = 1.0  # seconds between two rounds, on average
 FAILURES = (PeerError, NoQuorumError, QueueFullError, DiskFailedError)
 
 
 class CatchUp:
-    """Reads from peers drawn at random what this server lacks."""
+    """Reads the decided records that this server lacks from peers drawn at random."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         self._log = logger
 
     async def run(self) -> None:
-        """Goes on until it is cancelled."""
+        """Catch up periodically until cancelled."""
         while True:
             await asyncio.sleep(INTERVAL * (0.5 + self._random_fraction()))
             if not len(self._peers):
@@ -45,7 +45,10 @@
                 self._log.debug("catching up failed", error=str(error))
 
     async def _round(self) -> None:
-        """Raises any of `FAILURES`."""
+        """Rejoin if that is due, read from one peer, and fill a slot if the replica needs one.
+
+        Any of `FAILURES` may be raised.
+        """
         if self._replica.votes_from is None:
             await self._rejoin()
         peer = list(self._peers)[int(self._random_fraction() * len(self._peers))]
--- a/petrelwood/control/connection.py
+++ b/petrelwood/control/connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection to a configuration server: calls by MessagePack-RPC, answered as they end."""
+"""One caller's connection to a configuration server: MessagePack-RPC calls, answered as each one ends."""
 
 import asyncio
 import contextlib
@@ -19,7 +19,10 @@
 
 
 class Connection:
-    """`handler(method, params)` gives the result of a call, or raises `PetrelwoodError`."""
+    """One caller's connection.
+
+    `handler(method, params)` returns the result of a call, or raises `PetrelwoodError`.
+    """
 
     def __init__(self, stream: IOStream, handler: Handler, tasks: BackgroundTasks) -> None:
         self.last_read = time.monotonic_ns()
@@ -30,13 +33,15 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no call is open."""
+        """Return whether no call is in flight."""
         return not self._open_calls
 
     async def serve(self) -> None:
-        """Answers calls until the connection ends, is idle for long, or can't be understood.
+        """Answer calls until the connection ends.
 
-        Raises OSError and `ProtocolError`.
+        Raises:
+            OSError: the connection was lost, or nothing came for `IDLE_TIMEOUT`.
+            ProtocolError: the caller does not speak MessagePack-RPC.
         """
         sockets.disable_delay(self._stream.socket)
         reader = rpc.Reader(MAX_MESSAGE_SIZE)
@@ -66,5 +71,5 @@
             self._open_calls -= 1
 
     def close(self) -> None:
-        """Ends the connection; calls that are open have no answer."""
+        """Close the connection; calls in flight get no answer."""
         self._stream.close()
--- a/petrelwood/control/errors.py
+++ b/petrelwood/control/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the configuration servers; each `str()` is the line that the caller of a method gets."""
+"""The errors of the configuration servers; `str()` of each is what the caller of a method receives."""
 
 from petrelwood.errors import (
     PetrelwoodError,
@@ -10,19 +10,19 @@
 
 
 class MalformedMessageError(ProtocolError):
-    """Parameters or a result that can't be read, or a method that is not known."""
+    """Parameters or a result can't be decoded, or a method is not known."""
 
 
 class LogStorageError(StorageError):
-    """The log can't be opened or begun."""
+    """The file of the log can't be read, used or created."""
 
 
 class PeerError(TransportError):
-    """Another server gave no answer of use; whether it did what it was asked is not known."""
+    """Another server gave no usable answer; whether it did what it was asked is not known."""
 
 
 class NoQuorumError(UnavailableError):
-    """A record found no majority in time; it may be decided later."""
+    """No majority accepted a record in time; it may be decided later."""
 
 
 class QueueFullError(UnavailableError):
--- a/petrelwood/control/log_storage.py
+++ b/petrelwood/control/log_storage.py
@@ -1,4 +1,4 @@
-"""Where a configuration server keeps its log: one file, which a kill at any byte of a write leaves whole."""
+"""The file in which a configuration server stores its log; it is replaced atomically."""
 
 import contextlib
 import pathlib
@@ -16,16 +16,20 @@
 
 
 class LogStorage:
-    """The log's file in a folder. `files`: what is done with files, for tests that make it fail."""
+    """The log's file in a folder. `files`: the file operations, replaced by tests that make them fail."""
 
     def __init__(self, folder: str | pathlib.Path, files: Files | None = None) -> None:
         self.path = pathlib.Path(folder) / FILE
         self._files = files or Files()
 
     def open(self, new_after: int | None) -> Replica:
-        """The replica that the folder holds; it does not vote if there is none, as the disk was lost.
+        """Return the replica stored in the folder.
 
-        `new_after`: None, or the slot after which a new log begins. Raises `LogStorageError`.
+        If there is none, the disk was lost, and the replica does not vote. `new_after`: None, or the slot
+        after which a new log begins.
+
+        Raises:
+            LogStorageError: the file can't be read or decoded, or exists although a new log is to begin.
         """
         try:
             replica = self._read()
@@ -52,7 +56,11 @@
         return None if found is None else Replica.from_durable_state(found[1])
 
     def save(self, value: list[Any]) -> None:
-        """Puts the log in place of the one before. Raises OSError; a restart then finds either of them."""
+        """Replace the stored log.
+
+        Raises:
+            OSError: a call failed; a restart may then find the old log or the new one.
+        """
         try:
             snapshot.write(self.path, KIND, VERSION, value, self._files)
         except OSError:
--- a/petrelwood/control/messages.py
+++ b/petrelwood/control/messages.py
@@ -1,4 +1,4 @@
-"""The log's messages as parameters and results of MessagePack-RPC, and back.
+"""The log's messages as parameters and results of MessagePack-RPC, encoded and decoded.
 
     prepare [slot, round, proposer]             accept [slot, round, proposer, record]
     learn [since, chosen, [[slot, record]]]     read [since]  ->  [since, chosen, [[slot, record]]]
@@ -50,7 +50,7 @@
 
 
 def encode_call(message: Message) -> tuple[str, list[Any]]:
-    """The method and parameters of a message."""
+    """Return the method and the parameters of a message."""
     if isinstance(message, Prepare):
         return "prepare", [message.slot, *message.ballot]
     if isinstance(message, Accept):
@@ -59,18 +59,18 @@
 
 
 def encode_record(record: Record) -> list[Any]:
-    """A record as plain values."""
+    """Return a record as plain values."""
     return list(record)
 
 
 def encode_extract(extract: Extract) -> list[Any]:
-    """An extract as plain values."""
+    """Return an extract as plain values."""
     entries = [[entry.slot, encode_record(entry.record)] for entry in extract.entries]
     return [extract.since, extract.chosen, entries]
 
 
 def encode_reply(reply: Reply) -> list[Any]:
-    """A reply as plain values."""
+    """Return a reply as plain values."""
     word = REPLY_WORDS[type(reply)]
     if isinstance(reply, Promise):
         return [word, *reply.accepted, None if reply.record is None else encode_record(reply.record)]
@@ -82,7 +82,11 @@
 
 
 def decode_call(method: str, params: list[Any]) -> Message | None:
-    """The message that a call carries; None for a method that is none of the log's."""
+    """Return the message that a call carries, or None if the method is none of `encode_call`.
+
+    Raises:
+        MalformedMessageError: the parameters are malformed.
+    """
     if method == "prepare":
         slot, round_, proposer = _list(params, 3, "a prepare")
         return Prepare(_number(slot, "a slot"), _ballot(round_, proposer))
@@ -95,7 +99,11 @@
 
 
 def decode_record(value: object) -> Record:
-    """The record of plain values."""
+    """Return the record of plain values.
+
+    Raises:
+        MalformedMessageError: a field is missing, malformed or out of range.
+    """
     id_, kind, number, rollout_start, body = _list(value, 5, "a record")
     if not id_:
         raise MalformedMessageError("a record needs an id")
@@ -111,7 +119,11 @@
 
 
 def decode_extract(value: object) -> Extract:
-    """The extract of plain values."""
+    """Return the extract of plain values.
+
+    Raises:
+        MalformedMessageError: a field is missing, malformed or out of range.
+    """
     since, chosen, entries = _list(value, 3, "an extract")
     found = []
     for entry in _list(entries, None, "an extract's entries"):
@@ -121,18 +133,30 @@
 
 
 def decode_position(params: object) -> int:
-    """The slot after which a `read` or a `catch-up` asks for what was decided."""
+    """Return the slot in the parameters of a `read` or a `catch-up`: records after it are wanted.
+
+    Raises:
+        MalformedMessageError: the parameters are malformed.
+    """
     return _number(_list(params, 1, "a question")[0], "a slot")
 
 
 def decode_voted_in(result: object) -> int | None:
-    """The slot that a `voted-in` answers with."""
+    """Return the slot in the result of a `voted-in`, or None if the server does not know it.
+
+    Raises:
+        MalformedMessageError: the result is malformed.
+    """
     (slot,) = _list(result, 1, "a vote")
     return None if slot is None else _number(slot, "a slot")
 
 
 def decode_reply(value: object) -> Reply:
-    """The reply that a result carries."""
+    """Return the reply that a result carries.
+
+    Raises:
+        MalformedMessageError: the reply is not known or malformed.
+    """
     word, *fields = value if isinstance(value, list) and value else [None]
     kind = REPLY_TYPES.get(word) if isinstance(word, str) else None
     if kind is Promise:
--- a/petrelwood/control/peers.py
+++ b/petrelwood/control/peers.py
@@ -13,7 +13,7 @@
 
 
 class Peers:
-    """A connection to each other server, by name; each is made when it is needed."""
+    """The connections to the other servers, by name; each is made when it is first needed."""
 
     def __init__(self, addresses: Mapping[str, Address]) -> None:
         self._clients = {
@@ -27,7 +27,11 @@
         return iter(self._clients)
 
     async def send(self, peer: str, message: Message) -> Reply:
-        """A peer's reply to a message. Raises `PeerError`."""
+        """Return a peer's reply to a message.
+
+        Raises:
+            PeerError: there was no answer in time, or a malformed one.
+        """
         method, params = messages.encode_call(message)
         result = await self._call(peer, method, params)
         try:
@@ -36,7 +40,11 @@
             raise PeerError(f"{peer} answered {method} with {error}") from error
 
     async def read_after(self, peer: str, slot: int) -> Extract:
-        """What a peer knows to be decided after a slot. Raises `PeerError`."""
+        """Return the decided records that a peer knows after a slot.
+
+        Raises:
+            PeerError: there was no answer in time, or a malformed one.
+        """
         result = await self._call(peer, "catch-up", [slot])
         try:
             return messages.decode_extract(result)
@@ -44,7 +52,11 @@
             raise PeerError(f"{peer} answered catch-up with what is no extract: {error}") from error
 
     async def voted_in(self, peer: str) -> int | None:
-        """The highest slot that a peer may have voted in; None if it does not know. Raises `PeerError`."""
+        """Return the highest slot that a peer may have voted in, or None if it does not know.
+
+        Raises:
+            PeerError: there was no answer in time, or a malformed one.
+        """
         result = await self._call(peer, "voted-in", [])
         try:
             return messages.decode_voted_in(result)
@@ -59,6 +71,6 @@
         return result
 
     def close(self) -> None:
-        """Ends all connections; calls without an answer fail."""
+        """Close all connections; calls without an answer fail."""
         for client in self._clients.values():
             client.close()
--- a/petrelwood/control/server.py
+++ b/petrelwood/control/server.py
@@ -1,9 +1,10 @@
-"""One configuration server: its replica of the log on disk, its peers, and who calls it.
+"""One configuration server: its replica of the log on disk, its peers, and its callers.
 
-What is decided is in `decide.cluster.replicated_log`. A reply leaves only once what it depends on is on the
-disk; a server whose disk fails does not vote until a write has succeeded (`decide.cluster.durable_replica`).
-A server that finds no log where it should be, and was not told to begin a new one, has lost its disk:
-it learns from the others and votes again when `Replica.rejoin` allows it (`control.catching_up`).
+The decisions are made in `decide.cluster.replicated_log`. A reply leaves only once what it depends on is on
+the disk; a server whose disk fails does not vote until a write has succeeded
+(`decide.cluster.durable_replica`). A server that finds no log in its folder, and was not started to begin a
+new one, has lost its disk: it learns from the others and votes again when `Replica.rejoin` allows it
+(`control.catching_up`).
 """
 
 import asyncio
@@ -33,9 +34,12 @@
 
 
 class ConfigurationServer(Listener):
-    """`peers`: addresses of the other servers by name. `save(value)`: see `DurableReplica`.
+    """A configuration server, which is a `Listener` for its callers.
 
-    Raises `DiskFailedError` if a log that is new can't be written.
+    `peers`: addresses of the other servers by name. `save(value)`: see `DurableReplica`.
+
+    Raises:
+        DiskFailedError: the first state of a new log can't be written.
     """
 
     def __init__(
@@ -60,11 +64,11 @@
             self.durable.require_disk()
 
     def start_background(self) -> list[asyncio.Task[None]]:
-        """Starts catching up and watching the disk, until `close`."""
+        """Start the tasks that catch up and retry failed writes, until `close`; return them."""
         return [self._tasks.start(self._catch_up.run()), self._tasks.start(self._watch_disk())]
 
     def close(self) -> None:
-        """Closes all listeners and connections, and ends all that is on its way."""
+        """Close all listeners and connections, and cancel all tasks."""
         self.stop()
         self._tasks.cancel()
         self._appender.close()
@@ -74,12 +78,12 @@
 
     # The disk.
     def disk_failed(self, error: OSError, retry_in: int) -> None:
-        """Logs that a write failed; see `DiskObserver`."""
+        """Log that a write failed; see `DiskObserver`."""
         reason = error.strerror or str(error)
         self._log.error("log write failed; not voting", error=reason, retry_ms=retry_in // MS)
 
     def disk_recovered(self, outage: int) -> None:
-        """Logs that the log is written again; see `DiskObserver`."""
+        """Log that a write succeeded again; see `DiskObserver`."""
         votes_from = self.replica.votes_from  # None: it lost its disk, too, and has not rejoined yet
         self._log.info("log written again", outage_ms=outage // MS, votes_from=votes_from)
 
@@ -90,7 +94,7 @@
 
     # Connections.
     def accept_failed(self, error: OSError, pause: int) -> None:
-        """Logs that no connection is taken for a moment; an idle one makes room where descriptors run out."""
+        """Log that accepting is paused for `pause` ns; close an idle connection if descriptors ran out."""
         self._log.warning("accept failed", error=error.strerror, pause_ms=pause // MS)
         if classify(error) is AcceptError.DESCRIPTORS:
             self._close_idlest_connection()
@@ -101,7 +105,7 @@
             min(idle, key=lambda connection: connection.last_read).close()
 
     async def handle_stream(self, stream: IOStream, address: tuple[Any, ...]) -> None:
-        """Serves one connection to its end."""
+        """Serve one connection until it ends."""
         connection = Connection(stream, self._call, self._tasks)
         self._connections.add(connection)
         try:
@@ -113,7 +117,11 @@
             connection.close()
 
     async def _call(self, method: str, params: list[Any]) -> list[Any]:
-        """The result of one call. Raises `PetrelwoodError` with what the caller is told."""
+        """Return the result of one call.
+
+        Raises:
+            PetrelwoodError: the call failed; `str()` of the error is sent to the caller.
+        """
         if method == "read":
             extract = self.replica.extract(messages.decode_position(params), compact=True)
             return messages.encode_extract(extract)
--- a/petrelwood/control/service.py
+++ b/petrelwood/control/service.py
@@ -24,9 +24,13 @@
     logger: FilteringBoundLogger,
     ready: Callable[[Address], None],
 ) -> None:
-    """Serves until SIGTERM. `ready(address)` is called once it listens.
+    """Serve until SIGTERM or SIGINT.
 
-    `new_log_after`: see `LogStorage.open`. Raises `LogStorageError`, and OSError where it can't listen.
+    `ready(address)` is called once it listens. `new_log_after`: see `LogStorage.open`.
+
+    Raises:
+        LogStorageError: the log can't be read, used or created.
+        OSError: the address can't be listened on.
     """
     ends = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/petrelwood/control/tasks.py
+++ b/petrelwood/control/tasks.py
@@ -1,23 +1,23 @@
-"""Tasks that run beside what starts them and end with their owner."""
+"""Tasks that run in the background and are cancelled with their owner."""
 
 import asyncio
 from collections.abc import Coroutine
 
 
 class BackgroundTasks:
-    """Tasks of the running loop that are kept alive until they end or `cancel` is called."""
+    """Tasks of the running loop, referenced until they end or `cancel` is called."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self, work: Coroutine[object, object, None]) -> asyncio.Task[None]:
-        """Runs a coroutine as a task of its own."""
+        """Start a coroutine as a task."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     def cancel(self) -> None:
-        """Cancels all that still run."""
+        """Cancel all tasks that still run."""
         for task in list(self._tasks):
             task.cancel()
