--- a/petrelwood/clocks.py
+++ b/petrelwood/clocks.py
@@ -1,8 +1,8 @@
-"""Clocks: the time, the time of day, and calls at a time to come.
+"""Clocks: the monotonic time, the wall-clock time, and timers; a real clock and a virtual one.
 
-Each has `now()` in ns, which never goes back, `wall()` in ns of the epoch, which may be stepped,
-`steady_wall()`, the same without its steps, for spans of time, and `at(when, call, *args)`, whose result can
-be cancelled.
+Each clock has `now()`, in ns, which never goes back; `wall()`, in ns of the epoch, which may be stepped;
+`steady_wall()`, the same without its steps, for spans of time; and `at(when, call, *args)`, which starts a
+timer that can be cancelled.
 """
 
 import asyncio
@@ -13,26 +13,26 @@
 
 from petrelwood.decide.wall_clock import UnsteppedWallClock
 
-READINGS = 3  # of both clocks, of which the closest pair counts: a process may be held up between two
-WALL = 1_700_000_000 * 10**9  # where virtual time begins on the wall
+READINGS = 3  # of both clocks; the closest pair counts, as a process may be suspended between two readings
+WALL = 1_700_000_000 * 10**9  # ns of the epoch at which virtual time begins
 
 
 class Timer(Protocol):
-    """A call at a time to come."""
+    """A call that is scheduled for a later time."""
 
     def cancel(self) -> None:
-        """The call is not made; without effect once it was."""
+        """Cancel the call; without effect once it was made."""
 
 
 def _both_clocks() -> tuple[int, int, int]:
-    """How far apart the two were read, and what they said: (ns, monotonic, wall)."""
+    """Return how long reading both clocks took, and their times: (ns, monotonic, wall)."""
     before = time.monotonic_ns()
     wall = time.time_ns()
     return time.monotonic_ns() - before, before, wall
 
 
 class LoopClock:
-    """The real clock, on a running asyncio loop."""
+    """The real clock, with timers on the running asyncio loop."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -43,11 +43,11 @@
     wall = staticmethod(time.time_ns)
 
     def steady_wall(self) -> int:
-        """The wall clock as it was when this clock was made, carried on by the monotonic one."""
+        """Return the wall clock as first read, advanced by the monotonic clock, ns of the epoch."""
         return self.unstepped.read(time.monotonic_ns(), time.time_ns())
 
     def at(self, when: int, call: Callable[..., object], *args: Any) -> Timer:
-        """Calls `call(*args)` at the time `when`, or soon if that is past."""
+        """Schedule `call(*args)` at the time `when` (ns of `now()`), or soon if that is past."""
         return self.loop.call_later(max(0, when - time.monotonic_ns()) / 1e9, call, *args)
 
 
@@ -59,42 +59,43 @@
         self.args = args
 
     def cancel(self) -> None:
-        """The call is not made."""
+        """Cancel the call."""
         self.call = None
 
 
 class VirtualClock:
-    """Time that passes as fast as it can.
+    """A clock whose time advances only in `run`, from one timer to the next.
 
-    What is due at one time happens in the order in which it was asked.
+    Calls that are due at the same time are made in the order in which they were scheduled. `start`: its first
+    `now()`, ns.
     """
 
     def __init__(self, start: int = 0) -> None:
         self.time = start
         self.heap: list[tuple[int, int, _Entry]] = []
-        self.asked = 0
+        self.scheduled = 0  # calls so far; their order at the same time
 
     def now(self) -> int:
-        """The virtual time in ns."""
+        """Return the virtual time in ns."""
         return self.time
 
     def wall(self) -> int:
-        """The virtual time of day in ns of the epoch."""
+        """Return the virtual wall-clock time in ns of the epoch."""
         return WALL + self.time
 
     def steady_wall(self) -> int:
-        """The same: virtual time has no steps."""
+        """Return the same as `wall`: virtual time has no steps."""
         return WALL + self.time
 
     def at(self, when: int, call: Callable[..., object], *args: Any) -> Timer:
-        """Calls `call(*args)` at the time `when`, or now if that is past."""
+        """Schedule `call(*args)` at the time `when` (ns of `now()`), or now if that is past."""
         entry = _Entry(call, args)
-        self.asked += 1
-        heapq.heappush(self.heap, (max(when, self.time), self.asked, entry))
+        self.scheduled += 1
+        heapq.heappush(self.heap, (max(when, self.time), self.scheduled, entry))
         return entry
 
     def run(self, until: int) -> int:
-        """Lets time pass up to `until`; how many things happened."""
+        """Advance the time to `until` (ns), making the calls that are due; return how many were made."""
         happened = 0
         while self.heap and self.heap[0][0] <= until:
             self.time, _, entry = heapq.heappop(self.heap)
--- a/petrelwood/errors.py
+++ b/petrelwood/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the gateway: one base, and one class for each thing that fails.
+"""The errors of the gateway: one base, and one class for each kind of failure.
 
 A package raises a subclass of the class that names what failed, with a message of one line that says what was
 tried on what, and chains the cause: `raise SnapshotError(f"{path}: its checksum is wrong") from error`.
@@ -6,7 +6,7 @@
 
 
 class PetrelwoodError(Exception):
-    """Anything that the gateway itself finds to have failed; `str()` is one line for people."""
+    """The base of all errors that the gateway raises itself; `str()` is one line for people."""
 
 
 class StorageError(PetrelwoodError):
@@ -14,7 +14,7 @@
 
 
 class ProtocolError(PetrelwoodError):
-    """A peer sent what its protocol does not allow; the connection is of no more use."""
+    """A peer violated its protocol; the connection can't be used any more."""
 
 
 class TransportError(PetrelwoodError):
@@ -22,4 +22,4 @@
 
 
 class UnavailableError(PetrelwoodError):
-    """What is asked for can't be done now and may be tried again: no quorum, a full queue, a shutdown."""
+    """A request can't be served now and may be retried: no quorum, a full queue, a shutdown."""
--- a/petrelwood/ports.py
+++ b/petrelwood/ports.py
@@ -1,6 +1,6 @@
-"""The interface of the decision module: what it is given at its start, what it is told, and what it may do.
+"""The interface of the decision module: its terms, the records of its events, and the actions it may take.
 
-All times are whole nanoseconds on the caller's clock; ids are opaque and handed back as they came. The events
+All times are whole nanoseconds on the caller's clock; ids are opaque and returned as they came. The events
 are the public methods of `decide.scheduling.scheduler.Scheduler`; the larger ones carry a record from here.
 """
 
@@ -9,17 +9,17 @@
 
 
 class EndReason(StrEnum):
-    """How an attempt, a load order or a health check has ended."""
+    """The reason why an attempt, a load order or a health check has ended."""
 
     FULL = "full"  # the worker has no free capacity; nothing began
     NO_CONNECTION = "no connection"  # there was none, and nothing was sent
     MISSING = "missing"  # the worker has no copy of the function and does not load by itself
-    NOT_SENT = "not sent"  # it never left the dispatcher
+    NOT_SENT = "not sent"  # it was still queued in the dispatcher
     COMPLETED = "completed"
     ERROR = "error"  # the function or the worker failed; it may have run
     TIMED_OUT = "timed out"  # no answer in time; it may have run
     RESET = "reset"  # the connection broke; it may have run
-    CANCELLED = "cancelled"  # the dispatcher took it back; it may have run
+    CANCELLED = "cancelled"  # the dispatcher cancelled it; it may have run
 
 
 NEVER_RAN = frozenset((EndReason.FULL, EndReason.NO_CONNECTION, EndReason.MISSING, EndReason.NOT_SENT))
@@ -43,7 +43,7 @@
 
 
 class CopyNote(IntEnum):
-    """What a completed answer may tell of the copy that ran the activation."""
+    """What a completed answer says of the copy that ran the activation."""
 
     NOTHING = 0
     FOUND_WARM = 1  # the copy was loaded before
@@ -53,67 +53,67 @@
 
 
 class NamespaceType(NamedTuple):
-    """The rules that hold for the activations of one namespace type."""
+    """The rules for the activations of one namespace type."""
 
     target_latency: int  # ns from arrival to answer
     effect: Effect
     scope: Scope  # of a deduplicated one: the group that drops repeats
     window: int  # ns that the group remembers a deduplicated one
-    stretch: float = 0.0  # the target latency grows by so many times the activation's own work hint
-    timeout: int = 0  # ns, the action timeout, up to which it grows; 0: not told
+    stretch: float = 0.0  # the part of an activation's work hint that is added to its target latency
+    timeout: int = 0  # ns, the action timeout, up to which it grows; 0: not known
 
 
 class Guarantees(NamedTuple):
-    """What the platform guarantees, and demands, of workers and their list."""
+    """What the platform guarantees of workers, and requires for the endpoint list."""
 
-    ask_within: int  # ns: the endpoint list must be requested as often, where it must be requested at all
-    cold: int  # ns after its start from which a worker is warm
-    cold_from: float  # the part of its capacity that a worker starts with
-    fall_multiple: float  # a cold worker falls over when it gets so many times its capacity
-    fall: int  # ns in which it gets that
+    ask_within: int  # ns between two requests of the endpoint list, at most; only if `Terms.asks`
+    cold: int  # ns after its start from which a worker is warmed up
+    cold_from: float  # the part of its capacity that a worker has at its start, 0 to 1
+    fall_multiple: float  # a cold worker crashes when it is sent so many times its capacity
+    fall: int  # ns of the window in which this is counted
 
 
 class LoadOrders(NamedTuple):
-    """What is allowed of load orders."""
+    """The rules for load orders, and their rate limit."""
 
     allowed: bool
     loads_on_send: bool  # a worker without a copy loads it by itself when an activation comes
-    keep: int  # ns that an idle copy stays at least
-    free: float  # the rate limit: so many in each period,
-    part: float  # and so many more for each activation taken in it
+    keep: int  # ns that an idle copy stays loaded at least
+    free: float  # the rate limit: load orders in each period,
+    part: float  # and further ones for each activation taken in it
     period: int  # ns; 0: there is no rate limit
 
 
 class Allowed(NamedTuple):
-    """What is allowed of attempts and answers."""
+    """What the platform allows for attempts and answers."""
 
     sends: int  # attempts of one activation, at most
     overlap: bool  # two attempts of one activation may be in flight at a time
     cancel: bool  # an attempt may be cancelled
     probe: bool  # a worker may be asked for a load report
-    retry_after: bool  # a rejection may tell when to come back
-    max_retry_after: int  # ns, the longest that it may tell
+    retry_after: bool  # a rejection may carry a Retry-After
+    max_retry_after: int  # ns, the longest Retry-After
 
 
 class Terms(NamedTuple):
-    """All that the module is given at its start."""
+    """The configuration that the module is given at its start."""
 
     zone: str  # the dispatcher's own
-    dispatchers: int  # that share the workers
+    dispatchers: int  # how many share the workers
     types: dict[str, NamespaceType]
     quotas: dict[str, float]  # by customer: activations a second, at all dispatchers together
     guarantees: Guarantees
     orders: LoadOrders
     allowed: Allowed
     asks: bool  # the endpoint list must be requested
-    reports_by_probe: bool  # workers report their load only when asked
-    tick: int  # ns, the shortest time for a timer
+    reports_by_probe: bool  # workers send load reports only on a health check
+    tick: int  # ns, the shortest wait of a timer
     probe_fee: float = 0.0  # utility that one health check an activation costs, as a part of all
     beyond: float = 0.0  # utility of an activation beyond its customer's quota, as a part of the usual
 
 
 class Listed(NamedTuple):
-    """A worker as the endpoint list has it."""
+    """One worker in the endpoint list."""
 
     worker: str
     zone: str
@@ -123,23 +123,23 @@
 
 
 class Arrival(NamedTuple):
-    """An activation that has been admitted and waits for its first attempt."""
+    """An activation that was admitted and waits for its first attempt."""
 
     activation_id: str
     function: str
     type_name: str  # a key of `Terms.types`
     customer: str
-    due: int  # ns on the caller's clock: its final answer must be there by then
+    due: int  # ns on the caller's clock, the deadline of its final answer
     slots: int  # activations of its function that one copy runs at a time
-    work_hint: int  # ns that it is expected to compute; 0: not told
-    load_time: int  # ns that loading a copy of its function takes; 0: not told
+    work_hint: int  # ns that it is expected to compute; 0: not known
+    load_time: int  # ns that loading a copy of its function takes; 0: not known
 
 
 class AttemptEnd(NamedTuple):
-    """How one attempt of an activation has ended."""
+    """The end of one attempt of an activation."""
 
     activation_id: str
-    attempt: int  # attempts of an activation are counted from 0
+    attempt: int  # the attempt's number, from 0 for each activation
     worker: str
     reason: EndReason
     note: int  # a `CopyNote`
@@ -149,28 +149,28 @@
 
 
 class Outlet(Protocol):
-    """What the module may do. Every call takes effect at the clock time of the event that is handled."""
+    """The actions of the module. Each takes effect at the clock time of the event that is being handled."""
 
     def send(self, activation_id: str, worker: str, limit: int, /) -> None:
-        """Send an activation to a worker; `limit` (ns): how long the attempt may take, 0 without a limit."""
+        """Send an activation to a worker; `limit`: the attempt's timeout in ns, 0 for none."""
 
     def reject(self, activation_id: str, retry_after: int, /) -> None:
-        """Give an activation its final answer: it did not run, come back in `retry_after` ns if not 0."""
+        """Reject an activation, which did not run; `retry_after`: the Retry-After in ns, 0 for none."""
 
     def abort(self, activation_id: str, /) -> None:
-        """Give an activation its final answer: it failed, and it may have run."""
+        """Abort an activation: its final answer is that it failed and may have run."""
 
     def cancel(self, activation_id: str, attempt: int, /) -> None:
         """Cancel an attempt that is in flight."""
 
     def order_load(self, worker: str, function: str, copies: int, /) -> None:
-        """Order a worker to load so many copies of a function."""
+        """Order a worker to load `copies` copies of a function."""
 
     def check_health(self, worker: str, /) -> None:
-        """Ask a worker for a load report."""
+        """Request a load report from a worker."""
 
     def set_timer(self, mark: str, wait: int, /) -> None:
-        """Let a timer fire in `wait` ns, which hands `mark` back."""
+        """Start a timer that fires in `wait` ns and returns `mark`."""
 
     def request_endpoint_list(self) -> None:
         """Request the endpoint list and its changes."""
