--- a/petrelwood/decide/cluster/durable_replica.py
+++ b/petrelwood/decide/cluster/durable_replica.py
@@ -39,15 +39,15 @@
 class DurableReplica:
     """A replica and its disk.
 
-    `save(value)` makes `Replica.durable_state()` survive a crash, or raises OSError. `chance()` is drawn in
-    [0, 1).
+    `save(value)` makes `Replica.durable_state()` survive a crash, or raises OSError. `random_fraction()` is
+    drawn in [0, 1).
     """
 
     def __init__(
         self,
         replica: Replica,
         save: Save,
-        chance: Callable[[], float],
+        random_fraction: Callable[[], float],
         observer: DiskObserver,
     ) -> None:
         self.replica = replica
@@ -55,7 +55,7 @@
         self._error: OSError | None = None
         self._save = save
         self._observer = observer
-        self._backoff = Backoff(FIRST_RETRY, LONGEST_RETRY, chance)
+        self._backoff = Backoff(FIRST_RETRY, LONGEST_RETRY, random_fraction)
 
     @property
     def failed(self) -> bool:
--- a/petrelwood/decide/cluster/link_state.py
+++ b/petrelwood/decide/cluster/link_state.py
@@ -65,8 +65,8 @@
 class LinkState:
     """The state of one link to a worker; times in ns.
 
-    `chance()` is drawn in [0, 1). `reconnect_budget` is shared by all links and limits reconnecting after
-    failures; None: no limit.
+    `random_fraction()` is drawn in [0, 1). `reconnect_budget` is shared by all links and limits reconnecting
+    after failures; None: no limit.
     """
 
     __slots__ = (
@@ -86,14 +86,14 @@
         self,
         worker: str,
         terms: LinkTerms,
-        chance: Callable[[], float],
+        random_fraction: Callable[[], float],
         reconnect_budget: Budget | None = None,
     ) -> None:
         self.worker = worker
         self.terms = terms
         self.phase = LinkPhase.DOWN
         self.reconnect_budget = reconnect_budget
-        self.backoff = Backoff(terms.connect_within, LONGEST_BACKOFF * terms.connect_within, chance)
+        self.backoff = Backoff(terms.connect_within, LONGEST_BACKOFF * terms.connect_within, random_fraction)
         self.connecting_since = 0
         self.last_received_at = 0
         self.pings = 0  # unanswered, since bytes were last received
--- a/petrelwood/decide/cluster/membership.py
+++ b/petrelwood/decide/cluster/membership.py
@@ -86,18 +86,18 @@
     """The endpoint list of one dispatcher.
 
     Times in ns of this dispatcher's clock unless said otherwise. `lost_after`: silence after which the roster
-    counts as lost; `first_wait`: the first backoff before it is requested again; `chance()` is drawn in [0,
-    1).
+    counts as lost; `first_wait`: the first backoff before it is requested again; `random_fraction()` is drawn
+    in [0, 1).
     """
 
-    def __init__(self, lost_after: int, first_wait: int, chance: Callable[[], float]) -> None:
+    def __init__(self, lost_after: int, first_wait: int, random_fraction: Callable[[], float]) -> None:
         self.members: dict[str, Member] = {}
         self.epoch: str | None = None
         self.number = 0
         self.lost_after = lost_after
         self.last_contact_at = 0
         self.is_lost = False
-        self.backoff = Backoff(first_wait, LONGEST_BACKOFF * first_wait, chance)
+        self.backoff = Backoff(first_wait, LONGEST_BACKOFF * first_wait, random_fraction)
         self.platform_clock = UnsteppedWallClock()
         self.complete_at: int | None = None  # when the list was last known to be complete; None: never yet
         # (worker, its reported start) -> its start on our clock
--- a/petrelwood/decide/cluster/polling.py
+++ b/petrelwood/decide/cluster/polling.py
@@ -12,12 +12,12 @@
 
 
 class RosterPolling:
-    """The queries to one roster; `chance()` is drawn in [0, 1)."""
+    """The queries to one roster; `random_fraction()` is drawn in [0, 1)."""
 
-    __slots__ = ("chance", "next_at", "open_queries")
+    __slots__ = ("random_fraction", "next_at", "open_queries")
 
-    def __init__(self, chance: Callable[[], float]) -> None:
-        self.chance = chance
+    def __init__(self, random_fraction: Callable[[], float]) -> None:
+        self.random_fraction = random_fraction
         self.open_queries: dict[int, int] = {}  # id -> when it was sent, oldest first
         self.next_at = 0
 
@@ -27,7 +27,7 @@
 
     def begin_query(self, now: int) -> int:
         """Return the id of a query that is sent now."""
-        query_id = int(self.chance() * QUERY_IDS)
+        query_id = int(self.random_fraction() * QUERY_IDS)
         self.open_queries.pop(query_id, None)
         self.open_queries[query_id] = now
         if len(self.open_queries) > MOST_OPEN_QUERIES:
--- a/petrelwood/decide/cluster/rollout.py
+++ b/petrelwood/decide/cluster/rollout.py
@@ -26,11 +26,11 @@
 STAGES = (0.02, 0.1, 0.3, 1.0)  # parts of all dispatchers that have applied it by the end of each stage
 DWELL = 30 * SECOND  # between two stages
 LEAST_ANSWERS = 30  # answers under a version from which it is judged
-WORST_DROP = 0.1  # how far the completed share may fall below the usual one
+WORST_DROP = 0.1  # how far the completed share may fall below the baseline
 DEVIATIONS = 3.5  # standard deviations that chance may make: the rate is compared again and again
 LEAST_VARIANCE = 0.01  # of an answer
-USUAL_ANSWERS = 2000  # answers after which the usual rate halves its counts
-ROLLBACK_ANSWERS = 100  # answers that the usual rate counts as after a rollback
+MOST_BASELINE_ANSWERS = 2000  # answers after which the counts of the baseline are halved
+ROLLBACK_ANSWERS = 100  # answers that the baseline counts as after a rollback
 WATCHED_STAGES = 2  # over which one that applied it watches itself
 # What a roll-out that is to end in time leaves for the last dispatchers: a poll of the configuration servers,
 # an answer, a look at the folder of versions, and applying it, each of them up to a second.
@@ -87,7 +87,7 @@
         "previous_version",
         "rejected",
         "stages",
-        "usual",
+        "baseline",
         "version",
     )
 
@@ -99,7 +99,7 @@
         self.previous_version: int | None = None  # to roll back to
         self.applied_at: int | None = None  # while the version is watched
         self.answers = CompletionCounter()  # under the version
-        self.usual: CompletionRate = NO_ANSWERS  # under the one before
+        self.baseline: CompletionRate = NO_ANSWERS  # under the version before
         self.faulty_version: int | None = None  # the last one that this dispatcher has found bad
         self.rejected: set[int] = set()  # versions that are never applied here again
         self.first_seen_at: dict[int, int] = {}  # announced version -> when it was first seen here
@@ -111,7 +111,7 @@
         clock without steps.
         """
         applied_at = None if self.applied_at is None else self.applied_at + clock_ahead
-        return [self.version, self.previous_version, list(self.usual), applied_at, sorted(self.rejected)]
+        return [self.version, self.previous_version, list(self.baseline), applied_at, sorted(self.rejected)]
 
     @classmethod
     def from_state(
@@ -127,7 +127,7 @@
             rollout = cls(name, int(version), stages, dwell)
             rollout.previous_version = None if previous_version is None else int(previous_version)
             rollout.applied_at = None if applied_at is None else int(applied_at)
-            rollout.usual = CompletionRate(float(share), int(answers))
+            rollout.baseline = CompletionRate(float(share), int(answers))
             rollout.rejected = {int(number) for number in rejected}
         except TypeError as error:
             raise ValueError(str(error)) from error
@@ -152,8 +152,8 @@
     def record_answer(self, completed: bool) -> None:
         """Count the answer of an activation that was admitted here."""
         self.answers.record(completed)
-        if self.applied_at is None and self.answers.answers >= USUAL_ANSWERS:
-            self.answers.halve()  # what is usual follows slowly
+        if self.applied_at is None and self.answers.answers >= MOST_BASELINE_ANSWERS:
+            self.answers.halve()  # the baseline follows slowly
 
     def decide(self, wall: int, announcements: Sequence[Announcement]) -> RolloutStep | None:
         """Return the next step if one is due, else None.
@@ -169,7 +169,7 @@
                 self.faulty_version = self.version
                 return self._roll_back()
             if wall - self.applied_at >= WATCHED_STAGES * self.dwell:
-                # it stays, unless it is called off later: what is seen from now on is what is usual
+                # it stays, unless it is called off later: what is measured from now on is the baseline
                 self.applied_at = None
         newest = self._newest(announcements)
         if newest is None or wall < self._due_at(newest):
@@ -182,12 +182,12 @@
 
     def _is_worse(self) -> bool:
         now = self.answers.rate()
-        if now.answers < LEAST_ANSWERS or self.usual.answers < LEAST_ANSWERS:
+        if now.answers < LEAST_ANSWERS or self.baseline.answers < LEAST_ANSWERS:
             return False
-        usual = self.usual.share
-        variance = max(usual * (1 - usual), LEAST_VARIANCE)
+        baseline = self.baseline.share
+        variance = max(baseline * (1 - baseline), LEAST_VARIANCE)
         noise = DEVIATIONS * math.sqrt(variance / now.answers)
-        return now.share + noise < usual - WORST_DROP
+        return now.share + noise < baseline - WORST_DROP
 
     def _newest(self, announcements: Iterable[Announcement]) -> Announcement | None:
         """Return the newest version to apply, or None."""
@@ -205,7 +205,7 @@
     def _apply(self, version: int, wall: int) -> RolloutStep:
         if self.applied_at is None:  # else a rollback goes to the version before the one on watch
             self.previous_version = self.version
-            self.usual = self.answers.rate()
+            self.baseline = self.answers.rate()
         self.version = version
         self.applied_at = wall
         self.answers.restart()
@@ -213,7 +213,7 @@
 
     def _roll_back(self) -> RolloutStep:
         self._leave_version()
-        completed = int(self.usual.share * ROLLBACK_ANSWERS)
+        completed = int(self.baseline.share * ROLLBACK_ANSWERS)
         self.answers.restart(completed, ROLLBACK_ANSWERS - completed)
         return RolloutStep(RolloutAction.ROLL_BACK, self.version)
 
--- a/petrelwood/decide/cluster/version_watch.py
+++ b/petrelwood/decide/cluster/version_watch.py
@@ -50,12 +50,12 @@
     """Follows the log for one dispatcher.
 
     `position`: the last slot of the log that it has read; `rollout_time`: ns that a roll-out takes from its
-    start to its last stage; `chance()` is drawn in [0, 1).
+    start to its last stage; `random_fraction()` is drawn in [0, 1).
     """
 
     __slots__ = (
         "backoffs",
-        "chance",
+        "random_fraction",
         "duplicates",
         "gaps",
         "last_answer_at",
@@ -72,13 +72,15 @@
         servers: Iterable[str],
         position: int,
         rollout_time: int,
-        chance: Callable[[], float],
+        random_fraction: Callable[[], float],
     ) -> None:
         self.servers = preference(name, servers)
         self.position = position
         self.rollout_time = rollout_time
-        self.chance = chance
-        self.backoffs = {server: Backoff(FIRST_BACKOFF, LONGEST_BACKOFF, chance) for server in self.servers}
+        self.random_fraction = random_fraction
+        self.backoffs = {
+            server: Backoff(FIRST_BACKOFF, LONGEST_BACKOFF, random_fraction) for server in self.servers
+        }
         self.next_round_at = 0
         self.second_server = 0  # its place among those that work; the first is always polled
         self.last_answer_at: int | None = None
@@ -89,7 +91,7 @@
         """Return the servers to poll now; none before the next round."""
         if now < self.next_round_at:
             return ()
-        self.next_round_at = now + int(ROUND * (1 - JITTER * self.chance()))
+        self.next_round_at = now + int(ROUND * (1 - JITTER * self.random_fraction()))
         working = [server for server in self.servers if self.backoffs[server].may_retry(now)]
         if len(working) < POLLED_EACH_ROUND:
             return tuple(working)
--- a/petrelwood/store/history.py
+++ b/petrelwood/store/history.py
@@ -84,22 +84,22 @@
         self.folder.mkdir(parents=True, exist_ok=True)
         for part in self.folder.glob("**/*.part"):
             part.unlink()
-        done = history_files.sealed(self.folder)
-        there = history_files.tails(self.folder)
-        self.number = max([one.number for one in done] + [number for number, _ in there], default=1)
-        sealed_numbers = {one.number for one in done}
-        for number, path in there:
+        sealed = history_files.sealed(self.folder)
+        tails = history_files.tails(self.folder)
+        self.number = max([each.number for each in sealed] + [number for number, _ in tails], default=1)
+        sealed_numbers = {each.number for each in sealed}
+        for number, path in tails:
             if number != self.number or number in sealed_numbers:
-                self._finish_seal(number, path, done)
+                self._finish_seal(number, path, sealed)
                 self.number = max(self.number, number + 1)
         log = AppendLog(tail_path(self.folder, self.number), self.files)
         self._numbers, found = history_files.decode(log.payloads)
         self.rows = found + self.rows
         self.log = log
 
-    def _finish_seal(self, number: int, path: pathlib.Path, done: set[Sealed]) -> None:
+    def _finish_seal(self, number: int, path: pathlib.Path, sealed: set[Sealed]) -> None:
         _, rows = history_files.decode(append_log.scan(path.read_bytes()).payloads)
-        self._write_days([row for row in rows if Sealed(number, day_of(row.at)) not in done], number)
+        self._write_days([row for row in rows if Sealed(number, day_of(row.at)) not in sealed], number)
         self.files.remove(str(path))
 
     # Noting.
--- a/petrelwood/store/state_log.py
+++ b/petrelwood/store/state_log.py
@@ -37,7 +37,7 @@
 )
 
 LARGEST_SEGMENT = 1 << 28  # bytes
-SEGMENTS_IN_RETENTION = 4  # so many are begun while a record is kept
+SEGMENTS_IN_RETENTION = 4  # how many are begun while a record is retained
 MACHINE = "machine"  # the durability that outlives the machine
 
 
@@ -75,7 +75,7 @@
         self.now = now
         self.found: list[Record] = []
         self.stopped: str | None = None
-        self.failed = False  # the present segment: nothing goes into it any more
+        self.failed = False  # the present segment, which takes no further record
         self.rewriting = False  # between `reopen` and `resume`
         self.log: AppendLog | None = None
         self.epoch = 0
@@ -278,15 +278,15 @@
     def _read_successor(self, time: int) -> bool:
         self.found = []
         try:
-            there = segments(self.folder)
-            for segment in there:
+            found = segments(self.folder)
+            for segment in found:
                 if segment.epoch > self.epoch:
                     self._read_segment(segment.path, time)
         except (StateUnreadableError, OSError) as error:
             self._fail(str(error))
             return False
         self._successor_unread = False
-        self.epoch = max([self.epoch, *(segment.epoch for segment in there)]) + 1
+        self.epoch = max([self.epoch, *(segment.epoch for segment in found)]) + 1
         self.number = 0
         return True
 
@@ -302,7 +302,7 @@
             self.log.abandon()
             self._sealed_at[self.log.path] = self.now()
         if self.rewriting:
-            # what an attempt wrote stands in memory, and in the older segments as well
+            # what an attempt wrote is in memory, and in the older segments as well
             self._superseded |= self._attempt
         for path in list(self._superseded):
             self._remove(path)
