--- a/petrelwood/decide/cluster/connection_pool.py
+++ b/petrelwood/decide/cluster/connection_pool.py
@@ -24,7 +24,7 @@
 
 
 def remember(connection: Connection, call_id: str) -> None:
-    """Record on a connection that it carries the call with this id."""
+    """Record that a connection carries a call of this id, and forget the oldest of too many."""
     connection.carried[call_id] = True
     if len(connection.carried) > MOST_REMEMBERED_IDS:
         del connection.carried[next(iter(connection.carried))]
--- a/petrelwood/decide/cluster/log_proposal.py
+++ b/petrelwood/decide/cluster/log_proposal.py
@@ -111,7 +111,10 @@
             self._start_ballot(now)
 
     def handle_reply(self, server: str, message: Message, reply: Reply, now: int) -> None:
-        """Handle a server's reply to `message`."""
+        """Process a server's reply to `message`.
+
+        A server that lacks decided records is sent them; a reply to another ballot or slot is ignored else.
+        """
         if self.ended or isinstance(message, Learn):
             return
         if isinstance(reply, Behind):
--- a/petrelwood/decide/cluster/polling.py
+++ b/petrelwood/decide/cluster/polling.py
@@ -12,7 +12,7 @@
 
 
 class RosterPolling:
-    """The queries to one roster; `random_fraction()` is drawn in [0, 1)."""
+    """The open queries to one roster, and when to send the next; `random_fraction()` is drawn in [0, 1)."""
 
     __slots__ = ("random_fraction", "next_at", "open_queries")
 
--- a/petrelwood/decide/delivery/mqtt_acknowledgement.py
+++ b/petrelwood/decide/delivery/mqtt_acknowledgement.py
@@ -260,7 +260,7 @@
 
     # The connection.
     def on_connection_lost(self) -> None:
-        """Handle a lost connection: what runs goes on, what is queued may be delivered again."""
+        """Forget queued messages of QoS 1, which the broker delivers again; activations in flight go on."""
         self._in_ping = []
         self._unproved = []
         self.pings = 0
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -25,9 +25,9 @@
 from petrelwood.dispatch.durable_state import DurableState
 from petrelwood.dispatch.event_queue import Arguments, Call, EventQueue
 from petrelwood.dispatch.handover.hooks import ActivationEndHandler, HandoverHooks
-from petrelwood.dispatch.interfaces import Clock, Logger, Rule
+from petrelwood.dispatch.interfaces import Clock, DecisionModule, Logger, MakeModule, Rule
 from petrelwood.dispatch.load_forecasts import LoadForecasts
-from petrelwood.dispatch.outlet import ModuleOutlet
+from petrelwood.dispatch.outlet import ModuleOutlet, retry_budget
 from petrelwood.dispatch.recent_answers import RecentAnswers
 from petrelwood.dispatch.worker_links import Address, WorkerLink, WorkerLinks
 from petrelwood.ports import Listed
@@ -61,7 +61,7 @@
         chance: Random,
         link: MakeLink,
         log: Logger,
-        scheduler: Callable[[int, ports.Terms, int, ports.Outlet], Any] = Scheduler,
+        scheduler: MakeModule = Scheduler,
         state: "StateLog | None" = None,
     ) -> None:
         self.gateway = gateway
@@ -85,9 +85,9 @@
         self.durable_state: DurableState | None = None
         self.forecasts: LoadForecasts | None = None
         self.activations = self._make_activations()
-        self.outlet = ModuleOutlet(self)
+        self.outlet = ModuleOutlet(self, retry_budget(self.limits.held) if gateway.damps else None)
         clock.at(clock.now() + STORM_CHECK_INTERVAL, self._check_storms)
-        self.scheduler = scheduler(clock.now(), self.terms, gateway.seed, self.outlet)
+        self.scheduler: DecisionModule = scheduler(clock.now(), self.terms, gateway.seed, self.outlet)
         if state is not None:
             self.adopt(state)
         self._begin_forecasts()
@@ -96,7 +96,7 @@
         return Activations(self)
 
     def _make_connections(self, link: MakeLink) -> None:
-        """What the core has to do with workers."""
+        """Make the membership, the links and the budget for connecting again."""
         gateway = self.gateway
         connect_timeout = gateway.workers.connect_within
         self.membership = Membership(self.terms.orders.keep, connect_timeout, self.chance.random)
@@ -106,7 +106,7 @@
             self.reconnects = Budget(1.0, RECONNECTS_AT_ONCE, connect_timeout)
 
     def _make_stages(self) -> tuple[Ledger | None, Intake, str | None]:
-        """What an activation passes before the module: the ledger, the intake, and the prefix of its id."""
+        """Return what an activation passes before the module: ledger, intake, and the prefix of its id."""
         gateway = self.gateway
         wall = self.clock.wall()
         ledger = Ledger(
@@ -124,14 +124,14 @@
 
     # One call after the other.
     def submit(self, call: Call, *args: Any) -> None:
-        """Makes a call at once, or after the one that is being made."""
+        """Make a call at once, or after the one that is being made."""
         events = self.events
         events.waiting.append((call, args))
         if not events.running:
             events.run()
 
     def defect(self, where: str, fault: Exception, args: Arguments = ()) -> None:
-        """Aborts the activations that a failed call has touched, and goes on."""
+        """Log a failed call, and abort the activations that it has touched."""
         acts = self.pending.activations
         touched = self.events.touched | {arg for arg in args if isinstance(arg, str) and arg in acts}
         place = traceback.extract_tb(fault.__traceback__)[-1]
@@ -155,33 +155,33 @@
         return self.ledger
 
     def record_time(self) -> int:
-        """The wall-clock time as the log of state has it: without steps since this process began."""
+        """Return the wall-clock time (ns) that records carry: without steps since this process began."""
         return self.now() + self.record_epoch
 
     def adopt(self, log: "StateLog", predecessor_runs: bool = False) -> None:
-        """Goes on from what the incarnations before have left in a log.
+        """Go on from what earlier incarnations have left in a log.
 
         `predecessor_runs`: the one before still finishes what it has in flight.
         """
         if self.durable_state is None:
-            self.durable_state = DurableState(self, self.known_ids, log)
+            self.durable_state = DurableState(self, self.activations, self.known_ids, log)
             self.events.after_turn = self.durable_state.flush
         self.durable_state.adopt(log, predecessor_runs)
 
     def sync_state(self, done: Callable[[bool], object]) -> None:
-        """Syncs the log of state, then calls `done(durable)`; a dispatcher on a loop does it in a thread."""
+        """Sync the log of state, then call `done(durable)`; a dispatcher on a loop does it in a thread."""
         if self.durable_state is not None:
             done(self.durable_state.log.sync_task()())
 
     def clock_offset_found(self, least_epoch: int) -> None:
-        """A process before has seen the wall clock at this offset: workers may be younger than thought."""
+        """Learn that an earlier process saw another clock offset: workers may be younger than thought."""
         younger = self.membership.correct_clock(least_epoch, self.now())
         if younger:
             self.submit(self._endpoints_changed, younger, [], False)
 
     # A hand-over: see `decide.cluster.handover`.
     def recent_completion(self) -> CompletionRate:
-        """How the activations ended that were answered in the last ten seconds."""
+        """Return how the activations ended that were answered in the last ten seconds."""
         return self.recent_answers.rate(self.now())
 
     @property
@@ -192,7 +192,7 @@
         return counts[ActivationState.COMPLETED], failed
 
     def stop_admitting(self, on_end: ActivationEndHandler) -> None:
-        """Admits and loads nothing new from now on; `on_end` is called for each activation that ends."""
+        """Admit no request and order no load from now on, and call `on_end` for each activation that ends."""
         self.intake.closing = True
         self.handover.retired = True
         self.handover.on_activation_end = on_end
@@ -200,7 +200,7 @@
             self.durable_state.log.flush()
 
     def resume_admitting(self) -> None:
-        """The successor has failed: what it admitted is read from its log, and this process admits again."""
+        """Admit again, as the successor has failed; what it admitted is read from its log."""
         if self.durable_state is not None:
             self.durable_state.take_over_again()
         self.intake.closing = False
@@ -210,18 +210,18 @@
     def note_predecessor_outcome(
         self, customer: str, id_: str, outcome: ActivationState, sent: bool, body: bytes | None
     ) -> None:
-        """The predecessor has finished an activation that it had in flight."""
+        """Learn how an activation ended that the predecessor had in flight."""
         key = (customer, id_)
         if self.known_ids.end_elsewhere(key, outcome, sent, body) and self.durable_state is not None:
             self.durable_state.record_ended(key, outcome, sent, body)
 
-    def predecessor_gone(self) -> None:
-        """The predecessor has ended: the outcomes that it did not send are not known."""
+    def predecessor_ended(self) -> None:
+        """Learn that the predecessor has ended: the outcomes that it did not send stay unknown."""
         self.known_ids.abandon_elsewhere()
 
     # Storms, forecasts and settings.
     def _check_storms(self) -> None:
-        """What a storm changes is decided in `decide.overload.intake` and at the fronts."""
+        """Look for storms that begin or end, and tell the fronts; also check the durable state."""
         for name, on, value in self.intake.update(self.now()):
             report = self.log.warning if on else self.log.info
             event = "storm started" if on else "storm ended"
@@ -232,20 +232,19 @@
         self.clock.at(self.now() + STORM_CHECK_INTERVAL, self._check_storms)
 
     def storm_changed(self, name: str, on: bool) -> None:
-        """A symptom has begun or ended; for a dispatcher that has fronts."""
+        """React to a symptom of a storm that has begun or ended; a dispatcher with fronts overrides this."""
 
     def _begin_forecasts(self) -> None:
         terms = self.gateway.early
-        if terms is None or not hasattr(self.scheduler, "prefetch"):
+        if terms is None:
             return
         self.forecasts = LoadForecasts(
-            terms, self.terms, self.clock, self.chance, wish=self._wish, sliced=self.learns_in_slices
+            terms, self.terms, self.clock, self.chance, prefetch=self._prefetch, sliced=self.learns_in_slices
         )
         self._plan_next_slot()
 
-    def _wish(self, function: str, lanes: int, load_time: int) -> str | None:
-        worker: str | None = self.scheduler.prefetch(self.now(), function, lanes, load_time)
-        return worker
+    def _prefetch(self, function: str, lanes: int, load_time: int) -> str | None:
+        return self.scheduler.prefetch(self.now(), function, lanes, load_time)
 
     def _plan_next_slot(self) -> None:
         if self.forecasts is not None:
@@ -262,7 +261,7 @@
             self.forecasts.plan_slot()
 
     def apply(self, gateway: "Gateway") -> None:
-        """Takes new settings that can act at once: customers' keys, functions, limits.
+        """Put new settings in force that can act at once: customers' keys, functions, limits.
 
         What is in flight keeps its deadline, and its customer until it has its answer.
         """
@@ -273,7 +272,7 @@
         self.intake.concurrency_limit.set_most(gateway.limits.held)
 
     def rule(self, function: str) -> "FunctionRule | None":
-        """The rule of a function, looked up once; None where it may not be called."""
+        """Return the rule of a function, looked up once; None where it may not be called."""
         try:
             return self.rules[function]
         except KeyError:
@@ -284,13 +283,13 @@
 
     # From the fronts.
     def admit(
-        self, ask: ActivationRequest, function: str, rule: Rule, body: bytes, exchange: Exchange
+        self, request: ActivationRequest, function: str, rule: Rule, body: bytes, exchange: Exchange
     ) -> None:
-        """A request has come, and is who it says it is."""
-        self.submit(self.activations.admit, ask, function, rule, body, exchange)
+        """Admit the request of an authenticated client, or answer it at once."""
+        self.submit(self.activations.admit, request, function, rule, body, exchange)
 
     def client_left(self, act_id: str, exchange: Exchange) -> None:
-        """The client of an exchange hung up."""
+        """Learn that the client of an exchange hung up."""
         self.submit(self.activations.client_left, act_id, exchange)
 
     # From the links.
@@ -299,98 +298,97 @@
         act_id: str,
         attempt: int,
         worker: str,
-        code: ports.EndReason,
+        reason: ports.EndReason,
         note: int,
         body: bytes,
         sent_at: int,
-        gauge: dict[str, float] | None,
+        report: dict[str, float] | None,
     ) -> None:
-        """A send has ended for the reason `code`; `gauge`: the worker's load report, if it sent one."""
+        """Handle the end of an attempt; `report`: the worker's load report, if it sent one."""
         now = self.now()
         self.links.in_flight.pop((act_id, attempt), None)
         act = self.pending.activations.get(act_id)
-        is_owed = self.pending.end_attempt(act_id, attempt)
-        if is_owed and code == ports.EndReason.COMPLETED:
+        is_unanswered = self.pending.end_attempt(act_id, attempt)
+        if is_unanswered and reason == ports.EndReason.COMPLETED:
             self.activations.finish(act_id, COMPLETED, body)
-        if code == ports.EndReason.COMPLETED and self.intake.damps:
+        if reason == ports.EndReason.COMPLETED and self.intake.damps:
             self.intake.storms.record_attempt(now, note not in (0, ports.CopyNote.FOUND_WARM))
         if act is not None and (self.forecasts is not None or self.record_execution is not None):
-            self._learn(now, act, worker, code, note, now - sent_at)
+            self._learn(now, act, worker, reason, note, now - sent_at)
         self.events.touched.add(act_id)
         has_ended = act_id not in self.pending.activations
-        end = ports.AttemptEnd(act_id, attempt, worker, code, note, has_ended, now - sent_at, gauge)
+        end = ports.AttemptEnd(act_id, attempt, worker, reason, note, has_ended, now - sent_at, report)
         self.scheduler.attempt_ended(now, end)
 
     def _learn(
-        self, now: int, act: PendingActivation, worker: str, code: ports.EndReason, note: int, took: int
+        self, now: int, act: PendingActivation, worker: str, reason: ports.EndReason, note: int, duration: int
     ) -> None:
-        """What the history and the forecasts learn from the end of a send."""
+        """Record the end of an attempt in the history and the forecasts."""
         warm = note in (0, ports.CopyNote.FOUND_WARM)
         if self.forecasts is not None:
-            if code == ports.EndReason.COMPLETED:
-                self.forecasts.send_completed(now, act.function, worker, warm, took)
-            elif code == ports.EndReason.MISSING:
+            if reason == ports.EndReason.COMPLETED:
+                self.forecasts.send_completed(now, act.function, worker, warm, duration)
+            elif reason == ports.EndReason.MISSING:
                 self.forecasts.copy_missing(now, act.function, worker)
-        if self.record_execution is not None and code == ports.EndReason.COMPLETED:
+        if self.record_execution is not None and reason == ports.EndReason.COMPLETED:
             self.record_execution(
                 self.clock.steady_wall(),
                 act.function,
                 act.customer,
                 self.terms.zone,
                 note & 3,
-                now - took - act.arrived_at,
-                took,
-                0 if warm else took,
+                now - duration - act.arrived_at,
+                duration,
+                0 if warm else duration,
             )
 
-    def transmit(self, link: WorkerLink, act: PendingActivation, attempt: int, time_left: int) -> None:
-        """Hands a send to a link."""
+    def transmit(self, link: WorkerLink, act: PendingActivation, attempt: int, remaining: int) -> None:
+        """Hand an attempt to a link; `remaining`: ns until its deadline."""
         mark = f"{act.key[0]}/{act.key[1]}"
-        link.run(act.id, attempt, act.function, mark, time_left, act.lanes, act.body or b"")
+        link.run(act.id, attempt, act.function, mark, remaining, act.lanes, act.body or b"")
 
-    def may_send_order(self, given: int) -> bool:
-        """Whether a load order that was given at `given` may leave now."""
-        return not hasattr(self.scheduler, "may_load_order_leave") or bool(
-            self.scheduler.may_load_order_leave(self.now(), given)
-        )
+    def may_send_order(self, given_at: int) -> bool:
+        """Return whether a load order that was given at `given_at` may leave now."""
+        return self.scheduler.may_load_order_leave(self.now(), given_at)
 
-    def order_not_sent(self, given: int) -> None:
-        """A load order that was given at `given` will never leave."""
-        if hasattr(self.scheduler, "load_order_withdrawn"):
-            self.scheduler.load_order_withdrawn(self.now(), given)
+    def order_not_sent(self, given_at: int) -> None:
+        """Learn that a load order that was given at `given_at` will never leave."""
+        self.scheduler.load_order_withdrawn(self.now(), given_at)
 
-    def load_order_ended(self, worker: str, function: str, code: ports.EndReason, copies: int) -> None:
-        """A load order has ended; the worker has so many copies."""
+    def load_order_ended(self, worker: str, function: str, reason: ports.EndReason, copies: int) -> None:
+        """Learn how a load order has ended; the worker has `copies` of the function now."""
         if self.forecasts is not None:
-            self.forecasts.order_ended(self.now(), function, worker, code == ports.EndReason.COMPLETED)
-        self.scheduler.load_order_ended(self.now(), worker, function, code, copies)
+            self.forecasts.order_ended(self.now(), function, worker, reason == ports.EndReason.COMPLETED)
+        self.scheduler.load_order_ended(self.now(), worker, function, reason, copies)
 
-    def health_check_ended(self, worker: str, code: ports.EndReason, gauge: dict[str, float] | None) -> None:
-        """A health check has ended."""
-        self.scheduler.health_check_ended(self.now(), worker, code, gauge)
+    def health_check_ended(
+        self, worker: str, reason: ports.EndReason, report: dict[str, float] | None
+    ) -> None:
+        """Learn how a health check has ended; `report`: the worker's load report, if it sent one."""
+        self.scheduler.health_check_ended(self.now(), worker, reason, report)
 
     def timer_fired(self, mark: str) -> None:
-        """A time has passed that the module waited for."""
+        """Tell the module that a timer of its own has fired."""
         self.scheduler.timer_fired(self.now(), mark)
 
     # From the endpoint list.
-    def endpoints_changed(self, entries: list[Listed], leaving: list[str], whole: bool) -> None:
-        """Workers have changed; `leaving` drain or are gone, `whole`: `entries` are all there are."""
-        self.submit(self._endpoints_changed, entries, leaving, whole)
+    def endpoints_changed(self, entries: list[Listed], draining: list[str], is_whole: bool) -> None:
+        """Learn of a change of the endpoint list, or of the whole; `draining`: they drain or are gone."""
+        self.submit(self._endpoints_changed, entries, draining, is_whole)
 
-    def _endpoints_changed(self, entries: list[Listed], leaving: list[str], whole: bool) -> None:
-        self.links.drain(leaving)
+    def _endpoints_changed(self, entries: list[Listed], draining: list[str], is_whole: bool) -> None:
+        self.links.drain(draining)
         self.links.connect(entries, self.membership)
-        self.scheduler.endpoints_changed(self.now(), entries, whole)
+        self.scheduler.endpoints_changed(self.now(), entries, is_whole)
         self.links.release_unused(self.membership.members)
 
     def endpoint_list_lost(self) -> None:
-        """Nothing is heard of the list of workers any more; the last one stays in use."""
+        """Learn that no changes of the endpoint list come any more; the last list stays in use."""
         self.submit(self._endpoint_list_lost)
 
     def _endpoint_list_lost(self) -> None:
         self.scheduler.endpoint_list_lost(self.now())
 
     def figures(self) -> dict[str, Any]:
-        """What is counted, for logs and tests."""
+        """Return all counts, for logs and tests."""
         return {**self.pending.counts, **asdict(self.outlet.counts), **self.intake.figures()}
--- a/petrelwood/dispatch/handover/predecessor.py
+++ b/petrelwood/dispatch/handover/predecessor.py
@@ -9,14 +9,18 @@
 import contextlib
 import pathlib
 import socket
-from collections.abc import Callable, Coroutine
-from typing import TYPE_CHECKING
+from collections.abc import Callable, Coroutine, Sequence
+from typing import Protocol
 
 from petrelwood.decide.cluster import handover
+from petrelwood.decide.cluster.completion import CompletionRate
 from petrelwood.decide.cluster.handover import PredecessorAction, PredecessorPhase
 from petrelwood.decide.delivery.ledger import ActivationState
+from petrelwood.decide.delivery.pending import PendingActivations
+from petrelwood.dispatch.durable_state import DurableState
 from petrelwood.dispatch.errors import HandoverError, HandoverRejectedError
 from petrelwood.dispatch.handover.channel import Channel
+from petrelwood.dispatch.handover.hooks import ActivationEndHandler
 from petrelwood.dispatch.handover.messages import (
     ActivationEnded,
     Alive,
@@ -36,30 +40,82 @@
 from petrelwood.links.unix_socket import UnixSocket
 from petrelwood.store.state_segments import PLAIN_FORMAT
 
-if TYPE_CHECKING:
-    from petrelwood.dispatch.dispatcher import Dispatcher
-    from petrelwood.fronts.webhook import Webhooks
-
 CHECK_INTERVAL = 0.05  # seconds
 GREETING_TIMEOUT = 5.0  # seconds
 DISMISSAL_TIMEOUT = 5.0  # seconds
 
 
+class DrainedFront(Protocol):
+    """A front whose connections are waited for."""
+
+    def quiet(self) -> bool:
+        """Return whether no connection is in use any more."""
+
+
+class ListenerOwner(Protocol):
+    """The front whose listeners the successor gets; see `fronts.webhook.Webhooks`."""
+
+    def descriptors(self) -> list[int]:
+        """Return the file descriptors of its listeners."""
+
+    def pause(self) -> object:
+        """Accept no connections until `resume` is called."""
+
+    def resume(self) -> object:
+        """Accept connections again."""
+
+
+class PredecessorCore(Protocol):
+    """What the predecessor's side needs of the core."""
+
+    @property
+    def name(self) -> str:
+        """The name of the dispatcher."""
+
+    @property
+    def loop(self) -> asyncio.AbstractEventLoop:
+        """The loop that the dispatcher runs on."""
+
+    @property
+    def pending(self) -> PendingActivations:
+        """The activations without a final answer."""
+
+    @property
+    def fronts(self) -> Sequence[DrainedFront]:
+        """The fronts that are open."""
+
+    @property
+    def durable_state(self) -> DurableState | None:
+        """The record of activations, where one is made."""
+
+    def now(self) -> int:
+        """Return the monotonic time in ns."""
+
+    def recent_completion(self) -> CompletionRate:
+        """Return how the activations ended that were answered in the last ten seconds."""
+
+    def stop_admitting(self, on_end: ActivationEndHandler, /) -> object:
+        """Admit nothing new; `on_end` is called for each activation that ends."""
+
+    def resume_admitting(self) -> object:
+        """Admit again."""
+
+
 class PredecessorProcess:
     """Serves the control socket at `path`.
 
-    `on_hand_over` and `on_resume` are called beside the pause and the resumption of the webhooks,
+    `on_handover` and `on_resume` are called beside the pause and the resumption of the webhooks,
     `on_finished` when this process may end.
     """
 
     def __init__(
         self,
         path: str,
-        core: "Dispatcher",
-        webhooks: "Webhooks",
+        core: PredecessorCore,
+        webhooks: ListenerOwner,
         log: Logger,
         *,
-        on_hand_over: Callable[[], object],
+        on_handover: Callable[[], object],
         on_resume: Callable[[], object],
         on_finished: Callable[[], object],
     ) -> None:
@@ -67,7 +123,7 @@
         self.core = core
         self.webhooks = webhooks
         self.log = log
-        self.on_hand_over = on_hand_over
+        self.on_handover = on_handover
         self.on_resume = on_resume
         self.on_finished = on_finished
         self.machine = handover.Predecessor()
@@ -75,7 +131,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def open(self) -> None:
-        """Takes the path over: a successor binds it anew, so the newest process is always found there."""
+        """Listen at the path: a successor binds it anew, so the newest process is always found there."""
         self.server = UnixSocket(self.path, socket.SOCK_STREAM)
         self._start(self._accept())
         self._start(self._watch())
@@ -86,7 +142,7 @@
         task.add_done_callback(self.tasks.discard)
 
     def close(self) -> None:
-        """Gives up the control socket and the successor."""
+        """Close the control socket and the connection to the successor."""
         for task in list(self.tasks):
             task.cancel()
         self.server.close()
@@ -183,10 +239,10 @@
             self._carry_out(self.machine.on_successor_lost(reason))
 
     def _hand_over(self) -> None:
-        """Nothing new is admitted here from now on, and all that was admitted is in the log of state."""
+        """Stop admitting: all that was admitted is in the log of state then."""
         self.core.stop_admitting(self._activation_ended)
         self.webhooks.pause()
-        self.on_hand_over()
+        self.on_handover()
 
     def _activation_ended(
         self, customer: str, id_: str, outcome: ActivationState, sent: bool, body: bytes | None
--- a/petrelwood/dispatch/settings_update.py
+++ b/petrelwood/dispatch/settings_update.py
@@ -1,26 +1,23 @@
 """Applies new settings to a running dispatcher: as a whole or not at all."""
 
 import enum
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
 from petrelwood.dispatch.interfaces import Logger
 from petrelwood.settings import comparison
 from petrelwood.settings.comparison import Change, TakesEffect
 from petrelwood.settings.gateway import Gateway
 
-if TYPE_CHECKING:
-    from petrelwood.dispatch.dispatcher import Dispatcher
-    from petrelwood.fronts.webhook import Webhooks
-
 
 class ReadSettings(Protocol):
     """Reads the settings anew, from the dispatcher's file or from `text`.
 
-    Raises `settings.SettingsError`.
+    Raises:
+        SettingsError: What they say is wrong.
     """
 
     def __call__(self, text: str | None = None) -> Gateway:
-        """The settings."""
+        """Return the settings."""
 
 
 class UpdateResult(enum.Enum):
@@ -31,10 +28,17 @@
     NEEDS_UPGRADE = enum.auto()
 
 
+class SettingsUser(Protocol):
+    """A part of the dispatcher that takes new settings while it runs: the core and the webhooks."""
+
+    def apply(self, gateway: Gateway, /) -> object:
+        """Take new settings."""
+
+
 class SettingsUpdater:
     """Holds the settings in force. Each update that is applied has a version of its own, for the log."""
 
-    def __init__(self, gateway: Gateway, core: "Dispatcher", front: "Webhooks", log: Logger) -> None:
+    def __init__(self, gateway: Gateway, core: SettingsUser, front: SettingsUser, log: Logger) -> None:
         self.gateway = gateway
         self.core = core
         self.front = front
@@ -42,7 +46,7 @@
         self.version = 1
 
     def update(self, new: Gateway, can_upgrade: bool = False) -> UpdateResult:
-        """Applies settings if all of their changes can act at once.
+        """Apply settings if all of their changes can act at once.
 
         `can_upgrade`: whether an upgrade may follow where they can't.
         """
