--- a/tests/schedule.py
+++ b/tests/schedule.py
@@ -5,7 +5,7 @@
 # Files that nothing may run beside, each with the reason.
 ALONE = {
     "test_deploy.py": "holds that nothing in petrelwood/ is written; a process beside it may write byte code",
-    "test_shutdown.py": "kills a process 0.7 s after its longest timeout, by real time, whether it was held up or not",
+    "test_shutdown.py": "kills a process by real time, 0.7 s after its longest timeout, held up or not",
     "test_larger_fleet.py": "thousands of connections; judges the share served by real time on all cores",
 }
 # Seconds of the longest files, measured with five side by side on ten busy cores. They begin first, so that
