--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -1,103 +1,153 @@
-"""The link to one worker in JSON lines, over a few connections that are kept.
+"""The link to one worker on the platform's wire: JSON lines over a few connections, which are reused.
 
-Queue, stages and ends are those of `links.calls`; which connection carries a call is decided in
-`decide.cluster.connection_pool`. A connection that has once carried what can't be read is closed: what was
-handed to it may have run."""
+The queue, the stages and the ends of calls are those of `links.calls`. Which connection carries a call is
+decided in `decide.cluster.connection_pool`. A connection on which a malformed answer came is closed, and what
+was in flight on it may have run.
+"""
+
+import contextlib
+from typing import Protocol
 
 from tornado.iostream import StreamBufferFullError, StreamClosedError
 
-from petrelwood import ports
 from petrelwood.decide.cluster import connection_pool
 from petrelwood.decide.delivery import send_outcome
+from petrelwood.decide.delivery.pending import PendingActivation
 from petrelwood.decide.overload import resource_limits
 from petrelwood.links import sockets
-from petrelwood.links.calls import Call, Calls
+from petrelwood.links.calls import HEALTH_CHECK, LOAD_ORDER, QUEUED, RUN, Call, Calls
+from petrelwood.links.connection_end import reason_of_end
+from petrelwood.links.interfaces import Address, Gauge, LinkCore, Logger, LoopOwner
 from petrelwood.node import worker_protocol
+from petrelwood.node.configuration import WorkerTerms
 from petrelwood.node.stream import Stream
 from petrelwood.node.units import MS
+from petrelwood.node.worker_connection import NodeCall, RunContent, WorkerConnection
+from petrelwood.ports import CopyNote, EndReason
+
+SECOND = 1000 * MS
+READ_SIZE = 16_384  # bytes taken from the socket at a time
+READ_BUFFER_FRAMES = 4  # the most that a connection buffers of what it has read, in frames of the largest
+# ns that the kernel may take to accept a frame: it states the time left when it was made, so that a worker
+# which reads it much later believes that its client waits longer than it does
+UNSENT = 100 * MS
+
+
+class NodeLinkCore(LinkCore, LoopOwner, Protocol):
+    """What a link needs of the dispatcher that runs it."""
+
+    def active(self, link: "NodeLink", /) -> object:
+        """Have `link.check` called now and then, until that says otherwise."""
+
+    def behind(self) -> bool:
+        """Return whether the loop was held up, and what came meanwhile may not have been read yet.
+
+        Nothing is written until then; the core calls `link.pump` afterwards.
+        """
 
-READ = 16_384
-# ns that a frame may take to leave: what a worker reads later is told more time than its client has left
-UNSENT = 100_000_000
+    def may_send(self, activation: str, link: "NodeLink", /) -> bool:
+        """Return whether an attempt may leave now; if not, the core calls `link.pump` later.
 
+        It may not while the cancellation or the end of its client may not have been read yet.
+        """
 
-class Line:
-    """One connection: `open` are its calls by the id that they go under, `carried` the last ids that it has
-    carried; `last` is the call that was written last, at `written` (ns)."""
+    def may_open(self) -> bool:
+        """Return whether a descriptor is left for a connection, or an idle connection could be closed."""
 
-    __slots__ = ("stream", "up", "open", "carried", "heard", "timer", "last", "written")
+    def makes_room(self) -> bool:
+        """Return the same, and close an idle connection of any link where that is needed."""
 
-    def __init__(self, stream, now):
-        self.stream, self.up, self.open, self.carried = stream, False, {}, {}
-        self.heard, self.timer = now, None
-        self.last = None
-        self.written = now
+    def opened(self) -> object:
+        """Note that a connection takes a descriptor."""
 
-    def unsent(self, call):
-        """Whether a part of this call's frame is still here."""
-        return self.last is call and self.stream.writing()
+    def closed(self) -> object:
+        """Note that a connection has released its descriptor."""
 
+    def next_tag(self) -> str:
+        """Return an id for a call that is no attempt."""
 
-class NodeLink(Calls):
-    """`terms` as `configuration.WorkerTerms`; `core` hears of each end through `submit`."""
+    def note_loss(self, worker: str, why: str, out: int, /) -> object:
+        """Log that a connection is lost with `out` calls in flight, or was not made."""
+
+    def defect(self, where: str, fault: Exception, /) -> object:
+        """Log a defect of our own, and abort the activations that it touched."""
+
+
+class NodeLink(Calls[RunContent | bytes, WorkerConnection]):
+    """The link of a dispatcher to one worker.
+
+    It reports each end to the core through `submit`. The `activation` of a call is its id on the wire.
+    """
 
     MIN_TIME_LEFT = MS
 
-    def __init__(self, worker, address, terms, core, log):
-        super().__init__(worker, address, core)
-        # answers other than completed, by code, since they were last told
-        self.ends = {}
-        self.terms, self.log, self.lines, self.connecting, self.pumping = terms, log, [], 0, False
+    core: NodeLinkCore
 
-    # What the dispatcher asks.
-    def run(self, owed, n, left):
+    def __init__(
+        self, worker: str, address: Address | None, terms: WorkerTerms, core: NodeLinkCore, log: Logger
+    ) -> None:
+        super().__init__(worker, address, core)
+        self.terms = terms
+        self.log = log
+        self.ends: dict[str, int] = {}  # answers other than completed, by reason, since they were last logged
+        self.lines: list[WorkerConnection] = []  # made or coming up, the last used at the end
+        self.connecting = 0  # how many of them are coming up
+        self.pumping = False  # whether `pump` is running
+
+    # What the dispatcher calls.
+    def run(self, act: PendingActivation, attempt: int, remaining: int) -> None:
+        """Send an attempt of an activation; `remaining`: ns until its deadline."""
         now = self.core.now()
-        content = (owed.type, owed.idempotency_mark, owed.body)
-        tag = (owed.id, n)
-        call = Call(
-            "run",
-            owed.id,
-            n,
-            owed.function,
-            now,
-            content,
-            worker_protocol.run_size(owed.body),
-            tag,
-            now + left,
-        )
+        content = RunContent(act.type, act.idempotency_mark, act.body)
+        size = worker_protocol.run_size(act.body)
+        tag = (act.id, attempt)
+        call: NodeCall = Call(RUN, act.id, attempt, act.function, now, content, size, tag, now + remaining)
         self.runs[tag] = call
-        self._call(call)
+        self._submit(call)
 
-    def order_load(self, fn, lanes, copies):
+    def order_load(self, function: str, lanes: int, copies: int) -> None:
+        """Order the worker to have so many copies of a function; `lanes` has no place on this wire."""
         tag = self.core.next_tag()
-        frame = worker_protocol.encode_load_order(tag, fn, copies)
-        self._call(Call("hold", tag, copies, fn, self.core.now(), frame, len(frame), tag))
+        frame = worker_protocol.encode_load_order(tag, function, copies)
+        self._submit(Call(LOAD_ORDER, tag, copies, function, self.core.now(), frame, len(frame), tag))
 
-    def check_health(self):
+    def check_health(self) -> None:
+        """Send a health check."""
         tag = self.core.next_tag()
         frame = worker_protocol.encode_health_check(tag)
-        self._call(Call("probe", tag, 0, None, self.core.now(), frame, len(frame), tag))
+        self._submit(Call(HEALTH_CHECK, tag, 0, "", self.core.now(), frame, len(frame), tag))
 
-    def _call(self, call):
+    def _submit(self, call: NodeCall) -> None:
         self._enqueue(call)
         self.core.active(self)
         self.pump()
 
-    def withdraw(self, act, n):
-        super().withdraw(act, n)
-        self._drop_unsent(act, n, "its activation ended before all of it had left")
+    def withdraw(self, activation: str, attempt: int) -> None:
+        """As in `Calls`; a connection on which the attempt has left in part is closed."""
+        super().withdraw(activation, attempt)
+        self._drop_unsent(activation, attempt, "its activation ended before all of it had left")
 
-    def _drop_unsent(self, act, n, why):
-        """A worker that reads on would begin what is over: the rest must not follow, whatever else is open on
-        that connection."""
-        call = self.runs.get((act, n))
-        if call is not None and call.connection is not None and call.connection.unsent(call):
+    def late(self, activation: str, attempt: int) -> None:
+        """As in `Calls`; closes a connection that is unresponsive, or on which the attempt has left in part."""
+        self._drop_unsent(activation, attempt, "its time was up before all of it had left")
+        call = self.runs.get((activation, attempt))
+        super().late(activation, attempt)
+        if call is not None:
+            self._close_if_unresponsive(call)
+
+    def _drop_unsent(self, activation: str, attempt: int, why: str) -> None:
+        """Close the connection of an attempt whose frame has not left completely, whatever else is in flight.
+
+        The rest must not follow: a worker that reads again would begin what has ended.
+        """
+        call = self.runs.get((activation, attempt))
+        if call is not None and call.connection is not None and call.connection.has_unsent(call):
             self._lost(call.connection, why)
 
-    # The way out. A call's `act` is the id that it goes under.
-    def pump(self):
-        """Hands over what waits, as far as connections are up for it: sends and orders first."""
-        # a connection that makes room, or is lost, comes back here
+    # Writing.
+    def pump(self) -> None:
+        """Write what is queued, as far as connections are made: attempts and load orders first."""
+        # a connection that is made or lost meanwhile comes back here
         if self.pumping or self.core.behind():
             return
         self.pumping = True
@@ -107,42 +157,42 @@
         finally:
             self.pumping = False
 
-    def _pump_sends(self):
-        deferred = 0  # the deferred ones stand at the end
+    def _pump_sends(self) -> None:
+        """Write attempts and load orders, or open connections for them."""
+        deferred = 0  # calls that were looked at and stay; they are at the end of the queue
         while len(self.waiting) > deferred:
             call = self.waiting[0]
-            if call.kind == "probe":
+            if call.kind == HEALTH_CHECK:
                 self.waiting.rotate(-1)
                 deferred += 1
                 continue
-            line = self._choose(call, self.core.may_open())
-            if line is not None:
-                if self._is_stale(line):
-                    self._lost(line, "closed or idle")  # known before anything of the send has left
-                elif call.kind == "run" and not self.core.may_send(call.activation, self):
-                    self.waiting.rotate(-1)  # the core pumps again
+            connection = self._choose(call, self.core.may_open())
+            if connection is not None:
+                if self._close_if_unusable(connection):
+                    continue
+                if call.kind == RUN and not self.core.may_send(call.activation, self):
+                    self.waiting.rotate(-1)
                     deferred += 1
                 elif self._may_leave(call):
-                    self._put(line, self.waiting.popleft())
+                    self._write(connection, self.waiting.popleft())
             elif self._wants_connection() and self.core.makes_room():
                 self._connect()
-            # no descriptor is left, and nothing that could carry it
-            elif not self.lines:
+            elif not self.lines:  # no descriptor is left, and no connection that could carry it later
                 self._end(call, send_outcome.of_crowding())
             else:
                 break
 
-    def _pump_health_checks(self):
-        """A health check opens a connection only where there is none, up or coming: it shares one that
-        carries calls, or waits for what comes up."""
-        while (call := next((each for each in self.waiting if each.kind == "probe"), None)) is not None:
-            line = self._choose(call, may_open=False)
-            if line is not None:
-                if self._is_stale(line):
-                    self._lost(line, "closed or idle")
-                else:
+    def _pump_health_checks(self) -> None:
+        """Write health checks, which share connections.
+
+        One opens a connection only where none is made or coming up.
+        """
+        while (call := self._next_health_check()) is not None:
+            connection = self._choose(call, may_open=False)
+            if connection is not None:
+                if not self._close_if_unusable(connection):
                     self.waiting.remove(call)
-                    self._put(line, call)
+                    self._write(connection, call)
             elif self.lines:
                 break
             elif self.core.makes_room():
@@ -150,195 +200,197 @@
             else:
                 self._end(call, send_outcome.of_crowding())
 
-    def _choose(self, call, may_open):
-        # a send behind the unsent rest of another would begin whenever its worker reads again
-        ready = [line for line in self.lines if not line.stream.writing()]
+    def _next_health_check(self) -> NodeCall | None:
+        return next((call for call in self.waiting if call.kind == HEALTH_CHECK), None)
+
+    def _choose(self, call: NodeCall, may_open: bool) -> WorkerConnection | None:
+        # a call behind the unsent rest of another would begin whenever its worker reads again
+        ready = [connection for connection in self.lines if not connection.stream.writing()]
         return connection_pool.choose(ready, call.activation, self.terms.streams, may_open)
 
-    def _is_stale(self, line):
-        return line.stream.closed() or self._rested(line, self.core.now())
+    def _close_if_unusable(self, connection: WorkerConnection) -> bool:
+        """Drop a connection that is closed or expired, before a call is written; return whether it was."""
+        is_unusable = connection.stream.closed() or connection.has_expired(self.core.now(), self.terms.idle)
+        if is_unusable:
+            self._lost(connection, "closed or idle")
+        return is_unusable
 
-    def _wants_connection(self):
-        """Whether more sends and orders wait than connections are coming up. Health checks don't count."""
+    def _wants_connection(self) -> bool:
+        """Return whether more attempts and load orders are queued than connections are coming up."""
         if self.connecting >= connection_pool.MOST_CONNECTING:
             return False
         wanted = 0
         for call in self.waiting:
-            wanted += call.kind != "probe"
+            wanted += call.kind != HEALTH_CHECK
             if wanted > self.connecting:
                 return True
         return False
 
-    def _encode(self, call):
-        if call.kind != "run":
-            return call.content
-        type_, mark, body = call.content
-        left = (call.deadline - self.core.now()) // MS
-        return worker_protocol.encode_run(call.activation, type_, call.function, max(1, left), mark, body)
-
-    def _put(self, line, call):
+    def _encode(self, call: NodeCall) -> bytes:
+        content = call.content
+        if isinstance(content, bytes):
+            return content
+        if content is None or call.deadline is None:
+            raise TypeError(f"call {call.activation} has left, or has no deadline")
+        patience = max(1, (call.deadline - self.core.now()) // MS)
+        namespace_type, key, body = content
+        return worker_protocol.encode_run(call.activation, namespace_type, call.function, patience, key, body)
+
+    def _write(self, connection: WorkerConnection, call: NodeCall) -> None:
         frame = self._take_frame(call)
-        call.bytes_before = sockets.bytes_written(line.stream)
-        call.connection, line.open[call.activation] = line, call
-        connection_pool.remember(line, call.activation)
-        line.last = call
-        line.written = self.core.now()
-        self.lines.remove(line)  # the last used stands at the end
-        self.lines.append(line)
+        connection.add(call, self.core.now())
+        self.lines.remove(connection)  # the last used is at the end
+        self.lines.append(connection)
         try:
-            written = line.stream.write(frame)
+            written = connection.stream.write(frame)
         except (StreamClosedError, StreamBufferFullError):
-            self.core.loop.call_soon(self._lost, line, "closed under a call")
+            self.core.loop.call_soon(self._lost, connection, "closed under a call")
             return
-        if line.stream.writing():
+        if connection.stream.writing():
             written.add_done_callback(lambda _: self.pump())
 
-    def _send_cancel(self, call):
-        line = call.connection
-        if call.kind == "run" and self.terms.cancels and line is not None and not line.stream.closed():
-            try:
-                line.stream.write(worker_protocol.encode_cancel(call.activation))
-            except (StreamClosedError, StreamBufferFullError):
-                pass
+    def _send_cancel(self, call: NodeCall) -> None:
+        connection = call.connection
+        if call.kind != RUN or not self.terms.cancels or connection is None or connection.stream.closed():
+            return
+        with contextlib.suppress(StreamClosedError, StreamBufferFullError):
+            connection.stream.write(worker_protocol.encode_cancel(call.activation))
 
     # The connections.
-    def _connect(self):
-        host, port = self.address
+    def _connect(self) -> None:
+        if self.address is None:
+            raise TypeError(f"the address of {self.worker} is not known")
+        buffer_size = resource_limits.FRAME * READ_BUFFER_FRAMES
         try:
             stream = Stream(
-                sockets.fresh(host), max_buffer_size=resource_limits.FRAME * 4, read_chunk_size=READ
+                sockets.fresh(self.address[0]), max_buffer_size=buffer_size, read_chunk_size=READ_SIZE
             )
         except OSError:  # no descriptor after all: nothing was sent
             self._end(self.waiting[0], send_outcome.of_crowding())
             return
-        line = Line(stream, self.core.now())
-        self.lines.append(line)
+        connection = WorkerConnection(stream, self.core.now())
+        self.lines.append(connection)
         self.connecting += 1
         self.core.opened()
-        line.timer = self.core.loop.call_later(
-            self.terms.connect_within / 1e9, self._lost, line, "not made in time"
+        connection.connect_timer = self.core.loop.call_later(
+            self.terms.connect_within / SECOND, self._lost, connection, "not made in time"
         )
-        self.core.loop.create_task(self._serve(line, (host, port)))
+        self.core.loop.create_task(self._serve(connection, self.address))
 
-    async def _serve(self, line, address):
-        why = "closed by the peer"
-        try:
-            await line.stream.connect(address)
-            if line.timer is None:  # given up meanwhile
-                return
-            self._up(line)
-            reader = worker_protocol.AnswerReader(resource_limits.FRAME)
-            while True:
-                data = await line.stream.read_bytes(READ, partial=True)
-                line.heard = self.core.now()
-                for answer in reader.feed(data):
-                    self._answer(line, answer)
-        except StreamClosedError as fault:
-            why = str(fault.real_error or why)
-        except (worker_protocol.MalformedAnswerError, OSError) as fault:
-            why = str(fault)
-        except Exception as fault:
-            why = repr(fault)
-            self.core.defect("link", fault)
-        self._lost(line, why)
-
-    def _up(self, line):
-        line.timer.cancel()
-        line.timer, line.up = None, True
-        self.connecting -= 1
-        line.stream.set_nodelay(True)
+    async def _serve(self, connection: WorkerConnection, address: Address) -> None:
+        reason = await reason_of_end(self._read(connection, address), self.core.defect)
+        self._lost(connection, reason)
+
+    async def _read(self, connection: WorkerConnection, address: Address) -> None:
+        """Connect, and handle what the worker answers until an error ends that."""
+        await connection.stream.connect(address)
+        if connection.connect_timer is None:  # it was given up meanwhile
+            return
+        self._on_connected(connection)
+        reader = worker_protocol.AnswerReader(resource_limits.FRAME)
+        while True:
+            data = await connection.stream.read_bytes(READ_SIZE, partial=True)
+            connection.last_read_at = self.core.now()
+            for answer in reader.feed(data):
+                self._on_answer(connection, answer)
+
+    def _on_connected(self, connection: WorkerConnection) -> None:
+        self._stop_connect_timer(connection)
+        connection.up = True
+        connection.stream.set_nodelay(True)
         self.pump()
 
-    def _lost(self, line, why):
-        if line not in self.lines:
+    def _stop_connect_timer(self, connection: WorkerConnection) -> None:
+        """Note that a connection is no longer coming up."""
+        if connection.connect_timer is not None:
+            connection.connect_timer.cancel()
+            connection.connect_timer = None
+            self.connecting -= 1
+
+    def _lost(self, connection: WorkerConnection, why: str) -> None:
+        """Close a connection, and end what is in flight on it; without effect if that was done before."""
+        if connection not in self.lines:
             return
-        self.lines.remove(line)
-        line.stream.close()
+        self.lines.remove(connection)
+        connection.stream.close()
         self.core.closed()
-        if not line.up:
-            line.timer.cancel()
-            line.timer = None
-            self.connecting -= 1
-            if self.waiting:  # one call for one connection that was not made
-                self._end(self.waiting[0], send_outcome.of_loss(send_outcome.SendStage.QUEUED))
-        if line.open or not line.up:
+        if not connection.up:
+            self._stop_connect_timer(connection)
+            if self.waiting:  # one call ends for one connection that was not made
+                self._end(self.waiting[0], send_outcome.of_loss(QUEUED))
+        if connection.open or not connection.up:
             self.counts.lost += 1
-            self.core.note_loss(self.worker, why, len(line.open))
-        for call in list(line.open.values()):
-            self._end_lost(call, line.stream)
-        line.open.clear()
+            self.core.note_loss(self.worker, why, len(connection.open))
+        for call in list(connection.open.values()):
+            self._end_lost(call, connection.stream)
+        connection.open.clear()
         self.pump()
 
-    def give_up(self, why):
-        for line in list(self.lines):
-            self._lost(line, why)
+    def give_up(self, why: str) -> None:
+        """Close all connections; what is in flight on them ends."""
+        for connection in list(self.lines):
+            self._lost(connection, why)
 
-    def check(self, now):
-        """Asked often while something is owed; whether it still has to be."""
-        for line in [each for each in self.lines if each.stream.writing() and now - each.written > UNSENT]:
-            if not self.core.behind():  # else it may be us who did not write
-                self._lost(line, "it does not read")
+    def check(self, now: int) -> bool:
+        """Look for what is overdue at `now` (ns); return whether this has to be called again."""
+        for connection in [each for each in self.lines if each.has_stalled(now, UNSENT)]:
+            if not self.core.behind():  # else it may be this side that did not write
+                self._lost(connection, "it does not read")
         for call in self._expired_attempts(now):
             self.late(call.activation, call.number)
         for call in self._overdue_calls(now, self.terms.connect_within):
-            if call.kind == "probe" or now - call.made_at > self.terms.order_within:
+            if call.kind == HEALTH_CHECK or now - call.made_at > self.terms.order_within:
                 self._end(call, send_outcome.of_time(call.stage))
-                self._doubt(call)
+                self._close_if_unresponsive(call)
         return self.has_open_calls()
 
-    def late(self, act, n):
-        self._drop_unsent(act, n, "its time was up before all of it had left")
-        call = self.runs.get((act, n))
-        super().late(act, n)
-        if call is not None:
-            self._doubt(call)
-
-    def _doubt(self, call):
-        """Its connection has said nothing since the call went out: nothing more goes there."""
-        line = call.connection
-        if line is not None and line.heard <= call.made_at and not line.open:
-            self._lost(line, "nothing was heard in time")
-
-    def tidy(self, now):
-        """Lets connections go that have rested too long."""
-        for line in [each for each in self.lines if self._rested(each, now)]:
-            self._lost(line, "idle")
-
-    def _rested(self, line, now):
-        """Whether it has been idle for half of what the settings give it, and so is ours to close: against a
-        send into one that its worker closes at that moment, which then may have run."""
-        return line.up and not line.open and 0 < self.terms.idle < 2 * (now - line.heard)
-
-    def rests(self):
-        """The connection that has been idle longest, or None."""
-        return next((line for line in self.lines if line.up and not line.open), None)
-
-    def spare(self):
-        """Lets that one go; whether there was one."""
-        line = self.rests()
-        if line is not None:
-            self._lost(line, "its descriptor is needed")
-        return line is not None
-
-    # The way back.
-    def _answer(self, line, answer):
-        call = line.open.get(answer.tag)
-        if call is None:  # its wait has ended, or nobody ever asked
+    def _close_if_unresponsive(self, call: NodeCall) -> None:
+        """Close the connection of a call that timed out, if it is idle and nothing was read since."""
+        connection = call.connection
+        if connection is not None and connection.last_read_at <= call.made_at and not connection.open:
+            self._lost(connection, "nothing was heard in time")
+
+    def tidy(self, now: int) -> None:
+        """Close the connections that have been idle for too long at `now` (ns)."""
+        for connection in [each for each in self.lines if each.has_expired(now, self.terms.idle)]:
+            self._lost(connection, "idle")
+
+    def rests(self) -> WorkerConnection | None:
+        """Return the connection that has been idle longest, or None."""
+        return next((connection for connection in self.lines if connection.is_idle()), None)
+
+    def spare(self) -> bool:
+        """Close the connection that has been idle longest; return whether there was one."""
+        connection = self.rests()
+        if connection is not None:
+            self._lost(connection, "its descriptor is needed")
+        return connection is not None
+
+    # Reading.
+    def _on_answer(self, connection: WorkerConnection, answer: worker_protocol.Answer) -> None:
+        call: NodeCall | None = connection.open.get(answer.tag)
+        if call is None:  # its wait has ended, or it was never made
             self.counts.unexpected_answers += 1
             return
         self.counts.answered += 1
-        if answer.code != ports.EndReason.COMPLETED:
-            word = str(answer.code.value)  # the log takes only plain strings as names
-            self.ends[word] = self.ends.get(word, 0) + 1
-        note = answer.copies if call.kind == "hold" else answer.note
-        if answer.code == ports.EndReason.COMPLETED:
-            note = note if call.kind == "hold" or note != ports.CopyNote.LOAD_FAILED else 0
+        is_completed = answer.code == EndReason.COMPLETED
+        if not is_completed:
+            reason = str(answer.code.value)  # the log takes only plain strings as names
+            self.ends[reason] = self.ends.get(reason, 0) + 1
+        note: int = answer.note
+        if call.kind == LOAD_ORDER:
+            note = answer.copies
+        elif is_completed and note == CopyNote.LOAD_FAILED:  # what has run was loaded
+            note = CopyNote.NOTHING
         self._end(call, answer.code, note, answer.body, answer.report)
 
-    def _end(self, call, code, note=0, body=b"", gauge=None):
-        line = call.connection
-        if line is not None and line.open.get(call.activation) is call:
-            del line.open[call.activation]
+    def _end(
+        self, call: NodeCall, code: EndReason, note: int = 0, body: bytes = b"", gauge: Gauge | None = None
+    ) -> None:
+        """As in `Calls`; what is queued may follow on the connection."""
+        connection = call.connection
+        if connection is not None:
+            connection.remove(call)
         super()._end(call, code, note, body, gauge)
-        if line is not None and self.waiting:
+        if connection is not None and self.waiting:
             self.pump()
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -46,8 +46,8 @@
 
 
 def leaving_first(client, how):
-    """`NodeLink._up` whose connection comes up as the client of the send that waits for it leaves."""
-    up, left = link.NodeLink._up, []
+    """`NodeLink._on_connected` that comes as the client of the send that waits for the connection leaves."""
+    up, left = link.NodeLink._on_connected, []
 
     def late(self, line):
         if self.runs and not left:
@@ -97,7 +97,7 @@
                 worker = Raw("s-1")
                 async with Inside([worker], **NO_CANCEL) as site:
                     gone = Caller(site.address)
-                    with mock.patch.object(link.NodeLink, "_up", leaving_first(gone, how)):
+                    with mock.patch.object(link.NodeLink, "_on_connected", leaving_first(gone, how)):
                         gone.call(left := ask(fn=1))
                         await site.until(lambda: site.node.pending.counts["left"] == 1)
                     await site.turns()
--- a/tests/test_ration.py
+++ b/tests/test_ration.py
@@ -168,7 +168,7 @@
 
         with (
             mock.patch.object(ration.Worker, "line", lambda *_: None),
-            mock.patch.object(worker.NodeLink, "_doubt", lambda *_: None),
+            mock.patch.object(worker.NodeLink, "_close_if_unresponsive", lambda *_: None),
         ):
             self.play(0.1, script, streams=2)
         self.assertEqual(
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -48,11 +48,14 @@
     """Connections to workers come up when the test says so."""
 
     def __init__(self):
-        self.up = node_worker.NodeLink._up
+        self.up = node_worker.NodeLink._on_connected
         self.waiting = []
 
     def hold(self):
-        return mock.patch.object(node_worker.NodeLink, "_up", lambda *args: self.waiting.append(args))
+        def wait(*args):
+            self.waiting.append(args)
+
+        return mock.patch.object(node_worker.NodeLink, "_on_connected", wait)
 
     def come_up(self):
         for args in self.waiting:
