--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -128,7 +128,7 @@
         self._drop_unsent(activation, attempt, "its activation ended before all of it had left")
 
     def late(self, activation: str, attempt: int) -> None:
-        """As in `Calls`; closes a connection that is unresponsive, or on which the attempt has left in part."""
+        """As in `Calls`; closes a connection that is unresponsive, or where the attempt has left in part."""
         self._drop_unsent(activation, attempt, "its time was up before all of it had left")
         call = self.runs.get((activation, attempt))
         super().late(activation, attempt)
