--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -149,11 +149,11 @@
 
     def may_open(self):
         """Whether a link may open another connection."""
-        return self.lines < self.room.workers or any(link.rests() for link in self.links.values())
+        return self.lines < self.room.workers or any(link.idle_connection() for link in self.links.values())
 
     def makes_room(self):
         """The same, and one that rests elsewhere makes room where it must."""
-        return self.lines < self.room.workers or any(link.spare() for link in self.links.values())
+        return self.lines < self.room.workers or any(link.close_idle() for link in self.links.values())
 
     def next_tag(self):
         self.tag += 1
@@ -213,7 +213,7 @@
         self.front.check(now)
         if not self.looks % TIDY:
             for link in list(self.links.values()):
-                link.tidy(now)
+                link.close_expired(now)
             self.links.release_unused(self.membership.members)
         if not self.looks % STANDING:
             self.log.info("standing", **self.standing())
--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -30,7 +30,7 @@
 READ_BUFFER_FRAMES = 4  # the most that a connection buffers of what it has read, in frames of the largest
 # ns that the kernel may take to accept a frame: it states the time left when it was made, so that a worker
 # which reads it much later believes that its client waits longer than it does
-UNSENT = 100 * MS
+WRITE_TIMEOUT = 100 * MS
 
 
 class NodeLinkCore(LinkCore, LoopOwner, Protocol):
@@ -333,7 +333,7 @@
 
     def check(self, now: int) -> bool:
         """Look for what is overdue at `now` (ns); return whether this has to be called again."""
-        for connection in [each for each in self.lines if each.has_stalled(now, UNSENT)]:
+        for connection in [each for each in self.lines if each.has_stalled(now, WRITE_TIMEOUT)]:
             if not self.core.behind():  # else it may be this side that did not write
                 self._lost(connection, "it does not read")
         for call in self._expired_attempts(now):
@@ -350,18 +350,18 @@
         if connection is not None and connection.last_read_at <= call.made_at and not connection.open:
             self._lost(connection, "nothing was heard in time")
 
-    def tidy(self, now: int) -> None:
+    def close_expired(self, now: int) -> None:
         """Close the connections that have been idle for too long at `now` (ns)."""
         for connection in [each for each in self.lines if each.has_expired(now, self.terms.idle)]:
             self._lost(connection, "idle")
 
-    def rests(self) -> WorkerConnection | None:
+    def idle_connection(self) -> WorkerConnection | None:
         """Return the connection that has been idle longest, or None."""
         return next((connection for connection in self.lines if connection.is_idle()), None)
 
-    def spare(self) -> bool:
+    def close_idle(self) -> bool:
         """Close the connection that has been idle longest; return whether there was one."""
-        connection = self.rests()
+        connection = self.idle_connection()
         if connection is not None:
             self._lost(connection, "its descriptor is needed")
         return connection is not None
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -168,7 +168,8 @@
 
         with (
             mock.patch.object(link.sockets, "fresh", narrow),
-            mock.patch.object(link, "UNSENT", SLOW * 1_000_000_000),  # on a busy machine it waits longer
+            # on a busy machine it waits longer
+            mock.patch.object(link, "WRITE_TIMEOUT", SLOW * 1_000_000_000),
         ):
             async with Inside([worker], **NO_CANCEL) as site:
                 site.node.room.workers = 1
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -158,7 +158,7 @@
         worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         with (
             mock.patch.object(node_worker.sockets, "fresh", narrow()),
-            mock.patch.object(node_worker, "UNSENT", SLOW * 1000 * MS),
+            mock.patch.object(node_worker, "WRITE_TIMEOUT", SLOW * 1000 * MS),
         ):
             async with Inside([worker], **NO_CANCEL) as site:
                 clients, _, second = await self._two(site, worker)
@@ -193,7 +193,7 @@
         worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         with (
             mock.patch.object(node_worker.sockets, "fresh", narrow()),
-            mock.patch.object(node_worker, "UNSENT", SLOW * 1000 * MS),
+            mock.patch.object(node_worker, "WRITE_TIMEOUT", SLOW * 1000 * MS),
         ):
             async with Inside([worker], **NO_CANCEL, familyInfo={"mayOrder": False}) as site:
                 site.node.room.workers = 1
