--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -201,7 +201,10 @@
                 self._end(call, send_outcome.of_crowding())
 
     def _next_health_check(self) -> NodeCall | None:
-        return next((call for call in self.waiting if call.kind == HEALTH_CHECK), None)
+        for call in self.waiting:
+            if call.kind == HEALTH_CHECK:
+                return call
+        return None
 
     def _choose(self, call: NodeCall, may_open: bool) -> WorkerConnection | None:
         # a call behind the unsent rest of another would begin whenever its worker reads again
@@ -389,8 +392,8 @@
     ) -> None:
         """As in `Calls`; what is queued may follow on the connection."""
         connection = call.connection
-        if connection is not None:
-            connection.remove(call)
+        if connection is not None and connection.open.get(call.activation) is call:
+            del connection.open[call.activation]
         super()._end(call, code, note, body, gauge)
         if connection is not None and self.waiting:
             self.pump()
--- a/petrelwood/node/worker_connection.py
+++ b/petrelwood/node/worker_connection.py
@@ -74,7 +74,7 @@
 
         Then it is closed on this side: an attempt that is written as its worker closes it may have run.
         """
-        return self.is_idle() and 0 < idle_timeout < 2 * (now - self.last_read_at)
+        return self.up and not self.open and 0 < idle_timeout < 2 * (now - self.last_read_at)
 
     def add(self, call: NodeCall, now: int) -> None:
         """Note that the frame of a call is written next."""
@@ -84,8 +84,3 @@
         connection_pool.remember(self, call.activation)
         self.last_call = call
         self.last_write_at = now
-
-    def remove(self, call: NodeCall) -> None:
-        """Note that a call has ended."""
-        if self.open.get(call.activation) is call:
-            del self.open[call.activation]
