--- a/petrelwood/dispatch/health.py
+++ b/petrelwood/dispatch/health.py
@@ -5,14 +5,16 @@
 """
 
 import asyncio
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from petrelwood.bgp.heartbeats import EVERY, HeartbeatSender
 from petrelwood.decide.bgp.service_health import HealthReport
+from petrelwood.decide.cluster.membership import Membership
+from petrelwood.decide.overload.intake import Intake
 from petrelwood.decide.overload.sliding_window import SlidingWindowCounter
-
-if TYPE_CHECKING:
-    from petrelwood.dispatch.dispatcher import Dispatcher
+from petrelwood.dispatch.durable_state import DurableState
+from petrelwood.dispatch.handover.hooks import HandoverHooks
+from petrelwood.dispatch.recent_answers import RecentAnswers
 
 SECOND = 1_000_000_000
 HEARTBEAT_INTERVAL = int(EVERY * SECOND)  # ns
@@ -20,10 +22,41 @@
 STALL_BUCKETS = 5  # a stall is reported for two seconds at least
 
 
+class HealthCore(Protocol):
+    """What a report of health needs of the core."""
+
+    @property
+    def loop(self) -> asyncio.AbstractEventLoop:
+        """The loop that the dispatcher runs on."""
+
+    @property
+    def intake(self) -> Intake:
+        """The admission, which is closed during a graceful shutdown."""
+
+    @property
+    def membership(self) -> Membership:
+        """The workers by the endpoint list."""
+
+    @property
+    def recent_answers(self) -> RecentAnswers:
+        """How many of the last answers were good."""
+
+    @property
+    def durable_state(self) -> DurableState | None:
+        """The record of activations, where one is made."""
+
+    @property
+    def handover(self) -> HandoverHooks:
+        """Whether another process owns what is new."""
+
+    def now(self) -> int:
+        """Return the monotonic time in ns."""
+
+
 class HeartbeatReporter:
     """Reports the health of a dispatcher at a fixed interval. `path`: the speaker's datagram socket."""
 
-    def __init__(self, path: str, core: "Dispatcher") -> None:
+    def __init__(self, path: str, core: HealthCore) -> None:
         self.core = core
         self.sender = HeartbeatSender(path)
         self.task: asyncio.Task[None] | None = None
@@ -31,11 +64,11 @@
         self.stalls = SlidingWindowCounter(STALL_BUCKET, STALL_BUCKETS)
 
     def open(self) -> None:
-        """Begins to send heartbeats."""
+        """Begin to send heartbeats."""
         self.task = self.core.loop.create_task(self._send_heartbeats())
 
     def report(self) -> HealthReport:
-        """The health of the dispatcher at this moment."""
+        """Return the health of the dispatcher at this moment."""
         core = self.core
         now = core.now()
         self._note_stall(now)
@@ -51,7 +84,7 @@
         )
 
     def _note_stall(self, now: int) -> None:
-        """Adds the time by which this report is late.
+        """Add the time by which this report is late.
 
         The sum over the window is at least the longest stall in it.
         """
@@ -66,12 +99,12 @@
             await asyncio.sleep(EVERY)
 
     def send_now(self) -> None:
-        """Sends a heartbeat out of turn, as at the beginning of a graceful shutdown."""
+        """Send a heartbeat out of turn, as at the beginning of a graceful shutdown."""
         if not self.core.handover.retired:
             self.sender.send(self.report())
 
     def close(self) -> None:
-        """Ends the heartbeats."""
+        """End the heartbeats."""
         if self.task is not None:
             self.task.cancel()
         self.sender.close()
