--- a/petrelwood/decide/cluster/connection_pool.py
+++ b/petrelwood/decide/cluster/connection_pool.py
@@ -1,8 +1,9 @@
-"""Which of a worker's connections carries a call, and when another one is opened.
+"""The choice of a worker's connection for a call, and whether another connection is needed.
 
-One call to a connection as long as there is room for connections: where an answer comes damaged its
-connection is of no further use, and whatever else is in flight on it may have run. Only where the budget of
-descriptors is used up do calls share, the least loaded connection first.
+One call to a connection as long as more connections may be opened: if an answer arrives damaged, its
+connection is of no further use, and every other call in flight on it may have run. Calls share connections
+only where the budget of file descriptors is used up, the least loaded connection first. A
+health check shares wherever its worker has a connection: its caller says that no other may be opened for it.
 """
 
 from collections.abc import Sequence
@@ -13,7 +14,7 @@
 
 
 class Connection(Protocol):
-    """The properties of a connection by which it is chosen."""
+    """The state of a connection on which the choice depends."""
 
     up: bool
     open: dict[str, object]  # the calls in flight, by id
@@ -33,10 +34,13 @@
 def choose(
     connections: Sequence[AnyConnection], call_id: str, most_in_flight: int, may_open: bool
 ) -> AnyConnection | None:
-    """The connection for a call, or None where the call has to wait for one that is free or comes up.
+    """Return the connection for a call, or None if the call has to wait for one.
 
-    `connections`: those of its worker, the last used at the end; `most_in_flight`: calls that may share one;
-    `may_open`: whether another one may be opened.
+    Args:
+        connections: those of the worker, the last used at the end.
+        call_id: the call's id; a connection that carried a call of the same id recently is not chosen.
+        most_in_flight: calls that may share one connection.
+        may_open: whether another connection may be opened.
     """
     for connection in reversed(connections):
         if not connection.open and connection.up and call_id not in connection.carried:
--- a/petrelwood/store/history.py
+++ b/petrelwood/store/history.py
@@ -1,12 +1,13 @@
-"""The history of use: what was called, when, cold or warm, how long it waited. Columns, by day, compressed.
+"""The history of executions: which function ran when, cold or warm, and how long it waited.
 
-Rows are noted in memory and written to a tail in groups; when a tail has enough rows, files of columns are
-made of it, and only then a new tail begins. So a kill at any byte loses no more than what was noted since the
-last flush. What stands in a folder is known to `store.history_files`.
+Rows are buffered in memory and written in groups to a tail, an append-only log. When the tail has enough rows
+they are written to Parquet files, one a day, and a new tail is begun. So a kill at any byte loses no more
+than the rows since the last flush. `store.history_files` has the layout of the folder.
 
 A full or failing disk stops the history, never the dispatching: `stopped` tells why. The failed tail is given
-up, as nobody can tell what of it is on the disk; its rows stand in memory, and what is noted meanwhile beside
-them, up to as many again. With backoff they become files of that tail's number and a new tail begins.
+up, as nobody can tell how much of it is on the disk; its rows stay in memory, and new rows beside them, up to
+as many again. After a backoff they are written to Parquet files under that tail's number, and a new tail is
+begun.
 """
 
 import os
@@ -34,25 +35,26 @@
 
 
 class History:
-    """The history in one folder, of which it keeps `most` bytes and `keep` days.
+    """The history in one folder, bounded to `most_bytes` bytes and `most_days` days.
 
-    `stopped`: why nothing is written now, or None; `noted`: how many rows were; `lost`: how many were
-    dropped, as the disk had failed for too long. `now` is the monotonic clock.
+    `stopped`: why nothing is written now, or None; `noted`: how many rows were recorded; `lost`: how many
+    rows were dropped because the disk had failed for too long; `group`: rows in a write; `roll`: rows in a
+    tail; `now`: the monotonic clock, ns.
     """
 
     def __init__(
         self,
         folder: str | os.PathLike[str],
-        most: int = MOST_BYTES,
-        keep: int = MOST_DAYS,
+        most_bytes: int = MOST_BYTES,
+        most_days: int = MOST_DAYS,
         files: Files | None = None,
         group: int = ROWS_OF_A_GROUP,
         roll: int = ROWS_OF_A_TAIL,
         now: Callable[[], int] = monotonic_ns,
     ) -> None:
         self.folder = pathlib.Path(folder)
-        self.most = most
-        self.keep = keep
+        self.most_bytes = most_bytes
+        self.most_days = most_days
         self.files = files or Files()
         self.group = group
         self.roll = roll
@@ -78,33 +80,46 @@
 
     # Opening.
     def _open(self) -> None:
-        """Finds the tail; a seal that a kill has cut short is finished."""
+        """Open the tail, after finishing the conversion of older tails that a kill has interrupted."""
         self.folder.mkdir(parents=True, exist_ok=True)
         for part in self.folder.glob("**/*.part"):
             part.unlink()
-        done = history_files.sealed(self.folder)
-        there = history_files.tails(self.folder)
-        self.number = max([one.number for one in done] + [number for number, _ in there], default=1)
-        sealed_numbers = {one.number for one in done}
-        for number, path in there:
+        sealed = history_files.sealed(self.folder)
+        tails = history_files.tails(self.folder)
+        self.number = max([each.number for each in sealed] + [number for number, _ in tails], default=1)
+        sealed_numbers = {each.number for each in sealed}
+        for number, path in tails:
             if number != self.number or number in sealed_numbers:
-                self._finish_seal(number, path, done)
+                self._finish_seal(number, path, sealed)
                 self.number = max(self.number, number + 1)
         log = AppendLog(tail_path(self.folder, self.number), self.files)
         self._numbers, found = history_files.decode(log.payloads)
         self.rows = found + self.rows
         self.log = log
 
-    def _finish_seal(self, number: int, path: pathlib.Path, done: set[Sealed]) -> None:
+    def _finish_seal(self, number: int, path: pathlib.Path, sealed: set[Sealed]) -> None:
         _, rows = history_files.decode(append_log.scan(path.read_bytes()).payloads)
-        self._write_days([row for row in rows if Sealed(number, day_of(row.at)) not in done], number)
+        self._write_days([row for row in rows if Sealed(number, day_of(row.at)) not in sealed], number)
         self.files.remove(str(path))
 
     # Noting.
     def note(
-        self, at: int, function: str, customer: str, hall: str, how: int, waited: int, took: int, load: int
+        self,
+        at: int,
+        function: str,
+        customer: str,
+        zone: str,
+        how: int,
+        waited: int,
+        duration: int,
+        load: int,
     ) -> None:
-        """Record one execution; times in ns. Most calls append to a list and write nothing."""
+        """Record one execution; most calls only append to a list.
+
+        `at`: when it ended, wall-clock ns; `zone`: the dispatcher's zone, in the stored column `hall`; `how`:
+        the two low bits of the attempt's `ports.CopyNote`; `waited`: ns from arrival to the send; `duration`:
+        ns from the send to the end; `load`: ns of `duration` that count as loading, 0 if the copy was warm.
+        """
         if self.stopped is not None and len(self.rows) >= 2 * self.roll:
             self.lost += 1
             return
@@ -112,10 +127,10 @@
             at,
             function,
             customer,
-            hall,
+            zone,
             how,
             min(waited // MICROSECOND, LONGEST_US),
-            min(took // MICROSECOND, LONGEST_US),
+            min(duration // MICROSECOND, LONGEST_US),
             min(load // MICROSECOND, LONGEST_US),
         )
         self.rows.append(row)
@@ -125,9 +140,10 @@
             self.flush()
 
     def flush(self, sync: bool = False) -> None:
-        """Writes what was noted, and makes files of columns when the tail has enough rows.
+        """Write the buffered rows to the tail; convert the tail to Parquet files when it has enough rows.
 
-        After a fault the history is begun again when that is due. With `sync` it is durable then.
+        After a fault the history is begun anew when the backoff is over. With `sync` the rows are durable on
+        return.
         """
         if self.stopped is not None:
             self._recover()
@@ -154,7 +170,7 @@
         self._unflushed = 0
 
     def _number_of(self, name: str) -> int:
-        """The number of a name in the tail, which is told there before it is used."""
+        """Return the number that stands for a name in the tail; a new name is written to the tail first."""
         number = self._numbers.get(name)
         if number is None:
             number = self._numbers[name] = len(self._numbers)
@@ -164,7 +180,7 @@
 
     # From tails to files of columns.
     def seal(self) -> None:
-        """The rows become files of columns, one a day; a new tail begins."""
+        """Convert the tail's rows to Parquet files, one a day, and begin a new tail."""
         if self.log is not None:
             self.log.sync()
             self._seal_rows(self.log)
@@ -193,18 +209,18 @@
             history_files.write_day(self.folder, some, number, self.files)
 
     def _remove_old(self) -> None:
-        """What can't be removed now only takes room; it is attempted again."""
+        """Remove tails that are no longer needed and days over the bounds; what fails is tried again."""
         try:
             while self._unremoved:
                 if self._unremoved[-1].exists():
                     self.files.remove(str(self._unremoved[-1]))
                 self._unremoved.pop()
-            history_files.retain(self.folder, self.keep, self.most)
+            history_files.retain(self.folder, self.most_days, self.most_bytes)
         except OSError:
             return
 
     def _recover(self) -> None:
-        """After a fault, once that is due: the rows become files of columns, and a new tail begins."""
+        """Once the backoff after a fault is over, convert the rows in memory and begin a new tail."""
         if not self.backoff.may_retry(self.now()):
             return
         try:
@@ -220,11 +236,11 @@
         self.backoff.succeeded()
 
     def compact(self) -> tuple[int, int]:
-        """Makes one file of each day's; how many files there were, and are."""
+        """Merge each day's Parquet files into one; return how many there were, and how many are left."""
         return history_files.compact(self.folder, self.files)
 
     def close(self) -> None:
-        """Writes what was noted, makes it durable, and closes the tail."""
+        """Write the buffered rows, make them durable, and close the tail."""
         self.flush(sync=True)
         if self.log is None:
             return
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -209,7 +209,7 @@
         b.ask("m3", "once", 10)
         for id_ in ("m2", "m3"):
             act = b.pending.by_key["x", id_]
-            ends = b.pending.client_left(act.id, act.waiters[0].exchange)
+            ends = b.pending.client_departed(act.id, act.waiters[0].exchange)
             b.say(f"the client of {id_} goes: {'end' if ends else None}")
         b.now = 5 * S
         for act, late, whole in b.pending.overdue(b.now):
@@ -338,10 +338,10 @@
         say("a list without b", m.apply_list("f-1", [entry("c", booted=WALL + 2 * S)], 15 * S, WALL))
         m.forget_position()
         say(f"after a gap f-2 is {m.order_of('f-2')}")
-        m.on_heard(15 * S)
+        m.on_contact(15 * S)
         lines.append(
             f"lost after 4 s {m.is_newly_lost(19 * S)}, 5 s {m.is_newly_lost(20 * S)}, "
-            f"said again {m.is_newly_lost(21 * S)}, heard again {m.on_heard(22 * S)}"
+            f"said again {m.is_newly_lost(21 * S)}, heard again {m.on_contact(22 * S)}"
         )
         compare(self, "membership", lines)
 
