--- a/petrelwood/decide/cluster/connection_pool.py
+++ b/petrelwood/decide/cluster/connection_pool.py
@@ -2,8 +2,7 @@
 
 One call to a connection as long as more connections may be opened: if an answer arrives damaged, its
 connection is of no further use, and every other call in flight on it may have run. Calls share connections
-only where the budget of file descriptors is used up, the least loaded connection first. A
-health check shares wherever its worker has a connection: its caller says that no other may be opened for it.
+only where the budget of file descriptors is used up, the least loaded connection first.
 """
 
 from collections.abc import Sequence
--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -96,79 +96,41 @@
 
     # The way out. A call's `act` is the id that it goes under.
     def pump(self):
-        """Hands over what waits, as far as connections are up for it: sends and orders first."""
+        """Hands over what waits, as far as connections are up for it."""
         # a connection that makes room, or is lost, comes back here
         if self.pumping or self.core.behind():
             return
-        self.pumping = True
+        self.pumping, deferred = True, 0  # the deferred ones stand at the end
         try:
-            self._pump_sends()
-            self._pump_health_checks()
+            while len(self.waiting) > deferred:
+                # a send behind the unsent rest of another would begin whenever its worker reads again
+                ready = [line for line in self.lines if not line.stream.writing()]
+                line = connection_pool.choose(
+                    ready, self.waiting[0].activation, self.terms.streams, self.core.may_open()
+                )
+                if line is not None:
+                    if line.stream.closed() or self._rested(line, self.core.now()):
+                        self._lost(line, "closed or idle")  # known before anything of the send has left
+                    elif self.waiting[0].kind == "run" and not self.core.may_send(
+                        self.waiting[0].activation, self
+                    ):
+                        self.waiting.rotate(-1)  # the core pumps again
+                        deferred += 1
+                    elif self._may_leave(self.waiting[0]):
+                        self._put(line, self.waiting.popleft())
+                elif (
+                    self.connecting < min(len(self.waiting), connection_pool.MOST_CONNECTING)
+                    and self.core.makes_room()
+                ):
+                    self._connect()
+                # no descriptor is left, and nothing that could carry it
+                elif not self.lines:
+                    self._end(self.waiting[0], send_outcome.of_crowding())
+                else:
+                    break
         finally:
             self.pumping = False
 
-    def _pump_sends(self):
-        deferred = 0  # the deferred ones stand at the end
-        while len(self.waiting) > deferred:
-            call = self.waiting[0]
-            if call.kind == "probe":
-                self.waiting.rotate(-1)
-                deferred += 1
-                continue
-            line = self._choose(call, self.core.may_open())
-            if line is not None:
-                if self._is_stale(line):
-                    self._lost(line, "closed or idle")  # known before anything of the send has left
-                elif call.kind == "run" and not self.core.may_send(call.activation, self):
-                    self.waiting.rotate(-1)  # the core pumps again
-                    deferred += 1
-                elif self._may_leave(call):
-                    self._put(line, self.waiting.popleft())
-            elif self._wants_connection() and self.core.makes_room():
-                self._connect()
-            # no descriptor is left, and nothing that could carry it
-            elif not self.lines:
-                self._end(call, send_outcome.of_crowding())
-            else:
-                break
-
-    def _pump_health_checks(self):
-        """A health check opens a connection only where there is none, up or coming: it shares one that
-        carries calls, or waits for what comes up."""
-        while (call := next((each for each in self.waiting if each.kind == "probe"), None)) is not None:
-            line = self._choose(call, may_open=False)
-            if line is not None:
-                if self._is_stale(line):
-                    self._lost(line, "closed or idle")
-                else:
-                    self.waiting.remove(call)
-                    self._put(line, call)
-            elif self.lines:
-                break
-            elif self.core.makes_room():
-                self._connect()
-            else:
-                self._end(call, send_outcome.of_crowding())
-
-    def _choose(self, call, may_open):
-        # a send behind the unsent rest of another would begin whenever its worker reads again
-        ready = [line for line in self.lines if not line.stream.writing()]
-        return connection_pool.choose(ready, call.activation, self.terms.streams, may_open)
-
-    def _is_stale(self, line):
-        return line.stream.closed() or self._rested(line, self.core.now())
-
-    def _wants_connection(self):
-        """Whether more sends and orders wait than connections are coming up. Health checks don't count."""
-        if self.connecting >= connection_pool.MOST_CONNECTING:
-            return False
-        wanted = 0
-        for call in self.waiting:
-            wanted += call.kind != "probe"
-            if wanted > self.connecting:
-                return True
-        return False
-
     def _encode(self, call):
         if call.kind != "run":
             return call.content
