--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -146,31 +146,30 @@
 
     # Writing.
     def pump(self) -> None:
-        """Write what is queued, as far as connections are made: attempts and load orders first."""
+        """Write what is queued, as far as connections are made."""
         # a connection that is made or lost meanwhile comes back here
         if self.pumping or self.core.behind():
             return
         self.pumping = True
         try:
-            self._pump_sends()
-            self._pump_health_checks()
+            self._write_queued()
         finally:
             self.pumping = False
 
-    def _pump_sends(self) -> None:
-        """Write attempts and load orders, or open connections for them."""
-        deferred = 0  # calls that were looked at and stay; they are at the end of the queue
+    def _write_queued(self) -> None:
+        """Write what is queued, or open connections for it."""
+        deferred = 0  # attempts that may not leave yet; they are at the end of the queue
         while len(self.waiting) > deferred:
             call = self.waiting[0]
-            if call.kind == HEALTH_CHECK:
-                self.waiting.rotate(-1)
-                deferred += 1
-                continue
-            connection = self._choose(call, self.core.may_open())
+            # a call behind the unsent rest of another would begin whenever its worker reads again
+            ready = [connection for connection in self.lines if not connection.stream.writing()]
+            connection = connection_pool.choose(
+                ready, call.activation, self.terms.streams, self.core.may_open()
+            )
             if connection is not None:
-                if self._close_if_unusable(connection):
-                    continue
-                if call.kind == RUN and not self.core.may_send(call.activation, self):
+                if connection.stream.closed() or connection.has_expired(self.core.now(), self.terms.idle):
+                    self._lost(connection, "closed or idle")  # before anything of the call has left
+                elif call.kind == RUN and not self.core.may_send(call.activation, self):
                     self.waiting.rotate(-1)
                     deferred += 1
                 elif self._may_leave(call):
@@ -182,52 +181,9 @@
             else:
                 break
 
-    def _pump_health_checks(self) -> None:
-        """Write health checks, which share connections.
-
-        One opens a connection only where none is made or coming up.
-        """
-        while (call := self._next_health_check()) is not None:
-            connection = self._choose(call, may_open=False)
-            if connection is not None:
-                if not self._close_if_unusable(connection):
-                    self.waiting.remove(call)
-                    self._write(connection, call)
-            elif self.lines:
-                break
-            elif self.core.makes_room():
-                self._connect()
-            else:
-                self._end(call, send_outcome.of_crowding())
-
-    def _next_health_check(self) -> NodeCall | None:
-        for call in self.waiting:
-            if call.kind == HEALTH_CHECK:
-                return call
-        return None
-
-    def _choose(self, call: NodeCall, may_open: bool) -> WorkerConnection | None:
-        # a call behind the unsent rest of another would begin whenever its worker reads again
-        ready = [connection for connection in self.lines if not connection.stream.writing()]
-        return connection_pool.choose(ready, call.activation, self.terms.streams, may_open)
-
-    def _close_if_unusable(self, connection: WorkerConnection) -> bool:
-        """Drop a connection that is closed or expired, before a call is written; return whether it was."""
-        is_unusable = connection.stream.closed() or connection.has_expired(self.core.now(), self.terms.idle)
-        if is_unusable:
-            self._lost(connection, "closed or idle")
-        return is_unusable
-
     def _wants_connection(self) -> bool:
-        """Return whether more attempts and load orders are queued than connections are coming up."""
-        if self.connecting >= connection_pool.MOST_CONNECTING:
-            return False
-        wanted = 0
-        for call in self.waiting:
-            wanted += call.kind != HEALTH_CHECK
-            if wanted > self.connecting:
-                return True
-        return False
+        """Return whether more calls are queued than connections are coming up, and another one may."""
+        return self.connecting < min(len(self.waiting), connection_pool.MOST_CONNECTING)
 
     def _encode(self, call: NodeCall) -> bytes:
         content = call.content
