--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -146,41 +146,37 @@
 
     # Writing.
     def pump(self) -> None:
-        """Write what is queued, as far as connections are made."""
+        """Write what is queued, as far as connections are made, or open connections for it."""
         # a connection that is made or lost meanwhile comes back here
         if self.pumping or self.core.behind():
             return
         self.pumping = True
+        deferred = 0  # attempts that may not leave yet; they are at the end of the queue
         try:
-            self._write_queued()
+            while len(self.waiting) > deferred:
+                call = self.waiting[0]
+                # a call behind the unsent rest of another would begin whenever its worker reads again
+                ready = [connection for connection in self.lines if not connection.stream.writing()]
+                connection = connection_pool.choose(
+                    ready, call.activation, self.terms.streams, self.core.may_open()
+                )
+                if connection is not None:
+                    if connection.stream.closed() or connection.has_expired(self.core.now(), self.terms.idle):
+                        self._lost(connection, "closed or idle")  # before anything of the call has left
+                    elif call.kind == RUN and not self.core.may_send(call.activation, self):
+                        self.waiting.rotate(-1)
+                        deferred += 1
+                    elif self._may_leave(call):
+                        self._write(connection, self.waiting.popleft())
+                elif self._wants_connection() and self.core.makes_room():
+                    self._connect()
+                elif not self.lines:  # no descriptor is left, and no connection that could carry it later
+                    self._end(call, send_outcome.of_crowding())
+                else:
+                    break
         finally:
             self.pumping = False
 
-    def _write_queued(self) -> None:
-        """Write what is queued, or open connections for it."""
-        deferred = 0  # attempts that may not leave yet; they are at the end of the queue
-        while len(self.waiting) > deferred:
-            call = self.waiting[0]
-            # a call behind the unsent rest of another would begin whenever its worker reads again
-            ready = [connection for connection in self.lines if not connection.stream.writing()]
-            connection = connection_pool.choose(
-                ready, call.activation, self.terms.streams, self.core.may_open()
-            )
-            if connection is not None:
-                if connection.stream.closed() or connection.has_expired(self.core.now(), self.terms.idle):
-                    self._lost(connection, "closed or idle")  # before anything of the call has left
-                elif call.kind == RUN and not self.core.may_send(call.activation, self):
-                    self.waiting.rotate(-1)
-                    deferred += 1
-                elif self._may_leave(call):
-                    self._write(connection, self.waiting.popleft())
-            elif self._wants_connection() and self.core.makes_room():
-                self._connect()
-            elif not self.lines:  # no descriptor is left, and no connection that could carry it later
-                self._end(call, send_outcome.of_crowding())
-            else:
-                break
-
     def _wants_connection(self) -> bool:
         """Return whether more calls are queued than connections are coming up, and another one may."""
         return self.connecting < min(len(self.waiting), connection_pool.MOST_CONNECTING)
@@ -197,7 +193,12 @@
 
     def _write(self, connection: WorkerConnection, call: NodeCall) -> None:
         frame = self._take_frame(call)
-        connection.add(call, self.core.now())
+        call.bytes_before = sockets.bytes_written(connection.stream)
+        call.connection = connection
+        connection.open[call.activation] = call
+        connection_pool.remember(connection, call.activation)
+        connection.last_call = call
+        connection.last_write_at = self.core.now()
         self.lines.remove(connection)  # the last used is at the end
         self.lines.append(connection)
         try:
--- a/petrelwood/node/worker_connection.py
+++ b/petrelwood/node/worker_connection.py
@@ -3,8 +3,6 @@
 import asyncio
 from typing import Any, NamedTuple
 
-from petrelwood.decide.cluster import connection_pool
-from petrelwood.links import sockets
 from petrelwood.links.calls import Call
 from petrelwood.node.stream import Stream
 
@@ -75,12 +73,3 @@
         Then it is closed on this side: an attempt that is written as its worker closes it may have run.
         """
         return self.up and not self.open and 0 < idle_timeout < 2 * (now - self.last_read_at)
-
-    def add(self, call: NodeCall, now: int) -> None:
-        """Note that the frame of a call is written next."""
-        call.bytes_before = sockets.bytes_written(self.stream)
-        call.connection = self
-        self.open[call.activation] = call
-        connection_pool.remember(self, call.activation)
-        self.last_call = call
-        self.last_write_at = now
