--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -52,7 +52,7 @@
 from petrelwood.links.errors import MalformedEventError
 from petrelwood.links.roster import READ_SIZE, RosterLink
 from petrelwood.links.worker import WorkerLink
-from petrelwood.node import roster as dns_roster
+from petrelwood.node import roster, roster_protocol
 from petrelwood.settings import comparison
 from petrelwood.settings import gateway as settings
 from petrelwood.store import versions
@@ -110,10 +110,10 @@
 # The list of workers by DNS (`run`).
 def dns_answer(workers):
     """An answer of the directory in the form of its protocol, with names compressed."""
-    query = dns.message.make_query(dns_roster.NAME, "SRV")
+    query = dns.message.make_query(roster_protocol.SERVICE_NAME, "SRV")
     reply = dns.message.make_response(query)
     reply.flags |= dns.flags.AA
-    name = dns_roster.NAME.to_text()
+    name = roster_protocol.SERVICE_NAME.to_text()
     for n in range(workers):
         host = f"s-{n * 2654435761 % 2**32:08x}.east.hosts."
         reply.answer.append(dns.rrset.from_text(name, 5, "IN", "SRV", f"0 40 {5000 + n % 50} {host}"))
@@ -124,7 +124,7 @@
     reply.authority.append(
         dns.rrset.from_text("svc.local.", 5, "IN", "SOA", "ns.local. ops.local. 1 1 1 1 1")
     )
-    return reply.to_wire(max_size=dns_roster.MOST)
+    return reply.to_wire(max_size=roster.DATAGRAM_SIZE)
 
 
 def most_by_dns():
@@ -153,16 +153,16 @@
     size_points = [(size, len(answers[size])) for size in sizes]
     read, taken = [], []
     for _ in range(runs):
-        read.append([(size, 1e3 * cost(dns_roster.answer, answers[size])) for size in sizes])
+        read.append([(size, 1e3 * cost(roster_protocol.decode_answer, answers[size])) for size in sizes])
         points = []
         for size in sizes:
-            entries = dns_roster.answer(answers[size])[1]
+            entries = roster_protocol.decode_answer(answers[size])[1]
             known = membership.Membership(PERIOD, SECOND, random.Random(1).random)
             points.append((size, 1e3 * cost(known.whole, "dns-1", entries, SECOND, WALL)))
         taken.append(points)
     same, other = answers[400], bytes(answers[400])
     return [
-        f"| DNS: the largest list that fits {dns_roster.MOST:,} bytes | {most_by_dns()} workers |",
+        f"| DNS: the largest list that fits {roster.DATAGRAM_SIZE:,} bytes | {most_by_dns()} workers |",
         f"| DNS: an answer that has not changed, 400 workers | {1e6 * cost(unchanged, same, other):.1f} us |",
         Figure("DNS: bytes of an answer", "workers", "bytes", [size_points] * runs),
         Figure("DNS: reading an answer that has changed", "workers", "ms", read),
--- a/benchmarks/scale/parts.py
+++ b/benchmarks/scale/parts.py
@@ -26,7 +26,7 @@
 from petrelwood.emulate.platform import Silent
 from petrelwood.links import sse
 from petrelwood.links.worker import WorkerLink
-from petrelwood.node import roster as dns_roster
+from petrelwood.node import roster, roster_protocol
 
 SECOND = 1_000_000_000
 REPEATS = 5  # of one measurement within a run; its median counts
@@ -363,7 +363,7 @@
 def dns_list(told):
     """The whole list as a DNS answer: an SRV, an A and a TXT record for each worker; 64 KB are a datagram's
     most."""
-    name = dns_roster.NAME
+    name = roster_protocol.SERVICE_NAME
     message = dns.message.make_response(dns.message.make_query(name, dns.rdatatype.SRV))
     targets = [f"{entry.worker}.{entry.zone}.{name}" for entry in told]
     if told:
@@ -378,7 +378,7 @@
         message.additional.append(dns.rrset.from_text(target, 1, "IN", "A", entry.address[0]))
         started = f'"started={entry.booted // 1_000_000}" "cell={entry.cell}"'
         message.additional.append(dns.rrset.from_text(target, 1, "IN", "TXT", started))
-    return message.to_wire(max_size=dns_roster.MOST)
+    return message.to_wire(max_size=roster.DATAGRAM_SIZE)
 
 
 def list_seconds(read, data):
@@ -533,7 +533,7 @@
     yield of_workers(
         "whole list by DNS, read, processor time",
         "ms",
-        lambda w: list_seconds(dns_roster.answer, dns_list(entries(w))),
+        lambda w: list_seconds(roster_protocol.decode_answer, dns_list(entries(w))),
         sent,
         1e3,
         wire,
--- a/petrelwood/node/roster.py
+++ b/petrelwood/node/roster.py
@@ -1,236 +1,213 @@
-"""The roster by DNS over UDP: the SRV records of one name are the whole list, the SOA's serial its number.
+"""The roster of workers, polled by DNS over UDP.
 
-What is believed of the list is decided in `decide.cluster.membership`, when to ask in
-`decide.cluster.polling`. An answer counts if its sender, its id and its question are those that were asked,
-and it is whole and good; an older list changes nothing."""
+`node.roster_protocol` has the messages. What is believed of the endpoint list is decided in
+`decide.cluster.membership`, when to poll in `decide.cluster.polling`. An answer counts if it comes from the
+roster, has the id of an open query and is complete; a list that is older than the last one changes nothing.
+"""
 
+import asyncio
 import errno
 import socket
+from typing import Protocol
 
-import dns.exception
-import dns.flags
-import dns.message
-import dns.name
-import dns.opcode
-import dns.rcode
-import dns.rdata
-import dns.rdataclass
-import dns.rdatatype
-
-from petrelwood.decide.cluster.membership import Endpoint, EndpointState
+from petrelwood.decide.cluster.membership import Membership
+from petrelwood.decide.cluster.polling import RosterPolling
+from petrelwood.dispatch.interfaces import Clock
 from petrelwood.links import sockets
-from petrelwood.node.units import MS
-
-NAME = dns.name.from_text("_api._tcp.svc.local")
-MOST = 65_535  # bytes of a datagram
-STATES = {0: EndpointState.USABLE, 1: EndpointState.DRAINING}
-READS = 8  # datagrams in one turn of the loop
-# send(2) and recv(2): the socket is as good as before, and nothing was sent or received
-MOMENTARY = frozenset(
+from petrelwood.links.interfaces import Address, Logger
+from petrelwood.node import roster_protocol
+from petrelwood.node.roster_protocol import EndpointList, UnusableAnswerError
+from petrelwood.ports import Listed
+
+DATAGRAM_SIZE = 65_535  # bytes of a datagram at most
+MOST_READS = 8  # datagrams in one turn of the loop
+# As many failed reads in a row are borne: a query that is refused makes one of them.
+MOST_RECEIVE_FAILURES = 8
+UNUSABLE_ANSWERS_LOGGED = 7
+# send(2): the socket is as good as before, and nothing was sent
+TRANSIENT_ERRORS = frozenset(
     (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS, errno.ENOMEM, errno.ECONNREFUSED)
 )
 
-# The library imports a record type's module when the first record of it comes, when no descriptor may be left
-# to open the module's file.
-for _type in (dns.rdatatype.SRV, dns.rdatatype.SOA, dns.rdatatype.A, dns.rdatatype.TXT):
-    dns.rdata.get_rdata_class(dns.rdataclass.IN, _type)
-
-
-class Unusable(Exception):
-    """An answer that says nothing."""
-
-
-def question():
-    """The query's bytes after its id."""
-    query = dns.message.make_query(NAME, dns.rdatatype.SRV)
-    query.flags = 0
-    return query.to_wire()[2:]
-
-
-def answer(data):
-    """(serial, entries) of an answer's bytes. Raises `Unusable`."""
-    try:
-        message = dns.message.from_wire(data)
-    except (dns.exception.DNSException, ValueError, IndexError) as fault:
-        raise Unusable(f"can't be read: {fault!r}") from None
-    if (
-        not message.flags & dns.flags.QR
-        or message.opcode() != dns.opcode.QUERY
-        or message.flags & dns.flags.TC
-    ):
-        raise Unusable("not a whole answer")
-    if message.rcode() != dns.rcode.NOERROR:
-        raise Unusable(f"it says {dns.rcode.to_text(message.rcode())}")
-    asked = message.question
-    if len(asked) != 1 or asked[0].name != NAME or asked[0].rdtype != dns.rdatatype.SRV:
-        raise Unusable("it answers another question")
-    if any(r.rdclass != dns.rdataclass.IN for r in message.answer + message.authority + message.additional):
-        raise Unusable("it has records of another class")
-    serials = [r[0].serial for r in message.authority if r.rdtype == dns.rdatatype.SOA and len(r)]
-    if len(serials) != 1:
-        raise Unusable("it has no serial")
-    hosts, texts, entries = {}, {}, []
-    for record in message.additional + message.answer:
-        if record.rdtype == dns.rdatatype.A:
-            hosts[record.name] = record[0].address
-        elif record.rdtype == dns.rdatatype.TXT:
-            texts[record.name] = dict(
-                s.decode("utf-8", "replace").partition("=")[::2] for s in record[0].strings
-            )
-    for record in message.answer:
-        if record.rdtype == dns.rdatatype.SRV and record.name == NAME:
-            for one in record:
-                entries.append(_entry(one, hosts, texts))
-    return serials[0], entries
-
-
-def _entry(one, hosts, texts):
-    labels, text = one.target.labels, texts.get(one.target)
-    if one.target not in hosts or text is None or len(labels) < 3 or one.priority not in STATES:
-        raise Unusable(f"it does not tell of {one.target}")
-    try:
-        return Endpoint(
-            labels[0].decode(),
-            (hosts[one.target], one.port),
-            labels[1].decode(),
-            int(text.get("cell") or 0),
-            int(text.get("started") or 0) * MS,
-            STATES[one.priority],
-        )
-    except ValueError as fault:
-        raise Unusable(f"it garbles {one.target}: {fault}") from None
+
+class RosterCore(Protocol):
+    """What the roster needs of the dispatcher."""
+
+    @property
+    def loop(self) -> asyncio.AbstractEventLoop:
+        """The event loop."""
+
+    @property
+    def clock(self) -> Clock:
+        """The clock, for wall-clock time."""
+
+    def now(self) -> int:
+        """Return the monotonic time in ns."""
+
+    def endpoints_changed(self, entries: list[Listed], draining: list[str], is_whole: bool, /) -> object:
+        """Learn of a new endpoint list; `draining`: workers that drain or are gone since."""
 
 
 class DnsRoster:
-    """`core.endpoints_changed(entries, leaving, whole)` hears of each list that is new."""
-
-    def __init__(self, address, membership, polling, core, log):
-        self.address, self.membership, self.polling, self.core, self.log = (
-            address,
-            membership,
-            polling,
-            core,
-            log,
-        )
-        self.sock, self.question, self.last, self.counts = (
-            None,
-            question(),
-            None,
-            {"asked": 0, "good": 0, "unusable": 0, "old": 0},
-        )
-        self.failed = False  # it is to be opened, and could not be or has failed
-        self.warned = False  # since the last good answer
-        self.receive_failures = 0  # since a datagram or a question
-
-    def open(self):
-        """Where that can't be done now, it is tried again when the roster is next to be asked."""
-        self.failed = False
+    """The roster at one address.
+
+    Each new list goes to `membership`, and what it changes to `core`. Times in ns.
+    """
+
+    def __init__(
+        self,
+        address: Address,
+        membership: Membership,
+        polling: RosterPolling,
+        core: RosterCore,
+        log: Logger,
+    ) -> None:
+        self.address = address
+        self.membership = membership
+        self.polling = polling
+        self.core = core
+        self.log = log
+        self.sock: socket.socket | None = None
+        self.query_without_id = roster_protocol.encode_query()
+        # the last answer without its id: most answers repeat it, and need not be decoded
+        self.last_answer: bytes | None = None
+        self.counts = {"asked": 0, "good": 0, "unusable": 0, "old": 0}
+        self.needs_reopening = False  # it could not be opened, or its socket has failed
+        self.failure_logged = False  # since the last usable answer
+        self.receive_failures = 0  # since the last datagram or query
+
+    def open(self) -> None:
+        """Open the socket; where that fails it is tried again before the next query."""
+        self.needs_reopening = False
         try:
             self._connect()
-        except OSError as fault:
-            self._reopen_later(fault)
+        except OSError as error:
+            self._reopen_later(error)
 
-    def _connect(self):
+    def _connect(self) -> None:
         self.close()
         self.sock = sockets.fresh(self.address[0], socket.SOCK_DGRAM)
         self.sock.setblocking(False)
         self.sock.connect(self.address)  # the kernel drops what comes from anyone else
-        self.core.loop.add_reader(self.sock, self._read)
+        self.core.loop.add_reader(self.sock, self._read, self.sock)
 
-    def close(self):
+    def close(self) -> None:
+        """Close the socket, if it is open."""
         if self.sock is not None:
             self.core.loop.remove_reader(self.sock)
             self.sock.close()
             self.sock = None
 
-    def moves(self, address):
-        """The roster is at another address from now on; its numbers go on."""
+    def set_address(self, address: Address) -> None:
+        """Poll the roster at another address from now on; the numbers of its lists go on."""
         self.address = address
         self.polling.restart(self.core.now())
-        self.warned = False
+        self.failure_logged = False
         self.open()
 
-    def check(self, now):
-        if self.sock is None and not self.failed or not self.polling.is_due(now):
+    def check(self, now: int) -> None:
+        """Send a query if one is due."""
+        is_closed = self.sock is None and not self.needs_reopening
+        if is_closed or not self.polling.is_due(now):
             return
-        if self.failed:
+        if self.needs_reopening:
             self.open()
         self.counts["asked"] += 1
-        asked = self.polling.begin_query(now).to_bytes(2, "big") + self.question
+        query_id = self.polling.begin_query(now).to_bytes(roster_protocol.ID_SIZE, "big")
         self.receive_failures = 0
         if self.sock is not None:
-            self._send(asked)
+            self._send(self.sock, query_id + self.query_without_id)
 
-    def _send(self, asked):
+    def _send(self, sock: socket.socket, query: bytes) -> None:
+        """Send a query. Where it can't be sent now, the next one follows soon."""
         try:
             try:
-                self.sock.send(asked)
-            except ConnectionRefusedError:  # of the question before; this one was not sent
-                self.sock.send(asked)
-        except OSError as fault:  # it is asked again
-            if fault.errno not in MOMENTARY:
-                self._reopen_later(fault)
-
-    def _reopen_later(self, fault):
-        """The socket may never work again: the address that it is bound to may have gone. The next question
-        has another one."""
+                sock.send(query)
+            except ConnectionRefusedError:  # of the query before; this one was not sent
+                sock.send(query)
+        except OSError as error:
+            if error.errno not in TRANSIENT_ERRORS:
+                self._reopen_later(error)
+
+    def _reopen_later(self, error: OSError) -> None:
+        """Close the socket; the next query opens another one.
+
+        It may never work again: the local address that it is bound to may have gone.
+        """
         self.close()
-        self.failed = True
-        if not self.warned:
-            self.warned = True
-            self.log.warning(
-                "the roster can't be asked", address=f"{self.address[0]}:{self.address[1]}", why=str(fault)
-            )
-
-    def _read(self):
-        for _ in range(READS):
+        self.needs_reopening = True
+        if not self.failure_logged:
+            self.failure_logged = True
+            host, port = self.address
+            self.log.warning("the roster can't be asked", address=f"{host}:{port}", why=str(error))
+
+    def _read(self, sock: socket.socket) -> None:
+        """Handle the datagrams that have come, up to `MOST_READS`."""
+        for _ in range(MOST_READS):
             try:
-                data = self.sock.recv(MOST)
+                data = sock.recv(DATAGRAM_SIZE)
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError as fault:  # a refusal of what was sent before
+            except OSError as error:  # a refusal of what was sent before
                 self.receive_failures += 1
-                # a question has one refusal: this would go on, as fast as the loop turns
-                if self.receive_failures > READS:
-                    self._reopen_later(fault)
+                # a query has one refusal: this would go on, as fast as the loop turns
+                if self.receive_failures > MOST_RECEIVE_FAILURES:
+                    self._reopen_later(error)
                     return
                 continue
             self.receive_failures = 0
-            self.take(data)
+            self.handle_datagram(data)
 
-    def take(self, data):
-        """One datagram."""
-        now, id_ = self.core.now(), int.from_bytes(data[:2], "big")
-        asked_at = self.polling.end_query(id_) if len(data) >= 12 else None
-        if asked_at is None:
+    def handle_datagram(self, data: bytes) -> None:
+        """Handle one datagram from the roster's address."""
+        now = self.core.now()
+        queried_at = self._end_query(data)
+        if queried_at is None:
             self.counts["unusable"] += 1
             return
-        if data[2:] == self.last:  # nothing has changed: nothing is read
-            self.membership.on_complete(asked_at)
-            self._good(now)
+        answer = data[roster_protocol.ID_SIZE :]
+        if answer == self.last_answer:
+            self.membership.on_complete(queried_at)
+            self._usable_answer_received(now)
             return
-        try:
-            serial, entries = answer(data)
-        except Unusable as fault:
-            self.counts["unusable"] += 1
-            if self.counts["unusable"] < 8:
-                self.log.info("an answer of the roster is of no use", why=str(fault))
+        endpoint_list = self._decode(data)
+        if endpoint_list is None:
             return
-        if serial < self.membership.number:
+        if endpoint_list.serial < self.membership.number:
             self.counts["old"] += 1
             return
-        self.last = data[2:]
-        self._good(now)
-        if serial > self.membership.number:
-            self.core.endpoints_changed(
-                *self.membership.apply_list(f"dns-{serial}", entries, now, self.core.clock.wall()), True
-            )
-        # an answer may come long after it was written, but not before it was asked for
-        self.membership.on_complete(asked_at)
-
-    def _good(self, now):
+        self.last_answer = answer
+        self._usable_answer_received(now)
+        if endpoint_list.serial > self.membership.number:
+            self._apply(endpoint_list, now)
+        # an answer may come long after it was written, but not before its query was sent
+        self.membership.on_complete(queried_at)
+
+    def _end_query(self, data: bytes) -> int | None:
+        """Return when the query of an answer was sent, or None if it answers no open one."""
+        if len(data) < roster_protocol.HEADER_SIZE:
+            return None
+        return self.polling.end_query(int.from_bytes(data[: roster_protocol.ID_SIZE], "big"))
+
+    def _decode(self, data: bytes) -> EndpointList | None:
+        """Return the list in an answer, or None where it is unusable, which is counted and logged."""
+        try:
+            return roster_protocol.decode_answer(data)
+        except UnusableAnswerError as error:
+            self.counts["unusable"] += 1
+            if self.counts["unusable"] <= UNUSABLE_ANSWERS_LOGGED:
+                self.log.info("an answer of the roster is of no use", why=str(error))
+            return None
+
+    def _apply(self, endpoint_list: EndpointList, now: int) -> None:
+        list_id = f"dns-{endpoint_list.serial}"
+        wall = self.core.clock.wall()
+        change = self.membership.apply_list(list_id, endpoint_list.endpoints, now, wall)
+        self.core.endpoints_changed(change.listed, change.leaving, True)
+
+    def _usable_answer_received(self, now: int) -> None:
         self.counts["good"] += 1
-        self.warned = False
+        self.failure_logged = False
         self.polling.on_usable_answer(now)
         if self.membership.on_contact(now):
             self.log.info("roster heard again")
--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -225,7 +225,7 @@
         """SIGHUP: only the roster's address can have changed while it runs."""
         self.log.info("new configuration", names=f"{gateway.names[0]}:{gateway.names[1]}")
         self.gateway = self.gateway._replace(names=gateway.names)
-        self.roster.moves(gateway.names)
+        self.roster.set_address(gateway.names)
 
     async def close(self):
         """SIGTERM: takes what still comes, then turns it away, answers all that it owes, and ends. It listens
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -209,8 +209,8 @@
         old = {"w1": (5050, "Ready", "east", 0)}
 
         def comes_back(id_, serial, entries):
-            question = id_.to_bytes(2, "big") + link.question
-            link.take(node_site.answer(question, serial, entries))
+            question = id_.to_bytes(2, "big") + link.query_without_id
+            link.handle_datagram(node_site.answer(question, serial, entries))
 
         for second in range(LATE // S, asked):
             now[0] = second * S
--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -48,7 +48,7 @@
 from petrelwood.node import client_listener, roster, service
 counted(service.Node, "_check", "looks")
 counted(client_listener.ClientListener, "_accept", "accepts")
-counted(roster.DnsRoster, "_good", "answers")
+counted(roster.DnsRoster, "_usable_answer_received", "answers")
 signal.signal(signal.SIGUSR1, lambda *_: os.write(2, json.dumps({"counts": counts}).encode() + b"\\n"))
 sys.argv = ["petrelwood.node"]
 runpy.run_module("petrelwood.node", run_name="__main__", alter_sys=True)
--- a/tests/test_larger_fleet.py
+++ b/tests/test_larger_fleet.py
@@ -8,7 +8,7 @@
 
 from benchmarks.scale import larger_fleet
 from benchmarks.scale.larger_fleet import CPU, DESCRIPTORS, FLEETS, LIMITS, LISTS, MADE, MEMORY, SERVED
-from petrelwood.node import roster
+from petrelwood.node import roster_protocol
 
 DAY = larger_fleet.Day(seconds=3.0, calls_a_second=40.0)
 USUAL = {CPU: 1.0, MEMORY: 30.0, DESCRIPTORS: 90, MADE: 80, LISTS: 100.0, SERVED: 0.9}
@@ -55,7 +55,7 @@
 
     def answered(self, workers):
         """What the discovery's stand-in answers, for so many workers."""
-        asked = b"\x12\x34" + roster.question()
+        asked = b"\x12\x34" + roster_protocol.encode_query()
         discovery, told = larger_fleet.CountedRoster(), []
         discovery.transport = mock.Mock(sendto=lambda wire, sender: told.append(wire))
         discovery.entries = {f"s-{n:08x}": (5050, "Ready", "north", 0) for n in range(workers)}
@@ -66,7 +66,7 @@
         wire, truncated = self.answered(FLEETS[0])
         self.assertLess(len(wire), LONGEST_ANSWER)
         self.assertFalse(truncated)
-        self.assertEqual(len(roster.answer(wire)[1]), FLEETS[0])
+        self.assertEqual(len(roster_protocol.decode_answer(wire)[1]), FLEETS[0])
 
     def test_a_part_of_a_larger_one_is_enough_to_know_that_it_does_not(self):
         """Written whole, 3,200 entries take the loop of clients and workers for a second at each change."""
@@ -88,8 +88,8 @@
         for workers in FLEETS[1:]:
             wire, truncated = self.answered(workers)
             self.assertTrue(truncated)
-            with self.assertRaises(roster.Unusable):
-                roster.answer(wire)
+            with self.assertRaises(roster_protocol.UnusableAnswerError):
+                roster_protocol.decode_answer(wire)
 
 
 class Grown(unittest.TestCase):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -22,7 +22,7 @@
 from petrelwood.decide.cluster.polling import INTERVAL, RETRY_INTERVAL, RosterPolling
 from petrelwood.decide.overload.resource_limits import CapacityIntake, ResourceLimits
 from petrelwood.links import rpc
-from petrelwood.node import roster, worker_protocol
+from petrelwood.node import roster_protocol, worker_protocol
 from petrelwood.node.call_request import InvalidRequestError, decode_call
 from petrelwood.node.json_object import ConfigurationError
 from petrelwood.node.log import JsonLogger
@@ -238,10 +238,10 @@
         self.assertEqual((line["ends"], line["code"]), ({"s-1": {"full": 2}}, "error"))
 
     def test_the_rosters_answers(self):
-        asked = b"\x12\x34" + roster.question()
+        asked = b"\x12\x34" + roster_protocol.encode_query()
         entries = {"s-1": (5050, "Ready", "east", 0), "s-2": (5051, "Terminating", "west", 1_700_000_000_123)}
         wire = answer(asked, 41, entries)
-        serial, found = roster.answer(wire)
+        serial, found = roster_protocol.decode_answer(wire)
         self.assertEqual(
             (serial, sorted(found)),
             (
@@ -255,19 +255,19 @@
             ),
         )
         for cut in range(2, len(wire)):
-            with self.assertRaises(roster.Unusable):
-                roster.answer(wire[:cut])
+            with self.assertRaises(roster_protocol.UnusableAnswerError):
+                roster_protocol.decode_answer(wire[:cut])
         failed = bytearray(wire)
         failed[3] |= 2
-        with self.assertRaises(roster.Unusable):
-            roster.answer(bytes(failed))
+        with self.assertRaises(roster_protocol.UnusableAnswerError):
+            roster_protocol.decode_answer(bytes(failed))
         chance = random.Random(5)
         for _ in range(2000):
             bad = bytearray(wire)
             bad[chance.randrange(len(bad))] = chance.randrange(256)
             try:
-                roster.answer(bytes(bad))
-            except roster.Unusable:
+                roster_protocol.decode_answer(bytes(bad))
+            except roster_protocol.UnusableAnswerError:
                 pass
 
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -12,7 +12,7 @@
 import ration
 from node_site import Site, Worker, answer
 
-from petrelwood.node import roster
+from petrelwood.node import roster_protocol
 
 SERVERS, NAMES, MOST = 16, 1024, 8_000
 
@@ -26,7 +26,7 @@
 
 class Lists(unittest.TestCase):
     def test_the_longest_answer_is_read_whole_and_a_cut_one_is_not(self):
-        asked, entries, found = b"\x12\x34" + roster.question(), {}, 0
+        asked, entries, found = b"\x12\x34" + roster_protocol.encode_query(), {}, 0
         while True:
             entries[f"s-{len(entries):08x}"] = (5050, "Ready", "east", 1_700_000_000_123)
             try:
@@ -38,15 +38,15 @@
         del entries[f"s-{found:08x}"]
         wire = answer(asked, 41, entries)
         self.assertGreater(len(wire), MOST - 200)
-        serial, listed = roster.answer(wire)
+        serial, listed = roster_protocol.decode_answer(wire)
         self.assertEqual((serial, [e.worker for e in listed]), (41, list(entries)))
         for cut in range(100, len(wire), 97):
-            with self.assertRaises(roster.Unusable):
-                roster.answer(wire[:cut])
+            with self.assertRaises(roster_protocol.UnusableAnswerError):
+                roster_protocol.decode_answer(wire[:cut])
 
     def test_texts_that_share_a_string_and_names_that_point_into_others(self):
         """As another server may write them: more strings than are asked for, in any order, no compression."""
-        asked = b"\x12\x34" + roster.question()
+        asked = b"\x12\x34" + roster_protocol.encode_query()
         message = dns.message.from_wire(answer(asked, 7, {"s-1": (5050, "Ready", "east", 9)}))
         for record in message.additional:
             if record.rdtype == dns.rdatatype.TXT:
@@ -54,8 +54,8 @@
                 record.add(dns.rdata.from_text("IN", "TXT", '"started=9" "note=a=b" "cell=1" "" "kind=std"'))
         plain = message.to_wire(max_size=65_535)
         self.assertEqual(
-            roster.answer(plain)[1][0],
-            roster.answer(answer(asked, 7, {"s-1": (5050, "Ready", "east", 9)}))[1][0],
+            roster_protocol.decode_answer(plain)[1][0],
+            roster_protocol.decode_answer(answer(asked, 7, {"s-1": (5050, "Ready", "east", 9)}))[1][0],
         )
 
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -433,7 +433,7 @@
                 worker = Raw("s-1")
                 async with self.site(worker) as site:
                     with no_sockets(error, times=None) as fault:
-                        site.node.roster.moves(site.node.roster.address)
+                        site.node.roster.set_address(site.node.roster.address)
                         await asyncio.sleep(0.2)
                         self.assertLess(fault.calls, 8)
                         fault.over()
