--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -1,300 +1,274 @@
-"""One dispatcher on the platform: the core on a loop, its front, its links, its roster, its end."""
+"""One dispatcher on the platform: the core on an event loop, with its clients, its links and its roster.
+
+The types of `dispatch.core` are those of `petrelwood serve`: its settings, its intake, its links, its rules
+of functions. Here each is another one that has all that the core uses of it here, hence the casts.
+"""
 
 import asyncio
 from random import Random
+from typing import TYPE_CHECKING, cast
 
 from petrelwood.clocks import LoopClock
-from petrelwood.decide.cluster import shutdown
-from petrelwood.decide.cluster.membership import EndpointState
+from petrelwood.decide.cluster.membership import Endpoint, EndpointState
 from petrelwood.decide.cluster.polling import RosterPolling
-from petrelwood.decide.delivery import ledger
-from petrelwood.decide.overload import intake
+from petrelwood.decide.delivery.pending import PendingActivation
+from petrelwood.decide.overload.intake import Intake
 from petrelwood.decide.overload.resource_limits import CapacityIntake, ResourceLimits
 from petrelwood.decide.scheduling.scheduler import Scheduler
 from petrelwood.dispatch.activations import Activations
-from petrelwood.dispatch.core import Core
+from petrelwood.dispatch.core import Core, MakeLink
+from petrelwood.dispatch.interfaces import Logger
+from petrelwood.dispatch.worker_links import WorkerLink
+from petrelwood.links.interfaces import Address
 from petrelwood.node.call_request import FunctionFigures
+from petrelwood.node.configuration import Configuration
+from petrelwood.node.exchange import PumpedLink
 from petrelwood.node.front import Front
+from petrelwood.node.graceful_shutdown import GracefulShutdown
+from petrelwood.node.loop_lag import CatchUp, LateChecks
+from petrelwood.node.node_activations import NodeActivations
 from petrelwood.node.roster import DnsRoster
+from petrelwood.node.standing_log import StandingFields, standing_fields
 from petrelwood.node.worker import NodeLink
 
-CHECK = 0.05  # seconds between looks at links, clients and the roster
-BEHIND = 100_000_000  # ns without a look, after which the loop was held up: two looks
-# turns of the loop in which nothing of a client is read, after which all is. Where something always comes,
-# what lay unread at the first turn has been read after as many and this long (ns), whatever followed
-QUIET, CATCH_UP = 3, 50_000_000
-# late looks, from which on connections are shed, until so many in a row are in time
-LATE_LOOKS, TIMELY_LOOKS = 3, 10
-TIDY = 20  # looks between two at connections that rest
-STANDING = 100  # looks between two log lines of what is believed
-UNKNOWN = FunctionFigures(1, 0, 0)
-
+if TYPE_CHECKING:  # the platform's dispatcher needs no settings in KDL
+    from petrelwood.settings.functions import FunctionRule
+    from petrelwood.settings.gateway import Gateway
 
-class NodeActivations(Activations):
-    """Activations that go under the ids which their clients gave them."""
-
-    def admit(self, ask, function, rule, body, exchange):
-        """Answers what can't be taken under the id that it came with."""
-        if not exchange.waits():  # its client left between its reading and its turn
-            return
-        if self.core.is_open(ask.id):
-            exchange.answer(intake.ABORT, why="an id that is open")
-            return
-        super().admit(ask, function, rule, body, exchange)
+CHECK_INTERVAL = 0.05  # seconds between checks of links, clients and the roster
+CHECKS_PER_CLEANUP = 20  # checks between two searches for idle connections
+CHECKS_PER_LOG_LINE = 100  # checks between two log lines of what is believed
+USUAL_SHARE = 4  # a rejected client is told to wait for the shortest target latency / so much
+# Lost connections that are logged: the first so many, then one in so many, whatever the workers do.
+LOSSES_LOGGED = 32
+LOSSES_A_LINE = 64
+# Of a function without a request: each request brings its own figures.
+UNKNOWN_FUNCTION = cast("FunctionRule", FunctionFigures(1, 0, 0))
 
 
 class Node(Core):
-    """`gateway` is a `configuration.Configuration`."""
-
-    def __init__(self, gateway, log, scheduler=Scheduler):
-        self.loop, self.room = asyncio.get_running_loop(), ResourceLimits(gateway.sockets, gateway.memory)
-        self.busy, self.checks, self.looks, self.tag, self.lines, self.losses, self.began = (
-            {},
-            None,
-            0,
-            0,
-            0,
-            0,
-            False,
-        )
-        super().__init__(gateway, LoopClock(), Random(gateway.seed), self._link, log, scheduler)
-        self.beat, self.turns, self.still, self.read, self.rings = self.now(), 0, 0, 0, []
-        self.last_look = self.now()
-        self.late_looks = 0  # since so many were in time, one after the other
-        self.timely_looks = 0  # in a row
-        self.held_up_at = 0  # when it was seen that the loop was held up
-        self.front = Front(self, self.room, log)
+    """One dispatcher. Times in ns."""
+
+    scheduler: Scheduler
+
+    def __init__(self, gateway: Configuration, log: Logger, scheduler: type[Scheduler] = Scheduler) -> None:
+        self.configuration = gateway
+        self.loop = asyncio.get_running_loop()
+        self.resource_limits = ResourceLimits(gateway.sockets, gateway.memory)
+        self.active_links: dict[NodeLink, bool] = {}  # that may have calls which have not ended
+        self.next_check: asyncio.TimerHandle | None = None
+        self.check_count = 0
+        self.last_tag = 0  # the number in the last tag
+        self.worker_connections = 0
+        self.connection_losses = 0  # to workers
+        self.serving = False  # the start is over, and the end has not begun
+        settings = cast("Gateway", gateway)
+        make_link = cast(MakeLink, self._make_link)
+        super().__init__(settings, LoopClock(), Random(gateway.seed), make_link, log, scheduler)
+        self.node_links = cast(dict[str, NodeLink], self.links)
+        self.front = Front(self, self.resource_limits, log)
+        self.deferred_timers: list[str] = []  # marks of timers that have fired while the loop was behind
+        self.catch_up = CatchUp(self, self.front, self._on_caught_up)
+        self.late_checks = LateChecks(self.now())
         self.roster = DnsRoster(gateway.names, self.membership, RosterPolling(self.chance.random), self, log)
 
-    def _make_stages(self):
-        usual = min(t.target_latency for t in self.terms.types.values()) // 4
-        return None, CapacityIntake(self.room, usual), None
+    # What differs from the core of `petrelwood serve`.
+    def _make_stages(self) -> tuple[None, Intake, None]:
+        usual = min(each.target_latency for each in self.terms.types.values()) // USUAL_SHARE
+        return None, cast(Intake, CapacityIntake(self.resource_limits, usual)), None
+
+    def _make_activations(self) -> Activations:
+        return NodeActivations(self)
+
+    def _make_link(self, worker: str, address: Address | None, core: Core) -> NodeLink:
+        return NodeLink(worker, address, self.configuration.workers, core, self.log)
 
-    def _link(self, worker, address, core):
-        return NodeLink(worker, address, self.gateway.workers, core, self.log)
+    def rule(self, function: str) -> "FunctionRule":
+        """Return what is known of a function without a request."""
+        return UNKNOWN_FUNCTION
 
-    def rule(self, function):
-        """What is known of a function comes with each request."""
-        return UNKNOWN
+    def transmit(self, link: WorkerLink, act: PendingActivation, attempt: int, remaining: int) -> None:
+        """Hand an attempt to a link; `remaining`: ns until its deadline."""
+        cast(NodeLink, link).run(act, attempt, remaining)
 
-    def transmit(self, link, act, attempt, time_left):
-        link.run(act, attempt, time_left)
+    # For the front and the links: what may be done now.
+    def serves(self) -> bool:
+        """Return whether it takes calls: its start is over, and its end has not begun."""
+        return self.serving and not self.intake.closing
 
-    def serves(self):
-        return self.began and not self.intake.closing
+    def is_open(self, act_id: str) -> bool:
+        """Return whether an activation has this id, or an attempt of an earlier one is still in flight.
 
-    def is_open(self, act_id):
-        """Whether an activation has this id, or a send of one that had it is still out, whose answer would be
-        taken for the new one's: also another customer's, as workers know no more of it than the id."""
+        Its answer would be taken for the new one's; also where it was another customer's, as workers know no
+        more of an activation than the id.
+        """
         return act_id in self.pending.activations or any(
-            (act_id, n) in self.links.in_flight for n in range(self.terms.allowed.sends)
+            (act_id, attempt) in self.links.in_flight for attempt in range(self.terms.allowed.sends)
         )
 
-    def may_send(self, act_id, link):
-        """Whether a send may leave now: not while the end or a cancel of its client may lie unread. Then the
-        link is pumped again once the client was read."""
-        owed = self.pending.activations.get(act_id)
-        return owed is None or all(exchange.may_send(link) for exchange, _ in owed.waiters)
+    def may_send(self, act_id: str, link: PumpedLink) -> bool:
+        """Return whether an attempt may leave now: not while its client's end or cancel may lie unread.
 
-    def _make_activations(self):
-        return NodeActivations(self)
+        Then the link is pumped again once the client was read.
+        """
+        activation = self.pending.activations.get(act_id)
+        return activation is None or all(waiter.exchange.may_send(link) for waiter in activation.waiters)
 
-    # After the loop was held up.
-    def behind(self):
-        """Whether what came while the loop was held up may still lie unread: a client's end or cancel, news
-        of workers. Nothing leaves for a worker until it is read; what it takes back is then still here."""
-        if not self.turns and self.now() - self.beat > BEHIND:
-            self.turns, self.still, self.read = QUIET, QUIET, self.front.reads
-            self.held_up_at = self.now()
-            self.loop.call_soon(self._turn)
-        return self.turns > 0
-
-    def arrived(self, now):
-        """When what is read now came, at the earliest: its client's time runs from then. Where the loop was
-        held up, it may have lain there as long."""
-        return now if now - self.beat <= BEHIND else self.beat
-
-    def _turn(self):
-        self.turns = max(1, self.turns - 1)
-        self.still = self.still - 1 if self.read == self.front.reads else QUIET
-        self.read = self.front.reads
-        if self.still and (self.turns > 1 or self.now() - self.held_up_at < CATCH_UP):
-            self.loop.call_soon(self._turn)
-            return
-        self.turns, self.beat = 0, self.now()
-        rings, self.rings = self.rings, []
-        for mark in rings:
-            self.submit(self.timer_fired, mark)
-        for link in list(self.busy):
-            link.pump()
+    def answer_due(self, now: int) -> None:
+        """Answer the activations whose deadline has come.
+
+        The front does so before it takes anything new, as a turn of the event loop may be long.
+        """
+        self.activations.answer_due(now)
+
+    # After the event loop was held up.
+    def behind(self) -> bool:
+        """Return whether what came while the loop was held up may lie unread: nothing is sent meanwhile."""
+        return self.catch_up.is_behind()
+
+    def arrived(self, now: int) -> int:
+        """Return when what is read now came at the earliest: before `now`, if the loop was held up."""
+        return self.catch_up.arrival_time(now)
 
-    def timer_fired(self, mark):
-        """What the module makes of time that has passed, it makes once it knows what has come in that
-        time."""
+    def timer_fired(self, mark: str) -> None:
+        """Tell the module that a timer of its own has fired, once it knows what has come until then."""
         if self.behind():
-            self.rings.append(mark)
+            self.deferred_timers.append(mark)
         else:
             super().timer_fired(mark)
 
-    def answer_due(self, now):
-        """What is due is answered before anything new is taken: a turn of the loop may be long."""
-        self.activations.answer_due(now)
+    def _on_caught_up(self) -> None:
+        """Do what was deferred while the loop was behind."""
+        deferred_timers = self.deferred_timers
+        self.deferred_timers = []
+        for mark in deferred_timers:
+            self.submit(self.timer_fired, mark)
+        for link in list(self.active_links):
+            link.pump()
 
-    # Descriptors of links, and their tags.
-    def opened(self):
-        self.lines += 1
-
-    def closed(self):
-        self.lines -= 1
-
-    def may_open(self):
-        """Whether a link may open another connection."""
-        return self.lines < self.room.workers or any(link.rests() for link in self.links.values())
-
-    def makes_room(self):
-        """The same, and one that rests elsewhere makes room where it must."""
-        return self.lines < self.room.workers or any(link.spare() for link in self.links.values())
-
-    def next_tag(self):
-        self.tag += 1
-        return f"{self.name}-{self.tag}"
-
-    def note_loss(self, worker, why, out):
-        self.losses += 1
-        if self.losses <= 32 or not self.losses % 64:  # sparse, whatever the workers do
-            self.log.info(
-                "a connection to a worker is lost", worker=worker, why=why, out=out, losses=self.losses
-            )
-
-    def active(self, link):
-        self.busy[link] = True
-
-    # Its life.
-    def begin(self):
-        """Listens and asks. Raises OSError where it can't."""
-        now, wall, known = self.now(), self.clock.wall(), {}
-        for whole, entries in self.gateway.known:
-            if whole:
-                known.clear()
-            known.update((e.worker, e) for e in entries)
-        listed = self.membership.apply_list(
-            f"dns-{self.gateway.number}",
-            [e for e in known.values() if e.state != EndpointState.GONE],
-            now,
-            wall,
-        )
-        self.membership.on_contact(now)
-        self.endpoints_changed(*listed, True)
-        self.front.open(self.gateway.listen)
-        # asked again where it can't be asked now: what is known serves without it
+    # For the links: connections to workers, and the tags of calls on them.
+    def opened(self) -> None:
+        """Count a new connection to a worker."""
+        self.worker_connections += 1
+
+    def closed(self) -> None:
+        """Count a connection to a worker that was closed."""
+        self.worker_connections -= 1
+
+    def may_open(self) -> bool:
+        """Return whether a link may open another connection, if need be in place of an idle one."""
+        has_capacity = self.worker_connections < self.resource_limits.workers
+        return has_capacity or any(link.rests() for link in self.node_links.values())
+
+    def makes_room(self) -> bool:
+        """Return whether a link may open another connection; an idle one is closed for it if need be."""
+        has_capacity = self.worker_connections < self.resource_limits.workers
+        return has_capacity or any(link.spare() for link in self.node_links.values())
+
+    def next_tag(self) -> str:
+        """Return the tag of a new load order or health check."""
+        self.last_tag += 1
+        return f"{self.name}-{self.last_tag}"
+
+    def note_loss(self, worker: str, why: str, out: int) -> None:
+        """Count a lost connection to a worker, and log some; `out`: the calls that were in flight on it."""
+        self.connection_losses += 1
+        losses = self.connection_losses
+        if losses <= LOSSES_LOGGED or not losses % LOSSES_A_LINE:
+            self.log.info("a connection to a worker is lost", worker=worker, why=why, out=out, losses=losses)
+
+    def active(self, link: NodeLink) -> None:
+        """Note that a link has a call that has not ended."""
+        self.active_links[link] = True
+
+    # Start, checks and shutdown.
+    def begin(self) -> None:
+        """Listen for clients, and poll the roster.
+
+        Raises:
+            OSError: it can't listen.
+        """
+        self._apply_known_list()
+        self.front.open(self.configuration.listen)
+        # tried again where it can't be opened now: the known list serves without it
         self.roster.open()
-        self.began = True
+        self.serving = True
         self._check()
 
-    def _check(self):
-        self.checks = self.loop.call_later(CHECK, self._check)
+    def _apply_known_list(self) -> None:
+        """Apply the endpoint list of the configuration."""
         now = self.now()
-        if now - self.last_look > BEHIND:
-            self.late_looks += 1
-            self.timely_looks = 0
-        else:
-            self.timely_looks += 1
-        self.last_look = now
-        if self.timely_looks >= TIMELY_LOOKS:
-            self.late_looks = 0
-        self.front.shed_connections(self.late_looks >= LATE_LOOKS)
-        if not self.behind():
-            self.beat = now
+        wall = self.clock.wall()
+        known: dict[str, Endpoint] = {}
+        for batch in self.configuration.known:
+            if batch.complete:
+                known.clear()
+            for endpoint in batch.endpoints:
+                known[endpoint.worker] = endpoint
+        endpoints = [each for each in known.values() if each.state != EndpointState.GONE]
+        change = self.membership.apply_list(f"dns-{self.configuration.number}", endpoints, now, wall)
+        self.membership.on_contact(now)
+        self.endpoints_changed(change.listed, change.leaving, True)
+
+    def _check(self) -> None:
+        """Check links, clients and the roster, again and again."""
+        self.next_check = self.loop.call_later(CHECK_INTERVAL, self._check)
+        now = self.now()
+        self.front.shed_connections(self.late_checks.note_check(now))
+        self.catch_up.note_check(now)
         self.roster.check(now)
-        for link in list(self.busy):
+        for link in list(self.active_links):
             if not link.check(now):
-                self.busy.pop(link, None)
-        self.looks += 1
+                self.active_links.pop(link, None)
+        self.check_count += 1
         self.front.check(now)
-        if not self.looks % TIDY:
-            for link in list(self.links.values()):
-                link.tidy(now)
-            self.links.release_unused(self.membership.members)
-        if not self.looks % STANDING:
+        if not self.check_count % CHECKS_PER_CLEANUP:
+            self._close_idle_connections(now)
+        if not self.check_count % CHECKS_PER_LOG_LINE:
             self.log.info("standing", **self.standing())
         if self.membership.is_newly_lost(now):
             self.log.warning("endpoint list lost")
             self.endpoint_list_lost()
 
-    def reload(self, gateway):
-        """SIGHUP: only the roster's address can have changed while it runs."""
-        self.log.info("new configuration", names=f"{gateway.names[0]}:{gateway.names[1]}")
-        self.gateway = self.gateway._replace(names=gateway.names)
+    def _close_idle_connections(self, now: int) -> None:
+        for link in list(self.node_links.values()):
+            link.tidy(now)
+        self.links.release_unused(self.membership.members)
+
+    def reload(self, gateway: Configuration) -> None:
+        """Put a new configuration in force, at SIGHUP: only the roster's address can change while it runs."""
+        host, port = gateway.names
+        self.log.info("new configuration", names=f"{host}:{port}")
+        self.configuration = self.configuration._replace(names=gateway.names)
+        self.gateway = cast("Gateway", self.configuration)
         self.roster.set_address(gateway.names)
 
-    async def close(self):
-        """SIGTERM: takes what still comes, then turns it away, answers all that it owes, and ends. It listens
-        to the last: a connection that the machine has accepted may have a request in it, which a closed
-        listener would lose."""
+    async def close(self) -> None:
+        """Shut down gracefully, at SIGTERM."""
         # the signal may have come while the loop was held up, and the time until the kill runs from then
-        ends = shutdown.Shutdown(self.arrived(self.now()), max(self.gateway.timeouts.values()))
-        self.began = False
-        while not ends.over(self.now(), len(self.pending.activations), self.front.quiet()):
-            self.intake.closing = ends.closed(self.now())
-            if ends.closed(self.now()) and not self.pending.activations:
-                self.front.close_idle()  # those that go on sending keep only themselves
-            if ends.out_of_time(self.now()):
-                for act_id in sorted(self.pending.activations):
-                    self.submit(self._cut, act_id)
-            await asyncio.sleep(CHECK / 5)
-        # nothing comes between the look that found it quiet and this
+        started_at = self.arrived(self.now())
+        self.serving = False
+        await GracefulShutdown(self, started_at, max(self.configuration.timeouts.values())).drain()
+        # nothing comes between the check that found the sockets quiet and this
         self.front.stop()
-        self.checks.cancel()
+        if self.next_check is not None:
+            self.next_check.cancel()
         self.roster.close()
         self.log.info("closed", **self.figures())
 
-    def standing(self):
-        """What is believed of load and health, by worker: sends out, connections, what the module makes of
-        it. Of hundreds of workers only those that have something of ours, or are thought ill."""
-        counts, believed = self.pending.counts, self.scheduler.snapshot()
-        ends = {worker: link.ends for worker, link in self.links.items() if link.ends}
-        for link in self.links.values():
-            link.ends = {}
-        return {
-            "taken": counts["taken"],
-            "completed": counts[ledger.ActivationState.COMPLETED],
-            "rejected": counts[ledger.ActivationState.REJECTED],
-            "aborted": counts[ledger.ActivationState.ABORTED],
-            "held": self.intake.unanswered,
-            "out": believed.in_flight,
-            "slow": round(believed.slow_share, 2),
-            "turned": round(believed.shed_probability, 2),
-            "cap": believed.send_limit and round(believed.send_limit, 1),
-            "functions": believed.functions,
-            "clients": len(self.front.clients),
-            "listed": len(believed.workers),
-            "ends": ends,
-            "workers": {
-                w.worker: [
-                    w.in_flight,
-                    round(w.relative_latency, 2),
-                    w.send_limit and round(w.send_limit, 1),
-                    int(w.is_unresponsive),
-                    lines,
-                    w.copies,
-                ]
-                for w in believed.workers
-                for lines in [len(self.links[w.worker].lines) if w.worker in self.links else 0]
-                if lines or w.in_flight or w.is_unresponsive or w.send_limit or w.copies
-            },
-        }
-
-    def _cut(self, act_id):
-        """Its time ends with the process: the module makes an answer of how its sends end, as it does when it
-        is due."""
-        if act_id in self.pending.activations:
-            self.scheduler.process_ending(self.now(), act_id)
-            self.activations.time_out(act_id)
+    # What is logged.
+    def standing(self) -> StandingFields:
+        """Return the fields of the regular log line, and begin to count the links' ends anew."""
+        counts = self.pending.counts
+        believed = self.scheduler.snapshot()
+        clients = len(self.front.clients)
+        return standing_fields(counts, self.intake.unanswered, believed, self.node_links, clients)
 
-    def figures(self):
+    def figures(self) -> dict[str, object]:
+        """Return all counts, for logs and tests."""
         return {
             **super().figures(),
             "front": self.front.counts,
             "roster": self.roster.counts,
-            "losses": self.losses,
+            "losses": self.connection_losses,
         }
--- a/tests/ration.py
+++ b/tests/ration.py
@@ -199,7 +199,7 @@
         done = self.clock.loop.create_future()
         self.later(end, done.set_result, None)
         await done
-        self.node.checks.cancel()
+        self.node.next_check.cancel()
         return self
 
     def later(self, seconds, call, *args):
--- a/tests/test_always_answered.py
+++ b/tests/test_always_answered.py
@@ -18,8 +18,8 @@
 
 from petrelwood.decide.overload import resource_limits
 from petrelwood.links import sockets
+from petrelwood.node import graceful_shutdown
 from petrelwood.node import roster as names
-from petrelwood.node import service
 
 KINDS = ("plain", "marked", "single")
 LONG = {"classes": {"deadline": SLOW * 1_000_000}}  # no machine is so busy that an activation's time is up
@@ -234,7 +234,7 @@
         taking."""
         worker, steps = Raw("s-1"), Steps(0, 0)
         with (
-            mock.patch.object(service.shutdown, "Shutdown", lambda *_: steps),
+            mock.patch.object(graceful_shutdown, "Shutdown", lambda *_: steps),
             mock.patch.object(resource_limits, "REQUEST_TIMEOUT", SLOW * 1_000_000_000),
         ):
             await self._pieces_across_a_drain(worker, steps)
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -41,8 +41,8 @@
 
 async def after_a_look(site):
     """The moment from which the longest is left until the next look."""
-    looks = site.node.looks
-    await site.until(lambda: site.node.looks > looks)
+    looks = site.node.check_count
+    await site.until(lambda: site.node.check_count > looks)
 
 
 def leaving_first(client, how):
@@ -171,7 +171,7 @@
             mock.patch.object(link, "UNSENT", SLOW * 1_000_000_000),  # on a busy machine it waits longer
         ):
             async with Inside([worker], **NO_CANCEL) as site:
-                site.node.room.workers = 1
+                site.node.resource_limits.workers = 1
                 stays, gone = Caller(site.address), Caller(site.address)
                 stays.call(first := ask(fn=1), b"z" * resource_limits.MAX_BODY)
                 await site.until(
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -86,7 +86,7 @@
     async def __aexit__(self, *_):
         node = self.node
         node.front.stop()
-        node.checks.cancel()
+        node.next_check.cancel()
         node.roster.close()
         for link in node.links.values():
             link.waiting.clear()
@@ -483,7 +483,7 @@
             client = Caller(site.address)
             client.call(ask(fn=1))
             await site.until(client.read)
-            site.node.room.clients = 1
+            site.node.resource_limits.clients = 1
             more = Caller(site.address)  # the listener is told of first
             second = client.call(ask(fn=1))
             await site.until(lambda: second in client.read() or client.ended)
@@ -569,10 +569,10 @@
                         data = data[client.sock.send(data) :]
                     await asyncio.sleep(0)
             await site.until(lambda: site.node.pending.counts["completed"] == len(bodies) + 1)
-            looks = site.node.looks
+            looks = site.node.check_count
             # nothing of it is open, and its answers have not gone out
             with mock.patch.object(resource_limits, "IDLE_TIMEOUT", 1):
-                await site.until(lambda: site.node.looks > looks + 2)
+                await site.until(lambda: site.node.check_count > looks + 2)
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
             for there in site.node.front.clients:
                 there.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
@@ -942,8 +942,8 @@
             worker.answer(worker.runs()[0])
             held_up(1.2)
             await site.until(client.read)
-            looks = site.node.looks
-            await site.until(lambda: site.node.looks > looks + 4)
+            looks = site.node.check_count
+            await site.until(lambda: site.node.check_count > looks + 4)
             self.assertEqual(
                 (client.answers[number][0], len(worker.runs()), other.read()[asked:], worker.orders()),
                 ("completed", 1, [], []),
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -19,7 +19,7 @@
 from test_crossings import Caller, Inside, Raw
 
 from petrelwood.decide.overload import resource_limits
-from petrelwood.node import call_request, client_connection, client_listener, service
+from petrelwood.node import call_request, client_connection, client_listener, loop_lag
 from petrelwood.node import exchange as node_exchange
 from petrelwood.node import front as node_front
 
@@ -46,8 +46,8 @@
             client.call(ask(fn=1, facts=one_lane))
             await site.until(lambda: site.node.intake.unanswered == 2)
             client.sock.sendall(wrongs(100, resource_limits.MAX_FAULTS) + call(3, ask(fn=1)))
-            looks = site.node.looks
-            await site.until(lambda: site.node.looks > looks + 3)
+            looks = site.node.check_count
+            await site.until(lambda: site.node.check_count > looks + 3)
             client.sock.sendall(call(4, ask(fn=1)))
             await site.until(lambda: 4 in client.read() or client.ended)
             for number in (1, 2):
@@ -81,9 +81,9 @@
         async with Inside([]) as site:
             client = Caller(site.address)
             client.sock.sendall(b"\xc1\xc1\xc1")
-            looks = site.node.looks
+            looks = site.node.check_count
             await site.until(lambda: client.read() is not None and client.ended)
-            self.assertLessEqual(site.node.looks, looks + 1)
+            self.assertLessEqual(site.node.check_count, looks + 1)
 
     async def test_a_request_that_stays_half_beside_good_ones(self):
         """The text before closed it as too slow, with an open request."""
@@ -94,8 +94,8 @@
                 number = client.call(ask(fn=1))
                 await site.until(worker.runs)
                 client.call(ask(fn=1), part=slice(None, 40))
-                looks = site.node.looks
-                await site.until(lambda: site.node.looks > looks + 5)
+                looks = site.node.check_count
+                await site.until(lambda: site.node.check_count > looks + 5)
                 worker.answer(worker.runs()[0])
                 await site.until(lambda: number in client.read() or client.ended)
                 self.assertEqual(client.answers[number][0], "completed")
@@ -122,7 +122,7 @@
         """It has a request in it, and gets a refusal: the text before closed it over the request."""
         worker = Raw("s-1")
         async with Inside([worker]) as site:
-            site.node.room.clients = 2
+            site.node.resource_limits.clients = 2
             busy = [Caller(site.address) for _ in range(2)]
             for client in busy:
                 client.call(ask(fn=1, ttl=3900))
@@ -146,7 +146,7 @@
         """As many as there is room for: none of them is closed. Fails on a front that makes room before it
         accepts, as the one of 1a9d409 did."""
         async with Inside([]) as site:
-            site.node.room.clients = 2
+            site.node.resource_limits.clients = 2
             clients = []
             for number in (1, 2):
                 clients.append(Caller(site.address))
@@ -161,7 +161,7 @@
         The text before closed it. The loop does not come back to the listener meanwhile."""
         worker = Raw("s-1")
         async with Inside([worker]) as site:
-            site.node.room.clients = 1
+            site.node.resource_limits.clients = 1
             busy = Caller(site.address)
             busy.call(ask(fn=1, ttl=3900))
             await site.until(worker.runs)
@@ -332,8 +332,8 @@
 
         async with Inside([]) as site:
             stop = self.strain(site, 0.15)
-            looks = site.node.looks
-            await site.until(lambda: site.node.looks > looks + 2 * service.LATE_LOOKS)
+            looks = site.node.check_count
+            await site.until(lambda: site.node.check_count > looks + 2 * loop_lag.LATE_CHECKS)
             self.assertLessEqual(connected(connect(site)), 4 * client_listener.SHORT_BACKLOG)
             stop()
             await site.until(lambda: not site.node.front.listener.shedding)
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -226,7 +226,7 @@
         old = self.node
         old.clock.dead = True
         old.events.running = True  # what is submitted only waits
-        old.checks.cancel()
+        old.next_check.cancel()
         for link in old.links.values():
             link.waiting.clear()
             for line in link.lines:
--- a/tests/test_ration.py
+++ b/tests/test_ration.py
@@ -157,7 +157,7 @@
 
         def script(world):
             node = world.node
-            node.room.workers = 1
+            node.resource_limits.workers = 1
             node.scheduler.load_orders.credited.add(node.now(), 200)
             self.give(world, 1)
             node.load_order_ended = lambda worker_, fn, code, copies: ends.append(
--- a/tests/test_restart_readiness.py
+++ b/tests/test_restart_readiness.py
@@ -228,7 +228,7 @@
         finally:
             sys.setprofile(None)
         node.front.stop()
-        node.checks.cancel()
+        node.next_check.cancel()
         node.roster.close()
         site.folder.cleanup()
         return count
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -16,7 +16,7 @@
 from test_crossings import Caller, Inside, Raw, held_up, settings
 
 from petrelwood.decide.cluster.shutdown import Shutdown
-from petrelwood.node import service
+from petrelwood.node import graceful_shutdown
 
 SECOND = 1_000_000_000
 KINDS = ("plain", "marked", "single")
@@ -117,7 +117,7 @@
             return made(began, longest)
 
         async with Inside([Raw("s-1")]) as site:
-            with mock.patch.object(service.shutdown, "Shutdown", shutdown):
+            with mock.patch.object(graceful_shutdown, "Shutdown", shutdown):
                 signalled = site.node.now()
                 held_up(0.4)
                 await site.node.close()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -96,14 +96,14 @@
             with self.subTest(errno.errorcode[error]):
                 worker = Raw("s-1")
                 async with self.site(worker) as site:
-                    looks, port = site.node.looks, site.address[1]
+                    looks, port = site.node.check_count, site.address[1]
                     with failing("accept", error, local(port), times=None) as fault:
                         waiting = Caller(site.address)
                         self.addCleanup(waiting.sock.close)
                         number = waiting.call(fields := ask(fn=1), type_="single")
                         await self.failed(site, fault)
                         await site.turns(TURNS)
-                        pauses = 1 + site.node.looks - looks
+                        pauses = 1 + site.node.check_count - looks
                         of_one = CONNECTION_ERRORS_IN_A_ROW if error == errno.EPERM else 1
                         self.assertLessEqual(fault.calls, of_one * (1 + pauses))
                     await self.answered(site, waiting, number, worker, fields["call"])
@@ -119,14 +119,14 @@
                     for client in idle:
                         self.addCleanup(client.sock.close)
                     await site.until(lambda: len(site.node.front.clients) == IDLE)
-                    looks = site.node.looks
+                    looks = site.node.check_count
                     with failing("accept", error, local(site.address[1]), times=None) as fault:
                         waiting = Caller(site.address)
                         self.addCleanup(waiting.sock.close)
                         await self.failed(site, fault)
                         await site.turns(TURNS)
                         crowded_out = site.node.front.counts["evicted"]
-                        self.assertLessEqual(crowded_out, 1 + site.node.looks - looks)
+                        self.assertLessEqual(crowded_out, 1 + site.node.check_count - looks)
                     number = waiting.call(fields := ask(fn=1), type_="single")
                     await self.answered(site, waiting, number, worker, fields["call"])
 
@@ -136,7 +136,7 @@
             with self.subTest(errno.errorcode[error]):
                 worker = Raw("s-1")
                 async with self.site(worker) as site:
-                    looks = site.node.looks
+                    looks = site.node.check_count
                     with losing_accepts(error, local(site.address[1])) as fault:
                         lost, kept = Caller(site.address), Caller(site.address)
                         self.addCleanup(lost.sock.close)
@@ -421,9 +421,11 @@
                         Turns() as turns,
                     ):
                         await self.failed(site, fault)
-                        looks, before = site.node.looks, turns.count
+                        looks, before = site.node.check_count, turns.count
                         await asyncio.sleep(0.3)
-                        self.assertLess(turns.count - before, TURNS_A_LOOK * (site.node.looks - looks + 2))
+                        self.assertLess(
+                            turns.count - before, TURNS_A_LOOK * (site.node.check_count - looks + 2)
+                        )
                         fault.over()
                         await self.hears(site)
 
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -140,7 +140,7 @@
 class WaitsBehindAnother(unittest.IsolatedAsyncioTestCase):
     async def _two(self, site, worker):
         """A send whose rest has not left, and one behind it on the only connection."""
-        site.node.room.workers = 1
+        site.node.resource_limits.workers = 1
         clients = [Caller(site.address) for _ in range(2)]
         clients[0].call(first := ask(fn=1, ttl=TTL), b"z" * resource_limits.MAX_BODY)
         await site.until(
@@ -193,7 +193,7 @@
             mock.patch.object(node_worker, "UNSENT", SLOW * 1000 * MS),
         ):
             async with Inside([worker], **NO_CANCEL, familyInfo={"mayOrder": False}) as site:
-                site.node.room.workers = 1
+                site.node.resource_limits.workers = 1
                 stays, gone = Caller(site.address), Caller(site.address)
                 number = stays.call(first := ask(fn=1, ttl=TTL), type_="single")
                 await site.until(worker.runs)
