--- a/petrelwood/audit/rules.py
+++ b/petrelwood/audit/rules.py
@@ -255,19 +255,25 @@
                     knew.setdefault(record["to"], record["at"])
         window, works = collections.deque(), 0
         for run in case.by["run"]:
-            if run["who"] != up["who"] or not up["at"] <= run["at"] <= up["at"] + guard.cold:
+            if run["who"] != up["who"] or not up["at"] <= run["at"] <= up["at"] + guard.warm_up_time:
                 continue
             found.looked += 1
             work = case.works[run["type"]]
             window.append((run["at"], work, run["at"] >= knew.get(run["by"], run["at"] + 1)))
             works += work
-            while run["at"] - window[0][0] > guard.fall:
+            while run["at"] - window[0][0] > guard.slow_start_window:
                 works -= window.popleft()[1]
-            part = guard.cold_from + (1 - guard.cold_from) * (run["at"] - up["at"]) / guard.cold
-            most = guard.fall_multiple * build.cores * build.speed * part * guard.fall * 1.25
+            part = (
+                guard.initial_capacity_share
+                + (1 - guard.initial_capacity_share) * (run["at"] - up["at"]) / guard.warm_up_time
+            )
+            most = (
+                guard.crash_load_multiple * build.cores * build.speed * part * guard.slow_start_window * 1.25
+            )
             if works > most and sum(w for _, w, known in window if known) * 3 >= 2 * works:
                 found.breaks(
-                    f"{up['who']} was sent {works / 1e9:.2f} s of work in {guard.fall / 1e9:.1f} s, "
+                    f"{up['who']} was sent {works / 1e9:.2f} s of work in "
+                    f"{guard.slow_start_window / 1e9:.1f} s, "
                     f"{(run['at'] - up['at']) / 1e9:.2f} s after its start; it bears {most / 1e9:.2f}"
                 )
                 window.clear()
@@ -304,7 +310,7 @@
             taken = bisect.bisect_right(asks[name], at) - bisect.bisect_right(
                 asks[name], at - orders.period - SLACK // 2
             )
-            if ordered > orders.free + orders.part * taken:
+            if ordered > orders.base_orders + orders.orders_per_activation * taken:
                 found.breaks(
                     f"{name}: {ordered} orders in {orders.period / 1e9:.0f} s with {taken} activations"
                 )
--- a/petrelwood/decide/delivery/recovery.py
+++ b/petrelwood/decide/delivery/recovery.py
@@ -305,9 +305,11 @@
     ) -> None:
         follows_another = bool(state.last_record_at)
         period = max(1, orders.period)
-        is_long_ago = wall - state.last_record_at > guarantees.fall and not state.clock_went_back
+        is_long_ago = wall - state.last_record_at > guarantees.slow_start_window and not state.clock_went_back
         self.recent_orders = sum(state.clock_went_back or wall - at < period for at in state.order_times)
-        self.cold_workers_from = now + guarantees.fall if follows_another and not is_long_ago else now
+        self.cold_workers_from = (
+            now + guarantees.slow_start_window if follows_another and not is_long_ago else now
+        )
         self.starts_slowly = follows_another and not state.ended_in_order
 
     def may_send(self, now: int, is_cold: bool) -> bool:
--- a/petrelwood/decide/scheduling/actions.py
+++ b/petrelwood/decide/scheduling/actions.py
@@ -49,7 +49,7 @@
     ) -> None:
         terms = parameters.terms
         self.allowed = terms.allowed
-        self.health_check_fee = terms.probe_fee
+        self.health_check_fee = terms.health_check_cost
         self.draw = parameters.draw
         self.sweep_interval = parameters.sweep_interval
         self.load_known_time = parameters.target_latency // LOAD_KNOWN_DIVISOR  # ns
--- a/petrelwood/decide/scheduling/admission.py
+++ b/petrelwood/decide/scheduling/admission.py
@@ -42,7 +42,7 @@
 
 def make_buckets(now: int, terms: Terms) -> dict[str, TokenBucket]:
     """Return a bucket for each customer; none where activations beyond a quota have full utility."""
-    if terms.beyond >= 1:
+    if terms.over_quota_utility >= 1:
         return {}
     factor = QUOTA_FACTOR / SECOND / terms.dispatchers
     return {customer: TokenBucket(1, now, factor * quota) for customer, quota in terms.quotas.items()}
--- a/petrelwood/decide/scheduling/estimates.py
+++ b/petrelwood/decide/scheduling/estimates.py
@@ -46,7 +46,7 @@
         target_latency = parameters.target_latency
         self.dispatchers = parameters.terms.dispatchers
         # ns in which what is known of a worker's load loses its weight
-        self.load_lifetime = parameters.terms.orders.keep or 1
+        self.load_lifetime = parameters.terms.orders.min_idle_time or 1
         self.usual_service_time = target_latency // FIRST_SERVICE_TIME_DIVISOR
         self.mean_arriving_work: float = 0
         self.mean_work = target_latency / FIRST_WORK_DIVISOR
--- a/petrelwood/decide/scheduling/load_order_limit.py
+++ b/petrelwood/decide/scheduling/load_order_limit.py
@@ -80,7 +80,9 @@
         orders = self.orders
         if not orders.allowed or not orders.period:
             return orders.allowed
-        return ordered + 1 <= part * (orders.free + orders.part * self.credited.lower_bound(now))
+        return ordered + 1 <= part * (
+            orders.base_orders + orders.orders_per_activation * self.credited.lower_bound(now)
+        )
 
     def record_order(self, now: int) -> None:
         """Count a load order."""
--- a/petrelwood/decide/scheduling/parameters.py
+++ b/petrelwood/decide/scheduling/parameters.py
@@ -33,8 +33,8 @@
         """Return the parameters of a scheduler with these terms and this seed."""
         target_latency = min(type_.target_latency for type_ in terms.types.values())
         check_interval = target_latency
-        if terms.asks:
+        if terms.must_request_list:
             # The endpoint list must be requested in time, and the target latency may be far longer.
-            check_interval = min(target_latency, terms.guarantees.ask_within)
+            check_interval = min(target_latency, terms.guarantees.max_list_request_interval)
         sweep_interval = max(terms.tick, check_interval // SWEEPS_A_CHECK_INTERVAL)
         return cls(terms, target_latency, check_interval, sweep_interval, Random(seed).random)
--- a/petrelwood/decide/scheduling/placement.py
+++ b/petrelwood/decide/scheduling/placement.py
@@ -96,7 +96,7 @@
         best: Copy | None = None
         best_load: float = 0
         if not self.outliers.is_send_limit_reached():
-            oldest = now - self.load_terms.keep
+            oldest = now - self.load_terms.min_idle_time
             for copy in list(function.copies.values()):
                 worker = copy.worker
                 if copy.last_seen < oldest and not copy.in_flight and not copy.loading_since:
@@ -235,7 +235,7 @@
         An idle copy of a function that is still called is renewed by a load order. Each dispatcher draws, so
         that one in all orders it. The caller gives each order before it takes the next.
         """
-        keep = self.load_terms.keep
+        keep = self.load_terms.min_idle_time
         for function in list(self.functions.values()):
             for copy in list(function.copies.values()):
                 if self._is_unused(copy, function, now):
@@ -263,7 +263,7 @@
         loads_on_send = self.load_terms.loads_on_send
         if not function.copies:
             # Another dispatcher's copy may be there; if not, the miss uses up an attempt.
-            may_miss = now - function.missed_at > self.load_terms.keep and self.may_retry
+            may_miss = now - function.missed_at > self.load_terms.min_idle_time and self.may_retry
             if loads_on_send or may_miss:
                 return CopyStart.ATTEMPT
         if activation is not None and loads_on_send and not self.load_terms.allowed:
@@ -291,11 +291,11 @@
         """Return whether the copy was idle for longer than it is kept, or than its load can take."""
         longest_load = LOAD_TIMEOUT * function.load_time if copy.loading_since else 0
         idle_since = max(copy.last_seen, copy.loading_since)
-        return not copy.in_flight and now - idle_since > max(self.load_terms.keep, longest_load)
+        return not copy.in_flight and now - idle_since > max(self.load_terms.min_idle_time, longest_load)
 
     def _needs_renewal(self, copy: Copy, function: Function, now: int) -> bool:
         """Return whether the copy would soon be dropped while its function is called now and then."""
-        keep = self.load_terms.keep
+        keep = self.load_terms.min_idle_time
         part, whole = RENEWAL_PART
         return (
             not copy.in_flight
--- a/petrelwood/decide/scheduling/scheduler.py
+++ b/petrelwood/decide/scheduling/scheduler.py
@@ -46,7 +46,7 @@
 # The endpoint list is requested after half of the time in which it must be, so that a lost request can
 # follow.
 LIST_REQUEST_DIVISOR = 2
-CLEANUPS_PER_KEEP = 16  # in `LoadOrders.keep`, the time that idle copies stay
+CLEANUPS_PER_KEEP = 16  # in `LoadOrders.min_idle_time`, the time that idle copies stay
 
 
 class Scheduler:
@@ -237,7 +237,7 @@
         self.actions.check_health(workers[:1], now)
 
     def _list_request_time(self) -> int:
-        return self.terms.guarantees.ask_within // LIST_REQUEST_DIVISOR
+        return self.terms.guarantees.max_list_request_interval // LIST_REQUEST_DIVISOR
 
     def _run_periodic_checks(self, now: int) -> None:
         """Update the slow start and the mean load, hedge what is overdue, request the endpoint list.
@@ -250,11 +250,11 @@
         self.estimates.update_mean_load(self.outliers.in_flight, fleet_size)
         for worker in list(self.outliers.workers_in_use.values()):
             self.attempts.hedge_overdue(worker, now)
-        if self.terms.asks and now - self.list_requested_at > self._list_request_time():
+        if self.terms.must_request_list and now - self.list_requested_at > self._list_request_time():
             self.list_requested_at = now
             self.actions.request_endpoint_list()
         if now >= self.next_cleanup:
-            self.next_cleanup = now + self.terms.orders.keep // CLEANUPS_PER_KEEP
+            self.next_cleanup = now + self.terms.orders.min_idle_time // CLEANUPS_PER_KEEP
             self._clean_up(now)
 
     def _clean_up(self, now: int) -> None:
--- a/petrelwood/decide/scheduling/slow_start.py
+++ b/petrelwood/decide/scheduling/slow_start.py
@@ -1,8 +1,8 @@
 """Slow start: how much a worker that has just started is sent.
 
-A worker is cold for a while after its start (`Guarantees.cold`): it has only a part of its capacity at first
-(`cold_from`), and falls over if it gets `fall_multiple` times that within `fall` ns. So it has a budget of
-attempts for each step of `fall` ns. The dispatchers do not know of each other's sends: each takes its own
+A worker is cold for `Guarantees.warm_up_time` after its start: at first it has only a share of its capacity
+(`initial_capacity_share`), and it crashes if it is sent `crash_load_multiple` times that within
+`slow_start_window` ns. So it has a budget of attempts for each step of `slow_start_window` ns. The dispatchers do not know of each other's sends: each takes its own
 part of the budget.
 """
 
@@ -24,7 +24,7 @@
     Attributes:
         warm_workers: usable workers that are warm, as of the last update.
         warming_up: those that are not.
-        warm_answers: answers of warm workers in the last `cold` ns.
+        warm_answers: answers of warm workers in the last `warm_up_time` ns.
         warm_worker_time: the sum over warm workers of the time that each was warm then, ns.
     """
 
@@ -35,21 +35,21 @@
         self.estimates = estimates
         self.warm_workers = 1
         self.warming_up: list[Worker] = []
-        self.warm_answers = BackdatedCounter(self.guarantees.cold)
-        self.warm_worker_time = BackdatedCounter(self.guarantees.cold)
+        self.warm_answers = BackdatedCounter(self.guarantees.warm_up_time)
+        self.warm_worker_time = BackdatedCounter(self.guarantees.warm_up_time)
 
     def is_warm(self, worker: Worker, now: int) -> bool:
         """Return whether the worker has been up long enough for its full load."""
-        return not worker.booted or max(0, now - worker.booted) >= self.guarantees.cold
+        return not worker.booted or max(0, now - worker.booted) >= self.guarantees.warm_up_time
 
     def budget(self, worker: Worker, now: int) -> int:
         """Return how many attempts may still be sent to the worker in this step; over 0 if it is warm.
 
         Draws the budget of a cold worker at the first call in each step.
         """
-        if self.is_warm(worker, now) or not self.guarantees.fall:
+        if self.is_warm(worker, now) or not self.guarantees.slow_start_window:
             return UNLIMITED
-        step = max(0, now - worker.booted) // self.guarantees.fall
+        step = max(0, now - worker.booted) // self.guarantees.slow_start_window
         if step != worker.slow_start_step:
             worker.slow_start_budget = self._draw_budget(step, now)
             worker.slow_start_step = step
@@ -77,10 +77,18 @@
         the budget.
         """
         terms = self.guarantees
-        capacity = terms.cold_from + (1 - terms.cold_from) * step * terms.fall / terms.cold
-        warm_time = max(self.warm_worker_time.lower_bound(now), max(1, self.warm_workers) * terms.cold)
+        capacity = (
+            terms.initial_capacity_share
+            + (1 - terms.initial_capacity_share) * step * terms.slow_start_window / terms.warm_up_time
+        )
+        warm_time = max(
+            self.warm_worker_time.lower_bound(now), max(1, self.warm_workers) * terms.warm_up_time
+        )
         estimates = self.estimates
         # Without hints the usual service time may still be a guess, and answers tell more.
         work = max(estimates.usual_service_time, estimates.mean_arriving_work or estimates.mean_answer_time)
         rate = max(self.warm_answers.lower_bound(now) / warm_time, 1 / work / self.dispatchers)
-        return int(terms.fall_multiple / BUDGET_PART_DIVISOR * capacity * rate * terms.fall + self.draw())
+        return int(
+            terms.crash_load_multiple / BUDGET_PART_DIVISOR * capacity * rate * terms.slow_start_window
+            + self.draw()
+        )
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -99,7 +99,7 @@
         """Make the membership, the links and the budget for connecting again."""
         gateway = self.gateway
         connect_timeout = gateway.workers.connect_within
-        self.membership = Membership(self.terms.orders.keep, connect_timeout, self.chance.random)
+        self.membership = Membership(self.terms.orders.min_idle_time, connect_timeout, self.chance.random)
         self.links = WorkerLinks(lambda worker, address: link(worker, address, self))
         self.reconnects: Budget | None = None
         if gateway.damps:
--- a/petrelwood/dispatch/durable_state.py
+++ b/petrelwood/dispatch/durable_state.py
@@ -117,7 +117,7 @@
         if restart is None or now >= restart.cold_workers_from:
             return True
         booted = self.core.membership.members[worker].booted
-        is_cold = bool(booted) and now - booted < self.core.terms.guarantees.cold
+        is_cold = bool(booted) and now - booted < self.core.terms.guarantees.warm_up_time
         return bool(restart.may_send(now, is_cold))
 
     # The admission of activations.
--- a/petrelwood/dispatch/load_forecasts.py
+++ b/petrelwood/dispatch/load_forecasts.py
@@ -34,11 +34,11 @@
         self.slot = forecast_terms.slot
         self.clock = clock
         orders = terms.orders
-        self.orders_per_slot = orders.free if orders.period else UNLIMITED_ORDERS
+        self.orders_per_slot = orders.base_orders if orders.period else UNLIMITED_ORDERS
         early_terms = EarlyLoadTerms(
             Calendar(forecast_terms.slot, forecast_terms.season, forecast_terms.week, forecast_terms.events),
             Prices(forecast_terms.fetch, forecast_terms.memory_price),
-            orders.keep,
+            orders.min_idle_time,
             terms.dispatchers,
             terms.zone,
             forecast_terms.size,
--- a/petrelwood/emulate/policies.py
+++ b/petrelwood/emulate/policies.py
@@ -26,7 +26,7 @@
         self.fleet = sorted(w for w, e in self.workers.items() if e.usable and self._warm(e, now))
 
     def _warm(self, entry, now):
-        return not entry.booted or now - entry.booted >= self.terms.guarantees.cold // 2
+        return not entry.booted or now - entry.booted >= self.terms.guarantees.warm_up_time // 2
 
     def endpoint_list_lost(self, now):
         pass
--- a/petrelwood/node/module_terms.py
+++ b/petrelwood/node/module_terms.py
@@ -93,9 +93,9 @@
         guarantees=_guarantees(guarantees, polls_list),
         orders=_load_orders(family),
         allowed=_allowed(permissions),
-        asks=polls_list,
+        must_request_list=polls_list,
         reports_by_probe=settings.member("loadInfo", {}).choice("how", REPORT_MODES, "silent") == "pull",
         tick=settings.time("tick", least=1),
-        probe_fee=fees.number("probe", 0),
-        beyond=settings.number("overShareWorth", 0),
+        health_check_cost=fees.number("probe", 0),
+        over_quota_utility=settings.number("overShareWorth", 0),
     )
--- a/petrelwood/ports.py
+++ b/petrelwood/ports.py
@@ -66,11 +66,11 @@
 class Guarantees(NamedTuple):
     """What the platform guarantees of workers, and requires for the endpoint list."""
 
-    ask_within: int  # ns between two requests of the endpoint list, at most; only if `Terms.asks`
-    cold: int  # ns after its start from which a worker is warmed up
-    cold_from: float  # the part of its capacity that a worker has at its start, 0 to 1
-    fall_multiple: float  # a cold worker crashes when it is sent so many times its capacity
-    fall: int  # ns of the window in which this is counted
+    max_list_request_interval: int  # ns between two requests of the endpoint list; see `must_request_list`
+    warm_up_time: int  # ns after its start from which a worker is warmed up
+    initial_capacity_share: float  # the part of its capacity that a worker has at its start, 0 to 1
+    crash_load_multiple: float  # a cold worker crashes when it is sent so many times its capacity
+    slow_start_window: int  # ns of the window in which this is counted
 
 
 class LoadOrders(NamedTuple):
@@ -78,9 +78,9 @@
 
     allowed: bool
     loads_on_send: bool  # a worker without a copy loads it by itself when an activation comes
-    keep: int  # ns that an idle copy stays loaded at least
-    free: float  # the rate limit: load orders in each period,
-    part: float  # and further ones for each activation taken in it
+    min_idle_time: int  # ns that an idle copy stays loaded at least
+    base_orders: float  # the rate limit: load orders in each period,
+    orders_per_activation: float  # and further ones for each activation taken in it
     period: int  # ns; 0: there is no rate limit
 
 
@@ -105,11 +105,13 @@
     guarantees: Guarantees
     orders: LoadOrders
     allowed: Allowed
-    asks: bool  # the endpoint list must be requested
+    must_request_list: bool  # the endpoint list must be requested
     reports_by_probe: bool  # workers send load reports only on a health check
     tick: int  # ns, the shortest wait of a timer
-    probe_fee: float = 0.0  # utility that one health check an activation costs, as a part of all
-    beyond: float = 0.0  # utility of an activation beyond its customer's quota, as a part of the usual
+    health_check_cost: float = 0.0  # utility that one health check an activation costs, as a part of all
+    over_quota_utility: float = (
+        0.0  # utility of an activation over its customer's quota, as a share of the usual
+    )
 
 
 class Listed(NamedTuple):
--- a/petrelwood/settings/comparison.py
+++ b/petrelwood/settings/comparison.py
@@ -24,6 +24,22 @@
 WORKER_TERMS_IN_BYTES = frozenset(("queue", "frame"))
 TERMS_COMPARED_APART = frozenset(("types", "quotas"))
 
+# The names that `petrelwood config diff` prints for fields of `ports.Terms` and its parts, where they differ
+# from the names of the fields. The printed names must not change.
+PRINTED_TERM_NAMES: dict[str, str] = {
+    "warm_up_time": "cold",
+    "initial_capacity_share": "cold_from",
+    "crash_load_multiple": "fall_multiple",
+    "slow_start_window": "fall",
+    "max_list_request_interval": "ask_within",
+    "min_idle_time": "keep",
+    "base_orders": "free",
+    "orders_per_activation": "part",
+    "must_request_list": "asks",
+    "health_check_cost": "probe_fee",
+    "over_quota_utility": "beyond",
+}
+
 
 class TakesEffect(StrEnum):
     """When a change of settings takes effect; shown by `petrelwood config diff` and in logs."""
@@ -302,7 +318,9 @@
 def _compare_term(name: str, part: str, before: object, after: object) -> Iterator[Change]:
     if before == after:
         return
-    label = " ".join(filter(None, (name, part))).replace("_", " ")
+    label = " ".join(PRINTED_TERM_NAMES.get(field, field) for field in (name, part) if field).replace(
+        "_", " "
+    )
     fewer_loads = name == "orders" and _is_risky_fall(before, after)
     yield Change(
         f"{label}: {_format_term(after)} instead of {_format_term(before)}",
--- a/petrelwood/settings/gateway.py
+++ b/petrelwood/settings/gateway.py
@@ -125,7 +125,7 @@
         guarantees=workers.guarantees,
         orders=workers.orders,
         allowed=workers.allowed,
-        asks=False,
+        must_request_list=False,
         reports_by_probe=workers.reports_by_probe,
         tick=identity.tick,
     )
--- a/petrelwood/settings/plausibility.py
+++ b/petrelwood/settings/plausibility.py
@@ -54,30 +54,32 @@
     orders = gateway.terms.orders
     if not (orders.period and orders.allowed):
         return
-    renewals = orders.period / max(1, orders.keep)
-    if orders.free < renewals:
+    renewals = orders.period / max(1, orders.min_idle_time)
+    if orders.base_orders < renewals:
         yield _section(file, "workers").error(
-            f"the ration gives {orders.free:g} free orders in {orders.period / SECOND:g} s; renewing "
-            f"a single copy each {orders.keep / SECOND:g} s takes {renewals:.1f} of them"
+            f"the ration gives {orders.base_orders:g} free orders in {orders.period / SECOND:g} s; renewing "
+            f"a single copy each {orders.min_idle_time / SECOND:g} s takes {renewals:.1f} of them"
         )
 
 
 def _check_slow_start(file: Node, gateway: Gateway) -> Iterator[SettingsError]:
     guarantees = gateway.terms.guarantees
-    if not guarantees.cold:
+    if not guarantees.warm_up_time:
         return
     latencies = (namespace_type.target_latency for namespace_type in gateway.terms.types.values())
     shortest_latency = min(latencies, default=0)
     lanes = max((rule.lanes for rule in gateway.functions), default=0)
-    sends = guarantees.fall_multiple * guarantees.cold_from * lanes  # that a cold worker bears at a time
-    if shortest_latency and lanes and sends * guarantees.fall < shortest_latency:
+    # Sends in flight at a time that do not crash a cold worker.
+    sends = guarantees.crash_load_multiple * guarantees.initial_capacity_share * lanes
+    if shortest_latency and lanes and sends * guarantees.slow_start_window < shortest_latency:
         yield _section(file, "workers").error(
-            f"a worker that has just started bears under one send in {guarantees.fall / SECOND:g} s "
-            f"({guarantees.fall_multiple:g} x {guarantees.cold_from:g} of {lanes} lanes, "
+            f"a worker that has just started bears under one send in "
+            f"{guarantees.slow_start_window / SECOND:g} s "
+            f"({guarantees.crash_load_multiple:g} x {guarantees.initial_capacity_share:g} of {lanes} lanes, "
             f"an answer taking up to {shortest_latency / SECOND:g} s): "
             "it gets hardly any, and is not seen to be well"
         )
-    if guarantees.fall > guarantees.cold:
+    if guarantees.slow_start_window > guarantees.warm_up_time:
         yield _section(file, "workers").error(
             "'fall' is longer than 'cold': a worker is warm before what it was given is counted"
         )
--- a/petrelwood/settings/workers.py
+++ b/petrelwood/settings/workers.py
@@ -53,11 +53,11 @@
 
 def _decode_guarantees(parts: _Parts) -> ports.Guarantees:
     return ports.Guarantees(
-        ask_within=0,
-        cold=parts.cold.arg(DURATION, "a time"),
-        cold_from=parts.cold.prop("from", FRACTION),
-        fall_multiple=parts.fall.prop("multiple", NUMBER),
-        fall=parts.fall.arg(DURATION, "a time"),
+        max_list_request_interval=0,
+        warm_up_time=parts.cold.arg(DURATION, "a time"),
+        initial_capacity_share=parts.cold.prop("from", FRACTION),
+        crash_load_multiple=parts.fall.prop("multiple", NUMBER),
+        slow_start_window=parts.fall.arg(DURATION, "a time"),
     )
 
 
@@ -65,16 +65,16 @@
     orders = ports.LoadOrders(
         allowed=node.value("orders", FLAG, True),
         loads_on_send=loads_on_send,
-        keep=keep,
-        free=0.0,
-        part=0.0,
+        min_idle_time=keep,
+        base_orders=0.0,
+        orders_per_activation=0.0,
         period=0,
     )
     if ration is None:
         return orders
     return orders._replace(
-        free=float(ration.prop("free", NUMBER)),
-        part=ration.prop("part", FRACTION),
+        base_orders=float(ration.prop("free", NUMBER)),
+        orders_per_activation=ration.prop("part", FRACTION),
         period=ration.prop("period", DURATION),
     )
 
--- a/tests/cold_budget.py
+++ b/tests/cold_budget.py
@@ -104,17 +104,20 @@
     def budget(self, age):
         """N at that age (ns)."""
         guarantees = self.guarantees
-        part = guarantees.cold_from + (1 - guarantees.cold_from) * age / guarantees.cold
-        return guarantees.fall_multiple * part * self.capacity * guarantees.fall / SECOND
+        part = (
+            guarantees.initial_capacity_share
+            + (1 - guarantees.initial_capacity_share) * age / guarantees.warm_up_time
+        )
+        return guarantees.crash_load_multiple * part * self.capacity * guarantees.slow_start_window / SECOND
 
     def arrives(self, now, dispatcher, weight):
         age = now - self.started
-        if age >= self.guarantees.cold:
+        if age >= self.guarantees.warm_up_time:
             return
         self.window.append((now, dispatcher, weight))
         self.sum += weight
         self.total += 1
-        while now - self.window[0][0] > self.guarantees.fall:
+        while now - self.window[0][0] > self.guarantees.slow_start_window:
             self.sum -= self.window.popleft()[2]
         budget = self.budget(age)
         self.largest = max(self.largest, self.sum / bound(budget))
@@ -171,9 +174,12 @@
     def part(self):
         """Of its warm capacity, what it can do now."""
         guarantees, age = self.world.terms.guarantees, self.world.now - self.booted
-        if not self.booted or age >= guarantees.cold:
+        if not self.booted or age >= guarantees.warm_up_time:
             return self.speed
-        return self.speed * (guarantees.cold_from + (1 - guarantees.cold_from) * age / guarantees.cold)
+        return self.speed * (
+            guarantees.initial_capacity_share
+            + (1 - guarantees.initial_capacity_share) * age / guarantees.warm_up_time
+        )
 
     def arrives(self, job, weight):
         if not self.usable:
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -38,11 +38,11 @@
         guarantees=ports.Guarantees(ask * MS, cold * MS, 0.25, 2.0, fall * MS),
         orders=ports.LoadOrders(orders, self_loading, keep * MS, *ration),
         allowed=ports.Allowed(sends, True, True, probes, True, 500 * MS),
-        asks=bool(ask),
+        must_request_list=bool(ask),
         reports_by_probe=probes,
         tick=2 * MS,
-        probe_fee=fee,
-        beyond=beyond,
+        health_check_cost=fee,
+        over_quota_utility=beyond,
     )
 
 
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -136,16 +136,23 @@
 
         def cold_room(slow_start, worker, now):
             g, age = slow_start.guarantees, max(0, now - worker.booted)
-            if not worker.booted or age >= g.cold:
+            if not worker.booted or age >= g.warm_up_time:
                 return 1
-            slot = age // g.fall
+            slot = age // g.slow_start_window
             if slot != worker.slow_start_step:
-                part = g.cold_from + (1 - g.cold_from) * slot * g.fall / g.cold
+                part = (
+                    g.initial_capacity_share
+                    + (1 - g.initial_capacity_share) * slot * g.slow_start_window / g.warm_up_time
+                )
                 rate = max(
-                    slow_start.warm_answers.lower_bound(now) / max(1, slow_start.warm_workers) / g.cold,
+                    slow_start.warm_answers.lower_bound(now)
+                    / max(1, slow_start.warm_workers)
+                    / g.warm_up_time,
                     1 / slow_start.estimates.usual_service_time / slow_start.dispatchers,
                 )
-                worker.slow_start_budget = int(g.fall_multiple / 3 * part * rate * g.fall + slow_start.draw())
+                worker.slow_start_budget = int(
+                    g.crash_load_multiple / 3 * part * rate * g.slow_start_window + slow_start.draw()
+                )
                 worker.slow_start_step = slot
             return worker.slow_start_budget
 
