--- a/benchmarks/module_pace.py
+++ b/benchmarks/module_pace.py
@@ -52,7 +52,9 @@
         )
         self.scheduler = Scheduler(0, self.terms, seed, self)
         self.scheduler.endpoints_changed(
-            0, [ports.Listed(f"10.0.{i // 250}.{i % 250}:1", "", 0, 0, True) for i in range(workers)], True
+            0,
+            [ports.EndpointEntry(f"10.0.{i // 250}.{i % 250}:1", "", 0, 0, True) for i in range(workers)],
+            True,
         )
 
     def at(self, when, *what):
--- a/benchmarks/rare_calls.py
+++ b/benchmarks/rare_calls.py
@@ -101,7 +101,9 @@
         self.counts = collections.Counter()
         self.chance, self.dispatchers, self.rare_every = random.Random(seed), dispatchers, rare_every
         self.copies, self.calls, self.rare = {}, {}, []
-        names = [ports.Listed(f"w-{n:05d}", f"zone-{n % size.ZONES}", 0, 0, True) for n in range(workers)]
+        names = [
+            ports.EndpointEntry(f"w-{n:05d}", f"zone-{n % size.ZONES}", 0, 0, True) for n in range(workers)
+        ]
         self.outlets = [Outlet(self, number) for number in range(dispatchers)]
         for outlet in self.outlets:
             outlet.scheduler.endpoints_changed(0, names, True)
--- a/benchmarks/scale/parts.py
+++ b/benchmarks/scale/parts.py
@@ -103,7 +103,7 @@
     """A whole list for the module; those in `restarted` started at `booted`."""
     names = zones()
     return [
-        ports.Listed(worker_name(n), names[n % len(names)], 0, booted if n in restarted else 0, True)
+        ports.EndpointEntry(worker_name(n), names[n % len(names)], 0, booted if n in restarted else 0, True)
         for n in range(count)
     ]
 
--- a/petrelwood/decide/cluster/membership.py
+++ b/petrelwood/decide/cluster/membership.py
@@ -61,7 +61,7 @@
 class ListChange(NamedTuple):
     """The changes by a list or a watch event."""
 
-    listed: list[ports.Listed]
+    listed: list[ports.EndpointEntry]
     leaving: list[str]  # workers that drain or are gone, and were not said to before
 
 
@@ -75,11 +75,11 @@
         self.booted = booted  # on our clock; 0: long ago
         self.draining_since = 0
 
-    def listed(self) -> ports.Listed:
+    def listed(self) -> ports.EndpointEntry:
         """Return the worker as the decision module is notified of it."""
         endpoint = self.endpoint
         is_usable = endpoint.state == EndpointState.USABLE
-        return ports.Listed(endpoint.worker, endpoint.zone, endpoint.cell, self.booted, is_usable)
+        return ports.EndpointEntry(endpoint.worker, endpoint.zone, endpoint.cell, self.booted, is_usable)
 
 
 class Membership:
@@ -130,7 +130,7 @@
         self.backoff.succeeded()
         return was_lost
 
-    def correct_clock(self, ahead: int, now: int) -> list[ports.Listed]:
+    def correct_clock(self, ahead: int, now: int) -> list[ports.EndpointEntry]:
         """Correct the platform clock by an earlier reading; return the workers that are younger by it.
 
         `ahead`: how far the wall clock was ahead of the monotonic one (ns) in an earlier process on this
--- a/petrelwood/decide/scheduling/fleet.py
+++ b/petrelwood/decide/scheduling/fleet.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 
 from petrelwood.decide.scheduling.records import Worker
-from petrelwood.ports import Listed
+from petrelwood.ports import EndpointEntry
 
 # Spread the bits of a hash of 32 bits, which is first combined with another by exclusive or.
 HASH_MULTIPLIER = 0x9E3779B1
@@ -26,7 +26,7 @@
         self.zone = zone
         self.salt = salt
 
-    def apply(self, now: int, entries: Sequence[Listed], is_whole: bool) -> list[Worker]:
+    def apply(self, now: int, entries: Sequence[EndpointEntry], is_whole: bool) -> list[Worker]:
         """Apply a change of the endpoint list, or a whole one.
 
         Returns:
@@ -49,7 +49,7 @@
             if worker.is_usable or worker.in_flight or worker.lost
         }
 
-    def _apply_entry(self, entry: Listed, now: int) -> Worker | None:
+    def _apply_entry(self, entry: EndpointEntry, now: int) -> Worker | None:
         """Apply one entry and return its worker if it has restarted."""
         worker = self.workers.get(entry.worker)
         if worker is None:
--- a/petrelwood/decide/scheduling/scheduler.py
+++ b/petrelwood/decide/scheduling/scheduler.py
@@ -40,7 +40,7 @@
 from petrelwood.decide.scheduling.slow_start import SlowStart
 from petrelwood.decide.scheduling.snapshot import SchedulerSnapshot, take_snapshot
 from petrelwood.decide.scheduling.worker_order import WorkerOrder
-from petrelwood.ports import Arrival, AttemptEnd, EndReason, Listed, Outlet, Terms
+from petrelwood.ports import Arrival, AttemptEnd, EndpointEntry, EndReason, Outlet, Terms
 
 CHECKS_PER_INTERVAL = 8  # periodic checks in each `Parameters.check_interval`
 # The endpoint list is requested after half of the time in which it must be, so that a lost request can
@@ -96,7 +96,7 @@
         self.list_requested_at = now - LONG_TIME
         actions.set_timer(now, parameters.sweep_interval)
 
-    def endpoints_changed(self, now: int, entries: Sequence[Listed], is_whole: bool) -> None:
+    def endpoints_changed(self, now: int, entries: Sequence[EndpointEntry], is_whole: bool) -> None:
         """Apply a change of the endpoint list, or a whole list, and dispatch what is queued."""
         for worker in self.fleet.apply(now, entries, is_whole):
             self.placement.forget_copies(worker)
--- a/petrelwood/decide/scheduling/slow_start.py
+++ b/petrelwood/decide/scheduling/slow_start.py
@@ -2,8 +2,8 @@
 
 A worker is cold for `Guarantees.warm_up_time` after its start: at first it has only a share of its capacity
 (`initial_capacity_share`), and it crashes if it is sent `crash_load_multiple` times that within
-`slow_start_window` ns. So it has a budget of attempts for each step of `slow_start_window` ns. The dispatchers do not know of each other's sends: each takes its own
-part of the budget.
+`slow_start_window` ns. Therefore each step of `slow_start_window` ns has a budget of attempts. The
+dispatchers do not know of each other's sends, so each takes its own part of the budget.
 """
 
 from collections.abc import Iterable
--- a/petrelwood/dispatch/activations.py
+++ b/petrelwood/dispatch/activations.py
@@ -181,7 +181,7 @@
         retry_after = self.intake.retry_after(self.now(), customer, id_, least_wait)
         self.finish(act.id, REJECTED, retry_after=retry_after)
 
-    def client_left(self, act_id: str, exchange: Exchange) -> None:
+    def detach_client(self, act_id: str, exchange: Exchange) -> None:
         """End an activation whose client hung up, unless others wait for it or it has to go on."""
         if self.pending.client_departed(act_id, exchange):
             act = self.pending.end(self.now(), act_id, CLIENT_LEFT)
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -30,7 +30,7 @@
 from petrelwood.dispatch.outlet import ModuleOutlet, retry_budget
 from petrelwood.dispatch.recent_answers import RecentAnswers
 from petrelwood.dispatch.worker_links import Address, WorkerLink, WorkerLinks
-from petrelwood.ports import Listed
+from petrelwood.ports import EndpointEntry
 
 if TYPE_CHECKING:  # the platform's dispatcher needs no settings in KDL and no log
     from petrelwood.settings.functions import FunctionRule
@@ -288,9 +288,9 @@
         """Admit the request of an authenticated client, or answer it at once."""
         self.submit(self.activations.admit, request, function, rule, body, exchange)
 
-    def client_left(self, act_id: str, exchange: Exchange) -> None:
+    def detach_client(self, act_id: str, exchange: Exchange) -> None:
         """Learn that the client of an exchange hung up."""
-        self.submit(self.activations.client_left, act_id, exchange)
+        self.submit(self.activations.detach_client, act_id, exchange)
 
     # From the links.
     def send_ended(
@@ -372,11 +372,11 @@
         self.scheduler.timer_fired(self.now(), mark)
 
     # From the endpoint list.
-    def endpoints_changed(self, entries: list[Listed], draining: list[str], is_whole: bool) -> None:
+    def endpoints_changed(self, entries: list[EndpointEntry], draining: list[str], is_whole: bool) -> None:
         """Learn of a change of the endpoint list, or of the whole; `draining`: they drain or are gone."""
         self.submit(self._endpoints_changed, entries, draining, is_whole)
 
-    def _endpoints_changed(self, entries: list[Listed], draining: list[str], is_whole: bool) -> None:
+    def _endpoints_changed(self, entries: list[EndpointEntry], draining: list[str], is_whole: bool) -> None:
         self.links.drain(draining)
         self.links.connect(entries, self.membership)
         self.scheduler.endpoints_changed(self.now(), entries, is_whole)
--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -16,7 +16,7 @@
 from petrelwood.dispatch.worker_links import Address
 from petrelwood.links.roster import RosterLink
 from petrelwood.links.worker import WorkerLink
-from petrelwood.ports import Listed
+from petrelwood.ports import EndpointEntry
 from petrelwood.settings.gateway import Gateway
 from petrelwood.store.history import History
 from petrelwood.store.state_log import StateLog
@@ -176,7 +176,7 @@
         """Have a link checked a few times a second, until it says that it is at rest."""
         self.busy[link] = True
 
-    def endpoints_changed(self, entries: list[Listed], draining: list[str], is_whole: bool) -> None:
+    def endpoints_changed(self, entries: list[EndpointEntry], draining: list[str], is_whole: bool) -> None:
         """Learn of a change of the endpoint list, or of the whole list."""
         super().endpoints_changed(entries, draining, is_whole)
         self.endpoints_known.set()
--- a/petrelwood/dispatch/interfaces.py
+++ b/petrelwood/dispatch/interfaces.py
@@ -74,7 +74,9 @@
     Each begins with the monotonic time in ns. The module acts through its `ports.Outlet`, within these calls.
     """
 
-    def endpoints_changed(self, now: int, entries: Sequence[ports.Listed], is_whole: bool, /) -> object:
+    def endpoints_changed(
+        self, now: int, entries: Sequence[ports.EndpointEntry], is_whole: bool, /
+    ) -> object:
         """Learn of a change of the endpoint list, or of the whole list."""
 
     def endpoint_list_lost(self, now: int, /) -> object:
--- a/petrelwood/dispatch/worker_links.py
+++ b/petrelwood/dispatch/worker_links.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from petrelwood.decide.cluster.membership import Membership
-from petrelwood.ports import Listed
+from petrelwood.ports import EndpointEntry
 
 Address = tuple[str, int]
 Send = tuple[str, int]
@@ -64,7 +64,7 @@
             if worker in self:
                 self[worker].recall()
 
-    def connect(self, entries: Iterable[Listed], membership: Membership) -> None:
+    def connect(self, entries: Iterable[EndpointEntry], membership: Membership) -> None:
         """Make links to workers that are new and usable, and move those whose address has changed.
 
         `membership` may be ahead of the entries: a worker that is gone by now has no address, and gets none.
--- a/petrelwood/emulate/platform.py
+++ b/petrelwood/emulate/platform.py
@@ -376,7 +376,7 @@
         core = self.cores.get(made.to)
         self.open_tries[made.to].pop(made, None)
         if core is not None and made.act is not None and made.act in core.pending.activations:
-            core.client_left(made.act, made)
+            core.detach_client(made.act, made)
 
     def wish_ended(self, wish):
         second = min(wish.begun // SECOND, len(self.time_course) - 1)
--- a/petrelwood/fronts/interfaces.py
+++ b/petrelwood/fronts/interfaces.py
@@ -121,7 +121,7 @@
     ) -> None:
         """Admit a request of an authenticated client; `exchange` gets the final answer."""
 
-    def client_left(self, act_id: str, exchange: Exchange) -> None:
+    def detach_client(self, act_id: str, exchange: Exchange) -> None:
         """Note that the client of an exchange needs no answer any more."""
 
 
--- a/petrelwood/fronts/mqtt_session.py
+++ b/petrelwood/fronts/mqtt_session.py
@@ -254,7 +254,7 @@
         message: Message = delivery.message
         if message.final_answer is None and message.act is not None:
             message.final_answer = NO_ANSWER
-            self.core.client_left(message.act, message)
+            self.core.detach_client(message.act, message)
 
     def answer(self, delivery: Delivery, with_acknowledgement: bool) -> None:
         """Send the final answer, and in the same write the acknowledgement that is due with it.
--- a/petrelwood/fronts/webhook.py
+++ b/petrelwood/fronts/webhook.py
@@ -158,7 +158,7 @@
     def client_departed(self, request: HttpRequest) -> None:
         """Handle the departure of the client of a request that the core has not answered."""
         if request.act is not None:
-            self.core.client_left(request.act, request)
+            self.core.detach_client(request.act, request)
 
     # From the dispatcher.
     def storm_changed(self, name: str, on: bool) -> None:
--- a/petrelwood/links/roster.py
+++ b/petrelwood/links/roster.py
@@ -18,7 +18,7 @@
 from petrelwood.links.errors import EndpointListError
 from petrelwood.links.interfaces import Address, Logger, LoopOwner
 from petrelwood.links.sse import EventReader
-from petrelwood.ports import Listed
+from petrelwood.ports import EndpointEntry
 
 READ_SIZE = 65_536  # bytes taken from the socket at a time
 OK = 200  # the status of HTTP
@@ -47,7 +47,7 @@
     async def sleep_until(self, when: int, /) -> None:
         """Wait until a monotonic time in ns."""
 
-    def endpoints_changed(self, entries: list[Listed], leaving: list[str], whole: bool, /) -> object:
+    def endpoints_changed(self, entries: list[EndpointEntry], leaving: list[str], whole: bool, /) -> object:
         """Handle a change of workers; `whole`: the entries are all there are."""
 
 
--- a/petrelwood/node/client_connection.py
+++ b/petrelwood/node/client_connection.py
@@ -171,7 +171,7 @@
             for msgid in message.params:
                 exchange = self.open.pop(msgid, None) if isinstance(msgid, int) else None
                 if exchange is not None and exchange.act is not None:
-                    self.front.core.client_left(exchange.act, exchange)
+                    self.front.core.detach_client(exchange.act, exchange)
             self.request_ended()
         else:
             raise rpc.MalformedRpcError("neither a request nor a cancel")
@@ -261,7 +261,7 @@
         for msgid, exchange in list(self.open.items()):
             del self.open[msgid]
             if exchange.act is not None:
-                self.front.core.client_left(exchange.act, exchange)
+                self.front.core.detach_client(exchange.act, exchange)
             self.send_failure(msgid)
 
     def _drain(self, now: int) -> None:
@@ -341,7 +341,7 @@
         self.stream.close()
         for exchange in list(self.open.values()):
             if exchange.act is not None:
-                self.front.core.client_left(exchange.act, exchange)
+                self.front.core.detach_client(exchange.act, exchange)
         self.open.clear()
 
 
--- a/petrelwood/node/interfaces.py
+++ b/petrelwood/node/interfaces.py
@@ -82,7 +82,7 @@
     ) -> None:
         """Admit a call, or answer it at once."""
 
-    def client_left(self, act_id: str, exchange: Exchange, /) -> None:
+    def detach_client(self, act_id: str, exchange: Exchange, /) -> None:
         """End what a client no longer waits for, where it may be ended."""
 
     def submit(self, call: Callable[..., object], *args: object) -> None:
--- a/petrelwood/node/roster.py
+++ b/petrelwood/node/roster.py
@@ -17,7 +17,7 @@
 from petrelwood.links.interfaces import Address, Logger
 from petrelwood.node import roster_protocol
 from petrelwood.node.roster_protocol import EndpointList, UnusableAnswerError
-from petrelwood.ports import Listed
+from petrelwood.ports import EndpointEntry
 
 DATAGRAM_SIZE = 65_535  # bytes of a datagram at most
 MOST_READS = 8  # datagrams in one turn of the loop
@@ -44,7 +44,9 @@
     def now(self) -> int:
         """Return the monotonic time in ns."""
 
-    def endpoints_changed(self, entries: list[Listed], draining: list[str], is_whole: bool, /) -> object:
+    def endpoints_changed(
+        self, entries: list[EndpointEntry], draining: list[str], is_whole: bool, /
+    ) -> object:
         """Learn of a new endpoint list; `draining`: workers that drain or are gone since."""
 
 
--- a/petrelwood/ports.py
+++ b/petrelwood/ports.py
@@ -114,7 +114,7 @@
     )
 
 
-class Listed(NamedTuple):
+class EndpointEntry(NamedTuple):
     """One worker in the endpoint list."""
 
     worker: str
--- a/petrelwood/simulator_adapter.py
+++ b/petrelwood/simulator_adapter.py
@@ -89,7 +89,7 @@
     """
 
     def __init__(self) -> None:
-        self.lists: dict[object, list[ports.Listed]] = {}
+        self.lists: dict[object, list[ports.EndpointEntry]] = {}
         self.schedulers: dict[str, Scheduler] = {}
         self.outlets: dict[str, OrderOutlet] = {}
         self.handlers: dict[str, Callable[[Scheduler, int, Event], None]] = {
@@ -162,9 +162,9 @@
             scheduler.endpoints_changed(now, self.lists[event["page"]], scope != "incr")
 
 
-def decode_endpoint(entry: Event) -> ports.Listed:
+def decode_endpoint(entry: Event) -> ports.EndpointEntry:
     """Return an entry of an endpoint list."""
-    return ports.Listed(
+    return ports.EndpointEntry(
         worker=entry["runner"],
         zone=entry.get("rackZone") or "",
         cell=entry.get("cluster") or 0,
--- a/tests/cold_budget.py
+++ b/tests/cold_budget.py
@@ -374,7 +374,7 @@
         heapq.heappush(self.events, (self.now + max(0, wait), next(self.order), call, args))
 
     def listed(self, worker):
-        return ports.Listed(worker.name, "", 0, worker.booted, worker.usable)
+        return ports.EndpointEntry(worker.name, "", 0, worker.booted, worker.usable)
 
     def end(self, job, worker, code):
         job.over = True
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -47,7 +47,7 @@
 
 
 def worker(name, zone="north", booted=0, usable=True):
-    return ports.Listed(name, zone, 0, booted * MS, usable)
+    return ports.EndpointEntry(name, zone, 0, booted * MS, usable)
 
 
 class Desk:
@@ -55,7 +55,7 @@
         self.now, self.lines, self.wakes, self.asked, self.rings, self.kept = 0, [], [], [], [], kept
         self.scheduler = Scheduler(0, terms(**changes), 7, self)
         self.scheduler.endpoints_changed(
-            0, [w if isinstance(w, ports.Listed) else worker(w) for w in workers], True
+            0, [w if isinstance(w, ports.EndpointEntry) else worker(w) for w in workers], True
         )
 
     def say(self, text):
--- a/tests/ration.py
+++ b/tests/ration.py
@@ -297,7 +297,7 @@
     def leave(self, exchange):
         if exchange.ended is None and exchange.act is not None:
             exchange.ended = "left"
-            self.node.client_left(exchange.act, exchange)
+            self.node.detach_client(exchange.act, exchange)
 
     def flood(self):
         """Hundreds at once, half of them under one id: for what nobody has, taken back at once, a little
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -277,7 +277,7 @@
     def test_a_change_of_the_list_changes_it(self):
         module, fn = parts.scheduler(60), Function("f-1")
         before = list(module.order.workers_for(fn))
-        gone = ports.Listed(before[0].id, before[0].zone, 0, 0, False)
+        gone = ports.EndpointEntry(before[0].id, before[0].zone, 0, 0, False)
         module.endpoints_changed(SECOND, [gone], False)
         self.assertEqual(list(module.order.workers_for(fn)), before[1:])
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -101,7 +101,7 @@
 def run(link, act, attempt, remaining):
     link.core.loop.call_later(0.4, inner, link, act, attempt, remaining)
 NodeLink.run = run
-Node.client_left = lambda *_: None
+Node.detach_client = lambda *_: None
 NodeLink.withdraw = lambda *_: None
 """,
         "after its end",
--- a/tests/test_worker_links.py
+++ b/tests/test_worker_links.py
@@ -4,14 +4,14 @@
 from unittest import mock
 
 from petrelwood.dispatch.worker_links import WorkerLinks
-from petrelwood.ports import Listed
+from petrelwood.ports import EndpointEntry
 
 
 class Changes(unittest.TestCase):
     def connect(self, address):
         """The links after a change that lists a new, usable worker, whose address is this by now."""
         links = WorkerLinks(lambda worker, address: mock.Mock(address=address))
-        entry = Listed("w1", "zone", 0, 0, usable=True)
+        entry = EndpointEntry("w1", "zone", 0, 0, usable=True)
         links.connect([entry], mock.Mock(address_of=lambda worker: address))
         return links
 
