--- a/petrelwood/clocks.py
+++ b/petrelwood/clocks.py
@@ -1,7 +1,7 @@
-"""Clocks: the monotonic time, the wall-clock time, and timers; a real clock and a virtual one.
+"""Clocks with monotonic time, wall-clock time and timers: a real clock and a virtual one.
 
 Each clock has `now()`, in ns, which never goes back; `wall()`, in ns of the epoch, which may be stepped;
-`steady_wall()`, the same without its steps, for spans of time; and `at(when, call, *args)`, which starts a
+`steady_wall()`, the wall-clock time without steps, for durations; and `at(when, call, *args)`, which starts a
 timer that can be cancelled.
 """
 
@@ -13,7 +13,7 @@
 
 from petrelwood.decide.wall_clock import UnsteppedWallClock
 
-READINGS = 3  # of both clocks; the closest pair counts, as a process may be suspended between two readings
+READINGS = 3  # pairs of readings; the fastest pair is used, as the process may be suspended within a pair
 WALL = 1_700_000_000 * 10**9  # ns of the epoch at which virtual time begins
 
 
@@ -21,11 +21,11 @@
     """A call that is scheduled for a later time."""
 
     def cancel(self) -> None:
-        """Cancel the call; without effect once it was made."""
+        """Cancel the call; has no effect after the call was made."""
 
 
 def _both_clocks() -> tuple[int, int, int]:
-    """Return how long reading both clocks took, and their times: (ns, monotonic, wall)."""
+    """Read both clocks; return the duration of the reading and the times: (ns, monotonic, wall)."""
     before = time.monotonic_ns()
     wall = time.time_ns()
     return time.monotonic_ns() - before, before, wall
@@ -43,11 +43,11 @@
     wall = staticmethod(time.time_ns)
 
     def steady_wall(self) -> int:
-        """Return the wall clock as first read, advanced by the monotonic clock, ns of the epoch."""
+        """Return the first wall-clock reading advanced by the monotonic clock, ns of the epoch."""
         return self.unstepped.read(time.monotonic_ns(), time.time_ns())
 
     def at(self, when: int, call: Callable[..., object], *args: Any) -> Timer:
-        """Schedule `call(*args)` at the time `when` (ns of `now()`), or soon if that is past."""
+        """Schedule `call(*args)` at the time `when` (ns of `now()`), or immediately if that is past."""
         return self.loop.call_later(max(0, when - time.monotonic_ns()) / 1e9, call, *args)
 
 
@@ -73,7 +73,7 @@
     def __init__(self, start: int = 0) -> None:
         self.time = start
         self.heap: list[tuple[int, int, _Entry]] = []
-        self.scheduled = 0  # calls so far; their order at the same time
+        self.scheduled = 0  # number of calls scheduled so far; orders calls that are due at the same time
 
     def now(self) -> int:
         """Return the virtual time in ns."""
--- a/petrelwood/dispatch/activations.py
+++ b/petrelwood/dispatch/activations.py
@@ -182,7 +182,7 @@
         self.finish(act.id, REJECTED, retry_after=retry_after)
 
     def detach_client(self, act_id: str, exchange: Exchange) -> None:
-        """End an activation whose client hung up, unless others wait for it or it has to go on."""
+        """End an activation whose client disconnected, unless others wait for it or it must continue."""
         if self.pending.client_departed(act_id, exchange):
             act = self.pending.end(self.now(), act_id, CLIENT_LEFT)
             if act is None:
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -289,7 +289,7 @@
         self.submit(self.activations.admit, request, function, rule, body, exchange)
 
     def detach_client(self, act_id: str, exchange: Exchange) -> None:
-        """Learn that the client of an exchange hung up."""
+        """Detach the client of an exchange, which has disconnected."""
         self.submit(self.activations.detach_client, act_id, exchange)
 
     # From the links.
--- a/petrelwood/dispatch/interfaces.py
+++ b/petrelwood/dispatch/interfaces.py
@@ -1,6 +1,6 @@
-"""The types that this package expects of what it is given: a logger, a clock, random numbers, and the core.
+"""Interfaces of the objects that this package is given: a logger, a clock, random numbers, and the core.
 
-A part of the dispatcher says in a protocol of its own, beside its class, what else it needs of the core.
+A part of the dispatcher that needs more of the core defines a protocol of its own next to its class.
 """
 
 from collections.abc import Callable, Sequence
@@ -10,19 +10,19 @@
 
 
 class Logger(Protocol):
-    """A structured logger, as structlog makes them: one line for each event, with its fields."""
+    """A structured logger like those of structlog: one line per event, with its fields."""
 
     def debug(self, event: str, **fields: object) -> object:
-        """Log what only a developer wants to know."""
+        """Log a detail that only developers need."""
 
     def info(self, event: str, **fields: object) -> object:
         """Log a normal event."""
 
     def warning(self, event: str, **fields: object) -> object:
-        """Log a fault that service survives."""
+        """Log a fault that does not interrupt service."""
 
     def error(self, event: str, **fields: object) -> object:
-        """Log a fault that an operator should see to."""
+        """Log a fault that needs an operator's attention."""
 
 
 class Timer(Protocol):
@@ -42,7 +42,7 @@
         """Return the time since the epoch, which may be stepped in both directions."""
 
     def steady_wall(self) -> int:
-        """Return the time since the epoch without its steps, for spans of time."""
+        """Return the time since the epoch without steps, for durations."""
 
     def at(self, when: int, call: Callable[..., object], *args: object) -> Timer:
         """Call `call(*args)` at the monotonic time `when`."""
@@ -53,76 +53,77 @@
 
 
 class Rule(Protocol):
-    """What is known of a function: `settings.functions.FunctionRule`, or what a request says of it."""
+    """The known properties of a function: from `settings.functions.FunctionRule` or from a request."""
 
     @property
     def lanes(self) -> int:
-        """Activations that one copy runs at a time."""
+        """Activations that one copy runs concurrently."""
 
     @property
     def load_time(self) -> int:
-        """The usual time of a load in ns; 0: not known."""
+        """The usual load time in ns; 0: not known."""
 
     @property
     def work(self) -> int:
-        """The usual work of an activation in ns; 0: not known."""
+        """The usual computing time of an activation in ns; 0: not known."""
 
 
 class DecisionModule(Protocol):
-    """The events that the decision module learns; see `decide.scheduling.scheduler.Scheduler`.
+    """The event handlers of the decision module; see `decide.scheduling.scheduler.Scheduler`.
 
-    Each begins with the monotonic time in ns. The module acts through its `ports.Outlet`, within these calls.
+    The first argument of each is the monotonic time in ns. The module acts through its `ports.Outlet`, only
+    within these calls.
     """
 
     def endpoints_changed(
         self, now: int, entries: Sequence[ports.EndpointEntry], is_whole: bool, /
     ) -> object:
-        """Learn of a change of the endpoint list, or of the whole list."""
+        """Handle a change of the endpoint list, or the whole list."""
 
     def endpoint_list_lost(self, now: int, /) -> object:
-        """Learn that no changes of the endpoint list will come."""
+        """Handle the loss of the endpoint list: no further changes will be received."""
 
     def activation_arrived(self, now: int, arrival: ports.Arrival, /) -> object:
-        """Take in an activation: it is sent, queued or rejected."""
+        """Accept an activation: it is sent, queued or rejected."""
 
     def attempt_ended(self, now: int, end: ports.AttemptEnd, /) -> object:
-        """Learn how an attempt has ended."""
+        """Handle the end of an attempt."""
 
     def client_departed(self, now: int, activation_id: str, /) -> object:
-        """Forget an activation: its client has left, or it has ended without the module."""
+        """Forget an activation whose client has disconnected, or that ended without the module."""
 
     def load_order_ended(
         self, now: int, worker_id: str, function: str, reason: ports.EndReason, copies: int, /
     ) -> object:
-        """Learn how a load order has ended; `copies` of the function are on the worker now."""
+        """Handle the end of a load order; `copies`: the copies of the function that the worker has now."""
 
     def may_load_order_leave(self, now: int, given_at: int, /) -> bool:
-        """Return whether a load order that was given at `given_at` and has waited may leave now."""
+        """Return whether a queued load order that was issued at `given_at` may be sent now."""
 
     def load_order_withdrawn(self, now: int, given_at: int, /) -> object:
-        """Learn that a load order that was given at `given_at` never left."""
+        """Note that a load order that was issued at `given_at` was never sent."""
 
     def load_orders_restored(self, now: int, orders: int, /) -> object:
-        """Learn that an earlier incarnation gave so many load orders in the last period."""
+        """Count the `orders` load orders that an earlier incarnation issued in the last period."""
 
     def prefetch(self, now: int, function: str, slots: int, load_time: int, /) -> str | None:
-        """Order one copy ahead of a call; return the worker that it is ordered on, or None."""
+        """Order one copy ahead of a call; return the worker that gets the load order, or None."""
 
     def health_check_ended(
         self, now: int, worker_id: str, reason: ports.EndReason, report: dict[str, float] | None, /
     ) -> object:
-        """Learn how a health check has ended, and the load report that it brought."""
+        """Handle the end of a health check, with the load report if it returned one."""
 
     def timer_fired(self, now: int, mark: str, /) -> object:
-        """Check what is due, and dispatch what is queued."""
+        """Handle what is due, and dispatch queued activations."""
 
 
 MakeModule = Callable[[int, ports.Terms, int, ports.Outlet], DecisionModule]
-"""Makes a decision module that begins at a time (ns), with its terms, a seed and its outlet."""
+"""Creates a decision module from its start time (ns), its terms, a seed and its outlet."""
 
 
 class CoreRuntime(Protocol):
-    """What every part of a dispatcher needs of its core: time, a log, and a turn in the queue of events."""
+    """What every part of a dispatcher needs of its core: time, a log, and the event queue."""
 
     @property
     def clock(self) -> Clock:
@@ -136,4 +137,4 @@
         """Return the monotonic time in ns."""
 
     def submit(self, call: Callable[..., object], /, *args: object) -> object:
-        """Make a call at once, or after the one that is being made."""
+        """Make a call at once, or after the call in progress."""
--- a/petrelwood/errors.py
+++ b/petrelwood/errors.py
@@ -1,12 +1,13 @@
 """The errors of the gateway: one base, and one class for each kind of failure.
 
-A package raises a subclass of the class that names what failed, with a message of one line that says what was
-tried on what, and chains the cause: `raise SnapshotError(f"{path}: its checksum is wrong") from error`.
+A package raises a subclass of the class for its kind of failure, with a one-line message that names the
+operation and its object, and chains the cause:
+`raise SnapshotError(f"{path}: its checksum is wrong") from error`.
 """
 
 
 class PetrelwoodError(Exception):
-    """The base of all errors that the gateway raises itself; `str()` is one line for people."""
+    """The base of all errors that the gateway raises itself; `str()` is a readable line."""
 
 
 class StorageError(PetrelwoodError):
@@ -14,11 +15,11 @@
 
 
 class ProtocolError(PetrelwoodError):
-    """A peer violated its protocol; the connection can't be used any more."""
+    """A peer violated its protocol; the connection is no longer usable."""
 
 
 class TransportError(PetrelwoodError):
-    """A connection, a datagram or a call over one failed; whether it had an effect is not known."""
+    """A connection, a datagram or a call over either failed; it is not known whether it had an effect."""
 
 
 class UnavailableError(PetrelwoodError):
--- a/petrelwood/fronts/interfaces.py
+++ b/petrelwood/fronts/interfaces.py
@@ -1,4 +1,4 @@
-"""The types that the fronts expect of what they are given: the core and its settings.
+"""Interfaces of the objects that the fronts are given: the core and its settings.
 
 The core and the settings are in packages above and beside this one, which must not be imported here.
 """
@@ -16,15 +16,15 @@
 
 
 class FunctionRule(pending.FunctionRule, Protocol):
-    """What the settings say of a function; see `settings.gateway.FunctionRule`."""
+    """The settings of a function; see `settings.gateway.FunctionRule`."""
 
     @property
     def type(self) -> str:
-        """The name of its namespace type."""
+        """The name of the function's namespace type."""
 
 
 class Exchange(Protocol):
-    """One request of a client, which has one final answer."""
+    """One request of a client, which gets one final answer."""
 
     act: str | None  # the id of the activation that it waits for
 
@@ -35,7 +35,7 @@
 
 
 class Customer(Protocol):
-    """Who may call; see `settings.customers.Customer`."""
+    """A client account that may call functions; see `settings.customers.Customer`."""
 
     @property
     def keys(self) -> Iterable[tuple[str, bytes]]:
@@ -47,15 +47,15 @@
 
     @property
     def connections(self) -> int:
-        """Connections open at a time."""
+        """Connections open at the same time."""
 
     @property
     def handshakes(self) -> int:
-        """TLS handshakes in progress at a time."""
+        """TLS handshakes in progress at the same time."""
 
     @property
     def bytes(self) -> int:
-        """Bytes of requests that are not complete yet, over all connections."""
+        """Bytes of incomplete requests, over all connections."""
 
     @property
     def header(self) -> int:
@@ -95,11 +95,11 @@
 
     @property
     def tls(self) -> Identity | None:
-        """The certificate of the front; None where it speaks plain HTTP."""
+        """The certificate of the front; None if it serves plain HTTP."""
 
     @property
     def tolerance(self) -> int:
-        """How far the timestamp of a webhook may be off the wall clock, in ns."""
+        """The largest allowed difference in ns between a webhook's timestamp and the wall clock."""
 
 
 class FrontCore(Protocol):
@@ -114,7 +114,7 @@
         """The source of random numbers."""
 
     def rule(self, function: str) -> FunctionRule | None:
-        """Return the rule of a function, or None where it may not be called."""
+        """Return the rule of a function, or None if it may not be called."""
 
     def admit(
         self, request: ActivationRequest, function: str, rule: FunctionRule, body: bytes, exchange: Exchange
@@ -122,7 +122,7 @@
         """Admit a request of an authenticated client; `exchange` gets the final answer."""
 
     def detach_client(self, act_id: str, exchange: Exchange) -> None:
-        """Note that the client of an exchange needs no answer any more."""
+        """Detach the client of an exchange from its activation: the client no longer needs an answer."""
 
 
 class WebhookCore(FrontCore, Protocol):
@@ -130,7 +130,7 @@
 
     @property
     def intake(self) -> Intake:
-        """The admission of activations, which also recognises storms of connections."""
+        """The admission of activations, which also detects connection storms."""
 
 
 class MqttTerms(Protocol):
@@ -142,19 +142,19 @@
 
     @property
     def user(self) -> str | None:
-        """The name that the dispatcher logs in with; None without a login."""
+        """The user name of the dispatcher's login; None without a login."""
 
     @property
     def password(self) -> bytes | None:
-        """The password that it logs in with."""
+        """The password of the login."""
 
     @property
     def group(self) -> str:
-        """The group of the shared subscription: the same at all dispatchers."""
+        """The group of the shared subscription, the same for all dispatchers."""
 
     @property
     def keep_alive(self) -> int:
-        """How long a connection may be silent."""
+        """How long a connection may be silent (MQTT keep-alive)."""
 
     @property
     def session(self) -> int:
@@ -162,7 +162,7 @@
 
     @property
     def window_least(self) -> int:
-        """Activations of one customer in flight at a time: the smallest window."""
+        """The smallest window: activations of one customer in flight at the same time."""
 
     @property
     def window_most(self) -> int:
@@ -174,7 +174,7 @@
 
     @property
     def most(self) -> int:
-        """Bytes of one packet at most."""
+        """The largest packet in bytes."""
 
     @property
     def max_queued_answers(self) -> int:
@@ -190,7 +190,7 @@
 
     @property
     def tls(self) -> Identity | None:
-        """The certificates of connections to the broker; None where they are plain."""
+        """The certificates of connections to the broker; None if they are plain."""
 
 
 class MqttSettings(Protocol):
@@ -240,10 +240,10 @@
         """The ids of earlier activations."""
 
     def submit(self, call: Callable[..., object], *args: object) -> None:
-        """Make a call at once, or after the one that is being made."""
+        """Make a call at once, or after the call in progress."""
 
     def defect(self, where: str, fault: Exception) -> None:
-        """Report an unexpected error; the activations that it touched are aborted."""
+        """Report an unexpected error; the affected activations are aborted."""
 
     async def sleep_until(self, when: int) -> None:
         """Wait for a time of the monotonic clock, in ns."""
--- a/petrelwood/links/interfaces.py
+++ b/petrelwood/links/interfaces.py
@@ -1,4 +1,4 @@
-"""The types that this package expects of what it is given: a logger, a clock and the dispatcher it serves."""
+"""Interfaces of the objects that this package is given: a logger, a clock and the dispatcher it serves."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,17 +13,17 @@
 
 
 class Logger(Protocol):
-    """A structured logger, as structlog makes them: one line for each event, with its fields."""
+    """A structured logger like those of structlog: one line per event, with its fields."""
 
     def info(self, event: str, **fields: object) -> object:
         """Log a normal event."""
 
     def warning(self, event: str, **fields: object) -> object:
-        """Log a fault that service survives."""
+        """Log a fault that does not interrupt service."""
 
 
 class MonotonicClock(Protocol):
-    """Whoever can tell the time."""
+    """A source of monotonic time."""
 
     def now(self) -> int:
         """Return the monotonic time in ns."""
@@ -33,7 +33,7 @@
     """What a link needs of its dispatcher. The end of each call is reported once, through `submit`."""
 
     def submit(self, call: Callable[..., object], /, *args: object) -> object:
-        """Make a call at once, or after the one that is being made."""
+        """Make a call at once, or after the call in progress."""
 
     def send_ended(
         self,
@@ -56,10 +56,10 @@
         """Handle the end of a health check."""
 
     def may_send_order(self, given_at: int, /) -> bool:
-        """Return whether a load order that was given at `given_at` may leave now."""
+        """Return whether a load order that was issued at `given_at` may be sent now."""
 
     def order_not_sent(self, given_at: int, /) -> object:
-        """Note that a load order that was given at `given_at` will never leave."""
+        """Note that a load order that was issued at `given_at` will never be sent."""
 
 
 class LoopOwner(MonotonicClock, Protocol):
@@ -71,4 +71,4 @@
 
     @property
     def name(self) -> str:
-        """What it calls itself before its peers."""
+        """The name that it announces to its peers."""
--- a/petrelwood/node/interfaces.py
+++ b/petrelwood/node/interfaces.py
@@ -1,4 +1,4 @@
-"""What the clients' side needs of the dispatcher, as protocols."""
+"""Interfaces of the dispatcher that the client side needs."""
 
 import asyncio
 from collections.abc import Callable, Collection, Mapping
@@ -14,7 +14,7 @@
 
     @property
     def usual(self) -> int:
-        """How long an activation usually stays, ns: the pause that a rejected client is given."""
+        """The usual time in ns from arrival to answer: the Retry-After of a rejected client."""
 
 
 class Terms(Protocol):
@@ -26,7 +26,7 @@
 
 
 class CallTerms(Protocol):
-    """What calls may say: `node.configuration.Configuration`."""
+    """The customers and types that calls may name: `node.configuration.Configuration`."""
 
     @property
     def customers(self) -> Collection[str]:
@@ -54,22 +54,22 @@
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
-        """The event loop that all runs on."""
+        """The event loop that everything runs on."""
 
     def now(self) -> int:
         """Return the monotonic time in ns."""
 
     def arrived(self, now: int) -> int:
-        """Return when what is read now came at the earliest: before `now`, if the loop was held up."""
+        """Return the earliest arrival time of data read now: before `now` if the loop was delayed."""
 
     def serves(self) -> bool:
-        """Return whether it takes calls: its start is over, and its end has not begun."""
+        """Return whether it accepts calls: its start is complete and its shutdown has not begun."""
 
     def is_open(self, act_id: str) -> bool:
         """Return whether an activation has this id, or an attempt of an earlier one is still in flight."""
 
     def answer_due(self, now: int) -> None:
-        """Answer the activations whose deadline has come."""
+        """Answer the activations whose deadline has passed."""
 
     def admit(
         self,
@@ -83,10 +83,10 @@
         """Admit a call, or answer it at once."""
 
     def detach_client(self, act_id: str, exchange: Exchange, /) -> None:
-        """End what a client no longer waits for, where it may be ended."""
+        """End an activation that its client no longer waits for, if it may be ended."""
 
     def submit(self, call: Callable[..., object], *args: object) -> None:
-        """Make a call, after the one that is being made."""
+        """Make a call, after the call in progress."""
 
     def defect(self, where: str, fault: Exception) -> None:
-        """Log a fault of the program and abort the activations that it touched."""
+        """Log an internal error and abort the affected activations."""
--- a/petrelwood/ports.py
+++ b/petrelwood/ports.py
@@ -1,7 +1,8 @@
 """The interface of the decision module: its terms, the records of its events, and the actions it may take.
 
-All times are whole nanoseconds on the caller's clock; ids are opaque and returned as they came. The events
-are the public methods of `decide.scheduling.scheduler.Scheduler`; the larger ones carry a record from here.
+All times are whole nanoseconds on the caller's clock; ids are opaque and returned unchanged. The events
+are the public methods of `decide.scheduling.scheduler.Scheduler`; those with many values take a record from
+this module.
 """
 
 from enum import IntEnum, StrEnum
@@ -9,29 +10,29 @@
 
 
 class EndReason(StrEnum):
-    """The reason why an attempt, a load order or a health check has ended."""
+    """The reason why an attempt, a load order or a health check ended."""
 
-    FULL = "full"  # the worker has no free capacity; nothing began
-    NO_CONNECTION = "no connection"  # there was none, and nothing was sent
-    MISSING = "missing"  # the worker has no copy of the function and does not load by itself
-    NOT_SENT = "not sent"  # it was still queued in the dispatcher
+    FULL = "full"  # the worker has no free capacity; nothing was started
+    NO_CONNECTION = "no connection"  # there was no connection, and nothing was sent
+    MISSING = "missing"  # the worker has no copy of the function and does not load one by itself
+    NOT_SENT = "not sent"  # the request was still queued in the dispatcher
     COMPLETED = "completed"
-    ERROR = "error"  # the function or the worker failed; it may have run
-    TIMED_OUT = "timed out"  # no answer in time; it may have run
-    RESET = "reset"  # the connection broke; it may have run
-    CANCELLED = "cancelled"  # the dispatcher cancelled it; it may have run
+    ERROR = "error"  # the function or the worker failed; the activation may have run
+    TIMED_OUT = "timed out"  # no answer arrived in time; the activation may have run
+    RESET = "reset"  # the connection was reset; the activation may have run
+    CANCELLED = "cancelled"  # the dispatcher cancelled the request; the activation may have run
 
 
 NEVER_RAN = frozenset((EndReason.FULL, EndReason.NO_CONNECTION, EndReason.MISSING, EndReason.NOT_SENT))
-"""The reasons that prove that the activation never ran."""
+"""The reasons which prove that the activation did not run."""
 
 
 class Effect(StrEnum):
-    """What running an activation twice would do."""
+    """The effect of running an activation twice."""
 
-    REPEATABLE = "repeatable"  # nothing: it may run again freely
-    DEDUPLICATED = "deduplicated"  # nothing within the scope and window that drop repeats
-    ONCE_ONLY = "once-only"  # harm: it must not run twice
+    REPEATABLE = "repeatable"  # none: the activation may run any number of times
+    DEDUPLICATED = "deduplicated"  # none within the scope and the window in which workers drop repeats
+    ONCE_ONLY = "once-only"  # harmful: the activation must not run twice
 
 
 class Scope(StrEnum):
@@ -43,12 +44,12 @@
 
 
 class CopyNote(IntEnum):
-    """What a completed answer says of the copy that ran the activation."""
+    """The state of the copy that ran an activation, as a completed answer reports it."""
 
     NOTHING = 0
-    FOUND_WARM = 1  # the copy was loaded before
-    BEGAN_LOAD = 2  # this attempt began its load
-    AWAITED_LOAD = 3  # the attempt waited for a load that was under way
+    FOUND_WARM = 1  # the copy was already loaded
+    BEGAN_LOAD = 2  # this attempt started the load of the copy
+    AWAITED_LOAD = 3  # the attempt waited for a load in progress
     LOAD_FAILED = 4
 
 
@@ -57,38 +58,38 @@
 
     target_latency: int  # ns from arrival to answer
     effect: Effect
-    scope: Scope  # of a deduplicated one: the group that drops repeats
-    window: int  # ns that the group remembers a deduplicated one
-    stretch: float = 0.0  # the part of an activation's work hint that is added to its target latency
-    timeout: int = 0  # ns, the action timeout, up to which it grows; 0: not known
+    scope: Scope  # for a deduplicated activation: the workers that drop its repeats
+    window: int  # ns for which these workers remember a deduplicated activation
+    stretch: float = 0.0  # the share of an activation's work hint that is added to its target latency
+    timeout: int = 0  # ns, the action timeout, which limits the extended target latency; 0: not known
 
 
 class Guarantees(NamedTuple):
-    """What the platform guarantees of workers, and requires for the endpoint list."""
+    """The guarantees of the platform about workers, and its requirement on endpoint list requests."""
 
-    max_list_request_interval: int  # ns between two requests of the endpoint list; see `must_request_list`
-    warm_up_time: int  # ns after its start from which a worker is warmed up
-    initial_capacity_share: float  # the part of its capacity that a worker has at its start, 0 to 1
-    crash_load_multiple: float  # a cold worker crashes when it is sent so many times its capacity
-    slow_start_window: int  # ns of the window in which this is counted
+    max_list_request_interval: int  # ns; applies only with `Terms.must_request_list`
+    warm_up_time: int  # ns from a worker's start until it is warm
+    initial_capacity_share: float  # the share of its capacity that a worker has at its start, 0 to 1
+    crash_load_multiple: float  # a cold worker crashes if it is sent this multiple of its capacity
+    slow_start_window: int  # ns of the window over which the load of a cold worker is counted
 
 
 class LoadOrders(NamedTuple):
     """The rules for load orders, and their rate limit."""
 
     allowed: bool
-    loads_on_send: bool  # a worker without a copy loads it by itself when an activation comes
-    min_idle_time: int  # ns that an idle copy stays loaded at least
-    base_orders: float  # the rate limit: load orders in each period,
-    orders_per_activation: float  # and further ones for each activation taken in it
+    loads_on_send: bool  # a worker without a copy loads one by itself when an activation arrives
+    min_idle_time: int  # ns for which an idle copy stays loaded, at least
+    base_orders: float  # the base rate limit: load orders per period
+    orders_per_activation: float  # load orders added to the limit per activation taken in the period
     period: int  # ns; 0: there is no rate limit
 
 
 class Allowed(NamedTuple):
-    """What the platform allows for attempts and answers."""
+    """The permissions of the platform for attempts and answers."""
 
     sends: int  # attempts of one activation, at most
-    overlap: bool  # two attempts of one activation may be in flight at a time
+    overlap: bool  # two attempts of one activation may be in flight at the same time
     cancel: bool  # an attempt may be cancelled
     probe: bool  # a worker may be asked for a load report
     retry_after: bool  # a rejection may carry a Retry-After
@@ -96,22 +97,20 @@
 
 
 class Terms(NamedTuple):
-    """The configuration that the module is given at its start."""
+    """The configuration of the decision module, fixed at its start."""
 
-    zone: str  # the dispatcher's own
-    dispatchers: int  # how many share the workers
+    zone: str  # the zone of this dispatcher
+    dispatchers: int  # the number of dispatchers that share the workers
     types: dict[str, NamespaceType]
-    quotas: dict[str, float]  # by customer: activations a second, at all dispatchers together
+    quotas: dict[str, float]  # by customer: activations per second, over all dispatchers together
     guarantees: Guarantees
     orders: LoadOrders
     allowed: Allowed
-    must_request_list: bool  # the endpoint list must be requested
+    must_request_list: bool  # the endpoint list must be requested; it is not pushed
     reports_by_probe: bool  # workers send load reports only on a health check
-    tick: int  # ns, the shortest wait of a timer
-    health_check_cost: float = 0.0  # utility that one health check an activation costs, as a part of all
-    over_quota_utility: float = (
-        0.0  # utility of an activation over its customer's quota, as a share of the usual
-    )
+    tick: int  # ns, the shortest timer delay
+    health_check_cost: float = 0.0  # share of the total utility that one health check per activation costs
+    over_quota_utility: float = 0.0  # fraction of the usual utility for an activation over its quota
 
 
 class EndpointEntry(NamedTuple):
@@ -120,21 +119,21 @@
     worker: str
     zone: str
     cell: int
-    booted: int  # ns when it started; 0: long ago
-    usable: bool  # False: it drains or is gone
+    booted: int  # ns, the start time of the worker; 0: long ago
+    usable: bool  # False: the worker is draining or gone
 
 
 class Arrival(NamedTuple):
-    """An activation that was admitted and waits for its first attempt."""
+    """An admitted activation that waits for its first attempt."""
 
     activation_id: str
     function: str
     type_name: str  # a key of `Terms.types`
     customer: str
-    due: int  # ns on the caller's clock, the deadline of its final answer
-    slots: int  # activations of its function that one copy runs at a time
-    work_hint: int  # ns that it is expected to compute; 0: not known
-    load_time: int  # ns that loading a copy of its function takes; 0: not known
+    due: int  # ns on the caller's clock, the deadline for its final answer
+    slots: int  # activations that one copy of its function runs concurrently
+    work_hint: int  # ns, its expected computing time; 0: not known
+    load_time: int  # ns, the time to load a copy of its function; 0: not known
 
 
 class AttemptEnd(NamedTuple):
@@ -145,7 +144,7 @@
     worker: str
     reason: EndReason
     note: int  # a `CopyNote`
-    is_final: bool  # the activation has its final answer, by this attempt or otherwise
+    is_final: bool  # the activation has its final answer, from this attempt or otherwise
     duration: int  # ns from the send to the end
     report: dict[str, float] | None  # the worker's load report, if it sent one
 
--- a/petrelwood/settings/comparison.py
+++ b/petrelwood/settings/comparison.py
@@ -274,7 +274,7 @@
 
 
 def _compare_parts(old: Gateway, new: Gateway) -> Iterator[Change]:
-    """Yield the parts of the settings of which it is only said that they are other than before."""
+    """Yield the parts of the settings that are only reported as changed, without their values."""
     for subject, before, after in (
         ("the roster is", old.roster, new.roster),
         ("the control socket is", old.control, new.control),
