--- a/petrelwood/dispatch/activations.py
+++ b/petrelwood/dispatch/activations.py
@@ -34,10 +34,15 @@
 class Exchange(Protocol):
     """One request of a client, at a front."""
 
-    act: str | None  # the id of the activation that it waits for
+    activation_id: str | None  # the id of the activation that it waits for
 
     def answer(
-        self, outcome: str, body: bytes = b"", retry_after: int = 0, why: str = "", act: str | None = None
+        self,
+        outcome: str,
+        body: bytes = b"",
+        retry_after: int = 0,
+        reason: str = "",
+        activation_id: str | None = None,
     ) -> object:
         """Give the client its final answer. `retry_after`: ns, 0 where it is not told."""
 
@@ -108,7 +113,9 @@
         if hooks.may_be_superseded is not None and hooks.may_be_superseded(now):
             retry_after = self.intake.retry_after(now, *key)
             exchange.answer(
-                intake_stage.REJECT, retry_after=retry_after, why=intake_stage.RejectionReason.SHUTTING_DOWN
+                intake_stage.REJECT,
+                retry_after=retry_after,
+                reason=intake_stage.RejectionReason.SHUTTING_DOWN,
             )
             return
         verdict = self.intake.decide(now, core.clock.wall(), request)
@@ -127,17 +134,17 @@
         """Have a retry wait for the answer of the attempt that is in flight."""
         act = self.pending.by_key.get(key)
         if act is not None and self.pending.join(key, verdict.due, exchange):
-            exchange.act = act.id
+            exchange.activation_id = act.id
             self._set_deadline_timer()
             return
-        exchange.answer(intake_stage.ABORT, why="an earlier try may have run and must not run again")
+        exchange.answer(intake_stage.ABORT, reason="an earlier try may have run and must not run again")
 
     def _reject_for_outage(self, now: int, key: Key, state: DurableState, exchange: Exchange) -> None:
         """Reject an activation that must not run twice while its id can't be made durable."""
         core = self.core
         core.known_ids.end(key, CLIENT_LEFT)
         retry_after = self.intake.retry_after(now, *key, state.reject(now))
-        exchange.answer(intake_stage.REJECT, retry_after=retry_after, why="its id can't be kept now")
+        exchange.answer(intake_stage.REJECT, retry_after=retry_after, reason="its id can't be kept now")
 
     def _take(
         self,
@@ -152,7 +159,7 @@
     ) -> None:
         core = self.core
         act = self.pending.admit(request, verdict.due, function, rule, body, exchange)
-        exchange.act = act.id
+        exchange.activation_id = act.id
         core.events.touched.add(act.id)
         self._set_deadline_timer()
         if core.forecasts is not None:
@@ -249,7 +256,7 @@
             if is_over:
                 self.core.submit(self.time_out, act.id)
             for exchange in late:
-                exchange.answer(ABORTED, why="the first try still runs", act=act.id)
+                exchange.answer(ABORTED, reason="the first try still runs", activation_id=act.id)
         self._set_deadline_timer()
 
     def time_out(self, act_id: str) -> None:
--- a/petrelwood/emulate/platform.py
+++ b/petrelwood/emulate/platform.py
@@ -375,8 +375,12 @@
     def left(self, made):
         core = self.cores.get(made.to)
         self.open_tries[made.to].pop(made, None)
-        if core is not None and made.act is not None and made.act in core.pending.activations:
-            core.detach_client(made.act, made)
+        if (
+            core is not None
+            and made.activation_id is not None
+            and made.activation_id in core.pending.activations
+        ):
+            core.detach_client(made.activation_id, made)
 
     def wish_ended(self, wish):
         second = min(wish.begun // SECOND, len(self.time_course) - 1)
--- a/petrelwood/emulate/traffic.py
+++ b/petrelwood/emulate/traffic.py
@@ -55,7 +55,18 @@
 class Try:
     """One try of an activation: what the core sees as an exchange."""
 
-    __slots__ = ("act", "clients", "wish", "number", "to", "stamp", "begun", "over", "timer", "leaves")
+    __slots__ = (
+        "activation_id",
+        "clients",
+        "wish",
+        "number",
+        "to",
+        "stamp",
+        "begun",
+        "over",
+        "timer",
+        "leaves",
+    )
 
     def __init__(self, clients, wish, number, to, stamp, begun):
         self.clients, self.wish, self.number, self.to, self.stamp, self.begun = (
@@ -66,11 +77,13 @@
             stamp,
             begun,
         )
-        self.act, self.over, self.timer, self.leaves = None, False, None, False
+        self.activation_id, self.over, self.timer, self.leaves = None, False, None, False
 
-    def answer(self, what, body=b"", retry_after=0, why="", act=None):
+    def answer(self, what, body=b"", retry_after=0, reason="", activation_id=None):
         platform = self.clients.platform
-        platform.after(platform.client_way, self.clients.answered, self, FINAL[what], retry_after, act)
+        platform.after(
+            platform.client_way, self.clients.answered, self, FINAL[what], retry_after, activation_id
+        )
 
 
 class Wish:
--- a/petrelwood/fronts/http_connection.py
+++ b/petrelwood/fronts/http_connection.py
@@ -243,5 +243,5 @@
         dropped = self.unanswered
         self.unanswered = deque()
         for request in dropped:
-            if request.act is not None and request.response is None:
+            if request.activation_id is not None and request.response is None:
                 self._owner.client_departed(request)
--- a/petrelwood/fronts/http_request.py
+++ b/petrelwood/fronts/http_request.py
@@ -33,7 +33,7 @@
     """
 
     __slots__ = (
-        "act",
+        "activation_id",
         "body",
         "connection",
         "headers",
@@ -59,13 +59,18 @@
         self.rejection: Rejection | None = None  # decided before its head was complete
         self.response: HttpResponse | None = None
         self.is_last = False  # the connection is closed after its answer
-        self.act: str | None = None  # the activation that it waits for
+        self.activation_id: str | None = None  # the activation that it waits for
 
     def answer(
-        self, outcome: str, body: bytes = b"", retry_after: int = 0, why: str = "", act: str | None = None
+        self,
+        outcome: str,
+        body: bytes = b"",
+        retry_after: int = 0,
+        reason: str = "",
+        activation_id: str | None = None,
     ) -> None:
         """Give the client the final answer of the core; for the arguments see `response_to`."""
-        self.respond(response_to(outcome, body, retry_after, why, act))
+        self.respond(response_to(outcome, body, retry_after, reason, activation_id))
 
     def fail(self, status: HttpStatus, detail: str, retry_after: int = 0, is_last: bool = False) -> None:
         """Answer with a problem document; `retry_after` in ns, `is_last` closes the connection after it."""
--- a/petrelwood/fronts/interfaces.py
+++ b/petrelwood/fronts/interfaces.py
@@ -26,10 +26,15 @@
 class Exchange(Protocol):
     """One request of a client, which gets one final answer."""
 
-    act: str | None  # the id of the activation that it waits for
+    activation_id: str | None  # the id of the activation that it waits for
 
     def answer(
-        self, outcome: str, body: bytes = b"", retry_after: int = 0, why: str = "", act: str | None = None
+        self,
+        outcome: str,
+        body: bytes = b"",
+        retry_after: int = 0,
+        reason: str = "",
+        activation_id: str | None = None,
     ) -> None:
         """Give the client its final answer. `retry_after`: ns, 0 for no Retry-After."""
 
@@ -121,7 +126,7 @@
     ) -> None:
         """Admit a request of an authenticated client; `exchange` gets the final answer."""
 
-    def detach_client(self, act_id: str, exchange: Exchange) -> None:
+    def detach_client(self, activation_id: str, exchange: Exchange) -> None:
         """Detach the client of an exchange from its activation: the client no longer needs an answer."""
 
 
--- a/petrelwood/fronts/mqtt_message.py
+++ b/petrelwood/fronts/mqtt_message.py
@@ -65,7 +65,7 @@
     """
 
     __slots__ = (
-        "act",
+        "activation_id",
         "body",
         "correlation",
         "delivery",
@@ -98,14 +98,19 @@
         self.correlation = correlation
         self.target_latency = target_latency
         self.delivery: Delivery | None = None  # once it begins, or is rejected
-        self.act: str | None = None  # the activation that it waits for
+        self.activation_id: str | None = None  # the activation that it waits for
         self.final_answer: Answer | None = None
 
     def check_departure(self) -> None:
         """Do nothing: a message outlives the connection that it arrived by."""
 
     def answer(
-        self, outcome: str, body: bytes = b"", retry_after: int = 0, why: str = "", act: str | None = None
+        self,
+        outcome: str,
+        body: bytes = b"",
+        retry_after: int = 0,
+        reason: str = "",
+        activation_id: str | None = None,
     ) -> None:
         """Take the final answer of the core; later ones are ignored.
 
@@ -113,17 +118,17 @@
             outcome: an `ActivationState` in which an activation may end, or a verdict of the intake.
             body: the result, of what has completed.
             retry_after: when a rejected client may retry, ns from now; 0: no such property.
-            why: why it did not complete.
-            act: the id of the activation; None where none was made.
+            reason: why it did not complete.
+            activation_id: the id of the activation; None where none was made.
         """
         if self.final_answer is not None:
             return
         status = STATUSES[outcome]
         properties: list[tuple[str, str]] = [("status", status)]
-        if act:
-            properties.append(("activation", act))
+        if activation_id:
+            properties.append(("activation", activation_id))
         if retry_after:
             properties.append(("retry-after-ms", str(-(-retry_after // MILLISECOND))))  # rounded up
         has_completed = status is AnswerStatus.COMPLETED
-        self.final_answer = Answer(body if has_completed else _problem(status, why), properties)
+        self.final_answer = Answer(body if has_completed else _problem(status, reason), properties)
         self.handler.message_answered(self, has_completed)
--- a/petrelwood/fronts/mqtt_session.py
+++ b/petrelwood/fronts/mqtt_session.py
@@ -252,9 +252,9 @@
         """End without an answer what runs here, as another dispatcher has the message."""
         self.counts.moved += 1
         message: Message = delivery.message
-        if message.final_answer is None and message.act is not None:
+        if message.final_answer is None and message.activation_id is not None:
             message.final_answer = NO_ANSWER
-            self.core.detach_client(message.act, message)
+            self.core.detach_client(message.activation_id, message)
 
     def answer(self, delivery: Delivery, with_acknowledgement: bool) -> None:
         """Send the final answer, and in the same write the acknowledgement that is due with it.
--- a/petrelwood/fronts/webhook.py
+++ b/petrelwood/fronts/webhook.py
@@ -157,8 +157,8 @@
 
     def client_departed(self, request: HttpRequest) -> None:
         """Handle the departure of the client of a request that the core has not answered."""
-        if request.act is not None:
-            self.core.detach_client(request.act, request)
+        if request.activation_id is not None:
+            self.core.detach_client(request.activation_id, request)
 
     # From the dispatcher.
     def storm_changed(self, name: str, on: bool) -> None:
--- a/petrelwood/node/client_connection.py
+++ b/petrelwood/node/client_connection.py
@@ -170,8 +170,8 @@
         elif isinstance(message, rpc.Notification) and message.method == "cancel":
             for msgid in message.params:
                 exchange = self.open.pop(msgid, None) if isinstance(msgid, int) else None
-                if exchange is not None and exchange.act is not None:
-                    self.front.core.detach_client(exchange.act, exchange)
+                if exchange is not None and exchange.activation_id is not None:
+                    self.front.core.detach_client(exchange.activation_id, exchange)
             self.request_ended()
         else:
             raise rpc.MalformedRpcError("neither a request nor a cancel")
@@ -260,8 +260,8 @@
         self.unreadable = True
         for msgid, exchange in list(self.open.items()):
             del self.open[msgid]
-            if exchange.act is not None:
-                self.front.core.detach_client(exchange.act, exchange)
+            if exchange.activation_id is not None:
+                self.front.core.detach_client(exchange.activation_id, exchange)
             self.send_failure(msgid)
 
     def _drain(self, now: int) -> None:
@@ -340,8 +340,8 @@
         self.reader = None
         self.stream.close()
         for exchange in list(self.open.values()):
-            if exchange.act is not None:
-                self.front.core.detach_client(exchange.act, exchange)
+            if exchange.activation_id is not None:
+                self.front.core.detach_client(exchange.activation_id, exchange)
         self.open.clear()
 
 
--- a/petrelwood/node/exchange.py
+++ b/petrelwood/node/exchange.py
@@ -52,12 +52,12 @@
 class Exchange:
     """One request of a client, which gets one answer at most; a `dispatch.activations.Exchange`."""
 
-    __slots__ = ("act", "client", "checked_at", "msgid", "reads_at_check")
+    __slots__ = ("activation_id", "client", "checked_at", "msgid", "reads_at_check")
 
     def __init__(self, client: Client, msgid: int) -> None:
         self.client = client
         self.msgid = msgid
-        self.act: str | None = None  # the id of its activation, once it is admitted
+        self.activation_id: str | None = None  # the id of its activation, once it is admitted
         self.checked_at = 0  # ns, when an attempt was first held back until its client is read; 0: none is
         self.reads_at_check = 0  # the client's `emptying_reads` then
 
@@ -84,7 +84,12 @@
         return True
 
     def answer(
-        self, outcome: str, body: bytes = b"", retry_after: int = 0, why: str = "", act: str | None = None
+        self,
+        outcome: str,
+        body: bytes = b"",
+        retry_after: int = 0,
+        reason: str = "",
+        activation_id: str | None = None,
     ) -> None:
         """Give the client its answer; without effect once it has one or has left.
 
@@ -92,8 +97,8 @@
             outcome: how the activation ended (`ActivationState`), or a verdict of the intake.
             body: the result, of one that completed.
             retry_after: ns that a rejected client should stay away; 0: not told.
-            why: not told on this protocol.
-            act: not told on this protocol.
+            reason: not told on this protocol.
+            activation_id: not told on this protocol.
         """
         if not self.waits():  # cancelled, and its number perhaps used again; or the client has left
             return
--- a/tests/ration.py
+++ b/tests/ration.py
@@ -78,7 +78,7 @@
     """`sent`: when its last byte was sent, s; `bad`: whether its client means no good."""
 
     def __init__(self, world, bad):
-        self.world, self.act, self.ended, self.sent, self.bad = (
+        self.world, self.activation_id, self.ended, self.sent, self.bad = (
             world,
             None,
             None,
@@ -93,7 +93,7 @@
         """Nothing of a client ever lies unread here: what it does is told at once."""
         return True
 
-    def answer(self, what, body=b"", retry_after=0, why="", act=None):
+    def answer(self, what, body=b"", retry_after=0, reason="", activation_id=None):
         if self.ended is not None:
             raise AssertionError("a second final answer")
         self.ended = what
@@ -295,9 +295,9 @@
             )
 
     def leave(self, exchange):
-        if exchange.ended is None and exchange.act is not None:
+        if exchange.ended is None and exchange.activation_id is not None:
             exchange.ended = "left"
-            self.node.detach_client(exchange.act, exchange)
+            self.node.detach_client(exchange.activation_id, exchange)
 
     def flood(self):
         """Hundreds at once, half of them under one id: for what nobody has, taken back at once, a little
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -163,7 +163,7 @@
         link = self.core.links["w1"]
         msgid = next(iter(link.in_flight))
         link._response(msgid, None, [*w.acts()[0], 1, b"{}", None])  # both in one turn of the loop
-        self.front.core.detach_client(exchange.act, exchange)
+        self.front.core.detach_client(exchange.activation_id, exchange)
         line.stream.close()
         await asyncio.gather(asked, return_exceptions=True)  # it may still have got the bytes
         counts = self.core.pending.counts
@@ -178,7 +178,7 @@
         await self.until(lambda: w.runs)
         line, link = next(iter(self.front.connections)), self.core.links["w1"]
         msgid = next(iter(link.in_flight))
-        self.front.core.detach_client(line.unanswered[0].act, line.unanswered[0])
+        self.front.core.detach_client(line.unanswered[0].activation_id, line.unanswered[0])
         link._response(msgid, None, [*w.acts()[0], 1, b"{}", None])
         with self.assertRaises(asyncio.TimeoutError):  # nothing may be written for what was left
             await asyncio.wait_for(asyncio.shield(asked), 0.2)
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -145,11 +145,11 @@
 class Exchange:
     """What a front waits with."""
 
-    act = None
+    activation_id = None
     verdict = None
     retry_after = None
 
-    def answer(self, verdict, body=b"", retry_after=0, why="", act=None):
+    def answer(self, verdict, body=b"", retry_after=0, reason="", activation_id=None):
         assert self.verdict is None, "a second final answer"
         self.verdict, self.retry_after = verdict, retry_after
 
@@ -207,8 +207,8 @@
         request = ActivationRequest("x", id_, stamp, type_, now, 0)
         function = f"{type_}-1"
         self.core.admit(request, function, self.core.rule(function), b"{}", exchange)
-        if type_ != "again" and exchange.act in self.core.scheduler.began:
-            self.taken[id_] = exchange.act
+        if type_ != "again" and exchange.activation_id in self.core.scheduler.began:
+            self.taken[id_] = exchange.activation_id
         return exchange
 
     def complete(self, act_id, body=b"done"):
@@ -263,9 +263,9 @@
             self.start(FaultyFiles(fails, torn), durability, folder, clock)
             for number in range(20):
                 acted = self.ask()
-                self.assertIsNotNone(acted.act)
+                self.assertIsNotNone(acted.activation_id)
                 if number % 2:
-                    self.complete(acted.act)
+                    self.complete(acted.activation_id)
             until[0] = clock.now() + (lasts or 3600 * SECOND)
             # the segment is rolled, so that each kind of call has its turn
             self.state.begin_next_segment(clock.wall())
@@ -278,8 +278,8 @@
                     rejected += 1
                 # what may run twice goes on, whatever the disk does
                 repeatable = self.ask("again")
-                self.assertIn(repeatable.act, self.core.scheduler.began)
-                self.complete(repeatable.act)
+                self.assertIn(repeatable.activation_id, self.core.scheduler.began)
+                self.complete(repeatable.activation_id)
                 self.assertEqual(repeatable.verdict, ActivationState.COMPLETED)
                 self.assert_owed(self.after_a_kill(folder))
                 self.wait(0.5)
@@ -288,8 +288,8 @@
             if lasts != FOREVER:
                 self.assertIsNone(stopped)
                 after = self.ask()
-                self.assertIn(after.act, self.core.scheduler.began)
-                self.complete(after.act)
+                self.assertIn(after.activation_id, self.core.scheduler.began)
+                self.complete(after.activation_id)
                 self.assertEqual(after.verdict, ActivationState.COMPLETED)
             found = self.after_a_kill(folder)
             self.assert_owed(found)
@@ -326,7 +326,7 @@
         self.assertEqual(self.ask().verdict, stage.REJECT)
         self.wait(30)
         self.assertIsNone(self.state.stopped)
-        self.assertIn(self.ask().act, self.core.scheduler.began)
+        self.assertIn(self.ask().activation_id, self.core.scheduler.began)
         self.assert_owed(self.after_a_kill())
 
     def test_an_attempt_that_a_defect_ends_counts_as_failed(self):
@@ -348,7 +348,7 @@
                     self.wait(0.5)
                     self.core.durable_state.check()
                 self.assertIsNone(self.state.stopped)
-                self.assertIn(self.ask().act, self.core.scheduler.began)
+                self.assertIn(self.ask().activation_id, self.core.scheduler.began)
 
     def test_attempts_back_off_and_begin_again_early_only_after_a_quiet_minute(self):
         failing = [True]
@@ -388,7 +388,7 @@
         failing = [False]
         self.start(FaultyFiles(lambda name: errno.EIO if failing[0] and name == "write" else None))
         for _ in range(2000):
-            self.complete(self.ask().act)
+            self.complete(self.ask().activation_id)
         failing[0] = True
         self.ask()
         self.wait(0.6)
@@ -408,7 +408,7 @@
             if self.state.stopped is not None and self.state.rewriting:
                 asked += 1
                 self.assertEqual(self.ask().verdict, stage.REJECT)
-                self.assertIn(self.ask("again").act, self.core.scheduler.began)
+                self.assertIn(self.ask("again").activation_id, self.core.scheduler.began)
         self.assertGreater(asked, 5)
         # two records an id, and what was asked between
         self.assertLessEqual(max(added), 2 * state_recovery.SLICE + 10)
@@ -417,7 +417,7 @@
     def test_what_ends_while_the_log_is_rewritten_is_in_it(self):
         failing = [False]
         self.start(FaultyFiles(lambda name: errno.EIO if failing[0] and name == "write" else None))
-        acts = [self.ask().act for _ in range(1000)]
+        acts = [self.ask().activation_id for _ in range(1000)]
         failing[0] = True
         self.ask()
         self.complete(acts.pop())  # in the outage itself
@@ -493,7 +493,7 @@
 
     def test_a_successors_log_that_cannot_be_read_holds_back_what_it_may_have_taken(self):
         self.start()
-        first = self.ask().act
+        first = self.ask().activation_id
         self.core.stop_admitting(None)
         successor = StateLog(self.folder / "state", self.clock.wall(), "b1", 600 * SECOND, now=self.clock.now)
         successor.add(ActivationTaken(self.clock.wall(), "x", "theirs", self.clock.wall(), "once"))
@@ -518,7 +518,7 @@
         self.assertIsNone(self.state.stopped)
         self.number += 1000
         self.assertEqual(self.ask(id_="theirs").verdict, stage.ABORT)
-        self.assertIn(self.ask().act, self.core.scheduler.began)
+        self.assertIn(self.ask().activation_id, self.core.scheduler.began)
         self.assertEqual(self.after_a_kill().activations["x", "m1"].outcome, ActivationState.COMPLETED)
 
 
@@ -528,7 +528,7 @@
     def outage(self, files):
         """A dispatcher with open, completed and aborted work, whose log fails, and is recovered."""
         self.start(files)
-        acts = [self.ask("all" if number % 3 else "once").act for number in range(12)]
+        acts = [self.ask("all" if number % 3 else "once").activation_id for number in range(12)]
         for act in acts[:4]:
             self.complete(act)
         for act in acts[4:6]:
@@ -619,7 +619,7 @@
         self.start(FaultyFiles(lambda name: errno.EIO if failing[0] and name == "write" else None))
         for number in range(60):
             type_ = ("once", "all", "again")[number % 3]
-            act = self.ask(type_).act
+            act = self.ask(type_).activation_id
             if number % 4 == 1:
                 self.complete(act, b"x" * (10 if number % 8 == 1 else 5000))
             elif number % 4 == 2:
@@ -657,7 +657,7 @@
         """A replay of it, let in again by a wall clock that was stepped back, is no new activation."""
         failing = [False]
         self.start(FaultyFiles(lambda name: errno.EIO if failing[0] and name == "write" else None))
-        self.complete(self.ask().act)
+        self.complete(self.ask().activation_id)
         self.wait(1300)
         self.ask()  # a ledger forgets as it is asked
         self.assertNotIn(("x", "m1"), self.core.ledger.entries)
