--- a/petrelwood/links/calls.py
+++ b/petrelwood/links/calls.py
@@ -15,7 +15,7 @@
 from petrelwood.decide.delivery import send_outcome
 from petrelwood.decide.delivery.send_outcome import SendStage
 from petrelwood.links import sockets
-from petrelwood.links.interfaces import Address, Gauge, LinkCore
+from petrelwood.links.interfaces import Address, LinkCore, LoadReport
 from petrelwood.ports import EndReason
 
 ContentT = TypeVar("ContentT")  # what the frame of a call is made of
@@ -111,12 +111,12 @@
         """End an attempt whose time is up; its worker is requested to stop too."""
         self._stop(activation, attempt, send_outcome.of_time)
 
-    def _stop(self, activation: str, attempt: int, code_of: Callable[[SendStage], EndReason]) -> None:
+    def _stop(self, activation: str, attempt: int, reason_of: Callable[[SendStage], EndReason]) -> None:
         call = self.runs.get((activation, attempt))
         if call is not None:
             if call.stage == WRITTEN:
                 self._send_cancel(call)
-            self._end(call, code_of(call.stage))
+            self._end(call, reason_of(call.stage))
 
     def withdraw(self, activation: str, attempt: int) -> None:
         """Take an attempt back if it has not left, as its activation has ended.
@@ -124,9 +124,9 @@
         That needs no permission to cancel: the worker has not heard of it.
         """
         call = self.runs.get((activation, attempt))
-        code = None if call is None else send_outcome.of_recall(call.stage)
-        if call is not None and code is not None:
-            self._end(call, code)
+        reason = None if call is None else send_outcome.of_recall(call.stage)
+        if call is not None and reason is not None:
+            self._end(call, reason)
 
     def recall(self) -> None:
         """Take back what has not left, as the worker drains or is gone. Health checks stay."""
@@ -175,10 +175,10 @@
         return True
 
     def _end_recalled(self, call: Call[ContentT, ConnectionT]) -> None:
-        code = send_outcome.of_recall(call.stage)
-        if code is not None:
+        reason = send_outcome.of_recall(call.stage)
+        if reason is not None:
             self.counts.recalled += 1
-            self._end(call, code)
+            self._end(call, reason)
 
     def _end_lost(self, call: Call[ContentT, ConnectionT], stream: IOStream | None) -> None:
         """End a call whose connection is lost, or was never made (None)."""
@@ -203,19 +203,19 @@
     def _end(
         self,
         call: Call[ContentT, ConnectionT],
-        code: EndReason,
+        reason: EndReason,
         note: int = 0,
         body: bytes = b"",
-        gauge: Gauge | None = None,
+        load_report: LoadReport | None = None,
     ) -> None:
         """Remove a call that has not ended yet, and report its end.
 
         Args:
             call: the call; without effect if it has ended.
-            code: how it has ended.
+            reason: how it has ended.
             note: of an attempt a `ports.CopyNote`; of a load order the copies that the worker has now.
             body: the result of an attempt that completed.
-            gauge: the worker's load report, if it sent one.
+            load_report: the worker's load report, if it sent one.
         """
         if call.stage == QUEUED:
             try:
@@ -225,15 +225,15 @@
             self.waiting_bytes -= call.size
         elif self.in_flight.pop(call.tag, None) is None:
             return
-        self._report(call, code, note, body, gauge)
+        self._report(call, reason, note, body, load_report)
 
     def _report(
         self,
         call: Call[ContentT, ConnectionT],
-        code: EndReason,
+        reason: EndReason,
         note: int = 0,
         body: bytes = b"",
-        gauge: Gauge | None = None,
+        load_report: LoadReport | None = None,
     ) -> None:
         """Report the end of a call to the core, as an event that follows the present one."""
         core = self.core
@@ -244,9 +244,17 @@
             activation, attempt = call.activation, call.number
             self.runs.pop((activation, attempt), None)
             core.submit(
-                core.send_ended, activation, attempt, self.worker, code, note, body, call.made_at, gauge
+                core.send_ended,
+                activation,
+                attempt,
+                self.worker,
+                reason,
+                note,
+                body,
+                call.made_at,
+                load_report,
             )
         elif call.kind == LOAD_ORDER:
-            core.submit(core.load_order_ended, self.worker, call.function, code, note)
+            core.submit(core.load_order_ended, self.worker, call.function, reason, note)
         else:
-            core.submit(core.health_check_ended, self.worker, code, gauge)
+            core.submit(core.health_check_ended, self.worker, reason, load_report)
--- a/petrelwood/links/interfaces.py
+++ b/petrelwood/links/interfaces.py
@@ -8,7 +8,7 @@
 
 Address = tuple[str, int]
 """A host and a port."""
-Gauge = dict[str, float]
+LoadReport = dict[str, float]
 """A worker's load report: a number for each name."""
 
 
@@ -40,19 +40,19 @@
         activation: str,
         attempt: int,
         worker: str,
-        code: EndReason,
+        reason: EndReason,
         note: int,
         body: bytes,
         sent_at: int,
-        gauge: Gauge | None,
+        load_report: LoadReport | None,
         /,
     ) -> object:
         """Handle the end of an attempt."""
 
-    def load_order_ended(self, worker: str, function: str, code: EndReason, copies: int, /) -> object:
+    def load_order_ended(self, worker: str, function: str, reason: EndReason, copies: int, /) -> object:
         """Handle the end of a load order."""
 
-    def health_check_ended(self, worker: str, code: EndReason, gauge: Gauge | None, /) -> object:
+    def health_check_ended(self, worker: str, reason: EndReason, load_report: LoadReport | None, /) -> object:
         """Handle the end of a health check."""
 
     def may_send_order(self, given_at: int, /) -> bool:
--- a/petrelwood/links/worker.py
+++ b/petrelwood/links/worker.py
@@ -183,9 +183,9 @@
     def _may_leave(self, call: RpcCall) -> bool:
         """As in `Calls`; nor does an attempt leave whose client has hung up, whether that was read or not."""
         if call.kind == RUN and not self.core.still_wanted(call.activation):
-            code = send_outcome.of_recall(call.stage)
-            if code is not None:
-                self._end(call, code)
+            reason = send_outcome.of_recall(call.stage)
+            if reason is not None:
+                self._end(call, reason)
             return False
         return super()._may_leave(call)
 
@@ -315,7 +315,7 @@
             return
         self.counts.answered += 1
         answer = worker_messages.decode_answer(call, error, result)
-        self._end(call, answer.code, answer.note, answer.body, answer.gauge)
+        self._end(call, answer.reason, answer.note, answer.body, answer.load_report)
 
 
 def _write_unattended(stream: IOStream, data: bytes) -> None:
--- a/petrelwood/links/worker_messages.py
+++ b/petrelwood/links/worker_messages.py
@@ -3,9 +3,10 @@
 Methods of a worker:
 
     run [activation, attempt, function, idempotency mark, time left in ns, lanes, body]
-        -> [activation, attempt, note, body, gauge]; error [word, activation, attempt, note, gauge]
+        -> [activation, attempt, note, body, load report]
+        error [word, activation, attempt, note, load report]
     hold [function, lanes, copies] -> [word, copies]
-    probe [] -> gauge
+    probe [] -> load report
     cancel [activation, attempt]  (a notification)
     hello [worker, its start time]  (its first notification; the dispatcher's is hello [dispatcher])
 """
@@ -16,10 +17,16 @@
 from petrelwood.decide.delivery import send_outcome
 from petrelwood.links import rpc
 from petrelwood.links.calls import LOAD_ORDER, RUN, Call
-from petrelwood.links.interfaces import Gauge
+from petrelwood.links.interfaces import LoadReport
 from petrelwood.ports import EndReason
 
-GAUGES = ("running", "waiting", "cores", "pinned", "loads")  # the names that a load report may have
+LOAD_REPORT_FIELDS = (
+    "running",
+    "waiting",
+    "cores",
+    "pinned",
+    "loads",
+)  # the names that a load report may have
 COMPLETED = EndReason.COMPLETED  # Python 3.11 is slow to look a member up on its enum
 HELLO = "hello"
 CANCEL = "cancel"
@@ -50,16 +57,16 @@
     """What the answer to a call says.
 
     Attributes:
-        code: How the call ended.
+        reason: How the call ended.
         note: Of a run what it says of the copy that ran it, of a load order the copies that there are.
         body: The result of a run.
-        gauge: The load report that came with it.
+        load_report: The load report that came with it.
     """
 
-    code: EndReason
+    reason: EndReason
     note: int = 0
     body: bytes = b""
-    gauge: Gauge | None = None
+    load_report: LoadReport | None = None
 
 
 class Greeting(NamedTuple):
@@ -120,26 +127,28 @@
         return _decode_run_error(call, error) if error is not None else _decode_run_result(call, result)
     if call.kind == LOAD_ORDER:
         return _decode_load_order_answer(error, result)
-    code = COMPLETED if error is None else send_outcome.of_error(error)
-    return Answer(code, gauge=_decode_gauge(result))
+    reason = COMPLETED if error is None else send_outcome.of_error(error)
+    return Answer(reason, load_report=_decode_load_report(result))
 
 
 def _decode_run_result(call: RpcCall, result: object) -> Answer:
     if not isinstance(result, list) or len(result) != RUN_ANSWER_FIELDS:
         raise rpc.MalformedRpcError("a malformed answer")
-    activation, attempt, note, body, gauge = result
+    activation, attempt, note, body, load_report = result
     _check_ids(call, activation, attempt)
     if not isinstance(body, bytes):
         raise rpc.MalformedRpcError("an answer's body must be bytes")
-    return Answer(COMPLETED, _decode_note(note), body, _decode_gauge(gauge))
+    return Answer(COMPLETED, _decode_note(note), body, _decode_load_report(load_report))
 
 
 def _decode_run_error(call: RpcCall, error: object) -> Answer:
     if not isinstance(error, list) or len(error) != RUN_ANSWER_FIELDS:
         raise rpc.MalformedRpcError("a malformed answer")
-    word, activation, attempt, note, gauge = error
+    word, activation, attempt, note, load_report = error
     _check_ids(call, activation, attempt)
-    return Answer(send_outcome.of_error(word), _decode_note(note), gauge=_decode_gauge(gauge))
+    return Answer(
+        send_outcome.of_error(word), _decode_note(note), load_report=_decode_load_report(load_report)
+    )
 
 
 def _check_ids(call: RpcCall, activation: object, attempt: object) -> None:
@@ -162,7 +171,7 @@
     return Answer(COMPLETED if word == "ok" else send_outcome.of_error(word), copies)
 
 
-def _decode_gauge(raw: object) -> Gauge | None:
+def _decode_load_report(raw: object) -> LoadReport | None:
     if not isinstance(raw, dict):
         return None
-    return {name: raw[name] for name in GAUGES if isinstance(raw.get(name), (int, float))}
+    return {name: raw[name] for name in LOAD_REPORT_FIELDS if isinstance(raw.get(name), (int, float))}
--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -17,7 +17,7 @@
 from petrelwood.links import sockets
 from petrelwood.links.calls import HEALTH_CHECK, LOAD_ORDER, QUEUED, RUN, Call, Calls
 from petrelwood.links.connection_end import reason_of_end
-from petrelwood.links.interfaces import Address, Gauge, LinkCore, LoopOwner
+from petrelwood.links.interfaces import Address, LinkCore, LoadReport, LoopOwner
 from petrelwood.node import worker_protocol
 from petrelwood.node.configuration import WorkerTerms
 from petrelwood.node.stream import Stream
@@ -342,12 +342,17 @@
         self._end(call, answer.code, note, answer.body, answer.report)
 
     def _end(
-        self, call: NodeCall, code: EndReason, note: int = 0, body: bytes = b"", gauge: Gauge | None = None
+        self,
+        call: NodeCall,
+        code: EndReason,
+        note: int = 0,
+        body: bytes = b"",
+        load_report: LoadReport | None = None,
     ) -> None:
         """As in `Calls`; what is queued may follow on the connection."""
         connection = call.connection
         if connection is not None and connection.open.get(call.activation) is call:
             del connection.open[call.activation]
-        super()._end(call, code, note, body, gauge)
+        super()._end(call, reason, note, body, load_report)
         if connection is not None and self.waiting:
             self.pump()
--- a/tests/test_worker_messages.py
+++ b/tests/test_worker_messages.py
@@ -14,8 +14,8 @@
 from petrelwood.ports import EndReason
 
 SECOND = 1_000_000_000
-REPORT = {"running": 1, "cores": 0.5, "other": 2, "waiting": "x"}
-GAUGE = {"running": 1, "cores": 0.5}
+RAW_REPORT = {"running": 1, "cores": 0.5, "other": 2, "waiting": "x"}
+LOAD_REPORT = {"running": 1, "cores": 0.5}
 
 
 def attempt():
@@ -47,9 +47,9 @@
 class Decoding(unittest.TestCase):
     def test_answers_to_an_attempt(self):
         for error, result, expected in (
-            (None, ["a-1", 2, 1, b"ok", REPORT], Answer(EndReason.COMPLETED, 1, b"ok", GAUGE)),
+            (None, ["a-1", 2, 1, b"ok", RAW_REPORT], Answer(EndReason.COMPLETED, 1, b"ok", LOAD_REPORT)),
             (None, ["a-1", 2, None, b"", None], Answer(EndReason.COMPLETED)),
-            (["full", "a-1", 2, 0, REPORT], None, Answer(EndReason.FULL, gauge=GAUGE)),
+            (["full", "a-1", 2, 0, RAW_REPORT], None, Answer(EndReason.FULL, load_report=LOAD_REPORT)),
             (["missing", "a-1", 2, 0, None], None, Answer(EndReason.MISSING)),
             (["no such word", "a-1", 2, 0, None], None, Answer(EndReason.ERROR)),
             ([7, "a-1", 2, 0, None], None, Answer(EndReason.ERROR)),
@@ -81,7 +81,7 @@
 
     def test_answers_to_a_health_check(self):
         for error, result, expected in (
-            (None, REPORT, Answer(EndReason.COMPLETED, gauge=GAUGE)),
+            (None, RAW_REPORT, Answer(EndReason.COMPLETED, load_report=LOAD_REPORT)),
             (None, 5, Answer(EndReason.COMPLETED)),
             ("draining", None, Answer(EndReason.FULL)),
         ):
