--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -458,7 +458,7 @@
     class Greeter(Plain):
         async def handle_stream(self, stream, address):
             accepted.append(stream)
-            stream.write(rpc.notice("hello", ["w0", 0]))
+            stream.write(rpc.notification("hello", ["w0", 0]))
             try:
                 while True:
                     received[0] += len(await stream.read_bytes(65_536, partial=True))
@@ -495,7 +495,7 @@
     def now(self):
         return time.monotonic_ns()
 
-    def active(self, link):
+    def schedule_checks(self, link):
         pass
 
 
--- a/benchmarks/dispatcher.py
+++ b/benchmarks/dispatcher.py
@@ -49,7 +49,7 @@
     async def handle_stream(self, stream, address):
         stream.set_nodelay(True)
         loop, reader = asyncio.get_running_loop(), rpc.Reader(1 << 24)
-        stream.write(rpc.notice("hello", [self.name, 0]))
+        stream.write(rpc.notification("hello", [self.name, 0]))
         try:
             while True:
                 for kind, *rest in reader.feed(await stream.read_bytes(65536, partial=True)):
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -72,12 +72,12 @@
         waits = self.state.phase
         super()._connected(attempt)
         if waits != self.state.phase and self.life == self.node.life:
-            self._count(flows.GREETINGS, rpc.notice("hello", [self.core.name]))
-            self._count(flows.GREETINGS, rpc.notice("hello", [self.worker, self.node.booted]))
+            self._count(flows.GREETINGS, rpc.notification("hello", [self.core.name]))
+            self._count(flows.GREETINGS, rpc.notification("hello", [self.worker, self.node.booted]))
 
     def _tell_worker(self, call):
         if call.stage == "handed":
-            self._count(flows.CALLS_TO_WORKERS, rpc.notice("cancel", [call.act, call.n]))
+            self._count(flows.CALLS_TO_WORKERS, rpc.notification("cancel", [call.act, call.n]))
         super()._tell_worker(call)
 
     def _count(self, flow, data):
--- a/petrelwood/bgp/speaker.py
+++ b/petrelwood/bgp/speaker.py
@@ -74,7 +74,7 @@
         host, port = self.terms.address
         stream = None
         try:
-            sock = sockets.fresh(host)
+            sock = sockets.new_socket(host)
             guard(sock, self.terms.far)
             stream = IOStream(sock)
             # not `wait_for`, which loses a cancellation that comes as the connection is made
--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -172,7 +172,7 @@
         for front in self.fronts:
             front.storm_changed(name, on)
 
-    def active(self, link: WorkerLink) -> None:
+    def schedule_checks(self, link: WorkerLink) -> None:
         """Have a link checked a few times a second, until it says that it is at rest."""
         self.busy[link] = True
 
--- a/petrelwood/dispatch/worker_links.py
+++ b/petrelwood/dispatch/worker_links.py
@@ -34,7 +34,7 @@
     def cancel(self, activation: str, attempt: int) -> object:
         """Ask the worker to end an attempt."""
 
-    def late(self, activation: str, attempt: int) -> object:
+    def time_out(self, activation: str, attempt: int) -> object:
         """Learn that the deadline of an attempt has passed."""
 
     def withdraw(self, activation: str, attempt: int) -> object:
@@ -101,7 +101,7 @@
     def time_out(self, activation: str, attempts: Iterable[int]) -> None:
         """Tell the links that the deadline of these attempts has passed."""
         for attempt in sorted(attempts):
-            self[self.in_flight[activation, attempt]].late(activation, attempt)
+            self[self.in_flight[activation, attempt]].time_out(activation, attempt)
 
     def cancel(self, activation: str, attempt: int) -> None:
         """Ask the worker to end an attempt, if it is in flight."""
--- a/petrelwood/emulate/link.py
+++ b/petrelwood/emulate/link.py
@@ -105,7 +105,7 @@
             self._tell_worker(call)
             self._end(call, send_outcome.of_cancel(call.stage))
 
-    def late(self, act, n):
+    def time_out(self, act, n):
         call = self.runs.get((act, n))
         if call is not None:
             self._tell_worker(call)
--- a/petrelwood/fronts/mqtt_connection.py
+++ b/petrelwood/fronts/mqtt_connection.py
@@ -74,9 +74,9 @@
         host, _ = terms.broker
         name = None
         if terms.tls is None:
-            self.stream = IOStream(sockets.fresh(host))
+            self.stream = IOStream(sockets.new_socket(host))
         else:
-            self.stream = SSLIOStream(sockets.fresh(host), ssl_options=terms.tls.client())
+            self.stream = SSLIOStream(sockets.new_socket(host), ssl_options=terms.tls.client())
             name = terms.tls.server_name(host)
         # not `wait_for`, which loses a cancellation that comes as the connection is made
         async with asyncio.timeout(self.timeout):
--- a/petrelwood/links/announced_lengths.py
+++ b/petrelwood/links/announced_lengths.py
@@ -12,7 +12,7 @@
 FIRST_SHORT_TEXT = 0xA0  # a text whose length is in the code itself
 LAST_SHORT_TEXT = 0xBF
 SHORT_LENGTH_MASK = 0x1F
-FIRST_AFTER_BODIES = 0xC7  # the codes of bodies (bin) are before it, those of texts (str) behind it
+FIRST_CODE_AFTER_BIN = 0xC7  # the codes of bodies (bin) are before it, those of texts (str) behind it
 EXTENSIONS = frozenset((0xC7, 0xC8, 0xC9, 0xD4, 0xD5, 0xD6, 0xD7, 0xD8))
 # How many bytes behind a code tell the length of a body (bin) or a text (str).
 LENGTH_SIZES = {0xC4: 1, 0xC5: 2, 0xC6: 4, 0xD9: 1, 0xDA: 2, 0xDB: 4}
@@ -89,6 +89,6 @@
         if code not in LENGTH_SIZES:
             return FOLLOWING_BYTES.get(code, 0)
         size = int.from_bytes(head[1:], "big")
-        if size > (self.limits.body if code < FIRST_AFTER_BODIES else self.limits.text):
+        if size > (self.limits.body if code < FIRST_CODE_AFTER_BIN else self.limits.text):
             raise MalformedRpcError(f"it announces {size} bytes")
         return size
--- a/petrelwood/links/calls.py
+++ b/petrelwood/links/calls.py
@@ -107,7 +107,7 @@
         """End an attempt; a worker that may have begun it is requested to stop."""
         self._stop(activation, attempt, send_outcome.of_cancel)
 
-    def late(self, activation: str, attempt: int) -> None:
+    def time_out(self, activation: str, attempt: int) -> None:
         """End an attempt whose time is up; its worker is requested to stop too."""
         self._stop(activation, attempt, send_outcome.of_time)
 
--- a/petrelwood/links/roster.py
+++ b/petrelwood/links/roster.py
@@ -110,7 +110,7 @@
 
     async def _follow(self) -> None:
         """Connect, ask for the list, and take what comes until an error ends that."""
-        stream = IOStream(sockets.fresh(self.address[0]))
+        stream = IOStream(sockets.new_socket(self.address[0]))
         self.stream = stream
         self.events = EventReader()
         self.is_current = False
--- a/petrelwood/links/rpc.py
+++ b/petrelwood/links/rpc.py
@@ -19,7 +19,7 @@
 from petrelwood.links.errors import MalformedRpcError
 
 __all__ = [
-    "NOTICE",
+    "NOTIFICATION",
     "REQUEST",
     "RESPONSE",
     "MalformedRpcError",
@@ -29,17 +29,17 @@
     "Reader",
     "Request",
     "Response",
-    "notice",
+    "notification",
     "request",
     "response",
 ]
 
 REQUEST = 0
 RESPONSE = 1
-NOTICE = 2
+NOTIFICATION = 2
 REQUEST_FIELDS = 4
 RESPONSE_FIELDS = 4
-NOTICE_FIELDS = 3
+NOTIFICATION_FIELDS = 3
 MESSAGE_IDS = 1 << 32  # message ids have 32 bits
 FIRST_BUFFER_SIZE = 4096  # bytes that the buffer of a reader with limits begins with
 _pack = msgpack.Packer(use_bin_type=True, autoreset=True).pack
@@ -86,9 +86,9 @@
     return data
 
 
-def notice(method: str, params: Sequence[object]) -> bytes:
+def notification(method: str, params: Sequence[object]) -> bytes:
     """Return the bytes of a notification."""
-    data: bytes = _pack([NOTICE, method, params])
+    data: bytes = _pack([NOTIFICATION, method, params])
     return data
 
 
@@ -167,7 +167,7 @@
         elif kind == REQUEST:
             if len(value) == REQUEST_FIELDS and _is_message_id(value[1]) and _is_call(value[2:]):
                 return Request(*value)
-        elif kind == NOTICE and len(value) == NOTICE_FIELDS and _is_call(value[1:]):
+        elif kind == NOTIFICATION and len(value) == NOTIFICATION_FIELDS and _is_call(value[1:]):
             return Notification(*value)
     raise MalformedRpcError("not a MessagePack-RPC message")
 
--- a/petrelwood/links/rpc_client.py
+++ b/petrelwood/links/rpc_client.py
@@ -77,7 +77,7 @@
 
     async def _connect(self) -> IOStream:
         stream = IOStream(
-            sockets.fresh(self.address[0]),
+            sockets.new_socket(self.address[0]),
             max_buffer_size=self._max_size + READ_SIZE,
             max_write_buffer_size=self._max_size,
         )
--- a/petrelwood/links/sockets.py
+++ b/petrelwood/links/sockets.py
@@ -14,7 +14,7 @@
 LAST_DATA_RECEIVED = struct.Struct("=I")
 
 
-def fresh(host: str, kind: socket.SocketKind = socket.SOCK_STREAM) -> socket.socket:
+def new_socket(host: str, kind: socket.SocketKind = socket.SOCK_STREAM) -> socket.socket:
     """A socket, neither bound nor connected, of the family that `host` is an address of. Raises OSError."""
     return socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, kind)
 
--- a/petrelwood/links/worker.py
+++ b/petrelwood/links/worker.py
@@ -61,7 +61,7 @@
     def reconnects(self) -> Budget | None:
         """The budget of all links together for connecting again."""
 
-    def active(self, link: "WorkerLink", /) -> object:
+    def schedule_checks(self, link: "WorkerLink", /) -> object:
         """Have `link.check` called now and then, until that says otherwise."""
 
     def still_wanted(self, activation: str, /) -> bool:
@@ -147,7 +147,7 @@
             self._report(call, send_outcome.of_crowding())
         else:
             self._enqueue(call)
-            self.core.active(self)
+            self.core.schedule_checks(self)
             if decision is CONNECT:
                 self._connect(now)
             self._flush_soon()
@@ -232,8 +232,8 @@
         """Return a stream that is not connected yet. Raises OSError."""
         most = self.terms.frame + READ_SIZE
         if self.tls is None:
-            return IOStream(sockets.fresh(host), max_buffer_size=most)
-        return SSLIOStream(sockets.fresh(host), ssl_options=self.tls.client(), max_buffer_size=most)
+            return IOStream(sockets.new_socket(host), max_buffer_size=most)
+        return SSLIOStream(sockets.new_socket(host), ssl_options=self.tls.client(), max_buffer_size=most)
 
     async def _serve(self, stream: IOStream, address: Address) -> None:
         reason = await reason_of_end(self._read(stream, address), self.core.defect)
@@ -288,7 +288,7 @@
         for call in self._overdue_calls(now, self.terms.order_within):
             self._end(call, send_outcome.of_time(call.stage))
         for call in self._expired_attempts(now):
-            self.late(call.activation, call.number)
+            self.time_out(call.activation, call.number)
         return self.has_open_calls() or self.state.phase in (LinkPhase.CONNECTING, LinkPhase.GREETING)
 
     # Reading.
--- a/petrelwood/links/worker_messages.py
+++ b/petrelwood/links/worker_messages.py
@@ -98,12 +98,12 @@
 
 def encode_cancel(call: RpcCall) -> bytes:
     """Return the bytes that ask a worker to stop an attempt."""
-    return rpc.notice(CANCEL, [call.activation, call.number])
+    return rpc.notification(CANCEL, [call.activation, call.number])
 
 
 def encode_hello(dispatcher: str) -> bytes:
     """Return the bytes by which a dispatcher introduces itself."""
-    return rpc.notice(HELLO, [dispatcher])
+    return rpc.notification(HELLO, [dispatcher])
 
 
 def decode_greeting(params: Sequence[object]) -> Greeting:
--- a/petrelwood/node/client_listener.py
+++ b/petrelwood/node/client_listener.py
@@ -51,7 +51,7 @@
         Raises:
             OSError: that is not possible.
         """
-        self.sock = sockets.fresh(address[0])
+        self.sock = sockets.new_socket(address[0])
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.setblocking(False)
         self.sock.bind(address)
--- a/petrelwood/node/roster.py
+++ b/petrelwood/node/roster.py
@@ -88,7 +88,7 @@
 
     def _connect(self) -> None:
         self.close()
-        self.sock = sockets.fresh(self.address[0], socket.SOCK_DGRAM)
+        self.sock = sockets.new_socket(self.address[0], socket.SOCK_DGRAM)
         self.sock.setblocking(False)
         self.sock.connect(self.address)  # the kernel drops what comes from anyone else
         self.core.loop.add_reader(self.sock, self._read, self.sock)
--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -180,7 +180,7 @@
         if losses <= LOSSES_LOGGED or not losses % LOSSES_A_LINE:
             self.log.info("a connection to a worker is lost", worker=worker, why=why, out=out, losses=losses)
 
-    def active(self, link: NodeLink) -> None:
+    def schedule_checks(self, link: NodeLink) -> None:
         """Note that a link has a call that has not ended."""
         self.active_links[link] = True
 
--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -36,7 +36,7 @@
 class NodeLinkCore(LinkCore, LoopOwner, Protocol):
     """What a link needs of the dispatcher that runs it."""
 
-    def active(self, link: "NodeLink", /) -> object:
+    def schedule_checks(self, link: "NodeLink", /) -> object:
         """Have `link.check` called now and then, until that says otherwise."""
 
     def behind(self) -> bool:
@@ -116,7 +116,7 @@
 
     def _submit(self, call: NodeCall) -> None:
         self._enqueue(call)
-        self.core.active(self)
+        self.core.schedule_checks(self)
         self.pump()
 
     def withdraw(self, activation: str, attempt: int) -> None:
@@ -124,11 +124,11 @@
         super().withdraw(activation, attempt)
         self._drop_unsent(activation, attempt, "its activation ended before all of it had left")
 
-    def late(self, activation: str, attempt: int) -> None:
+    def time_out(self, activation: str, attempt: int) -> None:
         """As in `Calls`; closes a connection that is unresponsive, or where the attempt has left in part."""
         self._drop_unsent(activation, attempt, "its time was up before all of it had left")
         call = self.runs.get((activation, attempt))
-        super().late(activation, attempt)
+        super().time_out(activation, attempt)
         if call is not None:
             self._close_if_unresponsive(call)
 
@@ -220,7 +220,7 @@
         buffer_size = resource_limits.FRAME * READ_BUFFER_FRAMES
         try:
             stream = Stream(
-                sockets.fresh(self.address[0]), max_buffer_size=buffer_size, read_chunk_size=READ_SIZE
+                sockets.new_socket(self.address[0]), max_buffer_size=buffer_size, read_chunk_size=READ_SIZE
             )
         except OSError:  # no descriptor after all: nothing was sent
             self._end(self.waiting[0], send_outcome.of_crowding())
@@ -294,7 +294,7 @@
             if not self.core.behind():  # else it may be this side that did not write
                 self._lost(connection, "it does not read")
         for call in self._expired_attempts(now):
-            self.late(call.activation, call.number)
+            self.time_out(call.activation, call.number)
         for call in self._overdue_calls(now, self.terms.connect_within):
             if call.kind == HEALTH_CHECK or now - call.made_at > self.terms.order_within:
                 self._end(call, send_outcome.of_time(call.stage))
@@ -344,7 +344,7 @@
     def _end(
         self,
         call: NodeCall,
-        code: EndReason,
+        reason: EndReason,
         note: int = 0,
         body: bytes = b"",
         load_report: LoadReport | None = None,
--- a/petrelwood/standins/caller.py
+++ b/petrelwood/standins/caller.py
@@ -39,7 +39,7 @@
         self.address, self.idle, self.most_idle, self.source = address, [], most_idle, source
 
     async def connect(self):
-        made = sockets.fresh(self.address[0])
+        made = sockets.new_socket(self.address[0])
         if self.source:  # an address of this machine that it comes from
             made.bind((self.source, 0))
         stream = IOStream(made)
--- a/petrelwood/standins/worker.py
+++ b/petrelwood/standins/worker.py
@@ -72,7 +72,7 @@
             await asyncio.sleep(3600)
         self.lines[stream] = {"who": "?", "jobs": {}}
         reader = rpc.Reader(MOST)
-        self.write(stream, rpc.notice("hello", [self.name, self.booted]))
+        self.write(stream, rpc.notification("hello", [self.name, self.booted]))
         try:
             while True:
                 for message in reader.feed(await stream.read_bytes(65536, partial=True)):
--- a/tests/ration.py
+++ b/tests/ration.py
@@ -348,7 +348,7 @@
     """Plays a world that was made before."""
     with (
         mock.patch.object(service, "LoopClock", virtual.Clock),
-        mock.patch.object(worker.sockets, "fresh", lambda host: None),
+        mock.patch.object(worker.sockets, "new_socket", lambda host: None),
         mock.patch.object(
             worker, "Stream", lambda *_, **__: virtual.Stream(lambda address: world.hosts.get(address[1]))
         ),
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -126,10 +126,10 @@
         reader = rpc.Reader(1 << 24)
         try:
             if self.greet:
-                await stream.write(rpc.notice("hello", [self.name, self.booted]))
+                await stream.write(rpc.notification("hello", [self.name, self.booted]))
             while self.reads:
                 for kind, *rest in reader.feed(await stream.read_bytes(65536, partial=True)):
-                    if kind == rpc.NOTICE:
+                    if kind == rpc.NOTIFICATION:
                         self.cancels.extend([rest[1]] if rest[0] == "cancel" else [])
                     elif rest[1] == "run":
                         self.runs.append(rest[2])
--- a/tests/test_always_answered.py
+++ b/tests/test_always_answered.py
@@ -156,14 +156,14 @@
     async def test_a_roster_that_can_not_be_asked_at_the_start(self):
         """No way to its address, or no descriptor: the dispatcher serves by the list that it was given, and
         asks when it can. The text before did not start: 'can't listen on ...', status 2."""
-        fresh, fails = sockets.fresh, [True]
+        fresh, fails = sockets.new_socket, [True]
 
         def failing(host, kind=socket.SOCK_STREAM):
             if kind == socket.SOCK_DGRAM and fails[0]:
                 raise OSError(101, "Network is unreachable")
             return fresh(host, kind)
 
-        with mock.patch.object(names.sockets, "fresh", failing):
+        with mock.patch.object(names.sockets, "new_socket", failing):
             async with Inside([Worker("s-1")], **LONG) as site:
                 client = Caller(site.address)
                 self.assertEqual(await word(site, client, client.call(ask(fn=1, ttl=30_000))), "completed")
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -158,7 +158,7 @@
     async def test_behind_another_send_whose_worker_does_not_read(self):
         """All descriptors are used up, so sends share a connection. One that waits for room in the machine's
         hands would begin whenever the worker reads again."""
-        worker, fresh = Raw("s-1"), sockets.fresh
+        worker, fresh = Raw("s-1"), sockets.new_socket
         worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
 
         def narrow(host, kind=socket.SOCK_STREAM):
@@ -167,7 +167,7 @@
             return sock
 
         with (
-            mock.patch.object(link.sockets, "fresh", narrow),
+            mock.patch.object(link.sockets, "new_socket", narrow),
             # on a busy machine it waits longer
             mock.patch.object(link, "WRITE_TIMEOUT", SLOW * 1_000_000_000),
         ):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -370,7 +370,7 @@
 
     async def test_while_the_rest_of_its_send_waits_for_a_worker_that_does_not_read(self):
         """Half of it is in the worker's hands; the other half never follows."""
-        worker, fresh = Raw("s-1"), sockets.fresh
+        worker, fresh = Raw("s-1"), sockets.new_socket
         worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
 
         def narrow(host, kind=socket.SOCK_STREAM):
@@ -378,7 +378,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             return sock
 
-        with mock.patch.object(link.sockets, "fresh", narrow):
+        with mock.patch.object(link.sockets, "new_socket", narrow):
             async with Inside([worker], **NO_CANCEL) as site:
                 gone = Caller(site.address)
                 gone.call(ask(fn=1), b"z" * resource_limits.MAX_BODY)
--- a/tests/test_ration.py
+++ b/tests/test_ration.py
@@ -211,7 +211,7 @@
         def load_order_ended(self, worker_, fn, code, copies):
             self.ends.append((fn, code))
 
-        def active(self, link):
+        def schedule_checks(self, link):
             pass
 
     TERMS = types.SimpleNamespace(
--- a/tests/test_rpc_client.py
+++ b/tests/test_rpc_client.py
@@ -103,7 +103,7 @@
         for number in NO_SOCKET:
             with self.subTest(errno.errorcode[number]):
                 self.client.close()
-                with mock.patch.object(sockets, "fresh", side_effect=OSError(number, "injected")):
+                with mock.patch.object(sockets, "new_socket", side_effect=OSError(number, "injected")):
                     await self.fails_at_once()
                 self.assertEqual(await self.ask(), [1])
 
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -34,8 +34,8 @@
     node.now = lambda: now() + milliseconds * MS
 
 
-def narrow(fresh=sockets.fresh):
-    """`sockets.fresh` whose sockets take little at a time."""
+def narrow(fresh=sockets.new_socket):
+    """`sockets.new_socket` whose sockets take little at a time."""
 
     def made(host, kind=socket.SOCK_STREAM):
         sock = fresh(host, kind)
@@ -199,7 +199,7 @@
         worker = Raw("s-1")
         worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         with (
-            mock.patch.object(node_worker.sockets, "fresh", narrow()),
+            mock.patch.object(node_worker.sockets, "new_socket", narrow()),
             mock.patch.object(node_worker, "WRITE_TIMEOUT", SLOW * 1000 * MS),
         ):
             async with Inside([worker], **NO_CANCEL) as site:
@@ -215,7 +215,7 @@
         what is left. Its client has an answer."""
         worker = Raw("s-1")
         worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        with mock.patch.object(node_worker.sockets, "fresh", narrow()):
+        with mock.patch.object(node_worker.sockets, "new_socket", narrow()):
             async with Inside([worker], **NO_CANCEL) as site:
                 clients, _, second = await self._two(site, worker)
                 began = site.node.now()
@@ -234,7 +234,7 @@
         worker = Raw("s-1")
         worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         with (
-            mock.patch.object(node_worker.sockets, "fresh", narrow()),
+            mock.patch.object(node_worker.sockets, "new_socket", narrow()),
             mock.patch.object(node_worker, "WRITE_TIMEOUT", SLOW * 1000 * MS),
         ):
             async with Inside([worker], **NO_CANCEL, familyInfo={"mayOrder": False}) as site:
@@ -290,7 +290,7 @@
     def send_ended(self, act, n, worker, code, *rest):
         self.ends.append((act, code))
 
-    def active(self, link):
+    def schedule_checks(self, link):
         pass
 
     def still_wanted(self, act):
