--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -201,7 +201,7 @@
             front.drain()
         # clients that go on sending are not waited for longer than the longest request may take
         latest = self.now() + max(self.gateway.timeouts.values())
-        while self.pending.activations or not all(front.quiet() for front in self.fronts):
+        while self.pending.activations or not all(front.is_drained() for front in self.fronts):
             if not self.pending.activations and self.now() >= latest:
                 break
             await asyncio.sleep(DRAIN_CHECK_INTERVAL)
--- a/petrelwood/dispatch/handover/predecessor.py
+++ b/petrelwood/dispatch/handover/predecessor.py
@@ -48,7 +48,7 @@
 class DrainedFront(Protocol):
     """A front whose connections are waited for."""
 
-    def quiet(self) -> bool:
+    def is_drained(self) -> bool:
         """Return whether no connection is in use any more."""
 
 
@@ -174,7 +174,7 @@
             self.machine.phase == PredecessorPhase.WATCHING
             and not self.machine.has_drained
             and not self.core.pending.activations
-            and all(front.quiet() for front in self.core.fronts)
+            and all(front.is_drained() for front in self.core.fronts)
         )
 
     async def _send(self, message: Message) -> None:
--- a/petrelwood/fronts/mqtt.py
+++ b/petrelwood/fronts/mqtt.py
@@ -48,7 +48,7 @@
     async def _drain(self) -> None:
         await asyncio.gather(*(session.drain() for session in self.sessions))
 
-    def quiet(self) -> bool:
+    def is_drained(self) -> bool:
         """Return whether all is answered and the broker has the answers."""
         if self._draining is None or not self._draining.done():
             return False
--- a/petrelwood/fronts/mqtt_connection.py
+++ b/petrelwood/fronts/mqtt_connection.py
@@ -121,7 +121,7 @@
         """Write packets together. Without a connection they are dropped: what that means is decided later."""
         if self.stream is None or self.stream.closed():
             return
-        written = self.stream.write(b"".join(map(packets.write, sent)))
+        written = self.stream.write(b"".join(map(packets.encode, sent)))
         written.add_done_callback(lambda done: done.exception())  # seen by who reads
 
     def check_keep_alive(self, now: int) -> KeepAlive:
--- a/petrelwood/fronts/webhook.py
+++ b/petrelwood/fronts/webhook.py
@@ -187,7 +187,7 @@
         for connection in self.connections:
             connection.is_draining = True
 
-    def quiet(self) -> bool:
+    def is_drained(self) -> bool:
         """Return whether all answers have left, and no connection, request or end is unread."""
         streams = [each.stream for each in self.connections if not each.stream.closed()]
         if any(stream.writing() for stream in streams):
--- a/petrelwood/links/mqtt/reader.py
+++ b/petrelwood/links/mqtt/reader.py
@@ -13,11 +13,11 @@
 
 
 class Reader:
-    """Bytes to packets; `most`: bytes of one packet at most."""
+    """Bytes to packets; `max_size`: bytes of one packet at max_size."""
 
-    def __init__(self, most: int = MAX_PACKET_SIZE) -> None:
+    def __init__(self, max_size: int = MAX_PACKET_SIZE) -> None:
         self.buffer = bytearray()
-        self.most = most
+        self.max_size = max_size
 
     def feed(self, data: bytes) -> Iterator[Packet]:
         """Yield the packets that these bytes complete.
@@ -52,7 +52,7 @@
             length |= (byte & VARINT_MASK) << VARINT_BITS * index
             if not byte & VARINT_MORE:
                 size = index + 2
-                if length + size > self.most:
+                if length + size > self.max_size:
                     raise MqttError(ReasonCode.TOO_LARGE, f"a packet of {length} bytes")
                 return size, length
         raise MqttError(ReasonCode.MALFORMED, "a remaining length of over four bytes")
--- a/petrelwood/links/packets.py
+++ b/petrelwood/links/packets.py
@@ -5,14 +5,12 @@
 
 from petrelwood.links.mqtt.codes import ACKNOWLEDGEMENTS as ACKS
 from petrelwood.links.mqtt.codes import PACKET_TYPES, PacketType, ReasonCode
-from petrelwood.links.mqtt.encoding import encode as write
+from petrelwood.links.mqtt.encoding import encode
 from petrelwood.links.mqtt.errors import MqttError
 from petrelwood.links.mqtt.packet import Packet, Subscription
 from petrelwood.links.mqtt.properties import Properties
 from petrelwood.links.mqtt.reader import Reader
-from petrelwood.links.mqtt.topics import is_topic_filter as filter_ok
-from petrelwood.links.mqtt.topics import is_topic_name as topic_ok
-from petrelwood.links.mqtt.topics import matches
+from petrelwood.links.mqtt.topics import is_topic_filter, is_topic_name, matches
 
 __all__ = [
     "CONNECT",
@@ -56,10 +54,10 @@
     "Packet",
     "Reader",
     "Subscription",
-    "filter_ok",
+    "is_topic_filter",
     "matches",
-    "topic_ok",
-    "write",
+    "is_topic_name",
+    "encode",
     "Properties",
     "PacketType",
     "ReasonCode",
--- a/petrelwood/node/front.py
+++ b/petrelwood/node/front.py
@@ -175,7 +175,7 @@
             if client.is_quiescent():
                 client.close()
 
-    def quiet(self) -> bool:
+    def is_drained(self) -> bool:
         """Return whether all that was written has been sent, and all that has come was read.
 
         That is requests, ends, and connections that the kernel has accepted.
--- a/petrelwood/node/graceful_shutdown.py
+++ b/petrelwood/node/graceful_shutdown.py
@@ -67,7 +67,7 @@
     async def drain(self) -> None:
         """Wait until all is answered and the sockets are quiet, or the time is up."""
         core = self.core
-        while not self.times.over(core.now(), len(core.pending.activations), core.front.quiet()):
+        while not self.times.over(core.now(), len(core.pending.activations), core.front.is_drained()):
             self._check()
             await asyncio.sleep(CHECK_INTERVAL)
 
--- a/petrelwood/standins/broker.py
+++ b/petrelwood/standins/broker.py
@@ -37,7 +37,7 @@
 
         def send(packet):
             if not stream.closed():
-                stream.write(mqtt.write(packet)).add_done_callback(lambda done: done.exception())
+                stream.write(mqtt.encode(packet)).add_done_callback(lambda done: done.exception())
 
         def close(code):
             send(mqtt.Packet(mqtt.DISCONNECT, code=code))
--- a/petrelwood/standins/devices.py
+++ b/petrelwood/standins/devices.py
@@ -61,7 +61,7 @@
 
     def send(self, packet):
         if not self.stream.closed():
-            self.stream.write(mqtt.write(packet)).add_done_callback(lambda done: done.exception())
+            self.stream.write(mqtt.encode(packet)).add_done_callback(lambda done: done.exception())
 
     def _packet(self, p):
         if p.type == mqtt.CONNACK:
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -62,7 +62,7 @@
         return found
 
     def send(self, packet):
-        self.stream.write(mqtt.write(packet))
+        self.stream.write(mqtt.encode(packet))
 
     async def read(self):
         try:
@@ -405,7 +405,7 @@
         async def once(number):
             reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
             writer.write(
-                mqtt.write(
+                mqtt.encode(
                     mqtt.Packet(
                         mqtt.CONNECT,
                         client=f"many{number}",
--- a/tests/test_mqtt_bytes.py
+++ b/tests/test_mqtt_bytes.py
@@ -57,10 +57,10 @@
             packet.props["user"] = [
                 (name, "N" if name == "retry-after-ms" else value) for name, value in masked
             ]
-        self.lines.append(f"{mqtt.NAMES[packet.type]:11} {mqtt.write(packet).hex()}")
+        self.lines.append(f"{mqtt.NAMES[packet.type]:11} {mqtt.encode(packet).hex()}")
 
     def send(self, packet):
-        self.writer.write(mqtt.write(packet))
+        self.writer.write(mqtt.encode(packet))
 
     def publish(self, id_, qos, function, correlation, dup=0, topic=None, **props):
         props = {"response_topic": "reply/x/1", "correlation_data": correlation, **props}
@@ -138,7 +138,7 @@
 
     async def end(self):
         self.mqtt.drain()
-        await self.until(self.mqtt.quiet)
+        await self.until(self.mqtt.is_drained)
         self.mqtt.close_idle()
         await self.noted("DISCONNECT", 1)
 
--- a/tests/test_packets.py
+++ b/tests/test_packets.py
@@ -103,7 +103,7 @@
 class Codec(unittest.TestCase):
     def test_the_corpus_comes_back(self):
         for packet in CORPUS:
-            self.assertEqual(read(mqtt.write(packet)), [packet])
+            self.assertEqual(read(mqtt.encode(packet)), [packet])
 
     def test_each_property_comes_back_where_it_belongs_and_is_refused_elsewhere(self):
         values = {
@@ -117,23 +117,23 @@
                 is_list = packet.type == mqtt.PUBLISH and each.name == "subscription_id"
                 changed = dataclasses.replace(packet, props={each.name: [value] if is_list else value})
                 if packet.type in each.carriers:
-                    self.assertEqual(read(mqtt.write(changed)), [changed])
+                    self.assertEqual(read(mqtt.encode(changed)), [changed])
                 elif packet.type not in (mqtt.PINGREQ, mqtt.PINGRESP):
                     with self.assertRaises(mqtt.MqttError) as caught:
-                        read(mqtt.write(changed))
+                        read(mqtt.encode(changed))
                     self.assertEqual(caught.exception.code, mqtt.MALFORMED)
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.lists(st.one_of(PUBLISHED, ACK), max_size=5), st.integers(1, 17))
     def test_any_packets_come_back_in_pieces_of_any_size(self, packets, size):
-        data, reader, found = b"".join(map(mqtt.write, packets)), mqtt.Reader(), []
+        data, reader, found = b"".join(map(mqtt.encode, packets)), mqtt.Reader(), []
         for i in range(0, len(data), size):
             found += reader.feed(data[i : i + size])
         self.assertEqual(found, packets)
 
     def test_every_truncation_waits_or_is_refused(self):
         for packet in CORPUS:
-            whole = mqtt.write(packet)
+            whole = mqtt.encode(packet)
             for size in range(len(whole)):
                 self.assertEqual(read(whole[:size]), [])
                 if size > 2:  # the same, as if that were all of it
@@ -146,7 +146,7 @@
     def test_every_flipped_bit_is_a_packet_or_a_reason(self):
         ends = {"packet": 0, "reason": 0, "waits": 0}
         for packet in CORPUS:
-            whole = mqtt.write(packet)
+            whole = mqtt.encode(packet)
             for bit in range(8 * len(whole)):
                 flipped = bytearray(whole)
                 flipped[bit // 8] ^= 1 << bit % 8
@@ -162,7 +162,7 @@
     def test_any_bytes_end_in_packets_or_a_reason(self, data):
         try:
             for packet in read(data):
-                mqtt.write(packet)
+                mqtt.encode(packet)
         except mqtt.MqttError as fault:
             self.assertGreaterEqual(fault.code, 0x80)
 
@@ -185,7 +185,7 @@
             ("$share/+/a", 0),
             ("#", 1),
         ):
-            self.assertEqual(mqtt.filter_ok(name), bool(good), name)
+            self.assertEqual(mqtt.is_topic_filter(name), bool(good), name)
         for pattern, topic, good in (
             ("a/+", "a/b", 1),
             ("a/+", "a/b/c", 0),
