--- a/petrelwood/links/mqtt/reader.py
+++ b/petrelwood/links/mqtt/reader.py
@@ -13,7 +13,7 @@
 
 
 class Reader:
-    """Bytes to packets; `max_size`: bytes of one packet at max_size."""
+    """Decodes a stream of bytes into packets of at most `max_size` bytes each."""
 
     def __init__(self, max_size: int = MAX_PACKET_SIZE) -> None:
         self.buffer = bytearray()
