--- a/petrelwood/links/accept_errors.py
+++ b/petrelwood/links/accept_errors.py
@@ -1,8 +1,9 @@
-"""What an error of accept(2) says, and of whom.
+"""Classification of the errors of accept(2): does the error concern one connection or the whole process?
 
-An error may belong to the one new connection, which is gone with it (accept(2), "Error handling"): it says
-nothing of those that wait behind it, and the next call may succeed. Any other belongs to the process or the
-machine, and a listener must pause: its socket stays readable, so that the event loop would come back at once.
+Some errors concern only the new connection, which is dropped with them (accept(2), "Error handling"). The
+connections queued behind it are not affected, and the next call may succeed. All other errors concern the
+process or the machine. A listener must pause after them: its socket remains readable, so the event loop would
+call it again at once.
 """
 
 import errno
@@ -19,27 +20,28 @@
         errno.ENONET,
         errno.ENOPROTOOPT,
         errno.EOPNOTSUPP,
-        errno.EPERM,  # a firewall forbids it
+        errno.EPERM,  # rejected by a firewall
         errno.EPROTO,
         errno.ETIMEDOUT,
     )
 )
 NOTHING_TO_ACCEPT = frozenset((errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR))
-OUT_OF_DESCRIPTORS = frozenset((errno.EMFILE, errno.ENFILE))  # of the process, of the machine
-CONNECTION_ERRORS_IN_A_ROW = 16  # after which a listener pauses all the same
+OUT_OF_DESCRIPTORS = frozenset((errno.EMFILE, errno.ENFILE))  # limits per process and per machine
+# A listener also pauses after this many consecutive errors that each concern one connection.
+CONNECTION_ERRORS_IN_A_ROW = 16
 
 
 class AcceptError(Enum):
-    """What has failed."""
+    """The cause of an error of accept(2)."""
 
-    NOTHING_PENDING = auto()  # no connection waits
-    CONNECTION = auto()  # the new connection alone
-    DESCRIPTORS = auto()  # no file descriptor is left for it
-    OTHER = auto()  # something else of the process or the machine
+    NOTHING_PENDING = auto()  # no connection is pending
+    CONNECTION = auto()  # concerns only the new connection
+    DESCRIPTORS = auto()  # no file descriptor is available
+    OTHER = auto()  # another error of the process or the machine
 
 
 def classify(error: OSError) -> AcceptError:
-    """Return what an error of accept(2) says."""
+    """Return the cause of an error of accept(2)."""
     if error.errno in NOTHING_TO_ACCEPT:
         return AcceptError.NOTHING_PENDING
     if error.errno in CONNECTION_ERRORS:
--- a/petrelwood/links/announced_lengths.py
+++ b/petrelwood/links/announced_lengths.py
@@ -1,22 +1,22 @@
-"""Bounds on what a MessagePack message may hold, checked before it has arrived.
+"""Limits on the contents of a MessagePack message, checked before the message is complete.
 
-msgpack itself finds a text or a body that is too long only once all of it is in memory. Here the lengths that
-a message announces are read as its bytes come.
+msgpack itself rejects a string or binary value that is too long only when all of it is in memory. This module
+reads the lengths that a message announces while its bytes arrive.
 """
 
 from typing import NamedTuple
 
 from petrelwood.links.errors import MalformedRpcError
 
-# Codes of the format, https://github.com/msgpack/msgpack/blob/master/spec.md
-FIRST_SHORT_TEXT = 0xA0  # a text whose length is in the code itself
+# Type codes of the format, see https://github.com/msgpack/msgpack/blob/master/spec.md
+FIRST_SHORT_TEXT = 0xA0  # fixstr: the code itself contains the length of the string
 LAST_SHORT_TEXT = 0xBF
-SHORT_LENGTH_MASK = 0x1F
-FIRST_CODE_AFTER_BIN = 0xC7  # the codes of bodies (bin) are before it, those of texts (str) behind it
+SHORT_LENGTH_MASK = 0x1F  # the bits of a fixstr code that are the length
+FIRST_CODE_AFTER_BIN = 0xC7  # codes below are binary (bin), codes above are strings (str)
 EXTENSIONS = frozenset((0xC7, 0xC8, 0xC9, 0xD4, 0xD5, 0xD6, 0xD7, 0xD8))
-# How many bytes behind a code tell the length of a body (bin) or a text (str).
+# The size in bytes of the length field that follows the code of a binary (bin) or a string (str).
 LENGTH_SIZES = {0xC4: 1, 0xC5: 2, 0xC6: 4, 0xD9: 1, 0xDA: 2, 0xDB: 4}
-# How many bytes of a number, or of an array's or a map's size, follow a code.
+# The number of bytes that follow a code: the value of a number, or the size field of an array or a map.
 FOLLOWING_BYTES = {
     0xCA: 4,
     0xCB: 8,
@@ -36,12 +36,12 @@
 
 
 class MessageLimits(NamedTuple):
-    """The most that one message may hold.
+    """The limits on the contents of one message.
 
     Attributes:
-        body: Bytes of a body (bin).
-        text: Bytes of a text (str).
-        members: Members of an array or a map.
+        body: The maximum size of a binary value (bin), in bytes.
+        text: The maximum size of a string (str), in bytes.
+        members: The maximum number of members of an array or a map.
     """
 
     body: int
@@ -50,18 +50,18 @@
 
 
 class AnnouncedLengths:
-    """Reads the lengths that one message announces, from its first byte on."""
+    """Checks the lengths that one message announces, beginning with its first byte."""
 
     def __init__(self, limits: MessageLimits) -> None:
         self.limits = limits
-        self._to_skip = 0  # bytes of a value that are still to come
-        self._rest = b""  # a code whose length is not all here
+        self._to_skip = 0  # bytes of the current value that have not arrived yet
+        self._rest = b""  # a code whose length field is incomplete
 
     def feed(self, data: bytes) -> None:
         """Check the next bytes of the message.
 
         Raises:
-            MalformedRpcError: A length is over the limits, or there is an extension type.
+            MalformedRpcError: A length exceeds its limit, or the message contains an extension type.
         """
         data = self._rest + data
         position = 0
@@ -80,15 +80,15 @@
             position += head_size
 
     def _value_size(self, head: bytes) -> int:
-        """Return how many bytes follow a code and its length."""
+        """Return the number of bytes that follow a code and its length field."""
         code = head[0]
         if code in EXTENSIONS:
-            raise MalformedRpcError("an extension type")
+            raise MalformedRpcError("a MessagePack extension type is not allowed")
         if FIRST_SHORT_TEXT <= code <= LAST_SHORT_TEXT:
             return code & SHORT_LENGTH_MASK
         if code not in LENGTH_SIZES:
             return FOLLOWING_BYTES.get(code, 0)
         size = int.from_bytes(head[1:], "big")
         if size > (self.limits.body if code < FIRST_CODE_AFTER_BIN else self.limits.text):
-            raise MalformedRpcError(f"it announces {size} bytes")
+            raise MalformedRpcError(f"a value of {size} bytes exceeds the limit")
         return size
--- a/petrelwood/links/calls.py
+++ b/petrelwood/links/calls.py
@@ -1,7 +1,7 @@
-"""The calls of a link to a worker that have not ended: their queue, their stages and their ends.
+"""The open calls of a link to a worker: their queue, their stages and how they end.
 
-Shared by the links of all protocols. A frame is encoded as it leaves, since the time left of an activation is
-part of it. What an end proves is decided in `decide.delivery.send_outcome`.
+The links of all protocols share this module. A frame is encoded when it is written, because it contains the
+remaining time of the activation. `decide.delivery.send_outcome` decides what the end of a call proves.
 """
 
 from collections import deque
@@ -18,19 +18,19 @@
 from petrelwood.links.interfaces import Address, LinkCore, LoadReport
 from petrelwood.ports import EndReason
 
-ContentT = TypeVar("ContentT")  # what the frame of a call is made of
-ConnectionT = TypeVar("ConnectionT")  # a connection of a link that has several
+ContentT = TypeVar("ContentT")  # the data that the frame of a call is encoded from
+ConnectionT = TypeVar("ConnectionT")  # a connection of a link that has several connections
 
 
 class CallKind(StrEnum):
-    """What a call asks of its worker."""
+    """The kind of request that a call makes to its worker."""
 
-    RUN = "run"  # an attempt of an activation
-    LOAD_ORDER = "hold"  # a load order: have so many copies of a function
-    HEALTH_CHECK = "probe"  # a health check
+    RUN = "run"  # a send of an activation
+    LOAD_ORDER = "hold"  # a load order: keep a number of copies of a function loaded
+    HEALTH_CHECK = "probe"
 
 
-# Each call asks for these, and Python 3.11 is slow to look a member up on its enum.
+# Module names for the enum members that every call uses: Python 3.11 is slow to look up a member on its enum.
 RUN = CallKind.RUN
 LOAD_ORDER = CallKind.LOAD_ORDER
 HEALTH_CHECK = CallKind.HEALTH_CHECK
@@ -44,18 +44,18 @@
     """One attempt of an activation, one load order or one health check.
 
     Attributes:
-        kind: What it asks for.
-        activation: The id of its activation. Other calls have none: an id of the protocol's, or nothing.
-        number: Of an attempt its number, of a load order the copies wanted, of a health check 0.
+        kind: The kind of request.
+        activation: The id of its activation. Other calls have an id of the protocol, or an empty string.
+        number: The number of an attempt, the copies wanted by a load order, 0 for a health check.
         function: The function to run or load; empty for a health check.
-        made_at: When it was made, in ns.
-        content: What its frame is made of when it leaves, then None.
+        made_at: When the call was created, in ns.
+        content: The data that its frame is encoded from; None once the frame was written.
         size: Bytes that it adds to `waiting_bytes` while it is queued.
         tag: Its key among the calls in flight.
-        deadline: When the time of an attempt is up, in ns, whether its activation has ended or not.
-        stage: How far it has come.
-        connection: Which connection carries it, of a link that has several.
-        bytes_before: Bytes that were written on its connection before it; None where that proves nothing.
+        deadline: When an attempt times out, in ns, whether its activation has ended or not.
+        stage: How far the call has progressed.
+        connection: The connection that carries it, on a link that has several connections.
+        bytes_before: Bytes written on its connection before it; None if that number proves nothing.
     """
 
     kind: CallKind
@@ -74,41 +74,46 @@
 
 @dataclass(slots=True)
 class LinkCounts:
-    """What a link has counted since it was made."""
+    """Counters of a link since it was created."""
 
     sent: int = 0
     answered: int = 0
-    unexpected_answers: int = 0  # to calls that have ended, or that nobody made
-    lost: int = 0  # connections
-    recalled: int = 0  # calls taken back before they left
+    unexpected_answers: int = 0  # answers to calls that have ended or never existed
+    lost: int = 0  # lost connections
+    recalled: int = 0  # calls withdrawn before they were written
 
 
 class Calls(Generic[ContentT, ConnectionT]):
-    """The calls of one link that have not ended.
+    """The open calls of one link.
 
-    A subclass moves them: `_enqueue` puts one into the queue, `_take_frame` takes it out for the socket,
-    `_end` reports its end. It provides `_encode`, and `_send_cancel` where its protocol has one.
+    A subclass moves a call through its stages: `_enqueue` queues it, `_take_frame` removes it from the queue
+    to write it, `_end` reports its end. A subclass implements `_encode`, and `_send_cancel` if its protocol
+    can cancel a call.
     """
 
-    MIN_TIME_LEFT = 1  # ns, the unit of the time left in a frame: an attempt with less is not sent
+    MIN_TIME_LEFT = (
+        1  # ns; an attempt with less remaining time is not sent. It is the unit of that time in a frame.
+    )
 
     def __init__(self, worker: str, address: Address | None, core: LinkCore) -> None:
         self.worker = worker
         self.address = address
         self.core = core
-        self.waiting: deque[Call[ContentT, ConnectionT]] = deque()  # queued, not written yet
+        self.waiting: deque[Call[ContentT, ConnectionT]] = deque()  # queued calls that are not written yet
         self.waiting_bytes = 0
-        self.in_flight: dict[object, Call[ContentT, ConnectionT]] = {}  # written, by tag
-        self.runs: dict[tuple[str, int], Call[ContentT, ConnectionT]] = {}  # attempts, queued or in flight
+        self.in_flight: dict[object, Call[ContentT, ConnectionT]] = {}  # written calls by tag
+        self.runs: dict[
+            tuple[str, int], Call[ContentT, ConnectionT]
+        ] = {}  # queued and in-flight attempts, by activation and number
         self.counts = LinkCounts()
 
-    # For the dispatcher.
+    # Interface for the dispatcher
     def cancel(self, activation: str, attempt: int) -> None:
-        """End an attempt; a worker that may have begun it is requested to stop."""
+        """Cancel an attempt; if the worker may have started it, request the worker to stop it."""
         self._stop(activation, attempt, send_outcome.of_cancel)
 
     def time_out(self, activation: str, attempt: int) -> None:
-        """End an attempt whose time is up; its worker is requested to stop too."""
+        """End an attempt whose deadline has passed, and request its worker to stop it."""
         self._stop(activation, attempt, send_outcome.of_time)
 
     def _stop(self, activation: str, attempt: int, reason_of: Callable[[SendStage], EndReason]) -> None:
@@ -119,9 +124,9 @@
             self._end(call, reason_of(call.stage))
 
     def withdraw(self, activation: str, attempt: int) -> None:
-        """Take an attempt back if it has not left, as its activation has ended.
+        """Withdraw an attempt that was not written yet, because its activation has ended.
 
-        That needs no permission to cancel: the worker has not heard of it.
+        This needs no permission to cancel, because the worker has not received the attempt.
         """
         call = self.runs.get((activation, attempt))
         reason = None if call is None else send_outcome.of_recall(call.stage)
@@ -129,7 +134,7 @@
             self._end(call, reason)
 
     def recall(self) -> None:
-        """Take back what has not left, as the worker drains or is gone. Health checks stay."""
+        """Withdraw all calls not yet written except health checks: the worker drains or was removed."""
         for call in [each for each in self.waiting if each.kind != HEALTH_CHECK]:
             self._end_recalled(call)
 
@@ -137,13 +142,13 @@
         """Return whether a call is queued or in flight."""
         return bool(self.waiting or self.in_flight)
 
-    # For the subclass.
+    # Interface for subclasses
     def _enqueue(self, call: Call[ContentT, ConnectionT]) -> None:
         self.waiting.append(call)
         self.waiting_bytes += call.size
 
     def _take_frame(self, call: Call[ContentT, ConnectionT]) -> bytes:
-        """Note that a call leaves the queue for the socket, and return its bytes."""
+        """Mark a call as written and return its frame; the caller removes it from the queue."""
         frame = self._encode(call)
         call.content = None
         call.stage = WRITTEN
@@ -153,17 +158,18 @@
         return frame
 
     def _encode(self, call: Call[ContentT, ConnectionT]) -> bytes:
-        """Return the bytes of a call, with the time that is left now."""
+        """Return the frame of a call, with the time that remains now."""
         raise NotImplementedError
 
     def _send_cancel(self, call: Call[ContentT, ConnectionT]) -> None:
-        """Ask the worker to stop an attempt that was written."""
+        """Request the worker to stop an attempt that was written."""
 
     def _may_leave(self, call: Call[ContentT, ConnectionT]) -> bool:
-        """Return whether the first call of the queue may be written; one that may not is ended.
+        """Return whether the first call of the queue may be written; end the call if not.
 
-        An attempt whose time is up never leaves, which proves that it never ran. A load order that has waited
-        is checked against the rate limit of load orders once more, and counts at this time from now on.
+        An attempt whose deadline has passed is never written, which proves that it never ran. A load order
+        that was queued is checked again against the rate limit of load orders, which counts it at the present
+        time from then on.
         """
         if call.kind == RUN:
             if call.deadline is not None and call.deadline - self.core.now() < self.MIN_TIME_LEFT:
@@ -181,21 +187,21 @@
             self._end(call, reason)
 
     def _end_lost(self, call: Call[ContentT, ConnectionT], stream: IOStream | None) -> None:
-        """End a call whose connection is lost, or was never made (None)."""
+        """End a call whose connection was lost or never established (`stream` is None)."""
         taken = 0 if stream is None else sockets.bytes_taken(stream)
         stage = send_outcome.reached(call.stage, call.bytes_before, taken)
         self._end(call, send_outcome.of_loss(stage))
 
     def _overdue_calls(self, now: int, within: int) -> list[Call[ContentT, ConnectionT]]:
-        """Return load orders and health checks made over `within` ns ago, which have no deadline."""
+        """Return load orders and health checks older than `within` ns; these calls have no deadline."""
         calls = (*self.in_flight.values(), *self.waiting)
         return [call for call in calls if call.kind != RUN and now - call.made_at > within]
 
     def _expired_attempts(self, now: int) -> list[Call[ContentT, ConnectionT]]:
-        """Return attempts in flight whose time is up.
+        """Return attempts in flight whose deadline has passed.
 
-        Those of activations that have ended have no other end on a silent connection: they would occupy
-        their slot, their connection and their link for good.
+        On a silent connection, nothing else ends an attempt whose activation has ended already: it would
+        occupy its slot, its connection and its link forever.
         """
         calls = self.in_flight.values()
         return [call for call in calls if call.deadline is not None and now > call.deadline]
@@ -208,14 +214,14 @@
         body: bytes = b"",
         load_report: LoadReport | None = None,
     ) -> None:
-        """Remove a call that has not ended yet, and report its end.
+        """Remove an open call and report its end; do nothing if the call has ended already.
 
         Args:
-            call: the call; without effect if it has ended.
-            reason: how it has ended.
-            note: of an attempt a `ports.CopyNote`; of a load order the copies that the worker has now.
-            body: the result of an attempt that completed.
-            load_report: the worker's load report, if it sent one.
+            call: The call.
+            reason: How it has ended.
+            note: For an attempt a `ports.CopyNote`; for a load order the number of copies on the worker now.
+            body: The result of an attempt that completed.
+            load_report: The worker's load report, if it sent one.
         """
         if call.stage == QUEUED:
             try:
@@ -235,9 +241,11 @@
         body: bytes = b"",
         load_report: LoadReport | None = None,
     ) -> None:
-        """Report the end of a call to the core, as an event that follows the present one."""
+        """Report the end of a call to the core, as an event after the one being handled."""
         core = self.core
-        if call.kind == LOAD_ORDER and call.stage == QUEUED:  # it no longer counts for the rate limit
+        if (
+            call.kind == LOAD_ORDER and call.stage == QUEUED
+        ):  # never sent: it no longer counts against the rate limit
             core.order_not_sent(call.made_at)
         call.stage = ANSWERED
         if call.kind == RUN:
--- a/petrelwood/links/errors.py
+++ b/petrelwood/links/errors.py
@@ -1,10 +1,10 @@
-"""The errors of connections: what a peer sent, and what is wrong with a certificate."""
+"""Errors of connections: malformed data from a peer, and unusable certificates."""
 
 from petrelwood.errors import PetrelwoodError, ProtocolError
 
 
 class MalformedRpcError(ProtocolError):
-    """A peer sent what is not MessagePack-RPC, or a message over the bounds."""
+    """A peer sent data that is not MessagePack-RPC, or a message that exceeds the limits."""
 
 
 class MalformedEventError(ProtocolError):
@@ -12,8 +12,8 @@
 
 
 class EndpointListError(ProtocolError):
-    """A roster answered with an error, or a watch event is missing."""
+    """The roster answered with an error or malformed data, or a watch event is missing."""
 
 
 class IdentityError(PetrelwoodError):
-    """A certificate, its key or the trusted authorities can't be used."""
+    """A certificate, its key or the trusted authorities are unusable."""
--- a/petrelwood/links/interfaces.py
+++ b/petrelwood/links/interfaces.py
@@ -1,4 +1,4 @@
-"""Interfaces of the objects that this package is given: a logger, a clock and the dispatcher it serves."""
+"""Interfaces of the objects that are passed to this package: a logger, a clock and the dispatcher."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,11 +9,11 @@
 Address = tuple[str, int]
 """A host and a port."""
 LoadReport = dict[str, float]
-"""A worker's load report: a number for each name."""
+"""A worker's load report: numbers by name."""
 
 
 class Logger(Protocol):
-    """A structured logger like those of structlog: one line per event, with its fields."""
+    """A structured logger like those of structlog: one line per event, with fields."""
 
     def info(self, event: str, **fields: object) -> object:
         """Log a normal event."""
@@ -30,10 +30,10 @@
 
 
 class LinkCore(MonotonicClock, Protocol):
-    """What a link needs of its dispatcher. The end of each call is reported once, through `submit`."""
+    """The dispatcher as a link needs it. A link reports the end of each call once, through `submit`."""
 
     def submit(self, call: Callable[..., object], /, *args: object) -> object:
-        """Make a call at once, or after the call in progress."""
+        """Call a function now, or after the call in progress has returned."""
 
     def send_ended(
         self,
--- a/petrelwood/links/listener.py
+++ b/petrelwood/links/listener.py
@@ -1,8 +1,9 @@
-"""A TCP server whose listeners outlast every error of `accept`.
+"""A TCP server whose listeners survive every error of accept(2).
 
-Tornado's own listener stays readable while the process has no descriptor left, so that its loop comes back
-at once, over and over. Here a listener pauses after an error that is the machine's, and tries again with
-backoff. An error that belongs to one new connection (accept(2), "Error handling") costs that one alone.
+When the process has no free file descriptor, the listening socket of Tornado's own server remains readable,
+and the event loop calls its handler again and again without a pause. Here a listener pauses after an error of
+the process or the machine, and tries again with backoff. An error of one new connection (accept(2), "Error
+handling") affects only that connection.
 """
 
 import asyncio
@@ -15,14 +16,14 @@
 from petrelwood.decide.overload.backoff import Backoff
 from petrelwood.links.accept_errors import CONNECTION_ERRORS_IN_A_ROW, AcceptError, classify
 
-ACCEPTS_PER_TURN = 128  # connections taken before others on the loop have their turn
-MILLISECOND = 1_000_000
-FIRST_PAUSE = 50 * MILLISECOND
-LONGEST_PAUSE = 1_000 * MILLISECOND
+ACCEPTS_PER_ITERATION = 128  # connections accepted before other handlers of the event loop run
+MILLISECOND = 1_000_000  # ns
+FIRST_PAUSE = 50 * MILLISECOND  # after the first error
+LONGEST_PAUSE = 1_000 * MILLISECOND  # the limit of the backoff
 
 
 class _ListeningSocket:
-    """One listening socket on the running loop."""
+    """One listening socket on the running event loop."""
 
     def __init__(self, server: "Listener", sock: socket.socket) -> None:
         self.server = server
@@ -34,18 +35,18 @@
         self.listen()
 
     def listen(self) -> None:
-        """Accept connections from now on."""
+        """Start to accept connections."""
         self.resumption = None
         self.loop.add_reader(self.sock, self._accept)
 
     def close(self) -> None:
-        """Accept no more connections; the socket stays open."""
+        """Stop accepting connections; the socket stays open."""
         self.loop.remove_reader(self.sock)
         if self.resumption is not None:
             self.resumption.cancel()
 
     def _accept(self) -> None:
-        for _ in range(ACCEPTS_PER_TURN):
+        for _ in range(ACCEPTS_PER_ITERATION):
             try:
                 connection, address = self.sock.accept()
             except OSError as error:
@@ -77,14 +78,14 @@
     """A `TCPServer` whose listening sockets pause after errors and resume; see `accept_failed`."""
 
     def add_sockets(self, sockets: Iterable[socket.socket]) -> None:
-        """Accept connections on these listening sockets, on the running loop."""
+        """Accept connections on these listening sockets, on the running event loop."""
         for sock in sockets:
             listening = _ListeningSocket(self, sock)
             self._sockets[sock.fileno()] = sock
             self._handlers[sock.fileno()] = listening.close
 
     def take_connection(self, connection: socket.socket, address: object) -> None:
-        """Hand an accepted connection to `handle_stream`."""
+        """Pass an accepted connection to `handle_stream`."""
         self._handle_connection(connection, address)
 
     def accept_failed(self, error: OSError, pause: int) -> None:
--- a/petrelwood/links/mqtt/codes.py
+++ b/petrelwood/links/mqtt/codes.py
@@ -1,4 +1,4 @@
-"""The types of packets and the reason codes of MQTT 5."""
+"""The packet types and the reason codes of MQTT 5."""
 
 from enum import IntEnum
 
@@ -24,14 +24,14 @@
 
 
 ACKNOWLEDGEMENTS = (PacketType.PUBACK, PacketType.PUBREC, PacketType.PUBREL, PacketType.PUBCOMP)
-"""The packets that acknowledge a PUBLISH or one another."""
+"""The packets that acknowledge a PUBLISH or another acknowledgement."""
 
 PACKET_TYPES: tuple[PacketType | None, ...] = (None, *PacketType)
-"""The types by number: Python 3.11 is slow to make a member of an enum from its value."""
+"""The types by number, because Python 3.11 is slow to convert a value to its enum member."""
 
 
 class ReasonCode(IntEnum):
-    """The reason codes that are used here (section 2.4); 0x80 and above are errors."""
+    """The reason codes that this package uses (section 2.4); 0x80 and above are errors."""
 
     SUCCESS = 0x00
     NO_SUBSCRIBERS = 0x10
--- a/petrelwood/links/mqtt/encoding.py
+++ b/petrelwood/links/mqtt/encoding.py
@@ -1,4 +1,4 @@
-"""Packets to bytes."""
+"""Encoding of packets."""
 
 from collections.abc import Callable
 
@@ -9,8 +9,8 @@
 
 PROTOCOL_NAME = encode_text("MQTT")
 PROTOCOL_VERSION = 5
-REQUIRED_FLAGS = 2  # of PUBREL, SUBSCRIBE and UNSUBSCRIBE
-# The bits of the flags of a CONNECT.
+REQUIRED_FLAGS = 2  # the flags of PUBREL, SUBSCRIBE and UNSUBSCRIBE
+# Bits in the flags of a CONNECT
 CLEAN_START = 0x02
 HAS_WILL = 0x04
 WILL_QOS_SHIFT = 3
@@ -21,11 +21,11 @@
 
 PUBREL = PacketType.PUBREL
 FlagsAndBody = tuple[int, bytes]
-"""What follows the type in a packet: the flags beside it, and all behind the length."""
+"""The flags in the first byte of a packet, and everything after the length field."""
 
 
 def encode(packet: Packet) -> bytes:
-    """Return the bytes of a packet. Raises ValueError where a text is too long."""
+    """Return the bytes of a packet. Raises ValueError if a string is too long."""
     flags, body = ENCODERS[packet.type](packet)
     return bytes((packet.type << 4 | flags,)) + encode_varint(len(body)) + body
 
@@ -47,7 +47,7 @@
 
 
 def _encode_code(packet: Packet) -> bytes:
-    """Return the reason code and the properties, which are left out where they say nothing."""
+    """Return the reason code and the properties; omit the properties, or both, if they carry no information."""
     if not packet.code and not packet.props:
         return b""
     return bytes((packet.code,)) + (encode_properties(packet.props) if packet.props else b"")
--- a/petrelwood/links/mqtt/errors.py
+++ b/petrelwood/links/mqtt/errors.py
@@ -1,10 +1,10 @@
-"""The error of a peer that does not keep to the standard."""
+"""The error for a peer that violates the standard."""
 
 from petrelwood.errors import ProtocolError
 
 
 class MqttError(ProtocolError):
-    """The peer does not keep to the standard; `code` is the reason code to tell it."""
+    """The peer violated the standard; `code` is the reason code to send to it."""
 
     def __init__(self, code: int, message: str) -> None:
         super().__init__(message)
--- a/petrelwood/links/mqtt/packet.py
+++ b/petrelwood/links/mqtt/packet.py
@@ -7,7 +7,7 @@
 from petrelwood.links.mqtt.codes import PacketType
 from petrelwood.links.mqtt.properties import Properties
 
-# The fields that a type of packets has beside its identifier, code and properties.
+# The fields of each packet type besides its identifier, reason code and properties.
 FIELDS: dict[PacketType, tuple[str, ...]] = {
     PacketType.CONNECT: ("clean", "keep_alive", "client", "will", "user", "password"),
     PacketType.CONNACK: ("present",),
@@ -20,7 +20,7 @@
 
 
 class Subscription(NamedTuple):
-    """A topic filter that is subscribed to; the two lowest bits of its options are the quality of service."""
+    """A subscribed topic filter; the two lowest bits of its options are the quality of service."""
 
     topic_filter: str
     options: int
@@ -31,25 +31,25 @@
     """One packet; which fields have a meaning depends on its type.
 
     Attributes:
-        type: The type.
-        id: Its packet identifier, 0 where it has none.
-        code: The reason code of an acknowledgement or an end.
+        type: The packet type.
+        id: The packet identifier, 0 if the packet has none.
+        code: The reason code of a CONNACK, an acknowledgement, a DISCONNECT or an AUTH.
         props: The properties by name.
-        topic: Of a PUBLISH, empty where there is a topic alias.
-        payload: Of a PUBLISH.
+        topic: The topic name of a PUBLISH; empty if a topic alias replaces it.
+        payload: The payload of a PUBLISH.
         qos: The quality of service of a PUBLISH: 0, 1 or 2.
         dup: Whether a PUBLISH may have been delivered before.
         retain: Whether a PUBLISH is retained.
         client: The client identifier of a CONNECT.
         user: The user name of a CONNECT.
         password: The password of a CONNECT.
-        clean: Whether a CONNECT begins a new session.
-        keep_alive: Seconds that a client may be silent, of a CONNECT.
-        will: The PUBLISH that follows an unexpected end, of a CONNECT.
-        present: Whether a CONNACK goes on with an earlier session.
-        subscriptions: Of a SUBSCRIBE.
-        topic_filters: Of an UNSUBSCRIBE.
-        codes: A reason code for each filter, of a SUBACK or UNSUBACK.
+        clean: Whether a CONNECT starts a new session (Clean Start).
+        keep_alive: The keep-alive of a CONNECT, in seconds.
+        will: The will of a CONNECT, a PUBLISH.
+        present: Whether a CONNACK resumes an earlier session (Session Present).
+        subscriptions: The subscriptions of a SUBSCRIBE.
+        topic_filters: The topic filters of an UNSUBSCRIBE.
+        codes: The reason codes of a SUBACK or UNSUBACK, one per topic filter.
     """
 
     type: PacketType
--- a/petrelwood/links/mqtt/primitives.py
+++ b/petrelwood/links/mqtt/primitives.py
@@ -1,4 +1,4 @@
-"""The data types that packets are made of: integers, text, binary data (section 1.5)."""
+"""The data types in packets: integers, strings, binary data (section 1.5)."""
 
 import struct
 
@@ -8,16 +8,17 @@
 BYTE = struct.Struct(">B")
 TWO_BYTES = struct.Struct(">H")
 FOUR_BYTES = struct.Struct(">I")
-MAX_TEXT_SIZE = 65_535  # bytes: its length has two bytes
-# A variable byte integer: seven bits in each byte, the lowest first; the highest says that one follows.
+MAX_TEXT_SIZE = 65_535  # bytes, because the length field has two bytes
+# A variable byte integer has seven bits in each byte, least significant first. The highest bit is set if
+# another byte follows.
 VARINT_BITS = 7
 VARINT_MASK = 0x7F
 VARINT_MORE = 0x80
-VARINT_SHIFTS = (7, 14, 21)  # of the bytes after the first, three at most
+VARINT_SHIFTS = (7, 14, 21)  # of the second, third and fourth byte
 
 
 def encode_varint(value: int) -> bytes:
-    """Return a variable byte integer."""
+    """Return the bytes of a variable byte integer."""
     if value <= VARINT_MASK:
         return bytes((value,))
     encoded = bytearray()
@@ -30,15 +31,15 @@
 
 
 def encode_text(value: str | bytes) -> bytes:
-    """Return a UTF-8 string or binary data with its length before it. Raises ValueError if it is too long."""
+    """Return a UTF-8 string or binary data, prefixed by its length. Raises ValueError if it is too long."""
     raw = value if isinstance(value, bytes) else value.encode("utf-8")
     if len(raw) > MAX_TEXT_SIZE:
-        raise ValueError("over 65,535 bytes")
+        raise ValueError("a string is longer than 65,535 bytes")
     return TWO_BYTES.pack(len(raw)) + raw
 
 
 class BodyReader:
-    """Takes one value after the other from a packet's body. All methods raise MqttError."""
+    """Reads one value after another from the body of a packet. All methods raise MqttError."""
 
     __slots__ = ("data", "position")
 
@@ -48,7 +49,7 @@
 
     @property
     def is_at_end(self) -> bool:
-        """Whether all of it has been taken."""
+        """Whether all bytes have been read."""
         return self.position == len(self.data)
 
     def take(self, size: int) -> bytes:
@@ -61,7 +62,7 @@
         return self.data[start:end]
 
     def rest(self) -> bytes:
-        """Return what has not been taken yet."""
+        """Return all bytes that were not read yet."""
         return self.take(len(self.data) - self.position)
 
     def byte(self) -> int:
@@ -91,26 +92,26 @@
             value |= (byte & VARINT_MASK) << shift
             if not byte & VARINT_MORE:
                 return value
-        raise MqttError(ReasonCode.MALFORMED, "a number of over four bytes")
+        raise MqttError(ReasonCode.MALFORMED, "a variable byte integer is longer than four bytes")
 
     def binary(self) -> bytes:
-        """Return binary data with its length before it."""
+        """Return binary data that is prefixed by its length."""
         return self.take(self.two_bytes())
 
     def text(self) -> str:
-        """Return a UTF-8 string with its length before it."""
+        """Return a UTF-8 string that is prefixed by its length."""
         raw = self.binary()
         try:
             value = raw.decode("utf-8")
         except UnicodeDecodeError as error:
-            raise MqttError(ReasonCode.MALFORMED, "text that is not UTF-8") from error
+            raise MqttError(ReasonCode.MALFORMED, "a string is not UTF-8") from error
         if "\0" in value:
-            raise MqttError(ReasonCode.MALFORMED, "text with a NUL")
+            raise MqttError(ReasonCode.MALFORMED, "a string contains a NUL")
         return value
 
     def identifier(self) -> int:
         """Return a packet identifier, which is never 0."""
         identifier = self.two_bytes()
         if not identifier:
-            raise MqttError(ReasonCode.PROTOCOL, "a packet identifier of 0")
+            raise MqttError(ReasonCode.PROTOCOL, "the packet identifier is 0")
         return identifier
--- a/petrelwood/links/mqtt/properties.py
+++ b/petrelwood/links/mqtt/properties.py
@@ -26,7 +26,7 @@
 DISCONNECT = PacketType.DISCONNECT
 AUTH = PacketType.AUTH
 Carrier = PacketType | None
-WILL: Carrier = None  # the properties of a will are carried by no packet of their own
+WILL: Carrier = None  # the properties of a will have no packet of their own
 
 
 class Properties(TypedDict, total=False):
@@ -62,7 +62,7 @@
 
 
 class Form(IntEnum):
-    """How a property's value is written; with numbers, which are found fast in a dict."""
+    """The encoding of a property's value; an IntEnum, because its members are fast keys of a dict."""
 
     FLAG = auto()  # a byte that is 0 or 1
     TWO_BYTES = auto()
@@ -70,18 +70,18 @@
     VARINT = auto()
     TEXT = auto()
     BINARY = auto()
-    TEXT_PAIRS = auto()  # may be there several times
+    TEXT_PAIRS = auto()  # may occur several times
 
 
 class Property(NamedTuple):
     """One property.
 
     Attributes:
-        name: As in `Properties`.
-        number: Its identifier on the wire.
-        form: How its value is written.
-        carriers: The packets that may have it.
-        may_be_zero: Whether 0 is a value.
+        name: The name, as in `Properties`.
+        number: The property identifier on the wire.
+        form: The encoding of its value.
+        carriers: The packets that may contain it.
+        may_be_zero: Whether 0 is a valid value.
     """
 
     name: str
@@ -129,7 +129,8 @@
     )
 
 
-# Each property is compared with these, and Python 3.11 is slow to look a member up on its enum.
+# Module names for the enum members that every property is compared with: Python 3.11 is slow to look up a
+# member on its enum.
 FLAG = Form.FLAG
 VARINT = Form.VARINT
 TEXT = Form.TEXT
@@ -156,7 +157,7 @@
 
 
 def encode_properties(properties: Properties) -> bytes:
-    """Return the properties with their length before them."""
+    """Return the encoded properties, prefixed by their length."""
     encoded = b""
     for name, value in properties.items():
         known = BY_NAME[name]
@@ -178,10 +179,10 @@
 
 
 def decode_properties(body: BodyReader, carrier: Carrier) -> Properties:
-    """Take the properties of a packet, or of a will (None).
+    """Decode the properties of a packet, or of a will (None).
 
     Raises:
-        MqttError: They are malformed, or not allowed there.
+        MqttError: The properties are malformed, or not allowed in this packet.
     """
     part = BodyReader(body.take(body.varint()))
     found: dict[str, Value | list[Value]] = {}
@@ -189,7 +190,7 @@
     while part.position < size:
         known = BY_NUMBER.get(part.varint())
         if known is None or carrier not in known.carriers:
-            raise MqttError(ReasonCode.MALFORMED, "a property that does not belong here")
+            raise MqttError(ReasonCode.MALFORMED, "a property is not allowed in this packet")
         value = DECODERS[known.form](part)
         if known.form is TEXT_PAIRS or carrier is PUBLISH and known.name == "subscription_id":
             several = found.setdefault(known.name, [])
@@ -201,5 +202,5 @@
             found[known.name] = value
         if known.form is FLAG and value not in (0, 1) or not value and not known.may_be_zero:
             raise MqttError(ReasonCode.PROTOCOL, f"{known.name} can't be {value!r}")
-    # the table says which form each name has
+    # the table of properties guarantees the type of each value
     return cast(Properties, found)
--- a/petrelwood/links/mqtt/reader.py
+++ b/petrelwood/links/mqtt/reader.py
@@ -1,4 +1,4 @@
-"""A stream of bytes to packets."""
+"""Decoding of a stream of bytes into packets."""
 
 from collections.abc import Iterator
 
@@ -8,8 +8,8 @@
 from petrelwood.links.mqtt.packet import Packet
 from petrelwood.links.mqtt.primitives import VARINT_BITS, VARINT_MASK, VARINT_MORE
 
-MAX_PACKET_SIZE = 1_000_000  # bytes, unless a reader is given another bound
-MAX_LENGTH_SIZE = 4  # bytes of the remaining length
+MAX_PACKET_SIZE = 1_000_000  # the default limit of a reader, in bytes
+MAX_LENGTH_SIZE = 4  # the maximum size of the field Remaining Length, in bytes
 
 
 class Reader:
@@ -23,7 +23,7 @@
         """Yield the packets that these bytes complete.
 
         Raises:
-            MqttError: The peer does not keep to the standard; the connection is of no more use.
+            MqttError: The peer violated the standard; the connection must be closed.
         """
         self.buffer += data
         start = 0
@@ -42,7 +42,7 @@
             del self.buffer[:start]
 
     def _fixed_header(self, start: int) -> tuple[int, int]:
-        """Return the size of the fixed header that begins there, 0 if it is not complete, and the length."""
+        """Return the size of the fixed header at `start` and the Remaining Length, or (0, 0) if incomplete."""
         length = 0
         for index in range(MAX_LENGTH_SIZE):
             position = start + 1 + index
@@ -53,6 +53,6 @@
             if not byte & VARINT_MORE:
                 size = index + 2
                 if length + size > self.max_size:
-                    raise MqttError(ReasonCode.TOO_LARGE, f"a packet of {length} bytes")
+                    raise MqttError(ReasonCode.TOO_LARGE, f"a packet of {length} bytes is too large")
                 return size, length
-        raise MqttError(ReasonCode.MALFORMED, "a remaining length of over four bytes")
+        raise MqttError(ReasonCode.MALFORMED, "the remaining length is longer than four bytes")
--- a/petrelwood/links/mqtt/topics.py
+++ b/petrelwood/links/mqtt/topics.py
@@ -8,12 +8,12 @@
 
 
 def is_topic_name(topic: str) -> bool:
-    """Return whether a topic may be published to: it is not empty and has no wildcards."""
+    """Return whether this is a valid topic name: not empty, without wildcards or NUL."""
     return bool(topic) and NOT_IN_NAMES.isdisjoint(topic)
 
 
 def is_topic_filter(topic_filter: str) -> bool:
-    """Return whether a text is a topic filter, of a shared subscription or not."""
+    """Return whether this is a valid topic filter, including filters of shared subscriptions."""
     if topic_filter.startswith(SHARE_PREFIX):
         group, _, topic_filter = topic_filter.removeprefix(SHARE_PREFIX).partition("/")
         if not group or not WILDCARDS.isdisjoint(group):
@@ -27,7 +27,7 @@
 
 
 def matches(topic_filter: str, topic: str) -> bool:
-    """Return whether a topic filter, without the part that makes it shared, takes a topic."""
+    """Return whether a topic matches a topic filter, which is given without the prefix of a share."""
     if topic.startswith("$") and topic_filter[:1] in WILDCARDS:
         return False
     levels = topic.split("/")
--- a/petrelwood/links/packets.py
+++ b/petrelwood/links/packets.py
@@ -1,6 +1,7 @@
-"""MQTT 5 as its users name it: `packets.PUBLISH`, `packets.Reader`; the codec is in `links.mqtt`.
+"""Short names for MQTT 5, such as `packets.PUBLISH` and `packets.Reader`; the codec is in `links.mqtt`.
 
-Each packet is compared with these types, and Python 3.11 is slow to look a member up on its enum.
+The types and reason codes are module names because each packet is compared with them, and Python 3.11 is slow
+to look up a member on its enum.
 """
 
 from petrelwood.links.mqtt.codes import ACKNOWLEDGEMENTS as ACKS
--- a/petrelwood/links/roster.py
+++ b/petrelwood/links/roster.py
@@ -1,8 +1,9 @@
-"""The link to the roster: it follows the endpoint list by server-sent events.
+"""The link to the roster: follows the endpoint list by server-sent events.
 
-`GET /workers` answers with an endless stream: `list` with all endpoints, `change` with some, each with an id
-`EPOCH-NUMBER` whose number grows by one; comments keep the stream alive. `Last-Event-ID` resumes after a
-break. What is believed of the list is decided in `decide.cluster.membership`.
+The response to `GET /workers` is an endless stream of events: `list` with all endpoints, `change` with some.
+Each event has an id `EPOCH-NUMBER` whose number increases by one. Comments keep the stream alive.
+`Last-Event-ID` resumes the stream after a lost connection. `decide.cluster.membership` decides how the list
+changes the known workers.
 """
 
 import asyncio
@@ -20,48 +21,49 @@
 from petrelwood.links.sse import EventReader
 from petrelwood.ports import EndpointEntry
 
-READ_SIZE = 65_536  # bytes taken from the socket at a time
-OK = 200  # the status of HTTP
+READ_SIZE = 65_536  # the maximum number of bytes per read from the socket
+OK = 200  # status code of HTTP
 SECOND = 1_000_000_000  # ns
 MILLISECOND = 1_000_000  # ns
+# Names of events
 LIST = "list"
 CHANGE = "change"
-# What ends a connection, which is then made again. JSON that can't be read is a ValueError.
+# Errors after which the link reconnects. Malformed JSON is a ValueError.
 CONNECTION_ERRORS = (TimeoutError, OSError, ValueError, httptools.HttpParserError, ProtocolError)
 
 
 class WallClock(Protocol):
-    """Whoever can tell the time of day."""
+    """A source of wall-clock time."""
 
     def wall(self) -> int:
         """Return the time since the epoch in ns."""
 
 
 class RosterCore(LoopOwner, Protocol):
-    """What this link needs of its dispatcher."""
+    """The dispatcher as this link needs it."""
 
     @property
     def clock(self) -> WallClock:
-        """The clock that starts of workers are compared with."""
+        """The clock that the start times of workers are compared with."""
 
     async def sleep_until(self, when: int, /) -> None:
-        """Wait until a monotonic time in ns."""
+        """Sleep until a monotonic time in ns."""
 
     def endpoints_changed(self, entries: list[EndpointEntry], leaving: list[str], whole: bool, /) -> object:
-        """Handle a change of workers; `whole`: the entries are all there are."""
+        """Handle changed workers; with `whole`, the entries are the complete list."""
 
 
 class RosterLink:
     """Follows the endpoint list from `open` to `close`, over one connection at a time.
 
-    httptools calls back what begins with `on_`.
+    httptools calls the methods whose names begin with `on_`.
 
     Args:
-        address: Where the roster listens.
-        membership: What is known of the list.
-        connect_within: How long a connection may take, in ns.
-        core: Its `endpoints_changed` is called for each list and each watch event that follows.
-        log: Where losses are logged.
+        address: The address of the roster.
+        membership: The known state of the list.
+        connect_within: The timeout of connecting, in ns.
+        core: Its `endpoints_changed` is called for each list and each change that follows in order.
+        log: The logger for lost connections.
     """
 
     def __init__(
@@ -75,10 +77,10 @@
         self.stream: IOStream | None = None
         self.task: asyncio.Task[None] | None = None
         self.events = EventReader()
-        self.is_current = False  # whether this connection has brought a list or a watch event
+        self.is_current = False  # whether this connection has delivered a list or a change
 
     def open(self) -> None:
-        """Begin to follow the list."""
+        """Start following the list."""
         self.task = self.core.loop.create_task(self._follow_forever())
 
     def close(self) -> None:
@@ -88,7 +90,7 @@
         self.drop()
 
     def drop(self) -> None:
-        """End the connection, as after silence; it is made again."""
+        """Close the connection, for example because it is silent; the link then reconnects."""
         if self.stream is not None:
             self.stream.close()
 
@@ -109,14 +111,14 @@
             await self.core.sleep_until(retry_at)
 
     async def _follow(self) -> None:
-        """Connect, ask for the list, and take what comes until an error ends that."""
+        """Connect, request the list and process the response until an error ends it."""
         stream = IOStream(sockets.new_socket(self.address[0]))
         self.stream = stream
         self.events = EventReader()
         self.is_current = False
         parser = httptools.HttpResponseParser(self)
         resume_after = self.membership.resume_after
-        # not `wait_for`, which loses a cancellation that comes as the connection is closed
+        # `asyncio.wait_for` would lose a cancellation that arrives while the connection is being closed
         async with asyncio.timeout(self.connect_within / SECOND):
             await stream.connect(self.address)
         await stream.write(self._request(resume_after))
@@ -142,7 +144,7 @@
         return "\r\n".join([*lines, "", ""]).encode()
 
     def on_body(self, chunk: bytes) -> None:
-        """Take the next bytes of the stream. Raises ProtocolError and ValueError."""
+        """Process the next bytes of the stream. Raises ProtocolError and ValueError."""
         now = self.core.now()
         for event in self.events.feed(chunk):
             if event.name in (LIST, CHANGE):
@@ -152,11 +154,11 @@
                 else:
                     self._apply_change(event.id, endpoints, now)
                 self.is_current = True
-        if self.is_current:  # also by a comment: what would have changed would have come before it
+        if self.is_current:  # a comment also proves this: any earlier change would have arrived before it
             self.membership.on_complete(now)
 
     def on_message_complete(self) -> None:
-        """End the connection, as the response has ended."""
+        """Close the connection because the response has ended."""
         self.drop()
 
     def _apply_list(self, event_id: str, endpoints: list[Endpoint], now: int) -> None:
@@ -170,19 +172,21 @@
             self.core.endpoints_changed(change.listed, change.leaving, False)
         elif order is EventOrder.GAP:
             self.membership.forget_position()
-            raise EndpointListError(f"a gap in the list before {event_id}")
+            raise EndpointListError(f"events before {event_id} are missing")
 
 
 def _decode_endpoints(data: str) -> list[Endpoint]:
-    """Return the endpoints in an event's data. Raises ProtocolError and ValueError."""
+    """Return the endpoints in the data of an event. Raises ProtocolError and ValueError."""
     entries = orjson.loads(data)
-    if not isinstance(entries, list):  # an empty object is no empty list: all workers would be gone
+    if not isinstance(
+        entries, list
+    ):  # `{}` must not be taken for an empty list, which would remove all workers
         raise EndpointListError("the data of an event must be a list of endpoints")
     return [decode_endpoint(raw) for raw in entries]
 
 
 def _reason(error: Exception) -> str:
-    """Return what to log of an error; where the parser reports one of `on_body`, that one."""
+    """Return the text to log for an error; if the parser wraps an error of `on_body`, use that error."""
     if isinstance(error, httptools.HttpParserCallbackError):
         reported: BaseException = error.__cause__ or error.__context__ or error
         return str(reported) or repr(reported)
--- a/petrelwood/links/rpc.py
+++ b/petrelwood/links/rpc.py
@@ -1,13 +1,13 @@
-"""MessagePack-RPC on a byte stream, for both ends.
+"""MessagePack-RPC on a byte stream, for clients and servers.
 
-https://github.com/msgpack-rpc/msgpack-rpc/blob/master/spec.md
+Specification: https://github.com/msgpack-rpc/msgpack-rpc/blob/master/spec.md
 
     request [0, message id, method, params]
     response [1, message id, error, result]
     notification [2, method, params]
 
-A peer that sends anything else, or a message over the bounds, is not understood any more:
-`MalformedRpcError`.
+Anything else, or a message that exceeds the limits, raises `MalformedRpcError`. After it, the rest of the
+stream can't be decoded.
 """
 
 from collections.abc import Sequence
@@ -40,13 +40,13 @@
 REQUEST_FIELDS = 4
 RESPONSE_FIELDS = 4
 NOTIFICATION_FIELDS = 3
-MESSAGE_IDS = 1 << 32  # message ids have 32 bits
-FIRST_BUFFER_SIZE = 4096  # bytes that the buffer of a reader with limits begins with
+MESSAGE_IDS = 1 << 32  # the number of message ids, which have 32 bits
+FIRST_BUFFER_SIZE = 4096  # the initial buffer size of a reader with limits, in bytes
 _pack = msgpack.Packer(use_bin_type=True, autoreset=True).pack
 
 
 class Request(NamedTuple):
-    """A call that its peer answers with a response under the same id."""
+    """A call that the peer answers with a response of the same id."""
 
     kind: int
     message_id: int
@@ -55,7 +55,7 @@
 
 
 class Response(NamedTuple):
-    """The answer to the request with this id; `error` is None where there is a result."""
+    """The answer to the request with this id; `error` is None if the call succeeded."""
 
     kind: int
     message_id: int
@@ -64,7 +64,7 @@
 
 
 class Notification(NamedTuple):
-    """A call that is not answered."""
+    """A call without an answer."""
 
     kind: int
     method: str
@@ -93,32 +93,32 @@
 
 
 class Reader:
-    """Bytes to messages.
+    """Decodes a stream of bytes into messages.
 
     Args:
-        most: Bytes of one message at most.
-        limits: Bounds on what a message may hold, so that one that is too large is found by the lengths that
-            it announces, before it has arrived.
+        max_size: The maximum size of one message, in bytes.
+        limits: Limits on the contents of a message. With them, a message that is too large is rejected by the
+            lengths that it announces, before it is complete.
     """
 
-    def __init__(self, most: int, limits: MessageLimits | None = None) -> None:
+    def __init__(self, max_size: int, limits: MessageLimits | None = None) -> None:
         self._limits = limits
-        self._fed = 0  # bytes so far
-        self._decoded = 0  # bytes of the messages that are complete
-        self._lengths: AnnouncedLengths | None = None  # of a message that is not complete
-        self._unpacker = _unpacker(most, limits)
+        self._fed = 0  # bytes received
+        self._decoded = 0  # bytes of all complete messages
+        self._lengths: AnnouncedLengths | None = None  # of the incomplete message, if there is one
+        self._unpacker = _unpacker(max_size, limits)
 
     def feed(self, data: bytes) -> list[Message]:
         """Return the messages that these bytes complete.
 
         Raises:
-            MalformedRpcError: The bytes are not MessagePack-RPC or over the bounds.
+            MalformedRpcError: The bytes are not MessagePack-RPC, or a message exceeds the limits.
         """
         values = self._unpack(data)
         if values:
             self._lengths = None
         if self._limits is not None and self._decoded != self._fed:
-            if self._lengths is None:  # another one has begun
+            if self._lengths is None:  # a new message has begun
                 self._lengths = AnnouncedLengths(self._limits)
             self._lengths.feed(data[self._decoded - self._fed :])
         return [_message(value) for value in values]
@@ -130,25 +130,25 @@
             self._unpacker.feed(data)
             for value in self._unpacker:
                 values.append(value)
-                # which also counts what it has read of a message that is not complete
+                # read here, because `tell` also counts the bytes read of the next, incomplete message
                 self._decoded = self._unpacker.tell()
-        # msgpack raises many kinds for malformed input, ValueError among them
+        # msgpack raises many types of exceptions for malformed input, such as ValueError
         except Exception as error:
             raise MalformedRpcError(f"not MessagePack: {error!r}") from error
         return values
 
     def is_between_messages(self) -> bool:
-        """Return whether all bytes so far belong to complete messages."""
+        """Return whether all received bytes belong to complete messages."""
         return self._decoded == self._fed
 
 
-def _unpacker(most: int, limits: MessageLimits | None) -> msgpack.Unpacker:
+def _unpacker(max_size: int, limits: MessageLimits | None) -> msgpack.Unpacker:
     if limits is None:
-        return msgpack.Unpacker(raw=False, max_buffer_size=most, strict_map_key=False)
+        return msgpack.Unpacker(raw=False, max_buffer_size=max_size, strict_map_key=False)
     return msgpack.Unpacker(
         raw=False,
-        max_buffer_size=most,
-        read_size=FIRST_BUFFER_SIZE,  # small: there may be hundreds of such peers
+        max_buffer_size=max_size,
+        read_size=FIRST_BUFFER_SIZE,  # small because there may be hundreds of such peers
         max_bin_len=limits.body,
         max_str_len=limits.text,
         max_array_len=limits.members,
--- a/petrelwood/links/rpc_client.py
+++ b/petrelwood/links/rpc_client.py
@@ -1,4 +1,4 @@
-"""Calls by MessagePack-RPC on one connection that is made when it is needed, and made anew after a loss."""
+"""A client for MessagePack-RPC: one connection, opened when needed and again after it is lost."""
 
 import asyncio
 from typing import Any
@@ -8,18 +8,18 @@
 from petrelwood.errors import TransportError
 from petrelwood.links import rpc, sockets
 
-READ_SIZE = 65_536  # bytes taken from the socket at a time
-MAX_OPEN_CALLS = 64  # calls without an answer at a time; further ones fail at once
+READ_SIZE = 65_536  # the maximum number of bytes per read from the socket
+MAX_OPEN_CALLS = 64  # the maximum number of unanswered calls; further calls fail at once
 MESSAGE_ID_MASK = 0xFFFFFFFF
 Answer = asyncio.Future[tuple[object, object]]  # the error and the result of a response
 
 
 class RpcError(TransportError):
-    """A call without a usable answer; whether it was carried out is not known."""
+    """A call got no usable answer; it is unknown whether it was executed."""
 
 
 class RpcClient:
-    """`address`: (host, port). `max_size`: bytes of one message."""
+    """Calls the server at `address` (host, port). `max_size`: the maximum size of a message, in bytes."""
 
     def __init__(self, address: tuple[str, int], max_size: int) -> None:
         self.address = address
@@ -34,10 +34,10 @@
         self._listening: asyncio.Task[None] | None = None
 
     async def call(self, method: str, params: list[Any], within: float) -> object:
-        """Return the result of a call that is answered `within` seconds. Raises `RpcError`."""
+        """Call a method and return its result. Raises `RpcError`, also after `within` seconds without one."""
         received = self._received
         try:
-            # not `wait_for`, which loses a cancellation that comes as the call ends
+            # `asyncio.wait_for` would lose a cancellation that arrives as the call ends
             async with asyncio.timeout(within):
                 return await self._call(method, params)
         except TimeoutError as error:
@@ -68,7 +68,7 @@
         return result
 
     async def _connected(self) -> IOStream:
-        """Return the connection, made anew if there is none. Raises OSError."""
+        """Return the connection; open one if there is none. Raises OSError."""
         async with self._connecting:
             if self._stream is None or self._stream.closed():
                 self._stream = await self._connect()
@@ -84,7 +84,7 @@
         try:
             await stream.connect(self.address)
             sockets.disable_delay(stream.socket)
-        except BaseException:  # the caller's time is up, too
+        except BaseException:  # including the timeout of the caller
             stream.close()
             raise
         return stream
@@ -101,9 +101,9 @@
                     if isinstance(message, rpc.Response):
                         self._answered(message.message_id, message.error, message.result)
         except (
-            OSError,
+            OSError,  # Tornado raises some errors of the socket unchanged
             rpc.MalformedRpcError,
-        ) as error:  # tornado hands some errors of the socket on as they are
+        ) as error:
             stream.close()
             if self._stream is stream:
                 self._fail_open_calls(str(error) or "the connection is lost")
@@ -119,16 +119,16 @@
                 answer.set_exception(RpcError(reason))
 
     def _close_unresponsive_connection(self) -> None:
-        """Close a connection on which nothing came for as long as a call may take.
+        """Close a connection that delivered no data during the whole timeout of a call.
 
-        The other end may be gone without a FIN or RST. TCP finds that only after minutes of retries, and a
-        machine that is back no sooner.
+        The peer may have disappeared without a FIN or RST. TCP detects this only after minutes of
+        retransmissions, and no sooner if the peer's machine is back in the meantime.
         """
         if self._stream is not None:
             self._stream.close()
 
     def close(self) -> None:
-        """End the connection; calls without an answer fail."""
+        """Close the connection; unanswered calls fail."""
         if self._stream is not None:
             self._stream.close()
         self._fail_open_calls("closed")
--- a/petrelwood/links/sockets.py
+++ b/petrelwood/links/sockets.py
@@ -1,4 +1,4 @@
-"""New sockets for numeric addresses, and what is asked of accepted ones."""
+"""Creation of sockets for numeric addresses, and queries and options of connected sockets."""
 
 import contextlib
 import select
@@ -15,12 +15,12 @@
 
 
 def new_socket(host: str, kind: socket.SocketKind = socket.SOCK_STREAM) -> socket.socket:
-    """A socket, neither bound nor connected, of the family that `host` is an address of. Raises OSError."""
+    """Return an unbound, unconnected socket for the address family of `host`. Raises OSError."""
     return socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, kind)
 
 
 def readable(socks: Iterable[socket.socket]) -> list[int]:
-    """Descriptors of those of which something lies unread in the kernel: bytes, an end, a connection."""
+    """Return the descriptors of sockets with an unread event in the kernel: data, an end, a connection."""
     poll = select.poll()
     for sock in socks:
         poll.register(sock, select.POLLIN)
@@ -28,16 +28,16 @@
 
 
 def hung_up(sock: socket.socket) -> bool:
-    """Whether the peer has ended or reset the connection, also where that lies behind unread bytes."""
+    """Return whether the peer has closed or reset the connection, even if unread data comes before it."""
     poll = select.poll()
     poll.register(sock, select.POLLRDHUP)
     return bool(poll.poll(0))
 
 
 def time_since_last_data(sock: socket.socket) -> int:
-    """For how long the last bytes from the peer have been in the kernel's hands, in ns (whole ms).
+    """Return how long ago the kernel received the last data from the peer, in ns (whole ms).
 
-    0 where the kernel does not tell (tcp(7), TCP_INFO).
+    Return 0 if the kernel does not report it (tcp(7), TCP_INFO).
     """
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_SIZE)
@@ -48,21 +48,25 @@
 
 
 def bytes_written(stream: IOStream) -> int:
-    """Bytes that were written on a stream so far, whether the kernel took them or not."""
+    """Return the number of bytes written to a stream, including those the kernel has not accepted yet."""
     written: int = stream._total_write_index
     return written
 
 
 def bytes_taken(stream: IOStream) -> int:
-    """How many of them the kernel took, also once the stream is closed. A failed send(2) has taken none."""
+    """Return the number of written bytes that the kernel has accepted.
+
+    It is also available after the stream is closed. The kernel accepts nothing in a send(2) that fails.
+    """
     taken: int = stream._total_write_done_index
     return taken
 
 
 def disable_delay(sock: socket.socket | None) -> None:
-    """Lets small writes leave at once.
+    """Disable Nagle's algorithm so that small writes are sent at once.
 
-    A connection that can't be told so, or has just been reset, still serves: its end is seen when it is read.
+    Errors are ignored: the connection works without the option, and if it was just reset, the next read
+    reports that.
     """
     if sock is not None:
         with contextlib.suppress(OSError):
--- a/petrelwood/links/sse.py
+++ b/petrelwood/links/sse.py
@@ -1,6 +1,6 @@
-"""Server-sent events: bytes to events for the reader, an event to bytes for the server.
+"""Server-sent events: decoding for clients and encoding for servers.
 
-https://html.spec.whatwg.org/multipage/server-sent-events.html, section 9.2.
+Specification: https://html.spec.whatwg.org/multipage/server-sent-events.html, section 9.2.
 """
 
 from collections.abc import Iterator
@@ -8,7 +8,7 @@
 
 from petrelwood.links.errors import MalformedEventError
 
-MAX_EVENT_SIZE = 8_000_000  # bytes of one event, above a list of all workers of a large site
+MAX_EVENT_SIZE = 8_000_000  # bytes per event; larger than a list of all workers of a large site
 DEFAULT_NAME = "message"
 
 
@@ -16,9 +16,9 @@
     """One event.
 
     Attributes:
-        name: What kind it is.
-        data: Its lines of data.
-        id: The id of this event, or of the last one before it that had an id.
+        name: The type of the event.
+        data: The lines of its data, joined.
+        id: The id of this event, or of the last earlier event that had an id.
     """
 
     name: str
@@ -27,17 +27,17 @@
 
 
 class EventReader:
-    """Bytes to events; `max_size`: bytes of one event at most."""
+    """Decodes a stream of bytes into events of at most `max_size` bytes each."""
 
     def __init__(self, max_size: int = MAX_EVENT_SIZE) -> None:
         self._max_size = max_size
-        self._buffer = b""  # the line that is not complete
+        self._buffer = b""  # the incomplete line
         self._data: list[str] = []
         self._name = ""
         self._id = ""
 
     def feed(self, chunk: bytes) -> Iterator[Event]:
-        """Yield the events that these bytes complete. A comment yields nothing.
+        """Yield the events that these bytes complete. Comments yield nothing.
 
         Raises:
             MalformedEventError: An event is too large.
@@ -68,5 +68,5 @@
 
 
 def event(name: str, data: str, event_id: str) -> bytes:
-    """Return the bytes of one event; `data` has no line breaks."""
+    """Return the bytes of one event; `data` must not contain line breaks."""
     return f"event: {name}\nid: {event_id}\ndata: {data}\n\n".encode()
--- a/petrelwood/links/tls.py
+++ b/petrelwood/links/tls.py
@@ -1,8 +1,8 @@
-"""TLS for fronts and links: a certificate, its key and whom to trust, checked at the start, renewed in place.
+"""TLS for fronts and links: a certificate, its key and the trusted authorities, checked and renewed in place.
 
-A context is made once, and the certificate is loaded into it again when the files change: connections that
-are open keep theirs, new handshakes get the new one. What is wrong with the files is one clear error at the
-start; later it is logged, and the last good certificate stays in use.
+An SSL context is created once. When the files change, the certificate is loaded into the same context again:
+open connections keep the old certificate, new handshakes use the new one. Unusable files raise one error at
+the start. Later such an error is logged, and the last valid certificate stays in use.
 """
 
 import datetime
@@ -16,17 +16,17 @@
 
 
 class Identity:
-    """Who this process is in a handshake, and whom it trusts.
+    """The certificate of this process in TLS handshakes, and the authorities that it trusts.
 
     Args:
         cert: Path of the certificate in PEM; empty for none.
-        key: Path of its key; empty where the certificate's file has it.
+        key: Path of its key; empty if the file of the certificate contains the key.
         trusts: Path of the trusted authorities; empty for those of the system.
-        mutual: Whether a client must show a certificate that `trusts` has signed.
-        name: The name that servers are checked for; empty for their host.
+        mutual: Whether clients must present a certificate signed by one of `trusts`.
+        name: The name that the certificates of servers must be valid for; empty for their host.
 
     Raises:
-        IdentityError: The files can't be used.
+        IdentityError: The files are unusable.
     """
 
     def __init__(self, cert: str, key: str, trusts: str = "", mutual: bool = False, name: str = "") -> None:
@@ -37,30 +37,30 @@
         self.name = name
         self._server_contexts: list[ssl.SSLContext] = []
         self._client_context: ssl.SSLContext | None = None
-        self._loaded: dict[str, int] = {}  # when each file was last changed (ns) as it was loaded
+        self._loaded: dict[str, int] = {}  # modification time (ns) of each loaded file
         self.check(datetime.datetime.now(datetime.UTC))
 
     @property
     def paths(self) -> tuple[str, str, str, bool, str]:
-        """What this was made of; the comparison of two settings goes by it."""
+        """The arguments of this identity; two versions of the settings are compared by them."""
         return self.cert, self.key, self.trusts, self.mutual, self.name
 
     def check(self, now: datetime.datetime) -> datetime.timedelta | None:
-        """Return how long the certificate is still valid, or None if there is none.
+        """Return the remaining validity of the certificate, or None if there is no certificate.
 
         Raises:
-            IdentityError: The files can't be used at `now`.
+            IdentityError: The files are unusable at `now`.
         """
         if self.mutual and not self.trusts:
-            raise IdentityError("mutual TLS needs to know whom to trust")
+            raise IdentityError("mutual TLS requires trusted authorities")
         if not self.cert:
             return None
         found = self._read_certificate()
         if now >= found.not_valid_after_utc:
-            raise IdentityError(f"{self.cert} ran out on {found.not_valid_after_utc:%Y-%m-%d %H:%M} UTC")
+            raise IdentityError(f"{self.cert} expired on {found.not_valid_after_utc:%Y-%m-%d %H:%M} UTC")
         if now < found.not_valid_before_utc:
             raise IdentityError(
-                f"{self.cert} holds only from {found.not_valid_before_utc:%Y-%m-%d %H:%M} UTC on"
+                f"{self.cert} is not valid before {found.not_valid_before_utc:%Y-%m-%d %H:%M} UTC"
             )
         self._load(ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER))
         return found.not_valid_after_utc - now
@@ -71,7 +71,7 @@
         except OSError as error:
             raise IdentityError(f"{self.cert} can't be read: {error.strerror}") from error
         except ValueError as error:
-            raise IdentityError(f"{self.cert} is no certificate in PEM") from error
+            raise IdentityError(f"{self.cert} is not a certificate in PEM") from error
 
     def _load(self, context: ssl.SSLContext) -> None:
         try:
@@ -79,10 +79,10 @@
                 context.load_cert_chain(self.cert, self.key or None)
             if self.trusts:
                 context.load_verify_locations(self.trusts)
-        except OSError as error:  # ssl.SSLError is one of its kinds
+        except OSError as error:  # includes ssl.SSLError
             reason = getattr(error, "reason", None) or error.strerror or str(error)
             raise IdentityError(
-                f"{self.cert} and {self.key or 'its key'} do not go together, or {self.trusts or 'trust'} "
+                f"{self.cert} and {self.key or 'its key'} do not match, or {self.trusts or 'trust'} "
                 f"can't be read: {reason}"
             ) from error
         self._loaded = self._modification_times()
@@ -102,7 +102,7 @@
         return context
 
     def client(self) -> ssl.SSLContext:
-        """Return the context for connections, the same one each time. Raises IdentityError."""
+        """Return the context for client connections, always the same one. Raises IdentityError."""
         if self._client_context is None:
             context = ssl.create_default_context(cafile=self.trusts or None)
             context.minimum_version = ssl.TLSVersion.TLSv1_2
@@ -111,11 +111,11 @@
         return self._client_context
 
     def server_name(self, host: str) -> str:
-        """Return the name that the certificate of a server at `host` has to be for."""
+        """Return the name that the certificate of a server at `host` must be valid for."""
         return self.name or host
 
     def renew(self, log: Logger) -> bool:
-        """Load changed files into the contexts in use; return whether that was done."""
+        """Load changed files into the contexts in use; return whether files were loaded."""
         try:
             if self._modification_times() == self._loaded:
                 return False
@@ -123,8 +123,8 @@
             for context in self._contexts():
                 self._load(context)
         except (IdentityError, OSError) as error:
-            log.warning("certificate not renewed; the last good one stays", reason=str(error))
-            self._loaded = {}  # tried again at the next look
+            log.warning("certificate not renewed; the last valid one stays in use", reason=str(error))
+            self._loaded = {}  # so that the next call tries again
             return False
         log.info("certificate renewed", cert=self.cert)
         return True
--- a/petrelwood/links/unix_socket.py
+++ b/petrelwood/links/unix_socket.py
@@ -1,4 +1,4 @@
-"""A Unix socket at a path that processes take over from each other: whoever binds last is found there."""
+"""A Unix socket at a path that processes take over from each other; clients reach the last one to bind it."""
 
 import contextlib
 import os
@@ -6,18 +6,18 @@
 import socket
 
 OWNER_ONLY = 0o600
-BACKLOG = 4  # connections that wait to be accepted: there are no more processes than that
+BACKLOG = 4  # connections waiting to be accepted; no more processes than this connect
 
 
 class UnixSocket:
-    """A socket bound to a path that only its owner may use; what was there is replaced in one step.
+    """A socket bound to a path that only its owner may access; an existing file is replaced atomically.
 
     Args:
-        path: Where it is found.
-        kind: `socket.SOCK_STREAM`, which then listens, or `socket.SOCK_DGRAM`.
+        path: The path of the socket.
+        kind: `socket.SOCK_STREAM`, for a listening socket, or `socket.SOCK_DGRAM`.
 
     Raises:
-        OSError: It can't be bound.
+        OSError: The socket can't be bound.
     """
 
     def __init__(self, path: str | pathlib.Path, kind: socket.SocketKind) -> None:
@@ -28,12 +28,12 @@
         self.sock.bind(temporary)
         os.chmod(temporary, OWNER_ONLY)
         if kind == socket.SOCK_STREAM:
-            self.sock.listen(BACKLOG)  # before it can be found
+            self.sock.listen(BACKLOG)  # listen before clients can find the path
         os.replace(temporary, self.path)
         self._inode = os.stat(self.path).st_ino
 
     def close(self) -> None:
-        """Close the socket and remove its path, unless another process has taken that over."""
+        """Close the socket and remove its path, unless another process has taken over the path."""
         self.sock.close()
         with contextlib.suppress(OSError):
             if os.stat(self.path).st_ino == self._inode:
--- a/petrelwood/links/worker.py
+++ b/petrelwood/links/worker.py
@@ -1,7 +1,7 @@
-"""The link to one worker by MessagePack-RPC: many calls on one connection, which is made when it is needed.
+"""The link to one worker by MessagePack-RPC: many calls on one connection, which is opened when needed.
 
-The messages are in `links.worker_messages`. What is decided about a link is in `decide.cluster.link_state`,
-what the end of a call proves in `decide.delivery.send_outcome`.
+The messages are in `links.worker_messages`. `decide.cluster.link_state` makes the decisions about a link, and
+`decide.delivery.send_outcome` decides what the end of a call proves.
 """
 
 import asyncio
@@ -30,51 +30,50 @@
 from petrelwood.links.tls import Identity
 from petrelwood.links.worker_messages import LoadOrderContent, RpcCall, RunContent
 
-READ_SIZE = 65_536  # bytes taken from the socket at a time
-BATCH_SIZE = 65_536  # bytes handed to the socket at a time; the rest is queued here and can be taken back
-# What a queued call counts for: bytes of an attempt beside its mark and its body, and of any other call.
-RUN_OVERHEAD = 160
-CALL_SIZE = 64
-TAG_MASK = 0xFFFFFFFF  # a message id has 32 bits
+READ_SIZE = 65_536  # the maximum number of bytes per read from the socket
+BATCH_SIZE = 65_536  # bytes after which a batch is written; other calls stay queued and can be withdrawn
+RUN_OVERHEAD = 160  # the size of a queued attempt without its idempotency mark and body, in bytes
+CALL_SIZE = 64  # the size of any other queued call, in bytes
+TAG_MASK = 0xFFFFFFFF  # message ids have 32 bits
 
 
 class WorkerLinkTerms(LinkTerms, Protocol):
-    """What of the settings a link to a worker goes by; times in ns, sizes in bytes."""
+    """The settings of a link to a worker; times in ns, sizes in bytes."""
 
     @property
     def queue(self) -> int:
-        """The most that is queued for a worker that does not read."""
+        """The maximum size of the queue for a worker that does not read."""
 
     @property
     def frame(self) -> int:
-        """The most of one message."""
+        """The maximum size of one message."""
 
     @property
     def order_within(self) -> int:
-        """After how long a load order or health check without an answer has failed."""
+        """The timeout of a load order or health check."""
 
 
 class WorkerLinkCore(LinkCore, LoopOwner, Protocol):
-    """What a link needs of the dispatcher that runs it."""
+    """The dispatcher as a link needs it."""
 
     @property
     def reconnects(self) -> Budget | None:
-        """The budget of all links together for connecting again."""
+        """The budget for reconnecting, shared by all links."""
 
     def schedule_checks(self, link: "WorkerLink", /) -> object:
-        """Have `link.check` called now and then, until that says otherwise."""
+        """Call `link.check` periodically until it returns False."""
 
     def still_wanted(self, activation: str, /) -> bool:
-        """Return whether an attempt of an activation may leave: its client may have hung up."""
+        """Return whether an attempt may still be written: the client of its activation has not hung up."""
 
     def defect(self, where: str, fault: Exception, /) -> object:
-        """Log a defect of our own, and abort the activations that it touched."""
+        """Log a defect of this program, and abort the activations that it affected."""
 
 
 class WorkerLink(Calls[RunContent | LoadOrderContent, None]):
     """The link of a dispatcher to one worker.
 
-    It reports each end to the core through `submit`, never from within a method that the core has called.
+    It reports the end of each call to the core through `submit`, never within a method that the core called.
     """
 
     core: WorkerLinkCore
@@ -96,12 +95,19 @@
         self.state = LinkState(worker, terms, chance, core.reconnects)
         self.stream: IOStream | None = None
         self.last_tag = 0
-        self.writing = False  # whether the socket has not taken the last batch yet
+        self.writing = False  # whether the last batch is not completely written yet
         self.flush_planned = False
 
-    # What the dispatcher calls.
+    # Interface for the dispatcher
     def run(
-        self, activation: str, attempt: int, function: str, mark: str, remaining: int, lanes: int, body: bytes
+        self,
+        activation: str,
+        attempt: int,
+        function: str,
+        idempotency_mark: str,
+        remaining: int,
+        lanes: int,
+        body: bytes,
     ) -> None:
         """Send an attempt of an activation.
 
@@ -109,21 +115,21 @@
             activation: The id of the activation.
             attempt: The number of the attempt.
             function: The function to run.
-            mark: What the worker recognises repeats by (the idempotency key).
-            remaining: The time until the deadline, in ns.
-            lanes: Activations that one copy of the function runs at a time.
-            body: What the function is given.
+            idempotency_mark: The key by which the worker recognizes repeated attempts.
+            remaining: The time from now to the deadline, in ns.
+            lanes: The maximum number of activations that one copy of the function runs concurrently.
+            body: The input of the function.
         """
         now = self.core.now()
-        size = RUN_OVERHEAD + len(mark) + len(body)
-        content = RunContent(mark, lanes, body)
+        size = RUN_OVERHEAD + len(idempotency_mark) + len(body)
+        content = RunContent(idempotency_mark, lanes, body)
         tag = self._next_tag()
         call: RpcCall = Call(RUN, activation, attempt, function, now, content, size, tag, now + remaining)
         self.runs[activation, attempt] = call
         self._submit(call, now)
 
     def order_load(self, function: str, lanes: int, copies: int) -> None:
-        """Order the worker to have so many copies of a function."""
+        """Order the worker to keep this number of copies of a function loaded."""
         now = self.core.now()
         tag = self._next_tag()
         call: RpcCall = Call(LOAD_ORDER, "", copies, function, now, LoadOrderContent(lanes), CALL_SIZE, tag)
@@ -152,7 +158,7 @@
                 self._connect(now)
             self._flush_soon()
 
-    # Writing.
+    # Writing
     def _flush_soon(self) -> None:
         if not self.flush_planned and not self.writing and self.state.phase is UP:
             self.flush_planned = True
@@ -166,14 +172,14 @@
                 self._write(batch)
 
     def _next_batch(self, stream: IOStream) -> bytes:
-        """Take the frames that leave next from the queue, as far as one batch holds them."""
+        """Remove the next calls from the queue, up to the size of a batch, and return their frames."""
         frames = []
         size = 0
         written = sockets.bytes_written(stream)
         while self.waiting and size < BATCH_SIZE:
             call = self.waiting[0]
             if self._may_leave(call):
-                if self.tls is None:  # with TLS it is not known which bytes the kernel took
+                if self.tls is None:  # with TLS it is unknown which bytes the kernel has accepted
                     call.bytes_before = written + size
                 frame = self._take_frame(self.waiting.popleft())
                 frames.append(frame)
@@ -181,7 +187,7 @@
         return b"".join(frames)
 
     def _may_leave(self, call: RpcCall) -> bool:
-        """As in `Calls`; nor does an attempt leave whose client has hung up, whether that was read or not."""
+        """Apply the rules of `Calls`, and end an attempt whose client has hung up, even if that is still unread."""
         if call.kind == RUN and not self.core.still_wanted(call.activation):
             reason = send_outcome.of_recall(call.stage)
             if reason is not None:
@@ -198,7 +204,7 @@
         try:
             done = self.stream.write(data)
         except StreamClosedError:
-            return  # the task that reads it reports the loss
+            return  # the reading task reports the lost connection
         if not done.done():
             self.writing = True
             done.add_done_callback(self._written)
@@ -214,15 +220,15 @@
             with contextlib.suppress(StreamClosedError):
                 _write_unattended(stream, worker_messages.encode_cancel(call))
 
-    # The connection.
+    # Connection
     def _connect(self, now: int) -> None:
         self.state.on_connecting(now)
         if self.address is None:
-            raise TypeError(f"the address of {self.worker} is not known")
+            raise TypeError(f"the address of {self.worker} is unknown")
         self.writing = False
         try:
             self.stream = self._new_stream(self.address[0])
-        except OSError as error:  # as a connection that is not made
+        except OSError as error:  # handled like a connection that fails to open
             self.stream = None
             self._lost(None, str(error))
             return
@@ -230,17 +236,19 @@
 
     def _new_stream(self, host: str) -> IOStream:
         """Return a stream that is not connected yet. Raises OSError."""
-        most = self.terms.frame + READ_SIZE
+        max_buffer_size = self.terms.frame + READ_SIZE
         if self.tls is None:
-            return IOStream(sockets.new_socket(host), max_buffer_size=most)
-        return SSLIOStream(sockets.new_socket(host), ssl_options=self.tls.client(), max_buffer_size=most)
+            return IOStream(sockets.new_socket(host), max_buffer_size=max_buffer_size)
+        return SSLIOStream(
+            sockets.new_socket(host), ssl_options=self.tls.client(), max_buffer_size=max_buffer_size
+        )
 
     async def _serve(self, stream: IOStream, address: Address) -> None:
         reason = await reason_of_end(self._read(stream, address), self.core.defect)
         self._lost(stream, reason)
 
     async def _read(self, stream: IOStream, address: Address) -> None:
-        """Connect, greet, and handle what the worker says until an error ends that."""
+        """Connect, send the greeting, and handle messages of the worker until an error occurs."""
         server_name = None if self.tls is None else self.tls.server_name(address[0])
         await stream.connect(address, server_hostname=server_name)
         sockets.disable_delay(stream.socket)
@@ -254,7 +262,7 @@
                 self._handle(message)
 
     def _lost(self, stream: IOStream | None, reason: str) -> None:
-        """Note that a connection is lost or was not made; all calls end, unless another one is in use."""
+        """Handle a connection that was lost or failed to open; end all calls unless another one is in use."""
         if stream is not None:
             stream.close()
         if self.stream is not stream or self.state.phase is DOWN:
@@ -273,16 +281,16 @@
         for call in (*self.in_flight.values(), *self.waiting):
             self._end_lost(call, stream)
 
-    def give_up(self, why: str) -> None:
+    def give_up(self, reason: str) -> None:
         """Close the connection; all calls end."""
         if self.stream is not None:
-            self._lost(self.stream, why)
+            self._lost(self.stream, reason)
 
     def check(self, now: int) -> bool:
-        """Look for what is overdue at `now` (ns); return whether this has to be called again."""
+        """End what is overdue at `now` (ns); return whether further checks are needed."""
         verdict = self.state.check(now, bool(self.in_flight))
         if verdict == LinkCheck.GIVE_UP:
-            self.give_up("nothing was heard in time")
+            self.give_up("the worker was silent for too long")
         elif verdict == LinkCheck.PING:
             self.check_health()
         for call in self._overdue_calls(now, self.terms.order_within):
@@ -291,26 +299,26 @@
             self.time_out(call.activation, call.number)
         return self.has_open_calls() or self.state.phase in (LinkPhase.CONNECTING, LinkPhase.GREETING)
 
-    # Reading.
+    # Reading
     def _handle(self, message: rpc.Message) -> None:
         if isinstance(message, rpc.Response):
             self._response(message.message_id, message.error, message.result)
         elif self.state.phase is UP:
-            return  # a worker that is up has nothing to ask for
+            return  # requests and notifications of a worker that is up are ignored
         elif isinstance(message, rpc.Notification) and message.method == worker_messages.HELLO:
             self._greeted(message.params)
         else:
-            raise rpc.MalformedRpcError("it did not greet first")
+            raise rpc.MalformedRpcError("the first message of the worker is not a greeting")
 
     def _greeted(self, params: list[object]) -> None:
         greeting = worker_messages.decode_greeting(params)
         if not self.state.on_greeting(self.core.now(), greeting.worker, greeting.started):
-            raise rpc.MalformedRpcError(f"the peer is {greeting.worker!r}")
+            raise rpc.MalformedRpcError(f"the greeting is from another worker, {greeting.worker!r}")
         self._flush()
 
     def _response(self, message_id: int, error: object, result: object) -> None:
         call = self.in_flight.get(message_id)
-        if call is None:  # its wait has ended, or it was never made
+        if call is None:  # the call has ended, or never existed
             self.counts.unexpected_answers += 1
             return
         self.counts.answered += 1
@@ -319,5 +327,5 @@
 
 
 def _write_unattended(stream: IOStream, data: bytes) -> None:
-    """Write what nobody waits for; a loss is reported by the task that reads."""
+    """Write data without waiting; the reading task reports a lost connection."""
     stream.write(data).add_done_callback(lambda done: done.exception())
--- a/petrelwood/links/worker_messages.py
+++ b/petrelwood/links/worker_messages.py
@@ -1,4 +1,4 @@
-"""The messages between a dispatcher and a worker in MessagePack-RPC: calls to bytes, answers to values.
+"""The messages between a dispatcher and a worker in MessagePack-RPC: encoding calls, decoding answers.
 
 Methods of a worker:
 
@@ -8,7 +8,9 @@
     hold [function, lanes, copies] -> [word, copies]
     probe [] -> load report
     cancel [activation, attempt]  (a notification)
-    hello [worker, its start time]  (its first notification; the dispatcher's is hello [dispatcher])
+
+The first message in each direction is a notification: hello [worker, its start time] from the worker,
+hello [dispatcher] from the dispatcher.
 """
 
 from collections.abc import Sequence
@@ -26,17 +28,17 @@
     "cores",
     "pinned",
     "loads",
-)  # the names that a load report may have
-COMPLETED = EndReason.COMPLETED  # Python 3.11 is slow to look a member up on its enum
+)  # the fields of a load report; others are ignored
+COMPLETED = EndReason.COMPLETED  # Python 3.11 is slow to look up a member on its enum
 HELLO = "hello"
 CANCEL = "cancel"
-RUN_ANSWER_FIELDS = 5  # in an answer to a run, be it a result or an error
+RUN_ANSWER_FIELDS = 5  # the number of fields in the result or the error of a run
 LOAD_ORDER_ANSWER_FIELDS = 2
 HELLO_FIELDS = 2
 
 
 class RunContent(NamedTuple):
-    """What an attempt tells its worker beside its ids and the time left."""
+    """The data of an attempt besides its ids and the remaining time."""
 
     idempotency_mark: str
     lanes: int
@@ -44,7 +46,7 @@
 
 
 class LoadOrderContent(NamedTuple):
-    """What a load order tells its worker beside the function and the number of copies."""
+    """The data of a load order besides the function and the number of copies."""
 
     lanes: int
 
@@ -54,13 +56,13 @@
 
 
 class Answer(NamedTuple):
-    """What the answer to a call says.
+    """The decoded answer to a call.
 
     Attributes:
         reason: How the call ended.
-        note: Of a run what it says of the copy that ran it, of a load order the copies that there are.
+        note: For a run a `ports.CopyNote`; for a load order the number of copies on the worker now.
         body: The result of a run.
-        load_report: The load report that came with it.
+        load_report: The load report in the answer, if there is one.
     """
 
     reason: EndReason
@@ -77,7 +79,7 @@
 
 
 def encode_call(call: RpcCall, now: int) -> bytes:
-    """Return the bytes of a call that leaves at `now` (ns)."""
+    """Return the bytes of a call that is written at `now` (ns)."""
     content = call.content
     parameters: list[object] = []
     if isinstance(content, RunContent):
@@ -97,12 +99,12 @@
 
 
 def encode_cancel(call: RpcCall) -> bytes:
-    """Return the bytes that ask a worker to stop an attempt."""
+    """Return the bytes that request a worker to stop an attempt."""
     return rpc.notification(CANCEL, [call.activation, call.number])
 
 
 def encode_hello(dispatcher: str) -> bytes:
-    """Return the bytes by which a dispatcher introduces itself."""
+    """Return the bytes of the greeting of a dispatcher."""
     return rpc.notification(HELLO, [dispatcher])
 
 
@@ -110,18 +112,18 @@
     """Return the greeting of a worker.
 
     Raises:
-        rpc.MalformedRpcError: It is malformed.
+        rpc.MalformedRpcError: The greeting is malformed.
     """
     if len(params) != HELLO_FIELDS or not isinstance(params[1], int):
-        raise rpc.MalformedRpcError("a malformed greeting")
+        raise rpc.MalformedRpcError("the greeting of the worker is malformed")
     return Greeting(params[0], params[1])
 
 
 def decode_answer(call: RpcCall, error: object, result: object) -> Answer:
-    """Return what the response to a call says.
+    """Return the decoded response to a call.
 
     Raises:
-        rpc.MalformedRpcError: It is no answer to this call.
+        rpc.MalformedRpcError: The response is not a valid answer to this call.
     """
     if call.kind == RUN:
         return _decode_run_error(call, error) if error is not None else _decode_run_result(call, result)
@@ -133,17 +135,17 @@
 
 def _decode_run_result(call: RpcCall, result: object) -> Answer:
     if not isinstance(result, list) or len(result) != RUN_ANSWER_FIELDS:
-        raise rpc.MalformedRpcError("a malformed answer")
+        raise rpc.MalformedRpcError("the answer to a run is malformed")
     activation, attempt, note, body, load_report = result
     _check_ids(call, activation, attempt)
     if not isinstance(body, bytes):
-        raise rpc.MalformedRpcError("an answer's body must be bytes")
+        raise rpc.MalformedRpcError("the body of an answer is not bytes")
     return Answer(COMPLETED, _decode_note(note), body, _decode_load_report(load_report))
 
 
 def _decode_run_error(call: RpcCall, error: object) -> Answer:
     if not isinstance(error, list) or len(error) != RUN_ANSWER_FIELDS:
-        raise rpc.MalformedRpcError("a malformed answer")
+        raise rpc.MalformedRpcError("the answer to a run is malformed")
     word, activation, attempt, note, load_report = error
     _check_ids(call, activation, attempt)
     return Answer(
@@ -153,7 +155,7 @@
 
 def _check_ids(call: RpcCall, activation: object, attempt: object) -> None:
     if activation != call.activation or attempt != call.number:
-        raise rpc.MalformedRpcError("an answer for another activation")
+        raise rpc.MalformedRpcError("the answer is for another attempt")
 
 
 def _decode_note(raw: object) -> int:
