--- a/petrelwood/links/mqtt/encoding.py
+++ b/petrelwood/links/mqtt/encoding.py
@@ -47,7 +47,7 @@
 
 
 def _encode_code(packet: Packet) -> bytes:
-    """Return the reason code and the properties; omit the properties, or both, if they carry no information."""
+    """Return the reason code and the properties; omit the properties, or both, if they are empty."""
     if not packet.code and not packet.props:
         return b""
     return bytes((packet.code,)) + (encode_properties(packet.props) if packet.props else b"")
--- a/petrelwood/links/mqtt/reader.py
+++ b/petrelwood/links/mqtt/reader.py
@@ -42,7 +42,7 @@
             del self.buffer[:start]
 
     def _fixed_header(self, start: int) -> tuple[int, int]:
-        """Return the size of the fixed header at `start` and the Remaining Length, or (0, 0) if incomplete."""
+        """Return the size of the fixed header at `start` and the Remaining Length; (0, 0) if incomplete."""
         length = 0
         for index in range(MAX_LENGTH_SIZE):
             position = start + 1 + index
--- a/petrelwood/links/roster.py
+++ b/petrelwood/links/roster.py
@@ -172,7 +172,7 @@
             self.core.endpoints_changed(change.listed, change.leaving, False)
         elif order is EventOrder.GAP:
             self.membership.forget_position()
-            raise EndpointListError(f"events before {event_id} are missing")
+            raise EndpointListError(f"missing events before {event_id}")
 
 
 def _decode_endpoints(data: str) -> list[Endpoint]:
--- a/petrelwood/links/worker.py
+++ b/petrelwood/links/worker.py
@@ -187,7 +187,7 @@
         return b"".join(frames)
 
     def _may_leave(self, call: RpcCall) -> bool:
-        """Apply the rules of `Calls`, and end an attempt whose client has hung up, even if that is still unread."""
+        """Apply the rules of `Calls`; also end an attempt whose client has hung up, even if that is unread."""
         if call.kind == RUN and not self.core.still_wanted(call.activation):
             reason = send_outcome.of_recall(call.stage)
             if reason is not None:
@@ -236,11 +236,11 @@
 
     def _new_stream(self, host: str) -> IOStream:
         """Return a stream that is not connected yet. Raises OSError."""
-        max_buffer_size = self.terms.frame + READ_SIZE
+        buffer_size = self.terms.frame + READ_SIZE
         if self.tls is None:
-            return IOStream(sockets.new_socket(host), max_buffer_size=max_buffer_size)
+            return IOStream(sockets.new_socket(host), max_buffer_size=buffer_size)
         return SSLIOStream(
-            sockets.new_socket(host), ssl_options=self.tls.client(), max_buffer_size=max_buffer_size
+            sockets.new_socket(host), ssl_options=self.tls.client(), max_buffer_size=buffer_size
         )
 
     async def _serve(self, stream: IOStream, address: Address) -> None:
