--- a/petrelwood/fronts/__init__.py
+++ b/petrelwood/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""How activations come in: protocol names end here."""
+"""Receives activations; translates between the protocols of clients and the terms of the core."""
--- a/petrelwood/fronts/http_connection.py
+++ b/petrelwood/fronts/http_connection.py
@@ -1,7 +1,7 @@
-"""One connection of a client: reading, the order of answers, flow control, timeouts and the end.
+"""One connection of a client: reading, the order of answers, flow control, timeouts and closing.
 
-Requests are read ahead (pipelining) up to a limit; each begins at once, and answers leave in the order of the
-requests.
+Pipelined requests are read ahead up to a limit. Each request is processed at once, and answers are written in
+the order of the requests.
 """
 
 import enum
@@ -23,12 +23,12 @@
 from petrelwood.fronts.unread_answers import UnreadAnswers
 from petrelwood.links import sockets
 
-READ_SIZE = 65_536  # bytes taken from a connection at a time
-RESUME_SHARE = 2  # reading resumes when at most one in so many of the pipeline is unanswered
+READ_SIZE = 65_536  # the maximum number of bytes per read from a connection
+RESUME_DIVISOR = 2  # reading resumes when at most `pipeline` divided by this many requests are unanswered
 
 
 class UnreadReason(enum.StrEnum):
-    """Why a connection is closed whose peer does not read its answers; also the names of the counters."""
+    """Why a connection whose peer does not read its answers is closed; also the name of the counter."""
 
     TOO_MANY_BYTES = "too much is not read"
     TOO_SLOW = "too slowly"
@@ -48,41 +48,41 @@
         """Count an event."""
 
     def handle(self, request: HttpRequest) -> None:
-        """Decode a complete request and have it run, or answer it."""
+        """Decode a complete request and admit it, or answer it at once."""
 
     def client_departed(self, request: HttpRequest) -> None:
-        """Handle the departure of the client of a request that the core has not answered."""
+        """Handle a client that disconnected before the core answered its request."""
 
     def connection_closed(self, connection: "HttpConnection") -> None:
-        """Forget a connection that has ended."""
+        """Remove a closed connection."""
 
 
 class HttpConnection:
-    """A connection that was admitted, from `peer` (an address).
+    """An admitted connection from the address `peer`.
 
-    The limits are those in force when it was opened. `is_handshaking`: TLS has to be agreed on first.
+    It keeps the limits that were in force when it was opened. `is_handshaking`: a TLS handshake comes first.
     """
 
     def __init__(self, owner: ConnectionOwner, stream: IOStream, peer: str, is_handshaking: bool) -> None:
         self.stream = stream
         self.peer = peer
-        self.unanswered: deque[HttpRequest] = deque()  # requests whose answer is not written yet, in order
-        self.is_draining = False  # the process ends: each answer is the last of its connection
+        self.unanswered: deque[HttpRequest] = deque()  # requests whose answers are not written yet, in order
+        self.is_draining = False  # the process shuts down: the connection is closed after its last answer
         self._owner = owner
         self._limits = owner.limits
         self._parser = RequestParser(self, owner.limits, owner.admission, owner.now, owner.handle)
         self._unread = UnreadAnswers(owner.admission, owner.now, peer, owner.limits.body_within)
         self._is_handshaking = is_handshaking
-        self._has_read = False  # some bytes of a request
-        self._is_parsing = False  # answers wait until all that was read is parsed
-        self._is_paused = False  # nothing is read until answers have left
-        self._is_closing = False  # nothing more is read; closed once all answers are written
+        self._has_read = False  # some bytes of a request were read
+        self._is_parsing = False  # answers are not written until all data read is parsed
+        self._is_paused = False  # no reading until answers are written
+        self._is_closing = False  # no more reading; the connection is closed once all answers are written
         self._is_closed = False
-        self._resumption: Future[None] | None = None  # resolved when reading may go on
+        self._resumption: Future[None] | None = None  # resolved when reading may resume
         stream.set_close_callback(self._on_closed)
 
     async def serve(self) -> None:
-        """Read requests until the connection ends."""
+        """Read requests until the connection is closed."""
         try:
             while not self._is_closing:
                 self._feed(await self.stream.read_bytes(READ_SIZE, partial=True))
@@ -94,7 +94,9 @@
                 while self._is_paused and not self._is_closing:
                     self._resumption = Future()
                     await self._resumption
-        except OSError as error:  # an error of the socket comes as it is, or as the cause of a closed stream
+        except (
+            OSError
+        ) as error:  # Tornado raises a socket error unchanged, or as the cause of a StreamClosedError
             cause = error.real_error if isinstance(error, StreamClosedError) else error
             if isinstance(cause, ssl.SSLError):
                 self._owner.count("handshakes refused")
@@ -111,42 +113,42 @@
             self._is_parsing = False
 
     def _time_unread(self) -> int:
-        """Return how long the first bytes waited to be read, in ns: perhaps in the listen queue."""
+        """Return how long the first bytes waited until they were read, in ns, such as in the listen queue."""
         if self._has_read or self.stream.closed():
             return 0
         self._has_read = True
         return sockets.time_since_last_data(self.stream.socket)
 
     def _handshake_done(self) -> None:
-        """Note the end of the handshake: the first bytes were read, or the connection has ended."""
+        """Record the end of the handshake: the first bytes were read, or the connection was closed."""
         if self._is_handshaking:
             self._is_handshaking = False
             self._owner.admission.on_handshake_done(self.peer)
 
     def _end_with(self, status: HttpStatus, detail: str) -> None:
-        """Answer the request that is being read, and close: what follows it can't be understood."""
+        """Answer the request being read, then close the connection: data after it can't be parsed."""
         self._is_closing = True
         self._parser.current_request().fail(status, detail, is_last=True)
 
-    # From the parser and the requests.
+    # Calls from the parser and the requests
     def request_started(self, request: HttpRequest) -> None:
-        """Queue a request whose first byte was read for its answer."""
+        """Add a request whose first byte was read to the unanswered requests."""
         self.unanswered.append(request)
 
     def send_continue(self) -> None:
-        """Tell the client that it may send the body, unless answers are due before."""
+        """Send 100 Continue to the client, unless earlier requests are unanswered."""
         if len(self.unanswered) == 1:
             self.stream.write(CONTINUE)
 
     def check_departure(self) -> None:
-        """Close if the client has hung up, which may lie unread or not have been noticed yet."""
+        """Close the connection if the client has hung up, even if that is unread or not handled yet."""
         if self.stream.closed() or sockets.hung_up(self.stream.socket):
             self._on_closed()
             self.stream.close()
 
-    # Answers.
+    # Answers
     def flush(self) -> None:
-        """Write the answers that are ready, in the order of the requests."""
+        """Write the available answers in the order of the requests."""
         answers = self._take_answers()
         if answers and not self.stream.closed():
             self._write(b"".join(answers))
@@ -155,9 +157,9 @@
         self._resume_reading()
 
     def _take_answers(self) -> list[bytes]:
-        """Return the answers that are due, encoded.
+        """Return the encoded answers that may be written now.
 
-        Where the process ends, the one behind which nothing has come is the last of the connection.
+        When the process shuts down, the answer to the last request received is the last of the connection.
         """
         answers = []
         while not self._is_parsing and self.unanswered:
@@ -168,7 +170,7 @@
             if self.is_draining and not self._parser.is_in_request and not self.unanswered:
                 request.is_last = True
             answers.append(request.response.encode(request.is_last))
-            if request.is_last:  # what was sent after it is not answered
+            if request.is_last:  # requests after it are not answered
                 self._is_closing = True
                 self._drop_requests()
         return answers
@@ -182,8 +184,8 @@
         written.add_done_callback(self._answer_written)
 
     def _answer_read(self, written: "Future[None]") -> None:
-        """Note that the peer has read the oldest unread answer, or that the connection has ended."""
-        written.exception()  # an error that nobody looks at would be logged
+        """Record that the oldest unread answer was sent, or that the connection was closed."""
+        written.exception()  # asyncio would log an exception that is never retrieved
         if self._unread:
             self._unread.oldest_read()
             self._resume_reading()
@@ -203,7 +205,7 @@
             self._wake()
 
     def _may_read_on(self) -> bool:
-        return len(self.unanswered) <= self._limits.pipeline // RESUME_SHARE and not self._unread
+        return len(self.unanswered) <= self._limits.pipeline // RESUME_DIVISOR and not self._unread
 
     def _wake(self) -> None:
         resumption = self._resumption
@@ -211,9 +213,9 @@
         if resumption is not None and not resumption.done():
             resumption.set_result(None)
 
-    # The end.
+    # Closing
     def check_deadlines(self, now: int) -> None:
-        """Close the connection if its peer sends or reads too slowly, or is idle for too long."""
+        """Close the connection if its peer sends or reads too slowly or has been idle for too long."""
         if self._unread.is_overdue(now):
             self._close_unread(UnreadReason.TOO_SLOW)
             return
@@ -239,7 +241,7 @@
         self._drop_requests()
 
     def _drop_requests(self) -> None:
-        """Nobody waits for the answers of this connection any more."""
+        """Drop all unanswered requests: their answers can no longer be delivered."""
         dropped = self.unanswered
         self.unanswered = deque()
         for request in dropped:
--- a/petrelwood/fronts/http_parsing.py
+++ b/petrelwood/fronts/http_parsing.py
@@ -1,4 +1,4 @@
-"""Requests in the bytes of one connection: parsing, and the limits on their size and pace."""
+"""Parsing of the requests on one connection, with limits on their size and duration."""
 
 import time
 from collections.abc import Callable
@@ -13,31 +13,31 @@
 from petrelwood.fronts.interfaces import ConnectionLimits
 
 SECOND = 1_000_000_000  # ns
-HEADER_OVERHEAD = 4  # bytes of a header line besides name and value: ": " and the end of the line
-# Answered with when to retry: later it may be admitted.
+HEADER_OVERHEAD = 4  # bytes of a header line besides name and value: ": " and CRLF
+# Statuses that are sent with Retry-After, because a later attempt may be admitted.
 RETRYABLE_STATUSES = (HttpStatus.TOO_MANY_REQUESTS, HttpStatus.SERVICE_UNAVAILABLE)
 
 
 class HttpSyntaxError(ProtocolError):
-    """The bytes of a connection are not HTTP/1.1; what follows them can't be understood either."""
+    """The data on a connection is not HTTP/1.1; data after it can't be parsed either."""
 
 
 class ParsedConnection(RequestConnection, Protocol):
-    """The connection whose bytes are parsed."""
+    """The connection whose data is parsed."""
 
     def request_started(self, request: HttpRequest) -> None:
-        """Queue a request whose first byte was read for its answer."""
+        """Add a request whose first byte was read to the unanswered requests."""
 
     def send_continue(self) -> None:
-        """Tell a client that waits before it sends the body to send it (RFC 9110, 10.1.1)."""
+        """Send 100 Continue to a client that waits for it before sending the body (RFC 9110, 10.1.1)."""
 
 
 class RequestParser:
-    """Makes requests of the bytes of a connection; httptools calls the `on_...` methods.
+    """Parses the data of a connection into requests; httptools calls the `on_...` methods.
 
-    Each complete request that has no answer yet is given to `handle`. `now` is the clock of the core, in ns.
-    `deadline` is the monotonic time in ns at which the part of a request that is read now must be complete;
-    0: nothing is due.
+    Each complete request without an answer is passed to `handle`. `now` is the clock of the core, in ns.
+    `deadline` is the monotonic time in ns at which the current part of a request must be complete; 0 means no
+    deadline.
     """
 
     def __init__(
@@ -49,22 +49,22 @@
         handle: Callable[[HttpRequest], None],
     ) -> None:
         self.deadline = time.monotonic_ns() + limits.head_within
-        self.is_in_request = False  # a request has begun and is not complete
+        self.is_in_request = False  # whether a request has begun and is incomplete
         self._connection = connection
         self._peer = connection.peer
         self._limits = limits
         self._admission = admission
         self._now = now
         self._handle = handle
-        self._request = HttpRequest(connection, 0)  # the one that has begun last
-        self._waited = 0  # ns that what is parsed now waited to be read
+        self._request = HttpRequest(connection, 0)  # the request that began last
+        self._waited = 0  # how long the data being parsed waited until it was read, in ns
         self._parser = httptools.HttpRequestParser(self)
 
     def feed(self, data: bytes, waited: int = 0) -> None:
-        """Parse the next bytes, which were there for `waited` ns before they were read.
+        """Parse the next bytes, which waited in the kernel for `waited` ns.
 
         Raises:
-            HttpSyntaxError: They are not HTTP/1.1, or request another protocol.
+            HttpSyntaxError: The data is not HTTP/1.1, or requests another protocol.
         """
         self._waited = waited
         try:
@@ -75,13 +75,13 @@
             raise HttpSyntaxError(f"not HTTP/1.1: {error}") from error
 
     def current_request(self) -> HttpRequest:
-        """Return the request that is being read; a new one if there is none."""
+        """Return the request being read; create one if there is none."""
         if not self.is_in_request:
             self._begin(time.monotonic_ns())
         return self._request
 
     def release(self) -> None:
-        """Release the bytes of a request that the end of the connection has cut off."""
+        """Release the reserved bytes of a request that is incomplete when the connection is closed."""
         if self.is_in_request:
             self._release_bytes(self._request)
 
@@ -92,12 +92,12 @@
         self.deadline = now + self._limits.head_within
 
     def on_url(self, url: bytes) -> None:
-        """Take a piece of the request target."""
+        """Add a part of the request target."""
         self._request.url += url
         self._head_grew(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header field; fields of the same name are joined."""
+        """Add one header field; join fields of the same name."""
         self._head_grew(len(name) + len(value) + HEADER_OVERHEAD)
         headers = self._request.headers
         name = name.lower()
@@ -106,7 +106,7 @@
         headers[name] = value
 
     def on_headers_complete(self) -> None:
-        """Decide whether the body may come."""
+        """Decide whether to accept the body."""
         request = self._request
         request.method = self._parser.get_method()
         self.deadline = time.monotonic_ns() + self._limits.body_within
@@ -118,7 +118,7 @@
             self._connection.send_continue()
 
     def on_body(self, data: bytes) -> None:
-        """Take a piece of the body."""
+        """Add a part of the body."""
         request = self._request
         if not request.body:
             request.part_size = 0
@@ -133,12 +133,12 @@
             request.fail(HttpStatus.CONTENT_TOO_LARGE, self._body_limit(), is_last=True)
 
     def on_message_complete(self) -> None:
-        """Hand the request on."""
+        """Pass the complete request to the handler."""
         request = self._request
         self.is_in_request = False
         self.deadline = 0
         self._release_bytes(request)
-        # where the client sends no further request, the answer says that the connection is closed after it
+        # if the client sends no further request, the answer contains Connection: close
         request.is_last = request.is_last or not self._parser.should_keep_alive()
         if request.response is None:
             self._handle(request)
@@ -156,7 +156,7 @@
             request.rejection = Rejection(HttpStatus.HEADER_FIELDS_TOO_LARGE, "the head is too large")
 
     def _reserve_bytes(self, size: int) -> None:
-        """Count bytes of a request that is not complete; where all together are too many, this one ends."""
+        """Reserve bytes for an incomplete request; reject it if all such requests hold too many bytes."""
         request = self._request
         if request.response is not None or request.rejection is not None:
             return
@@ -184,7 +184,7 @@
         return None
 
     def _reject(self, request: HttpRequest, rejection: Rejection) -> None:
-        """Answer a request that is not read any further; where a retry may help, with when."""
+        """Answer a request that is not read further, with Retry-After if a later attempt may succeed."""
         seconds = 0
         if rejection.status in RETRYABLE_STATUSES:
             seconds = self._admission.retry_after_seconds(self._peer, self._now())
--- a/petrelwood/fronts/http_request.py
+++ b/petrelwood/fronts/http_request.py
@@ -1,4 +1,4 @@
-"""One HTTP request, from its first byte until its answer is written."""
+"""One HTTP request, from its first byte to its answer."""
 
 from typing import NamedTuple, Protocol
 
@@ -8,7 +8,7 @@
 
 
 class Rejection(NamedTuple):
-    """Why a request is answered before all of it was read."""
+    """The reason for answering a request before it was read completely."""
 
     status: HttpStatus
     detail: str
@@ -17,17 +17,17 @@
 class RequestConnection(Protocol):
     """The connection that a request arrived on."""
 
-    peer: str  # the address of the client
+    peer: str  # address of the client
 
     def flush(self) -> None:
-        """Write the answers that are ready and due."""
+        """Write the available answers in order."""
 
     def check_departure(self) -> None:
         """Close the connection if the client has hung up."""
 
 
 class HttpRequest:
-    """A request, to which the first response is the final one. The core sees it as its exchange.
+    """A request, whose first response is final. To the core it is an `Exchange`.
 
     `received_at` is the monotonic time of its first byte, in ns.
     """
@@ -52,14 +52,14 @@
         self.received_at = received_at
         self.method = b""
         self.url = b""
-        self.headers: dict[bytes, bytes] = {}  # by name in lower case
-        self.body: list[bytes] = []  # in pieces, as they were read
-        self.part_size = 0  # bytes of the head so far, then of the body
-        self.reserved_bytes = 0  # what `ConnectionAdmission` counts for it
-        self.rejection: Rejection | None = None  # decided before its head was complete
+        self.headers: dict[bytes, bytes] = {}  # by lower-case name
+        self.body: list[bytes] = []  # in parts, as read
+        self.part_size = 0  # bytes received of the head, then of the body
+        self.reserved_bytes = 0  # bytes reserved for it at `ConnectionAdmission`
+        self.rejection: Rejection | None = None  # set before its head is complete
         self.response: HttpResponse | None = None
-        self.is_last = False  # the connection is closed after its answer
-        self.activation_id: str | None = None  # the activation that it waits for
+        self.is_last = False  # whether the connection is closed after its answer
+        self.activation_id: str | None = None  # the activation whose result it waits for
 
     def answer(
         self,
@@ -69,21 +69,21 @@
         reason: str = "",
         activation_id: str | None = None,
     ) -> None:
-        """Give the client the final answer of the core; for the arguments see `response_to`."""
+        """Send the final answer of the core to the client; see `response_to` for the arguments."""
         self.respond(response_to(outcome, body, retry_after, reason, activation_id))
 
     def fail(self, status: HttpStatus, detail: str, retry_after: int = 0, is_last: bool = False) -> None:
-        """Answer with a problem document; `retry_after` in ns, `is_last` closes the connection after it."""
+        """Answer with a problem document. `retry_after` in ns; `is_last`: close the connection afterwards."""
         if self.response is None:
             self.is_last = self.is_last or is_last
             self.respond(problem_response(status, detail, None, retry_after))
 
     def respond(self, response: HttpResponse) -> None:
-        """Take the final answer, which leaves when those to the requests before it have; once."""
+        """Set the final answer once; it is written after the answers to earlier requests."""
         if self.response is None:
             self.response = response
             self.connection.flush()
 
     def check_departure(self) -> None:
-        """Close the connection if the client has hung up, though that has not been read yet."""
+        """Close the connection if the client has hung up, even if that was not read yet."""
         self.connection.check_departure()
--- a/petrelwood/fronts/http_response.py
+++ b/petrelwood/fronts/http_response.py
@@ -1,4 +1,4 @@
-"""Answers of the webhook front, and their bytes in HTTP/1.1."""
+"""Responses of the webhook front and their encoding in HTTP/1.1."""
 
 from dataclasses import dataclass
 
@@ -19,10 +19,10 @@
     content_type: bytes
     body: bytes
     activation_id: str | None = None
-    retry_after: int = 0  # ns; 0: no Retry-After
+    retry_after: int = 0  # ns; 0 for no Retry-After
 
     def encode(self, is_last: bool) -> bytes:
-        """Return the bytes of the answer; with `is_last` they say that the connection is closed after it."""
+        """Return the bytes of the answer; with `is_last` they contain Connection: close."""
         head = b"%sContent-Type: %s\r\nContent-Length: %d\r\n" % (
             self.status.line,
             self.content_type,
@@ -40,13 +40,13 @@
 def problem_response(
     status: HttpStatus, detail: str, activation_id: str | None = None, retry_after: int = 0
 ) -> HttpResponse:
-    """Return the answer that carries a problem document; `retry_after` in ns."""
+    """Return an answer with a problem document; `retry_after` in ns."""
     body = problem_document(status, detail, activation_id)
     return HttpResponse(status, PROBLEM_JSON, body, activation_id, retry_after)
 
 
 def rejected_connection(retry_after: int) -> bytes:
-    """Return the bytes sent on a connection that is rejected unread; `retry_after` in seconds."""
+    """Return the answer for a connection that is rejected before reading; `retry_after` in seconds."""
     return b"%sContent-Length: 0\r\nRetry-After: %d\r\nConnection: close\r\n\r\n" % (
         HttpStatus.SERVICE_UNAVAILABLE.line,
         retry_after,
--- a/petrelwood/fronts/http_status.py
+++ b/petrelwood/fronts/http_status.py
@@ -1,12 +1,12 @@
-"""The status codes of HTTP that the webhook front answers with."""
+"""The HTTP status codes that the webhook front uses."""
 
 from enum import IntEnum
 
 
 class HttpStatus(IntEnum):
-    """A status code (RFC 9110) with its title, and with the status line that announces it.
+    """A status code (RFC 9110) with its title and its encoded status line.
 
-    `code` is its number: found faster than `value`, which the enum computes each time.
+    `code` is its number; reading it is faster than `value`, which the enum computes on each access.
     """
 
     code: int
@@ -14,7 +14,7 @@
     line: bytes
 
     def __new__(cls, code: int, title: str) -> "HttpStatus":
-        """Make the member of one code."""
+        """Create the member for one status code."""
         member = int.__new__(cls, code)
         member._value_ = code
         member.code = code
--- a/petrelwood/fronts/interfaces.py
+++ b/petrelwood/fronts/interfaces.py
@@ -1,6 +1,6 @@
-"""Interfaces of the objects that the fronts are given: the core and its settings.
+"""Interfaces of the objects that are passed to the fronts: the core and its settings.
 
-The core and the settings are in packages above and beside this one, which must not be imported here.
+This package must not import the packages that implement them.
 """
 
 import asyncio
@@ -24,9 +24,9 @@
 
 
 class Exchange(Protocol):
-    """One request of a client, which gets one final answer."""
+    """One request of a client, which receives one final answer."""
 
-    activation_id: str | None  # the id of the activation that it waits for
+    activation_id: str | None  # the id of the activation whose result it waits for
 
     def answer(
         self,
@@ -36,7 +36,7 @@
         reason: str = "",
         activation_id: str | None = None,
     ) -> None:
-        """Give the client its final answer. `retry_after`: ns, 0 for no Retry-After."""
+        """Send the client its final answer. `retry_after`: ns, 0 for no Retry-After."""
 
 
 class Customer(Protocol):
@@ -44,7 +44,7 @@
 
     @property
     def keys(self) -> Iterable[tuple[str, bytes]]:
-        """The scheme and the key of each signature that the customer may use."""
+        """The signature scheme and the key of each key of the customer."""
 
 
 class ConnectionLimits(Protocol):
@@ -52,43 +52,43 @@
 
     @property
     def connections(self) -> int:
-        """Connections open at the same time."""
+        """The maximum number of open connections."""
 
     @property
     def handshakes(self) -> int:
-        """TLS handshakes in progress at the same time."""
+        """The maximum number of concurrent TLS handshakes."""
 
     @property
     def bytes(self) -> int:
-        """Bytes of incomplete requests, over all connections."""
+        """The maximum number of bytes of incomplete requests, over all connections."""
 
     @property
     def header(self) -> int:
-        """Bytes of the head of one request."""
+        """The maximum size of the head of one request, in bytes."""
 
     @property
     def body(self) -> int:
-        """Bytes of the body of one request."""
+        """The maximum size of the body of one request, in bytes."""
 
     @property
     def head_within(self) -> int:
-        """Time in ns from the first byte of a request to the end of its head."""
+        """The maximum time in ns from the first byte of a request to the end of its head."""
 
     @property
     def body_within(self) -> int:
-        """Time in ns from the end of the head to the end of the body; also for a peer to read an answer."""
+        """The maximum time in ns from the end of the head to that of the body; also for reading an answer."""
 
     @property
     def idle(self) -> int:
-        """Time in ns that a connection may stay open without a request."""
+        """The maximum time in ns that a connection stays open without a request."""
 
     @property
     def pipeline(self) -> int:
-        """Requests read ahead on one connection."""
+        """The maximum number of requests read ahead on one connection."""
 
 
 class WebhookSettings(Protocol):
-    """The settings that concern webhooks; see `settings.gateway.Gateway`."""
+    """The settings for webhooks; see `settings.gateway.Gateway`."""
 
     @property
     def customers(self) -> Mapping[str, Customer]:
@@ -108,7 +108,7 @@
 
 
 class FrontCore(Protocol):
-    """What each front needs of the core; see `dispatch.core.Core`."""
+    """The core as each front needs it; see `dispatch.core.Core`."""
 
     @property
     def now(self) -> Callable[[], int]:
@@ -119,19 +119,19 @@
         """The source of random numbers."""
 
     def rule(self, function: str) -> FunctionRule | None:
-        """Return the rule of a function, or None if it may not be called."""
+        """Return the rule of a function, or None if the function may not be called."""
 
     def admit(
         self, request: ActivationRequest, function: str, rule: FunctionRule, body: bytes, exchange: Exchange
     ) -> None:
-        """Admit a request of an authenticated client; `exchange` gets the final answer."""
+        """Admit a request of an authenticated client; `exchange` receives the final answer."""
 
     def detach_client(self, activation_id: str, exchange: Exchange) -> None:
         """Detach the client of an exchange from its activation: the client no longer needs an answer."""
 
 
 class WebhookCore(FrontCore, Protocol):
-    """What the webhook front needs of the core."""
+    """The core as the webhook front needs it."""
 
     @property
     def intake(self) -> Intake:
@@ -143,15 +143,15 @@
 
     @property
     def broker(self) -> tuple[str, int]:
-        """Host and port of the broker."""
+        """The host and port of the broker."""
 
     @property
     def user(self) -> str | None:
-        """The user name of the dispatcher's login; None without a login."""
+        """The user name of the dispatcher at the broker; None without authentication."""
 
     @property
     def password(self) -> bytes | None:
-        """The password of the login."""
+        """The password of the dispatcher at the broker."""
 
     @property
     def group(self) -> str:
@@ -159,15 +159,15 @@
 
     @property
     def keep_alive(self) -> int:
-        """How long a connection may be silent (MQTT keep-alive)."""
+        """The maximum time without data on a connection (MQTT keep-alive)."""
 
     @property
     def session(self) -> int:
-        """How long the broker keeps a session without a connection."""
+        """The time for which the broker keeps a session without a connection."""
 
     @property
     def window_least(self) -> int:
-        """The smallest window: activations of one customer in flight at the same time."""
+        """The smallest window, the maximum number of activations of one customer in flight."""
 
     @property
     def window_most(self) -> int:
@@ -183,11 +183,11 @@
 
     @property
     def max_queued_answers(self) -> int:
-        """Answers of one customer that may be queued for the broker."""
+        """The maximum number of queued answers of one customer."""
 
     @property
     def comeback_first(self) -> int:
-        """The first backoff after a connection was lost."""
+        """The first backoff after a lost connection."""
 
     @property
     def comeback_most(self) -> int:
@@ -195,11 +195,11 @@
 
     @property
     def tls(self) -> Identity | None:
-        """The certificates of connections to the broker; None if they are plain."""
+        """The certificates for connections to the broker; None for connections without TLS."""
 
 
 class MqttSettings(Protocol):
-    """The settings that concern MQTT besides `MqttTerms`; see `settings.gateway.Gateway`."""
+    """The settings for MQTT besides `MqttTerms`; see `settings.gateway.Gateway`."""
 
     @property
     def customers(self) -> Mapping[str, Customer]:
@@ -214,11 +214,11 @@
     """The clock of the core; see `petrelwood.clocks`."""
 
     def steady_wall(self) -> int:
-        """Return the wall-clock time in ns, without its steps."""
+        """Return the wall-clock time in ns, without steps of the clock."""
 
 
 class MqttCore(FrontCore, Protocol):
-    """What the MQTT front needs of the core; see `dispatch.dispatcher.Dispatcher`."""
+    """The core as the MQTT front needs it; see `dispatch.dispatcher.Dispatcher`."""
 
     @property
     def name(self) -> str:
@@ -230,7 +230,7 @@
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
-        """The loop that the dispatcher runs on."""
+        """The event loop of the dispatcher."""
 
     @property
     def gateway(self) -> MqttSettings:
@@ -242,13 +242,13 @@
 
     @property
     def known_ids(self) -> Ledger:
-        """The ids of earlier activations."""
+        """The ledger of the ids of earlier activations."""
 
     def submit(self, call: Callable[..., object], *args: object) -> None:
-        """Make a call at once, or after the call in progress."""
+        """Call a function now, or after the call in progress has returned."""
 
     def defect(self, where: str, fault: Exception) -> None:
         """Report an unexpected error; the affected activations are aborted."""
 
     async def sleep_until(self, when: int) -> None:
-        """Wait for a time of the monotonic clock, in ns."""
+        """Sleep until a time of the monotonic clock, in ns."""
--- a/petrelwood/fronts/mqtt.py
+++ b/petrelwood/fronts/mqtt.py
@@ -1,9 +1,11 @@
-"""The MQTT front: activations from a broker, answers by request/response, on the same core as the webhooks.
+"""The MQTT front: receives activations from a broker and answers them by the request/response pattern.
 
-One session for each customer (`mqtt_session`), so that the broker tells them apart and each has a window of
-its own; dispatchers share the work by a shared subscription. What is acknowledged when, and what a lost
-connection means, is decided in `decide.delivery.mqtt_acknowledgement`; topics in
-`decide.delivery.mqtt_topics`; whether a message runs, in the intake that all fronts share.
+There is one session per customer (`mqtt_session`), so that the broker can distinguish customers and each has
+its own window. Dispatchers distribute messages by a shared subscription.
+
+`decide.delivery.mqtt_acknowledgement` decides when to acknowledge a message and how to handle a lost
+connection; `decide.delivery.mqtt_topics` defines the topics; the intake, which all fronts share, decides
+whether a message runs.
 """
 
 import asyncio
@@ -15,7 +17,7 @@
 
 
 class Mqtt:
-    """The sessions of all customers. `core` admits their messages."""
+    """The MQTT sessions of all customers. `core` admits their messages."""
 
     def __init__(self, terms: MqttTerms, core: MqttCore, log: Logger) -> None:
         self.core = core
@@ -29,19 +31,19 @@
             session.task = self.core.loop.create_task(session.run())
 
     def check(self, now: int) -> None:
-        """Check keep-alives and deadlines; called some twenty times a second, `now` in ns."""
+        """Check keep-alives and deadlines; called about twenty times per second, `now` in ns."""
         for session in self.sessions:
             session.check(now)
 
     def storm_changed(self, name: str, on: bool) -> None:
-        """Do nothing: sessions are few, and their windows follow the answers."""
+        """Do nothing: there are few sessions, and their windows adapt to the answers."""
 
     def drain(self) -> None:
-        """Take nothing new and finish what has begun, as the process ends."""
+        """Stop accepting messages and finish the admitted ones, because the process shuts down."""
         self.stop()
 
     def stop(self) -> None:
-        """Begin to end the sessions; a broker that is away is waited for no longer than a client waits."""
+        """Start draining the sessions; wait for an unreachable broker up to the longest action timeout."""
         self._drain_deadline = self.core.now() + max(self.core.gateway.timeouts.values())
         self._draining = self.core.loop.create_task(self._drain())
 
@@ -49,18 +51,18 @@
         await asyncio.gather(*(session.drain() for session in self.sessions))
 
     def is_drained(self) -> bool:
-        """Return whether all is answered and the broker has the answers."""
+        """Return whether all messages are answered and the broker has the answers."""
         if self._draining is None or not self._draining.done():
             return False
         return self.core.now() >= self._drain_deadline or all(each.is_idle() for each in self.sessions)
 
     def close_idle(self) -> None:
-        """Disconnect."""
+        """Close all sessions."""
         for session in self.sessions:
             session.close()
 
     def figures(self) -> MqttCounts:
-        """Return the counts of all sessions together."""
+        """Return the sums of the counts of all sessions."""
         total = MqttCounts()
         for session in self.sessions:
             total.add(session.counts)
--- a/petrelwood/fronts/mqtt_answers.py
+++ b/petrelwood/fronts/mqtt_answers.py
@@ -1,4 +1,4 @@
-"""Answers on their way to the broker: packet identifiers, acknowledgements, and what waits."""
+"""Sending of answers to the broker: packet identifiers, acknowledgements and the queue."""
 
 from collections import OrderedDict, deque
 
@@ -10,23 +10,23 @@
 from petrelwood.links import packets
 from petrelwood.links.interfaces import Logger
 
-PACKET_IDS = 256  # few, so that a new process can release all that an earlier one had used
-IDS_LEFT_FREE = 8  # for SUBSCRIBE and UNSUBSCRIBE
-DEFAULT_RECEIVE_MAXIMUM = 65_535  # the standard's, where the broker says none
-FIRST_ERROR_CODE = 0x80  # reason codes from here on are errors
+PACKET_IDS = 256  # few, so that a new process can release all identifiers that an earlier process used
+RESERVED_IDS = 8  # for SUBSCRIBE and UNSUBSCRIBE
+DEFAULT_RECEIVE_MAXIMUM = 65_535  # default of the standard, if the broker sends no Receive Maximum
+FIRST_ERROR_CODE = 0x80  # reason codes at or above this are errors
 
 
 class AnswerSender:
-    """The answers of one session. One that can't be sent yet is queued, up to `terms.max_queued_answers`."""
+    """Sends the answers of one session; queues up to `terms.max_queued_answers` that can't be sent yet."""
 
     def __init__(
         self, terms: MqttTerms, connection: MqttConnection, counts: MqttCounts, log: Logger, customer: str
     ) -> None:
         self.queued: deque[packets.Packet] = deque()
-        # by packet identifier, in the order of sending; None: released, its PUBCOMP is still to come
+        # Sent answers by packet identifier, in the order of sending. None: released, awaiting its PUBCOMP.
         self.in_flight: OrderedDict[int, packets.Packet | None] = OrderedDict()
-        # The broker may remember identifiers that an earlier process had used, and would take an answer under
-        # one of them for a repeat: until they are released none of QoS 2 is sent.
+        # The broker may remember identifiers of an earlier process, and would treat a new answer with one of
+        # them as a duplicate. No answer of QoS 2 is sent until these identifiers are released.
         self.awaits_release = True
         self._terms = terms
         self._connection = connection
@@ -37,10 +37,10 @@
         self._receive_maximum = DEFAULT_RECEIVE_MAXIMUM
 
     def next_id(self) -> int:
-        """Return a packet identifier that is free.
+        """Return a free packet identifier.
 
         Raises:
-            packets.MqttError: There is none.
+            packets.MqttError: All packet identifiers are in use.
         """
         for _ in range(PACKET_IDS):
             self._last_id = self._last_id % PACKET_IDS + 1
@@ -49,12 +49,12 @@
         raise packets.MqttError(packets.QUOTA, "no packet identifier is free")
 
     def connection_accepted(self, accepted: packets.Packet) -> None:
-        """Take the broker's Receive Maximum from the CONNACK of a connection."""
-        most = accepted.props.get("receive_maximum", DEFAULT_RECEIVE_MAXIMUM)
-        self._receive_maximum = min(most, PACKET_IDS - IDS_LEFT_FREE)
+        """Apply the Receive Maximum of the broker's CONNACK."""
+        receive_maximum = accepted.props.get("receive_maximum", DEFAULT_RECEIVE_MAXIMUM)
+        self._receive_maximum = min(receive_maximum, PACKET_IDS - RESERVED_IDS)
 
     def release_earlier(self, session_present: bool) -> None:
-        """Release what an earlier process has begun to send, if the broker has a session of one."""
+        """Release the identifiers of an earlier process if the broker resumed its session."""
         if not self.awaits_release:
             return
         if session_present:
@@ -64,7 +64,7 @@
             self.awaits_release = False
 
     def earlier_released(self) -> None:
-        """Send what waits for the release: the broker has answered a PINGREQ that followed it."""
+        """Send the answers that awaited the release: the broker has answered a PINGREQ sent after it."""
         if self.awaits_release:
             self.awaits_release = False
             self.send_queued()
@@ -72,7 +72,7 @@
     def prepare(
         self, topic: str, correlation: bytes | None, answer: Answer, qos: int
     ) -> packets.Packet | None:
-        """Return the packet of an answer, which the caller writes; None if it is queued or dropped."""
+        """Return the packet of an answer for the caller to write; None if it was queued or dropped."""
         packet = _publish(topic, correlation, answer, qos)
         self._counts.answers += 1
         if not self._may_send() or (self.awaits_release and qos == EXACTLY_ONCE):
@@ -90,20 +90,20 @@
         self.in_flight[packet.id] = packet
 
     def send_queued(self) -> None:
-        """Send what was queued, as far as the broker takes it."""
+        """Send queued answers, up to the broker's Receive Maximum."""
         while self.queued and self._may_send() and not self.awaits_release:
             packet = self.queued.popleft()
             self._assign_id(packet)
             self._connection.write(packet)
 
     def on_puback(self, packet: packets.Packet) -> None:
-        """Finish an answer of QoS 1; a late PUBACK for an earlier use of the identifier is ignored."""
+        """Finish an answer of QoS 1; ignore a late PUBACK for an earlier use of the identifier."""
         answer = self.in_flight.get(packet.id)
         if answer is not None and answer.qos == AT_LEAST_ONCE:
             self._finish(packet)
 
     def on_pubrec(self, packet: packets.Packet) -> None:
-        """Release an answer of QoS 2, or finish it if the broker rejects it."""
+        """Release an answer of QoS 2, or finish it if the broker rejected it."""
         if packet.code >= FIRST_ERROR_CODE:
             self._finish(packet)
             return
@@ -114,7 +114,7 @@
         self._connection.write(packets.Packet(packets.PUBREL, packet.id, code))
 
     def on_pubcomp(self, packet: packets.Packet) -> None:
-        """Finish an answer of QoS 2: its identifier is free again."""
+        """Finish an answer of QoS 2 and free its identifier."""
         if packet.id in self.in_flight and self.in_flight[packet.id] is None:
             self._finish(packet)
 
@@ -127,11 +127,11 @@
         self.send_queued()
 
     def resend(self, session_present: bool) -> None:
-        """Send again after a reconnect what the broker may not have.
+        """Send answers again after a reconnect that the broker may not have received.
 
-        An answer of QoS 1 was written together with the acknowledgement of its message: the broker delivers
-        the message again if it has neither, so the answer is not sent again here. Answers of QoS 2 are
-        continued where the broker has kept the session, and sent anew where it has not.
+        An answer of QoS 1 was written together with the acknowledgement of its message. If the broker
+        received neither, it delivers the message again, so the answer is not sent again here. An answer of
+        QoS 2 is continued if the broker kept the session, and sent as a new message if it did not.
         """
         earlier = self.in_flight
         self.in_flight = OrderedDict()
@@ -150,7 +150,7 @@
 
 
 def _publish(topic: str, correlation: bytes | None, answer: Answer, qos: int) -> packets.Packet:
-    """Return the PUBLISH of an answer, without an identifier yet."""
+    """Return the PUBLISH of an answer, without a packet identifier."""
     props: packets.Properties = {"content_type": "application/json", "user": answer.properties}
     if correlation is not None:
         props["correlation_data"] = correlation
--- a/petrelwood/fronts/mqtt_connection.py
+++ b/petrelwood/fronts/mqtt_connection.py
@@ -1,4 +1,4 @@
-"""The connection of one session to the broker: handshake, packets in and out, keep-alive."""
+"""The connection of one session to the broker: handshake, reading and writing packets, keep-alive."""
 
 import asyncio
 import enum
@@ -11,18 +11,18 @@
 from petrelwood.links import packets, sockets
 
 SECOND = 1_000_000_000  # ns
-READ_SIZE = 65_536  # bytes taken from the connection at a time
-FIRST_READ_SIZE = 2  # bytes at a time until CONNACK is complete: what follows it is read later
-PING_SHARE = 2  # a PINGREQ is sent when half of the keep-alive has passed in silence
-PING_INTERVAL_SHARE = 4  # and not again for a quarter of it
+READ_SIZE = 65_536  # the maximum number of bytes per read from the connection
+FIRST_READ_SIZE = 2  # bytes per read until the CONNACK is complete; small, to leave later packets unread
+PING_DIVISOR = 2  # a PINGREQ is sent after a silence of the keep-alive divided by this
+PING_INTERVAL_DIVISOR = 4  # the minimum interval of PINGREQs is the keep-alive divided by this
 
 
 class BrokerError(TransportError):
-    """The broker has rejected or ended the connection."""
+    """The broker rejected or closed the connection."""
 
 
 class KeepAlive(enum.Enum):
-    """What a silence of the broker calls for."""
+    """The action due after a silence of the broker."""
 
     NOTHING = enum.auto()
     PING = enum.auto()
@@ -30,12 +30,12 @@
 
 
 class MqttConnection:
-    """The connection of the session `client_id`, opened again after each loss. `now` is the core's clock."""
+    """The connection of the session `client_id`, reopened after each loss. `now` is the core's clock."""
 
     def __init__(self, terms: MqttTerms, client_id: str, now: Callable[[], int]) -> None:
         self.terms = terms
         self.stream: IOStream | None = None
-        self.is_up = False  # the broker has accepted it
+        self.is_up = False  # whether the broker has accepted the connection
         self._client_id = client_id
         self._now = now
         self._reader = packets.Reader(terms.most)
@@ -44,22 +44,22 @@
 
     @property
     def timeout(self) -> float:
-        """Seconds to connect, and for each step of the handshake."""
+        """The timeout of connecting and of each step of the handshake, in seconds."""
         return self.terms.connect_within / SECOND
 
     async def open(self) -> packets.Packet:
         """Connect, and return the broker's CONNACK.
 
         Raises:
-            BrokerError: The broker rejects the session.
-            OSError: there is no connection; also TimeoutError.
-            packets.MqttError: the broker does not keep to the standard.
+            BrokerError: The broker rejected the session.
+            OSError: The connection failed or timed out.
+            packets.MqttError: The broker violated the standard.
         """
         stream = await self._connect()
         sockets.disable_delay(stream.socket)
         self._reader = packets.Reader(self.terms.most)
         self.write(self._connect_packet())
-        # a broker may accept a connection and say nothing
+        # a broker may accept the TCP connection and never answer
         async with asyncio.timeout(self.timeout):
             accepted = await self._first_packet(stream)
         if accepted.type != packets.CONNACK or accepted.code:
@@ -78,7 +78,7 @@
         else:
             self.stream = SSLIOStream(sockets.new_socket(host), ssl_options=terms.tls.client())
             name = terms.tls.server_name(host)
-        # not `wait_for`, which loses a cancellation that comes as the connection is made
+        # `asyncio.wait_for` would lose a cancellation that arrives as the connection is established
         async with asyncio.timeout(self.timeout):
             await self.stream.connect(terms.broker, server_hostname=name)
         return self.stream
@@ -108,8 +108,8 @@
         """Return the packets that the next bytes complete.
 
         Raises:
-            OSError: The connection is lost.
-            packets.MqttError: while they are iterated over: the broker does not keep to the standard.
+            OSError: The connection was lost.
+            packets.MqttError: The broker violated the standard; raised during the iteration.
         """
         if self.stream is None:
             raise BrokerError("there is no connection to the broker")
@@ -118,32 +118,32 @@
         return self._reader.feed(data)
 
     def write(self, *sent: packets.Packet) -> None:
-        """Write packets together. Without a connection they are dropped: what that means is decided later."""
+        """Write packets in one write. Without a connection they are dropped; the reconnect handles that."""
         if self.stream is None or self.stream.closed():
             return
         written = self.stream.write(b"".join(map(packets.encode, sent)))
-        written.add_done_callback(lambda done: done.exception())  # seen by who reads
+        written.add_done_callback(lambda done: done.exception())  # the reading task handles the error
 
     def check_keep_alive(self, now: int) -> KeepAlive:
-        """Return what is due: nothing, a PINGREQ, or the end of a connection whose broker is silent."""
+        """Return the action due: nothing, a PINGREQ, or closing the connection to a silent broker."""
         if not self.is_up:
             return KeepAlive.NOTHING
         silence = now - self._last_read_at
         if silence > self.terms.keep_alive:
             return KeepAlive.CLOSE
-        is_ping_old = now - self._pinged_at > self.terms.keep_alive // PING_INTERVAL_SHARE
-        if silence > self.terms.keep_alive // PING_SHARE and is_ping_old:
+        is_ping_old = now - self._pinged_at > self.terms.keep_alive // PING_INTERVAL_DIVISOR
+        if silence > self.terms.keep_alive // PING_DIVISOR and is_ping_old:
             self._pinged_at = now
             return KeepAlive.PING
         return KeepAlive.NOTHING
 
     def drop(self) -> None:
-        """Close the stream; whoever reads it finds the connection lost."""
+        """Close the stream; the reading task then handles the lost connection."""
         if self.stream is not None:
             self.stream.close()
 
     def lost(self) -> bool:
-        """Give up the connection; return whether the broker had accepted it."""
+        """Close the connection; return whether the broker had accepted it."""
         self.drop()
         was_up = self.is_up
         self.is_up = False
--- a/petrelwood/fronts/mqtt_counts.py
+++ b/petrelwood/fronts/mqtt_counts.py
@@ -1,22 +1,22 @@
-"""What is counted of the sessions at the broker."""
+"""Counters of the sessions at the broker."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class MqttCounts:
-    """Counts since the start, of one session or of all."""
+    """Counters since the start of the process, for one session or for all."""
 
     messages: int = 0
-    redelivered: int = 0  # of them, with the DUP flag
-    rejected: int = 0  # of them, as no activation
+    redelivered: int = 0  # messages with the DUP flag
+    rejected: int = 0  # messages that are not valid activations
     answers: int = 0
     connections_lost: int = 0
-    moved: int = 0  # messages that another dispatcher has
-    aborts_due: int = 0  # aborts of messages that may run elsewhere
+    moved: int = 0  # messages that another dispatcher received instead
+    aborts_due: int = 0  # aborted messages that may run on another dispatcher
 
     def add(self, other: "MqttCounts") -> None:
-        """Add the counts of another session."""
+        """Add the counters of another session."""
         self.messages += other.messages
         self.redelivered += other.redelivered
         self.rejected += other.rejected
--- a/petrelwood/fronts/mqtt_decoding.py
+++ b/petrelwood/fronts/mqtt_decoding.py
@@ -1,4 +1,4 @@
-"""Decoding of the PUBLISH packets of one customer: topic, identity, patience."""
+"""Decoding of the PUBLISH packets of one customer: topic, message id and patience."""
 
 from petrelwood.decide.delivery import mqtt_topics
 from petrelwood.decide.overload.intake import ActivationRequest
@@ -8,14 +8,14 @@
 from petrelwood.links import packets
 
 SECOND = 1_000_000_000  # ns
-EXPIRED = 1  # ns of patience: a message that has expired on its way can only be rejected
+EXPIRED = 1  # ns; the patience of a message that expired in transit, so that it is rejected
 
 
 class MessageRejectedError(ProtocolError):
-    """A message that is no activation.
+    """A message is not a valid activation.
 
-    `code` is the reason code of its acknowledgement; `response_topic` is where it is answered, None where it
-    may not be. `str()` is the detail of the answer.
+    `code` is the reason code of its acknowledgement; `response_topic` is the topic of its answer, None if it
+    may not be answered. `str()` is the detail of the answer.
     """
 
     def __init__(self, code: int, detail: str, response_topic: str | None) -> None:
@@ -25,7 +25,7 @@
 
 
 class MessageDecoder:
-    """Decodes the messages of one customer, whose session is `client_id` at the broker."""
+    """Decodes the messages of one customer, whose session at the broker is `client_id`."""
 
     def __init__(self, core: MqttCore, handler: AnswerHandler, customer: str, client_id: str) -> None:
         self._core = core
@@ -37,14 +37,14 @@
         self.last_timestamp = 0  # ns
 
     def connection_opened(self) -> None:
-        """Forget the topic aliases, which last for one connection."""
+        """Clear the topic aliases, which are valid for one connection."""
         self._topics_by_alias = {}
 
     def topic_of(self, packet: packets.Packet) -> str:
-        """Return the topic of a message, and note its alias.
+        """Return the topic of a message, and store its alias.
 
         Raises:
-            packets.MqttError: It has an alias that was not given on this connection.
+            packets.MqttError: The alias was not defined on this connection.
         """
         alias = packet.props.get("topic_alias")
         if alias is None:
@@ -52,14 +52,14 @@
         if packet.topic:
             self._topics_by_alias[alias] = packet.topic
         elif alias not in self._topics_by_alias:
-            raise packets.MqttError(packets.BAD_ALIAS, "a topic alias that was never given")
+            raise packets.MqttError(packets.BAD_ALIAS, "the topic alias was not defined on this connection")
         return self._topics_by_alias[alias]
 
     def decode(self, packet: packets.Packet, topic: str, now: int) -> Message:
         """Return the message of a packet; `now` is the clock of the core, in ns.
 
         Raises:
-            MessageRejectedError: It is no activation, or its answer may not go where it wants.
+            MessageRejectedError: It is not a valid activation, or its response topic is not allowed.
         """
         response_topic = packet.props.get("response_topic")
         request = mqtt_topics.parse_request(topic, self._customer)
@@ -83,10 +83,10 @@
         )
 
     def _activation_request(self, packet: packets.Packet, rule: FunctionRule, now: int) -> ActivationRequest:
-        """Return the message as the intake sees it.
+        """Return the message as a request for the intake.
 
-        Nobody signs its timestamp: it only has to be newer than what came before, whatever the wall clock
-        does.
+        Its timestamp is not signed. It only has to be later than those of earlier messages, even if the wall
+        clock is stepped back.
         """
         self._messages += 1
         id_ = mqtt_topics.message_id(
@@ -102,7 +102,7 @@
 
 
 def patience(packet: packets.Packet) -> int:
-    """Return how long the client waits, in ns; 0 where it does not say."""
+    """Return how long the client waits, in ns; 0 if the message does not say."""
     expiry = packet.props.get("message_expiry")
     if expiry is None:
         return 0
@@ -110,13 +110,13 @@
 
 
 def fingerprint(packet: packets.Packet, topic: str) -> int:
-    """Return what tells a message from another under the same packet identifier."""
+    """Return a hash that distinguishes messages with the same packet identifier."""
     props = packet.props
     return hash((topic, props.get("response_topic"), props.get("correlation_data"), packet.payload))
 
 
 def _reason_to_reject(request: mqtt_topics.TopicRequest, rule: FunctionRule | None) -> str:
-    """Return why a message can't be an activation; empty if it can."""
+    """Return why a message is not a valid activation; empty if it is valid."""
     if request.rejection_reason:
         return request.rejection_reason
     if rule is None:
--- a/petrelwood/fronts/mqtt_message.py
+++ b/petrelwood/fronts/mqtt_message.py
@@ -1,4 +1,4 @@
-"""A customer's message and its one final answer."""
+"""A customer's message and its final answer."""
 
 import enum
 from typing import NamedTuple, Protocol
@@ -15,7 +15,7 @@
 
 
 class AnswerStatus(enum.StrEnum):
-    """How an activation ended; the user property `status` of its answer."""
+    """The outcome of an activation; the user property `status` of its answer."""
 
     COMPLETED = "completed"
     REJECTED = "rejected"
@@ -35,14 +35,14 @@
 
 
 class Answer(NamedTuple):
-    """The payload and the user properties of an answer; without properties none is sent."""
+    """The payload and the user properties of an answer; one without properties is not sent."""
 
     body: bytes
     properties: list[tuple[str, str]]
 
 
 def problem_answer(status: AnswerStatus, detail: str) -> Answer:
-    """Return the answer to what has not completed."""
+    """Return the answer to an activation that did not complete."""
     return Answer(_problem(status, detail), [("status", status)])
 
 
@@ -51,17 +51,17 @@
 
 
 class AnswerHandler(Protocol):
-    """The session that a message arrived by."""
+    """The session that a message arrived on."""
 
     def message_answered(self, message: "Message", has_completed: bool) -> None:
-        """Send the final answer of a message, or keep it until that may be done."""
+        """Send the final answer of a message, or keep it until it may be sent."""
 
 
 class Message:
-    """The activation that a PUBLISH requests. The core sees it as its exchange.
+    """The activation that a PUBLISH requests. To the core it is an `Exchange`.
 
-    `response_topic` is None where no answer is wanted, `correlation` where the client gave none;
-    `target_latency` is the one of the function's type, in ns.
+    `response_topic` is None if no answer is wanted, `correlation` is None if the client sent no correlation
+    data; `target_latency` is that of the function's namespace type, in ns.
     """
 
     __slots__ = (
@@ -97,12 +97,12 @@
         self.response_topic = response_topic
         self.correlation = correlation
         self.target_latency = target_latency
-        self.delivery: Delivery | None = None  # once it begins, or is rejected
-        self.activation_id: str | None = None  # the activation that it waits for
+        self.delivery: Delivery | None = None  # set when the message begins or is rejected
+        self.activation_id: str | None = None  # the activation whose result it waits for
         self.final_answer: Answer | None = None
 
     def check_departure(self) -> None:
-        """Do nothing: a message outlives the connection that it arrived by."""
+        """Do nothing: a message does not end with the connection that it arrived on."""
 
     def answer(
         self,
@@ -112,14 +112,14 @@
         reason: str = "",
         activation_id: str | None = None,
     ) -> None:
-        """Take the final answer of the core; later ones are ignored.
+        """Set the final answer of the core; later answers are ignored.
 
         Args:
-            outcome: an `ActivationState` in which an activation may end, or a verdict of the intake.
-            body: the result, of what has completed.
-            retry_after: when a rejected client may retry, ns from now; 0: no such property.
-            reason: why it did not complete.
-            activation_id: the id of the activation; None where none was made.
+            outcome: A final `ActivationState`, or an `Outcome` of the intake.
+            body: The result, if the activation completed.
+            retry_after: When a rejected client may retry, ns from now; 0 for no such property.
+            reason: Why it did not complete.
+            activation_id: The id of the activation; None if none was created.
         """
         if self.final_answer is not None:
             return
--- a/petrelwood/fronts/mqtt_session.py
+++ b/petrelwood/fronts/mqtt_session.py
@@ -1,7 +1,7 @@
 """The session of one customer at the broker: its connection, its messages and their answers.
 
-When a message is acknowledged and begins, and what a lost connection means, is decided in
-`decide.delivery.mqtt_acknowledgement`, which acts through the `DeliveryActions` that a session is.
+`decide.delivery.mqtt_acknowledgement` decides when a message is acknowledged and begins, and how to handle a
+lost connection. It acts through `DeliveryActions`, which a session implements.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
 
 
 class MqttSession:
-    """One customer's session. The core and the deliveries are called through `core.submit`, in turn."""
+    """One customer's session. It calls the core and the deliveries one at a time, through `core.submit`."""
 
     def __init__(self, core: MqttCore, terms: MqttTerms, customer: str, log: Logger) -> None:
         client_id = f"{core.name}.{customer}"
@@ -61,9 +61,9 @@
             packets.DISCONNECT: self._on_disconnect,
         }
 
-    # The connection.
+    # Connection
     async def run(self) -> None:
-        """Keep a connection, opened again with backoff after each loss, until the session is closed."""
+        """Connect, and reconnect with backoff after each loss, until the session is closed."""
         while not self.is_closed:
             reason = await self._serve_connection()
             if self.connection.lost():
@@ -80,7 +80,7 @@
             await self.core.sleep_until(until)
 
     async def _serve_connection(self) -> str:
-        """Connect, and handle packets until the connection ends; return why it did."""
+        """Connect, and handle packets until the connection ends; return the reason."""
         try:
             await self._open()
             while True:
@@ -93,7 +93,7 @@
             return str(error)
         except (BrokerError, TimeoutError, OSError, ValueError) as error:
             return str(error) or repr(error)
-        except Exception as error:  # boundary: after a defect of ours the session connects again
+        except Exception as error:  # after a defect of this program the session reconnects
             self.core.defect("mqtt", error)
             return repr(error)
 
@@ -121,21 +121,23 @@
         )
 
     def disconnect(self, code: int = packets.SUCCESS) -> None:
-        """Tell the broker that the connection ends, and why."""
+        """Send a DISCONNECT with a reason code to the broker."""
         self.connection.write(packets.Packet(packets.DISCONNECT, code=code))
 
     def check(self, now: int) -> None:
-        """Reject what can't begin in time, and keep the connection alive; called about every 50 ms."""
+        """Reject messages that can't begin in time, and check the keep-alive; called about every 50 ms."""
         self.core.submit(self.deliveries.reject_expired, now)
         action = self.connection.check_keep_alive(now)
         if action is KeepAlive.CLOSE:
             self._log.info("broker silent", customer=self.customer)
             self.connection.drop()
         elif action is KeepAlive.PING:
-            self.deliveries.pings += 1  # its PINGRESP proves nothing more than the others
+            self.deliveries.pings += (
+                1  # counted with the others, since its PINGRESP proves no more than theirs
+            )
             self.ping()
 
-    # Packets of the broker.
+    # Packets from the broker
     def _handle(self, packet: packets.Packet) -> None:
         handler = self._handlers.get(packet.type)
         if handler is None:
@@ -143,7 +145,9 @@
         handler(packet)
 
     def _on_publish(self, packet: packets.Packet) -> None:
-        topic = self.decoder.topic_of(packet)  # here, where an error ends the connection
+        topic = self.decoder.topic_of(
+            packet
+        )  # not in the submitted call, because an error must end the connection
         self.core.submit(self._message_arrived, packet, topic)
 
     def _on_pubrel(self, packet: packets.Packet) -> None:
@@ -190,7 +194,7 @@
         )
 
     def _reject_message(self, packet: packets.Packet, error: MessageRejectedError) -> None:
-        """Acknowledge what is no activation with a reason code, and answer it where that may be."""
+        """Acknowledge an invalid message with a reason code, and answer it if that is allowed."""
         self.counts.rejected += 1
         if packet.qos:
             self.connection.write(_acknowledgement(packet.id, packet.qos, error.code))
@@ -205,17 +209,17 @@
         if answer is not None:
             self.connection.write(answer)
 
-    # From the core.
+    # Calls from the core
     def message_answered(self, message: Message, has_completed: bool) -> None:
-        """Send the final answer of a message, or keep it until that may be done."""
-        if message.delivery is None:  # it has not begun, so that nobody can have answered it
+        """Send the final answer of a message, or keep it until it may be sent."""
+        if message.delivery is None:  # not begun: the core has no answer for it
             return
         now = self.core.now()
         latency = now - message.request.arrived_at
         in_time = has_completed and latency <= message.target_latency
         self.deliveries.on_answer(now, message.delivery, in_time, latency)
 
-    # What is decided of deliveries.
+    # DeliveryActions
     def acknowledge(self, packet_id: int, qos: int) -> None:
         """Send a PUBACK or PUBREC."""
         self.connection.write(_acknowledgement(packet_id, qos))
@@ -229,27 +233,27 @@
         self.connection.write(packets.Packet(packets.PINGREQ))
 
     def begin(self, delivery: Delivery) -> None:
-        """Hand a message to the core."""
+        """Pass a message to the core."""
         message: Message = delivery.message
         message.delivery = delivery
         self.core.admit(message.request, message.function, message.rule, message.body, message)
 
     def reject(self, delivery: Delivery) -> None:
-        """Answer a message that can't begin in time, and never ran."""
+        """Reject a message that can't begin in time and never ran."""
         message: Message = delivery.message
         message.delivery = delivery
         message.final_answer = problem_answer(AnswerStatus.REJECTED, RejectionReason.NO_TIME)
         self.answer(delivery, with_acknowledgement=bool(delivery.qos))
 
     def abort(self, delivery: Delivery) -> None:
-        """Answer a message that never ran here, and may run elsewhere."""
+        """Abort a message that never ran here but may run on another dispatcher."""
         self.counts.aborts_due += 1
         message: Message = delivery.message
         message.final_answer = problem_answer(AnswerStatus.ABORTED, MAY_RUN_ELSEWHERE)
         self.answer(delivery, with_acknowledgement=False)
 
     def discard(self, delivery: Delivery) -> None:
-        """End without an answer what runs here, as another dispatcher has the message."""
+        """End a message that runs here without an answer, because another dispatcher has received it."""
         self.counts.moved += 1
         message: Message = delivery.message
         if message.final_answer is None and message.activation_id is not None:
@@ -257,9 +261,10 @@
             self.core.detach_client(message.activation_id, message)
 
     def answer(self, delivery: Delivery, with_acknowledgement: bool) -> None:
-        """Send the final answer, and in the same write the acknowledgement that is due with it.
+        """Send the final answer, together with the acknowledgement if that is due.
 
-        So the broker has both or, where the connection breaks, at most the first.
+        Both are in the same write, so that the broker receives both, or if the connection breaks, at most the
+        answer.
         """
         message: Message = delivery.message
         sent = []
@@ -277,9 +282,9 @@
         if sent and self.connection.is_up:
             self.connection.write(*sent)
 
-    # The end.
+    # Closing
     async def drain(self) -> None:
-        """Unsubscribe, and reject what has not begun; what is in flight is finished."""
+        """Unsubscribe, and reject messages that have not begun; messages in flight continue."""
         if self.connection.is_up:
             self._unsubscribed = self.core.loop.create_future()
             self.connection.write(
@@ -287,7 +292,7 @@
                     packets.UNSUBSCRIBE, self.answers.next_id(), props={}, topic_filters=[self._subscription]
                 )
             )
-            with contextlib.suppress(TimeoutError):  # a broker that does not answer is left all the same
+            with contextlib.suppress(TimeoutError):  # continue even if the broker does not answer
                 async with asyncio.timeout(self.connection.timeout):
                     await self._unsubscribed
         self.core.submit(self.deliveries.close)
@@ -297,7 +302,7 @@
         return self.deliveries.is_idle() and not self.answers.queued and not self.answers.in_flight
 
     def close(self) -> None:
-        """End the session's connection."""
+        """Close the connection of the session."""
         self.is_closed = True
         self.disconnect()
         if self.task is not None:
--- a/petrelwood/fronts/problem.py
+++ b/petrelwood/fronts/problem.py
@@ -1,4 +1,4 @@
-"""Problem documents (RFC 9457): the bodies of answers that are not the result of an activation."""
+"""Problem documents (RFC 9457): the bodies of answers other than the result of an activation."""
 
 import orjson
 
@@ -8,7 +8,7 @@
 def problem_document(status: HttpStatus, detail: str, activation_id: str | None = None) -> bytes:
     """Return the body of an answer of type `application/problem+json`.
 
-    `detail` says to the client what is wrong with this request; `activation_id` is given where the request
+    `detail` describes the problem with this request to the client; `activation_id` is set if the request
     became an activation.
     """
     document = {"type": "about:blank", "title": status.title, "status": status.code, "detail": detail}
--- a/petrelwood/fronts/signing.py
+++ b/petrelwood/fronts/signing.py
@@ -1,7 +1,7 @@
 """Signatures of the Standard Webhooks specification, version 1: https://www.standardwebhooks.com.
 
-What is signed is `id.timestamp.body`, the body as its raw bytes. A header may carry several signatures,
-separated by spaces; one that is valid under one of the keys is enough.
+The signed content is `id.timestamp.body` with the raw bytes of the body. A header may contain several
+signatures, separated by spaces. A request is valid if one signature is valid under one of the keys.
 """
 
 import base64
@@ -14,35 +14,35 @@
 from cryptography.exceptions import InvalidSignature
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey, Ed25519PublicKey
 
-MOST_SIGNATURES = 16  # of one request: each costs a check
+MAX_SIGNATURES = 16  # checked per request; limits the cost of a request
 
 
 class SignatureScheme(enum.StrEnum):
-    """How a signature is made; the names are those in the header."""
+    """The signature scheme; the values are the prefixes in the header."""
 
-    HMAC_SHA256 = "v1"  # with a shared secret
+    HMAC_SHA256 = "v1"  # keyed with a shared secret
     ED25519 = "v1a"
 
 
-# Looked up once: a member of an enum takes longer to find than a name of the module.
+# Module names, because Python 3.11 is slow to look up a member on its enum.
 HMAC_SHA256 = SignatureScheme.HMAC_SHA256
 ED25519 = SignatureScheme.ED25519
 
 
 def signed_content(id_: str, timestamp: int, body: bytes) -> bytes:
-    """Return the bytes that are signed; `timestamp` in seconds since the epoch."""
+    """Return the bytes to sign; `timestamp` in seconds since the epoch."""
     return b"%s.%s.%s" % (id_.encode(), str(timestamp).encode(), body)
 
 
 def sign(scheme: str, key: bytes, id_: str, timestamp: int, body: bytes) -> str:
-    """Return one signature as the header has it, `v1,...` or `v1a,...`.
+    """Return one signature in the format of the header, `v1,...` or `v1a,...`.
 
     Args:
-        scheme: a `SignatureScheme`.
-        key: the bytes of the shared secret, or the 32 bytes of an Ed25519 private key.
-        id_: the `webhook-id` header.
-        timestamp: the `webhook-timestamp` header, in seconds since the epoch.
-        body: the raw body.
+        scheme: A `SignatureScheme`.
+        key: The bytes of the shared secret, or the 32 bytes of an Ed25519 private key.
+        id_: The `webhook-id` header.
+        timestamp: The `webhook-timestamp` header, in seconds since the epoch.
+        body: The raw body.
     """
     content = signed_content(id_, timestamp, body)
     if scheme == HMAC_SHA256:
@@ -53,7 +53,7 @@
 
 
 class Verifier:
-    """The keys of one customer, each with its scheme, prepared once for all requests."""
+    """Verifies signatures with the keys of one customer, which are parsed once for all requests."""
 
     def __init__(self, keys: Iterable[tuple[str, bytes]]) -> None:
         self._secrets: list[bytes] = []
@@ -67,13 +67,13 @@
     def is_valid(self, header: str, id_: str, timestamp: int, body: bytes) -> bool:
         """Return whether one of the signatures in the header is valid under one of the keys.
 
-        Each signature of a scheme takes the same time to check, valid or not, so that the time tells nothing
-        about the right one.
+        The check takes the same time for valid and invalid signatures of a scheme, so that its duration
+        reveals nothing about the valid signature.
         """
         content = signed_content(id_, timestamp, body)
-        expected: list[bytes] = []  # made once there is a signature to compare with
+        expected: list[bytes] = []  # computed only if there is a signature to compare with
         is_valid = False
-        for signature in header.split()[:MOST_SIGNATURES]:
+        for signature in header.split()[:MAX_SIGNATURES]:
             scheme, _, text = signature.partition(",")
             try:
                 raw = base64.b64decode(text, validate=True)
--- a/petrelwood/fronts/unread_answers.py
+++ b/petrelwood/fronts/unread_answers.py
@@ -1,4 +1,4 @@
-"""Bytes of answers that the peer of a connection has not read yet."""
+"""Tracking of answers that the peer of a connection has not read yet."""
 
 import time
 from collections import deque
@@ -8,11 +8,11 @@
 
 
 class UnreadAnswers:
-    """The answers written on one connection that the kernel has not taken yet, oldest first.
+    """The answers written on one connection that the kernel has not accepted yet, oldest first.
 
-    Their bytes count among those that `admission` bounds for the address of the peer, as those of requests
-    that are not complete do. `now` is the clock of the core; `timeout` (ns) is how long the peer may take
-    for one.
+    Their bytes are reserved at `admission`, which limits them per peer address together with the bytes of
+    incomplete requests. `now` is the clock of the core; `timeout` is the time in ns that the peer may take to
+    read one answer.
     """
 
     def __init__(
@@ -29,7 +29,7 @@
         return bool(self._sizes)
 
     def add(self, size: int) -> bool:
-        """Note an answer of `size` bytes; return whether so many may wait."""
+        """Add an answer of `size` bytes; return whether its bytes are within the limits."""
         if not self._sizes:
             self._deadline = time.monotonic_ns() + self._timeout
         if self._admission.reserve_bytes(self._now(), self._peer, size):
@@ -39,15 +39,15 @@
         return False
 
     def oldest_read(self) -> None:
-        """Forget the oldest of them, which the peer has read."""
+        """Remove the oldest answer, which the peer has read."""
         self._admission.release_bytes(self._peer, self._sizes.popleft())
         self._deadline = time.monotonic_ns() + self._timeout
 
     def is_overdue(self, now: int) -> bool:
-        """Whether the peer has taken too long for the oldest; `now` is the monotonic time in ns."""
+        """Return whether the peer takes too long to read the oldest; `now` is the monotonic time in ns."""
         return bool(self._sizes) and now >= self._deadline
 
     def release(self) -> None:
-        """Forget all of them: the connection is closed."""
+        """Remove all answers because the connection is closed."""
         while self._sizes:
             self._admission.release_bytes(self._peer, self._sizes.popleft())
--- a/petrelwood/fronts/webhook.py
+++ b/petrelwood/fronts/webhook.py
@@ -1,9 +1,9 @@
 """The webhook front: Standard Webhooks on HTTP/1.1, `POST /hooks/CUSTOMER/FUNCTION`.
 
-Connections are admitted here (`http_connection`), their bytes parsed into requests (`http_parsing`,
-`http_request`). A wrong request ends here with a problem document (`webhook_call`); one with a valid
-signature goes to the core, which calls `HttpRequest.answer` once (`webhook_answer`, `http_response`).
-`Prefer: wait=N` (RFC 7240) is how many seconds the client will wait.
+This module admits connections (`http_connection`), whose data is parsed into requests (`http_parsing`,
+`http_request`). An invalid request is answered with a problem document (`webhook_call`). A request with a
+valid signature is passed to the core, which calls `HttpRequest.answer` once (`webhook_answer`,
+`http_response`). `Prefer: wait=N` (RFC 7240) is the number of seconds that the client waits.
 """
 
 import socket
@@ -25,7 +25,7 @@
 from petrelwood.links.interfaces import Address
 from petrelwood.links.listener import Listener
 
-UNAUTHORIZED = HttpStatus.UNAUTHORIZED  # a member of an enum takes longer to find than a name of the module
+UNAUTHORIZED = HttpStatus.UNAUTHORIZED  # a module name: Python 3.11 is slow to look up a member on its enum
 
 
 def _verifiers(customers: Mapping[str, Customer]) -> dict[str, Verifier]:
@@ -33,7 +33,7 @@
 
 
 class Webhooks(Listener):
-    """The listening sockets, their connections, and the way of each request to `core`."""
+    """Listens, serves connections, and passes valid requests to `core`."""
 
     def __init__(self, gateway: WebhookSettings, core: WebhookCore) -> None:
         is_tls = gateway.tls is not None
@@ -53,28 +53,28 @@
         self.counts: dict[str, int] = {}
         self._is_tls = is_tls
         self._decoder = self._make_decoder(gateway)
-        self._paused: list[socket.socket] = []  # listening sockets of a paused front
+        self._paused: list[socket.socket] = []  # the listening sockets while the front is paused
 
     def _make_decoder(self, gateway: WebhookSettings) -> WebhookDecoder:
         return WebhookDecoder(_verifiers(gateway.customers), gateway.tolerance, self.core.rule)
 
     def apply(self, gateway: WebhookSettings) -> None:
-        """Take new settings: keys for the requests that come, limits for the connections that open."""
+        """Apply new settings: keys to requests handled from now on, limits to new connections."""
         self.limits = gateway.limits
         self._decoder = self._make_decoder(gateway)
 
-    # The listening sockets.
+    # Listening sockets
     def open(self, address: Address) -> Address:
-        """Listen on an address, and return the one that it became.
+        """Listen on an address, and return the address that was bound.
 
         Raises:
-            OSError: It can't be bound.
+            OSError: The address can't be bound.
         """
         host, port = address
         return self.listen_on(bind_sockets(port, host, family=socket.AF_UNSPEC, reuse_port=False))
 
     def listen_on(self, sockets: Sequence[socket.socket]) -> Address:
-        """Listen on sockets that are bound, here or in another process; return the address of the first."""
+        """Listen on sockets that this or another process has bound; return the address of the first."""
         for sock in sockets:
             sock.setblocking(False)
         self.add_sockets(sockets)
@@ -82,14 +82,14 @@
         return host, port
 
     def descriptors(self) -> list[int]:
-        """Return the descriptors of the listening sockets, for a successor."""
+        """Return the descriptors of the listening sockets, for a successor process."""
         return [sock.fileno() for sock in self._sockets.values()]
 
     def pause(self) -> None:
-        """Accept nothing more; the sockets stay open.
+        """Stop accepting connections; the listening sockets stay open.
 
-        Connections stay open too: a request that is on its way is answered, with `Connection: close`; those
-        that send nothing are closed with the process.
+        Connections stay open too: a request in transit is answered with `Connection: close`. Idle connections
+        are closed with the process.
         """
         self._paused = list(self._sockets.values())
         for descriptor in list(self._sockets):
@@ -99,15 +99,15 @@
         self._drain_connections()
 
     def resume(self) -> None:
-        """Accept again after a pause."""
+        """Accept connections again after a pause."""
         self.add_sockets(self._paused)
         self._paused = []
         for connection in self.connections:
             connection.is_draining = False
 
-    # Connections.
+    # Connections
     async def handle_stream(self, stream: IOStream, address: tuple[str, int]) -> None:
-        """Serve a connection that was accepted, or reject it unread."""
+        """Serve an accepted connection, or reject it without reading."""
         peer = address[0]
         now = self.now()
         self.core.intake.storms.record_connection(now)
@@ -123,23 +123,23 @@
         await connection.serve()
 
     def _reject(self, stream: IOStream, peer: str, now: int) -> None:
-        if self._is_tls:  # an answer would cost the handshake
+        if self._is_tls:  # an answer would require a handshake
             stream.close()
             return
         written = stream.write(rejected_connection(self.admission.retry_after_seconds(peer, now)))
         written.add_done_callback(lambda _: stream.close())
 
     def connection_closed(self, connection: HttpConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a closed connection."""
         self.connections.discard(connection)
 
     def count(self, event: str) -> None:
         """Count an event, for tests."""
         self.counts[event] = self.counts.get(event, 0) + 1
 
-    # Requests.
+    # Requests
     def handle(self, request: HttpRequest) -> None:
-        """Hand a complete request to the core, or answer why it is rejected."""
+        """Pass a valid request to the core, or answer why it is rejected."""
         body = b"".join(request.body)
         try:
             call = self._decoder.decode(request, body)
@@ -156,27 +156,27 @@
         self.admission.record_signature(self.now(), request.connection.peer, is_valid)
 
     def client_departed(self, request: HttpRequest) -> None:
-        """Handle the departure of the client of a request that the core has not answered."""
+        """Handle a client that disconnected before the core answered its request."""
         if request.activation_id is not None:
             self.core.detach_client(request.activation_id, request)
 
-    # From the dispatcher.
+    # Calls from the dispatcher
     def storm_changed(self, name: str, on: bool) -> None:
         """Admit connections more slowly during a storm of reconnects."""
         if name == SymptomName.RECONNECTS:
             self.admission.is_storm = on
 
     def check(self, now: int) -> None:
-        """Close the connections whose peers are too slow; called some twenty times a second, `now` in ns."""
+        """Close connections with slow peers; called about twenty times per second, `now` in ns."""
         for connection in list(self.connections):
             connection.check_deadlines(now)
 
     def drain(self) -> None:
-        """Make each further answer the last of its connection, as the process ends.
+        """Close each connection after its pending answers, because the process shuts down.
 
-        The front listens until `close_idle`: a connection that the machine has accepted may have a request
-        in it, which is rejected. Sockets that another process listens on since a pause are closed at once:
-        the machine would go on accepting for as long as any process has them open.
+        The front listens until `close_idle`, because a connection in the listen queue of the kernel may
+        contain a request, which is then rejected. Sockets on which another process has listened since a pause
+        are closed at once: the kernel queues connections for them as long as any process has them open.
         """
         self._drain_connections()
         for sock in self._paused:
@@ -188,14 +188,14 @@
             connection.is_draining = True
 
     def is_drained(self) -> bool:
-        """Return whether all answers have left, and no connection, request or end is unread."""
+        """Return whether all answers are written, and no connection, request or close is unread."""
         streams = [each.stream for each in self.connections if not each.stream.closed()]
         if any(stream.writing() for stream in streams):
             return False
         return not link_sockets.readable([*self._sockets.values(), *(stream.socket for stream in streams)])
 
     def close_idle(self) -> None:
-        """Listen no more, and close the connections on which no answer is due."""
+        """Stop listening, and close the connections without unanswered requests."""
         self.stop()
         for connection in list(self.connections):
             if not connection.unanswered:
--- a/petrelwood/fronts/webhook_answer.py
+++ b/petrelwood/fronts/webhook_answer.py
@@ -1,11 +1,11 @@
-"""The HTTP answer to each outcome of an activation, and to each `Outcome` of the intake."""
+"""The HTTP answer for each outcome of an activation and each `Outcome` of the intake."""
 
 from petrelwood.decide.delivery.ledger import ActivationState
 from petrelwood.decide.overload import intake
 from petrelwood.fronts.http_response import JSON, HttpResponse, problem_response
 from petrelwood.fronts.http_status import HttpStatus
 
-# Looked up once: a member of an enum takes longer to find than a name of the module.
+# Module names, because Python 3.11 is slow to look up a member on its enum.
 OK = HttpStatus.OK
 SERVICE_UNAVAILABLE = HttpStatus.SERVICE_UNAVAILABLE
 STATUSES: dict[str, HttpStatus] = {
@@ -18,7 +18,7 @@
     intake.CONFLICT: HttpStatus.CONFLICT,
     intake.RESULT_DROPPED: HttpStatus.CONFLICT,
 }
-# Where no reason is given: all rejections and aborts by the scheduler, which gives none.
+# Details used when no reason is given. The scheduler gives no reason for its rejections and aborts.
 DEFAULT_DETAILS: dict[str, str] = {
     ActivationState.REJECTED: "turned away; trying again does no harm",
     intake.REJECT: "turned away; trying again does no harm",
@@ -32,11 +32,11 @@
     """Return the answer to an outcome.
 
     Args:
-        outcome: an `ActivationState` in which an activation may end, or an `Outcome` of the intake.
-        body: the result, of what has completed.
-        retry_after: when a rejected client may retry, ns from now.
-        reason: why it did not complete; empty for the usual reason of the outcome.
-        activation_id: None where no activation was made.
+        outcome: A final `ActivationState`, or an `Outcome` of the intake.
+        body: The result, if the activation completed.
+        retry_after: When a rejected client may retry, ns from now.
+        reason: Why it did not complete; empty for the default detail of the outcome.
+        activation_id: The id of the activation; None if none was created.
     """
     status = STATUSES[outcome]
     if status is OK:
--- a/petrelwood/fronts/webhook_call.py
+++ b/petrelwood/fronts/webhook_call.py
@@ -12,18 +12,18 @@
 from petrelwood.fronts.signing import Verifier
 
 SECOND = 1_000_000_000  # ns
-ROOT = b"hooks"  # of the path /hooks/CUSTOMER/FUNCTION
-PATH_PARTS = 4  # with the empty one before the first slash
+PATH_PREFIX = b"hooks"  # the first segment of the path /hooks/CUSTOMER/FUNCTION
+PATH_SEGMENTS = 4  # including the empty one before the first slash
 ACCEPTED_TYPES = (b"application/json", b"application/octet-stream", b"text/plain")
 DEFAULT_TYPE = b"application/octet-stream"
-LONGEST_ID = 256  # bytes
-LONGEST_TIMESTAMP = 12  # digits: seconds since the epoch for 30,000 years
-LONGEST_NAME_SHOWN = 80  # characters of an unknown function's name in an answer
-WAIT_BOUND = 1 << 31  # seconds; from here on a Prefer header is malformed
+MAX_ID_SIZE = 256  # bytes
+MAX_TIMESTAMP_DIGITS = 12  # enough for seconds since the epoch for 30,000 years
+MAX_NAME_SHOWN = 80  # characters of the name of an unknown function in an answer
+WAIT_BOUND = 1 << 31  # seconds; a Prefer header with this wait or a longer one is malformed
 
 
 class WebhookRejectedError(ProtocolError):
-    """A request is not a webhook that may run; `status` is the answer, `str()` its detail."""
+    """A request is not a valid webhook; `status` is the status of its answer, `str()` the detail."""
 
     def __init__(self, status: HttpStatus, detail: str) -> None:
         super().__init__(detail)
@@ -31,7 +31,7 @@
 
 
 class WebhookCall(NamedTuple):
-    """A call of a function whose signature is valid."""
+    """A call of a function with a valid signature."""
 
     request: ActivationRequest
     function: str
@@ -47,10 +47,10 @@
 
 
 class WebhookDecoder:
-    """Checks requests under the settings in force.
+    """Validates requests with the settings in force.
 
-    `verifiers` are by customer; `tolerance` is how far a timestamp may be off the wall clock (ns);
-    `find_rule` gives the rule of a function, or None where there is no such function.
+    `verifiers` are by customer; `tolerance` is the allowed difference in ns between a timestamp and the wall
+    clock; `find_rule` returns the rule of a function, or None if there is no such function.
     """
 
     def __init__(
@@ -64,10 +64,10 @@
         self._find_rule = find_rule
 
     def decode(self, request: HttpRequest, body: bytes) -> WebhookCall:
-        """Return the call that a complete request makes.
+        """Return the call in a complete request.
 
         Raises:
-            WebhookRejectedError: It is none, or its signature is not valid.
+            WebhookRejectedError: The request is not a valid webhook, or its signature is invalid.
         """
         customer, function = parse_target(request)
         check_content_type(request.headers)
@@ -79,7 +79,7 @@
             raise WebhookRejectedError(HttpStatus.UNAUTHORIZED, "no signature holds")
         rule = self._find_rule(function)
         if rule is None:
-            shown = function[:LONGEST_NAME_SHOWN]
+            shown = function[:MAX_NAME_SHOWN]
             raise WebhookRejectedError(HttpStatus.NOT_FOUND, f"there is no function '{shown}'")
         wait = preferred_wait(request.headers.get(b"prefer", b""))
         timestamp = signed.timestamp * SECOND
@@ -90,13 +90,13 @@
 
 
 def parse_target(request: HttpRequest) -> tuple[str, str]:
-    """Return the customer and the function that a request is posted to.
+    """Return the customer and the function in the path of a request.
 
     Raises:
-        WebhookRejectedError: The path or the method is another.
+        WebhookRejectedError: The path or the method is wrong.
     """
     parts = request.url.split(b"?", 1)[0].split(b"/")
-    if len(parts) != PATH_PARTS or parts[1] != ROOT:
+    if len(parts) != PATH_SEGMENTS or parts[1] != PATH_PREFIX:
         raise WebhookRejectedError(HttpStatus.NOT_FOUND, "activations are posted to /hooks/CUSTOMER/FUNCTION")
     if request.method != b"POST":
         raise WebhookRejectedError(HttpStatus.METHOD_NOT_ALLOWED, "activations are posted")
@@ -107,10 +107,10 @@
 
 
 def check_content_type(headers: Mapping[bytes, bytes]) -> None:
-    """Check that the body is of a type that functions take.
+    """Check that functions accept the content type of the body.
 
     Raises:
-        WebhookRejectedError: It is of another.
+        WebhookRejectedError: The content type is not accepted.
     """
     content_type = headers.get(b"content-type", DEFAULT_TYPE).split(b";")[0].strip().lower()
     if content_type not in ACCEPTED_TYPES:
@@ -119,10 +119,10 @@
 
 
 def parse_signed_id(headers: Mapping[bytes, bytes]) -> SignedId:
-    """Return what the headers of Standard Webhooks say.
+    """Return the values of the headers of Standard Webhooks.
 
     Raises:
-        WebhookRejectedError: One is missing or malformed.
+        WebhookRejectedError: A header is missing or malformed.
     """
     id_ = headers.get(b"webhook-id")
     timestamp = headers.get(b"webhook-timestamp")
@@ -131,17 +131,17 @@
         raise WebhookRejectedError(
             HttpStatus.BAD_REQUEST, "webhook-id, webhook-timestamp and webhook-signature are needed"
         )
-    is_timestamp = timestamp.isdigit() and len(timestamp) <= LONGEST_TIMESTAMP
-    if len(id_) > LONGEST_ID or not id_.isascii() or not is_timestamp:
+    is_timestamp = timestamp.isdigit() and len(timestamp) <= MAX_TIMESTAMP_DIGITS
+    if len(id_) > MAX_ID_SIZE or not id_.isascii() or not is_timestamp:
         raise WebhookRejectedError(HttpStatus.BAD_REQUEST, "webhook-id or webhook-timestamp is malformed")
     return SignedId(id_.decode("ascii"), int(timestamp), signature.decode("latin-1"))
 
 
 def preferred_wait(header: bytes) -> int:
-    """Return the seconds of `wait` in a Prefer header (RFC 7240), 0 if it has none.
+    """Return the seconds of `wait` in a Prefer header (RFC 7240), 0 if there is no `wait`.
 
     Raises:
-        WebhookRejectedError: `wait` is malformed.
+        WebhookRejectedError: The value of `wait` is malformed.
     """
     for part in header.replace(b";", b",").split(b","):
         name, equals, value = part.strip().partition(b"=")
--- a/petrelwood/links/worker.py
+++ b/petrelwood/links/worker.py
@@ -187,7 +187,7 @@
         return b"".join(frames)
 
     def _may_leave(self, call: RpcCall) -> bool:
-        """Apply the rules of `Calls`; also end an attempt whose client has hung up, even if that is unread."""
+        """Apply the rules of `Calls`, and end an attempt whose client has hung up, even if that is unread."""
         if call.kind == RUN and not self.core.still_wanted(call.activation):
             reason = send_outcome.of_recall(call.stage)
             if reason is not None:
