--- a/petrelwood/dispatch/activations.py
+++ b/petrelwood/dispatch/activations.py
@@ -41,7 +41,7 @@
         outcome: str,
         body: bytes = b"",
         retry_after: int = 0,
-        reason: str = "",
+        detail: str = "",
         activation_id: str | None = None,
     ) -> object:
         """Give the client its final answer. `retry_after`: ns, 0 where it is not told."""
@@ -115,7 +115,7 @@
             exchange.answer(
                 intake_stage.REJECT,
                 retry_after=retry_after,
-                reason=intake_stage.RejectionReason.SHUTTING_DOWN,
+                detail=intake_stage.RejectionReason.SHUTTING_DOWN,
             )
             return
         verdict = self.intake.decide(now, core.clock.wall(), request)
@@ -137,14 +137,14 @@
             exchange.activation_id = act.id
             self._set_deadline_timer()
             return
-        exchange.answer(intake_stage.ABORT, reason="an earlier try may have run and must not run again")
+        exchange.answer(intake_stage.ABORT, detail="an earlier try may have run and must not run again")
 
     def _reject_for_outage(self, now: int, key: Key, state: DurableState, exchange: Exchange) -> None:
         """Reject an activation that must not run twice while its id can't be made durable."""
         core = self.core
         core.known_ids.end(key, CLIENT_LEFT)
         retry_after = self.intake.retry_after(now, *key, state.reject(now))
-        exchange.answer(intake_stage.REJECT, retry_after=retry_after, reason="its id can't be kept now")
+        exchange.answer(intake_stage.REJECT, retry_after=retry_after, detail="its id can't be kept now")
 
     def _take(
         self,
@@ -256,7 +256,7 @@
             if is_over:
                 self.core.submit(self.time_out, act.id)
             for exchange in late:
-                exchange.answer(ABORTED, reason="the first try still runs", activation_id=act.id)
+                exchange.answer(ABORTED, detail="the first try still runs", activation_id=act.id)
         self._set_deadline_timer()
 
     def time_out(self, act_id: str) -> None:
--- a/petrelwood/emulate/traffic.py
+++ b/petrelwood/emulate/traffic.py
@@ -79,7 +79,7 @@
         )
         self.activation_id, self.over, self.timer, self.leaves = None, False, None, False
 
-    def answer(self, what, body=b"", retry_after=0, reason="", activation_id=None):
+    def answer(self, what, body=b"", retry_after=0, detail="", activation_id=None):
         platform = self.clients.platform
         platform.after(
             platform.client_way, self.clients.answered, self, FINAL[what], retry_after, activation_id
--- a/petrelwood/fronts/http_request.py
+++ b/petrelwood/fronts/http_request.py
@@ -66,11 +66,11 @@
         outcome: str,
         body: bytes = b"",
         retry_after: int = 0,
-        reason: str = "",
+        detail: str = "",
         activation_id: str | None = None,
     ) -> None:
         """Send the final answer of the core to the client; see `response_to` for the arguments."""
-        self.respond(response_to(outcome, body, retry_after, reason, activation_id))
+        self.respond(response_to(outcome, body, retry_after, detail, activation_id))
 
     def fail(self, status: HttpStatus, detail: str, retry_after: int = 0, is_last: bool = False) -> None:
         """Answer with a problem document. `retry_after` in ns; `is_last`: close the connection afterwards."""
--- a/petrelwood/fronts/interfaces.py
+++ b/petrelwood/fronts/interfaces.py
@@ -33,7 +33,7 @@
         outcome: str,
         body: bytes = b"",
         retry_after: int = 0,
-        reason: str = "",
+        detail: str = "",
         activation_id: str | None = None,
     ) -> None:
         """Send the client its final answer. `retry_after`: ns, 0 for no Retry-After."""
--- a/petrelwood/fronts/mqtt_message.py
+++ b/petrelwood/fronts/mqtt_message.py
@@ -109,7 +109,7 @@
         outcome: str,
         body: bytes = b"",
         retry_after: int = 0,
-        reason: str = "",
+        detail: str = "",
         activation_id: str | None = None,
     ) -> None:
         """Set the final answer of the core; later answers are ignored.
@@ -118,7 +118,7 @@
             outcome: A final `ActivationState`, or an `Outcome` of the intake.
             body: The result, if the activation completed.
             retry_after: When a rejected client may retry, ns from now; 0 for no such property.
-            reason: Why it did not complete.
+            detail: Why it did not complete.
             activation_id: The id of the activation; None if none was created.
         """
         if self.final_answer is not None:
@@ -130,5 +130,5 @@
         if retry_after:
             properties.append(("retry-after-ms", str(-(-retry_after // MILLISECOND))))  # rounded up
         has_completed = status is AnswerStatus.COMPLETED
-        self.final_answer = Answer(body if has_completed else _problem(status, reason), properties)
+        self.final_answer = Answer(body if has_completed else _problem(status, detail), properties)
         self.handler.message_answered(self, has_completed)
--- a/petrelwood/node/exchange.py
+++ b/petrelwood/node/exchange.py
@@ -88,7 +88,7 @@
         outcome: str,
         body: bytes = b"",
         retry_after: int = 0,
-        reason: str = "",
+        detail: str = "",
         activation_id: str | None = None,
     ) -> None:
         """Give the client its answer; without effect once it has one or has left.
@@ -97,7 +97,7 @@
             outcome: how the activation ended (`ActivationState`), or a verdict of the intake.
             body: the result, of one that completed.
             retry_after: ns that a rejected client should stay away; 0: not told.
-            reason: not told on this protocol.
+            detail: not told on this protocol.
             activation_id: not told on this protocol.
         """
         if not self.waits():  # cancelled, and its number perhaps used again; or the client has left
--- a/petrelwood/node/node_activations.py
+++ b/petrelwood/node/node_activations.py
@@ -29,6 +29,6 @@
         if not cast(ClientExchange, exchange).waits():  # its client left between its reading and its turn
             return
         if self.core.is_open(request.id):
-            exchange.answer(intake.ABORT, reason="an id that is open")
+            exchange.answer(intake.ABORT, detail="an id that is open")
             return
         super().admit(request, function, rule, body, exchange)
--- a/tests/ration.py
+++ b/tests/ration.py
@@ -93,7 +93,7 @@
         """Nothing of a client ever lies unread here: what it does is told at once."""
         return True
 
-    def answer(self, what, body=b"", retry_after=0, reason="", activation_id=None):
+    def answer(self, what, body=b"", retry_after=0, detail="", activation_id=None):
         if self.ended is not None:
             raise AssertionError("a second final answer")
         self.ended = what
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -149,7 +149,7 @@
     verdict = None
     retry_after = None
 
-    def answer(self, verdict, body=b"", retry_after=0, reason="", activation_id=None):
+    def answer(self, verdict, body=b"", retry_after=0, detail="", activation_id=None):
         assert self.verdict is None, "a second final answer"
         self.verdict, self.retry_after = verdict, retry_after
 
