--- a/tests/test_listen_queue.py
+++ b/tests/test_listen_queue.py
@@ -1,4 +1,4 @@
-"""The time of a webhook's request runs on while its connection lies in the listen queue of a loop in time."""
+"""The time that a connection waits in the listen queue counts against the deadline of its first request."""
 
 import asyncio
 import time
@@ -7,13 +7,13 @@
 from rig import Case, Worker
 from test_serve_shutdown import Client
 
-WAIT = 0.4  # s in the listen queue
-CLOCK_RESOLUTION = 0.015  # s, of the kernel's ticks and of what it rounds
+WAIT = 0.4  # seconds in the listen queue
+CLOCK_RESOLUTION = 0.015  # seconds; the resolution of the kernel's ticks and its rounding
 
 
 class FirstRequests(Case):
     async def _ask_late(self, **headers):
-        """A client whose connection is accepted after WAIT, and how long it had waited, in s."""
+        """Return a client whose connection was accepted after WAIT, and how long it waited, in seconds."""
         loop = asyncio.get_running_loop()
         listeners = [stop.__self__ for stop in self.front._handlers.values()]
         for listening in listeners:
@@ -29,7 +29,7 @@
         return client, waited
 
     async def test_a_worker_is_told_what_is_left(self):
-        """Guards against a wait in the kernel that is not counted."""
+        """Guards against ignoring the wait in the kernel."""
         await self.begin(worker := Worker("w1"))
         client, waited = await self._ask_late(Prefer="wait=1")
         await self.until(client.read)
@@ -38,7 +38,7 @@
         self.assertLessEqual(remaining, 1 - waited + CLOCK_RESOLUTION)
 
     async def test_a_second_request_on_the_connection_has_its_own_time(self):
-        """Guards against a wait that is counted again for what came later."""
+        """Guards against counting the wait again for later requests."""
         await self.begin(worker := Worker("w1"))
         client, _ = await self._ask_late(Prefer="wait=1")
         await self.until(client.read)
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""Listeners outlast every error of `accept`: none spins, none stays deaf, none costs another connection."""
+"""Listeners survive every error of accept(2) without a busy loop, a permanent pause or lost connections."""
 
 import asyncio
 import errno
@@ -11,10 +11,10 @@
 from petrelwood.links import listener
 from petrelwood.links.accept_errors import AcceptError, classify
 
-PATIENT = 30  # seconds; far over what a busy machine needs
-OF_THE_MACHINE = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINVAL, errno.EBADF)
-OF_A_CONNECTION = (errno.ECONNABORTED, errno.EPROTO, errno.EPERM, errno.ENETUNREACH, errno.EHOSTUNREACH)
-OF_NOTHING = (errno.EAGAIN, errno.EINTR)
+TIMEOUT = 30  # seconds; far more than a busy machine needs
+MACHINE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINVAL, errno.EBADF)
+CONNECTION_ERRORS = (errno.ECONNABORTED, errno.EPROTO, errno.EPERM, errno.ENETUNREACH, errno.EHOSTUNREACH)
+NO_PENDING_CONNECTION = (errno.EAGAIN, errno.EINTR)
 ACCEPT = socket.socket.accept
 
 
@@ -37,10 +37,10 @@
     def test_whom_an_error_concerns(self):
         descriptors = (errno.EMFILE, errno.ENFILE)
         for kind, numbers in (
-            (AcceptError.NOTHING_PENDING, OF_NOTHING),
-            (AcceptError.CONNECTION, OF_A_CONNECTION),
+            (AcceptError.NOTHING_PENDING, NO_PENDING_CONNECTION),
+            (AcceptError.CONNECTION, CONNECTION_ERRORS),
             (AcceptError.DESCRIPTORS, descriptors),
-            (AcceptError.OTHER, [each for each in OF_THE_MACHINE if each not in descriptors]),
+            (AcceptError.OTHER, [each for each in MACHINE_ERRORS if each not in descriptors]),
         ):
             for number in numbers:
                 with self.subTest(errno.errorcode[number]):
@@ -57,7 +57,7 @@
         self.calls = 0
 
     def failing(self, number, times):
-        """Each of the next `times` calls of `accept` fails; None: all of them, until the context ends."""
+        """Make the next `times` calls of `accept` fail; with None all calls, until the context ends."""
         self.calls = 0
 
         def accept(sock):
@@ -69,26 +69,27 @@
         return mock.patch.object(socket.socket, "accept", accept)
 
     async def greeted(self):
-        """What a client reads up to the end."""
+        """Connect, and return all that the client reads."""
         reader, writer = await asyncio.open_connection(*self.sockets[0].getsockname())
         self.addCleanup(writer.close)
-        return await asyncio.wait_for(reader.read(), PATIENT)
+        return await asyncio.wait_for(reader.read(), TIMEOUT)
 
     async def test_each_error_once_and_for_a_while(self):
-        for number in (*OF_THE_MACHINE, *OF_A_CONNECTION, *OF_NOTHING):
+        for number in (*MACHINE_ERRORS, *CONNECTION_ERRORS, *NO_PENDING_CONNECTION):
             for times in (1, 3, 40):
                 with self.subTest(errno.errorcode[number], times=times):
-                    if times == 40 and number in OF_THE_MACHINE:
-                        continue  # it takes some 30 s of backoff; see the next test
+                    if times == 40 and number in MACHINE_ERRORS:
+                        continue  # the backoff would take about 30 s; the next test covers lasting errors
                     with self.failing(number, times):
                         self.assertEqual(await self.greeted(), b"hello")
 
     async def test_an_error_that_lasts_makes_few_calls_and_the_listener_hears_again(self):
-        for number in (*OF_THE_MACHINE, *OF_A_CONNECTION):
+        for number in (*MACHINE_ERRORS, *CONNECTION_ERRORS):
             with self.subTest(errno.errorcode[number]), self.failing(number, None):
                 waiting = asyncio.create_task(self.greeted())
                 await asyncio.sleep(0.1)
-                # worked out: five pauses at most in 0.1 s, more if the loop is held up; a spin has hundreds
+                # At most five pauses fit into 0.1 s; a busy loop would make hundreds of calls. The bound leaves
+                # room for a stalled event loop, in which there are more.
                 self.assertLess(self.calls, 10 * listener.CONNECTION_ERRORS_IN_A_ROW)
                 self.assertGreater(len(self.server.pauses), 1)
             self.assertEqual(await waiting, b"hello")
@@ -103,8 +104,8 @@
         with self.failing(errno.EMFILE, 5):
             self.assertEqual(await self.greeted(), b"hello")
         pauses = [pause / listener.FIRST_PAUSE for _, pause in self.server.pauses]
-        for pause, most in zip(pauses, (1, 2, 4, 4, 4), strict=True):
-            self.assertTrue(most / 2 <= pause <= most, pauses)
+        for pause, longest in zip(pauses, (1, 2, 4, 4, 4), strict=True):
+            self.assertTrue(longest / 2 <= pause <= longest, pauses)
         with self.failing(errno.EMFILE, 1):
             self.assertEqual(await self.greeted(), b"hello")
         self.assertLessEqual(self.server.pauses[-1][1], listener.FIRST_PAUSE)
--- a/tests/test_lost_cancellations.py
+++ b/tests/test_lost_cancellations.py
@@ -1,6 +1,7 @@
-"""A task that is cancelled as what it waits for comes ends: `asyncio.wait_for` of Python 3.11 goes on.
+"""A task that is cancelled just as its awaited result arrives must end.
 
-The crossing is forced: the result is there and the cancellation comes in one turn of the loop.
+`asyncio.wait_for` of Python 3.11 loses such a cancellation. The tests force the race: the result and the
+cancellation come in the same iteration of the event loop.
 """
 
 import ast
@@ -16,14 +17,14 @@
 
 PACKAGE = pathlib.Path(mqtt_connection.__file__).parents[1]
 NOT_SERVING = ("standins", "lab")  # packages that end with the process that runs them
-TURNS = 3  # of the loop, until a task waits
+ITERATIONS = 3  # of the event loop, until a task waits
 
 
 class Cancelled(unittest.IsolatedAsyncioTestCase):
-    async def _ends(self, work, awaited, result):
-        """Cancel a task in the turn in which `awaited` gets its result; whether that ended it."""
+    async def _is_cancelled(self, work, awaited, result):
+        """Cancel a task in the iteration in which `awaited` gets its result; return whether it ended."""
         task = asyncio.ensure_future(work)
-        for _ in range(TURNS):
+        for _ in range(ITERATIONS):
             await asyncio.sleep(0)
         awaited.set_result(result)
         task.cancel()
@@ -33,7 +34,7 @@
         return ended
 
     async def test_a_session_as_its_connection_is_made(self):
-        """Guards against a broker's session that lives on after the front was closed."""
+        """Guards against a session at the broker that remains after the front was closed."""
         connected = asyncio.get_running_loop().create_future()
         stream = mock.Mock()
         stream.connect.return_value = connected
@@ -42,32 +43,32 @@
         with mock.patch.object(mqtt_connection, "IOStream", lambda sock: sock.close() or stream):
             connection = MqttConnection(terms, "c1", lambda: 0)
             connection.write = mock.Mock()
-            self.assertTrue(await self._ends(connection.open(), connected, stream))
+            self.assertTrue(await self._is_cancelled(connection.open(), connected, stream))
             connection.write.assert_not_called()
 
     async def test_a_successor_as_the_word_to_go_comes(self):
-        """Guards against a process that takes over after it was told to end."""
+        """Guards against a process that takes over after it was told to stop."""
         received = asyncio.get_running_loop().create_future()
         successor = SuccessorProcess("path", asyncio.get_running_loop(), "d")
         successor.machine = mock.Mock()
         successor.connection = mock.Mock(send=mock.AsyncMock())
         successor.connection.receive.return_value = received
-        self.assertTrue(await self._ends(successor.take_over(lambda: 0), received, mock.Mock()))
+        self.assertTrue(await self._is_cancelled(successor.take_over(lambda: 0), received, mock.Mock()))
 
     async def test_a_predecessor_as_the_greeting_comes(self):
-        """Guards against a hand-over that begins in a process that ends."""
+        """Guards against a hand-over that begins in a process that is stopping."""
         received = asyncio.get_running_loop().create_future()
         hooks = {name: mock.Mock() for name in ("on_handover", "on_resume", "on_finished")}
         predecessor = PredecessorProcess("path", mock.Mock(), mock.Mock(), mock.Mock(), **hooks)
         channel = mock.Mock(send=mock.AsyncMock())
         channel.receive.return_value = received
-        self.assertTrue(await self._ends(predecessor._serve(channel), received, mock.Mock()))
+        self.assertTrue(await self._is_cancelled(predecessor._serve(channel), received, mock.Mock()))
         channel.send.assert_not_called()
 
 
 class Calls(unittest.TestCase):
     def test_nothing_that_serves_calls_wait_for(self):
-        """Guards against one more call that loses a cancellation."""
+        """Guards against new calls of `wait_for`, which would lose a cancellation."""
         found = [
             f"{file.relative_to(PACKAGE)}:{node.lineno}"
             for file in PACKAGE.rglob("*.py")
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -1,4 +1,4 @@
-"""MQTT triggers on real sockets: a broker, dispatchers, workers and a client in one process."""
+"""The MQTT front on real sockets: a broker, dispatchers, workers and a client in one process."""
 
 import asyncio
 import pathlib
@@ -28,11 +28,11 @@
 
 
 class Client:
-    """A customer's device: publishes, and keeps what answers come, by correlation."""
+    """A customer's device: publishes messages, and records the answers by correlation data."""
 
     def __init__(self, port, name="device", user="x"):
         self.port, self.name, self.user, self.answers, self.acks, self.id = port, name, user, {}, {}, 0
-        self.mute = False  # acknowledges no answer
+        self.mute = False  # whether it leaves answers unacknowledged
 
     async def open(self, clean=1, session=0, reply="reply/x/device"):
         self.stream = IOStream(socket.socket())
@@ -112,7 +112,7 @@
 
 
 class MqttCase(Case):
-    """`begin` starts the workers and the first dispatcher with its broker; `another` one more of them."""
+    """`begin` starts the broker, the workers and the dispatchers; `another` starts one more dispatcher."""
 
     async def begin(self, *workers, most=64, session="5s", alive=60, dispatchers=1, **more):
         sock, self.port = bind_unused_port()
@@ -149,7 +149,7 @@
         return core
 
     def kill(self, core):
-        """As outright as it can be within one process: nothing of it is written any more."""
+        """Stop a dispatcher as abruptly as possible within one process: it writes nothing from now on."""
         for front in core.fronts:
             for session in front.sessions:
                 session.is_closed = True
@@ -200,7 +200,7 @@
         self.client.ask("again-1", b"foreign", 1, topic="act/y/again/again-1")
         await self.answered(b"act/x/again/unknown", b"act/x/once/again-1")
         self.assertEqual([a[0][0] for a in self.client.answers.values()], ["rejected", "rejected"])
-        # the broker takes the first three, which the gateway refuses, and not the fourth
+        # the broker accepts the first three, which the gateway rejects, and rejects the fourth
         codes = {1: 0, 2: 0, 3: 0, 4: mqtt.NOT_AUTHORIZED}
         await self.until(lambda: self.client.acks == codes)
         self.assertEqual((self.runs(), self.cores[0].fronts[0].figures().rejected), (0, 3))
@@ -213,7 +213,7 @@
         self.assertLess(time.monotonic() - begun, 1.1)
         self.client.ask("once-1", b"none", 2, expiry=0)
         await asyncio.sleep(0.2)
-        self.assertNotIn(b"none", self.client.answers)  # it expired at the broker: never delivered
+        self.assertNotIn(b"none", self.client.answers)  # it expired at the broker and was never delivered
         self.assertIn("expired", [what for what, _ in self.facts])
 
     async def test_a_client_that_asks_again_joins_or_gets_the_same_answer(self):
@@ -257,7 +257,7 @@
         await self.begin(w := Worker("w1"), dispatchers=2)
         core = self.cores[0]
         session = core.fronts[0].sessions[0]
-        session.deliveries.on_pubrel = lambda packet_id: None  # its PUBRELs are never read
+        session.deliveries.on_pubrel = lambda packet_id: None  # simulates that its PUBRELs are never read
         names = [b"%d" % i for i in range(6)]
         for name in names:
             self.client.ask("once-1", name, 2)
@@ -266,14 +266,14 @@
         )
         held = {d.message.correlation for d in session.deliveries.by_packet_id.values()}
         self.kill(core)
-        # the same session: the broker sends its PUBRELs again
+        # a new dispatcher resumes the session, and the broker sends the PUBRELs again
         await self.another("d0")
         others = [n for n in names if n not in held]
         await self.answered(*others)
         await asyncio.sleep(0.3)
         marks = [p[3] for p in w.runs]
         self.assertEqual(len(marks), len(set(marks)))
-        self.assertFalse(held & set(self.client.answers))  # what the killed one owed has ended with it
+        self.assertFalse(held & set(self.client.answers))  # the killed dispatcher's messages get no answer
 
     async def test_a_broker_that_throws_all_out(self):
         await self.begin(w := Worker("w1", later(0.3)), dispatchers=2)
@@ -352,7 +352,7 @@
         self.assertEqual(len(marks), len(set(marks)))
 
     async def test_a_device_that_breaks_before_its_puback_hears_the_one_answer_again(self):
-        """Found on mqtt-morning: the audit took the broker's own redelivery to a device for a second
+        """In the experiment mqtt-morning, the audit counted a redelivery by the broker to a device as a second
         answer."""
         await self.begin(Worker("w1"))
         away = Client(self.port, "away")
@@ -392,14 +392,14 @@
     async def test_two_thousand_sessions_come_back_at_once(self):
         await self.begin(Worker("w1", later(0.05)))
 
-        room = asyncio.Semaphore(64)  # the kernel's queue for a listener holds some 128
+        room = asyncio.Semaphore(64)  # fewer than fit into the listen queue of the kernel, about 128
 
         async def connect(number):
             while True:
                 try:
                     async with room:
                         return await once(number)
-                except ConnectionError:  # as a device would: the queue was full all the same
+                except ConnectionError:  # the queue was full nevertheless: retry, as a device would
                     await asyncio.sleep(0.02)
 
         async def once(number):
@@ -438,9 +438,8 @@
         self.assertEqual(sum(present for _, present in again), 2000)
         self.client.close()
         await self.client.open()
-        # What is published while nobody has subscribed is lost, as the standard has it, and on a machine that
-        # stands still the dispatcher's own session may have run out: as a device would, ask again until an
-        # answer comes.
+        # By the standard, a message published without a subscriber is lost, and if the machine stalls, the
+        # dispatcher's own session may have expired. So publish again until an answer arrives, as a device would.
         for attempt in range(60):
             self.client.ask("again-1", b"after-%d" % attempt, 1)
             try:
@@ -451,14 +450,14 @@
         self.assertIn(
             ("completed", b'{"ok":1}'), [a for found in self.client.answers.values() for a in found]
         )
-        self.assertLess(took, 120)  # about a second where nothing else runs
+        self.assertLess(took, 120)  # takes about a second on an idle machine
         for writer, _ in again:
             writer.close()
 
 
 class SameDecision(MqttCase):
     async def test_a_recorded_case_gives_the_same_decision_through_either_front(self):
-        """Each case once by webhook and once by MQTT: how it ends, and how often it reaches a worker."""
+        """Compare the outcome of each case by webhook and by MQTT, and how often it reaches a worker."""
         cases = [
             (kind, word) for kind in ("again", "hall", "once") for word in ("ok", "error", "full", "never")
         ]
--- a/tests/test_mqtt_bytes.py
+++ b/tests/test_mqtt_bytes.py
@@ -1,6 +1,6 @@
-"""What the MQTT front writes, byte for byte, to a broker that only does what a test says.
+"""The exact bytes that the MQTT front writes to a broker controlled by the test.
 
-Ids of activations and the drawn `retry-after-ms` are masked; all else is compared as it is.
+Activation ids and the random `retry-after-ms` are masked; everything else is compared unchanged.
 """
 
 import asyncio
@@ -20,9 +20,9 @@
 
 
 class Broker:
-    """Notes each packet of the front, and answers it as a broker does where `answers` has its type."""
+    """Records each packet of the front, and answers it like a broker if `answers` contains its type."""
 
-    first_present = 0  # whether it remembers a session when the front connects for the first time
+    first_present = 0  # whether it has a session when the front connects for the first time
 
     def __init__(self):
         self.lines, self.present, self.writer = [], self.first_present, None
@@ -106,7 +106,7 @@
         return sum(line.startswith(kinds) for line in self.broker.lines)
 
     async def noted(self, kind, times):
-        """Waits until so many packets of a kind were noted, and until nothing more comes behind them."""
+        """Wait until this number of packets of a type was recorded, and until no more packets arrive."""
         await self.until(lambda: self.count(kind) >= times)
         seen = -1
         while seen != len(self.broker.lines):
@@ -114,7 +114,7 @@
             await asyncio.sleep(0.05)
 
     async def until_answered(self, count):
-        """Waits until so many answers were noted, and the broker has acknowledged all if it does."""
+        """Wait until this number of answers was recorded and, if the broker acknowledges, acknowledged."""
         await self.noted("PUBLISH", count)
         if mqtt.PUBLISH in self.broker.answers:
             await self.until(lambda: not self.session.answers.in_flight)
@@ -184,13 +184,13 @@
             lines.append(
                 f"== no answer is acknowledged; the session is {('gone', 'there')[present]} after it"
             )
-            told = self.broker.answers.pop(mqtt.PUBLISH)
+            acknowledge = self.broker.answers.pop(mqtt.PUBLISH)
             for number, (kind, qos) in enumerate((("again", 1), ("once", 2), ("once", 1)), 1):
                 self.broker.publish(number, qos, f"{kind}-1", b"%d" % number)
                 await self.until_answered(number)
             self.broker.publish(9, 1, "again-1", b"9")
             await self.until(lambda: self.runs() == 4)
-            self.broker.answers[mqtt.PUBLISH], self.broker.present = told, present
+            self.broker.answers[mqtt.PUBLISH], self.broker.present = acknowledge, present
             self.broker.writer.close()
             await self.noted("CONNECT", 2)
             await self.until(lambda: self.session.connection.is_up)
--- a/tests/test_mqtt_parts.py
+++ b/tests/test_mqtt_parts.py
@@ -1,4 +1,4 @@
-"""The parts of the MQTT front by themselves: keep-alive, packet identifiers, patience."""
+"""Unit tests of the MQTT front: keep-alive, packet identifiers, patience."""
 
 import types
 import unittest
@@ -18,7 +18,9 @@
 class Connections(unittest.TestCase):
     def test_keep_alive(self):
         connection = MqttConnection(TERMS, "d.x", lambda: 0)
-        self.assertIs(connection.check_keep_alive(100 * SECOND), KeepAlive.NOTHING)  # it is not up
+        self.assertIs(
+            connection.check_keep_alive(100 * SECOND), KeepAlive.NOTHING
+        )  # the connection is not up
         connection.is_up = True
         due = [connection.check_keep_alive(second * SECOND) for second in (5, 11, 12, 17, 20, 21)]
         self.assertEqual(
@@ -26,7 +28,7 @@
             [
                 KeepAlive.NOTHING,
                 KeepAlive.PING,
-                KeepAlive.NOTHING,  # a quarter of the keep-alive has to pass first
+                KeepAlive.NOTHING,  # a quarter of the keep-alive must pass first
                 KeepAlive.PING,
                 KeepAlive.NOTHING,
                 KeepAlive.CLOSE,
@@ -39,8 +41,8 @@
         self.assertEqual([connection.lost(), connection.lost()], [True, False])
 
 
-class Written(MqttConnection):
-    """A connection that keeps what is written."""
+class RecordingConnection(MqttConnection):
+    """A connection that records written packets."""
 
     def __init__(self):
         super().__init__(TERMS, "d.x", lambda: 0)
@@ -52,7 +54,7 @@
 
 class Answers(unittest.TestCase):
     def setUp(self):
-        self.connection, self.log = Written(), []
+        self.connection, self.log = RecordingConnection(), []
         log = types.SimpleNamespace(info=lambda event, **fields: self.log.append((event, fields)))
         self.answers = AnswerSender(TERMS, self.connection, MqttCounts(), log, "x")
         self.answers.release_earlier(session_present=False)
--- a/tests/test_packets.py
+++ b/tests/test_packets.py
@@ -1,5 +1,5 @@
-"""The MQTT 5 codec: round trips, every truncation, every flipped bit. A reason code, never another
-exception."""
+"""The MQTT 5 codec: round trips, all truncations, all bit flips. Malformed data raises only MqttError, with a
+reason code."""
 
 import dataclasses
 import random
@@ -45,7 +45,7 @@
     ),
 )
 ACK = st.builds(
-    lambda type_, id_, code, why: P(type_, id_, code, props={"reason": why} if why else {}),
+    lambda type_, id_, code, reason: P(type_, id_, code, props={"reason": reason} if reason else {}),
     st.sampled_from(mqtt.ACKS),
     st.integers(1, 65535),
     st.integers(0, 255),
@@ -96,8 +96,8 @@
 ]
 
 
-def read(data, most=10_000):
-    return list(mqtt.Reader(most).feed(data))
+def read(data, max_size=10_000):
+    return list(mqtt.Reader(max_size).feed(data))
 
 
 class Codec(unittest.TestCase):
@@ -136,7 +136,7 @@
             whole = mqtt.encode(packet)
             for size in range(len(whole)):
                 self.assertEqual(read(whole[:size]), [])
-                if size > 2:  # the same, as if that were all of it
+                if size > 2:  # the same bytes with a remaining length that matches them
                     short = bytes((whole[0], size - 2)) + whole[2:size]
                     try:
                         self.assertEqual(len(read(short)), 1)
@@ -200,7 +200,7 @@
 
 
 class OtherReaders(unittest.TestCase):
-    """The worker's and the roster's formats, under the same treatment."""
+    """The formats of workers and of the roster, tested in the same way."""
 
     def test_rpc_any_bytes_end_in_messages_or_garbage(self):
         chance = random.Random(4)
--- a/tests/test_roster_link.py
+++ b/tests/test_roster_link.py
@@ -1,4 +1,4 @@
-"""The link to the roster ends when it is closed, at whatever moment that comes."""
+"""The link to the roster: closing it at any time, and malformed events."""
 
 import asyncio
 import unittest
@@ -11,8 +11,8 @@
 
 class Closing(unittest.IsolatedAsyncioTestCase):
     async def test_it_ends_also_where_it_was_connecting(self):
-        for turns in range(4):  # of the loop, after which it is closed
-            with self.subTest(turns=turns):
+        for iterations in range(4):  # of the event loop, before the link is closed
+            with self.subTest(turns=iterations):
                 listening = bind_sockets(0, "127.0.0.1")
                 self.addCleanup(listening[0].close)
                 core = mock.Mock(loop=asyncio.get_running_loop(), now=lambda: 0)
@@ -21,7 +21,7 @@
                 membership.backoff.failed = lambda now: 0
                 link = RosterLink(listening[0].getsockname(), membership, 10**9, core, mock.Mock())
                 link.open()
-                for _ in range(turns):
+                for _ in range(iterations):
                     await asyncio.sleep(0)
                 link.close()
                 await asyncio.wait([link.task], timeout=5)
@@ -31,7 +31,7 @@
 
 class MalformedEvents(unittest.IsolatedAsyncioTestCase):
     async def _follow(self, data):
-        """The membership and the log of a link whose roster sends an event with this data."""
+        """Return the membership and the log of a link whose roster sends an event with this data."""
 
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
@@ -63,7 +63,7 @@
         return membership, log
 
     async def test_data_that_is_no_list_changes_nothing_and_is_logged(self):
-        """Guards against an empty object or text that is taken for a list without workers."""
+        """Guards against treating an empty object or string as a list without workers."""
         for data in ("{}", '""', "null", "5", '{"worker": "w1"}', '"w1"'):
             with self.subTest(data):
                 membership, log = await self._follow(data)
@@ -72,7 +72,7 @@
                 self.assertEqual(reason, "the data of an event must be a list of endpoints")
 
     async def test_an_entry_whose_number_is_out_of_range_changes_nothing(self):
-        """Guards against a number that JSON takes and an integer does not."""
+        """Guards against a number that is valid in JSON but can't be converted to an integer."""
         entry = '{"worker": "w1", "address": "127.0.0.1:1", "state": "usable", "booted": 1e999}'
         membership, _ = await self._follow(f"[{entry}]")
         membership.apply_list.assert_not_called()
--- a/tests/test_rpc_client.py
+++ b/tests/test_rpc_client.py
@@ -1,4 +1,4 @@
-"""A client of MessagePack-RPC whose system calls fail: each call ends in time, and the next one works."""
+"""The MessagePack-RPC client when system calls fail: each call ends in time, and the next one succeeds."""
 
 import asyncio
 import contextlib
@@ -16,10 +16,10 @@
 from petrelwood.links.listener import Listener
 from petrelwood.links.rpc_client import RpcClient, RpcError
 
-PATIENT = 30  # seconds; far over what a busy machine needs
-MOST = 1 << 16  # bytes of a message
-NO_SOCKET = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPERM)
-NO_CONNECTION = (
+TIMEOUT = 30  # seconds; far more than a busy machine needs
+MAX_SIZE = 1 << 16  # bytes of a message
+SOCKET_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPERM)
+CONNECT_ERRORS = (
     errno.ECONNREFUSED,
     errno.ECONNABORTED,
     errno.EADDRNOTAVAIL,
@@ -30,7 +30,7 @@
     errno.EPERM,
     errno.EAGAIN,
 )
-BROKEN = (
+CONNECTION_ERRORS = (
     errno.ECONNRESET,
     errno.EPIPE,
     errno.ETIMEDOUT,
@@ -41,22 +41,22 @@
 
 
 class Echo(Listener):
-    """Answers each call with its parameters, but for the method `silence`."""
+    """Answers each call with its parameters, except for the method `silence`."""
 
     def __init__(self):
         super().__init__()
         self.connections, self.silent = 0, 0
 
     def fall_silent(self):
-        """Nothing is answered any more on the connections that there are."""
+        """Stop answering on the present connections."""
         self.silent = self.connections
 
     async def handle_stream(self, stream, address):
         self.connections += 1
-        own, reader = self.connections, rpc.Reader(MOST)
+        own, reader = self.connections, rpc.Reader(MAX_SIZE)
         while True:
             try:
-                data = await stream.read_bytes(MOST, partial=True)
+                data = await stream.read_bytes(MAX_SIZE, partial=True)
             except OSError:
                 return
             for _, message_id, method, params in reader.feed(data):
@@ -72,20 +72,20 @@
         listening = bind_sockets(0, "127.0.0.1")
         self.server.add_sockets(listening)
         self.addCleanup(self.server.stop)
-        self.client = RpcClient(listening[0].getsockname(), MOST)
+        self.client = RpcClient(listening[0].getsockname(), MAX_SIZE)
         self.addCleanup(self.client.close)
 
-    async def ask(self, method="echo", within=PATIENT):
+    async def ask(self, method="echo", within=TIMEOUT):
         return await self.client.call(method, [1], within)
 
     async def fails_at_once(self, method="echo"):
         began = time.monotonic()
         with self.assertRaises(RpcError):
             await self.ask(method)
-        self.assertLess(time.monotonic() - began, PATIENT / 2)
+        self.assertLess(time.monotonic() - began, TIMEOUT / 2)
 
     def fault(self, name, number, when=lambda sock, args: True):
-        """One failing call of a method of the client's socket; the server's are left alone."""
+        """Make one call of a method of the client's socket fail; sockets of the server are not affected."""
         inner, done = getattr(socket.socket, name), []
         port = self.client.address[1]
 
@@ -100,7 +100,7 @@
         return mock.patch.object(socket.socket, name, outer)
 
     async def test_no_socket_to_be_had(self):
-        for number in NO_SOCKET:
+        for number in SOCKET_ERRORS:
             with self.subTest(errno.errorcode[number]):
                 self.client.close()
                 with mock.patch.object(sockets, "new_socket", side_effect=OSError(number, "injected")):
@@ -109,9 +109,9 @@
 
     async def test_no_connection_to_be_had(self):
         for name in ("connect", "getsockopt"):
-            for number in NO_CONNECTION:
+            for number in CONNECT_ERRORS:
                 if (name, number) == ("connect", errno.EAGAIN):
-                    continue  # it is how a connect that goes on is told
+                    continue  # for connect(2) this means that connecting is in progress
                 with self.subTest(name, number=errno.errorcode[number]):
                     self.client.close()
                     with self.fault(name, number):
@@ -140,7 +140,7 @@
 
     async def test_a_connection_that_breaks_ends_all_calls_at_once(self):
         for name in ("recv_into", "send"):
-            for number in BROKEN:
+            for number in CONNECTION_ERRORS:
                 with self.subTest(name, number=errno.errorcode[number]):
                     self.assertEqual(await self.ask(), [1])
                     waiting = asyncio.create_task(self.fails_at_once("silence"))
@@ -155,7 +155,7 @@
         self.assertEqual(await self.ask(), [1])
 
     async def test_a_connection_that_is_silent_for_a_call_is_not_used_again(self):
-        """As to a machine that lost its power: nothing tells that the connection is gone."""
+        """As with a machine that lost power: there is no sign that the connection is dead."""
         self.assertEqual(await self.ask(), [1])
         self.server.fall_silent()
         with self.assertRaisesRegex(RpcError, "no answer in time"):
@@ -185,7 +185,7 @@
 
         task = asyncio.create_task(caller())
         await asyncio.sleep(0.05)
-        self.client.close()  # its call fails in the turn in which it is cancelled
+        self.client.close()  # its call fails in the same iteration of the event loop in which it is cancelled
         await asyncio.sleep(0)
         task.cancel()
         await asyncio.wait([task], timeout=5)
@@ -193,7 +193,7 @@
 
     async def test_too_many_calls_without_an_answer_fail_at_once(self):
         calls = [asyncio.create_task(self.ask("silence")) for _ in range(rpc_client.MAX_OPEN_CALLS)]
-        async with asyncio.timeout(PATIENT):
+        async with asyncio.timeout(TIMEOUT):
             while self.client.messages < len(calls):
                 await asyncio.sleep(0.01)
         await self.fails_at_once()
@@ -203,7 +203,7 @@
 
 
 def _port_of(sock, args):
-    """The port that a socket is connected to, or is just being connected to."""
+    """Return the port that a socket is connected or connecting to."""
     if args and isinstance(args[0], tuple):
         return args[0][1]
     try:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""Faults on real sockets: what the dispatcher answers, and what reached the workers."""
+"""Faults on real sockets: the answers of the dispatcher, and the calls that reached the workers."""
 
 import asyncio
 import pathlib
@@ -23,12 +23,12 @@
         await self.begin(w := Worker("w1"))
         status, reply = await self.post(body=b'{"a":1}')
         self.assertEqual((status, reply.body), (200, b'{"ok":1}'))
-        act, n, fn, mark, left, lanes, body = w.runs[0]
+        activation_id, attempt, function, mark, remaining, lanes, body = w.runs[0]
         self.assertEqual(
-            (act, n, fn, mark, lanes, body),
+            (activation_id, attempt, function, mark, lanes, body),
             (reply.headers[b"activation-id"].decode(), 0, "again-1", "x/m1", 4, b'{"a":1}'),
         )
-        self.assertTrue(0 < left < 2_000_000_000)
+        self.assertTrue(0 < remaining < 2_000_000_000)
 
     async def test_wrong_requests_end_at_the_front(self):
         await self.begin(w := Worker("w1"))
@@ -158,14 +158,14 @@
         await self.begin(w := Worker("w1", never))
         asked = asyncio.ensure_future(self.caller.call(self.message("again-1", "m"), 30))
         await self.until(lambda: w.runs)
-        line = next(iter(self.front.connections))
-        exchange = line.unanswered[0]
+        connection = next(iter(self.front.connections))
+        exchange = connection.unanswered[0]
         link = self.core.links["w1"]
         msgid = next(iter(link.in_flight))
-        link._response(msgid, None, [*w.acts()[0], 1, b"{}", None])  # both in one turn of the loop
+        link._response(msgid, None, [*w.acts()[0], 1, b"{}", None])  # both in one iteration of the event loop
         self.front.core.detach_client(exchange.activation_id, exchange)
-        line.stream.close()
-        await asyncio.gather(asked, return_exceptions=True)  # it may still have got the bytes
+        connection.stream.close()
+        await asyncio.gather(asked, return_exceptions=True)  # the client may have received the answer
         counts = self.core.pending.counts
         self.assertEqual(
             (counts["completed"], counts["left"], counts["twice"], counts["defects"]), (1, 0, 0, 0)
@@ -176,11 +176,11 @@
         await self.begin(w := Worker("w1", never))
         asked = asyncio.ensure_future(self.caller.call(self.message("again-1", "m"), 30))
         await self.until(lambda: w.runs)
-        line, link = next(iter(self.front.connections)), self.core.links["w1"]
+        connection, link = next(iter(self.front.connections)), self.core.links["w1"]
         msgid = next(iter(link.in_flight))
-        self.front.core.detach_client(line.unanswered[0].activation_id, line.unanswered[0])
+        self.front.core.detach_client(connection.unanswered[0].activation_id, connection.unanswered[0])
         link._response(msgid, None, [*w.acts()[0], 1, b"{}", None])
-        with self.assertRaises(asyncio.TimeoutError):  # nothing may be written for what was left
+        with self.assertRaises(asyncio.TimeoutError):  # no answer may be written to a client that has left
             await asyncio.wait_for(asyncio.shield(asked), 0.2)
         asked.cancel()
         counts = self.core.pending.counts
@@ -217,21 +217,23 @@
         self.assertEqual((status, self.runs()), (504, 1))
 
     async def test_a_connection_lost_after_half_a_frame_may_have_run(self):
-        """The worker stops reading inside a large call, then resets: bytes were handed over, so nothing is
-        proved."""
+        """The worker stops reading during a large call, then resets the connection. The kernel accepted some
+        bytes of the call, so nothing proves that it did not run."""
         slow = Worker("w1", reads=False)
         await self.begin(slow, limits='body "8MB"', terms='frame "16MB"; queue "32MB"')
         asked = asyncio.ensure_future(self.post("once-1", body=b"x" * 6_000_000))
         link = self.core.links["w1"]
         await self.until(lambda: link.writing)
         small = asyncio.ensure_future(self.post("once-2"))
-        await self.until(lambda: len(link.waiting) == 1)  # behind it, still in our own queue
+        await self.until(
+            lambda: len(link.waiting) == 1
+        )  # still queued in the dispatcher, after the large call
         slow.stop()
         for stream in slow.streams:
             stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             stream.close()
         self.assertEqual((await asked)[0], 504)
-        self.assertEqual((await small)[0], 503)  # never ran: it may come back
+        self.assertEqual((await small)[0], 503)  # it never ran, so the client may retry
 
     async def test_a_drain_told_while_the_call_is_being_written_takes_the_rest_back(self):
         stuck, free = Worker("w1", reads=False), Worker("w2", later(0.05))
@@ -292,7 +294,7 @@
         await self.begin(full := Worker("w1", says("full")), Worker("w2"), Worker("w3"))
         for i in range(9):
             self.assertEqual((await self.post(f"once-{i}"))[0], 200)
-        self.assertTrue(full.runs, "none went to the full one: the case was not met")
+        self.assertTrue(full.runs, "no call was sent to the full worker, so the test is not meaningful")
 
     async def test_an_error_of_once_only_is_final(self):
         await self.begin(Worker("w1", says("error")), Worker("w2", says("error")))
@@ -307,14 +309,14 @@
         for i in range(12):
             await self.post(f"hall-{i}")
         marks = {p[3] for p in north.runs}
-        self.assertTrue(marks, "none was sent north: the case was not met")
+        self.assertTrue(marks, "no call was sent to the northern worker, so the test is not meaningful")
         self.assertFalse(marks & {p[3] for w in south for p in w.runs})
 
     async def test_half_open_peer_is_given_up(self):
         await self.begin(w := Worker("w1", never), terms="")
         asked = asyncio.ensure_future(self.post("again-1"))
         await self.until(lambda: w.runs)
-        self.assertEqual((await asked)[0], 503)  # repeatable: it may come back
+        self.assertEqual((await asked)[0], 503)  # repeatable: the client may retry
         self.assertEqual(self.core.pending.counts["overdue"], 0)
 
     async def test_another_life_on_the_same_address(self):
@@ -331,7 +333,7 @@
         async def answered():
             return (await self.post("once-2"))[0] == 200
 
-        for _ in range(30):  # cold: its budget is small at first
+        for _ in range(30):  # a restarted worker has a small budget at first
             if await answered():
                 break
         self.assertEqual(self.core.links["w1"].state.incarnations, 2)
@@ -391,7 +393,7 @@
             status, _ = await self.post("again-1", Prefer="wait=1")
             took = time.monotonic() - begun
         self.assertEqual((status, self.core.pending.counts["overdue"]), (504, 1))
-        # this process may have stood still meanwhile: in time but for that
+        # the test's own event loop may have stalled in the meantime
         self.assertLess(took, 1 + lag.longest)
 
     async def test_a_send_after_the_final_answer_is_held_back(self):
--- a/tests/test_webhook_bytes.py
+++ b/tests/test_webhook_bytes.py
@@ -1,7 +1,7 @@
-"""What the webhook front writes, byte for byte: each kind of answer, on connections that are written by hand.
+"""The exact bytes of each kind of answer of the webhook front, for requests that the test writes itself.
 
-Ids of activations and the drawn part of `Retry-After` are masked; all else is compared as it is. An id has
-more digits the longer the machine is up: the length of a body that has one is that of the masked body.
+Activation ids and the random part of `Retry-After` are masked; everything else is compared unchanged. An id has
+more digits the longer the machine is up, so the length of a body with an id is that of the masked body.
 """
 
 import asyncio
@@ -18,36 +18,36 @@
 
 
 def masked(data):
-    """Answers with ids masked. Each body is cut by the length that its head states, so a wrong one shows."""
+    """Return the answers with masked ids. Bodies are split by Content-Length, to detect a wrong length."""
     found = b""
     while data:
         head, end, rest = data.partition(b"\r\n\r\n")
-        stated = CONTENT_LENGTH.search(head)
-        length = int(stated[1]) if stated else 0
+        content_length = CONTENT_LENGTH.search(head)
+        length = int(content_length[1]) if content_length else 0
         body, data = rest[:length], rest[length:]
-        same = ACTIVATION.sub(b"ACT", body)
-        if same != body:
-            head = CONTENT_LENGTH.sub(b"Content-Length: %d" % (length - len(body) + len(same)), head)
-        found += ACTIVATION.sub(b"ACT", head) + end + same
+        masked_body = ACTIVATION.sub(b"ACT", body)
+        if masked_body != body:
+            head = CONTENT_LENGTH.sub(b"Content-Length: %d" % (length - len(body) + len(masked_body)), head)
+        found += ACTIVATION.sub(b"ACT", head) + end + masked_body
     return RETRY_AFTER.sub(b"Retry-After: N", found)
 
 
 class Bytes(Case):
-    """Each request goes out on a connection of its own, which is read until all is answered."""
+    """Each request is sent on its own connection, which is read until all answers have arrived."""
 
     async def begin(self, *workers, **more):
         await super().begin(*workers, **more)
         self.lines = []
 
     async def exchange(self, name, data, answers=1):
-        """Notes all that is answered to `data`, and whether the connection was closed behind it."""
+        """Record all answers to `data`, and whether the connection was closed after them."""
         stream = await self.caller.connect()
         await stream.write(data)
         got, end = b"", "open"
         try:
             while not self.complete(got, answers):
                 got += await asyncio.wait_for(stream.read_bytes(65536, partial=True), 30)
-            # one that says that it is closed is closed soon; on any other nothing more comes
+            # after Connection: close the connection is closed soon; on any other no more data may arrive
             more = 30 if b"\r\nConnection: close\r\n" in got else 0.05
             got += await asyncio.wait_for(stream.read_bytes(65536, partial=True), more)
         except TimeoutError:
@@ -60,7 +60,7 @@
 
     @staticmethod
     def complete(got, answers):
-        """Whether so many final answers are there, the last with its body."""
+        """Return whether this number of final answers has arrived, the last with its body."""
         head, end, body = got.rpartition(b"\r\n\r\n")
         length = CONTENT_LENGTH.findall(head)
         return bool(end) and len(length) >= answers and len(body) >= int(length[-1])
--- a/tests/test_webhook_parts.py
+++ b/tests/test_webhook_parts.py
@@ -1,4 +1,4 @@
-"""The parts of the webhook front by themselves: statuses, patience, targets, unread answers."""
+"""Unit tests of the webhook front: statuses, patience, targets, unread answers."""
 
 import types
 import unittest
@@ -14,9 +14,9 @@
 
 class Answers(unittest.TestCase):
     def test_each_final_outcome_has_a_status(self):
-        later = {intake.Outcome.ADMIT, intake.Outcome.JOIN}
+        not_final = {intake.Outcome.ADMIT, intake.Outcome.JOIN}
         for outcome in intake.Outcome:
-            if outcome not in later:
+            if outcome not in not_final:
                 with self.subTest(outcome):
                     self.assertIsInstance(response_to(outcome, b"", 0, "", None).status, HttpStatus)
         ends = (ActivationState.COMPLETED, ActivationState.REJECTED, ActivationState.ABORTED)
--- a/tests/test_worker_messages.py
+++ b/tests/test_worker_messages.py
@@ -1,4 +1,4 @@
-"""The messages between a dispatcher and a worker, and why a connection ended."""
+"""The messages between a dispatcher and a worker, and the reason for the end of a connection."""
 
 import asyncio
 import unittest
@@ -96,7 +96,7 @@
 
 class ReasonOfEnd(unittest.TestCase):
     def reason(self, error):
-        """Why a connection ended that this error has ended, and the defects that were reported."""
+        """Return the reason for the end of a connection after this error, and the reported defects."""
 
         async def serve():
             if error is not None:
