--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -88,8 +88,8 @@
             with self.subTest(errno.errorcode[number]), self.failing(number, None):
                 waiting = asyncio.create_task(self.greeted())
                 await asyncio.sleep(0.1)
-                # At most five pauses fit into 0.1 s; a busy loop would make hundreds of calls. The bound leaves
-                # room for a stalled event loop, in which there are more.
+                # At most five pauses fit into 0.1 s, more if the event loop stalls. A busy loop would make
+                # hundreds of calls.
                 self.assertLess(self.calls, 10 * listener.CONNECTION_ERRORS_IN_A_ROW)
                 self.assertGreater(len(self.server.pauses), 1)
             self.assertEqual(await waiting, b"hello")
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -352,8 +352,8 @@
         self.assertEqual(len(marks), len(set(marks)))
 
     async def test_a_device_that_breaks_before_its_puback_hears_the_one_answer_again(self):
-        """In the experiment mqtt-morning, the audit counted a redelivery by the broker to a device as a second
-        answer."""
+        """In the experiment mqtt-morning, the audit counted a redelivery by the broker to a device as a
+        second answer."""
         await self.begin(Worker("w1"))
         away = Client(self.port, "away")
         await away.open(clean=1, session=30, reply="reply/x/away")
@@ -439,7 +439,8 @@
         self.client.close()
         await self.client.open()
         # By the standard, a message published without a subscriber is lost, and if the machine stalls, the
-        # dispatcher's own session may have expired. So publish again until an answer arrives, as a device would.
+        # dispatcher's own session may have expired. So publish again until an answer arrives, as a device
+        # would.
         for attempt in range(60):
             self.client.ask("again-1", b"after-%d" % attempt, 1)
             try:
--- a/tests/test_webhook_bytes.py
+++ b/tests/test_webhook_bytes.py
@@ -1,7 +1,7 @@
 """The exact bytes of each kind of answer of the webhook front, for requests that the test writes itself.
 
-Activation ids and the random part of `Retry-After` are masked; everything else is compared unchanged. An id has
-more digits the longer the machine is up, so the length of a body with an id is that of the masked body.
+Activation ids and the random part of `Retry-After` are masked; everything else is compared unchanged. An id
+has more digits the longer the machine is up, so the length of a body with an id is that of the masked body.
 """
 
 import asyncio
