--- a/petrelwood/fronts/http_connection.py
+++ b/petrelwood/fronts/http_connection.py
@@ -94,9 +94,7 @@
                 while self._is_paused and not self._is_closing:
                     self._resumption = Future()
                     await self._resumption
-        except (
-            OSError
-        ) as error:  # Tornado raises a socket error unchanged, or as the cause of a StreamClosedError
+        except OSError as error:  # Tornado raises it unchanged, or as the cause of a StreamClosedError
             cause = error.real_error if isinstance(error, StreamClosedError) else error
             if isinstance(cause, ssl.SSLError):
                 self._owner.count("handshakes refused")
--- a/petrelwood/fronts/mqtt_session.py
+++ b/petrelwood/fronts/mqtt_session.py
@@ -132,9 +132,7 @@
             self._log.info("broker silent", customer=self.customer)
             self.connection.drop()
         elif action is KeepAlive.PING:
-            self.deliveries.pings += (
-                1  # counted with the others, since its PINGRESP proves no more than theirs
-            )
+            self.deliveries.pings += 1  # its PINGRESP proves no more than those of other PINGREQs
             self.ping()
 
     # Packets from the broker
@@ -145,9 +143,7 @@
         handler(packet)
 
     def _on_publish(self, packet: packets.Packet) -> None:
-        topic = self.decoder.topic_of(
-            packet
-        )  # not in the submitted call, because an error must end the connection
+        topic = self.decoder.topic_of(packet)  # an error must be raised here to end the connection
         self.core.submit(self._message_arrived, packet, topic)
 
     def _on_pubrel(self, packet: packets.Packet) -> None:
--- a/petrelwood/links/calls.py
+++ b/petrelwood/links/calls.py
@@ -91,9 +91,8 @@
     can cancel a call.
     """
 
-    MIN_TIME_LEFT = (
-        1  # ns; an attempt with less remaining time is not sent. It is the unit of that time in a frame.
-    )
+    # An attempt with less remaining time is not sent. In ns; the unit of that time in a frame.
+    MIN_TIME_LEFT = 1
 
     def __init__(self, worker: str, address: Address | None, core: LinkCore) -> None:
         self.worker = worker
@@ -243,9 +242,7 @@
     ) -> None:
         """Report the end of a call to the core, as an event after the one being handled."""
         core = self.core
-        if (
-            call.kind == LOAD_ORDER and call.stage == QUEUED
-        ):  # never sent: it no longer counts against the rate limit
+        if call.kind == LOAD_ORDER and call.stage == QUEUED:  # not sent: not counted by the rate limit
             core.order_not_sent(call.made_at)
         call.stage = ANSWERED
         if call.kind == RUN:
--- a/petrelwood/links/roster.py
+++ b/petrelwood/links/roster.py
@@ -178,9 +178,8 @@
 def _decode_endpoints(data: str) -> list[Endpoint]:
     """Return the endpoints in the data of an event. Raises ProtocolError and ValueError."""
     entries = orjson.loads(data)
-    if not isinstance(
-        entries, list
-    ):  # `{}` must not be taken for an empty list, which would remove all workers
+    # `{}` must not be treated like an empty list, which would remove all workers
+    if not isinstance(entries, list):
         raise EndpointListError("the data of an event must be a list of endpoints")
     return [decode_endpoint(raw) for raw in entries]
 
--- a/petrelwood/links/worker_messages.py
+++ b/petrelwood/links/worker_messages.py
@@ -22,13 +22,7 @@
 from petrelwood.links.interfaces import LoadReport
 from petrelwood.ports import EndReason
 
-LOAD_REPORT_FIELDS = (
-    "running",
-    "waiting",
-    "cores",
-    "pinned",
-    "loads",
-)  # the fields of a load report; others are ignored
+LOAD_REPORT_FIELDS = ("running", "waiting", "cores", "pinned", "loads")  # other fields are ignored
 COMPLETED = EndReason.COMPLETED  # Python 3.11 is slow to look up a member on its enum
 HELLO = "hello"
 CANCEL = "cancel"
--- a/tests/test_mqtt_parts.py
+++ b/tests/test_mqtt_parts.py
@@ -18,9 +18,8 @@
 class Connections(unittest.TestCase):
     def test_keep_alive(self):
         connection = MqttConnection(TERMS, "d.x", lambda: 0)
-        self.assertIs(
-            connection.check_keep_alive(100 * SECOND), KeepAlive.NOTHING
-        )  # the connection is not up
+        # the connection is not up
+        self.assertIs(connection.check_keep_alive(100 * SECOND), KeepAlive.NOTHING)
         connection.is_up = True
         due = [connection.check_keep_alive(second * SECOND) for second in (5, 11, 12, 17, 20, 21)]
         self.assertEqual(
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -225,9 +225,7 @@
         link = self.core.links["w1"]
         await self.until(lambda: link.writing)
         small = asyncio.ensure_future(self.post("once-2"))
-        await self.until(
-            lambda: len(link.waiting) == 1
-        )  # still queued in the dispatcher, after the large call
+        await self.until(lambda: len(link.waiting) == 1)  # still queued, after the large call
         slow.stop()
         for stream in slow.streams:
             stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -174,9 +174,8 @@
             stream.close()
         lost = self.cores[0].links["w1"].counts.lost
         self.client.ask("once-2", b"2", 2)
-        self.assertEqual(
-            await self.answered(b"2"), ["rejected"]
-        )  # it never ran, because no connection was established
+        # it never ran, because no connection was established
+        self.assertEqual(await self.answered(b"2"), ["rejected"])
         self.assertGreater(self.cores[0].links["w1"].counts.lost, lost)
         self.assertEqual(len(worker.runs), 1)
 
