--- a/petrelwood/links/worker.py
+++ b/petrelwood/links/worker.py
@@ -290,7 +290,7 @@
         """End what is overdue at `now` (ns); return whether further checks are needed."""
         verdict = self.state.check(now, bool(self.in_flight))
         if verdict == LinkCheck.GIVE_UP:
-            self.give_up("the worker was silent for too long")
+            self.give_up("nothing was received from the worker in time")
         elif verdict == LinkCheck.PING:
             self.check_health()
         for call in self._overdue_calls(now, self.terms.order_within):
@@ -313,7 +313,7 @@
     def _greeted(self, params: list[object]) -> None:
         greeting = worker_messages.decode_greeting(params)
         if not self.state.on_greeting(self.core.now(), greeting.worker, greeting.started):
-            raise rpc.MalformedRpcError(f"the greeting is from another worker, {greeting.worker!r}")
+            raise rpc.MalformedRpcError(f"unexpected greeting from {greeting.worker!r}")
         self._flush()
 
     def _response(self, message_id: int, error: object, result: object) -> None:
