--- a/petrelwood/fronts/webhook.py
+++ b/petrelwood/fronts/webhook.py
@@ -134,7 +134,7 @@
         self.connections.discard(connection)
 
     def count(self, event: str) -> None:
-        """Count an event, for tests."""
+        """Count an event; the counts are for tests."""
         self.counts[event] = self.counts.get(event, 0) + 1
 
     # Requests
--- a/petrelwood/links/mqtt/__init__.py
+++ b/petrelwood/links/mqtt/__init__.py
@@ -1,1 +1,1 @@
-"""MQTT 5 packets (OASIS standard, version 5.0) to bytes and back, for both ends, free of I/O."""
+"""Encoding and decoding of MQTT 5 packets (OASIS standard, version 5.0), for clients and brokers, without I/O."""
