--- a/petrelwood/links/mqtt/__init__.py
+++ b/petrelwood/links/mqtt/__init__.py
@@ -1,1 +1,1 @@
-"""Encoding and decoding of MQTT 5 packets (OASIS standard, version 5.0) for clients and brokers, without I/O."""
+"""Codec for MQTT 5 packets (OASIS standard, version 5.0) for both clients and brokers, without I/O."""
