--- a/petrelwood/links/calls.py
+++ b/petrelwood/links/calls.py
@@ -86,9 +86,9 @@
 class Calls(Generic[ContentT, ConnectionT]):
     """The open calls of one link.
 
-    A subclass moves a call through its stages: `_enqueue` queues it, `_take_frame` removes it from the queue
-    to write it, `_end` reports its end. A subclass implements `_encode`, and `_send_cancel` if its protocol
-    can cancel a call.
+    A subclass moves a call through its stages: `_enqueue` queues it, `_take_frame` encodes it and marks it as
+    written, `_end` reports its end. A subclass implements `_encode`, and `_send_cancel` if its protocol can
+    cancel a call.
     """
 
     # An attempt with less remaining time is not sent. In ns; the unit of that time in a frame.
@@ -101,9 +101,8 @@
         self.waiting: deque[Call[ContentT, ConnectionT]] = deque()  # queued calls that are not written yet
         self.waiting_bytes = 0
         self.in_flight: dict[object, Call[ContentT, ConnectionT]] = {}  # written calls by tag
-        self.runs: dict[
-            tuple[str, int], Call[ContentT, ConnectionT]
-        ] = {}  # queued and in-flight attempts, by activation and number
+        # queued and in-flight attempts, by activation and number
+        self.runs: dict[tuple[str, int], Call[ContentT, ConnectionT]] = {}
         self.counts = LinkCounts()
 
     # Interface for the dispatcher
