--- a/tests/cold_budget.py
+++ b/tests/cold_budget.py
@@ -365,7 +365,7 @@
             guarantees=ports.Guarantees(0, c.cold * MS, c.cold_part, c.multiple, c.fall * MS),
             orders=ports.LoadOrders(True, c.loads_on_send, 60_000 * MS, 0, 0, 0),
             allowed=ports.Allowed(3, True, True, False, True, 500 * MS),
-            asks=False,
+            must_request_list=False,
             reports_by_probe=False,
             tick=c.tick * MS,
         )
