--- a/tests/ration.py
+++ b/tests/ration.py
@@ -37,7 +37,16 @@
     """What a run is like. Times in ms, rates a second."""
 
     def __init__(self, seed, **changes):
-        self.seed, self.period, self.free, self.part, self.connect, self.rate, self.falls, self.seconds = (
+        (
+            self.seed,
+            self.period,
+            self.base_orders,
+            self.orders_per_activation,
+            self.connect_timeout,
+            self.rate,
+            self.off_peak_factor,
+            self.seconds,
+        ) = (
             seed,
             10_000,
             4,
@@ -48,27 +57,30 @@
             30,
         )
         (
-            self.late,
-            self.latest,
-            self.never,
-            self.refused,
+            self.late_share,
+            self.max_connect_delay,
+            self.never_share,
+            self.refused_share,
             self.floods,
-            self.strange,
-            self.gives_up,
-            self.lag,
+            self.unknown_share,
+            self.cancel_share,
+            self.read_lag,
             self.target,
         ) = (0.3, 1000, 0.05, 0.02, 0.2, 0.1, 0.1, 2, 400)
-        self.functions, self.workers, self.replaced, self.streams = 60, 8, 3, 32
+        self.functions, self.workers, self.replacements, self.streams = 60, 8, 3, 32
         # the part of the workers that hang at a time, and for how many seconds
-        self.hangs, self.hung = 0.0, 12
+        self.hang_share, self.hang_seconds = 0.0, 12
         vars(self).update(changes)
 
     def settings(self):
         raw = copy.deepcopy(SETTINGS)
         raw["familyInfo"].update(
-            freeLoads=self.free, loadPart=self.part, loadPeriod=self.period * 1000, keep=4_000_000
+            freeLoads=self.base_orders,
+            loadPart=self.orders_per_activation,
+            loadPeriod=self.period * 1000,
+            keep=4_000_000,
         )
-        raw["permissions"].update(connectTimeout=self.connect * 1000, multiplex=self.streams)
+        raw["permissions"].update(connectTimeout=self.connect_timeout * 1000, multiplex=self.streams)
         for type_ in raw["classes"]:
             type_["slo"], type_["deadline"] = self.target * 1000, 4 * self.target * 1000
         return raw
@@ -104,7 +116,7 @@
 
 class Worker:
     def __init__(self, world, name, port):
-        self.world, self.name, self.port, self.copies, self.killed, self.gone = (
+        self.world, self.name, self.port, self.copies, self.killed, self.gone_at = (
             world,
             name,
             port,
@@ -112,17 +124,17 @@
             set(),
             None,
         )
-        self.hung = 0.0  # reads nothing until then, and then all at once
+        self.hung_until = 0.0  # reads nothing until then, and then all at once
 
     def joins(self, stream):
         c, chance = self.world.case, self.world.chance
         drawn = chance.random()
-        if drawn < c.never:
+        if drawn < c.never_share:
             return None
-        if drawn < c.never + c.refused:
+        if drawn < c.never_share + c.refused_share:
             return OSError("refused")
-        if drawn < c.never + c.refused + c.late:
-            return chance.uniform(0, c.latest) / 1000
+        if drawn < c.never_share + c.refused_share + c.late_share:
+            return chance.uniform(0, c.max_connect_delay) / 1000
         return 0.001
 
     def transit(self):
@@ -130,11 +142,16 @@
 
     def line(self, stream, said):
         now = self.world.clock.loop.time()
-        if now < self.hung:
-            self.world.clock.loop.call_at(self.hung, self.line, stream, said)
+        if now < self.hung_until:
+            self.world.clock.loop.call_at(self.hung_until, self.line, stream, said)
             return
         chance, kind, tag, meta = self.world.chance, said["type"], said["req"], said.get("meta") or {}
-        if kind in ("FN", "SPAWN") and self.gone is not None and now > self.gone + GRACE and not self.hung:
+        if (
+            kind in ("FN", "SPAWN")
+            and self.gone_at is not None
+            and now > self.gone_at + GRACE
+            and not self.hung_until
+        ):
             self.world.after_grace.append((self.name, kind, tag))
         if kind == "KILL":
             self.killed.add(tag)
@@ -164,8 +181,15 @@
 class World:
     def __init__(self, case):
         self.case, self.chance, self.hosts, self.ends = case, random.Random(case.seed), {}, {}
-        self.asked, self.orders, self.number, self.serial, self.floods, self.made = [], [], 0, 0, 0, 0
-        self.real, self.worst, self.after_grace, self.at_second = set(), None, [], None
+        self.asked, self.orders, self.number, self.serial, self.floods, self.workers_added = (
+            [],
+            [],
+            0,
+            0,
+            0,
+            0,
+        )
+        self.real, self.worst, self.after_grace, self.scheduled_call = set(), None, [], None
         self.names = [f"{n:016x}" for n in range(1, 1 + 3 * case.functions)]
 
     async def run(self):
@@ -183,15 +207,15 @@
         )
         self.node = service.Node(gateway, Log())
         for _ in range(self.case.workers):
-            self.hire()
-        self.tell()
+            self.add_worker()
+        self.publish_list()
         self.node._check()
         end = self.case.seconds
-        for n in range(1, self.case.replaced + 1):
-            self.later(end * n / (self.case.replaced + 1), self.replace)
-        if self.at_second is not None:
-            self.later(*self.at_second)
-        if self.case.hangs:
+        for n in range(1, self.case.replacements + 1):
+            self.later(end * n / (self.case.replacements + 1), self.replace)
+        if self.scheduled_call is not None:
+            self.later(*self.scheduled_call)
+        if self.case.hang_share:
             self.later(3, self.hang)
         self.later(0.01, self.client)
         if self.case.floods:
@@ -206,16 +230,16 @@
         self.clock.loop.call_later(seconds, call, *args)
 
     # The roster.
-    def hire(self):
-        self.made += 1
-        self.hosts[self.made] = Worker(self, f"w{self.made}", self.made)
+    def add_worker(self):
+        self.workers_added += 1
+        self.hosts[self.workers_added] = Worker(self, f"w{self.workers_added}", self.workers_added)
 
-    def tell(self):
+    def publish_list(self):
         self.serial += 1
         entries = [
             configuration.decode_endpoint({"name": w.name, "address": f"h:{port}", "status": "Ready"})
             for port, w in self.hosts.items()
-            if w.gone is None
+            if w.gone_at is None
         ]
         node = self.node
         node.membership.on_contact(node.now())
@@ -225,14 +249,14 @@
 
     def replace(self, part=0.6):
         """The oldest are told to be gone, and live on for a while; as many new ones are told with that."""
-        for port in [port for port, host in self.hosts.items() if host.gone is None][
+        for port in [port for port, host in self.hosts.items() if host.gone_at is None][
             : int(self.case.workers * part)
         ]:
-            self.hosts[port].gone = self.clock.loop.time()
-            self.hire()
-        self.tell()
+            self.hosts[port].gone_at = self.clock.loop.time()
+            self.add_worker()
+        self.publish_list()
 
-    def steps(self, steps, since, until):
+    def replace_in_steps(self, steps, since, until):
         """Six in ten are replaced, in so many steps between two times (s)."""
 
         def step():
@@ -240,29 +264,29 @@
             if self.clock.loop.time() < until:
                 self.later((until - since) / steps, step)
 
-        self.at_second = (since, step)
+        self.scheduled_call = (since, step)
 
     def hang(self):
         now = self.clock.loop.time()
         for host in self.chance.sample(
-            list(self.hosts.values()), max(1, int(self.case.hangs * len(self.hosts)))
+            list(self.hosts.values()), max(1, int(self.case.hang_share * len(self.hosts)))
         ):
-            host.hung = now + self.case.hung
-        self.later(self.case.hung + 1, self.hang)
+            host.hung_until = now + self.case.hang_seconds
+        self.later(self.case.hang_seconds + 1, self.hang)
 
     # Clients.
     def rate(self):
         """Heavy for a part of each period, then little: what gave the right to orders leaves the window at
         once."""
         phase = self.clock.loop.time() % 13 / 13
-        return self.case.rate * (1 if phase < 0.25 else self.case.falls)
+        return self.case.rate * (1 if phase < 0.25 else self.case.off_peak_factor)
 
     def client(self):
         now, span = (
             self.clock.loop.time(),
             int(1 + now_part(self.clock.loop.time(), self.case) * 2) * self.case.functions,
         )
-        strange = self.chance.random() < self.case.strange
+        strange = self.chance.random() < self.case.unknown_share
         fn = (
             f"{self.chance.getrandbits(63) | 1 << 63:016x}"
             if strange
@@ -271,16 +295,16 @@
         if not strange:
             self.real.add(fn)
             self.asked.append(now)
-        exchange = self.ask_later(fn, strange, self.case.target * (1 if self.chance.random() < 0.2 else 3))
-        if self.chance.random() < self.case.gives_up:
+        exchange = self.send_request(fn, strange, self.case.target * (1 if self.chance.random() < 0.2 else 3))
+        if self.chance.random() < self.case.cancel_share:
             self.later(self.chance.uniform(0, 0.3), self.leave, exchange)
         self.later(self.chance.expovariate(self.rate()), self.client)
 
-    def ask_later(self, fn, bad, ttl, id_=None):
+    def send_request(self, fn, bad, ttl, id_=None):
         """Its last byte is sent now; the dispatcher reads it a little later."""
         exchange = Exchange(self, bad)
         self.number += 1
-        id_, lag = id_ or f"{self.number:016x}", self.case.lag / 1000
+        id_, lag = id_ or f"{self.number:016x}", self.case.read_lag / 1000
         self.later(lag, self.read, exchange, id_, fn, ttl)
         return exchange
 
@@ -313,11 +337,11 @@
             name = (
                 self.chance.choice(sorted(self.real)) if known else fn if one else f"{int(fn, 16) ^ n:016x}"
             )
-            exchange = self.ask_later(
+            exchange = self.send_request(
                 name, True, 3 * self.case.target, f"{self.floods:08x}{0 if one else n:08x}"
             )
             if back is not None:
-                self.later(self.case.lag / 1000 + 0.0001 + back, self.leave, exchange)
+                self.later(self.case.read_lag / 1000 + 0.0001 + back, self.leave, exchange)
         self.later(self.chance.expovariate(self.case.floods), self.flood)
 
     # The judge.
@@ -329,7 +353,7 @@
         since = now - c.period / 1000
         orders = len(self.orders) - bisect.bisect_right(self.orders, since)
         taken = bisect.bisect_right(self.asked, now) - bisect.bisect_right(self.asked, since)
-        over = orders - (c.free + c.part * taken)
+        over = orders - (c.base_orders + c.orders_per_activation * taken)
         if self.worst is None or over > self.worst[0]:
             self.worst = (round(over, 3), orders, taken, round(now, 3))
 
@@ -338,13 +362,13 @@
     return min(1.0, now / case.seconds)
 
 
-def play(case):
+def run_case(case):
     """The `World` after the run; `worst`: (orders over the ration, orders, activations, s) where it was
     nearest or most broken."""
-    return on(World(case))
+    return run_world(World(case))
 
 
-def on(world):
+def run_world(world):
     """Plays a world that was made before."""
     with (
         mock.patch.object(service, "LoopClock", virtual.Clock),
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -41,9 +41,9 @@
         super().__init__(case)
         self.exchanges, self.sends = [], Counter()
 
-    def hire(self):
-        self.made += 1
-        self.hosts[self.made] = self.worker(self, f"w{self.made}", self.made)
+    def add_worker(self):
+        self.workers_added += 1
+        self.hosts[self.workers_added] = self.worker(self, f"w{self.workers_added}", self.workers_added)
 
     def client(self):
         since, until = self.quiet
@@ -52,11 +52,11 @@
         else:
             super().client()
 
-    def ask_later(self, fn, bad, ttl, id_=None):
+    def send_request(self, fn, bad, ttl, id_=None):
         exchange = TimedExchange(self, bad)
         self.exchanges.append((exchange, exchange.sent + ttl / 1000))
         self.number += 1
-        self.later(self.case.lag / 1000, self.read, exchange, f"{self.number:016x}", fn, ttl)
+        self.later(self.case.read_lag / 1000, self.read, exchange, f"{self.number:016x}", fn, ttl)
         return exchange
 
 
@@ -64,7 +64,7 @@
     """Counts what each activation is sent."""
 
     def line(self, stream, said):
-        if said["type"] == "FN" and self.world.clock.loop.time() >= self.hung:
+        if said["type"] == "FN" and self.world.clock.loop.time() >= self.hung_until:
             self.world.sends[said["req"]] += 1
         super().line(stream, said)
 
@@ -97,7 +97,7 @@
     """An activation that any worker has had before fails at once."""
 
     def line(self, stream, said):
-        hung = self.world.clock.loop.time() < self.hung
+        hung = self.world.clock.loop.time() < self.hung_until
         if said["type"] == "FN" and self.world.sends[said["req"]] and not hung:
             self.world.sends[said["req"]] += 1
             self.world.failed += 1
@@ -128,7 +128,7 @@
             super().ran(stream, said)
 
     def line(self, stream, said):
-        if said["type"] == "FN" and self.world.clock.loop.time() >= self.hung:
+        if said["type"] == "FN" and self.world.clock.loop.time() >= self.hung_until:
             self.world.arrived[self.name, said["req"]] = self.world.clock.loop.time()
         super().line(stream, said)
 
@@ -136,11 +136,18 @@
 class Faults(unittest.TestCase):
     def play(self, worker, seconds=14, quiet=(0.0, 0.0), make=World, **figures):
         """The `World` after a day that kept the rules."""
-        figures = {"replaced": 0, "floods": 0, "strange": 0, "gives_up": 0, "falls": 1, **figures}
-        figures = {"late": 0, "never": 0, "refused": 0, "free": 50, **figures}
+        figures = {
+            "replacements": 0,
+            "floods": 0,
+            "unknown_share": 0,
+            "cancel_share": 0,
+            "off_peak_factor": 1,
+            **figures,
+        }
+        figures = {"late_share": 0, "never_share": 0, "refused_share": 0, "base_orders": 50, **figures}
         world = make(ration.Case(5, seconds=quiet[1] + seconds, **figures))
         world.worker, world.quiet, world.failed, world.dropped, world.arrived = worker, quiet, 0, 0, {}
-        return ration.on(world)
+        return ration.run_world(world)
 
     def check(self, world):
         end = world.clock.loop.time()
@@ -166,14 +173,14 @@
         class Replaced(World):
             """Its list comes late, but for the first one."""
 
-            def tell(self):
+            def publish_list(self):
                 if self.serial:
-                    self.later(1.0, super().tell)
+                    self.later(1.0, super().publish_list)
                 else:
-                    super().tell()
+                    super().publish_list()
 
             async def run(self):
-                self.at_second = (AGAIN_S + 0.2, self.replace)
+                self.scheduled_call = (AGAIN_S + 0.2, self.replace)
                 return await super().run()
 
         for worker in (Worker, ForgetsIdle):
@@ -186,10 +193,10 @@
         class Hanging(World):
             def hang_half(self):
                 for host in list(self.hosts.values())[::2]:
-                    host.hung = AGAIN_S + QUIET_S
+                    host.hung_until = AGAIN_S + QUIET_S
 
             async def run(self):
-                self.at_second = (AGAIN_S, self.hang_half)
+                self.scheduled_call = (AGAIN_S, self.hang_half)
                 return await super().run()
 
         world = self.play(Worker, quiet=(BUSY_S, AGAIN_S), make=Hanging)
@@ -204,16 +211,16 @@
     KILLS_S = (5.4, 7.1, 8.8)
 
     async def run(self):
-        self.steps(self.STEPS, self.FROM_S, self.UNTIL_S)
+        self.replace_in_steps(self.STEPS, self.FROM_S, self.UNTIL_S)
         self.kills = 0
         return await super().run()
 
-    def tell(self):
+    def publish_list(self):
         if not self.serial:
             self.make_mortal()
             for at in self.KILLS_S:
                 self.later(at, self.restart)
-        super().tell()
+        super().publish_list()
 
     def make_mortal(self):
         """Nothing that the dispatcher has put off is done once it is dead."""
@@ -232,12 +239,12 @@
             for line in link.lines:
                 line.stream.close()
         for exchange, _ in self.exchanges:
-            if exchange.ended is None and exchange.sent + self.case.lag / 1000 <= self.clock.loop.time():
+            if exchange.ended is None and exchange.sent + self.case.read_lag / 1000 <= self.clock.loop.time():
                 exchange.ended, exchange.ended_at = "killed", self.clock.loop.time()
         self.kills += 1
         self.node = service.Node(old.gateway, ration.Log())
         self.make_mortal()
-        super().tell()
+        super().publish_list()
         self.node._check()
 
 
@@ -248,7 +255,7 @@
                 world = self.play(Worker, make=Restarting, workers=workers)
                 self.check(world)
                 self.assertEqual(world.kills, len(Restarting.KILLS_S))
-                gone = [host for host in world.hosts.values() if host.gone is not None]
+                gone = [host for host in world.hosts.values() if host.gone_at is not None]
                 self.assertGreaterEqual(len(gone), 0.4 * workers)
                 self.assertGreater(self.served(world), 0.5)
 
@@ -256,13 +263,13 @@
         """Its list is whole for ever: nothing that is gone is ever taken off."""
 
         class Forgetful(Restarting):
-            def tell(self):
-                gone = {port: host.gone for port, host in self.hosts.items() if host.gone is not None}
+            def publish_list(self):
+                gone = {port: host.gone_at for port, host in self.hosts.items() if host.gone_at is not None}
                 for port in gone:
-                    self.hosts[port].gone = None
-                super().tell()
+                    self.hosts[port].gone_at = None
+                super().publish_list()
                 for port, at in gone.items():
-                    self.hosts[port].gone = at
+                    self.hosts[port].gone_at = at
 
         with self.assertRaises(AssertionError):
             self.check(self.play(Worker, make=Forgetful, workers=36))
@@ -282,7 +289,7 @@
 
 class Repeats(Faults):
     def test_retries_and_hedged_requests_that_fail_at_once(self):
-        world = self.play(FailsRepeats, hangs=0.3, hung=2)
+        world = self.play(FailsRepeats, hang_share=0.3, hang_seconds=2)
         self.check(world)
         self.assertGreater(world.failed, 10)
         self.assertGreater(self.served(world), 0.5)
@@ -305,14 +312,14 @@
                 super().read(exchange, id_, fn, 5 * ttl)
 
         with self.assertRaises(AssertionError):
-            self.check(self.play(Worker, make=Patient, hangs=0.5, hung=8))
+            self.check(self.play(Worker, make=Patient, hang_share=0.5, hang_seconds=8))
 
 
 class LittleTime(Faults):
     def test_requests_with_little_time_left_that_workers_drop_without_a_word(self):
         class Short(World):
-            def ask_later(self, fn, bad, ttl, id_=None):
-                return super().ask_later(fn, bad, self.chance.choice((1, 5, 20, 60, 200, 1200)), id_)
+            def send_request(self, fn, bad, ttl, id_=None):
+                return super().send_request(fn, bad, self.chance.choice((1, 5, 20, 60, 200, 1200)), id_)
 
         world = self.play(DropsWhatIsLate, make=Short)
         self.check(world)
--- a/tests/test_ration.py
+++ b/tests/test_ration.py
@@ -19,22 +19,22 @@
 CASES = {
     "as the site that broke it has it": {},
     "no ration": {"period": 0},
-    "nothing for activations": {"part": 0},
-    "nothing free": {"free": 0, "part": 0.5},
-    "many free": {"free": 50, "part": 0.01},
-    "a period under the time to connect": {"period": 500, "connect": 1500},
+    "nothing for activations": {"orders_per_activation": 0},
+    "nothing free": {"base_orders": 0, "orders_per_activation": 0.5},
+    "many free": {"base_orders": 50, "orders_per_activation": 0.01},
+    "a period under the time to connect": {"period": 500, "connect_timeout": 1500},
     "a period near the target latency": {"period": 2000, "target": 1800},
     "a long period": {"period": 40_000, "seconds": 50, "floods": 0.05},
-    "few connections": {"streams": 1, "never": 0.2},
-    "all connections late": {"late": 1.0, "workers": 100, "replaced": 20, "connect": 1500},
-    "late, and none made": {"late": 1.0, "connect": 50, "never": 0.2},
-    "half of it for what nobody has": {"strange": 0.5},
-    "a fifth hang for longer than the period": {"hangs": 0.2, "workers": 40},
-    "a fifth hang for a while": {"hangs": 0.2, "hung": 3},
+    "few connections": {"streams": 1, "never_share": 0.2},
+    "all connections late": {"late_share": 1.0, "workers": 100, "replacements": 20, "connect_timeout": 1500},
+    "late, and none made": {"late_share": 1.0, "connect_timeout": 50, "never_share": 0.2},
+    "half of it for what nobody has": {"unknown_share": 0.5},
+    "a fifth hang for longer than the period": {"hang_share": 0.2, "workers": 40},
+    "a fifth hang for a while": {"hang_share": 0.2, "hang_seconds": 3},
     "floods": {"floods": 2.0, "seconds": 12},
-    "all give up": {"gives_up": 0.9},
-    "read late": {"lag": 150},
-    "hundreds of workers, replaced": {"workers": 300, "replaced": 5, "floods": 0.05, "rate": 80},
+    "all give up": {"cancel_share": 0.9},
+    "read late": {"read_lag": 150},
+    "hundreds of workers, replaced": {"workers": 300, "replacements": 5, "floods": 0.05, "rate": 80},
 }
 
 
@@ -42,7 +42,7 @@
     def test_no_window_at_any_worker_has_more_orders_than_its_activations_bear(self):
         for seed, (name, changes) in enumerate(CASES.items()):
             with self.subTest(name):
-                world = ration.play(ration.Case(seed, **changes))
+                world = ration.run_case(ration.Case(seed, **changes))
                 self.assertGreater(len(world.orders), 3)
                 self.assertGreater(world.ends["completed"], 0)
                 if world.case.period:
@@ -61,14 +61,14 @@
 
         for what, changes in (
             ("may_order", {"floods": 0}),
-            ("credit", {"strange": 0.5}),
+            ("credit", {"unknown_share": 0.5}),
             ("credit", {"floods": 0.5}),
         ):
             with (
                 self.subTest(what=what, **changes),
                 mock.patch.object(LoadOrderLimit, what, {"may_order": always, "credit": at_once}[what]),
             ):
-                self.assertGreater(ration.play(ration.Case(1, **changes)).worst[0], 3)
+                self.assertGreater(ration.run_case(ration.Case(1, **changes)).worst[0], 3)
 
 
 class Late(unittest.TestCase):
@@ -81,21 +81,21 @@
             workers=1,
             floods=0,
             rate=1e-9,
-            replaced=0,
+            replacements=0,
             period=1000,
-            free=0,
-            part=0.1,
-            connect=1500,
+            base_orders=0,
+            orders_per_activation=0.1,
+            connect_timeout=1500,
             seconds=6,
-            late=0,
-            never=0,
-            refused=0,
+            late_share=0,
+            never_share=0,
+            refused_share=0,
             **changes,
         )
         world = ration.World(case)
         world.client = lambda: script(world)
         with mock.patch.object(ration.Worker, "joins", lambda _, stream: joins):
-            return ration.on(world)
+            return ration.run_world(world)
 
     @staticmethod
     def give(world, orders):
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -63,11 +63,11 @@
     def test_six_in_ten_of_hundreds_are_replaced_and_no_order_or_send_comes_late(self):
         """Rules 3 and 5 at 400 workers, replaced in steps within five seconds."""
         case = ration.Case(
-            3, workers=400, replaced=0, rate=60, falls=0.5, floods=0, seconds=14, functions=100
+            3, workers=400, replacements=0, rate=60, off_peak_factor=0.5, floods=0, seconds=14, functions=100
         )
         world = ration.World(case)
-        world.steps(12, 4, 9)
-        ration.on(world)
+        world.replace_in_steps(12, 4, 9)
+        ration.run_world(world)
         self.assertGreater(len(world.orders), 20)
         self.assertGreater(world.ends["completed"], 50)
         self.assertEqual(world.after_grace, [])
@@ -75,7 +75,9 @@
 
     def test_news_of_a_thousand_workers_do_not_hold_up_the_loop(self):
         """CPU time of this process for one list of 1,024 of which all are new, with 300 functions known."""
-        case = ration.Case(4, workers=1024, replaced=0, rate=100, falls=1, floods=0, seconds=4, functions=150)
+        case = ration.Case(
+            4, workers=1024, replacements=0, rate=100, off_peak_factor=1, floods=0, seconds=4, functions=150
+        )
         world, took = ration.World(case), []
 
         def news():
@@ -86,8 +88,8 @@
             json.dumps(world.node.standing())
             took.append(time.process_time() - begun)
 
-        world.at_second = (3, news)
-        ration.on(world)
+        world.scheduled_call = (3, news)
+        ration.run_world(world)
         self.assertLess(max(took), 0.5)  # some 0.05 s where nothing else runs
 
 
