--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -44,7 +44,7 @@
 from petrelwood.decide.cluster import membership
 from petrelwood.decide.cluster.link_state import LinkPhase
 from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announcement, Rollout, dwell_for
-from petrelwood.decide.delivery.state_records import ActivationEnded, ActivationTaken
+from petrelwood.decide.delivery.state_records import ActivationAdmitted, ActivationEnded
 from petrelwood.dispatch.handover.hooks import HandoverHooks
 from petrelwood.dispatch.health import HeartbeatReporter
 from petrelwood.dispatch.recent_answers import RecentAnswers
@@ -435,7 +435,7 @@
                 begun = time.process_time()
                 for number in range(size):
                     name = f"msg_{number:026d}"
-                    log.add(ActivationTaken(WALL + number, "customer", name, WALL, "once"))
+                    log.add(ActivationAdmitted(WALL + number, "customer", name, WALL, "once"))
                     log.flush()
                     log.add(ActivationEnded(WALL + number, "customer", name, "completed", True, b'{"ok":1}'))
                     log.flush()
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -18,7 +18,7 @@
 from petrelwood.clocks import LoopClock
 from petrelwood.decide.delivery import recovery
 from petrelwood.decide.delivery.ledger import ActivationState, Ledger, LedgerEntry
-from petrelwood.decide.delivery.state_records import ActivationEnded, ActivationTaken
+from petrelwood.decide.delivery.state_records import ActivationAdmitted, ActivationEnded
 from petrelwood.dispatch.core import Core
 from petrelwood.store import state_segments
 from petrelwood.store.files import Files
@@ -39,7 +39,7 @@
         with tempfile.TemporaryDirectory() as folder:
             log, begun = StateLog(folder, WALL, "b", 600 * S), time.perf_counter()
             for i in range(count):
-                log.add(ActivationTaken(WALL + i, "customer", f"msg_{i:026d}", WALL, "once"))
+                log.add(ActivationAdmitted(WALL + i, "customer", f"msg_{i:026d}", WALL, "once"))
                 if not (i + 1) % group:
                     log.flush()
                     if sync:
@@ -55,7 +55,7 @@
         with tempfile.TemporaryDirectory() as folder:
             log = StateLog(folder, WALL, "b", 600 * S)
             for i in range(count):
-                log.add(ActivationTaken(WALL + i, "customer", f"msg_{i:026d}", WALL, "once"))
+                log.add(ActivationAdmitted(WALL + i, "customer", f"msg_{i:026d}", WALL, "once"))
                 log.add(
                     ActivationEnded(WALL + i, "customer", f"msg_{i:026d}", "completed", True, b'{"ok":1}')
                 )
@@ -114,7 +114,7 @@
             )
             core.ledger.restore(("customer", f"msg_{number:026d}"), entry)
         files.full = True
-        core.durable_state.log.add(ActivationTaken(clock.wall(), "customer", "last", clock.wall(), "once"))
+        core.durable_state.log.add(ActivationAdmitted(clock.wall(), "customer", "last", clock.wall(), "once"))
         core.durable_state.log.flush()
         begun = seen = time.perf_counter()
         longest = 0
--- a/petrelwood/cli/kept.py
+++ b/petrelwood/cli/kept.py
@@ -103,7 +103,7 @@
                     click.echo(f"{_shown(record.time)}  recovered, had failed since {since}: {record.cause}")
             click.echo(
                 f"{len(some)} ids, {len(found.order_times)} load orders; the last life "
-                + ("ended in order" if found.ended_in_order else "was cut short")
+                + ("ended in order" if found.ended_cleanly else "was cut short")
             )
 
     @command(state, "verify")
--- a/petrelwood/decide/cluster/membership.py
+++ b/petrelwood/decide/cluster/membership.py
@@ -17,7 +17,7 @@
 
 from petrelwood import ports
 from petrelwood.decide.overload.backoff import Backoff
-from petrelwood.decide.wall_clock import FOLLOWED, UnsteppedWallClock
+from petrelwood.decide.wall_clock import MAX_SLEW, UnsteppedWallClock
 from petrelwood.errors import ProtocolError
 
 # A list received now may lack a worker that started up to this much earlier (ns): an age beyond is an error
@@ -141,7 +141,7 @@
         difference = 0 if clock.ahead is None else clock.ahead - ahead
         if clock.ahead is None or difference > 0:
             clock.ahead = ahead
-        if difference <= FOLLOWED:
+        if difference <= MAX_SLEW:
             return []
         younger = [member for member in self.members.values() if member.booted]
         for member in younger:
--- a/petrelwood/decide/delivery/recovery.py
+++ b/petrelwood/decide/delivery/recovery.py
@@ -24,8 +24,8 @@
 from petrelwood import ports
 from petrelwood.decide.delivery.ledger import ActivationState, Key, Ledger, LedgerEntry
 from petrelwood.decide.delivery.state_records import (
+    ActivationAdmitted,
     ActivationEnded,
-    ActivationTaken,
     IncarnationEnded,
     IncarnationStarted,
     LoadOrdered,
@@ -106,7 +106,7 @@
     return 0 if its_epoch is None or own_epoch is None else own_epoch - its_epoch
 
 
-def least_age(records: Sequence[Record], wall: int, boot: str) -> int:
+def min_age(records: Sequence[Record], wall: int, boot: str) -> int:
     """Return the least time since the newest of a segment's records was written, ns."""
     newest = 0
     for block in _blocks(records, wall, boot):
@@ -141,11 +141,11 @@
     order_times: list[int] = field(default_factory=list)  # of load orders, the newest last
     complete_since: int = 0  # from when on nothing can be missing; 0: this incarnation's own start
     last_record_at: int = 0
-    ended_in_order: bool = True  # the last incarnation ended with nothing in flight
+    ended_cleanly: bool = True  # the last incarnation ended with nothing in flight
     clock_went_back: bool = False
-    same_machine_start: bool = True
+    same_boot: bool = True
     # of the incarnations on this start of the machine, and of this one; None: not known
-    least_epoch: int | None = None
+    min_clock_offset: int | None = None
 
 
 class _Replay:
@@ -165,8 +165,8 @@
         for record in records[block.begin : block.end]:
             at = block.time_of(record)
             state.last_record_at = max(state.last_record_at, at)
-            if isinstance(record, ActivationTaken):
-                self._activation_taken(record, at, block)
+            if isinstance(record, ActivationAdmitted):
+                self._activation_admitted(record, at, block)
             elif isinstance(record, ActivationEnded):
                 self._activation_ended(record, at)
             elif isinstance(record, LoadOrdered):
@@ -174,7 +174,7 @@
             elif isinstance(record, IncarnationStarted):
                 self._incarnation_started(record, block)
         if block.end > block.begin:
-            state.ended_in_order = isinstance(records[block.end - 1], IncarnationEnded)
+            state.ended_cleanly = isinstance(records[block.end - 1], IncarnationEnded)
 
     def _incarnation_started(self, record: IncarnationStarted, block: _Block) -> None:
         mark = _parse_boot_mark(record.boot)
@@ -193,7 +193,7 @@
             open_.may_have_run = True
         self._running = set()
 
-    def _activation_taken(self, record: ActivationTaken, at: int, block: _Block) -> None:
+    def _activation_admitted(self, record: ActivationAdmitted, at: int, block: _Block) -> None:
         key = (record.customer, record.id)
         made = RecoveredActivation(
             key=key,
@@ -237,11 +237,11 @@
         reader.read(block, records)
     state = reader.state
     mark = _parse_boot_mark(boot)
-    state.same_machine_start = reader.machine_starts <= {mark.name}
-    state.least_epoch = None if mark.epoch is None else min([mark.epoch, *reader.epochs])
+    state.same_boot = reader.machine_starts <= {mark.name}
+    state.min_clock_offset = None if mark.epoch is None else min([mark.epoch, *reader.epochs])
     state.clock_went_back = bool(state.last_record_at) and wall < state.last_record_at - CLOCK_TOLERANCE
     # After the machine itself fell, the last records may be gone unless each was on the disk first.
-    is_complete = (state.same_machine_start or durable) and not state.clock_went_back
+    is_complete = (state.same_boot or durable) and not state.clock_went_back
     if reader.first_started_at is not None and is_complete:
         state.complete_since = reader.first_started_at
     return state
@@ -310,7 +310,7 @@
         self.cold_workers_from = (
             now + guarantees.slow_start_window if follows_another and not is_long_ago else now
         )
-        self.starts_slowly = follows_another and not state.ended_in_order
+        self.starts_slowly = follows_another and not state.ended_cleanly
 
     def may_send(self, now: int, is_cold: bool) -> bool:
         """Return whether a worker may be sent activations: a cold one only after the restart's window."""
--- a/petrelwood/decide/delivery/send_outcome.py
+++ b/petrelwood/decide/delivery/send_outcome.py
@@ -33,7 +33,7 @@
 }
 
 
-def reached(stage: SendStage, begins: int | None, taken: int) -> SendStage:
+def stage_reached(stage: SendStage, begins: int | None, taken: int) -> SendStage:
     """Return the stage that a call had reached when its connection was lost.
 
     `taken`: bytes written on the connection that the kernel took; `begins`: how many were written before the
@@ -54,7 +54,7 @@
     return EndReason.NO_CONNECTION if stage == SendStage.QUEUED else EndReason.RESET
 
 
-def of_time(stage: SendStage) -> EndReason:
+def of_timeout(stage: SendStage) -> EndReason:
     """Return the reason after the call timed out."""
     return EndReason.NOT_SENT if stage == SendStage.QUEUED else EndReason.TIMED_OUT
 
@@ -69,6 +69,6 @@
     return EndReason.NOT_SENT if stage == SendStage.QUEUED else None
 
 
-def of_crowding() -> EndReason:
+def of_full_queue() -> EndReason:
     """Return the reason for a call that was rejected as the queue to its worker is full."""
     return EndReason.FULL
--- a/petrelwood/decide/delivery/state_records.py
+++ b/petrelwood/decide/delivery/state_records.py
@@ -16,7 +16,7 @@
     format: int  # of the segment
 
 
-class ActivationTaken(NamedTuple):
+class ActivationAdmitted(NamedTuple):
     """An activation was admitted; recorded before its first send where it must not run twice."""
 
     time: int
@@ -61,4 +61,6 @@
     attempts: int
 
 
-Record = IncarnationStarted | ActivationTaken | ActivationEnded | LoadOrdered | IncarnationEnded | OutageEnded
+Record = (
+    IncarnationStarted | ActivationAdmitted | ActivationEnded | LoadOrdered | IncarnationEnded | OutageEnded
+)
--- a/petrelwood/decide/delivery/state_rewrite.py
+++ b/petrelwood/decide/delivery/state_rewrite.py
@@ -14,8 +14,8 @@
 from petrelwood import ports
 from petrelwood.decide.delivery.ledger import ActivationState, LedgerEntry
 from petrelwood.decide.delivery.state_records import (
+    ActivationAdmitted,
     ActivationEnded,
-    ActivationTaken,
     LoadOrdered,
     OutageEnded,
     Record,
@@ -115,13 +115,13 @@
     first = max(0, wall - (now - entry.first_at))
     # nothing from ahead of the clock; where the stamp keeps an id for longer, it is in the record too
     last = min(wall, max(first, wall - (now - (entry.remembered_until - remember[entry.type_name]))))
-    yield ActivationTaken(first, *key, entry.timestamp, entry.type_name)
+    yield ActivationAdmitted(first, *key, entry.timestamp, entry.type_name)
     if entry.state not in (ActivationState.RUNNING, ActivationState.RUNNING_ELSEWHERE):
         body = entry.result if entry.result is not None and len(entry.result) <= longest_body else None
         yield ActivationEnded(last, *key, entry.state, entry.may_have_run, body)
     elif entry.may_have_run:
         yield ActivationEnded(last, *key, ActivationState.ABORTED, True, None)
-        yield ActivationTaken(last, *key, entry.timestamp, entry.type_name)
+        yield ActivationAdmitted(last, *key, entry.timestamp, entry.type_name)
 
 
 def forgotten_record(
@@ -139,5 +139,5 @@
     for name, type_ in types.items():
         if newest_forgotten and type_.effect != ports.Effect.REPEATABLE:
             old = max(0, wall - remember[name] - 4 * tolerance)
-            return ActivationTaken(old, "", "", newest_forgotten, name)
+            return ActivationAdmitted(old, "", "", newest_forgotten, name)
     return None
--- a/petrelwood/decide/overload/admission.py
+++ b/petrelwood/decide/overload/admission.py
@@ -24,7 +24,7 @@
 STORM_RATE = 1 / 4  # factor of the rate during a storm of reconnects
 SHARED_FROM = 0.5  # part of a bound in use, from which on each address has an equal share
 LONE_SHARE = 7 / 8  # of a bound, for the only address that uses it
-MOST_BAD_SIGNATURES = 16  # in a row, before an address is rejected unread
+MAX_BAD_SIGNATURES = 16  # in a row, before an address is rejected unread
 FIRST_BAN = SECOND // 2  # ns that it is rejected unread at first,
 LONGEST_BAN = 32 * SECOND  # and at most
 MOST_ADDRESSES = 4096  # that are remembered
@@ -37,8 +37,8 @@
 
     ADMIT = "take"
     TOO_FAST = "too fast"
-    CROWDED = "crowded"
-    UNFAIR = "over its part"
+    AT_CAPACITY = "crowded"
+    OVER_SHARE = "over its part"
     BANNED = "bad signatures"
 
 
@@ -75,17 +75,17 @@
         handshakes: int,
         most_bytes: int,
         chance: Callable[[], float],
-        most_addresses: int = MOST_ADDRESSES,
+        max_addresses: int = MOST_ADDRESSES,
     ) -> None:
         self.connections = connections
         self.handshakes = handshakes
         self.most_bytes = most_bytes
         self.chance = chance
-        self.most_addresses = most_addresses
+        self.max_addresses = max_addresses
         self.addresses: OrderedDict[str, Address] = OrderedDict()
         self.open = 0
         self.handshaking = 0
-        self.held_bytes = 0
+        self.reserved_bytes = 0
         self.is_storm = False
         self.burst = max(connections * BURST, min(connections, LEAST_BURST))
         self.counts = {verdict.value: 0 for verdict in AdmissionVerdict}
@@ -124,20 +124,20 @@
     def reserve_bytes(self, now: int, name: str, size: int) -> bool:
         """Reserve memory for bytes of an unfinished request, and return whether there was enough."""
         address = self._address(now, name)
-        is_full = self.held_bytes + size > self.most_bytes
+        is_full = self.reserved_bytes + size > self.most_bytes
         if is_full or self._is_over_share(
-            address, BYTES, address.bytes + size, self.held_bytes, self.most_bytes
+            address, BYTES, address.bytes + size, self.reserved_bytes, self.most_bytes
         ):
-            self.counts[AdmissionVerdict.CROWDED] += 1
+            self.counts[AdmissionVerdict.AT_CAPACITY] += 1
             return False
         address.bytes += size
-        self.held_bytes += size
+        self.reserved_bytes += size
         return True
 
     def release_bytes(self, name: str, size: int) -> None:
         """Release the reserved bytes of a request that is complete or rejected."""
         address = self.addresses.get(name)
-        self.held_bytes -= size
+        self.reserved_bytes -= size
         if address is not None:
             address.bytes = max(0, address.bytes - size)
 
@@ -156,7 +156,7 @@
             address.backoff.succeeded()
             return
         address.bad_signatures += 1
-        if address.bad_signatures >= MOST_BAD_SIGNATURES:
+        if address.bad_signatures >= MAX_BAD_SIGNATURES:
             address.bad_signatures = 0
             address.backoff.failed(now)
 
@@ -168,15 +168,15 @@
 
     def _verdict(self, now: int, address: Address) -> AdmissionVerdict:
         if self.open >= self.connections or (self.handshakes and self.handshaking >= self.handshakes):
-            return AdmissionVerdict.CROWDED
+            return AdmissionVerdict.AT_CAPACITY
         if not address.backoff.may_retry(now):
             return AdmissionVerdict.BANNED
         if self._is_over_share(address, OPEN, address.open, self.open, self.connections):
-            return AdmissionVerdict.UNFAIR
+            return AdmissionVerdict.OVER_SHARE
         if self.handshakes and self._is_over_share(
             address, HANDSHAKING, address.handshaking, self.handshaking, self.handshakes
         ):
-            return AdmissionVerdict.UNFAIR
+            return AdmissionVerdict.OVER_SHARE
         return AdmissionVerdict.TOO_FAST if address.tokens < 1 else AdmissionVerdict.ADMIT
 
     def _is_over_share(self, address: Address, usage: Usage, mine: int, used: int, bound: int) -> bool:
@@ -197,7 +197,7 @@
             return found
         found = Address(self.burst, now, self.chance)
         self.addresses[name] = found
-        if len(self.addresses) > self.most_addresses:
+        if len(self.addresses) > self.max_addresses:
             self._forget_one(name)
         return found
 
--- a/petrelwood/decide/overload/deadlines.py
+++ b/petrelwood/decide/overload/deadlines.py
@@ -29,6 +29,6 @@
     return Deadline(arrived + patience - int(patience * WAY_BACK), arrived + patience)
 
 
-def is_hopeless(now: int, due: int, timeout: int) -> bool:
+def has_too_little_time(now: int, due: int, timeout: int) -> bool:
     """Return whether so little time is left that an attempt should not begin."""
     return due - now < timeout * LEAST_TIME
--- a/petrelwood/decide/overload/intake.py
+++ b/petrelwood/decide/overload/intake.py
@@ -17,7 +17,7 @@
 from petrelwood.decide.overload import deadlines
 from petrelwood.decide.overload.concurrency_limit import ConcurrencyLimit
 from petrelwood.decide.overload.retry_budget import EARLY, FIRST, LEAST_JITTER, RetryPolicy, RetryTiming
-from petrelwood.decide.overload.storm import Storms, SymptomChange, SymptomName
+from petrelwood.decide.overload.storm import StormDetector, SymptomChange, SymptomName
 from petrelwood.decide.overload.throughput import ThroughputEstimate
 
 LEAST_CONCURRENCY = 4  # admitted activations that the limit never falls under,
@@ -158,12 +158,12 @@
         self.unanswered = 0  # activations that were admitted and have no answer yet
         self.unanswered_by_customer: dict[str, int] = {}
         shortest = min(timeouts.values())
-        self.usual = shortest // USUAL_SHARE  # how long an activation lasts, a running mean
+        self.typical_duration = shortest // USUAL_SHARE  # how long an activation lasts, a running mean
         least = max(LEAST_CONCURRENCY, limits.held // LEAST_CONCURRENCY_SHARE)
         self.throughput = ThroughputEstimate(least)
         self.concurrency_limit = ConcurrencyLimit(limits.held, least, shortest // IN_TIME_SHARE)
         self.retry_policy = RetryPolicy(max(LEAST_HINTS, limits.ledger // HINTS_SHARE))
-        self.storms = Storms()
+        self.storms = StormDetector()
 
     def decide(self, now: int, wall: int, request: ActivationRequest) -> Verdict:
         """Return what becomes of a request; after ADMIT its id counts as running.
@@ -227,7 +227,7 @@
         reason = self._capacity_shortage(request.customer)
         if reason is not None:
             return reason
-        if deadlines.is_hopeless(now, due, self.timeouts[request.type]):
+        if deadlines.has_too_little_time(now, due, self.timeouts[request.type]):
             return RejectionReason.NO_TIME
         return self._overload_reason(now, request, due, timing) if self.damps else None
 
@@ -295,7 +295,7 @@
             self.unanswered_by_customer[customer] = remaining
         else:
             del self.unanswered_by_customer[customer]
-        self.usual += (duration - self.usual) // USUAL_SMOOTHING
+        self.typical_duration += (duration - self.typical_duration) // USUAL_SMOOTHING
         self.throughput.record_answer(now)
         if outcome == _REJECTED:
             return
@@ -339,9 +339,9 @@
         wait: float
         if measured is None:
             fullness = self.unanswered / max(1, self.limits.held)
-            wait = max(least, self.usual) * (1 + min(MOST_FULLNESS, FULLNESS_WEIGHT * fullness))
+            wait = max(least, self.typical_duration) * (1 + min(MOST_FULLNESS, FULLNESS_WEIGHT * fullness))
         else:
-            wait = max(least, self.usual, measured)
+            wait = max(least, self.typical_duration, measured)
         if not self.damps:
             return min(int(wait * (LEAST_JITTER + self.chance())), most)
         drawn = self.retry_policy.retry_after(now, customer, request_id, wait, self.chance, most, is_early)
--- a/petrelwood/decide/overload/resource_limits.py
+++ b/petrelwood/decide/overload/resource_limits.py
@@ -44,15 +44,15 @@
 class CapacityIntake:
     """The intake of a platform that has its own retries, quotas and ids: capacity alone is checked.
 
-    All else is left to the scheduler. It has the methods of `intake.Intake`. `usual` is how long a rejected
+    All else is left to the scheduler. It has the methods of `intake.Intake`. `typical_duration` is how long a rejected
     request should wait before it is sent again. Times in ns.
     """
 
     damps = False
 
-    def __init__(self, limits: ResourceLimits, usual: int) -> None:
+    def __init__(self, limits: ResourceLimits, typical_duration: int) -> None:
         self.limits = limits
-        self.usual = usual
+        self.typical_duration = typical_duration
         self.unanswered = 0  # activations that were admitted and have no answer yet
         self.closing = False  # nothing more is admitted
         # rejections, by each reason that is given here
@@ -67,7 +67,7 @@
             reason = RejectionReason.FULL
         if reason is not None:
             self.counts[reason] += 1
-            return Verdict(REJECT, reason, retry_after=self.usual)
+            return Verdict(REJECT, reason, retry_after=self.typical_duration)
         due = request.arrived_at + request.patience
         return Verdict(ADMIT, due=due, client_leaves=due)
 
--- a/petrelwood/decide/overload/storm.py
+++ b/petrelwood/decide/overload/storm.py
@@ -111,7 +111,7 @@
         return True
 
 
-class Storms:
+class StormDetector:
     """All symptoms of one dispatcher; `update` is to be called about every half second."""
 
     __slots__ = (
@@ -136,7 +136,7 @@
         self.attempts = SlidingWindowCounter(BUCKET, BUCKETS)
         self.cold_attempts = SlidingWindowCounter(BUCKET, BUCKETS)
         self.fine_requests = SlidingWindowCounter(FINE_BUCKET, FINE_BUCKETS)
-        self.usual: float | None = None  # requests in the usual second
+        self.baseline_rate: float | None = None  # requests in the usual second
         self.second: int | None = None  # the one that is counted
         self.second_requests = 0
         self.seen: Counter[str] = Counter()  # how often each symptom went on
@@ -194,11 +194,11 @@
         """Take a second that began `passed` seconds ago into the usual one's mean, unless a storm is on."""
         count = self.second_requests
         self.second_requests = 0
-        if self.usual is None:
-            self.usual = float(count)
+        if self.baseline_rate is None:
+            self.baseline_rate = float(count)
         elif not self.has_any():
             for value in [count] + [0] * min(passed - 1, MOST_QUIET_SECONDS):
-                self.usual += USUAL_SMOOTHING * (value - self.usual)
+                self.baseline_rate += USUAL_SMOOTHING * (value - self.baseline_rate)
 
     def _values(self, now: int) -> dict[SymptomName, float]:
         requests = self.requests.sum(now)
@@ -214,10 +214,10 @@
         return values
 
     def _surge(self, requests: int) -> float:
-        if self.usual is None:
+        if self.baseline_rate is None:
             return 0.0
         window = self.requests.span / SECOND
-        return requests / window / max(self.usual, LEAST_EVENTS / window)
+        return requests / window / max(self.baseline_rate, LEAST_EVENTS / window)
 
 
 def dispersion(counts: Sequence[int]) -> float:
--- a/petrelwood/decide/overload/throughput.py
+++ b/petrelwood/decide/overload/throughput.py
@@ -26,7 +26,7 @@
         """Count a final answer, whatever it is."""
         self.answers.add(now)
 
-    def expected_stay(self, now: int, unanswered: int) -> int | None:
+    def expected_wait(self, now: int, unanswered: int) -> int | None:
         """Return how long one more would wait for its answer; None if there is no queue or no answer yet."""
         if unanswered < self.enough:
             return None
@@ -35,7 +35,7 @@
 
     def is_too_late(self, now: int, unanswered: int, due: int) -> bool:
         """Return whether one more would not be answered by `due`."""
-        stay = self.expected_stay(now, unanswered)
+        stay = self.expected_wait(now, unanswered)
         return stay is not None and now + stay > due
 
     def retry_after(self, now: int, unanswered: int, limit: float) -> int | None:
@@ -43,7 +43,7 @@
 
         That is until the number without an answer has fallen to three quarters of the limit.
         """
-        stay = self.expected_stay(now, unanswered)
+        stay = self.expected_wait(now, unanswered)
         if stay is None:
             return None
         return int(stay * max(FREE_PART, 1 - (1 - FREE_PART) * min(limit, unanswered) / unanswered))
--- a/petrelwood/decide/wall_clock.py
+++ b/petrelwood/decide/wall_clock.py
@@ -7,7 +7,7 @@
 
 # A difference up to this is followed: a clock that is slewed, or corrected a little at a time, is no stepped
 # one, and a process that runs for months stays with it.
-FOLLOWED = 100_000_000  # ns
+MAX_SLEW = 100_000_000  # ns
 
 
 class UnsteppedWallClock:
@@ -22,6 +22,6 @@
     def read(self, now: int, wall: int) -> int:
         """The wall-clock time at `now`, without steps since the first call; `wall` is the system's."""
         ahead = wall - now
-        if self.ahead is None or abs(ahead - self.ahead) <= FOLLOWED:
+        if self.ahead is None or abs(ahead - self.ahead) <= MAX_SLEW:
             self.ahead = ahead
         return now + self.ahead
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -173,9 +173,9 @@
         if self.durable_state is not None:
             done(self.durable_state.log.sync_task()())
 
-    def clock_offset_found(self, least_epoch: int) -> None:
+    def clock_offset_found(self, min_clock_offset: int) -> None:
         """Learn that an earlier process saw another clock offset: workers may be younger than thought."""
-        younger = self.membership.correct_clock(least_epoch, self.now())
+        younger = self.membership.correct_clock(min_clock_offset, self.now())
         if younger:
             self.submit(self._endpoints_changed, younger, [], False)
 
--- a/petrelwood/dispatch/durable_state.py
+++ b/petrelwood/dispatch/durable_state.py
@@ -11,7 +11,7 @@
 from petrelwood.decide.delivery import recovery
 from petrelwood.decide.delivery.ledger import ActivationState, Ledger
 from petrelwood.decide.delivery.pending import PendingActivation, PendingActivations
-from petrelwood.decide.delivery.state_records import ActivationEnded, ActivationTaken, LoadOrdered
+from petrelwood.decide.delivery.state_records import ActivationAdmitted, ActivationEnded, LoadOrdered
 from petrelwood.decide.overload.intake import Intake
 from petrelwood.dispatch.interfaces import DecisionModule
 from petrelwood.dispatch.state_recovery import RecoveryCore, RecoverySettings, StateRecovery
@@ -53,7 +53,7 @@
     def scheduler(self) -> DecisionModule:
         """The decision module."""
 
-    def clock_offset_found(self, least_epoch: int, /) -> object:
+    def clock_offset_found(self, min_clock_offset: int, /) -> object:
         """Learn that an earlier process has seen the wall clock this many ns ahead of the monotonic one."""
 
 
@@ -99,14 +99,14 @@
             core.scheduler.load_orders_restored(now, self.restart.recent_orders)
         if self.restart.starts_slowly and core.gateway.damps and not predecessor_runs:
             core.intake.concurrency_limit.start_slowly(now)
-        if found.least_epoch is not None:
-            core.clock_offset_found(found.least_epoch)
+        if found.min_clock_offset is not None:
+            core.clock_offset_found(found.min_clock_offset)
         if found.last_record_at:
             core.log.info(
                 "state recovered",
                 ids=known,
                 orders=self.restart.recent_orders,
-                in_order=found.ended_in_order,
+                in_order=found.ended_cleanly,
                 whole=bool(found.complete_since),
                 clock_back=found.clock_went_back,
             )
@@ -138,7 +138,7 @@
         core = self.core
         customer, id_ = act.key
         timestamp = self.ledger.entries[act.key].timestamp
-        self.log.add(ActivationTaken(core.record_time(), customer, id_, timestamp, act.type))
+        self.log.add(ActivationAdmitted(core.record_time(), customer, id_, timestamp, act.type))
         if not recovery.is_recorded_first(core.terms.types[act.type].effect):
             return True
         if self.log.durability == SURVIVES_MACHINE:
--- a/petrelwood/emulate/link.py
+++ b/petrelwood/emulate/link.py
@@ -109,7 +109,7 @@
         call = self.runs.get((act, n))
         if call is not None:
             self._tell_worker(call)
-            self._end(call, send_outcome.of_time(call.stage))
+            self._end(call, send_outcome.of_timeout(call.stage))
 
     def withdraw(self, act, n):
         call = self.runs.get((act, n))
@@ -168,7 +168,7 @@
             if call.kind == "hold" and not self.core.may_send_order(call.at):
                 self._end(call, send_outcome.of_recall(call.stage))
             elif call.kind == "run" and call.args[1] <= self.core.now():
-                self._end(call, send_outcome.of_time(call.stage))
+                self._end(call, send_outcome.of_timeout(call.stage))
             else:
                 self._hand(self.waiting.popleft())
 
--- a/petrelwood/lab/walk.py
+++ b/petrelwood/lab/walk.py
@@ -17,7 +17,7 @@
 
 from petrelwood import ports
 from petrelwood.decide.delivery import ledger, recovery
-from petrelwood.decide.delivery.state_records import ActivationEnded, ActivationTaken, IncarnationStarted
+from petrelwood.decide.delivery.state_records import ActivationAdmitted, ActivationEnded, IncarnationStarted
 
 SECOND = 1_000_000_000
 TOLERANCE = 300 * SECOND
@@ -83,7 +83,7 @@
     def kept(self):
         """Whether the record of what was taken is where the durability wants it."""
         there = self.disk if self.durability == "machine" else self.disk + self.system
-        return any(isinstance(r, ActivationTaken) and r.timestamp == self.taken_stamp for r in there)
+        return any(isinstance(r, ActivationAdmitted) and r.timestamp == self.taken_stamp for r in there)
 
     def may_send(self):
         return (
@@ -145,7 +145,7 @@
             self.tries += 1
             self.taken, self.taken_stamp, self.sent, entry.activation_id = self.tries, stamp, False, "a"
             if recovery.is_recorded_first(self.effect):
-                self.note(ActivationTaken(self.now, *KEY, stamp, "t"))
+                self.note(ActivationAdmitted(self.now, *KEY, stamp, "t"))
         elif verdict == ledger.LedgerVerdict.REPEAT_RESULT and not self.runs:
             self.broken = "told to be completed, and never ran"
 
--- a/petrelwood/links/calls.py
+++ b/petrelwood/links/calls.py
@@ -109,7 +109,7 @@
 
     def late(self, activation: str, attempt: int) -> None:
         """End an attempt whose time is up; its worker is requested to stop too."""
-        self._stop(activation, attempt, send_outcome.of_time)
+        self._stop(activation, attempt, send_outcome.of_timeout)
 
     def _stop(self, activation: str, attempt: int, code_of: Callable[[SendStage], EndReason]) -> None:
         call = self.runs.get((activation, attempt))
@@ -167,7 +167,7 @@
         """
         if call.kind == RUN:
             if call.deadline is not None and call.deadline - self.core.now() < self.MIN_TIME_LEFT:
-                self._end(call, send_outcome.of_time(call.stage))
+                self._end(call, send_outcome.of_timeout(call.stage))
                 return False
         elif call.kind == LOAD_ORDER and not self.core.may_send_order(call.made_at):
             self._end_recalled(call)
@@ -183,7 +183,7 @@
     def _end_lost(self, call: Call[ContentT, ConnectionT], stream: IOStream | None) -> None:
         """End a call whose connection is lost, or was never made (None)."""
         taken = 0 if stream is None else sockets.bytes_taken(stream)
-        stage = send_outcome.reached(call.stage, call.bytes_before, taken)
+        stage = send_outcome.stage_reached(call.stage, call.bytes_before, taken)
         self._end(call, send_outcome.of_loss(stage))
 
     def _overdue_calls(self, now: int, within: int) -> list[Call[ContentT, ConnectionT]]:
--- a/petrelwood/links/worker.py
+++ b/petrelwood/links/worker.py
@@ -144,7 +144,7 @@
         if decision is REJECT:
             self._report(call, send_outcome.of_loss(QUEUED))
         elif self.waiting_bytes + call.size > self.terms.queue:
-            self._report(call, send_outcome.of_crowding())
+            self._report(call, send_outcome.of_full_queue())
         else:
             self._enqueue(call)
             self.core.active(self)
@@ -286,7 +286,7 @@
         elif verdict == LinkCheck.PING:
             self.check_health()
         for call in self._overdue_calls(now, self.terms.order_within):
-            self._end(call, send_outcome.of_time(call.stage))
+            self._end(call, send_outcome.of_timeout(call.stage))
         for call in self._expired_attempts(now):
             self.late(call.activation, call.number)
         return self.has_open_calls() or self.state.phase in (LinkPhase.CONNECTING, LinkPhase.GREETING)
--- a/petrelwood/node/client_connection.py
+++ b/petrelwood/node/client_connection.py
@@ -183,7 +183,7 @@
         if msgid in self.open:  # nobody could tell which of the two an answer is for
             raise rpc.MalformedRpcError("a number that is open")
         if self.draining:
-            self.send_rejection(msgid, core.intake.usual)
+            self.send_rejection(msgid, core.intake.typical_duration)
         elif method in core.terms.types:
             self._handle_call(msgid, method, request.params, now)
         elif method == "health":
@@ -214,7 +214,7 @@
             return
         self.requested = True
         if not self._has_capacity():
-            self.send_rejection(msgid, core.intake.usual)
+            self.send_rejection(msgid, core.intake.typical_duration)
             return
         exchange = self.open[msgid] = Exchange(self, msgid)
         self.front.connection_busy(self)
--- a/petrelwood/node/interfaces.py
+++ b/petrelwood/node/interfaces.py
@@ -13,8 +13,8 @@
     """The stage that admits activations."""
 
     @property
-    def usual(self) -> int:
-        """The usual time in ns from arrival to answer: the Retry-After of a rejected client."""
+    def typical_duration(self) -> int:
+        """The typical time in ns from arrival to answer: the Retry-After of a rejected client."""
 
 
 class Terms(Protocol):
--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -74,8 +74,8 @@
 
     # What differs from the core of `petrelwood serve`.
     def _make_stages(self) -> tuple[None, Intake, None]:
-        usual = min(each.target_latency for each in self.terms.types.values()) // USUAL_SHARE
-        return None, cast(Intake, CapacityIntake(self.resource_limits, usual)), None
+        typical_duration = min(each.target_latency for each in self.terms.types.values()) // USUAL_SHARE
+        return None, cast(Intake, CapacityIntake(self.resource_limits, typical_duration)), None
 
     def _make_activations(self) -> Activations:
         return NodeActivations(self)
--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -168,7 +168,7 @@
                 elif self._wants_connection() and self.core.makes_room():
                     self._connect()
                 elif not self.lines:  # no descriptor is left, and no connection that could carry it later
-                    self._end(call, send_outcome.of_crowding())
+                    self._end(call, send_outcome.of_full_queue())
                 else:
                     break
         finally:
@@ -223,7 +223,7 @@
                 sockets.fresh(self.address[0]), max_buffer_size=buffer_size, read_chunk_size=READ_SIZE
             )
         except OSError:  # no descriptor after all: nothing was sent
-            self._end(self.waiting[0], send_outcome.of_crowding())
+            self._end(self.waiting[0], send_outcome.of_full_queue())
             return
         connection = WorkerConnection(stream, self.core.now())
         self.lines.append(connection)
@@ -297,7 +297,7 @@
             self.late(call.activation, call.number)
         for call in self._overdue_calls(now, self.terms.connect_within):
             if call.kind == HEALTH_CHECK or now - call.made_at > self.terms.order_within:
-                self._end(call, send_outcome.of_time(call.stage))
+                self._end(call, send_outcome.of_timeout(call.stage))
                 self._close_if_unresponsive(call)
         return self.has_open_calls()
 
--- a/petrelwood/store/state_codec.py
+++ b/petrelwood/store/state_codec.py
@@ -10,8 +10,8 @@
 import msgpack
 
 from petrelwood.decide.delivery.state_records import (
+    ActivationAdmitted,
     ActivationEnded,
-    ActivationTaken,
     IncarnationEnded,
     IncarnationStarted,
     LoadOrdered,
@@ -22,7 +22,7 @@
 
 STORED_NAMES: Final[dict[type[Record], str]] = {
     IncarnationStarted: "life",
-    ActivationTaken: "take",
+    ActivationAdmitted: "take",
     ActivationEnded: "end",
     LoadOrdered: "order",
     IncarnationEnded: "close",
--- a/petrelwood/store/state_log.py
+++ b/petrelwood/store/state_log.py
@@ -22,7 +22,7 @@
 from collections.abc import Callable
 from time import monotonic_ns
 
-from petrelwood.decide.delivery.recovery import least_age
+from petrelwood.decide.delivery.recovery import min_age
 from petrelwood.decide.delivery.state_records import IncarnationEnded, IncarnationStarted, Record
 from petrelwood.store.append_log import AppendLog
 from petrelwood.store.errors import LogFormatError, LogWriteError, StateUnreadableError
@@ -108,7 +108,7 @@
         """Read a segment of another incarnation, and take the least age that is certain as its age."""
         found = scan(path)
         self.found += found.records
-        self._sealed_at[path] = self.now() - least_age(found.records, time, self.boot)
+        self._sealed_at[path] = self.now() - min_age(found.records, time, self.boot)
         self._formats[path] = found.format
 
     @property
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -33,13 +33,13 @@
 from petrelwood.decide.delivery import ledger as ids
 from petrelwood.decide.delivery import recovery
 from petrelwood.decide.delivery.state_records import (
-    ActivationTaken,
+    ActivationAdmitted,
     IncarnationStarted,
     LoadOrdered,
 )
 from petrelwood.decide.forecasting.forecast import Forecast
 from petrelwood.decide.forecasting.slot_calendar import Calendar
-from petrelwood.decide.wall_clock import FOLLOWED, UnsteppedWallClock
+from petrelwood.decide.wall_clock import MAX_SLEW, UnsteppedWallClock
 from petrelwood.dispatch.load_forecasts import LoadForecasts
 from petrelwood.dispatch.rollout import VersionRollout, VersionSource
 from petrelwood.dispatch.settings_update import UpdateResult
@@ -83,7 +83,7 @@
             self.assertEqual(clock.read(9 * S, WALL + 2 * S + step), WALL + 2 * S)
         clock, ahead = UnsteppedWallClock(), 0
         for second in range(1000):  # 50 ms in each second
-            ahead += FOLLOWED // 2
+            ahead += MAX_SLEW // 2
             found = clock.read(second * S, WALL + second * S + ahead)
             self.assertEqual(found, WALL + second * S + ahead)
 
@@ -370,7 +370,7 @@
         """Writes one id of each type that may have run, and four orders a second apart."""
         log = self.log(0)
         for type_ in TYPES:
-            log.add(ActivationTaken(self.now + WALL, "x", type_, self.now + WALL, type_))
+            log.add(ActivationAdmitted(self.now + WALL, "x", type_, self.now + WALL, type_))
         for second in range(4):
             self.now = LATE + second * S
             log.add(LoadOrdered(self.now + WALL, "w1", "f", 1))
@@ -445,17 +445,17 @@
         found, ledger, back = self.second_life(9 * S, -HOUR, machine="b2")
         self.assertEqual((back.recent_orders, back.cold_workers_from), (0, self.now))
         self.assertEqual(ledger.entries["x", ONCE].remembered_until, began + REMEMBERED)
-        self.assertFalse(found.same_machine_start)
+        self.assertFalse(found.same_boot)
 
     def test_a_log_of_a_build_that_kept_no_offset_is_read_by_the_wall_clock(self):
         self.folder.mkdir(exist_ok=True)
         log = StateLog(self.folder, WALL + self.now, "b1", HOUR)
-        log.add(ActivationTaken(WALL + self.now, "x", ONCE, WALL + self.now, ONCE))
+        log.add(ActivationAdmitted(WALL + self.now, "x", ONCE, WALL + self.now, ONCE))
         log.flush()
         for after, remembered in ((REMEMBERED - S, True), (2 * S, False)):
             found, ledger, _ = self.second_life(after, 0)
             self.assertEqual(("x", ONCE) in ledger.entries, remembered)
-            self.assertTrue(found.same_machine_start and found.complete_since)
+            self.assertTrue(found.same_boot and found.complete_since)
 
     def test_workers_are_as_old_as_the_lesser_of_two_clocks_says(self):
         for step in (HOUR, 5 * S):
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -46,12 +46,12 @@
         streams = [await crowd.connect() for _ in range(8)]
         for stream in streams:
             await stream.write(whole[:-5000])
-        await self.until(lambda: self.front.admission.held_bytes > 20_000)
+        await self.until(lambda: self.front.admission.reserved_bytes > 20_000)
         await self.served(quiet, 5)
         for stream in streams:
             ends.append(await asyncio.wait_for(stream.read_until_close(), 30))
         self.assertEqual({end[9:12] for end in ends}, {b"503", b"408"}, ends)  # refused, or too slow
-        await self.until(lambda: self.front.admission.held_bytes == 0)
+        await self.until(lambda: self.front.admission.reserved_bytes == 0)
 
     async def test_slow_readers_are_let_go_and_others_are_served(self):
         """They ask for much and read nothing: what waits for them stays in its bound, and each goes after a
@@ -68,14 +68,14 @@
             stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             streams.append(stream)
             await stream.write(b"".join(self.message(body=b'{"big":1}') for _ in range(5)))
-        await self.until(lambda: self.front.admission.held_bytes > 10_000_000)
+        await self.until(lambda: self.front.admission.reserved_bytes > 10_000_000)
         while self.front.connections:  # `body-within` is 300 ms
-            most = max(most, self.front.admission.held_bytes)
+            most = max(most, self.front.admission.reserved_bytes)
             self.assertEqual((await quiet.call(self.message(), 30)).status, 200)
             if all(line.peer == "127.0.0.3" for line in self.front.connections):
                 break
         self.assertLessEqual(most, 40_000_000)
-        await self.until(lambda: self.front.admission.held_bytes == 0)
+        await self.until(lambda: self.front.admission.reserved_bytes == 0)
         self.assertGreaterEqual(
             sum(n for what, n in self.front.counts.items() if what.startswith("answers not read")), 6
         )
@@ -94,7 +94,7 @@
         got = 0
         while got < 3 * len(big):
             got += len(await asyncio.wait_for(stream.read_bytes(200_000, partial=True), 30))
-        await self.until(lambda: self.front.admission.held_bytes == 0)
+        await self.until(lambda: self.front.admission.reserved_bytes == 0)
         stream.close()
 
     async def test_a_forger_is_refused_unread_and_his_neighbours_are_not(self):
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -192,7 +192,7 @@
         self.assertEqual(deadlines.deadline(0, 9 * S, 4 * S), deadlines.deadline(0, 0, 4 * S))
         due, gone = deadlines.deadline(S, 2 * S, 4 * S)
         self.assertTrue(S < due < gone == 3 * S)
-        self.assertTrue(deadlines.is_hopeless(due, due, 4 * S))
+        self.assertTrue(deadlines.has_too_little_time(due, due, 4 * S))
 
 
 class DutyCases(unittest.TestCase):
@@ -274,7 +274,7 @@
         lines = []
         for name, of in (
             ("loss", send_outcome.of_loss),
-            ("time", send_outcome.of_time),
+            ("time", send_outcome.of_timeout),
             ("cancel", send_outcome.of_cancel),
             ("recall", send_outcome.of_recall),
         ):
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -16,8 +16,8 @@
 from petrelwood.decide.delivery import recovery
 from petrelwood.decide.delivery.ledger import ActivationState, Ledger, LedgerVerdict
 from petrelwood.decide.delivery.state_records import (
+    ActivationAdmitted,
     ActivationEnded,
-    ActivationTaken,
     IncarnationEnded,
     IncarnationStarted,
     LoadOrdered,
@@ -90,7 +90,7 @@
 class Logs(Case):
     def written(self, log, count=20, wall=WALL):
         for i in range(count):
-            log.add(ActivationTaken(wall + i, "x", f"m{i}", wall, "once"))
+            log.add(ActivationAdmitted(wall + i, "x", f"m{i}", wall, "once"))
             log.flush()
         return log
 
@@ -120,10 +120,10 @@
         for minute in range(60):
             now.time, wall = minute * 60 * S, WALL + minute * 60 * S
             log.check(wall)
-            log.add(ActivationTaken(wall, "x", f"m{minute}", wall, "once"))
+            log.add(ActivationAdmitted(wall, "x", f"m{minute}", wall, "once"))
             log.flush()
         records, _ = state_segments.read(self.folder)
-        kept = {r.id for r in records if isinstance(r, ActivationTaken)}
+        kept = {r.id for r in records if isinstance(r, ActivationAdmitted)}
         self.assertTrue({f"m{m}" for m in range(50, 60)} <= kept, kept)
         self.assertLess(len(kept), 20)
         self.assertLess(len(state_segments.segments(self.folder)), 8)
@@ -134,20 +134,22 @@
             with self.subTest(step=step), tempfile.TemporaryDirectory() as folder:
                 now = Monotonic(1000 * S)
                 first = StateLog(folder, WALL, "b1", 600 * S, now=now)
-                first.add(ActivationTaken(WALL, "x", "found", WALL, "once"))
+                first.add(ActivationAdmitted(WALL, "x", "found", WALL, "once"))
                 first.close(WALL)
                 log = StateLog(folder, WALL + S, "b1", 600 * S, now=now)
-                log.add(ActivationTaken(WALL + S, "x", "own", WALL, "once"))
+                log.add(ActivationAdmitted(WALL + S, "x", "own", WALL, "once"))
                 for now.time in (1001 * S, 1400 * S):
                     log.check(WALL + now.time - 1000 * S + step)
                     log.begin_next_segment(WALL + now.time - 1000 * S + step)
-                    taken = {r.id for r in state_segments.read(folder)[0] if isinstance(r, ActivationTaken)}
+                    taken = {
+                        r.id for r in state_segments.read(folder)[0] if isinstance(r, ActivationAdmitted)
+                    }
                     self.assertEqual(taken, {"found", "own"})
                 # what was sealed last has its age from then on
                 now.time = 2001 * S
                 log.begin_next_segment(WALL + now.time - 1000 * S + step)
                 self.assertEqual(
-                    [r for r in state_segments.read(folder)[0] if isinstance(r, ActivationTaken)], []
+                    [r for r in state_segments.read(folder)[0] if isinstance(r, ActivationAdmitted)], []
                 )
                 log.close(WALL)
 
@@ -158,13 +160,15 @@
                     log = StateLog(folder, WALL, "b1", 600 * S, files=Files(at, how))
                     kept = []
                     for i in range(10):
-                        log.add(ActivationTaken(WALL + i, "x", f"m{i}", WALL, "once"))
+                        log.add(ActivationAdmitted(WALL + i, "x", f"m{i}", WALL, "once"))
                         if log.flush() and log.sync():
                             kept.append(f"m{i}")
                     self.assertIsNotNone(log.stopped)
-                    there = {r.id for r in state_segments.read(folder)[0] if isinstance(r, ActivationTaken)}
+                    there = {
+                        r.id for r in state_segments.read(folder)[0] if isinstance(r, ActivationAdmitted)
+                    }
                     self.assertTrue(set(kept) <= there, (how, at, kept, there))
-                    self.assertFalse(log.add(ActivationTaken(WALL, "x", "more", WALL, "once")))
+                    self.assertFalse(log.add(ActivationAdmitted(WALL, "x", "more", WALL, "once")))
                     if log.log is not None:
                         log.files.close(log.log.handle)
 
@@ -230,7 +234,7 @@
                 (ActivationState.CLIENT_LEFT, False),
             ):
                 id_ = f"{type_}, {outcome or 'no outcome'}{', sent' if sent else ''}"
-                records.append(ActivationTaken(at, "x", id_, at, type_))
+                records.append(ActivationAdmitted(at, "x", id_, at, type_))
                 if outcome:
                     records.append(
                         ActivationEnded(
@@ -260,7 +264,7 @@
     def test_replays_signed_before_the_restart(self):
         records = [
             self.LIFE,
-            ActivationTaken(WALL + S, "x", "m1", WALL, "once"),
+            ActivationAdmitted(WALL + S, "x", "m1", WALL, "once"),
             ActivationEnded(WALL + 2 * S, "x", "m1", ActivationState.COMPLETED, True, b"r"),
         ]
         lines = []
@@ -309,7 +313,7 @@
         records = [self.LIFE] + [
             chance.choice(
                 [
-                    ActivationTaken(WALL + i, "x", f"m{i % 9}", WALL, chance.choice([*TYPES, "gone"])),
+                    ActivationAdmitted(WALL + i, "x", f"m{i % 9}", WALL, chance.choice([*TYPES, "gone"])),
                     ActivationEnded(WALL + i, "x", f"m{i % 9}", ActivationState.ABORTED, True, None),
                     LoadOrdered(WALL + i, "w", "f", 1),
                     IncarnationEnded(WALL + i),
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -17,8 +17,8 @@
 from petrelwood.decide.delivery import recovery
 from petrelwood.decide.delivery.ledger import ActivationState
 from petrelwood.decide.delivery.state_records import (
+    ActivationAdmitted,
     ActivationEnded,
-    ActivationTaken,
     LoadOrdered,
     OutageEnded,
 )
@@ -496,7 +496,7 @@
         first = self.ask().act
         self.core.stop_admitting(None)
         successor = StateLog(self.folder / "state", self.clock.wall(), "b1", 600 * SECOND, now=self.clock.now)
-        successor.add(ActivationTaken(self.clock.wall(), "x", "theirs", self.clock.wall(), "once"))
+        successor.add(ActivationAdmitted(self.clock.wall(), "x", "theirs", self.clock.wall(), "once"))
         successor.flush()
         path, scan = successor.log.path, state_log.scan
 
@@ -710,7 +710,7 @@
             },
         )
         self.assertEqual(
-            (found.order_times, found.ended_in_order, found.complete_since), ([WALL + 6] * 2, True, WALL)
+            (found.order_times, found.ended_cleanly, found.complete_since), ([WALL + 6] * 2, True, WALL)
         )
 
     def test_other_folders_of_the_text_before_are_read(self):
@@ -730,14 +730,14 @@
 
     def test_the_stored_bytes_are_those_of_the_text_before(self):
         log = StateLog(self.folder / "state", WALL, "b1", 600 * SECOND)
-        log.add(ActivationTaken(WALL + 1, "x", "open", WALL, "once"))
-        log.add(ActivationTaken(WALL + 2, "x", "done", WALL, "once"))
+        log.add(ActivationAdmitted(WALL + 1, "x", "open", WALL, "once"))
+        log.add(ActivationAdmitted(WALL + 2, "x", "done", WALL, "once"))
         log.add(ActivationEnded(WALL + 3, "x", "done", ActivationState.COMPLETED, True, b'{"ok":1}'))
-        log.add(ActivationTaken(WALL + 4, "x", "rejected", WALL, "all"))
+        log.add(ActivationAdmitted(WALL + 4, "x", "rejected", WALL, "all"))
         log.add(ActivationEnded(WALL + 5, "x", "rejected", ActivationState.REJECTED, False, None))
         log.add(LoadOrdered(WALL + 6, "w1", "f", 2))
         log.begin_next_segment(WALL + 7)
-        log.add(ActivationTaken(WALL + 8, "y", "later", WALL, "again"))
+        log.add(ActivationAdmitted(WALL + 8, "y", "later", WALL, "again"))
         log.close(WALL + 9)
         for before in sorted((STORED / "state").iterdir()):
             self.assertEqual((self.folder / "state" / before.name).read_bytes(), before.read_bytes())
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -12,7 +12,7 @@
 from petrelwood.decide.overload.backoff import Budget
 from petrelwood.decide.overload.concurrency_limit import ConcurrencyLimit
 from petrelwood.decide.overload.sliding_window import SlidingWindowCounter
-from petrelwood.decide.overload.storm import Storms, SymptomName, dispersion
+from petrelwood.decide.overload.storm import StormDetector, SymptomName, dispersion
 from petrelwood.decide.overload.throughput import ThroughputEstimate
 
 S, MS = 10**9, 10**6
@@ -26,7 +26,7 @@
     def play(self, phases, seed=1):
         """Phases of (seconds, asks a second, share of repeats, connections an ask, share of cold sends, asks
         at a time)."""
-        chance, storms, now, lines = random.Random(seed), Storms(), 0, []
+        chance, storms, now, lines = random.Random(seed), StormDetector(), 0, []
         for seconds, pace, repeats, connects, cold, bunch in phases:
             end, next_ask = now + seconds * S, now
             while now < end:
@@ -78,7 +78,7 @@
     def test_a_long_surge_does_not_become_usual_while_it_lasts(self):
         storms, _ = self.play([(30, 60, 0, 0, 0, 1), (60, 300, 0, 0, 0, 1)])
         self.assertTrue(storms.has(SymptomName.SURGE))
-        self.assertLess(storms.usual, 90)
+        self.assertLess(storms.baseline_rate, 90)
 
     def test_dispersion(self):
         self.assertEqual((dispersion([0, 0]), dispersion([4, 4, 4])), (0.0, 0.0))
@@ -226,16 +226,16 @@
         pace = ThroughputEstimate(20)
         for at in range(50):
             pace.record_answer(at * S // 10)
-        self.assertIsNone(pace.expected_stay(5 * S, 5))  # few are held: nothing is believed
-        self.assertAlmostEqual(pace.expected_stay(5 * S, 40) / S, 4.0, delta=0.3)
+        self.assertIsNone(pace.expected_wait(5 * S, 5))  # few are held: nothing is believed
+        self.assertAlmostEqual(pace.expected_wait(5 * S, 40) / S, 4.0, delta=0.3)
         self.assertTrue(pace.is_too_late(5 * S, 40, 8 * S))
         self.assertFalse(pace.is_too_late(5 * S, 40, 10 * S))
-        self.assertIsNone(pace.expected_stay(60 * S, 40))  # nothing has left for long: nothing is known
+        self.assertIsNone(pace.expected_wait(60 * S, 40))  # nothing has left for long: nothing is known
 
 
 class Doors(unittest.TestCase):
     def door(self, connections=80, handshakes=0, bytes_=10_000):
-        return admission.ConnectionAdmission(connections, handshakes, bytes_, half, most_addresses=100)
+        return admission.ConnectionAdmission(connections, handshakes, bytes_, half, max_addresses=100)
 
     def test_a_crowd_of_one_address_does_not_keep_others_out(self):
         door, crowd = self.door(), 0
@@ -243,7 +243,7 @@
             crowd += door.admit_connection(at * S // 4, "10.0.0.1") == admission.AdmissionVerdict.ADMIT
         others = [door.admit_connection(100 * S, f"10.0.1.{i}") for i in range(5)]
         self.assertEqual((crowd, others), (70, [admission.AdmissionVerdict.ADMIT] * 5))
-        self.assertEqual(door.admit_connection(101 * S, "10.0.0.1"), admission.AdmissionVerdict.UNFAIR)
+        self.assertEqual(door.admit_connection(101 * S, "10.0.0.1"), admission.AdmissionVerdict.OVER_SHARE)
         for _ in range(70):
             door.on_closed("10.0.0.1")
         self.assertEqual(
@@ -269,7 +269,7 @@
         door, bans = self.door(), []
         for _ in range(3):
             at = max(bans[-1][1] if bans else 0, 0)
-            for _ in range(admission.MOST_BAD_SIGNATURES):
+            for _ in range(admission.MAX_BAD_SIGNATURES):
                 self.assertTrue(door.may_check_signature(at, "a"))
                 door.record_signature(at, "a", False)
             self.assertFalse(door.may_check_signature(at, "a"))
@@ -278,7 +278,7 @@
         self.assertEqual([round(b / a, 2) for a, b in itertools.pairwise(lengths)], [2.0, 2.0])
         self.assertTrue(door.may_check_signature(bans[-1][1], "a") and door.may_check_signature(0, "b"))
         door.record_signature(bans[-1][1], "a", True)
-        for _ in range(admission.MOST_BAD_SIGNATURES - 1):
+        for _ in range(admission.MAX_BAD_SIGNATURES - 1):
             door.record_signature(bans[-1][1], "a", False)
         self.assertTrue(door.may_check_signature(bans[-1][1], "a"))
 
@@ -292,7 +292,7 @@
             [door.admit_connection(0, "a") for _ in range(12)].count(admission.AdmissionVerdict.ADMIT), 9
         )
         self.assertEqual(door.admit_connection(0, "b"), admission.AdmissionVerdict.ADMIT)
-        self.assertEqual(door.admit_connection(0, "c"), admission.AdmissionVerdict.CROWDED)
+        self.assertEqual(door.admit_connection(0, "c"), admission.AdmissionVerdict.AT_CAPACITY)
         door.on_handshake_done("a")
         self.assertEqual(door.admit_connection(0, "c"), admission.AdmissionVerdict.ADMIT)
 
@@ -313,7 +313,7 @@
             door.release_bytes(gone, size)
             door.on_handshake_done(gone)
             door.on_closed(gone)
-        self.assertEqual((door.open, door.handshaking, door.held_bytes), (0, 0, 0))
+        self.assertEqual((door.open, door.handshaking, door.reserved_bytes), (0, 0, 0))
         self.assertLessEqual(len(door.addresses), 101)
 
 
--- a/tests/test_webhook_parts.py
+++ b/tests/test_webhook_parts.py
@@ -73,17 +73,17 @@
     def test_bytes_are_reserved_until_they_are_read(self):
         self.assertFalse(self.unread)
         self.assertTrue(self.unread.add(300) and self.unread.add(200))
-        self.assertEqual((bool(self.unread), self.admission.held_bytes), (True, 500))
+        self.assertEqual((bool(self.unread), self.admission.reserved_bytes), (True, 500))
         self.unread.oldest_read()
-        self.assertEqual(self.admission.held_bytes, 200)
+        self.assertEqual(self.admission.reserved_bytes, 200)
         self.unread.release()
-        self.assertEqual((bool(self.unread), self.admission.held_bytes), (False, 0))
+        self.assertEqual((bool(self.unread), self.admission.reserved_bytes), (False, 0))
 
     def test_one_too_many_reserves_nothing(self):
         self.assertFalse(self.unread.add(2000))
-        self.assertEqual((bool(self.unread), self.admission.held_bytes), (True, 0))
+        self.assertEqual((bool(self.unread), self.admission.reserved_bytes), (True, 0))
         self.unread.release()
-        self.assertEqual(self.admission.held_bytes, 0)
+        self.assertEqual(self.admission.reserved_bytes, 0)
 
     def test_the_deadline_is_that_of_the_oldest(self):
         self.assertFalse(self.unread.is_overdue(1 << 62))
