--- a/petrelwood/decide/overload/resource_limits.py
+++ b/petrelwood/decide/overload/resource_limits.py
@@ -44,8 +44,8 @@
 class CapacityIntake:
     """The intake of a platform that has its own retries, quotas and ids: capacity alone is checked.
 
-    All else is left to the scheduler. It has the methods of `intake.Intake`. `typical_duration` is how long a rejected
-    request should wait before it is sent again. Times in ns.
+    The scheduler decides everything else. The class has the methods of `intake.Intake`. `typical_duration` is
+    the Retry-After of a rejected request. Times in ns.
     """
 
     damps = False
--- a/petrelwood/decide/overload/storm.py
+++ b/petrelwood/decide/overload/storm.py
@@ -117,6 +117,7 @@
     __slots__ = (
         "cold_attempts",
         "attempts",
+        "baseline_rate",
         "connections",
         "fine_requests",
         "requests",
@@ -125,7 +126,6 @@
         "second_requests",
         "seen",
         "symptoms",
-        "usual",
     )
 
     def __init__(self) -> None:
@@ -136,7 +136,7 @@
         self.attempts = SlidingWindowCounter(BUCKET, BUCKETS)
         self.cold_attempts = SlidingWindowCounter(BUCKET, BUCKETS)
         self.fine_requests = SlidingWindowCounter(FINE_BUCKET, FINE_BUCKETS)
-        self.baseline_rate: float | None = None  # requests in the usual second
+        self.baseline_rate: float | None = None  # requests per second outside storms, a running mean
         self.second: int | None = None  # the one that is counted
         self.second_requests = 0
         self.seen: Counter[str] = Counter()  # how often each symptom went on
@@ -191,7 +191,7 @@
         }
 
     def _end_second(self, passed: int) -> None:
-        """Take a second that began `passed` seconds ago into the usual one's mean, unless a storm is on."""
+        """Update the baseline rate with a second that began `passed` seconds ago, unless a storm is on."""
         count = self.second_requests
         self.second_requests = 0
         if self.baseline_rate is None:
