--- a/petrelwood/decide/cluster/durable_replica.py
+++ b/petrelwood/decide/cluster/durable_replica.py
@@ -17,8 +17,8 @@
 from petrelwood.decide.overload.backoff import Backoff
 from petrelwood.errors import UnavailableError
 
-FIRST_RETRY = 100 * MS
-LONGEST_RETRY = 5_000 * MS
+FIRST_RETRY_DELAY = 100 * MS
+MAX_RETRY_DELAY = 5_000 * MS
 Save = Callable[[list[Any]], None]
 
 
@@ -55,7 +55,7 @@
         self._error: OSError | None = None
         self._save = save
         self._observer = observer
-        self._backoff = Backoff(FIRST_RETRY, LONGEST_RETRY, random_fraction)
+        self._backoff = Backoff(FIRST_RETRY_DELAY, MAX_RETRY_DELAY, random_fraction)
 
     @property
     def failed(self) -> bool:
--- a/petrelwood/decide/cluster/handover.py
+++ b/petrelwood/decide/cluster/handover.py
@@ -21,8 +21,8 @@
 ACCEPT_TIMEOUT = 2 * SECOND  # from go until the successor accepts
 HEARTBEAT_TIMEOUT = 2 * SECOND  # after which a successor that has not proven itself has failed
 PROBATION = 5 * SECOND  # how long a successor serves before it has proven itself
-LEAST_ANSWERS = 20  # answers from which a completion rate is compared
-WORST_DROP = 0.2  # how much smaller the completed share may be than before
+MIN_ANSWERS = 20  # answers from which a completion rate is compared
+MAX_RATE_DROP = 0.2  # how much smaller the completed share may be than before
 PROTOCOL_VERSION = 1
 
 
@@ -261,6 +261,6 @@
 
     def _is_worse(self) -> bool:
         now = self.answers.rate()
-        if now.answers < LEAST_ANSWERS or self.before.answers < LEAST_ANSWERS:
+        if now.answers < MIN_ANSWERS or self.before.answers < MIN_ANSWERS:
             return False
-        return now.share < self.before.share - WORST_DROP
+        return now.share < self.before.share - MAX_RATE_DROP
--- a/petrelwood/decide/cluster/link_state.py
+++ b/petrelwood/decide/cluster/link_state.py
@@ -14,8 +14,8 @@
 
 from petrelwood.decide.overload.backoff import Backoff, Budget
 
-MOST_PINGS = 3  # unanswered pings of a link with calls in flight before it is given up
-LONGEST_BACKOFF = 16  # times the time to connect
+MAX_UNANSWERED_PINGS = 3  # unanswered pings of a link with calls in flight before it is given up
+MAX_BACKOFF_FACTOR = 16  # times the time to connect
 
 
 class LinkPhase(StrEnum):
@@ -93,7 +93,9 @@
         self.terms = terms
         self.phase = LinkPhase.DOWN
         self.reconnect_budget = reconnect_budget
-        self.backoff = Backoff(terms.connect_within, LONGEST_BACKOFF * terms.connect_within, random_fraction)
+        self.backoff = Backoff(
+            terms.connect_within, MAX_BACKOFF_FACTOR * terms.connect_within, random_fraction
+        )
         self.connecting_since = 0
         self.last_received_at = 0
         self.pings = 0  # unanswered, since bytes were last received
@@ -160,7 +162,7 @@
             silence = now - self.last_received_at
             if silence >= self.terms.quiet:
                 return LinkCheck.GIVE_UP
-            if silence >= self.terms.quiet * (self.pings + 1) // (MOST_PINGS + 1):
+            if silence >= self.terms.quiet * (self.pings + 1) // (MAX_UNANSWERED_PINGS + 1):
                 self.pings += 1
                 return LinkCheck.PING
         return None
--- a/petrelwood/decide/cluster/log_proposal.py
+++ b/petrelwood/decide/cluster/log_proposal.py
@@ -26,9 +26,11 @@
 MS = 1_000_000
 PHASE_TIMEOUT = 1_000 * MS  # for each phase of a ballot to find a majority, before a higher one is tried
 QUORUM_TIMEOUT = 4_000 * MS  # for a record to be decided, before the proposal fails for want of a quorum
-FIRST_RETRY = 20 * MS  # the first wait after a rejected ballot; doubled each time and drawn from all of it
-LONGEST_RETRY = 500 * MS
-MOST_DOUBLINGS = 8
+FIRST_RETRY_DELAY = (
+    20 * MS
+)  # the first wait after a rejected ballot; doubled each time and drawn from all of it
+MAX_RETRY_DELAY = 500 * MS
+MAX_DOUBLINGS = 8
 
 
 class Proposer:
@@ -137,7 +139,7 @@
         if promised <= self._ballot:
             return
         self._proposer.round = max(self._proposer.round, promised.round)
-        wait = min(FIRST_RETRY << min(self._rejections, MOST_DOUBLINGS), LONGEST_RETRY)
+        wait = min(FIRST_RETRY_DELAY << min(self._rejections, MAX_DOUBLINGS), MAX_RETRY_DELAY)
         self._rejections += 1
         self._retry_at = now + 1 + int(self._random_fraction() * wait)
 
--- a/petrelwood/decide/cluster/membership.py
+++ b/petrelwood/decide/cluster/membership.py
@@ -23,8 +23,8 @@
 # A list received now may lack a worker that started up to this much earlier (ns): an age beyond is an error
 # of the clocks, one within it is an event that came late.
 MAX_EVENT_DELAY = 1_500_000_000
-MOST_DEPARTED = 4_096  # incarnations that have left the list and whose start is remembered
-LONGEST_BACKOFF = 64  # times the first wait
+MAX_DEPARTED = 4_096  # incarnations that have left the list and whose start is remembered
+MAX_BACKOFF_FACTOR = 64  # times the first wait
 
 
 class MalformedEndpointError(ProtocolError):
@@ -97,7 +97,7 @@
         self.lost_after = lost_after
         self.last_contact_at = 0
         self.is_lost = False
-        self.backoff = Backoff(first_wait, LONGEST_BACKOFF * first_wait, random_fraction)
+        self.backoff = Backoff(first_wait, MAX_BACKOFF_FACTOR * first_wait, random_fraction)
         self.platform_clock = UnsteppedWallClock()
         self.complete_at: int | None = None  # when the list was last known to be complete; None: never yet
         # (worker, its reported start) -> its start on our clock
@@ -231,7 +231,7 @@
         if not member.booted:
             return
         self.departed[worker, member.endpoint.booted] = member.booted
-        if len(self.departed) > MOST_DEPARTED:
+        if len(self.departed) > MAX_DEPARTED:
             self.departed.popitem(last=False)
 
 
--- a/petrelwood/decide/cluster/polling.py
+++ b/petrelwood/decide/cluster/polling.py
@@ -7,7 +7,7 @@
 RETRY_INTERVAL = 80 * MILLISECOND  # after a query that has no answer yet
 # an answer counts for the time of its query, up to this much later
 ANSWER_LIFETIME = 4_500 * MILLISECOND
-MOST_OPEN_QUERIES = ANSWER_LIFETIME // RETRY_INTERVAL  # whose answers are still taken
+MAX_OPEN_QUERIES = ANSWER_LIFETIME // RETRY_INTERVAL  # whose answers are still taken
 QUERY_IDS = 65_536
 
 
@@ -30,7 +30,7 @@
         query_id = int(self.random_fraction() * QUERY_IDS)
         self.open_queries.pop(query_id, None)
         self.open_queries[query_id] = now
-        if len(self.open_queries) > MOST_OPEN_QUERIES:
+        if len(self.open_queries) > MAX_OPEN_QUERIES:
             del self.open_queries[next(iter(self.open_queries))]
         self.next_at = now + RETRY_INTERVAL
         return query_id
--- a/petrelwood/decide/cluster/rollout.py
+++ b/petrelwood/decide/cluster/rollout.py
@@ -25,18 +25,18 @@
 SECOND = 1_000_000_000
 STAGES = (0.02, 0.1, 0.3, 1.0)  # parts of all dispatchers that have applied it by the end of each stage
 DWELL = 30 * SECOND  # between two stages
-LEAST_ANSWERS = 30  # answers under a version from which it is judged
-WORST_DROP = 0.1  # how far the completed share may fall below the baseline
-DEVIATIONS = 3.5  # standard deviations that chance may make: the rate is compared again and again
-LEAST_VARIANCE = 0.01  # of an answer
-MOST_BASELINE_ANSWERS = 2000  # answers after which the counts of the baseline are halved
+MIN_ANSWERS = 30  # answers under a version from which it is judged
+MAX_RATE_DROP = 0.1  # how far the completed share may fall below the baseline
+NOISE_DEVIATIONS = 3.5  # standard deviations that chance may make: the rate is compared again and again
+MIN_VARIANCE = 0.01  # of an answer
+MAX_BASELINE_ANSWERS = 2000  # answers after which the counts of the baseline are halved
 ROLLBACK_ANSWERS = 100  # answers that the baseline counts as after a rollback
 WATCHED_STAGES = 2  # over which one that applied it watches itself
 # What a roll-out that is to end in time leaves for the last dispatchers: a poll of the configuration servers,
 # an answer, a look at the folder of versions, and applying it, each of them up to a second.
-RESERVE = 4 * SECOND
-LEAST_WITHIN = 7 * SECOND  # a second for each stage but the last
-DEFAULT_WITHIN = RESERVE + (len(STAGES) - 1) * DWELL
+COMPLETION_RESERVE = 4 * SECOND
+MIN_ROLLOUT_TIME = 7 * SECOND  # a second for each stage but the last
+DEFAULT_ROLLOUT_TIME = COMPLETION_RESERVE + (len(STAGES) - 1) * DWELL
 
 
 class Announcement(NamedTuple):
@@ -44,7 +44,7 @@
 
     number: int
     rollout_start: int  # wall-clock ns
-    is_called_off: bool
+    is_revoked: bool
 
 
 class RolloutAction(StrEnum):
@@ -63,7 +63,7 @@
 
 def dwell_for(within: int, stages: Sequence[float] = STAGES) -> int:
     """Return the time between two stages, ns, for a roll-out that is to end everywhere within `within` ns."""
-    return (within - RESERVE) // (len(stages) - 1)
+    return (within - COMPLETION_RESERVE) // (len(stages) - 1)
 
 
 def stage_delay(name: str, version: int, stages: Sequence[float] = STAGES, dwell: int = DWELL) -> int:
@@ -152,7 +152,7 @@
     def record_answer(self, completed: bool) -> None:
         """Count the answer of an activation that was admitted here."""
         self.answers.record(completed)
-        if self.applied_at is None and self.answers.answers >= MOST_BASELINE_ANSWERS:
+        if self.applied_at is None and self.answers.answers >= MAX_BASELINE_ANSWERS:
             self.answers.halve()  # the baseline follows slowly
 
     def decide(self, wall: int, announcements: Sequence[Announcement]) -> RolloutStep | None:
@@ -162,7 +162,7 @@
         """
         known = {each.number: each for each in announcements}
         self.first_seen_at = {number: self.first_seen_at.get(number, wall) for number in known}
-        if self._is_called_off(known):
+        if self._is_revoked(known):
             return self._roll_back()
         if self.applied_at is not None:
             if self._is_worse():
@@ -176,22 +176,22 @@
             return None
         return self._apply(newest.number, wall)
 
-    def _is_called_off(self, known: Mapping[int, Announcement]) -> bool:
+    def _is_revoked(self, known: Mapping[int, Announcement]) -> bool:
         current = known.get(self.version)
-        return self.previous_version is not None and current is not None and current.is_called_off
+        return self.previous_version is not None and current is not None and current.is_revoked
 
     def _is_worse(self) -> bool:
         now = self.answers.rate()
-        if now.answers < LEAST_ANSWERS or self.baseline.answers < LEAST_ANSWERS:
+        if now.answers < MIN_ANSWERS or self.baseline.answers < MIN_ANSWERS:
             return False
         baseline = self.baseline.share
-        variance = max(baseline * (1 - baseline), LEAST_VARIANCE)
-        noise = DEVIATIONS * math.sqrt(variance / now.answers)
-        return now.share + noise < baseline - WORST_DROP
+        variance = max(baseline * (1 - baseline), MIN_VARIANCE)
+        noise = NOISE_DEVIATIONS * math.sqrt(variance / now.answers)
+        return now.share + noise < baseline - MAX_RATE_DROP
 
     def _newest(self, announcements: Iterable[Announcement]) -> Announcement | None:
         """Return the newest version to apply, or None."""
-        newer = [each for each in announcements if each.number > self.version and not each.is_called_off]
+        newer = [each for each in announcements if each.number > self.version and not each.is_revoked]
         if not newer:
             return None
         newest = max(newer)
--- a/petrelwood/decide/cluster/version_watch.py
+++ b/petrelwood/decide/cluster/version_watch.py
@@ -16,12 +16,12 @@
 from petrelwood.decide.overload.backoff import Backoff
 
 SECOND = 1_000_000_000
-ROUND = SECOND  # between two rounds of polls
-JITTER = 0.2  # part of a round that is drawn: dispatchers started together do not stay together
+ROUND_INTERVAL = SECOND  # between two rounds of polls
+ROUND_JITTER = 0.2  # part of a round that is drawn: dispatchers started together do not stay together
 POLLED_EACH_ROUND = 2  # servers
 ANSWER_TIMEOUT = SECOND  # a server that takes longer has failed
 FIRST_BACKOFF = SECOND  # before a server that failed is polled again
-LONGEST_BACKOFF = 30 * SECOND
+MAX_BACKOFF = 30 * SECOND
 
 
 class Version(NamedTuple):
@@ -79,7 +79,7 @@
         self.rollout_time = rollout_time
         self.random_fraction = random_fraction
         self.backoffs = {
-            server: Backoff(FIRST_BACKOFF, LONGEST_BACKOFF, random_fraction) for server in self.servers
+            server: Backoff(FIRST_BACKOFF, MAX_BACKOFF, random_fraction) for server in self.servers
         }
         self.next_round_at = 0
         self.second_server = 0  # its place among those that work; the first is always polled
@@ -91,7 +91,7 @@
         """Return the servers to poll now; none before the next round."""
         if now < self.next_round_at:
             return ()
-        self.next_round_at = now + int(ROUND * (1 - JITTER * self.random_fraction()))
+        self.next_round_at = now + int(ROUND_INTERVAL * (1 - ROUND_JITTER * self.random_fraction()))
         working = [server for server in self.servers if self.backoffs[server].may_retry(now)]
         if len(working) < POLLED_EACH_ROUND:
             return tuple(working)
--- a/petrelwood/node/graceful_shutdown.py
+++ b/petrelwood/node/graceful_shutdown.py
@@ -67,16 +67,16 @@
     async def drain(self) -> None:
         """Wait until all is answered and the sockets are quiet, or the time is up."""
         core = self.core
-        while not self.times.over(core.now(), len(core.pending.activations), core.front.quiet()):
+        while not self.times.may_exit(core.now(), len(core.pending.activations), core.front.quiet()):
             self._check()
             await asyncio.sleep(CHECK_INTERVAL)
 
     def _check(self) -> None:
         core = self.core
-        core.intake.closing = self.times.closed(core.now())
-        if self.times.closed(core.now()) and not core.pending.activations:
+        core.intake.closing = self.times.is_admission_closed(core.now())
+        if self.times.is_admission_closed(core.now()) and not core.pending.activations:
             core.front.close_idle()  # those that go on sending keep only themselves
-        if self.times.out_of_time(core.now()):
+        if self.times.must_answer_all(core.now()):
             for activation_id in sorted(core.pending.activations):
                 core.submit(self._answer, activation_id)
 
--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -154,7 +154,7 @@
                 call = self.waiting[0]
                 # a call behind the unsent rest of another would begin whenever its worker reads again
                 ready = [connection for connection in self.lines if not connection.stream.writing()]
-                connection = connection_pool.choose(
+                connection = connection_pool.choose_connection(
                     ready, call.activation, self.terms.streams, self.core.may_open()
                 )
                 if connection is not None:
@@ -176,7 +176,7 @@
 
     def _wants_connection(self) -> bool:
         """Return whether more calls are queued than connections are coming up, and another one may."""
-        return self.connecting < min(len(self.waiting), connection_pool.MOST_CONNECTING)
+        return self.connecting < min(len(self.waiting), connection_pool.MAX_CONNECTING)
 
     def _encode(self, call: NodeCall) -> bytes:
         content = call.content
@@ -192,8 +192,8 @@
         frame = self._take_frame(call)
         call.bytes_before = sockets.bytes_written(connection.stream)
         call.connection = connection
-        connection.open[call.activation] = call
-        connection_pool.remember(connection, call.activation)
+        connection.in_flight[call.activation] = call
+        connection_pool.record_call_id(connection, call.activation)
         connection.last_call = call
         connection.last_write_at = self.core.now()
         self.lines.remove(connection)  # the last used is at the end
@@ -275,12 +275,12 @@
             self._stop_connect_timer(connection)
             if self.waiting:  # one call ends for one connection that was not made
                 self._end(self.waiting[0], send_outcome.of_loss(QUEUED))
-        if connection.open or not connection.up:
+        if connection.in_flight or not connection.up:
             self.counts.lost += 1
-            self.core.note_loss(self.worker, why, len(connection.open))
-        for call in list(connection.open.values()):
+            self.core.note_loss(self.worker, why, len(connection.in_flight))
+        for call in list(connection.in_flight.values()):
             self._end_lost(call, connection.stream)
-        connection.open.clear()
+        connection.in_flight.clear()
         self.pump()
 
     def give_up(self, why: str) -> None:
@@ -304,7 +304,7 @@
     def _close_if_unresponsive(self, call: NodeCall) -> None:
         """Close the connection of a call that timed out, if it is idle and nothing was read since."""
         connection = call.connection
-        if connection is not None and connection.last_read_at <= call.made_at and not connection.open:
+        if connection is not None and connection.last_read_at <= call.made_at and not connection.in_flight:
             self._lost(connection, "nothing was heard in time")
 
     def close_expired(self, now: int) -> None:
@@ -325,7 +325,7 @@
 
     # Reading.
     def _on_answer(self, connection: WorkerConnection, answer: worker_protocol.Answer) -> None:
-        call: NodeCall | None = connection.open.get(answer.tag)
+        call: NodeCall | None = connection.in_flight.get(answer.tag)
         if call is None:  # its wait has ended, or it was never made
             self.counts.unexpected_answers += 1
             return
@@ -346,8 +346,8 @@
     ) -> None:
         """As in `Calls`; what is queued may follow on the connection."""
         connection = call.connection
-        if connection is not None and connection.open.get(call.activation) is call:
-            del connection.open[call.activation]
+        if connection is not None and connection.in_flight.get(call.activation) is call:
+            del connection.in_flight[call.activation]
         super()._end(call, code, note, body, gauge)
         if connection is not None and self.waiting:
             self.pump()
--- a/petrelwood/node/worker_connection.py
+++ b/petrelwood/node/worker_connection.py
@@ -25,8 +25,8 @@
     Attributes:
         stream: The connection itself.
         up: Whether it is made.
-        open: The calls in flight on it, by the id that they have on the wire.
-        carried: The last ids that it has carried, oldest first.
+        in_flight: The calls in flight on it, by the id that they have on the wire.
+        recent_call_ids: The ids of the last calls on it, oldest first.
         last_read_at: When something was last read from it, or it was begun, in ns.
         connect_timer: Gives it up if it is not made in time; None once it is made, or given up.
         last_call: The call that was written last.
@@ -36,8 +36,8 @@
     __slots__ = (
         "stream",
         "up",
-        "open",
-        "carried",
+        "in_flight",
+        "recent_call_ids",
         "last_read_at",
         "connect_timer",
         "last_call",
@@ -48,8 +48,8 @@
         self.stream = stream
         self.up = False
         # of `NodeCall`; `connection_pool.Connection` has a dict of objects, and no other dict is one
-        self.open: dict[str, Any] = {}
-        self.carried: dict[str, bool] = {}
+        self.in_flight: dict[str, Any] = {}
+        self.recent_call_ids: dict[str, bool] = {}
         self.last_read_at = now
         self.connect_timer: asyncio.TimerHandle | None = None
         self.last_call: NodeCall | None = None
@@ -65,11 +65,11 @@
 
     def is_idle(self) -> bool:
         """Return whether it is made, and nothing is in flight on it."""
-        return self.up and not self.open
+        return self.up and not self.in_flight
 
     def has_expired(self, now: int, idle_timeout: int) -> bool:
         """Return whether it has been idle for more than half of the worker's idle timeout (ns; 0: none).
 
         Then it is closed on this side: an attempt that is written as its worker closes it may have run.
         """
-        return self.up and not self.open and 0 < idle_timeout < 2 * (now - self.last_read_at)
+        return self.up and not self.in_flight and 0 < idle_timeout < 2 * (now - self.last_read_at)
--- a/petrelwood/settings/storage.py
+++ b/petrelwood/settings/storage.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from petrelwood.decide.cluster.rollout import DEFAULT_WITHIN, LEAST_WITHIN
+from petrelwood.decide.cluster.rollout import DEFAULT_ROLLOUT_TIME, MIN_ROLLOUT_TIME
 from petrelwood.settings.decoders import ADDRESS, COUNT, DURATION, SECOND, SIZE, TEXT, Address, one_of
 from petrelwood.settings.node import Node
 
@@ -65,13 +65,13 @@
     for server in node.every("server"):
         servers.append(server.arg(ADDRESS, "an address"))
         server.reject_unknown(1)
-    terms = ConfigurationTerms(tuple(servers), node.value("within", DURATION, DEFAULT_WITHIN))
+    terms = ConfigurationTerms(tuple(servers), node.value("within", DURATION, DEFAULT_ROLLOUT_TIME))
     node.reject_unknown()
     if not servers:
         node.report("'configuration' needs a 'server' at least")
     if not versions:
         node.report("'configuration' needs a folder of 'versions' to keep what it hears of")
-    if terms.within < LEAST_WITHIN:
-        least = LEAST_WITHIN // SECOND
+    if terms.within < MIN_ROLLOUT_TIME:
+        least = MIN_ROLLOUT_TIME // SECOND
         node.report(f"'within' can't be under {least} s: versions are taken in stages")
     return terms
--- a/tests/test_always_answered.py
+++ b/tests/test_always_answered.py
@@ -32,13 +32,13 @@
     def __init__(self, now, longest):
         self.taking = True
 
-    def closed(self, now):
+    def is_admission_closed(self, now):
         return not self.taking
 
-    def out_of_time(self, now):
+    def must_answer_all(self, now):
         return False
 
-    def over(self, now, owed, quiet):
+    def may_exit(self, now, owed, quiet):
         return not self.taking and not owed and quiet
 
 
@@ -52,7 +52,7 @@
         "import sys; from petrelwood.node import __main__ as node; "
         "from petrelwood.decide.cluster import shutdown; "
         "from petrelwood.decide.overload import resource_limits as limits; "
-        f"shutdown.LONGEST_TIMEOUT = limits.FIRST_REQUEST_TIMEOUT = {SLOW}_000_000_000; "
+        f"shutdown.MAX_TIMEOUT = limits.FIRST_REQUEST_TIMEOUT = {SLOW}_000_000_000; "
         f"limits.REQUEST_TIMEOUT = {SLOW}_000_000_000; sys.exit(node.main())",
     )
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -21,8 +21,8 @@
 from petrelwood.decide.cluster.log_records import Entry as LogEntry
 from petrelwood.decide.cluster.log_records import Extract, Record, RecordKind
 from petrelwood.decide.cluster.membership import (
+    MAX_DEPARTED,
     MAX_EVENT_DELAY,
-    MOST_DEPARTED,
     Endpoint,
     EndpointState,
     Membership,
@@ -190,9 +190,9 @@
 
     def test_what_is_remembered_of_those_that_left_is_bounded(self):
         m = self.membership()
-        for number in range(MOST_DEPARTED + 100):
+        for number in range(MAX_DEPARTED + 100):
             m.apply_list(f"e-{number}", [entry(f"w{number}", WALL)], LATE + number, WALL + LATE + number)
-        self.assertLessEqual(len(m.departed), MOST_DEPARTED)
+        self.assertLessEqual(len(m.departed), MAX_DEPARTED)
 
 
 class PlatformList(unittest.TestCase):
--- a/tests/test_configuration_disk.py
+++ b/tests/test_configuration_disk.py
@@ -170,13 +170,13 @@
         self.assertGreaterEqual(found.promised, Ballot(1, "a"))
         self.assertEqual(found.accepted, Ballot(1, "a"))
         for _ in range(400):  # twenty seconds
-            now += durable_replica.FIRST_RETRY // 2
+            now += durable_replica.FIRST_RETRY_DELAY // 2
             durable.retry(now)
         if times is None:
             self.assertLess(files.failed, 20)
             self.assertEqual(durable.answer(Prepare(1, high), now), NotVoting())
             files.failing = None
-            now += durable_replica.LONGEST_RETRY
+            now += durable_replica.MAX_RETRY_DELAY
             durable.retry(now)
         self.assertFalse(durable.failed)
         self.assertEqual([word for word, *_ in durable._observer.said].count("recovered"), 1)
@@ -329,7 +329,7 @@
         self.addCleanup(folder.cleanup)
         self.files = FailingFiles()
         self.enterContext(mock.patch.object(catching_up, "INTERVAL", 0.05))
-        self.enterContext(mock.patch.object(durable_replica, "LONGEST_RETRY", SECOND // 4))
+        self.enterContext(mock.patch.object(durable_replica, "MAX_RETRY_DELAY", SECOND // 4))
         addresses, self.servers, sockets = {}, {}, {}
         for name in ("c1", "c2", "c3"):
             sockets[name] = bind_sockets(0, "127.0.0.1")
--- a/tests/test_configuration_scale.py
+++ b/tests/test_configuration_scale.py
@@ -13,7 +13,7 @@
 
 WITHIN = size.CONFIGURATION_IN_FORCE_WITHIN
 # Two servers a round, a question and an answer each; rounds are a fifth shorter at most.
-MOST_MESSAGES = 4 / (1 - version_watch.JITTER)
+MOST_MESSAGES = 4 / (1 - version_watch.ROUND_JITTER)
 
 
 class InForce(unittest.TestCase):
@@ -40,12 +40,12 @@
 
     def test_one_that_polls_far_more_often_is_seen(self):
         """The check of messages can fail."""
-        usual = version_watch.ROUND
+        usual = version_watch.ROUND_INTERVAL
         try:
-            version_watch.ROUND = usual // 10
+            version_watch.ROUND_INTERVAL = usual // 10
             self.assertGreater(scale.one_version(dispatchers=20).messages, MOST_MESSAGES)
         finally:
-            version_watch.ROUND = usual
+            version_watch.ROUND_INTERVAL = usual
 
 
 class Events(unittest.TestCase):
@@ -74,7 +74,7 @@
         self.assertLessEqual(found.in_force, WITHIN)
         # a server that had failed is asked again after 30 s at the latest; then the stages
         healed = found.decided
-        self.assertLessEqual(healed, version_watch.LONGEST_BACKOFF / SECOND + WITHIN)
+        self.assertLessEqual(healed, version_watch.MAX_BACKOFF / SECOND + WITHIN)
 
     def test_changes_at_random_times_are_in_force_in_time_or_superseded_before(self):
         for seed in (1, 2):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -286,7 +286,7 @@
     def test_which_connection(self):
         class Line:
             def __init__(self, name, up, open_, carried=()):
-                self.name, self.up, self.open, self.carried = (
+                self.name, self.up, self.in_flight, self.recent_call_ids = (
                     name,
                     up,
                     dict.fromkeys(open_),
@@ -305,19 +305,19 @@
             ("coming up", ([Line("a", False, "")], "x", 4, False)),
             ("it has carried this id", ([Line("a", True, "", "x"), Line("b", True, "p")], "x", 4, False)),
         ):
-            line = connection_pool.choose(*args)
+            line = connection_pool.choose_connection(*args)
             said.append(f"{what}: {line.name if line else '-'}")
         compare(self, "node_pool", said)
 
     def test_an_id_is_remembered_by_its_connection_and_not_for_ever(self):
         class Line:
-            carried = {}
+            recent_call_ids = {}
 
         for number in range(100):
-            connection_pool.remember(Line, number)
+            connection_pool.record_call_id(Line, number)
         self.assertEqual(
-            (len(Line.carried), 99 in Line.carried, 0 in Line.carried),
-            (connection_pool.MOST_REMEMBERED_IDS, True, False),
+            (len(Line.recent_call_ids), 99 in Line.recent_call_ids, 0 in Line.recent_call_ids),
+            (connection_pool.MAX_REMEMBERED_IDS, True, False),
         )
 
     def test_the_end(self):
@@ -332,8 +332,8 @@
                 f"longest action timeout {longest} ms: killed {700 + min(longest, 3000)} ms after it at the soonest"
             )
             said += [
-                f"{at:5d} ms, {owed} owed: closed {ends.closed(at * MS)}, cut {ends.out_of_time(at * MS)}, "
-                f"over {ends.over(at * MS, owed, True)}"
+                f"{at:5d} ms, {owed} owed: closed {ends.is_admission_closed(at * MS)}, cut {ends.must_answer_all(at * MS)}, "
+                f"over {ends.may_exit(at * MS, owed, True)}"
                 for at, owed in looks
             ]
         compare(self, "node_leaving", said)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -144,14 +144,14 @@
             with self.subTest(longest):
                 kill = int(min(longest, 3) * SECOND) + 700_000_000
                 shutdown = Shutdown(0, int(longest * SECOND))
-                self.assertFalse(shutdown.closed(699_999_999))
-                self.assertTrue(shutdown.closed(700_000_000))
+                self.assertFalse(shutdown.is_admission_closed(699_999_999))
+                self.assertTrue(shutdown.is_admission_closed(700_000_000))
                 margin = min(100_000_000, int(longest * SECOND) // 8)
-                self.assertTrue(shutdown.out_of_time(kill - 2 * margin))
-                self.assertTrue(shutdown.over(kill - margin, 1, False))
-                self.assertFalse(shutdown.over(699_999_999, 0, True))
-                self.assertTrue(shutdown.over(700_000_000, 0, True))
-                self.assertFalse(shutdown.over(700_000_000, 1, True))
+                self.assertTrue(shutdown.must_answer_all(kill - 2 * margin))
+                self.assertTrue(shutdown.may_exit(kill - margin, 1, False))
+                self.assertFalse(shutdown.may_exit(699_999_999, 0, True))
+                self.assertTrue(shutdown.may_exit(700_000_000, 0, True))
+                self.assertFalse(shutdown.may_exit(700_000_000, 1, True))
 
 
 if __name__ == "__main__":
--- a/tests/test_version_watch.py
+++ b/tests/test_version_watch.py
@@ -10,9 +10,9 @@
 from petrelwood.decide.cluster.log_records import Extract, Record, RecordKind, compress_text
 from petrelwood.decide.cluster.rollout import STAGES, dwell_for
 from petrelwood.decide.cluster.version_watch import (
-    JITTER,
-    LONGEST_BACKOFF,
-    ROUND,
+    MAX_BACKOFF,
+    ROUND_INTERVAL,
+    ROUND_JITTER,
     SECOND,
     Revocation,
     Version,
@@ -87,7 +87,7 @@
             servers = one.servers_to_poll(now)
             self.assertEqual(len(set(servers)), 2)
             self.assertEqual(one.servers_to_poll(now), ())
-            self.assertGreaterEqual(one.next_round_at - now, ROUND * (1 - JITTER))
+            self.assertGreaterEqual(one.next_round_at - now, ROUND_INTERVAL * (1 - ROUND_JITTER))
             asked.update(servers)
             now = one.next_round_at
         self.assertEqual(set(asked), set(SERVERS))
@@ -106,7 +106,7 @@
             now = one.next_round_at
         waits = [b - a for a, b in zip(asked, asked[1:], strict=False)]
         self.assertLess(len(asked), 30)
-        self.assertLessEqual(max(waits), LONGEST_BACKOFF + ROUND)
+        self.assertLessEqual(max(waits), MAX_BACKOFF + ROUND_INTERVAL)
         one.on_answer(first, extract(0), now, WALL)
         self.assertIn(first, one.servers_to_poll(one.next_round_at))
 
@@ -117,7 +117,7 @@
                 one.on_failure(server, now)
             now = one.next_round_at
         self.assertEqual(one.position, 7)
-        self.assertLess(max(b.not_before for b in one.backoffs.values()), now + LONGEST_BACKOFF)
+        self.assertLess(max(b.not_before for b in one.backoffs.values()), now + MAX_BACKOFF)
 
     def test_dispatchers_spread_and_a_lost_servers_share_spreads_too(self):
         names = [f"d{n}" for n in range(400)]
@@ -181,7 +181,7 @@
                 self.assertEqual(len(versions.announced(folder)), int(fails_at >= 2))
             follower._apply("127.0.0.1:1", answer)
             self.assertEqual((follower.watch.position, versions.position(folder)), (2, 2))
-            self.assertEqual([(a.number, a.is_called_off) for a in versions.announced(folder)], [(1, True)])
+            self.assertEqual([(a.number, a.is_revoked) for a in versions.announced(folder)], [(1, True)])
             self.assertEqual(versions.path_of(folder, 1).read_text(), "settings")
 
     async def test_a_version_that_is_damaged_is_passed_over_and_not_called_off(self):
