--- a/petrelwood/decide/forecasting/account.py
+++ b/petrelwood/decide/forecasting/account.py
@@ -15,11 +15,11 @@
 
 SECOND = 1_000_000_000
 GIGABYTE = 1_000_000_000
-FORGETTING = 0.02  # of a balance, with each end
-CREDIT = 2.0  # seconds of cold wait that a balance may fall before early loads are suspended
-LONGEST_SUSPENSION = 64  # times the first one
-MOST_OPEN_LOADS = 10_000  # that are tracked at a time; also the balances of each kind
-WORST_FUNCTIONS = 10  # that the table for people has
+BALANCE_DECAY = 0.02  # of a balance, with each end
+BALANCE_CREDIT = 2.0  # seconds of cold wait that a balance may fall before early loads are suspended
+MAX_SUSPENSION_FACTOR = 64  # times the first one
+MAX_OPEN_LOADS = 10_000  # that are tracked at a time; also the balances of each kind
+LISTED_FUNCTIONS = 10  # that the table for people has
 
 
 class LoadEnd(StrEnum):
@@ -49,25 +49,25 @@
 
 
 class Balance:
-    """The balance of one function, of one zone or of all; `chance` is drawn in [0, 1)."""
+    """The balance of one function, of one zone or of all; `random_fraction()` is drawn in [0, 1)."""
 
-    __slots__ = ("backoff", "ends", "gigabyte_seconds", "is_suspended", "saved_seconds", "seconds")
+    __slots__ = ("backoff", "end_counts", "gigabyte_seconds", "is_suspended", "saved_seconds", "seconds")
 
-    def __init__(self, first_suspension: int, chance: Callable[[], float]) -> None:
+    def __init__(self, first_suspension: int, random_fraction: Callable[[], float]) -> None:
         self.seconds = 0.0  # of cold wait that were saved, less what they cost
-        self.ends: Counter[LoadEnd] = Counter()
-        self.backoff = Backoff(first_suspension, LONGEST_SUSPENSION * first_suspension, chance)
+        self.end_counts: Counter[LoadEnd] = Counter()
+        self.backoff = Backoff(first_suspension, MAX_SUSPENSION_FACTOR * first_suspension, random_fraction)
         self.is_suspended = False
         self.gigabyte_seconds = 0.0  # for which copies stood unused
         self.saved_seconds = 0.0
 
     def record(self, now: int, end: LoadEnd, seconds: float, gigabyte_seconds: float) -> None:
         """Take in the end of an early load; `seconds` is what it saved less its costs."""
-        self.ends[end] += 1
-        self.seconds = self.seconds * (1 - FORGETTING) + seconds
+        self.end_counts[end] += 1
+        self.seconds = self.seconds * (1 - BALANCE_DECAY) + seconds
         self.gigabyte_seconds += gigabyte_seconds
         self.saved_seconds += max(0.0, seconds)
-        if self.seconds < -CREDIT and not self.is_suspended:
+        if self.seconds < -BALANCE_CREDIT and not self.is_suspended:
             self.is_suspended = True
             self.backoff.failed(now)
         elif self.seconds >= 0:
@@ -78,7 +78,7 @@
         """Return whether early loads may be ordered; after its backoff a suspension is lifted on trial."""
         if self.is_suspended and self.backoff.may_retry(now):
             self.is_suspended = False
-            self.seconds = -CREDIT / 2  # the trial has half of the credit
+            self.seconds = -BALANCE_CREDIT / 2  # the trial has half of the credit
         return not self.is_suspended
 
 
@@ -87,21 +87,21 @@
 
 
 class Account:
-    """The early loads of one dispatcher. Times in ns; `chance` is drawn in [0, 1)."""
+    """The early loads of one dispatcher. Times in ns; `random_fraction()` is drawn in [0, 1)."""
 
     def __init__(
         self,
         prices: Prices,
         first_suspension: int,
-        chance: Callable[[], float],
-        most: int = MOST_OPEN_LOADS,
+        random_fraction: Callable[[], float],
+        max_open_loads: int = MAX_OPEN_LOADS,
     ) -> None:
         self.prices = prices
         self.first_suspension = first_suspension
-        self.chance = chance
-        self.most = most
+        self.random_fraction = random_fraction
+        self.max_open_loads = max_open_loads
         self.open_loads: dict[tuple[str, str], EarlyLoad] = {}  # by function and worker
-        self.total = Balance(first_suspension, chance)
+        self.total = Balance(first_suspension, random_fraction)
         self.functions: dict[str, Balance] = {}
         self.zones: dict[str, Balance] = {}
         self.untracked = 0  # orders that were not tracked, as too many were open
@@ -118,7 +118,7 @@
         self, now: int, function: str, zone: str, worker: str, expires_at: int, size: int, load_time: int
     ) -> None:
         """Track an early load that was ordered; `size` in bytes."""
-        if len(self.open_loads) >= self.most:
+        if len(self.open_loads) >= self.max_open_loads:
             self.untracked += 1
             return
         load = EarlyLoad(function, zone, worker, now, expires_at, size, load_time)
@@ -155,7 +155,7 @@
     def record_stopped(self, function: str, zone: str) -> None:
         """Count an early load that was not ordered, by a rule or as calls needed the capacity; it is free."""
         for balance in self._balances(function, zone):
-            balance.ends[LoadEnd.STOPPED] += 1
+            balance.end_counts[LoadEnd.STOPPED] += 1
 
     def copy_missing(self, now: int, function: str) -> None:
         """End the early loads that evicted a copy of the function, as it was missing."""
@@ -170,18 +170,20 @@
 
     def lines(self) -> Iterator[str]:
         """Yield a table for people: all, the zones, then the functions with the worst balances."""
-        worst = sorted(self.functions.items(), key=lambda item: item[1].seconds)[:WORST_FUNCTIONS]
+        worst = sorted(self.functions.items(), key=lambda item: item[1].seconds)[:LISTED_FUNCTIONS]
         for name, balance in [("all", self.total), *sorted(self.zones.items()), *worst]:
-            ends = ", ".join(f"{end} {balance.ends[end]}" for end in LoadEnd if balance.ends[end])
+            end_counts = ", ".join(
+                f"{end} {balance.end_counts[end]}" for end in LoadEnd if balance.end_counts[end]
+            )
             state = "held back" if balance.is_suspended else "goes on"
-            yield f"{name}: {balance.seconds:+.1f} s, {state}; {ends or 'nothing yet'}"
+            yield f"{name}: {balance.seconds:+.1f} s, {state}; {end_counts or 'nothing yet'}"
 
     def _balances(self, function: str, zone: str) -> Iterator[Balance]:
         for table, key in ((self.functions, function), (self.zones, zone)):
             if key not in table:
-                if len(table) >= self.most:
+                if len(table) >= self.max_open_loads:
                     table.pop(next(iter(table)))
-                table[key] = Balance(self.first_suspension, self.chance)
+                table[key] = Balance(self.first_suspension, self.random_fraction)
             yield table[key]
         yield self.total
 
--- a/petrelwood/decide/forecasting/distribution.py
+++ b/petrelwood/decide/forecasting/distribution.py
@@ -7,10 +7,14 @@
 import math
 from typing import NamedTuple
 
-LEAST_EXCESS = 1e-6  # of the spread over 1: at 1 the distribution would be Poisson's, which has no (r, p)
-LONGEST_SUM = 400  # counts that a score is summed over; beyond, the closed form of a normal is near enough
+MIN_EXCESS_SPREAD = (
+    1e-6  # of the spread over 1: at 1 the distribution would be Poisson's, which has no (r, p)
+)
+MAX_SUMMED_COUNTS = (
+    400  # counts that a score is summed over; beyond, the closed form of a normal is near enough
+)
 TAIL_DEVIATIONS = 4  # how far over the mean a score is summed
-LEAST_VARIANCE = 1e-9  # of the normal, which has no score at 0
+MIN_VARIANCE = 1e-9  # of the normal, which has no score at 0
 
 
 class Parameters(NamedTuple):
@@ -22,7 +26,7 @@
 
 def negative_binomial(mean: float, spread: float) -> Parameters:
     """Return the negative binomial with that mean and a variance of mean * spread, spread over 1."""
-    spread = max(spread, 1.0 + LEAST_EXCESS)
+    spread = max(spread, 1.0 + MIN_EXCESS_SPREAD)
     p = 1 / spread
     return Parameters(mean * p / (1 - p), p)
 
@@ -59,8 +63,8 @@
     """
     variance = mean * spread
     most = max(math.ceil(count), int(mean + TAIL_DEVIATIONS * math.sqrt(max(variance, 1)))) + 1
-    if most > LONGEST_SUM:
-        return _normal_score(mean, math.sqrt(max(variance, LEAST_VARIANCE)), count)
+    if most > MAX_SUMMED_COUNTS:
+        return _normal_score(mean, math.sqrt(max(variance, MIN_VARIANCE)), count)
     probabilities = cumulative_probabilities(mean, spread, most)
     return sum((below - (k >= count)) ** 2 for k, below in enumerate(probabilities))
 
--- a/petrelwood/decide/forecasting/early_loads.py
+++ b/petrelwood/decide/forecasting/early_loads.py
@@ -16,14 +16,14 @@
 from petrelwood.decide.forecasting.series import FIRST_SPREAD
 from petrelwood.decide.forecasting.slot_calendar import Calendar
 
-ABSURD = 50.0  # a forecast of so many times the busiest slot ever seen is not believed
+MAX_FORECAST_RATIO = 50.0  # a forecast of so many times the busiest slot ever seen is not believed
 BUSIEST_DECAY = 0.999  # of the busiest slot, with each slot
 STORE_SMOOTHING = 0.1  # how fast the store's health follows the ends of load orders
-STORE_SPARE = 2  # half healthy, the store has nothing free for early loads
+STORE_SPARE_FACTOR = 2  # half healthy, the store has nothing free for early loads
 SUSPENSION_SLOTS = 2  # that early loads are suspended for at first
-WORK_SMOOTHING = 16  # the mean duration of calls moves by one in so many of a difference,
-LOAD_SMOOTHING = 8  # and that of loads
-LOAD_TO_WORK = 4  # a call is taken to last one in so many of a load where none was seen
+RUN_TIME_SMOOTHING_DIVISOR = 16  # the mean duration of calls moves by one in so many of a difference,
+LOAD_TIME_SMOOTHING_DIVISOR = 8  # and that of loads
+LOAD_TO_RUN_TIME_RATIO = 4  # a call is taken to last one in so many of a load where none was seen
 UNLIMITED_MEMORY = 1 << 60  # bytes
 
 LoadOrder = Callable[[str, int, int], str | None]
@@ -46,28 +46,30 @@
 
     calendar: Calendar
     prices: planner.Prices
-    keep: int  # ns that an idle copy stays loaded at least
+    min_idle_time: int  # ns that an idle copy stays loaded at least
     dispatchers: int  # whose calls are alike; each is taken to see an equal share
     zone: str
     size: int = 0  # bytes of a usual copy; 0: not known
     memory: int = 0  # bytes that the early loads of this dispatcher may take; 0: no limit
-    most: int = planner.MOST_LOADS  # early loads of one slot
-    sliced: bool = False  # whether the forecast is learnt a few functions at a time
+    max_loads: int = planner.MAX_LOADS  # early loads of one slot
+    incremental: bool = False  # whether the forecast is learnt a few functions at a time
 
 
 class EarlyLoads:
-    """The early loads of one dispatcher. Times in ns; `chance` is drawn in [0, 1)."""
+    """The early loads of one dispatcher. Times in ns; `random_fraction()` is drawn in [0, 1)."""
 
-    def __init__(self, terms: EarlyLoadTerms, chance: Callable[[], float], order_load: LoadOrder) -> None:
+    def __init__(
+        self, terms: EarlyLoadTerms, random_fraction: Callable[[], float], order_load: LoadOrder
+    ) -> None:
         calendar = terms.calendar
         self.terms = terms
-        self.chance = chance
+        self.random_fraction = random_fraction
         self.order_load = order_load
         self.plan_terms = planner.PlanTerms(
-            calendar.slot, terms.keep, terms.prices, terms.dispatchers, terms.most
+            calendar.slot, terms.min_idle_time, terms.prices, terms.dispatchers, terms.max_loads
         )
-        self.forecast = Forecast(calendar, self._kind_of, sliced=terms.sliced)
-        self.account = Account(terms.prices, SUSPENSION_SLOTS * calendar.slot, chance)
+        self.forecast = Forecast(calendar, self._kind_of, incremental=terms.incremental)
+        self.account = Account(terms.prices, SUSPENSION_SLOTS * calendar.slot, random_fraction)
         self.models: dict[str, ModelEstimate] = {}
         self.store_health = 1.0  # the share of load orders that complete, 0 to 1
         self.busiest_slot = 1.0  # calls of the busiest slot, slowly forgotten
@@ -101,9 +103,11 @@
             return
         model.copies[worker] = now
         if warm:
-            model.work = model.work + (duration - model.work) // WORK_SMOOTHING if model.work else duration
+            model.work = (
+                model.work + (duration - model.work) // RUN_TIME_SMOOTHING_DIVISOR if model.work else duration
+            )
         elif model.load_time:
-            model.load_time += (load_time - model.load_time) // LOAD_SMOOTHING
+            model.load_time += (load_time - model.load_time) // LOAD_TIME_SMOOTHING_DIVISOR
         self.account.call_completed(now, function, worker, warm)
 
     def copy_missing(self, now: int, function: str, worker: str) -> None:
@@ -129,7 +133,7 @@
         self.account.expire(now)
         if self.forecast.is_stale(wall) or not self.account.total.may_load(now):
             return 0
-        store = max(0.0, STORE_SPARE * self.store_health - 1)
+        store = max(0.0, STORE_SPARE_FACTOR * self.store_health - 1)
         capacity = planner.FreeCapacity(self.terms.memory or UNLIMITED_MEMORY, orders, store)
         loads = planner.plan(
             now,
@@ -137,7 +141,7 @@
             lambda function: self.expected_calls(wall, function),
             capacity,
             self.plan_terms,
-            self.chance,
+            self.random_fraction,
         )
         self.plans += 1
         ordered = sum(self._order(now, load) for load in loads)
@@ -148,10 +152,12 @@
         """Return the models of functions that may be loaded early; forget copies not seen for long."""
         found = {}
         for function, model in self.models.items():
-            for worker in [name for name, seen in model.copies.items() if now - seen > self.terms.keep]:
+            for worker in [
+                name for name, seen in model.copies.items() if now - seen > self.terms.min_idle_time
+            ]:
                 del model.copies[worker]
             if model.load_time and self.account.may_load(now, function, self.terms.zone):
-                work = model.work or model.load_time // LOAD_TO_WORK
+                work = model.work or model.load_time // LOAD_TO_RUN_TIME_RATIO
                 found[function] = planner.Model(
                     self.terms.size or 1, model.load_time, work, len(model.copies)
                 )
@@ -179,6 +185,6 @@
         """Return ours times the number of dispatchers, as each sees an equal share."""
         times = self.terms.dispatchers
         found = self.forecast.predict(wall + self.terms.calendar.slot, function, times=times)
-        if found.mean > ABSURD * self.busiest_slot * times:
+        if found.mean > MAX_FORECAST_RATIO * self.busiest_slot * times:
             return CallForecast(0.0, FIRST_SPREAD)
         return found
--- a/petrelwood/decide/forecasting/forecast.py
+++ b/petrelwood/decide/forecasting/forecast.py
@@ -10,15 +10,15 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from petrelwood.decide.forecasting.series import FIRST_SPREAD, LEAST_SPREAD, Prediction, Series
+from petrelwood.decide.forecasting.series import FIRST_SPREAD, MIN_SPREAD, Prediction, Series
 from petrelwood.decide.forecasting.slot_calendar import Calendar, SlotKeys
 
 PRIOR_CALLS = 0.5  # that what is borrowed counts for: half a call, as where nothing is known
-LEAST_BORROWED = 1e-6  # calls a slot that a kind is taken to have at least
-MOST_ENDED_SLOTS = 3  # that may wait to be learnt
-MOST_EMPTY_SLOTS = 8  # of a gap that are learnt as slots without any call
-MOST_GAP_DAYS = 2  # a longer gap is not learnt of
-MOST_FUNCTIONS = 20_000
+MIN_KIND_MEAN = 1e-6  # calls a slot that a kind is taken to have at least
+MAX_ENDED_SLOTS = 3  # that may wait to be learnt
+MAX_EMPTY_SLOTS = 8  # of a gap that are learnt as slots without any call
+MAX_GAP_DAYS = 2  # a longer gap is not learnt of
+MAX_FUNCTIONS = 20_000
 IDLE_PACE = 1e-3  # calls a slot under which a function is forgotten, where there are too many
 STALE_SLOTS = 4  # unseen, after which nothing should be built on a forecast
 NOTHING_KNOWN = Prediction(None, FIRST_SPREAD, 0)
@@ -49,24 +49,24 @@
 
 
 class Forecast:
-    """The forecasts of one dispatcher, for up to `most` functions.
+    """The forecasts of one dispatcher, for up to `max_functions` functions.
 
-    `kind_of(function)` names the kind of a function. Where `sliced` is set the caller learns the slots that
-    have ended a few functions at a time, by `learn`. Times are wall-clock ns; a clock that steps back, or a
-    gap, ends the slot that was open.
+    `kind_of(function)` returns the kind of a function. With `incremental` set, the caller learns ended slots a
+    few functions at a time, by calling `learn`. Times are wall-clock ns. If the clock steps back, or after a
+    gap, the open slot ends.
     """
 
     def __init__(
         self,
         calendar: Calendar,
         kind_of: Callable[[str], str],
-        most: int = MOST_FUNCTIONS,
-        sliced: bool = False,
+        max_functions: int = MAX_FUNCTIONS,
+        incremental: bool = False,
     ) -> None:
         self.calendar = calendar
         self.kind_of = kind_of
-        self.most = most
-        self.sliced = sliced
+        self.max_functions = max_functions
+        self.incremental = incremental
         self.ended_slots: deque[EndedSlot] = deque()
         self.series: dict[str, Series] = {}
         self.kinds: dict[str, Series] = {}
@@ -89,14 +89,14 @@
         if slot == self.slot:
             return 0
         gap = slot - self.slot
-        if gap < 0 or gap > MOST_GAP_DAYS * self.calendar.day // self.calendar.slot:
+        if gap < 0 or gap > MAX_GAP_DAYS * self.calendar.day // self.calendar.slot:
             # the clock stepped, or nothing ran: nothing is learnt of it
             self.counts = {}
             self.slot = slot
             self.discarded_slots += 1
             return 0
         self._end_slot(self.slot)
-        for empty in range(self.slot + 1, self.slot + min(gap, MOST_EMPTY_SLOTS)):
+        for empty in range(self.slot + 1, self.slot + min(gap, MAX_EMPTY_SLOTS)):
             self._end_slot(empty)
         self.slot = slot
         return gap
@@ -106,14 +106,14 @@
         counts = self.counts
         self.counts = {}
         for function in counts:
-            if function not in self.series and len(self.series) < self.most:
+            if function not in self.series and len(self.series) < self.max_functions:
                 self.series[function] = Series()
         self._learn_kinds(keys, counts)
-        if len(self.ended_slots) >= MOST_ENDED_SLOTS:  # so far behind that the oldest is given up
+        if len(self.ended_slots) >= MAX_ENDED_SLOTS:  # so far behind that the oldest is given up
             self.ended_slots.popleft()
             self.discarded_slots += 1
         self.ended_slots.append(EndedSlot(keys, counts, list(self.series)))
-        if not self.sliced:
+        if not self.incremental:
             self.learn(len(self.series))
 
     def _learn_kinds(self, keys: SlotKeys, counts: dict[str, int]) -> None:
@@ -140,7 +140,7 @@
         return bool(self.ended_slots)
 
     def _forget_idle(self) -> None:
-        if len(self.series) < self.most:
+        if len(self.series) < self.max_functions:
             return
         paces = {function: series.recent.level for function, series in self.series.items()}
         for function, pace in paces.items():
@@ -160,7 +160,7 @@
         series = self.series.get(function)
         kind = self.kinds.get(self.kind_of(function))
         total = 0.0
-        worst_spread = LEAST_SPREAD
+        worst_spread = MIN_SPREAD
         fewest_calls = math.inf
         for number in range(slots):
             when = at + number * self.calendar.slot
@@ -172,7 +172,7 @@
                 slots_seen = 0
             calls = PRIOR_CALLS + mean * slots_seen
             if borrowed is not None:
-                mean = calls / (PRIOR_CALLS / max(borrowed, LEAST_BORROWED) + slots_seen)
+                mean = calls / (PRIOR_CALLS / max(borrowed, MIN_KIND_MEAN) + slots_seen)
             total += mean * self.calendar.factor(when, function)
             worst_spread = max(worst_spread, spread)
             fewest_calls = min(fewest_calls, calls)
@@ -202,7 +202,7 @@
         except (ValueError, TypeError, KeyError, IndexError):
             return 0
         self.kinds = found["kind"]
-        self.series = dict(list(found["function"].items())[: self.most])
+        self.series = dict(list(found["function"].items())[: self.max_functions])
         return len(self.series)
 
     def is_stale(self, at: int, slots: int = STALE_SLOTS) -> bool:
--- a/petrelwood/decide/forecasting/planner.py
+++ b/petrelwood/decide/forecasting/planner.py
@@ -21,7 +21,7 @@
 
 SECOND = 1_000_000_000
 GIGABYTE = 1_000_000_000
-MOST_LOADS = 64  # of one plan
+MAX_LOADS = 64  # of one plan
 
 
 class FreeCapacity(NamedTuple):
@@ -60,10 +60,10 @@
     """What all plans of a dispatcher have in common."""
 
     slot: int  # ns that a plan looks ahead
-    keep: int  # ns that an idle copy stays loaded at least
+    min_idle_time: int  # ns that an idle copy stays loaded at least
     prices: Prices
     dispatchers: int  # that plan side by side
-    most: int = MOST_LOADS  # early loads of one plan
+    max_loads: int = MAX_LOADS  # early loads of one plan
 
 
 def expected_savings(mean: float, spread: float, model: Model, terms: PlanTerms) -> float:
@@ -76,7 +76,7 @@
     # the calls that come while demand's own load is under way wait too
     waiting = 1 + pace * model.load_time / 2
     saved = chance * waiting * model.load_time / SECOND
-    idle = min(terms.keep, terms.slot) / SECOND * (1 - min(1.0, mean * model.work / terms.slot))
+    idle = min(terms.min_idle_time, terms.slot) / SECOND * (1 - min(1.0, mean * model.work / terms.slot))
     return saved - terms.prices.fetch - terms.prices.memory * idle * model.size / GIGABYTE
 
 
@@ -107,13 +107,13 @@
     memory, orders = capacity.memory, capacity.orders
     store = capacity.store
     for _, savings, name in candidates:
-        if len(loads) >= terms.most or orders < 1 or store <= 0:
+        if len(loads) >= terms.max_loads or orders < 1 or store <= 0:
             break
         size = models[name].size
         if size > memory:
             continue
         memory -= size
         orders -= 1
-        store -= 1 / terms.most
-        loads.append(PlannedLoad(name, savings, now + terms.keep))
+        store -= 1 / terms.max_loads
+        loads.append(PlannedLoad(name, savings, now + terms.min_idle_time))
     return loads
--- a/petrelwood/decide/forecasting/series.py
+++ b/petrelwood/decide/forecasting/series.py
@@ -14,23 +14,23 @@
 from petrelwood.decide.forecasting.distribution import ranked_probability_score
 from petrelwood.decide.forecasting.slot_calendar import SlotKeys
 
-BETTER = 0.9  # of the selected method's score, under which another takes its place
-TRIALS = 144  # slots scored before any may
+SWITCH_SCORE_RATIO = 0.9  # of the selected method's score, under which another takes its place
+MIN_TRIALS = 144  # slots scored before any may
 SCORE_SMOOTHING = 0.005  # a method must have been better for long
 SPREAD_SMOOTHING = 0.05
 FIRST_SPREAD = 2.0  # of a method that has not been tried
-LEAST_SPREAD = 1.05  # no method is taken for as sure as Poisson's distribution
-LEAST_MEAN = 0.25  # a miss is measured against at least so many calls
-LARGEST_MISS = 400  # of one slot, over its mean and squared: more would drown all others
+MIN_SPREAD = 1.05  # no method is taken for as sure as Poisson's distribution
+MIN_SCALED_MEAN = 0.25  # a miss is measured against at least so many calls
+MAX_SCALED_ERROR = 400  # of one slot, over its mean and squared: more would drown all others
 RECENT_SMOOTHING = 0.3  # of the recent pace
 RATIO_SMOOTHING = 0.2  # of the recent pace against the season's
-LEAST_RATIO = 0.25
-MOST_RATIO = 4.0
+MIN_RATIO = 0.25
+MAX_RATIO = 4.0
 HOT_DEVIATIONS = 4.0  # a slot so many deviations over its forecast makes the function hot
 HOT_SLOTS = 3  # slots without it that end that
 RECENT_SLOTS = 5.0  # that the recent pace looks back on
-MOST_SEASONS = 14  # of each slot that are remembered
-LEAST_WEEKS = 4  # of a slot of the week before it says more than that of the day
+MAX_SEASONS = 14  # of each slot that are remembered
+MIN_WEEKS = 4  # of a slot of the week before it says more than that of the day
 
 
 class Method(StrEnum):
@@ -68,15 +68,15 @@
     def counts(self, keys: SlotKeys) -> Sequence[float]:
         """Return the counts of a slot in earlier seasons, oldest first."""
         week = self.slots.get(("week", keys.week))
-        if week and len(week) >= LEAST_WEEKS:
+        if week and len(week) >= MIN_WEEKS:
             return week
         return self.slots.get(("day", keys.day)) or ()
 
     def learn(self, keys: SlotKeys, count: float) -> None:
         """Take in the count of a slot that is over."""
         if keys.week is not None:
-            self.slots.setdefault(("week", keys.week), deque(maxlen=MOST_SEASONS)).append(count)
-        self.slots.setdefault(("day", keys.day), deque(maxlen=MOST_SEASONS)).append(count)
+            self.slots.setdefault(("week", keys.week), deque(maxlen=MAX_SEASONS)).append(count)
+        self.slots.setdefault(("day", keys.day), deque(maxlen=MAX_SEASONS)).append(count)
 
 
 class SmoothedMean:
@@ -133,7 +133,7 @@
         both = None
         if season is not None and pace is not None:
             ratio = 1.0 if self.ratio.level is None else self.ratio.level
-            both = season * min(MOST_RATIO, max(LEAST_RATIO, ratio))
+            both = season * min(MAX_RATIO, max(MIN_RATIO, ratio))
         return {SEASONAL: season, RECENT: pace, BOTH: both}
 
     def learn(self, keys: SlotKeys, count: float) -> None:
@@ -188,7 +188,7 @@
         series = cls()
         slots, recent, ratio, scores, spreads, trials, selected, hot, slots_seen, last_count = state
         for season, slot, counts in slots:
-            series.seasonal.slots[season, slot] = deque(map(float, counts), maxlen=MOST_SEASONS)
+            series.seasonal.slots[season, slot] = deque(map(float, counts), maxlen=MAX_SEASONS)
         series.recent.level = None if recent is None else float(recent)
         series.ratio.level = None if ratio is None else float(ratio)
         series.scores = {
@@ -196,7 +196,7 @@
             for method, score in zip(METHODS, scores, strict=True)
         }
         series.spreads = {
-            method: max(LEAST_SPREAD, float(spread)) for method, spread in zip(METHODS, spreads, strict=True)
+            method: max(MIN_SPREAD, float(spread)) for method, spread in zip(METHODS, spreads, strict=True)
         }
         if not all(map(math.isfinite, (trials, hot, slots_seen))):
             raise ValueError("a series makes no sense")
@@ -211,18 +211,18 @@
         found = ranked_probability_score(mean, self.spreads[method], count)
         before = self.scores[method]
         self.scores[method] = found if before is None else before + SCORE_SMOOTHING * (found - before)
-        miss = (count - mean) ** 2 / max(mean, LEAST_MEAN)
+        miss = (count - mean) ** 2 / max(mean, MIN_SCALED_MEAN)
         spread = self.spreads[method]
         self.spreads[method] = max(
-            LEAST_SPREAD, spread + SPREAD_SMOOTHING * (min(miss, LARGEST_MISS) - spread)
+            MIN_SPREAD, spread + SPREAD_SMOOTHING * (min(miss, MAX_SCALED_ERROR) - spread)
         )
 
     def _select_method(self) -> None:
-        if self.scores[SEASONAL] is None or self.trials < TRIALS:
+        if self.scores[SEASONAL] is None or self.trials < MIN_TRIALS:
             return
         scores = {method: score for method, score in self.scores.items() if score is not None}
         best = min(scores, key=scores.__getitem__)
-        if best is not self.selected and scores[best] < BETTER * scores[self.selected]:
+        if best is not self.selected and scores[best] < SWITCH_SCORE_RATIO * scores[self.selected]:
             self.selected = best
         elif self.selected is not SEASONAL and scores[SEASONAL] <= scores[self.selected]:
             self.selected = SEASONAL
--- a/petrelwood/dispatch/load_forecasts.py
+++ b/petrelwood/dispatch/load_forecasts.py
@@ -43,7 +43,7 @@
             terms.zone,
             forecast_terms.size,
             forecast_terms.memory,
-            sliced=sliced,
+            incremental=sliced,
         )
         self.early = EarlyLoads(early_terms, chance.random, prefetch)
 
--- a/petrelwood/emulate/result.py
+++ b/petrelwood/emulate/result.py
@@ -97,7 +97,7 @@
     figures["early loads"] = sum(e.ordered for e in early)
     figures["early refused"] = sum(e.rejected for e in early)
     for end in LoadEnd:
-        figures[f"early {end}"] = sum(e.account.total.ends[end] for e in early)
+        figures[f"early {end}"] = sum(e.account.total.end_counts[end] for e in early)
     figures["early balance s"] = sum(e.account.total.seconds for e in early)
     seen = [c["fetched"] for c in platform.time_course if "fetched" in c]
     figures["fetched in the busiest 5 s"] = max(
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -157,7 +157,7 @@
         self.assertLess(days[5], days[0])
 
     def test_learning_in_slices_comes_to_the_same(self):
-        whole, sliced = self.learned(days=2), forecast.Forecast(CALENDAR, lambda f: f[:2], sliced=True)
+        whole, sliced = self.learned(days=2), forecast.Forecast(CALENDAR, lambda f: f[:2], incremental=True)
         chance = random.Random(4)
         for slot in range(2 * 144):
             for number in range(5):
@@ -172,11 +172,11 @@
         for slot in range(288, 300):
             sliced.record_call(slot * SLOT, "ab0")
         self.assertEqual(
-            (len(sliced.ended_slots), sliced.discarded_slots > 0), (forecast.MOST_ENDED_SLOTS, True)
+            (len(sliced.ended_slots), sliced.discarded_slots > 0), (forecast.MAX_ENDED_SLOTS, True)
         )
 
     def test_thousands_of_functions_are_bounded(self):
-        found = forecast.Forecast(CALENDAR, lambda f: "", most=50)
+        found = forecast.Forecast(CALENDAR, lambda f: "", max_functions=50)
         for slot in range(40):
             for number in range(200):
                 found.record_call(slot * SLOT, f"f{slot}-{number}")
