--- a/petrelwood/bgp/speaker.py
+++ b/petrelwood/bgp/speaker.py
@@ -134,7 +134,7 @@
             else:
                 stream.close()
 
-    def up(self, found):
+    def session_established(self, found):
         held = self.neighbor.established
         self.four, self.most = found.four, bgp.EXTENDED if found.extended else bgp.MOST
         ours = {(s.prefix[0], bgp.UNICAST) for s in self.speaker.described.services}
@@ -149,7 +149,7 @@
                 bgp.END_OF_RIB if afi == bgp.IPV4 else bgp.message(bgp.UPDATE, b"\0\0\0\6\x80\x0f\x03\0\2\1"),
             )
 
-    def down(self, why):
+    def session_ended(self, why):
         self.inbox.reset()
         self.outbox.reset()
         self.speaker.log.warning("peer down", peer=self.terms.name, why=why)
@@ -163,7 +163,7 @@
         else:
             self.speaker.look()
 
-    def refresh(self, afi):
+    def resend_routes(self, afi):
         self.outbox.forget_family(afi)
         self.tell()
 
--- a/petrelwood/decide/bgp/announcement.py
+++ b/petrelwood/decide/bgp/announcement.py
@@ -22,8 +22,8 @@
     next_hop: bytes
     communities: tuple[int, ...]
     med: int | None
-    less_med: int  # the MED where it is REDUCED
-    less_prepend: int  # how many times more our AS number stands in the path then
+    reduced_med: int  # the MED where it is REDUCED
+    reduced_prepend: int  # how many times more our AS number stands in the path then
 
 
 class RouteChanges(NamedTuple):
@@ -38,7 +38,7 @@
     if level == ServiceLevel.NONE:
         return None
     is_reduced = level == ServiceLevel.REDUCED
-    path = (asn,) * (1 + (service.less_prepend if is_reduced else 0))
+    path = (asn,) * (1 + (service.reduced_prepend if is_reduced else 0))
     communities = service.communities
     if is_reduced:
         communities = (*communities, bgp.GRACEFUL_SHUTDOWN)
@@ -46,7 +46,7 @@
         0,
         ((bgp.SEQUENCE, path),),
         service.next_hop,
-        service.less_med if is_reduced else service.med,
+        service.reduced_med if is_reduced else service.med,
         communities,
     )
 
@@ -92,13 +92,13 @@
 class ReceivedRoutes:
     """The routes that one peer announces for our own addresses.
 
-    All others are counted and not stored, so that a full table costs no memory. `most`: routes that are
+    All others are counted and not stored, so that a full table costs no memory. `max_routes`: routes that are
     accepted from the peer.
     """
 
-    def __init__(self, services: Iterable[Service], most: int) -> None:
+    def __init__(self, services: Iterable[Service], max_routes: int) -> None:
         self.next_hops = {service.prefix: service.next_hop for service in services}  # ours
-        self.most = most
+        self.max_routes = max_routes
         self.reset()
 
     def reset(self) -> None:
@@ -118,7 +118,7 @@
         if update.attrs is not None:
             for prefix in update.announced:
                 self._announce(prefix, update.attrs)
-        return self.count <= self.most
+        return self.count <= self.max_routes
 
     def _announce(self, prefix: Prefix, attrs: bgp.Attrs) -> None:
         self.count += 1
--- a/petrelwood/decide/bgp/neighbor.py
+++ b/petrelwood/decide/bgp/neighbor.py
@@ -18,13 +18,13 @@
 
 SECOND = 1_000_000_000
 OPEN_TIMEOUT = 240 * SECOND  # in which an OPEN has to come
-GOOD_HOLD_TIMES = 3  # that a session must last for its backoff to be forgotten
+STABLE_HOLD_TIMES = 3  # that a session must last for its backoff to be forgotten
 KEEPALIVES_PER_HOLD = 3
 KEEPALIVE_JITTER = 0.25  # of the interval, drawn off it so that those of many do not fall together
-MOST_ROUTES = 10_000
-LONGEST_BACKOFF = 60 * SECOND
+MAX_ROUTES = 10_000
+MAX_BACKOFF = 60 * SECOND
 REFRESH_SIZE = 4  # octets of a ROUTE-REFRESH
-CUT_SHORT = 2  # the subcode of a message of a bad length
+BAD_MESSAGE_LENGTH = 2  # the subcode of a message of a bad length
 
 
 class State(StrEnum):
@@ -57,9 +57,9 @@
     families: Sequence[tuple[int, int]]  # pairs of address family and SAFI
     role: int | None = None  # RFC 9234
     passive: bool = False  # never connects itself
-    most: int = MOST_ROUTES  # that are accepted from the peer
+    max_routes: int = MAX_ROUTES  # that are accepted from the peer
     first_backoff: int = SECOND
-    longest_backoff: int = LONGEST_BACKOFF
+    max_backoff: int = MAX_BACKOFF
 
 
 class SessionOwner(Protocol):
@@ -74,16 +74,16 @@
     def close(self, key: Opener, /) -> object:
         """Close a connection."""
 
-    def up(self, found: bgp.Open, /) -> object:
+    def session_established(self, found: bgp.Open, /) -> object:
         """Handle an established session with the peer of this OPEN."""
 
-    def down(self, why: str, /) -> object:
+    def session_ended(self, why: str, /) -> object:
         """Handle the end of the established session."""
 
     def update_received(self, update: bgp.Update, /) -> object:
         """Handle routes that the peer announces or withdraws."""
 
-    def refresh(self, afi: int, /) -> object:
+    def resend_routes(self, afi: int, /) -> object:
         """Send the routes of an address family again, as the peer requests."""
 
 
@@ -102,21 +102,23 @@
 
     def has_lasted(self, now: int) -> bool:
         """Return whether its session has lasted for so long that it counts as good."""
-        return self.hold > 0 and now - self.opened_at > GOOD_HOLD_TIMES * self.hold * SECOND
+        return self.hold > 0 and now - self.opened_at > STABLE_HOLD_TIMES * self.hold * SECOND
 
 
 class Neighbor:
-    """The sessions with one peer; `chance` is drawn in [0, 1)."""
+    """The sessions with one peer; `random_fraction()` is drawn in [0, 1)."""
 
-    def __init__(self, terms: NeighborTerms, owner: SessionOwner, chance: Callable[[], float]) -> None:
+    def __init__(
+        self, terms: NeighborTerms, owner: SessionOwner, random_fraction: Callable[[], float]
+    ) -> None:
         self.terms = terms
         self.owner = owner
-        self.chance = chance
+        self.random_fraction = random_fraction
         self.connections: dict[Opener, Connection] = {}
         self.running = False
         self.connecting = False
         self.retry_at = 0
-        self.backoff = Backoff(terms.first_backoff, terms.longest_backoff, chance)
+        self.backoff = Backoff(terms.first_backoff, terms.max_backoff, random_fraction)
         self.counts = {"up": 0, "down": 0, "updates": 0, "notes": 0, "collisions": 0, "refused": 0}
         self.down_reason = ""  # why there is no session; "" while there is one
 
@@ -187,13 +189,19 @@
         except bgp.Wrong as fault:
             self._end(now, connection, fault)
         except struct.error:  # shorter than its kind has to be, in a way that no rule names
-            self._end(now, connection, bgp.Wrong(bgp.HEADER_ERROR, CUT_SHORT, "a message that is cut short"))
+            self._end(
+                now,
+                connection,
+                bgp.Wrong(bgp.HEADER_ERROR, BAD_MESSAGE_LENGTH, "a message that is cut short"),
+            )
 
     def route_limit_exceeded(self, now: int) -> None:
         """End the session, as the peer has announced more routes than are accepted."""
         connection = self.established
         if connection is not None:
-            self._end(now, connection, bgp.Wrong(bgp.CEASE, bgp.PREFIXES, f"over {self.terms.most} routes"))
+            self._end(
+                now, connection, bgp.Wrong(bgp.CEASE, bgp.PREFIXES, f"over {self.terms.max_routes} routes")
+            )
 
     # Timers.
     def check_timers(self, now: int) -> None:
@@ -228,7 +236,7 @@
         connection.keepalive_due = 0
         if connection.hold:
             interval = connection.hold * SECOND / KEEPALIVES_PER_HOLD
-            connection.keepalive_due = now + int(interval * (1 - KEEPALIVE_JITTER * self.chance()))
+            connection.keepalive_due = now + int(interval * (1 - KEEPALIVE_JITTER * self.random_fraction()))
 
     # Messages.
     def _message(self, now: int, connection: Connection, kind: int, body: bytes) -> None:
@@ -259,7 +267,7 @@
         elif kind == bgp.REFRESH:
             if len(body) == REFRESH_SIZE:
                 afi, _, _ = struct.unpack("!HBB", body)
-                self.owner.refresh(afi)
+                self.owner.resend_routes(afi)
         elif kind == bgp.OPEN:
             raise bgp.Wrong(bgp.FSM_ERROR, 3, "an OPEN in an established session")
 
@@ -311,7 +319,7 @@
         self.counts["up"] += 1
         self.down_reason = ""
         if connection.open is not None:
-            self.owner.up(connection.open)
+            self.owner.session_established(connection.open)
 
     # Ends.
     def _end_duplicate(self, now: int, connection: Connection) -> None:
@@ -331,4 +339,4 @@
             self.down_reason = why
         if connection.state is State.ESTABLISHED:
             self.counts["down"] += 1
-            self.owner.down(why)
+            self.owner.session_ended(why)
--- a/petrelwood/decide/bgp/routing_table.py
+++ b/petrelwood/decide/bgp/routing_table.py
@@ -13,7 +13,7 @@
 from petrelwood.wire import bgp
 
 BUCKETS = 128  # of flows, where they are spread resiliently
-MOST_PATHS = 100_000
+MAX_PATHS = 100_000
 NO_MED = 1 << 32  # over every MED, which has 32 bits
 Peer = Any
 """What names a neighbour: anything that can be sorted and hashed."""
@@ -40,10 +40,10 @@
 
 
 class RoutingTable:
-    """The paths of all neighbours; at most `most` are accepted."""
+    """The paths of all neighbours; at most `max_paths` are accepted."""
 
-    def __init__(self, most: int = MOST_PATHS) -> None:
-        self.most = most
+    def __init__(self, max_paths: int = MAX_PATHS) -> None:
+        self.max_paths = max_paths
         self.paths: dict[Prefix, dict[Peer, bgp.Attrs]] = {}
         self.path_count = 0
         self.buckets: dict[Prefix, dict[int, Peer]] = {}
@@ -78,8 +78,8 @@
         before = self.best(prefix)
         paths = self.paths.setdefault(prefix, {})
         if peer not in paths:
-            if self.path_count >= self.most:
-                raise RouteLimitError(f"over {self.most} paths")
+            if self.path_count >= self.max_paths:
+                raise RouteLimitError(f"over {self.max_paths} paths")
             self.path_count += 1
         paths[peer] = attrs
         return before != self.best(prefix)
--- a/petrelwood/decide/bgp/service_health.py
+++ b/petrelwood/decide/bgp/service_health.py
@@ -16,11 +16,11 @@
 from typing import NamedTuple
 
 SECOND = 1_000_000_000
-LEAST_ANSWERS = 20  # that say something of how many come in time
-ILL_SHARE = 0.5  # of answers that completed: under it a dispatcher is ill,
-WELL_SHARE = 0.8  # and over this it is well again
-FAULTS_HALF_LIFE = 60 * SECOND  # in which half of the withdrawals is forgotten
-MOST_DOUBLINGS = 6  # of the settling time
+MIN_ANSWERS = 20  # that say something of how many come in time
+UNHEALTHY_SHARE = 0.5  # of answers that completed: under it a dispatcher is ill,
+HEALTHY_SHARE = 0.8  # and over this it is well again
+WITHDRAWALS_HALF_LIFE = 60 * SECOND  # in which half of the withdrawals is forgotten
+MAX_DOUBLINGS = 6  # of the settling time
 SHUTTING_DOWN = "it drains"
 ANSWERS_LATE = "answers do not come in time"
 NEVER_HEARD = "nothing was heard of it yet"
@@ -75,8 +75,8 @@
     if not report.usable_workers:
         return Fault("no worker is usable", is_shared=True)
     answers = report.completed + report.failed
-    least_share = WELL_SHARE if was_late else ILL_SHARE
-    if answers >= LEAST_ANSWERS and report.completed / answers < least_share:
+    least_share = HEALTHY_SHARE if was_late else UNHEALTHY_SHARE
+    if answers >= MIN_ANSWERS and report.completed / answers < least_share:
         return Fault(ANSWERS_LATE, is_shared=True)
     return None
 
@@ -103,7 +103,7 @@
 
     def settling_time(self, now: int) -> int:
         """Return how long it must be well now before it is announced, ns."""
-        return int(self.bounds.settling * 2 ** min(MOST_DOUBLINGS, self._decay_withdrawals(now)))
+        return int(self.bounds.settling * 2 ** min(MAX_DOUBLINGS, self._decay_withdrawals(now)))
 
     def update(self, now: int, seen_elsewhere: bool) -> bool:
         """Judge anew; returns whether the level or its reason has changed.
@@ -152,7 +152,7 @@
         return self.level is ServiceLevel.FULL or now - self.well_since >= self.settling_time(now)
 
     def _decay_withdrawals(self, now: int) -> float:
-        self._recent_withdrawals *= 0.5 ** ((now - self._decayed_at) / FAULTS_HALF_LIFE)
+        self._recent_withdrawals *= 0.5 ** ((now - self._decayed_at) / WITHDRAWALS_HALF_LIFE)
         self._decayed_at = now
         return self._recent_withdrawals
 
--- a/petrelwood/settings/speaker.py
+++ b/petrelwood/settings/speaker.py
@@ -152,12 +152,12 @@
         next_hop=next_hop,
         communities=tuple(child.arg(COMMUNITY, "a community") for child in node.every("community")),
         med=med,
-        less_med=node.prop("less-med", COUNT, 1000),
-        less_prepend=node.prop("less-prepend", COUNT, 3),
+        reduced_med=node.prop("less-med", COUNT, 1000),
+        reduced_prepend=node.prop("less-prepend", COUNT, 3),
     )
     for child in node.every("community"):
         child.reject_unknown(1)
-    if max(service.less_med, med or 0) >= MED_LIMIT or service.less_prepend > MAX_PREPENDED:
+    if max(service.reduced_med, med or 0) >= MED_LIMIT or service.reduced_prepend > MAX_PREPENDED:
         node.report("a MED has 32 bits, and an AS number is repeated 100 times at most")
     node.reject_unknown(1)
     return service
--- a/petrelwood/standins/router.py
+++ b/petrelwood/standins/router.py
@@ -37,7 +37,14 @@
         )
         self.neighbor = neighbor.Neighbor(
             neighbor.NeighborTerms(
-                router.asn, 0, router.id, router.hold, FAMILIES, router.role, passive=True, most=router.most
+                router.asn,
+                0,
+                router.id,
+                router.hold,
+                FAMILIES,
+                router.role,
+                passive=True,
+                max_routes=router.most,
             ),
             self,
             router.chance.random,
@@ -56,10 +63,10 @@
         else:
             self.stream.close()
 
-    def refresh(self, afi):
+    def resend_routes(self, afi):
         pass
 
-    def up(self, found):
+    def session_established(self, found):
         self.open, self.id = found, found.id
         old, self.router.sides[found.id] = self.router.sides.get(found.id), self
         if old is not None and old is not self:
@@ -67,7 +74,7 @@
         self.router.saw("up", self, asn=found.asn)
         self.router.tell(self)
 
-    def down(self, why):
+    def session_ended(self, why):
         if self.router.sides.get(self.id) is self:
             del self.router.sides[self.id]
             self.router.changed(self, self.router.table.remove_peer(self.id))
--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -281,14 +281,14 @@
     def close(self, key):
         self.wire.flying.append((self.wire.other(self.name).name, key, None))
 
-    def refresh(self, afi):
+    def resend_routes(self, afi):
         self.wire.say(self.name, f"is asked for family {afi} again")
 
-    def up(self, found):
+    def session_established(self, found):
         self.ups += 1
         self.wire.say(self.name, f"is up with AS {found.asn}, hold {self.neighbor.established.hold}")
 
-    def down(self, why):
+    def session_ended(self, why):
         self.wire.say(self.name, f"is down: {why}")
 
     def update_received(self, update):
@@ -506,7 +506,7 @@
         self.assertEqual([p for p, _ in table.best(PREFIX)], [3])
         table.apply(3, bgp.Update((PREFIX,), (), None, ()))
         self.assertEqual([p for p, _ in table.best(PREFIX)], [2])
-        small = RoutingTable(most=1)
+        small = RoutingTable(max_paths=1)
         small.apply(1, bgp.Update((), (PREFIX,), attrs(), ()))
         with self.assertRaises(RouteLimitError):
             small.apply(2, bgp.Update((), (PREFIX,), attrs(), ()))
