--- a/benchmarks/scale/configuration_fleet.py
+++ b/benchmarks/scale/configuration_fleet.py
@@ -117,7 +117,7 @@
         for news in one.watch.on_answer(server, extract, self.cluster.now, wall):
             if isinstance(news, Revocation):
                 if news.number in one.announced:
-                    one.announced[news.number] = one.announced[news.number]._replace(is_revoked=True)
+                    one.announced[news.number] = one.announced[news.number]._replace(revoked=True)
             else:
                 one.announced[news.number] = Announcement(news.number, news.rollout_start, False)
 
@@ -140,7 +140,7 @@
 
     def _call_off(self, one, number):
         if self.shared is not None:
-            self.shared[number] = self.shared[number]._replace(is_revoked=True)
+            self.shared[number] = self.shared[number]._replace(revoked=True)
             return
         up = [server for server in one.watch.servers if self._reaches(one, server)]
         if up and not self.cluster.servers[up[0]].replica.is_revoked(number):
--- a/petrelwood/decide/cluster/rollout.py
+++ b/petrelwood/decide/cluster/rollout.py
@@ -44,7 +44,7 @@
 
     number: int
     rollout_start: int  # wall-clock ns
-    is_revoked: bool
+    revoked: bool
 
 
 class RolloutAction(StrEnum):
@@ -178,7 +178,7 @@
 
     def _is_revoked(self, known: Mapping[int, Announcement]) -> bool:
         current = known.get(self.version)
-        return self.previous_version is not None and current is not None and current.is_revoked
+        return self.previous_version is not None and current is not None and current.revoked
 
     def _is_worse(self) -> bool:
         now = self.answers.rate()
@@ -191,7 +191,7 @@
 
     def _newest(self, announcements: Iterable[Announcement]) -> Announcement | None:
         """Return the newest version to apply, or None."""
-        newer = [each for each in announcements if each.number > self.version and not each.is_revoked]
+        newer = [each for each in announcements if each.number > self.version and not each.revoked]
         if not newer:
             return None
         newest = max(newer)
--- a/petrelwood/decide/forecasting/forecast.py
+++ b/petrelwood/decide/forecasting/forecast.py
@@ -51,9 +51,9 @@
 class Forecast:
     """The forecasts of one dispatcher, for up to `max_functions` functions.
 
-    `kind_of(function)` returns the kind of a function. With `incremental` set, the caller learns ended slots a
-    few functions at a time, by calling `learn`. Times are wall-clock ns. If the clock steps back, or after a
-    gap, the open slot ends.
+    `kind_of(function)` returns the kind of a function. With `incremental` set, the caller learns ended slots
+    a few functions at a time, by calling `learn`. Times are wall-clock ns. The open slot ends when the clock
+    steps back, and after a gap.
     """
 
     def __init__(
--- a/tests/test_configuration_servers.py
+++ b/tests/test_configuration_servers.py
@@ -180,7 +180,7 @@
         await self.until(lambda: one.watch.position == other.watch.position == 1)
         one.call_off(1, "it did worse")
         await self.until(lambda: other.watch.position == 2)
-        self.assertTrue(versions.announced(self.folder / "other")[0].is_revoked)
+        self.assertTrue(versions.announced(self.folder / "other")[0].revoked)
         self.assertEqual((self.folder / "other" / "1.off").read_text(), "d1: it did worse")
         await self.until(lambda: not one.unsent_call_offs)
         with self.assertRaisesRegex(RpcError, "no version 9"):
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -26,7 +26,7 @@
     def play(self, begin, end, step=S, pace=5, sees=lambda node, at: True):
         for at in range(begin, end, step):
             told = [
-                a._replace(is_revoked=self.off.get(a.number, 1 << 62) <= at)
+                a._replace(revoked=self.off.get(a.number, 1 << 62) <= at)
                 for a in self.announced
                 if a.rollout_start <= at
             ]
--- a/tests/test_store_recovery.py
+++ b/tests/test_store_recovery.py
@@ -70,7 +70,7 @@
                         versions.path_of(folder, one.number).read_text(), ("one", "two")[one.number - 1]
                     )
                 if versions.position(folder):
-                    self.assertEqual([one.is_revoked for one in versions.announced(folder)], [False, True])
+                    self.assertEqual([one.revoked for one in versions.announced(folder)], [False, True])
                 # nothing half written stays, and the next round has all
                 self.assertEqual([path.name for path in folder.glob(".*")], [])
                 self.receive(FaultyFiles(), folder)
@@ -181,7 +181,7 @@
             applied, called_off, log = self.play(5)
             self.assertEqual((applied, called_off), ([], []))
             self.assertGreaterEqual(len(log.said("version can't be read; it is attempted again")), 4)
-            self.assertEqual([one.is_revoked for one in versions.announced(self.folder)], [False])
+            self.assertEqual([one.revoked for one in versions.announced(self.folder)], [False])
             failing[0] = False
             self.assertEqual(self.play(5)[:2], (["one"], []))
 
@@ -227,7 +227,7 @@
             applied, called_off, log = self.play(8, read=read, during=later)
         self.assertEqual((applied, called_off), (["good"], [1]))
         self.assertGreaterEqual(len(log.said("call-off not stored")), 3)
-        self.assertEqual([one.is_revoked for one in versions.announced(self.folder)], [True, False])
+        self.assertEqual([one.revoked for one in versions.announced(self.folder)], [True, False])
 
 
 class Histories(Case):
--- a/tests/test_version_watch.py
+++ b/tests/test_version_watch.py
@@ -181,7 +181,7 @@
                 self.assertEqual(len(versions.announced(folder)), int(fails_at >= 2))
             follower._apply("127.0.0.1:1", answer)
             self.assertEqual((follower.watch.position, versions.position(folder)), (2, 2))
-            self.assertEqual([(a.number, a.is_revoked) for a in versions.announced(folder)], [(1, True)])
+            self.assertEqual([(a.number, a.revoked) for a in versions.announced(folder)], [(1, True)])
             self.assertEqual(versions.path_of(folder, 1).read_text(), "settings")
 
     async def test_a_version_that_is_damaged_is_passed_over_and_not_called_off(self):
