--- a/petrelwood/node/standing_log.py
+++ b/petrelwood/node/standing_log.py
@@ -13,7 +13,7 @@
     ends: dict[str, int]  # answers other than completed, by reason, since the last line
 
     @property
-    def lines(self) -> Sized:
+    def connections(self) -> Sized:
         """The connections."""
 
 
@@ -88,14 +88,14 @@
     reported: dict[str, list[float | None]] = {}
     for each in workers:
         link = links.get(each.worker)
-        connections = 0 if link is None else len(link.lines)
-        if connections or each.in_flight or each.is_unresponsive or each.send_limit or each.copies:
+        connection_count = 0 if link is None else len(link.connections)
+        if connection_count or each.in_flight or each.is_unresponsive or each.send_limit or each.copies:
             reported[each.worker] = [
                 each.in_flight,
                 round(each.relative_latency, 2),
                 _rounded(each.send_limit),
                 int(each.is_unresponsive),
-                connections,
+                connection_count,
                 each.copies,
             ]
     return reported
--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -87,7 +87,7 @@
         super().__init__(worker, address, core)
         self.terms = terms
         self.ends: dict[str, int] = {}  # answers other than completed, by reason, since they were last logged
-        self.lines: list[WorkerConnection] = []  # made or coming up, the last used at the end
+        self.connections: list[WorkerConnection] = []  # made or coming up, the last used at the end
         self.connecting = 0  # how many of them are coming up
         self.pumping = False  # whether `pump` is running
 
@@ -153,7 +153,7 @@
             while len(self.waiting) > deferred:
                 call = self.waiting[0]
                 # a call behind the unsent rest of another would begin whenever its worker reads again
-                ready = [connection for connection in self.lines if not connection.stream.writing()]
+                ready = [connection for connection in self.connections if not connection.stream.writing()]
                 connection = connection_pool.choose(
                     ready, call.activation, self.terms.streams, self.core.may_open()
                 )
@@ -167,7 +167,9 @@
                         self._write(connection, self.waiting.popleft())
                 elif self._wants_connection() and self.core.makes_room():
                     self._connect()
-                elif not self.lines:  # no descriptor is left, and no connection that could carry it later
+                elif (
+                    not self.connections
+                ):  # no descriptor is left, and no connection that could carry it later
                     self._end(call, send_outcome.of_crowding())
                 else:
                     break
@@ -196,8 +198,8 @@
         connection_pool.remember(connection, call.activation)
         connection.last_call = call
         connection.last_write_at = self.core.now()
-        self.lines.remove(connection)  # the last used is at the end
-        self.lines.append(connection)
+        self.connections.remove(connection)  # the last used is at the end
+        self.connections.append(connection)
         try:
             written = connection.stream.write(frame)
         except (StreamClosedError, StreamBufferFullError):
@@ -226,7 +228,7 @@
             self._end(self.waiting[0], send_outcome.of_crowding())
             return
         connection = WorkerConnection(stream, self.core.now())
-        self.lines.append(connection)
+        self.connections.append(connection)
         self.connecting += 1
         self.core.opened()
         connection.connect_timer = self.core.loop.call_later(
@@ -266,9 +268,9 @@
 
     def _lost(self, connection: WorkerConnection, why: str) -> None:
         """Close a connection, and end what is in flight on it; without effect if that was done before."""
-        if connection not in self.lines:
+        if connection not in self.connections:
             return
-        self.lines.remove(connection)
+        self.connections.remove(connection)
         connection.stream.close()
         self.core.closed()
         if not connection.up:
@@ -285,12 +287,12 @@
 
     def give_up(self, why: str) -> None:
         """Close all connections; what is in flight on them ends."""
-        for connection in list(self.lines):
+        for connection in list(self.connections):
             self._lost(connection, why)
 
     def check(self, now: int) -> bool:
         """Look for what is overdue at `now` (ns); return whether this has to be called again."""
-        for connection in [each for each in self.lines if each.has_stalled(now, WRITE_TIMEOUT)]:
+        for connection in [each for each in self.connections if each.has_stalled(now, WRITE_TIMEOUT)]:
             if not self.core.behind():  # else it may be this side that did not write
                 self._lost(connection, "it does not read")
         for call in self._expired_attempts(now):
@@ -309,12 +311,12 @@
 
     def close_expired(self, now: int) -> None:
         """Close the connections that have been idle for too long at `now` (ns)."""
-        for connection in [each for each in self.lines if each.has_expired(now, self.terms.idle)]:
+        for connection in [each for each in self.connections if each.has_expired(now, self.terms.idle)]:
             self._lost(connection, "idle")
 
     def idle_connection(self) -> WorkerConnection | None:
         """Return the connection that has been idle longest, or None."""
-        return next((connection for connection in self.lines if connection.is_idle()), None)
+        return next((connection for connection in self.connections if connection.is_idle()), None)
 
     def close_idle(self) -> bool:
         """Close the connection that has been idle longest; return whether there was one."""
--- a/tests/node_site.py
+++ b/tests/node_site.py
@@ -155,10 +155,10 @@
 
 
 class Roster(asyncio.DatagramProtocol):
-    """`spoil(wire)`: what goes out instead, or None for nothing."""
+    """`rewrite(wire)`: what goes out instead, or None for nothing."""
 
     def __init__(self):
-        self.serial, self.entries, self.asked, self.spoil, self.port, self.transport = (
+        self.serial, self.entries, self.asked, self.rewrite, self.port, self.transport = (
             1,
             {},
             0,
@@ -183,8 +183,8 @@
     def datagram_received(self, data, sender):
         self.asked += 1
         wire = answer(data, self.serial, self.entries)
-        if self.spoil is not None:
-            wire = self.spoil(wire)
+        if self.rewrite is not None:
+            wire = self.rewrite(wire)
         if wire is not None:
             self.transport.sendto(wire, sender)
 
@@ -213,7 +213,7 @@
     """One connection; `call` waits for its answer: ("completed", body), (word, fields) or ("lost", None)."""
 
     def __init__(self, address):
-        self.address, self.last, self.waiting, self.strange, self.reader, self.writer = (
+        self.address, self.last, self.waiting, self.unexpected, self.reader, self.writer = (
             address,
             0,
             {},
@@ -235,7 +235,7 @@
                 for _, msgid, error, result in unpacker:
                     wait = self.waiting.pop(msgid, None)
                     if wait is None:
-                        self.strange.append((msgid, error, result))
+                        self.unexpected.append((msgid, error, result))
                     elif error is None:
                         wait.set_result(("completed", result[0]))
                     else:
--- a/tests/test_always_answered.py
+++ b/tests/test_always_answered.py
@@ -14,7 +14,7 @@
 
 import msgpack
 from node_site import Roster, Site, Worker, ask
-from test_crossings import SLOW, Caller, Inside, Raw, settings
+from test_crossings import SLOW, Caller, InProcessSite, ManualWorker, settings
 
 from petrelwood.decide.overload import resource_limits
 from petrelwood.links import sockets
@@ -67,7 +67,7 @@
 
 
 def silent(wire):
-    """`Roster.spoil` of one that never answers."""
+    """`Roster.rewrite` of one that never answers."""
     return None
 
 
@@ -89,8 +89,8 @@
     async def test_a_list_that_never_comes(self):
         """No worker is known: all is turned away in its time, of every type, and health goes on. Fails on a
         dispatcher where neither the module's rejection nor the core's own deadline answers."""
-        async with Inside([]) as site:
-            site.roster.spoil = silent
+        async with InProcessSite([]) as site:
+            site.roster.rewrite = silent
             client, numbers = Caller(site.address), []
             for _ in range(3):
                 numbers += [client.call(ask(fn=n, ttl=600), type_=kind) for n, kind in enumerate(KINDS)]
@@ -105,8 +105,8 @@
         """What is held then goes to its workers, and so does what comes. Fails on a dispatcher that stops
         asking when the list is lost."""
         worker = Worker("s-1")
-        async with Inside([], **LONG, familyInfo={"keep": 300_000}) as site:
-            site.roster.spoil = silent
+        async with InProcessSite([], **LONG, familyInfo={"keep": 300_000}) as site:
+            site.roster.rewrite = silent
             await site.until(lambda: any("endpoint list lost" in line for line in site.log))
             client = Caller(site.address)
             early = client.call(ask(fn=1, ttl=600))
@@ -116,7 +116,7 @@
             await worker.open()
             site.workers.append(worker)
             site.roster.tell(worker)
-            site.roster.spoil = None
+            site.roster.rewrite = None
             self.assertEqual(await word(site, client, held), "completed")
             later = client.call(ask(fn=1, ttl=30_000))
             self.assertEqual(await word(site, client, later), "completed")
@@ -126,10 +126,10 @@
         """Those of the start have gone under it, so nothing can be served: each request is answered, and from
         the new list on all are. Fails on a dispatcher that takes no list after its first."""
         old, new = Worker("s-1"), Worker("s-2")
-        async with Inside([old], **LONG) as site:
+        async with InProcessSite([old], **LONG) as site:
             client = Caller(site.address)
             self.assertEqual(await word(site, client, client.call(ask(fn=1, ttl=30_000))), "completed")
-            site.roster.spoil = silent
+            site.roster.rewrite = silent
             await old.close()
             for kind in KINDS:
                 self.assertIn(await word(site, client, client.call(ask(fn=1, ttl=600), type_=kind)), WORDS)
@@ -137,7 +137,7 @@
             site.workers.append(new)
             site.roster.tell(old, "Gone")
             site.roster.tell(new)
-            site.roster.spoil = None
+            site.roster.rewrite = None
             await site.until(lambda: site.node.membership.is_usable("s-2"))
             self.assertEqual(await word(site, client, client.call(ask(fn=1, ttl=30_000))), "completed")
             client.close()
@@ -145,8 +145,8 @@
     async def test_a_silence_that_lasts_leaves_what_is_known(self):
         """The list is lost for good; its workers are there and go on serving. Fails on a dispatcher that
         forgets its workers when the list is lost."""
-        async with Inside([Worker("s-1")], **LONG, familyInfo={"keep": 300_000}) as site:
-            site.roster.spoil = silent
+        async with InProcessSite([Worker("s-1")], **LONG, familyInfo={"keep": 300_000}) as site:
+            site.roster.rewrite = silent
             await site.until(lambda: any("endpoint list lost" in line for line in site.log))
             client = Caller(site.address)
             for _ in range(3):
@@ -164,7 +164,7 @@
             return fresh(host, kind)
 
         with mock.patch.object(names.sockets, "fresh", failing):
-            async with Inside([Worker("s-1")], **LONG) as site:
+            async with InProcessSite([Worker("s-1")], **LONG) as site:
                 client = Caller(site.address)
                 self.assertEqual(await word(site, client, client.call(ask(fn=1, ttl=30_000))), "completed")
                 self.assertEqual(site.roster.asked, 0)
@@ -209,7 +209,7 @@
     async def test_requests_that_come_byte_by_byte(self):
         """Those of three clients in turn, each with another one behind it. Fails on a dispatcher that gives a
         reader away which still has a part."""
-        async with Inside([Worker("s-1")], **LONG) as site:
+        async with InProcessSite([Worker("s-1")], **LONG) as site:
             clients = [Caller(site.address) for _ in range(3)]
             parts = [
                 b"".join(
@@ -232,7 +232,7 @@
         """The rest comes while requests are still taken, and when none is taken any more but something is
         still owed; or it never comes. Fails on a dispatcher that closes its idle clients when it stops
         taking."""
-        worker, steps = Raw("s-1"), Steps(0, 0)
+        worker, steps = ManualWorker("s-1"), Steps(0, 0)
         with (
             mock.patch.object(graceful_shutdown, "Shutdown", lambda *_: steps),
             mock.patch.object(resource_limits, "REQUEST_TIMEOUT", SLOW * 1_000_000_000),
@@ -240,7 +240,7 @@
             await self._pieces_across_a_drain(worker, steps)
 
     async def _pieces_across_a_drain(self, worker, steps):
-        async with Inside([worker], **LONG) as site:
+        async with InProcessSite([worker], **LONG) as site:
             busy, soon, late, never = (Caller(site.address) for _ in range(4))
             out = busy.call(ask(fn=1, ttl=30_000), type_="single")
             await site.until(worker.runs)
@@ -283,7 +283,7 @@
                 async with Patient([Worker("s-1", waits)]) as site:
                     mute = Roster()
                     await mute.open()
-                    mute.spoil = silent
+                    mute.rewrite = silent
                     opened = await site.client()
                     await opened.call(ttl=30_000, within=SLOW)
                     out = opened.begin(ask(fn=1, ttl=30_000), type_="single")
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -15,7 +15,7 @@
 
 import msgpack
 from node_site import ask
-from test_crossings import NO_CANCEL, SLOW, Caller, Inside, Raw, held_up
+from test_crossings import NO_CANCEL, SLOW, Caller, InProcessSite, ManualWorker, block_loop
 
 from petrelwood.decide.overload import resource_limits
 from petrelwood.links import sockets
@@ -33,7 +33,7 @@
 
 async def held_up_twice(first, *more):
     """The loop stands still, and again when it has been told what came but has not read it."""
-    held_up(first)
+    block_loop(first)
     await asyncio.sleep(0)
     for seconds in more:
         asyncio.get_running_loop().call_soon(time.sleep, seconds)
@@ -53,7 +53,7 @@
         if self.runs and not left:
             left.append(how)
             client.close(how)
-            held_up(0.06)
+            block_loop(0.06)
         up(self, line)
 
     return late
@@ -75,8 +75,8 @@
         for how in WAYS:
             for holds in HOLDS:
                 with self.subTest(how, holds=holds):
-                    worker = Raw("s-1")
-                    async with Inside([worker]) as site:
+                    worker = ManualWorker("s-1")
+                    async with InProcessSite([worker]) as site:
                         first, gone = Caller(site.address), Caller(site.address)
                         first.call(ask(fn=1, facts=ONE_LANE))
                         await site.until(worker.runs)
@@ -94,8 +94,8 @@
     async def test_behind_the_connection_that_its_first_send_waits_for(self):
         for how in WAYS:
             with self.subTest(how):
-                worker = Raw("s-1")
-                async with Inside([worker], **NO_CANCEL) as site:
+                worker = ManualWorker("s-1")
+                async with InProcessSite([worker], **NO_CANCEL) as site:
                     gone = Caller(site.address)
                     with mock.patch.object(link.NodeLink, "_on_connected", leaving_first(gone, how)):
                         gone.call(left := ask(fn=1))
@@ -107,8 +107,8 @@
         """Both lie unread when the loop goes on, in one reading for a cancel."""
         for how in WAYS:
             with self.subTest(how):
-                worker = Raw("s-1")
-                async with Inside([worker]) as site:
+                worker = ManualWorker("s-1")
+                async with InProcessSite([worker]) as site:
                     stays, gone = Caller(site.address), Caller(site.address)
                     stays.call(ask(fn=1))
                     await site.until(worker.runs)  # a connection is up, and another one rests
@@ -129,9 +129,9 @@
         for how in WAYS:
             for holds in HOLDS:
                 with self.subTest(how, holds=holds):
-                    workers = [Raw("s-1"), Raw("s-2")]
+                    workers = [ManualWorker("s-1"), ManualWorker("s-2")]
                     quiet = {"permissions": {"probes": False}, "loadInfo": {"how": "silent"}}
-                    async with Inside(workers, **quiet) as site:
+                    async with InProcessSite(workers, **quiet) as site:
                         client = Caller(site.address)
                         for worker in workers:  # a connection to each is up
                             site.node.submit(site.node.outlet.check_health, worker.name)
@@ -158,7 +158,7 @@
     async def test_behind_another_send_whose_worker_does_not_read(self):
         """All descriptors are used up, so sends share a connection. One that waits for room in the machine's
         hands would begin whenever the worker reads again."""
-        worker, fresh = Raw("s-1"), sockets.fresh
+        worker, fresh = ManualWorker("s-1"), sockets.fresh
         worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
 
         def narrow(host, kind=socket.SOCK_STREAM):
@@ -171,14 +171,14 @@
             # on a busy machine it waits longer
             mock.patch.object(link, "WRITE_TIMEOUT", SLOW * 1_000_000_000),
         ):
-            async with Inside([worker], **NO_CANCEL) as site:
+            async with InProcessSite([worker], **NO_CANCEL) as site:
                 site.node.resource_limits.workers = 1
                 stays, gone = Caller(site.address), Caller(site.address)
                 stays.call(first := ask(fn=1), b"z" * resource_limits.MAX_BODY)
                 await site.until(
                     lambda: (
                         site.node.links
-                        and any(line.stream.writing() for line in site.node.links["s-1"].lines)
+                        and any(line.stream.writing() for line in site.node.links["s-1"].connections)
                     )
                 )
                 gone.call(ask(fn=2))
@@ -194,8 +194,8 @@
 
     async def test_who_is_closed_for_its_faults_has_gone(self):
         """Nothing of it is read any more, so neither is its cancel."""
-        worker = Raw("s-1")
-        async with Inside([worker]) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker]) as site:
             first, bad = Caller(site.address), Caller(site.address)
             first.call(ask(fn=1, facts=ONE_LANE))
             await site.until(worker.runs)
@@ -220,8 +220,8 @@
     async def test_who_never_stops_sending_is_served(self):
         """Something of it lies unread at each look. What it had sent at the first one is read at the second
         reading, so its sends leave. Fails on a dispatcher that waits until nothing lies unread."""
-        worker = Raw("s-1")
-        async with Inside([worker]) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker]) as site:
             chatty, talks = Caller(site.address), True
             nothing = msgpack.packb([2, "cancel", [999]])
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,8 +1,8 @@
-"""Rare moments on real sockets, each crossing made and not hoped for.
+"""Races between the dispatcher, its clients and its workers on real sockets, each forced by the test.
 
-The dispatcher runs in the test's own loop (`Inside`), its peers are plain sockets that the test reads and
-writes itself: what it does between two awaits has come when the loop goes on, in that order. `held_up` keeps
-the loop from going on, as a stopped process does."""
+The dispatcher runs in the event loop of the test (`InProcessSite`), and its peers are plain sockets that the
+test reads and writes itself. Whatever the test does between two awaits has happened, in that order, when the
+event loop continues. `block_loop` blocks the event loop, as a stopped process does."""
 
 import asyncio
 import contextlib
@@ -42,7 +42,7 @@
     return made
 
 
-class Said:
+class RecordingLog:
     """A log kept in lines."""
 
     def __init__(self, lines):
@@ -54,14 +54,14 @@
     warning = error = info
 
 
-class Inside(Site):
+class InProcessSite(Site):
     """A dispatcher among scripted peers, all in this loop."""
 
     def __init__(self, workers, **changes):
         super().__init__(workers, **settings(**changes))
 
     async def start(self):
-        self.node = Node(configuration.read(self.environ(self.write())), Said(self.log))
+        self.node = Node(configuration.read(self.environ(self.write())), RecordingLog(self.log))
         self.node.begin()
 
     async def until(self, what, within=SLOW):
@@ -98,8 +98,8 @@
         await self.turns()
 
 
-def held_up(seconds=0.35):
-    """The loop stands still: longer than an activation may be sent on after its client has left."""
+def block_loop(seconds=0.35):
+    """Block the event loop, by default longer than a send may follow the departure of its client."""
     time.sleep(seconds)
 
 
@@ -165,9 +165,9 @@
         return self.answers
 
 
-class Raw:
+class ManualWorker:
     """A worker on plain sockets, which does nothing by itself. `narrow`: its listen queue is full until
-    `opens`."""
+    `open_queue`."""
 
     def __init__(self, name, narrow=False):
         self.name, self.sock, self.fillers, self.lines, self.ended = name, socket.socket(), [], [], 0
@@ -186,8 +186,8 @@
         for sock in (self.sock, *self.fillers, *(conn for conn, _ in self.conns)):
             sock.close()
 
-    def opens(self):
-        """Its queue has room from now on; those who tried before come when their machine tries again."""
+    def open_queue(self):
+        """Make room in the listen queue; earlier connection attempts succeed when the kernel retries them."""
         self.sock.listen(64)
 
     def read(self):
@@ -236,8 +236,8 @@
         """A send that never left needs nobody's leave to be taken back: the settings allow no cancel here."""
         for how in ("end", "reset", "cancel"):
             with self.subTest(how):
-                worker = Raw("s-1", narrow=True)
-                async with Inside(
+                worker = ManualWorker("s-1", narrow=True)
+                async with InProcessSite(
                     [worker], permissions={"cancelling": False, "connectTimeout": 20_000_000}
                 ) as site:
                     gone, stays = Caller(site.address), Caller(site.address)
@@ -248,7 +248,7 @@
                     await site.until(lambda: len(site.node.links["s-1"].runs) == 2)
                     gone.close(how)
                     await site.until(lambda: site.node.pending.counts["left"] == 1)
-                    worker.opens()
+                    worker.open_queue()
                     await site.until(worker.runs)
                     await site.turns()
                     self.assertEqual([said["req"] for _, said in worker.runs()], [kept["call"]])
@@ -257,8 +257,8 @@
     async def test_while_it_is_held(self):
         for how in ("end", "reset", "cancel"):
             with self.subTest(how):
-                worker = Raw("s-1")
-                async with Inside([worker], **NO_CANCEL) as site:
+                worker = ManualWorker("s-1")
+                async with InProcessSite([worker], **NO_CANCEL) as site:
                     first, gone, stays = (Caller(site.address) for _ in range(3))
                     facts = "lanes:1;load_ms:20"
                     first.call(ask(fn=1, facts=facts))
@@ -280,8 +280,8 @@
         for how in ("end", "reset", "cancel"):
             for code in ("HIT", "SHED"):
                 with self.subTest(how, code=code):
-                    worker = Raw("s-1")
-                    async with Inside([worker]) as site:
+                    worker = ManualWorker("s-1")
+                    async with InProcessSite([worker]) as site:
                         first, gone, stays = (Caller(site.address) for _ in range(3))
                         facts = "lanes:1;load_ms:20"
                         first.call(ask(fn=1, facts=facts))
@@ -291,7 +291,7 @@
                         await site.until(lambda: site.node.intake.unanswered == 2)
                         worker.answer(worker.runs()[0], type=code)
                         gone.close(how)
-                        held_up()
+                        block_loop()
                         await site.until(lambda: site.node.pending.counts["left"] == 1)
                         await site.turns()
                         stays.call(ask(fn=1, facts=facts))
@@ -301,8 +301,8 @@
 
     async def test_behind_other_requests_of_its_own(self):
         """The cancel lies behind more than is read at once, and a worker's answer comes with it."""
-        worker = Raw("s-1")
-        async with Inside([worker]) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker]) as site:
             first, gone = Caller(site.address), Caller(site.address)
             facts = "lanes:1;load_ms:20"
             first.call(ask(fn=1, facts=facts))
@@ -314,7 +314,7 @@
             for _ in range(20):
                 gone.call(ask(fn=1, facts=facts), body=b"y" * 12_000)
             gone.close("cancel")
-            held_up()
+            block_loop()
             await site.until(lambda: site.node.pending.counts["left"] == 21)
             await site.turns()
             self.assertEqual(len(worker.runs()), 1)
@@ -322,8 +322,8 @@
 
     async def test_in_repeat(self):
         """Its first send provably never ran; the client has gone when the second would go out."""
-        first, second = Raw("s-1"), Raw("s-2")
-        async with Inside([first, second]) as site:
+        first, second = ManualWorker("s-1"), ManualWorker("s-2")
+        async with InProcessSite([first, second]) as site:
             client = Caller(site.address)
             left = ask(fn=1)
             client.call(left)
@@ -343,7 +343,7 @@
             )
             worker.answer(worker.runs()[-1], type="SHED")
             client.close()
-            held_up()
+            block_loop()
             await site.until(lambda: site.node.pending.counts["left"] == 2)
             await site.turns()
             self.assertEqual(len(first.runs()) + len(second.runs()), 2)
@@ -353,8 +353,8 @@
         between."""
         for how in ("end", "reset", "cancel"):
             with self.subTest(how):
-                worker = Raw("s-1")
-                async with Inside([worker]) as site:
+                worker = ManualWorker("s-1")
+                async with InProcessSite([worker]) as site:
                     gone, stays = Caller(site.address), Caller(site.address)
                     with mock.patch.object(event_queue, "MOST_CALLS_IN_A_TURN", 0):
                         gone.call(ask(fn=1))
@@ -370,7 +370,7 @@
 
     async def test_while_the_rest_of_its_send_waits_for_a_worker_that_does_not_read(self):
         """Half of it is in the worker's hands; the other half never follows."""
-        worker, fresh = Raw("s-1"), sockets.fresh
+        worker, fresh = ManualWorker("s-1"), sockets.fresh
         worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
 
         def narrow(host, kind=socket.SOCK_STREAM):
@@ -379,14 +379,14 @@
             return sock
 
         with mock.patch.object(link.sockets, "fresh", narrow):
-            async with Inside([worker], **NO_CANCEL) as site:
+            async with InProcessSite([worker], **NO_CANCEL) as site:
                 gone = Caller(site.address)
                 gone.call(ask(fn=1), b"z" * resource_limits.MAX_BODY)
                 await site.until(
                     lambda: (
                         any(
                             line.open and line.stream.writing()
-                            for line in site.node.links["s-1"].lines
+                            for line in site.node.links["s-1"].connections
                             if site.node.links.in_flight
                         )
                         if site.node.links
@@ -396,7 +396,7 @@
                 gone.close()
                 await site.until(lambda: site.node.pending.counts["left"] == 1)
                 await site.turns()
-                held_up(0.02)
+                block_loop(0.02)
                 stays = Caller(site.address)
                 stays.call(kept := ask(fn=1))
                 await site.until(worker.runs)
@@ -406,8 +406,8 @@
 
     async def test_a_second_send_that_waits_when_the_first_is_answered(self):
         """Rule 1: the final answer is out, and the other send has not left yet."""
-        slow, narrow = Raw("s-1"), Raw("s-2", narrow=True)
-        async with Inside(
+        slow, narrow = ManualWorker("s-1"), ManualWorker("s-2", narrow=True)
+        async with InProcessSite(
             [slow, narrow], permissions={"cancelling": False, "connectTimeout": 20_000_000}
         ) as site:
             node, client = site.node, Caller(site.address)
@@ -426,7 +426,7 @@
             self.assertEqual(client.answers[number], ("completed", b"x"))
             client.call(ask(fn=2, ttl=3900))
             client.call(ask(fn=3, ttl=3900))
-            narrow.opens()
+            narrow.open_queue()
             await site.turns()
             node.submit(node.outlet.order_load, "s-2", f"{4:016x}", 1)
             await site.until(narrow.orders)  # the way is open now
@@ -437,13 +437,13 @@
 class Clients(unittest.IsolatedAsyncioTestCase):
     async def test_a_request_that_comes_as_its_connection_is_closed_for_rest(self):
         """The look at idle connections and the request come in one turn of the loop."""
-        async with Inside([Worker("s-1")]) as site:
+        async with InProcessSite([Worker("s-1")]) as site:
             with mock.patch.object(resource_limits, "IDLE_TIMEOUT", 200_000_000):
                 for _ in range(3):
                     client = Caller(site.address)
                     number = client.call(ask(fn=1))
                     await site.until(client.read)
-                    held_up(0.25)
+                    block_loop(0.25)
                     second = client.call(ask(fn=1))
                     await site.until(lambda: second in client.read() or client.ended)
                     self.assertEqual(
@@ -455,7 +455,7 @@
                     self.assertEqual(client.ended, "end")
 
     async def test_a_first_request_that_comes_as_its_silence_ends(self):
-        async with Inside([Worker("s-1")]) as site:
+        async with InProcessSite([Worker("s-1")]) as site:
             with (
                 mock.patch.object(resource_limits, "FIRST_REQUEST_TIMEOUT", 200_000_000),
                 mock.patch.object(resource_limits, "REQUEST_TIMEOUT", 200_000_000),
@@ -468,7 +468,7 @@
                         await site.turns()
                     else:
                         client.last = 1
-                    held_up(0.25)
+                    block_loop(0.25)
                     client.call(fields, part=slice(cut, None))
                     await site.until(lambda: client.read() or client.ended)
                     self.assertEqual(client.answers.get(1, client.ended), ("completed", b"x"))
@@ -479,7 +479,7 @@
                 self.assertEqual(silent.ended, "end")
 
     async def test_room_is_not_made_of_a_connection_whose_request_has_come(self):
-        async with Inside([Worker("s-1")]) as site:
+        async with InProcessSite([Worker("s-1")]) as site:
             client = Caller(site.address)
             client.call(ask(fn=1))
             await site.until(client.read)
@@ -497,8 +497,8 @@
 
     async def test_no_descriptor_is_left_and_nobody_rests(self):
         """A listener stays readable then: a loop that comes back to it at once neither waits nor ends."""
-        worker = Raw("s-1")
-        async with Inside([worker]) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker]) as site:
             busy = Caller(site.address)
             number = busy.call(ask(fn=1))
             await site.until(worker.runs)
@@ -519,8 +519,8 @@
             busy.close(), late.close()
 
     async def test_a_number_that_is_used_again_at_once(self):
-        worker = Raw("s-1")
-        async with Inside([worker]) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker]) as site:
             client = Caller(site.address)
             client.call(ask(fn=1), b"one")
             await site.until(worker.runs)
@@ -547,7 +547,7 @@
     async def test_a_client_that_reads_nothing_until_all_its_answers_are_there(self):
         """As many requests as it may have open, of the largest size, from one that is stopped for a
         moment."""
-        async with Inside([Worker("s-1")]) as site:
+        async with InProcessSite([Worker("s-1")]) as site:
             client = Caller(site.address)
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             await site.until(lambda: site.node.front.clients)
@@ -586,7 +586,7 @@
 
     async def test_who_is_being_ended_and_reads_nothing_is_ended(self):
         """Its wrongs are answered and none of the answers is read: its descriptor comes back all the same."""
-        async with Inside([Worker("s-1")]) as site:
+        async with InProcessSite([Worker("s-1")]) as site:
             bad = Caller(site.address)
             bad.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             await site.until(lambda: site.node.front.clients)
@@ -614,13 +614,13 @@
     ]
 
     def inside(self, workers, **changes):
-        site = Inside(workers, **changes)
+        site = InProcessSite(workers, **changes)
         site.settings["tenants"] = self.TENANTS
         return site
 
     async def test_an_id_whose_send_is_still_out_is_not_another_customers(self):
         """The answer to the one who has gone would be taken for the other's."""
-        worker = Raw("s-1")
+        worker = ManualWorker("s-1")
         async with self.inside([worker], **NO_CANCEL) as site:
             one, two = Caller(site.address), Caller(site.address)
             fields = ask(fn=1)
@@ -640,7 +640,7 @@
 
     async def test_equal_functions_marks_and_messages(self):
         """Two customers and two namespace types: each has its own lanes, time, body and answer."""
-        worker, mark = Raw("s-1"), "ab" * 16
+        worker, mark = ManualWorker("s-1"), "ab" * 16
         async with self.inside([worker]) as site:
             kinds = [
                 ("acme", "plain", 1, 1900, b"a"),
@@ -694,7 +694,7 @@
         to take ends."""
         for waits in ("in the listen queue", "on an open connection", "larger than one reading"):
             with self.subTest(waits):
-                async with Inside([Worker("s-1")]) as site:
+                async with InProcessSite([Worker("s-1")]) as site:
                     client = Caller(site.address)
                     number = client.call(ask(fn=1))
                     await site.until(client.read)
@@ -705,7 +705,7 @@
                     number = client.call(
                         ask(fn=1), body=b"z" * (16_384 if waits == "larger than one reading" else 1)
                     )
-                    held_up(0.75)  # what still comes is over when the loop goes on
+                    block_loop(0.75)  # what still comes is over when the loop goes on
                     await asyncio.wait_for(ending, SLOW)
                     await site.until(lambda: client.read() is not None and client.ended)
                     self.assertIn(client.answers.get(number, (client.ended,))[0], ("completed", "Throttled"))
@@ -713,8 +713,8 @@
     async def test_all_that_it_took_is_answered_before_it_is_killed(self):
         """With action timeouts of a second the platform kills 1.7 s after SIGTERM. Judged by the client's
         clock."""
-        worker = Raw("s-1")
-        async with Inside([worker], classes={"deadline": 1_000_000}) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker], classes={"deadline": 1_000_000}) as site:
             client = Caller(site.address)
             out = client.call(ask(fn=1, ttl=1900), type_="single")
             await site.until(worker.runs)
@@ -729,8 +729,8 @@
             self.assertIn(number, client.answers)
 
     async def test_what_is_cut_and_never_left_is_rejected(self):
-        worker = Raw("s-1", narrow=True)
-        async with Inside(
+        worker = ManualWorker("s-1", narrow=True)
+        async with InProcessSite(
             [worker], permissions={"connectTimeout": 20_000_000}, classes={"deadline": 4_000_000}
         ) as site:
             client = Caller(site.address)
@@ -739,20 +739,20 @@
             ending = asyncio.ensure_future(site.node.close())
             await site.until(client.read)
             self.assertEqual(client.answers[number][0], "Throttled")
-            worker.opens()
+            worker.open_queue()
             await asyncio.wait_for(ending, SLOW)
             self.assertEqual(worker.runs(), [])
             client.close()
 
     async def test_an_answer_that_comes_while_it_ends_reaches_its_client(self):
-        worker = Raw("s-1")
-        async with Inside([worker]) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker]) as site:
             client = Caller(site.address)
             number = client.call(ask(fn=1), type_="single")
             await site.until(worker.runs)
             ending = asyncio.ensure_future(site.node.close())
             await site.turns()
-            held_up(0.8)
+            block_loop(0.8)
             await site.until(lambda: site.node.intake.closing or ending.done())  # nothing more is taken
             await asyncio.sleep(0.05)
             self.assertFalse(ending.done())
@@ -762,7 +762,7 @@
             self.assertEqual((client.answers, client.ended), ({number: ("completed", b"x")}, "end"))
 
     async def test_health_tells_of_start_and_end(self):
-        async with Inside([Worker("s-1")]) as site:
+        async with InProcessSite([Worker("s-1")]) as site:
             client = Caller(site.address)
 
             async def health():
@@ -836,8 +836,8 @@
 class Links(unittest.IsolatedAsyncioTestCase):
     async def test_a_send_that_nobody_ends_gives_its_connection_and_its_link_back(self):
         """Its activation has ended and may not be cancelled; its connection stays open and says nothing."""
-        silent, loud = Raw("s-1"), Worker("s-2")
-        async with Inside([silent], **NO_CANCEL) as site:
+        silent, loud = ManualWorker("s-1"), Worker("s-2")
+        async with InProcessSite([silent], **NO_CANCEL) as site:
             client = Caller(site.address)
             client.call(ask(fn=1, ttl=300))
             await site.until(silent.runs)
@@ -850,7 +850,7 @@
             site.roster.tell(loud)
             site.roster.tell(silent, "Gone")
             await site.until(lambda: "s-1" not in site.node.links)
-            self.assertFalse(link.has_open_calls() or link.lines or site.node.links.in_flight)
+            self.assertFalse(link.has_open_calls() or link.connections or site.node.links.in_flight)
             # not allowed
             self.assertEqual([said["type"] for _, said in silent.read() if said["type"] == "KILL"], [])
             client = Caller(site.address)
@@ -860,8 +860,8 @@
             client.close()
 
     async def test_what_waits_when_its_worker_moves_goes_to_the_new_address(self):
-        old, new = Raw("s-1", narrow=True), Worker("s-1")
-        async with Inside([old], permissions={"connectTimeout": 20_000_000}) as site:
+        old, new = ManualWorker("s-1", narrow=True), Worker("s-1")
+        async with InProcessSite([old], permissions={"connectTimeout": 20_000_000}) as site:
             client = Caller(site.address)
             numbers = [client.call(ask(fn=fn, ttl=3900)) for fn in range(8)]  # more than connect at a time
             await site.until(lambda: site.node.links and len(site.node.links["s-1"].waiting) >= 8)
@@ -871,7 +871,7 @@
             site.roster.tell(new)
             await site.until(lambda: len(client.read()) == 8)
             self.assertEqual({client.answers[number][0] for number in numbers}, {"completed"})
-            old.opens()
+            old.open_queue()
             # comes after all that was tried before
             probe = socket.create_connection(("127.0.0.1", old.port))
             await site.until(
@@ -884,8 +884,8 @@
             probe.close(), client.close()
 
     async def test_a_worker_that_drains_while_a_send_waits_for_its_connection(self):
-        old, new = Raw("s-1", narrow=True), Worker("s-2")
-        async with Inside([old], permissions={"connectTimeout": 20_000_000}) as site:
+        old, new = ManualWorker("s-1", narrow=True), Worker("s-2")
+        async with InProcessSite([old], permissions={"connectTimeout": 20_000_000}) as site:
             client = Caller(site.address)
             number = client.call(ask(fn=1, ttl=3900), type_="single")
             await site.until(lambda: site.node.links and site.node.links["s-1"].waiting)
@@ -894,7 +894,7 @@
             site.roster.tell(new)
             site.roster.tell(old, "Terminating")
             await site.until(client.read)
-            old.opens()
+            old.open_queue()
             probe = socket.create_connection(("127.0.0.1", old.port))
             await site.until(
                 lambda: (
@@ -908,8 +908,8 @@
 
     async def test_a_drain_that_lay_unread_while_the_loop_was_held_up(self):
         """Rule 3: the list that tells it and an answer that frees a lane come while the loop stands still."""
-        worker = Raw("s-1")
-        async with Inside([worker], guarantees={"drainGrace": 200_000}) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker], guarantees={"drainGrace": 200_000}) as site:
             client, facts = Caller(site.address), "lanes:1;load_ms:20"
             client.call(ask(fn=1, facts=facts))
             await site.until(worker.runs)
@@ -917,13 +917,13 @@
             await site.until(lambda: site.node.intake.unanswered == 2)
             told_ = []
             # it has the question now, and answers when it is told to
-            site.roster.spoil = lambda wire: told_.append(wire)
+            site.roster.rewrite = lambda wire: told_.append(wire)
             await site.until(lambda: told_)
             site.roster.tell(worker, "Terminating")
             await site.until(lambda: len(told_) > 2)
             worker.answer(worker.runs()[0])
             site.roster.transport.sendto(told_[-1], site.node.roster.sock.getsockname())
-            held_up()
+            block_loop()
             await site.until(lambda: not site.node.membership.is_usable("s-1"))
             await site.turns()
             self.assertEqual(len(worker.runs()), 1)
@@ -932,15 +932,15 @@
     async def test_a_loop_that_was_held_up_blames_no_worker(self):
         """Its answer came in time and lies unread when time is looked at: neither silent nor sent again, and
         nothing loaded elsewhere."""
-        workers = [Raw("s-1"), Raw("s-2")]
-        async with Inside(workers) as site:
+        workers = [ManualWorker("s-1"), ManualWorker("s-2")]
+        async with InProcessSite(workers) as site:
             client = Caller(site.address)
             number = client.call(ask(fn=1))
             await site.until(lambda: workers[0].runs() or workers[1].runs())
             worker, other = workers if workers[0].runs() else workers[::-1]
             asked = len(other.read())
             worker.answer(worker.runs()[0])
-            held_up(1.2)
+            block_loop(1.2)
             await site.until(client.read)
             looks = site.node.check_count
             await site.until(lambda: site.node.check_count > looks + 4)
@@ -959,8 +959,8 @@
             ("end", "twice"),
         ):
             with self.subTest(f"{what}, {ends}"):
-                worker = Raw("s-1")
-                async with Inside([worker]) as site:
+                worker = ManualWorker("s-1")
+                async with InProcessSite([worker]) as site:
                     client = Caller(site.address)
                     number = client.call(ask(fn=1), type_="single")
                     await site.until(worker.runs)
@@ -970,7 +970,7 @@
                         worker.reset(run[0])
                     else:
                         worker.conns[run[0]][0].close()
-                    held_up(0.02)
+                    block_loop(0.02)
                     await site.until(client.read)
                     # A reset may overtake what was written before it: then it may have run.
                     good = {
@@ -986,8 +986,8 @@
                     client.close()
 
     async def test_a_second_answer_after_its_connection_carries_another(self):
-        worker = Raw("s-1")
-        async with Inside([worker]) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker]) as site:
             client = Caller(site.address)
             first = client.call(ask(fn=1), b"one")
             await site.until(worker.runs)
@@ -1005,15 +1005,15 @@
 
     async def test_a_connection_that_its_worker_may_close_for_rest_carries_nothing(self):
         """The settings give it 400 ms; it is ours for half of that."""
-        worker = Raw("s-1")
-        async with Inside([worker], permissions={"connIdle": 400_000}) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker], permissions={"connIdle": 400_000}) as site:
             client = Caller(site.address)
             client.call(ask(fn=1), type_="single")
             await site.until(worker.runs)
             worker.answer(worker.runs()[0])
             await site.until(client.read)
             await site.turns()
-            held_up(0.45)
+            block_loop(0.45)
             number = client.call(ask(fn=1), type_="single")
             for conn, _ in worker.conns:
                 conn.close()  # its end is still unread when the next one is sent
@@ -1024,8 +1024,8 @@
         """No byte of the send has left: it is known that it never ran, and it goes on elsewhere."""
         for ends in ("end", "reset"):
             with self.subTest(ends):
-                worker = Raw("s-1")
-                async with Inside([worker]) as site:
+                worker = ManualWorker("s-1")
+                async with InProcessSite([worker]) as site:
                     client = Caller(site.address)
                     client.call(ask(fn=1), type_="single")
                     await site.until(worker.runs)
@@ -1039,7 +1039,7 @@
                             worker.reset(line)
                         else:
                             worker.conns[line][0].close()
-                    held_up(0.02)
+                    block_loop(0.02)
                     await site.until(lambda: len(worker.runs()) == 2 or client.read().get(number))
                     self.assertEqual(client.read().get(number), None)
                     worker.answer(worker.runs()[1])
@@ -1049,8 +1049,8 @@
 
     async def test_no_descriptor_is_left_for_a_connection(self):
         """Its activation was never sent: no defect, and no abort of what must not run twice."""
-        worker = Raw("s-1")
-        async with Inside([worker]) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker]) as site:
             client = Caller(site.address)
             await site.until(lambda: site.node.front.clients)
             with no_descriptors():
@@ -1064,7 +1064,7 @@
 
 class Lists(unittest.IsolatedAsyncioTestCase):
     async def test_no_descriptor_is_left_when_the_roster_moves(self):
-        async with Inside([Worker("s-1")]) as site:
+        async with InProcessSite([Worker("s-1")]) as site:
             second = Roster()
             await second.open()
             second.serial, second.entries = site.roster.serial, dict(site.roster.entries)
@@ -1082,7 +1082,7 @@
         """Each comes two seconds after its question: more questions are open by then than were once
         remembered."""
         old, new = Worker("s-1"), Worker("s-2")
-        async with Inside([old]) as site:
+        async with InProcessSite([old]) as site:
             await new.open()
             site.workers.append(new)
             roster = site.roster
@@ -1092,7 +1092,7 @@
                     2, roster.transport.sendto, wire, site.node.roster.sock.getsockname()
                 )
 
-            roster.spoil = late
+            roster.rewrite = late
             asked = roster.asked
             await site.until(lambda: roster.asked > asked)
             roster.tell(new)
@@ -1106,11 +1106,11 @@
         """The first answer after it is an old one, then the new one comes: what has gone gets nothing from
         then on."""
         old, new = Worker("s-1"), Worker("s-2")
-        async with Inside([old]) as site:
+        async with InProcessSite([old]) as site:
             await new.open()
             site.workers.append(new)
             client, kept = Caller(site.address), []
-            site.roster.spoil = lambda wire: kept.append(wire)
+            site.roster.rewrite = lambda wire: kept.append(wire)
             await site.until(lambda: len(kept) > 2)
             site.roster.tell(new)
             site.roster.tell(old, "Gone")
@@ -1120,7 +1120,7 @@
             kept.clear()
             await site.until(lambda: kept)
             newest = kept[-1]
-            site.roster.spoil = None
+            site.roster.rewrite = None
             serial, site.roster.serial = site.roster.serial, 1
             entries, site.roster.entries = site.roster.entries, {}
             before = site.node.roster.counts["old"]
@@ -1139,7 +1139,7 @@
         """The serial is the number of the last event: where it is the same nothing has happened, whatever the
         list says."""
         workers = [Worker("s-1"), Worker("s-2")]
-        async with Inside(workers) as site:
+        async with InProcessSite(workers) as site:
             good, entries = site.node.roster.counts["good"], site.roster.entries
             site.roster.entries = {"s-2": entries["s-2"]}
             await site.until(lambda: site.node.roster.counts["good"] > good + 1)
@@ -1168,7 +1168,7 @@
         """No list tells of it and nothing is amiss: each activation in hand misses, and is completed after
         one load."""
         workers = [Worker(f"s-{n}") for n in range(4)]
-        async with Inside(workers) as site:
+        async with InProcessSite(workers) as site:
             clients, functions, sent = [Caller(site.address) for _ in range(4)], range(1, 13), {}
 
             def ask_all(round_):
--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -172,7 +172,7 @@
     def site(self, sockets=256):
         """Whose roster is silent; with more descriptors told than there are, or with the true number."""
         site = Limited([self.old], sockets=sockets)
-        site.roster.spoil = lambda wire: None
+        site.roster.rewrite = lambda wire: None
         return site
 
     async def crowd(self, site):
@@ -206,7 +206,7 @@
         self.assertFalse(self.new.probes or self.new.orders or self.new.runs)
         roster.serial, roster.entries = site.roster.serial + 1, {}
         roster.tell(self.new)
-        roster.spoil = None
+        roster.rewrite = None
         async with asyncio.timeout(SLOW):
             while not self.new.runs:
                 await site.served()
@@ -219,17 +219,17 @@
 
     async def test_silent_later(self):
         site = self.site()
-        silent, site.roster.spoil = site.roster.spoil, None
+        silent, site.roster.rewrite = site.roster.rewrite, None
         async with site:
             asked = site.roster.asked
             await site.until(lambda: site.roster.asked > asked + 2, SLOW)
-            site.roster.spoil = silent
+            site.roster.rewrite = silent
             await self.check_that_it_serves(site, site.roster, await self.crowd(site))
             await self.check_that_it_hears(site, site.roster)
 
     async def test_moved_under_a_crowd(self):
         """SIGHUP; the roster at its new address is silent as well at first."""
-        self.second.spoil = lambda wire: None
+        self.second.rewrite = lambda wire: None
         async with self.site() as site:
             crowd = await self.crowd(site)
             site.write(names=f"127.0.0.1:{self.second.port}")
@@ -247,7 +247,7 @@
         """Nothing has to be opened to read it, a module of a library neither."""
         async with self.site() as site:
             site.leaves_none()
-            site.roster.spoil = None
+            site.roster.rewrite = None
             async with asyncio.timeout(SLOW):
                 while not (await site.counts()).answers:
                     await asyncio.sleep(0.1)
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -15,7 +15,7 @@
 import msgpack
 from node_site import ask
 from test_client_departure import ids
-from test_crossings import Caller, Inside, Raw
+from test_crossings import Caller, InProcessSite, ManualWorker
 
 from petrelwood.decide.overload import resource_limits
 from petrelwood.node import call_request, client_connection, client_listener, loop_lag
@@ -36,8 +36,8 @@
     async def test_good_requests_open_when_the_faults_are_too_many(self):
         """One is at its worker, one is held, one comes with the last fault, and one behind it.
         Guards against a connection that is closed for its faults while requests are open."""
-        worker = Raw("s-1")
-        async with Inside([worker]) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker]) as site:
             client = Caller(site.address)
             one_lane = "lanes:1;load_ms:20"
             client.call(ask(fn=1, facts=one_lane))
@@ -63,8 +63,8 @@
         noise = b"\xc1\xc1\xc1" + b"\x00" * 40_000
         for what, data in (("noise", noise), ("an open number", call(1, ask(fn=5)))):
             with self.subTest(what):
-                worker = Raw("s-1")
-                async with Inside([worker]) as site:
+                worker = ManualWorker("s-1")
+                async with InProcessSite([worker]) as site:
                     client = Caller(site.address)
                     client.call(ask(fn=1))
                     client.call(ask(fn=1), type_="single")
@@ -77,7 +77,7 @@
                     self.assertFalse(site.node.pending.activations)
 
     async def test_who_is_owed_nothing_is_closed_at_once(self):
-        async with Inside([]) as site:
+        async with InProcessSite([]) as site:
             client = Caller(site.address)
             client.sock.sendall(b"\xc1\xc1\xc1")
             looks = site.node.check_count
@@ -86,9 +86,9 @@
 
     async def test_a_request_that_stays_half_beside_good_ones(self):
         """Guards against a connection that is closed as too slow while another request is open."""
-        worker = Raw("s-1")
+        worker = ManualWorker("s-1")
         with mock.patch.object(resource_limits, "REQUEST_TIMEOUT", 100_000_000):
-            async with Inside([worker]) as site:
+            async with InProcessSite([worker]) as site:
                 client = Caller(site.address)
                 number = client.call(ask(fn=1))
                 await site.until(worker.runs)
@@ -102,8 +102,8 @@
 
     async def test_a_defect_in_reading_one_request(self):
         """Guards against a defect in one request that costs the others on its connection."""
-        worker = Raw("s-1")
-        async with Inside([worker]) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker]) as site:
             client = Caller(site.address)
             first = client.call(ask(fn=1))
             await site.until(worker.runs)
@@ -119,8 +119,8 @@
 class TooManyClients(unittest.IsolatedAsyncioTestCase):
     async def test_a_new_connection_where_all_others_have_open_requests(self):
         """It has a request in it, and gets a refusal: the text before closed it over the request."""
-        worker = Raw("s-1")
-        async with Inside([worker]) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker]) as site:
             site.node.resource_limits.clients = 2
             busy = [Caller(site.address) for _ in range(2)]
             for client in busy:
@@ -143,8 +143,8 @@
 
     async def test_a_newcomer_for_which_a_rejected_client_could_be_closed(self):
         """Guards against a client beyond the limit that is admitted as another one beyond it was closed."""
-        worker = Raw("s-1")
-        async with Inside([worker]) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker]) as site:
             busy = await self.fill(site, worker, 2)
             guests = []
             for _ in range(3 * node_front.CONNECTIONS_OVER_CAPACITY):
@@ -155,8 +155,8 @@
 
     async def test_a_rejected_client_stays_connected_while_closing_it_would_not_help(self):
         """Guards against an idle connection that is closed though the newcomer is rejected all the same."""
-        worker = Raw("s-1")
-        async with Inside([worker]) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker]) as site:
             busy = await self.fill(site, worker, 2)
             guests = []
             for _ in range(node_front.CONNECTIONS_OVER_CAPACITY):
@@ -170,8 +170,8 @@
 
     async def test_several_idle_clients_make_room_together(self):
         """Guards against a client that is rejected though enough idle connections could be closed for it."""
-        worker = Raw("s-1")
-        async with Inside([worker]) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker]) as site:
             busy = await self.fill(site, worker, 2)
             guest = Caller(site.address)
             guest.call(ask(fn=1, ttl=3900))
@@ -223,8 +223,8 @@
 
     async def test_a_client_beyond_the_limit_is_admitted_once_the_limit_holds_it(self):
         """Guards against a connection that counts itself as another one that takes its place."""
-        worker = Raw("s-1")
-        async with Inside([worker]) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker]) as site:
             leaves, stays = await self.fill(site, worker, 2)
             guest = await self.rejected(site, worker)
             leaves.close()
@@ -239,7 +239,7 @@
 
     async def test_room_is_made_only_for_who_has_come(self):
         """Guards against a front that closes a connection for a client before one has come."""
-        async with Inside([]) as site:
+        async with InProcessSite([]) as site:
             site.node.resource_limits.clients = 2
             clients = []
             for number in (1, 2):
@@ -252,8 +252,8 @@
 
     async def test_more_than_room_and_guests_wait_to_be_accepted(self):
         """Guards against a newcomer that is closed, or polled for, while silent guests fill what is spare."""
-        worker = Raw("s-1")
-        async with Inside([worker]) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker]) as site:
             site.node.resource_limits.clients = 1
             busy = Caller(site.address)
             busy.call(ask(fn=1, ttl=3900))
@@ -274,8 +274,8 @@
 class AnswersThatNobodyReads(unittest.IsolatedAsyncioTestCase):
     async def test_a_client_that_asks_on_and_reads_nothing(self):
         """Guards against a client with requests open that is closed as it reads its answers late."""
-        worker = Raw("s-1")
-        async with Inside([worker]) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker]) as site:
             client = Caller(site.address)
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
             await site.until(lambda: site.node.front.clients)
@@ -341,8 +341,8 @@
 
     async def test_requests_still_leave_for_their_workers(self):
         """Guards against sends that wait for as long as something is read in each turn of the loop."""
-        worker = Raw("s-1")
-        async with Inside([worker]) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker]) as site:
             client, chatty = Caller(site.address), Caller(site.address)
             client.call(ask(fn=1))
             await site.until(worker.runs)
@@ -372,8 +372,8 @@
 
     async def test_what_is_due_is_answered_before_anything_new_is_taken(self):
         """Guards against an answer that waits until all requests that lay unread are read."""
-        worker = Raw("s-1")
-        async with Inside([worker]) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker]) as site:
             waits = Caller(site.address)
             number = waits.call(ask(fn=1, ttl=300))
             await site.until(worker.runs)
@@ -419,7 +419,7 @@
                 sock.connect_ex(site.address)
             return socks
 
-        async with Inside([]) as site:
+        async with InProcessSite([]) as site:
             stop = self.strain(site, 0.15)
             looks = site.node.check_count
             await site.until(lambda: site.node.check_count > looks + 2 * loop_lag.LATE_CHECKS)
@@ -431,7 +431,7 @@
 
     async def test_accepting_does_not_keep_answers_waiting(self):
         """Guards against answers that wait for connections which take long to accept."""
-        async with Inside([]) as site:
+        async with InProcessSite([]) as site:
             made, most, turn = node_front.Stream, 0, []
 
             def slowly(*args, **more):
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -229,7 +229,7 @@
         old.next_check.cancel()
         for link in old.links.values():
             link.waiting.clear()
-            for line in link.lines:
+            for line in link.connections:
                 line.stream.close()
         for exchange, _ in self.exchanges:
             if exchange.ended is None and exchange.sent + self.case.lag / 1000 <= self.clock.loop.time():
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -496,7 +496,7 @@
             ran = [(tag, meta) for w in workers for tag, meta in zip(w.runs, w.meta)]
             self.assertEqual(len(ran), len({tag for tag, _ in ran}))
             self.assertEqual([m.get("op") for tag, m in ran if tag == marked["call"]], ["ab" * 16])
-            self.assertFalse(client.strange)
+            self.assertFalse(client.unexpected)
             client.close()
             self.assertEqual(await site.stop(), 0)
 
@@ -558,7 +558,7 @@
             await site.until(lambda: len(worker.kills) == 2)
             self.assertEqual((await client.call(fn=1))[0], "completed")
             self.assertFalse(first.done())
-            self.assertFalse(client.strange)
+            self.assertFalse(client.unexpected)
             client.close()
 
     async def test_spoilt_answers_end_their_connection_and_prove_nothing(self):
@@ -599,7 +599,7 @@
             client = await site.client()
             for n in range(60):
                 self.assertEqual(await client.call(fn=1, body=b"%d" % n), ("completed", b"%d" % n))
-            self.assertFalse(client.strange)
+            self.assertFalse(client.unexpected)
             client.close()
 
     async def test_a_drain_and_a_worker_at_the_address_of_one_that_has_gone(self):
@@ -636,7 +636,7 @@
             site.workers.append(new)
             first, kinds = [None], ["lost", "cut", "failed", "id", "old"] * 2
 
-            def spoil(wire):
+            def rewrite(wire):
                 first[0] = first[0] or wire
                 kind = kinds.pop() if kinds else None
                 return {
@@ -647,7 +647,7 @@
                     "old": wire[:2] + first[0][2:],
                 }.get(kind, wire)
 
-            site.roster.spoil = spoil
+            site.roster.rewrite = rewrite
             asked = site.roster.asked
             await site.until(lambda: site.roster.asked > asked)
             site.roster.tell(new)
--- a/tests/test_restart_readiness.py
+++ b/tests/test_restart_readiness.py
@@ -21,7 +21,7 @@
 import msgpack
 from free_ports import free_port
 from node_site import ROOT, Roster, Site, Worker, answer
-from test_crossings import Said
+from test_crossings import RecordingLog
 
 from petrelwood.node import configuration
 from petrelwood.node.service import Node
@@ -223,7 +223,7 @@
 
         sys.setprofile(called)
         try:
-            node = Node(configuration.read(environ), Said([]))
+            node = Node(configuration.read(environ), RecordingLog([]))
             node.begin()
         finally:
             sys.setprofile(None)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -13,7 +13,7 @@
 
 import msgpack
 from node_site import Client, Site, Worker, ask
-from test_crossings import Caller, Inside, Raw, held_up, settings
+from test_crossings import Caller, InProcessSite, ManualWorker, block_loop, settings
 
 from petrelwood.decide.cluster.shutdown import Shutdown
 from petrelwood.node import graceful_shutdown
@@ -116,17 +116,17 @@
             moments.append(began)
             return made(began, longest)
 
-        async with Inside([Raw("s-1")]) as site:
+        async with InProcessSite([ManualWorker("s-1")]) as site:
             with mock.patch.object(graceful_shutdown, "Shutdown", shutdown):
                 signalled = site.node.now()
-                held_up(0.4)
+                block_loop(0.4)
                 await site.node.close()
         self.assertLessEqual(moments[0], signalled)
 
     async def test_who_goes_on_sending_keeps_only_itself(self):
         """One that never stops leaves no look at which all is quiet; who rests is closed meanwhile. The text
         before closed nobody until all were quiet."""
-        async with Inside([Raw("s-1")]) as site:
+        async with InProcessSite([ManualWorker("s-1")]) as site:
             chatty, rests = Caller(site.address), Caller(site.address)
             rests.sock.sendall(msgpack.packb([0, 1, "health", [{}]]))
             await site.until(rests.read)
--- a/tests/test_standing_log.py
+++ b/tests/test_standing_log.py
@@ -5,13 +5,13 @@
 
 import orjson
 from node_site import Worker, ask
-from test_crossings import Caller, Inside
+from test_crossings import Caller, InProcessSite
 
 
 class StandingLog(unittest.IsolatedAsyncioTestCase):
     async def test_the_ends_are_named_by_their_words(self):
         worker = Worker("s-1", lambda worker, said, writer: {"type": "FAULT", "req": said["req"], "meta": {}})
-        async with Inside([worker]) as site:
+        async with InProcessSite([worker]) as site:
             client = Caller(site.address)
             client.call(ask(fn=1))
             await site.until(client.read)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -32,7 +32,7 @@
     peer,
     short,
 )
-from test_crossings import Caller, Inside, Raw
+from test_crossings import Caller, InProcessSite, ManualWorker
 
 from petrelwood.links.accept_errors import CONNECTION_ERRORS_IN_A_ROW
 
@@ -54,7 +54,7 @@
 
     @contextlib.asynccontextmanager
     async def site(self, *workers, **changes):
-        async with Inside(list(workers), **changes) as site:
+        async with InProcessSite(list(workers), **changes) as site:
             yield site
             self.assertEqual(site.node.pending.counts["defects"], 0, site.log)
 
@@ -94,7 +94,7 @@
         """The connection waits meanwhile; nothing spins, and it is served once the fault is over."""
         for error in ACCEPT_FAILS:
             with self.subTest(errno.errorcode[error]):
-                worker = Raw("s-1")
+                worker = ManualWorker("s-1")
                 async with self.site(worker) as site:
                     looks, port = site.node.check_count, site.address[1]
                     with failing("accept", error, local(port), times=None) as fault:
@@ -113,7 +113,7 @@
         """One that rests makes room for another connection; where that does not help, the others stay."""
         for error in (errno.ENFILE, errno.EMFILE):
             with self.subTest(errno.errorcode[error]):
-                worker = Raw("s-1")
+                worker = ManualWorker("s-1")
                 async with self.site(worker) as site:
                     idle = [Caller(site.address) for _ in range(IDLE)]
                     for client in idle:
@@ -134,7 +134,7 @@
         """Its error says nothing of the others that wait: they are taken in the same turn."""
         for error in ACCEPT_LOSES:
             with self.subTest(errno.errorcode[error]):
-                worker = Raw("s-1")
+                worker = ManualWorker("s-1")
                 async with self.site(worker) as site:
                     looks = site.node.check_count
                     with losing_accepts(error, local(site.address[1])) as fault:
@@ -156,7 +156,7 @@
             ("setblocking", errno.ENOMEM),
         ):
             with self.subTest(call, error=errno.errorcode[error]):
-                worker = Raw("s-1")
+                worker = ManualWorker("s-1")
                 async with self.site(worker) as site:
                     client = Caller(site.address)
                     self.addCleanup(client.sock.close)
@@ -175,7 +175,7 @@
     async def test_a_connection_breaks_as_it_is_read(self):
         for error in READ_BREAKS:
             with self.subTest(errno.errorcode[error]):
-                worker = Raw("s-1")
+                worker = ManualWorker("s-1")
                 async with self.site(worker) as site:
                     broken, stays = Caller(site.address), Caller(site.address)
                     self.addCleanup(broken.sock.close)
@@ -197,7 +197,7 @@
         for error in WRITE_BREAKS:
             for taken in (0, 5):
                 with self.subTest(errno.errorcode[error], taken=taken):
-                    worker = Raw("s-1")
+                    worker = ManualWorker("s-1")
                     async with self.site(worker) as site:
                         client = Caller(site.address)
                         self.addCleanup(client.sock.close)
@@ -214,7 +214,7 @@
         """Both were read together: the other one is not begun, or taken back, and that is no defect."""
         for error in WRITE_BREAKS:
             with self.subTest(errno.errorcode[error]):
-                worker = Raw("s-1")
+                worker = ManualWorker("s-1")
                 async with self.site(worker) as site:
                     client = Caller(site.address)
                     self.addCleanup(client.sock.close)
@@ -228,7 +228,7 @@
 
     async def test_short_reads_and_writes(self):
         """Byte by byte, from clients and to them, from workers and to them."""
-        worker = Raw("s-1")
+        worker = ManualWorker("s-1")
         async with self.site(worker) as site:
             ports = local(site.address[1]), peer(worker.port)
             with short(lambda sock, args: any(each(sock, args) for each in ports)) as calls:
@@ -241,7 +241,7 @@
             self.assertGreater(calls.calls, 1000)
 
     async def test_signals_interrupt_every_wait(self):
-        worker = Raw("s-1")
+        worker = ManualWorker("s-1")
         async with self.site(worker) as site:
             with interrupted() as came:
                 for _ in range(20):
@@ -262,7 +262,7 @@
     async def test_no_socket_for_a_connection(self):
         for error in SOCKET_FAILS:
             with self.subTest(errno.errorcode[error]):
-                first, second = Raw("s-1"), Raw("s-2")
+                first, second = ManualWorker("s-1"), ManualWorker("s-2")
                 async with self.site(first, second) as site:
                     with no_sockets(error, times=None) as fault:
                         await self.rejected(site, fault)
@@ -272,7 +272,7 @@
     async def test_a_socket_that_cannot_be_connected(self):
         for error in CONNECT_FAILS:
             with self.subTest(errno.errorcode[error]):
-                first, second = Raw("s-1"), Raw("s-2")
+                first, second = ManualWorker("s-1"), ManualWorker("s-2")
                 async with self.site(first, second) as site:
                     chosen = peer(first.port, second.port)
                     with failing("connect", error, chosen, times=None) as fault:
@@ -283,7 +283,7 @@
     async def test_a_connection_that_is_not_made(self):
         for error in CONNECT_ENDS:
             with self.subTest(errno.errorcode[error]):
-                first, second = Raw("s-1"), Raw("s-2")
+                first, second = ManualWorker("s-1"), ManualWorker("s-2")
                 async with self.site(first, second) as site:
                     with failed_connections(error, (first.port, second.port), times=None) as fault:
                         await self.rejected(site, fault)
@@ -294,7 +294,7 @@
         """The next attempt goes on, at another worker or the same."""
         for error in CONNECT_FAILS:
             with self.subTest(errno.errorcode[error]):
-                first, second = Raw("s-1"), Raw("s-2")
+                first, second = ManualWorker("s-1"), ManualWorker("s-2")
                 async with self.site(first, second) as site:
                     with failing("connect", error, peer(first.port, second.port)) as fault:
                         await self.either(site, first, second)
@@ -321,7 +321,7 @@
         """A connection that can't be told to send at once sends."""
         for error in (errno.EINVAL, errno.ENOBUFS, errno.ENOMEM, errno.ENOPROTOOPT, errno.ENOTCONN):
             with self.subTest(errno.errorcode[error]):
-                worker = Raw("s-1")
+                worker = ManualWorker("s-1")
                 async with self.site(worker) as site:
                     with failing("setsockopt", error, peer(worker.port), times=None) as fault:
                         await self.served(site, worker)
@@ -331,7 +331,7 @@
         """It provably never ran: the activation goes on, and is not aborted."""
         for error in WRITE_BREAKS:
             with self.subTest(errno.errorcode[error]):
-                first, second = Raw("s-1"), Raw("s-2")
+                first, second = ManualWorker("s-1"), ManualWorker("s-2")
                 async with self.site(first, second) as site:
                     with broken_write(error, peer(first.port, second.port), begins=b'"FN"') as fault:
                         await self.either(site, first, second)
@@ -339,7 +339,7 @@
 
     async def test_a_write_that_blocks_before_its_first_byte_and_then_fails(self):
         """As above, a turn of the loop later."""
-        first, second = Raw("s-1"), Raw("s-2")
+        first, second = ManualWorker("s-1"), ManualWorker("s-2")
         async with self.site(first, second) as site:
             chosen = peer(first.port, second.port)
             with (
@@ -353,7 +353,7 @@
         """They may be all that a worker needs: what must not run twice is aborted, what may goes on."""
         for error in WRITE_BREAKS:
             with self.subTest(errno.errorcode[error]):
-                first, second = Raw("s-1"), Raw("s-2")
+                first, second = ManualWorker("s-1"), ManualWorker("s-2")
                 async with self.site(first, second) as site:
                     chosen = peer(first.port, second.port)
                     with broken_write(error, chosen, taken=7, begins=b'"FN"') as fault:
@@ -367,7 +367,7 @@
     async def test_a_connection_breaks_while_a_send_is_out(self):
         for error in READ_BREAKS:
             with self.subTest(errno.errorcode[error]):
-                worker = Raw("s-1")
+                worker = ManualWorker("s-1")
                 async with self.site(worker) as site:
                     client = Caller(site.address)
                     self.addCleanup(client.sock.close)
@@ -385,7 +385,7 @@
         """For a while, or for good on this socket, whose own address may have gone: it is asked anew."""
         for error in DATAGRAM_FAILS:
             with self.subTest(errno.errorcode[error]):
-                worker = Raw("s-1")
+                worker = ManualWorker("s-1")
                 async with self.site(worker) as site:
                     await site.until(lambda: site.node.roster.counts["good"])
                     roster, first = site.node.roster, site.node.roster.sock
@@ -399,7 +399,7 @@
 
     async def test_a_refusal_of_the_question_before(self):
         """It is read by the next question, which then has not been sent: it is sent once more."""
-        worker = Raw("s-1")
+        worker = ManualWorker("s-1")
         async with self.site(worker) as site:
             roster = site.node.roster
             await site.until(lambda: roster.counts["good"])
@@ -412,7 +412,7 @@
         """A socket that can be read and never is: it is given up."""
         for error in set(DATAGRAM_FAILS) - {errno.EAGAIN, errno.EINTR}:
             with self.subTest(errno.errorcode[error]):
-                worker = Raw("s-1")
+                worker = ManualWorker("s-1")
                 async with self.site(worker) as site:
                     await site.until(lambda: site.node.roster.counts["good"])
                     first = site.node.roster.sock
@@ -432,7 +432,7 @@
     async def test_no_socket_to_ask_with(self):
         for error in SOCKET_FAILS:
             with self.subTest(errno.errorcode[error]):
-                worker = Raw("s-1")
+                worker = ManualWorker("s-1")
                 async with self.site(worker) as site:
                     with no_sockets(error, times=None) as fault:
                         site.node.roster.set_address(site.node.roster.address)
@@ -443,7 +443,7 @@
 
     async def hears(self, site):
         """The dispatcher hears a change of the list."""
-        added = Raw("s-9")
+        added = ManualWorker("s-9")
         self.addAsyncCleanup(added.close)
         site.roster.tell(added)
         await site.until(lambda: "s-9" in site.node.membership.members)
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -12,7 +12,7 @@
 
 from node_site import ask
 from test_client_departure import ids
-from test_crossings import NO_CANCEL, SLOW, Caller, Inside, Raw, held_up
+from test_crossings import NO_CANCEL, SLOW, Caller, InProcessSite, ManualWorker, block_loop
 
 from petrelwood import ports
 from petrelwood.decide.overload import resource_limits
@@ -67,7 +67,7 @@
     """Whether a send to this worker waits, and all connections that were begun have come up but for our
     word."""
     link = node.links.get(name)
-    return link and link.runs and link.waiting and len(link.lines) == link.connecting
+    return link and link.runs and link.waiting and len(link.connections) == link.connecting
 
 
 def patience(worker, fields):
@@ -79,8 +79,8 @@
 
 class WaitsForItsConnection(unittest.IsolatedAsyncioTestCase):
     async def test_the_wait_is_taken_off(self):
-        worker, late = Raw("s-1"), LateConnections()
-        async with Inside([worker], permissions=CONNECTS) as site:
+        worker, late = ManualWorker("s-1"), LateConnections()
+        async with InProcessSite([worker], permissions=CONNECTS) as site:
             client = Caller(site.address)
             with late.hold():
                 client.call(fields := ask(fn=1, ttl=TTL))
@@ -98,8 +98,8 @@
         """Its client is told at once that it never ran, of once-only work too."""
         for type_ in ("plain", "marked", "single"):
             with self.subTest(type_):
-                worker, late = Raw("s-1"), LateConnections()
-                async with Inside([worker], permissions=CONNECTS) as site:
+                worker, late = ManualWorker("s-1"), LateConnections()
+                async with InProcessSite([worker], permissions=CONNECTS) as site:
                     client = Caller(site.address)
                     with late.hold():
                         number = client.call(ask(fn=1, ttl=TTL), type_=type_)
@@ -119,8 +119,8 @@
         """The other one is out, or was turned away: its worker is told what is left as it goes."""
         for how in ("out", "turned away"):
             with self.subTest(how):
-                workers, late = [Raw("s-1"), Raw("s-2")], LateConnections()
-                async with Inside(workers, permissions=CONNECTS) as site:
+                workers, late = [ManualWorker("s-1"), ManualWorker("s-2")], LateConnections()
+                async with InProcessSite(workers, permissions=CONNECTS) as site:
                     client, node = Caller(site.address), site.node
                     client.call(fields := ask(fn=1, ttl=TTL))
                     await site.until(lambda node=node: node.links.in_flight)
@@ -144,8 +144,8 @@
 class WaitsInTheListenQueue(unittest.IsolatedAsyncioTestCase):
     async def test_a_request_that_lay_there_unread_has_as_much_less_time(self):
         """Guards against a wait in the kernel that is not counted, as the loop itself is in time."""
-        worker = Raw("s-1")
-        async with Inside([worker]) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker]) as site:
             site.node.loop.remove_reader(site.node.front.listener.sock)
             client = Caller(site.address)
             number = client.call(fields := ask(fn=1, ttl=TTL))
@@ -163,8 +163,8 @@
 
     async def test_one_whose_time_was_up_there_is_answered_at_once(self):
         """Guards against a client that is answered only after its time, counted anew from the reading."""
-        worker = Raw("s-1")
-        async with Inside([worker]) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker]) as site:
             site.node.loop.remove_reader(site.node.front.listener.sock)
             client = Caller(site.address)
             client.call(ask(fn=1, ttl=150))
@@ -189,20 +189,22 @@
         clients = [Caller(site.address) for _ in range(2)]
         clients[0].call(first := ask(fn=1, ttl=TTL), b"z" * resource_limits.MAX_BODY)
         await site.until(
-            lambda: site.node.links and any(line.stream.writing() for line in site.node.links["s-1"].lines)
+            lambda: (
+                site.node.links and any(line.stream.writing() for line in site.node.links["s-1"].connections)
+            )
         )
         clients[1].call(second := ask(fn=2, ttl=TTL))
         await site.until(lambda: len(site.node.links["s-1"].runs) == 2)
         return clients, first, second
 
     async def test_the_wait_behind_an_unsent_rest_is_taken_off(self):
-        worker = Raw("s-1")
+        worker = ManualWorker("s-1")
         worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         with (
             mock.patch.object(node_worker.sockets, "fresh", narrow()),
             mock.patch.object(node_worker, "WRITE_TIMEOUT", SLOW * 1000 * MS),
         ):
-            async with Inside([worker], **NO_CANCEL) as site:
+            async with InProcessSite([worker], **NO_CANCEL) as site:
                 clients, _, second = await self._two(site, worker)
                 jump(site.node, 1000)
                 await site.until(lambda: second["call"] in ids(worker))
@@ -213,15 +215,15 @@
     async def test_a_rest_that_stays_unsent_never_follows(self):
         """Its worker reads again later: it has not got the whole of it, and what waited behind it is told
         what is left. Its client has an answer."""
-        worker = Raw("s-1")
+        worker = ManualWorker("s-1")
         worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         with mock.patch.object(node_worker.sockets, "fresh", narrow()):
-            async with Inside([worker], **NO_CANCEL) as site:
+            async with InProcessSite([worker], **NO_CANCEL) as site:
                 clients, _, second = await self._two(site, worker)
                 began = site.node.now()
                 link = site.node.links["s-1"]
-                blocked = next(line for line in link.lines if line.stream.writing())
-                await site.until(lambda: blocked not in link.lines)
+                blocked = next(line for line in link.connections if line.stream.writing())
+                await site.until(lambda: blocked not in link.connections)
                 await site.until(lambda: second["call"] in ids(worker))
                 self.assertLess(patience(worker, second), TTL)
                 await site.until(lambda: 1 in clients[0].read())  # and not only when its time is up
@@ -231,20 +233,20 @@
 
     async def test_a_client_that_leaves_while_its_rest_is_unsent_behind_anothers_open_one(self):
         """Both are on one connection: it is closed all the same, and the other's client gets an answer."""
-        worker = Raw("s-1")
+        worker = ManualWorker("s-1")
         worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         with (
             mock.patch.object(node_worker.sockets, "fresh", narrow()),
             mock.patch.object(node_worker, "WRITE_TIMEOUT", SLOW * 1000 * MS),
         ):
-            async with Inside([worker], **NO_CANCEL, familyInfo={"mayOrder": False}) as site:
+            async with InProcessSite([worker], **NO_CANCEL, familyInfo={"mayOrder": False}) as site:
                 site.node.resource_limits.workers = 1
                 stays, gone = Caller(site.address), Caller(site.address)
                 number = stays.call(first := ask(fn=1, ttl=TTL), type_="single")
                 await site.until(worker.runs)
                 gone.call(left := ask(fn=2, ttl=TTL), b"z" * resource_limits.MAX_BODY)
                 link = site.node.links["s-1"]
-                await site.until(lambda: any(line.stream.writing() for line in link.lines))
+                await site.until(lambda: any(line.stream.writing() for line in link.connections))
                 gone.close()
                 await site.until(lambda: site.node.pending.counts["left"] == 1)
                 for _ in range(50):
@@ -260,15 +262,15 @@
 class HeldUp(unittest.IsolatedAsyncioTestCase):
     async def test_a_request_that_lay_unread_while_the_loop_was_held_up(self):
         """Its client's time runs from its last byte, not from our reading. Failed on the text before."""
-        worker = Raw("s-1")
-        async with Inside([worker]) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker]) as site:
             client = Caller(site.address)
             client.call(ask(fn=1, ttl=TTL))
             await site.until(worker.runs)
             worker.answer(worker.runs()[0])
             await site.until(client.read)
             client.call(fields := ask(fn=1, ttl=TTL))
-            held_up(0.6)
+            block_loop(0.6)
             await site.until(lambda: len(worker.runs()) == 2)
             self.assertLessEqual(patience(worker, fields), TTL - 600 + SLACK)
             client.close()
--- a/tests/test_worker_connections.py
+++ b/tests/test_worker_connections.py
@@ -4,14 +4,14 @@
 from unittest import mock
 
 from node_site import ask
-from test_crossings import Caller, Inside, Raw
+from test_crossings import Caller, InProcessSite, ManualWorker
 
 
 class LimitOfConnections(unittest.IsolatedAsyncioTestCase):
     async def test_the_link_that_gives_up_its_connection_takes_the_descriptor_back(self):
         """Guards against one connection too many whenever an idle one is closed for another link."""
-        first, second = Raw("s-1"), Raw("s-2")
-        async with Inside([first, second]) as site:
+        first, second = ManualWorker("s-1"), ManualWorker("s-2")
+        async with InProcessSite([first, second]) as site:
             client = Caller(site.address)
             client.call(ask(fn=1))
             await site.until(lambda: first.runs() or second.runs())
