--- a/tests/ration.py
+++ b/tests/ration.py
@@ -90,7 +90,7 @@
     """`sent`: when its last byte was sent, s; `bad`: whether its client means no good."""
 
     def __init__(self, world, bad):
-        self.world, self.act, self.ended, self.sent, self.bad = (
+        self.world, self.activation_id, self.ended, self.sent, self.bad = (
             world,
             None,
             None,
@@ -105,7 +105,7 @@
         """Nothing of a client ever lies unread here: what it does is told at once."""
         return True
 
-    def answer(self, what, body=b"", retry_after=0, why="", act=None):
+    def answer(self, what, body=b"", retry_after=0, detail="", activation_id=None):
         if self.ended is not None:
             raise AssertionError("a second final answer")
         self.ended = what
@@ -319,9 +319,9 @@
             )
 
     def leave(self, exchange):
-        if exchange.ended is None and exchange.act is not None:
+        if exchange.ended is None and exchange.activation_id is not None:
             exchange.ended = "left"
-            self.node.detach_client(exchange.act, exchange)
+            self.node.detach_client(exchange.activation_id, exchange)
 
     def flood(self):
         """Hundreds at once, half of them under one id: for what nobody has, taken back at once, a little
@@ -372,7 +372,7 @@
     """Plays a world that was made before."""
     with (
         mock.patch.object(service, "LoopClock", virtual.Clock),
-        mock.patch.object(worker.sockets, "fresh", lambda host: None),
+        mock.patch.object(worker.sockets, "new_socket", lambda host: None),
         mock.patch.object(
             worker, "Stream", lambda *_, **__: virtual.Stream(lambda address: world.hosts.get(address[1]))
         ),
