--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -385,7 +385,7 @@
                 await site.until(
                     lambda: (
                         any(
-                            line.open and line.stream.writing()
+                            line.in_flight and line.stream.writing()
                             for line in site.node.links["s-1"].connections
                             if site.node.links.in_flight
                         )
