--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -25,14 +25,14 @@
     "ends as soon as it is told to": (
         """
 from petrelwood.decide.cluster.shutdown import Shutdown
-Shutdown.over = lambda *_: True
+Shutdown.may_exit = lambda *_: True
 """,
         "no answer, connection",
     ),
     "does not end": (
         """
 from petrelwood.decide.cluster.shutdown import Shutdown
-Shutdown.over = lambda *_: False
+Shutdown.may_exit = lambda *_: False
 """,
         "and was killed",
     ),
