--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -87,7 +87,7 @@
         super().__init__(worker, address, core)
         self.terms = terms
         self.ends: dict[str, int] = {}  # answers other than completed, by reason, since they were last logged
-        self.lines: list[WorkerConnection] = []  # made or coming up, the last used at the end
+        self.connections: list[WorkerConnection] = []  # made or coming up, the last used at the end
         self.connecting = 0  # how many of them are coming up
         self.pumping = False  # whether `pump` is running
 
@@ -153,8 +153,8 @@
             while len(self.waiting) > deferred:
                 call = self.waiting[0]
                 # a call behind the unsent rest of another would begin whenever its worker reads again
-                ready = [connection for connection in self.lines if not connection.stream.writing()]
-                connection = connection_pool.choose(
+                ready = [connection for connection in self.connections if not connection.stream.writing()]
+                connection = connection_pool.choose_connection(
                     ready, call.activation, self.terms.streams, self.core.may_open()
                 )
                 if connection is not None:
@@ -167,8 +167,10 @@
                         self._write(connection, self.waiting.popleft())
                 elif self._wants_connection() and self.core.makes_room():
                     self._connect()
-                elif not self.lines:  # no descriptor is left, and no connection that could carry it later
-                    self._end(call, send_outcome.of_crowding())
+                elif (
+                    not self.connections
+                ):  # no descriptor is left, and no connection that could carry it later
+                    self._end(call, send_outcome.of_full_queue())
                 else:
                     break
         finally:
@@ -176,7 +178,7 @@
 
     def _wants_connection(self) -> bool:
         """Return whether more calls are queued than connections are coming up, and another one may."""
-        return self.connecting < min(len(self.waiting), connection_pool.MOST_CONNECTING)
+        return self.connecting < min(len(self.waiting), connection_pool.MAX_CONNECTING)
 
     def _encode(self, call: NodeCall) -> bytes:
         content = call.content
@@ -192,12 +194,12 @@
         frame = self._take_frame(call)
         call.bytes_before = sockets.bytes_written(connection.stream)
         call.connection = connection
-        connection.open[call.activation] = call
-        connection_pool.remember(connection, call.activation)
+        connection.in_flight[call.activation] = call
+        connection_pool.record_call_id(connection, call.activation)
         connection.last_call = call
         connection.last_write_at = self.core.now()
-        self.lines.remove(connection)  # the last used is at the end
-        self.lines.append(connection)
+        self.connections.remove(connection)  # the last used is at the end
+        self.connections.append(connection)
         try:
             written = connection.stream.write(frame)
         except (StreamClosedError, StreamBufferFullError):
@@ -223,10 +225,10 @@
                 sockets.new_socket(self.address[0]), max_buffer_size=buffer_size, read_chunk_size=READ_SIZE
             )
         except OSError:  # no descriptor after all: nothing was sent
-            self._end(self.waiting[0], send_outcome.of_crowding())
+            self._end(self.waiting[0], send_outcome.of_full_queue())
             return
         connection = WorkerConnection(stream, self.core.now())
-        self.lines.append(connection)
+        self.connections.append(connection)
         self.connecting += 1
         self.core.opened()
         connection.connect_timer = self.core.loop.call_later(
@@ -266,55 +268,55 @@
 
     def _lost(self, connection: WorkerConnection, why: str) -> None:
         """Close a connection, and end what is in flight on it; without effect if that was done before."""
-        if connection not in self.lines:
+        if connection not in self.connections:
             return
-        self.lines.remove(connection)
+        self.connections.remove(connection)
         connection.stream.close()
         self.core.closed()
         if not connection.up:
             self._stop_connect_timer(connection)
             if self.waiting:  # one call ends for one connection that was not made
                 self._end(self.waiting[0], send_outcome.of_loss(QUEUED))
-        if connection.open or not connection.up:
+        if connection.in_flight or not connection.up:
             self.counts.lost += 1
-            self.core.note_loss(self.worker, why, len(connection.open))
-        for call in list(connection.open.values()):
+            self.core.note_loss(self.worker, why, len(connection.in_flight))
+        for call in list(connection.in_flight.values()):
             self._end_lost(call, connection.stream)
-        connection.open.clear()
+        connection.in_flight.clear()
         self.pump()
 
     def give_up(self, why: str) -> None:
         """Close all connections; what is in flight on them ends."""
-        for connection in list(self.lines):
+        for connection in list(self.connections):
             self._lost(connection, why)
 
     def check(self, now: int) -> bool:
         """Look for what is overdue at `now` (ns); return whether this has to be called again."""
-        for connection in [each for each in self.lines if each.has_stalled(now, WRITE_TIMEOUT)]:
+        for connection in [each for each in self.connections if each.has_stalled(now, WRITE_TIMEOUT)]:
             if not self.core.behind():  # else it may be this side that did not write
                 self._lost(connection, "it does not read")
         for call in self._expired_attempts(now):
             self.time_out(call.activation, call.number)
         for call in self._overdue_calls(now, self.terms.connect_within):
             if call.kind == HEALTH_CHECK or now - call.made_at > self.terms.order_within:
-                self._end(call, send_outcome.of_time(call.stage))
+                self._end(call, send_outcome.of_timeout(call.stage))
                 self._close_if_unresponsive(call)
         return self.has_open_calls()
 
     def _close_if_unresponsive(self, call: NodeCall) -> None:
         """Close the connection of a call that timed out, if it is idle and nothing was read since."""
         connection = call.connection
-        if connection is not None and connection.last_read_at <= call.made_at and not connection.open:
+        if connection is not None and connection.last_read_at <= call.made_at and not connection.in_flight:
             self._lost(connection, "nothing was heard in time")
 
     def close_expired(self, now: int) -> None:
         """Close the connections that have been idle for too long at `now` (ns)."""
-        for connection in [each for each in self.lines if each.has_expired(now, self.terms.idle)]:
+        for connection in [each for each in self.connections if each.has_expired(now, self.terms.idle)]:
             self._lost(connection, "idle")
 
     def idle_connection(self) -> WorkerConnection | None:
         """Return the connection that has been idle longest, or None."""
-        return next((connection for connection in self.lines if connection.is_idle()), None)
+        return next((connection for connection in self.connections if connection.is_idle()), None)
 
     def close_idle(self) -> bool:
         """Close the connection that has been idle longest; return whether there was one."""
@@ -325,7 +327,7 @@
 
     # Reading.
     def _on_answer(self, connection: WorkerConnection, answer: worker_protocol.Answer) -> None:
-        call: NodeCall | None = connection.open.get(answer.tag)
+        call: NodeCall | None = connection.in_flight.get(answer.tag)
         if call is None:  # its wait has ended, or it was never made
             self.counts.unexpected_answers += 1
             return
@@ -351,8 +353,8 @@
     ) -> None:
         """As in `Calls`; what is queued may follow on the connection."""
         connection = call.connection
-        if connection is not None and connection.open.get(call.activation) is call:
-            del connection.open[call.activation]
+        if connection is not None and connection.in_flight.get(call.activation) is call:
+            del connection.in_flight[call.activation]
         super()._end(call, reason, note, body, load_report)
         if connection is not None and self.waiting:
             self.pump()
