--- a/petrelwood/decide/scheduling/actions.py
+++ b/petrelwood/decide/scheduling/actions.py
@@ -1,6 +1,6 @@
-"""Carries out what was decided: sends, final answers, load orders, health checks, the timer.
+"""Carries out decisions: sends, final answers, load orders, health checks, the timer.
 
-The only module that calls the outlet. It updates the records of what it does in the same step.
+It is the only module that calls the outlet, and it updates the records together with each action.
 """
 
 from collections.abc import Sequence
@@ -21,20 +21,22 @@
 from petrelwood.decide.scheduling.send_rules import SendRules
 from petrelwood.ports import Outlet
 
-# Part of all utility that one health check for each activation may cost; if it costs more, fewer are made.
-HEALTH_CHECK_FEE = 0.01
-# A worker whose load was learnt within the target latency, divided by this, is not checked again.
-LOAD_KNOWN_DIVISOR = 2
-NO_LIMIT = 0  # ns; the time of an attempt is limited by its activation's deadline alone
-TIMER_MARK = "sweep"  # handed back when the timer fires; there is only one timer
+# Maximum share of the total utility that health checks may cost. If one health check per activation would
+# cost more, a random sample of them is sent.
+MAX_HEALTH_CHECK_COST = 0.01
+# The load of a worker counts as up to date for the target latency divided by this; until then no further
+# health check is sent to it.
+LOAD_VALIDITY_DIVISOR = 2
+NO_TIMEOUT = 0  # ns; only the deadline of its activation limits an attempt
+TIMER_MARK = "sweep"  # returned when the timer fires; there is only one timer
 
 
 class Actions:
     """Sends activations and ends them, orders loads, checks health and sets the timer.
 
     Attributes:
-        outlet: what carries it out.
-        timer_at: when the next timer fires, ns; `NEVER` if none is set.
+        outlet: the interface to the platform, which performs the actions.
+        timer_at: when the timer fires, ns; `NEVER` if it is not set.
     """
 
     def __init__(
@@ -49,10 +51,10 @@
     ) -> None:
         terms = parameters.terms
         self.allowed = terms.allowed
-        self.health_check_fee = terms.health_check_cost
+        self.health_check_cost = terms.health_check_cost
         self.draw = parameters.draw
         self.sweep_interval = parameters.sweep_interval
-        self.load_known_time = parameters.target_latency // LOAD_KNOWN_DIVISOR  # ns
+        self.load_validity = parameters.target_latency // LOAD_VALIDITY_DIVISOR  # ns
         self.outlet = outlet
         self.activations = activations
         self.estimates = estimates
@@ -80,18 +82,19 @@
         copy.in_flight += 1
         copy.last_seen = now
         self.outliers.attempt_sent(attempt)
-        self.outlet.send(activation.id, worker.id, NO_LIMIT)
+        self.outlet.send(activation.id, worker.id, NO_TIMEOUT)
 
     def give_up(self, activation: Activation, now: int) -> None:
-        """Give the final answer, unless an attempt is in flight: all rejections by the scheduler are here.
+        """Give the final answer of an activation that has no attempt in flight.
 
-        It is a rejection if the activation may run again (`SendRules.may_reject`), else an abort.
+        Reject the activation if it may run again (`SendRules.may_reject`), else abort it. All rejections by
+        the scheduler are made here.
         """
         activation.function.dequeue(activation)
         if activation.in_flight or self.activations.pop(activation.id, None) is None:
             return
         if activation.load_credit is LoadCredit.PENDING:
-            activation.load_credit = LoadCredit.NONE  # its client did not stay long enough for the credit
+            activation.load_credit = LoadCredit.NONE  # the delay for the credit was not over
         if self.rules.may_reject(activation):
             self.outlet.reject(activation.id, self._retry_after(activation.function))
         else:
@@ -99,13 +102,13 @@
         self._cancel_attempts(activation)
 
     def finish(self, activation: Activation) -> None:
-        """Forget an activation that has its final answer, or whose client has departed."""
+        """Remove an activation that has its final answer, or whose client has departed."""
         del self.activations[activation.id]
         activation.function.dequeue(activation)
         self._cancel_attempts(activation)
 
     def order_load(self, function: Function, worker: Worker, now: int) -> bool:
-        """Order a load of the function on the worker, and return whether the rate limit allows it."""
+        """Order a load of the function on the worker, and return whether the rate limit allowed it."""
         if not worker.is_usable or not self.load_orders.may_order(now):
             return False
         self.load_orders.record_order(now)
@@ -113,32 +116,32 @@
         return True
 
     def check_health(self, workers: Sequence[Worker], now: int) -> bool:
-        """Check workers whose load was not learnt lately, where that is allowed.
+        """Send health checks to the workers whose load is not up to date, if health checks are allowed.
 
         Returns:
-            Whether any of them has not answered a recent check.
+            Whether any of the workers has not answered a recent health check.
         """
-        fee = self.health_check_fee
-        is_too_dear = fee > HEALTH_CHECK_FEE and self.draw() * fee > HEALTH_CHECK_FEE
-        if self.allowed.probe and not is_too_dear:
+        cost = self.health_check_cost
+        is_too_expensive = cost > MAX_HEALTH_CHECK_COST and self.draw() * cost > MAX_HEALTH_CHECK_COST
+        if self.allowed.probe and not is_too_expensive:
             for worker in workers:
-                if now - max(worker.health_checked_at, worker.load_known_at) > self.load_known_time:
+                if now - max(worker.health_checked_at, worker.load_updated_at) > self.load_validity:
                     worker.health_checked_at = now
                     self.outlet.check_health(worker.id)
         oldest = now - self.sweep_interval
-        return any(worker.load_known_at < worker.health_checked_at > oldest for worker in workers)
+        return any(worker.load_updated_at < worker.health_checked_at > oldest for worker in workers)
 
     def set_timer(self, now: int, wait: int) -> None:
-        """Set the timer to fire in `wait` ns, unless one is set that fires before.
+        """Set the timer to fire in `wait` ns, unless it is set to fire earlier.
 
-        One that should have fired stays set, as its event may still come.
+        A timer that is overdue stays set, because its event may still arrive.
         """
         if self.timer_at > now + wait:
             self.timer_at = now + wait
             self.outlet.set_timer(TIMER_MARK, wait)
 
     def clear_timer(self, now: int) -> bool:
-        """Clear the timer if it is due, and return whether it was."""
+        """Clear the timer if it is due, and return whether it was due."""
         if now < self.timer_at:
             return False
         self.timer_at = NEVER
@@ -149,7 +152,7 @@
         self.outlet.request_endpoint_list()
 
     def _retry_after(self, function: Function) -> int:
-        """Return the Retry-After of a rejection, ns: until what is queued should be answered; 0: none."""
+        """Return the Retry-After of a rejection, ns: the estimated time to empty the queue; 0: none."""
         if not self.allowed.retry_after:
             return 0
         service_time = function.service_time or self.estimates.usual_service_time
@@ -157,7 +160,7 @@
         return min(service_time * (function.queued + 1) // slots, self.allowed.max_retry_after)
 
     def _cancel_attempts(self, activation: Activation) -> None:
-        """Cancel the attempts in flight, where the platform allows it, as no client waits for them."""
+        """Cancel the attempts in flight if the platform allows it, because no client waits for them."""
         if self.allowed.cancel:
             for attempt in activation.attempts:
                 if attempt.is_in_flight:
@@ -166,9 +169,9 @@
 
 
 def forget_attempts(activation: Activation) -> None:
-    """Break the cycle of an ended activation and its attempts, which name each other.
+    """Break the reference cycle between an ended activation and its attempts.
 
-    Left to the garbage collector, thousands of them pile up.
+    Otherwise thousands of them accumulate until the garbage collector runs.
     """
     if not activation.in_flight:
         activation.attempts.clear()
--- a/petrelwood/decide/scheduling/admission.py
+++ b/petrelwood/decide/scheduling/admission.py
@@ -1,7 +1,7 @@
 """Admission to the scheduler: customers' quotas, priority, and load shedding.
 
-The third admission on the way of a request: `decide.overload.admission` is for connections, and
-`decide.overload.intake` for requests.
+This is the third admission check of a request: `decide.overload.admission` admits connections, and
+`decide.overload.intake` admits requests.
 """
 
 from dataclasses import dataclass
@@ -12,7 +12,8 @@
 from petrelwood.decide.scheduling.records import LONG_TIME, Activation, Function
 from petrelwood.ports import Arrival, Terms
 
-# A customer's quota at one dispatcher is so many times an equal part of it, as dispatchers get unequal parts.
+# A customer's quota at one dispatcher is an equal part of its quota multiplied by this factor, because the
+# dispatchers get unequal parts of its traffic.
 QUOTA_FACTOR = 1.3
 SECOND = 1e9  # ns
 
@@ -22,9 +23,9 @@
     """A customer's quota at this dispatcher, as a token bucket.
 
     Attributes:
-        tokens: activations that it may still have at `updated_at`.
+        tokens: activations that the customer may still have admitted within its quota, as of `updated_at`.
         updated_at: when `tokens` was computed, ns.
-        rate: tokens that are added in each ns.
+        rate: tokens that are added per ns.
     """
 
     tokens: float
@@ -32,7 +33,10 @@
     rate: float
 
     def take(self, now: int, span: int) -> bool:
-        """Take a token if there is one, and return whether there was; at most those of `span` ns add up."""
+        """Take a token and return True, or return False if there is none.
+
+        The bucket holds at most one token and those of `span` ns.
+        """
         tokens = min(self.tokens + (now - self.updated_at) * self.rate, 1 + self.rate * span)
         has_token = tokens >= 1
         self.tokens = tokens - has_token
@@ -41,7 +45,7 @@
 
 
 def make_buckets(now: int, terms: Terms) -> dict[str, TokenBucket]:
-    """Return a bucket for each customer; none where activations beyond a quota have full utility."""
+    """Return a bucket for each customer; none if activations over a quota have full utility."""
     if terms.over_quota_utility >= 1:
         return {}
     factor = QUOTA_FACTOR / SECOND / terms.dispatchers
@@ -49,7 +53,7 @@
 
 
 class Admission:
-    """Makes activations of arrivals, and decides which are shed and which have low priority."""
+    """Creates activations from arrivals, and decides which are shed and which have low priority."""
 
     def __init__(
         self, now: int, parameters: Parameters, estimates: Estimates, outliers: OutlierDetection
@@ -62,7 +66,7 @@
         self.buckets = make_buckets(now, parameters.terms)
 
     def admit(self, arrival: Arrival, function: Function, now: int) -> Activation:
-        """Return the activation that an arrival becomes."""
+        """Return a new activation for an arrival."""
         type_ = self.types[arrival.type_name]
         target_latency = type_.target_latency + int(type_.stretch * arrival.work_hint)
         bucket = self.buckets.get(arrival.customer)
@@ -79,18 +83,19 @@
         )
 
     def should_shed(self, activation: Activation) -> bool:
-        """Return whether an activation that has just arrived is rejected at once, by a draw.
+        """Return whether an activation that has just arrived is rejected at once, at random.
 
-        Under overload a part of the activations that find no free slot is rejected. They would be queued
-        here and then at a busy worker, be answered late, and delay the rest; and a limit of attempts is no
-        help where there are many dispatchers, as none can be under one attempt. The cost: some are rejected
-        that a short overload would have let through.
+        Under overload a share of the activations that find no free slot is rejected. They would be queued
+        here and then at a busy worker, be answered late, and delay the others. A limit of the attempts in
+        flight does not help where there are many dispatchers, because each of them sends at least one. The
+        cost is that some activations are rejected that would have been answered in time after a short
+        overload.
         """
         shed_probability = self.outliers.shed_probability
         return activation.is_queued and shed_probability > 0 and self.draw() < shed_probability
 
     def is_low_priority(self, activation: Activation, now: int) -> bool:
-        """Return whether the activation is late or beyond its customer's quota, and sent after others."""
+        """Return whether the activation is late or over its customer's quota, and thus sent after others."""
         if activation.is_over_quota:
             return True
         waited = now - activation.arrived_at
--- a/petrelwood/decide/scheduling/attempts.py
+++ b/petrelwood/decide/scheduling/attempts.py
@@ -1,4 +1,4 @@
-"""What follows when an attempt ends or is overdue: a retry, a hedged request, or the final answer."""
+"""Handles the end of an attempt, or an overdue one, by a retry, a hedged request or the final answer."""
 
 from petrelwood.decide.scheduling.actions import Actions, forget_attempts
 from petrelwood.decide.scheduling.fleet import Fleet
@@ -11,7 +11,7 @@
 
 
 class Attempts:
-    """Follows the attempts in flight to their ends."""
+    """Handles attempts in flight that end or are overdue."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
     def handle_end(self, end: AttemptEnd, now: int) -> None:
         """Record the end of an attempt, and retry, give up or forget its activation.
 
-        The end of an attempt that is not in flight, or has ended before, is ignored.
+        The end of an attempt that is not in flight, or has already ended, is ignored.
         """
         worker = self.fleet.workers.get(end.worker)
         if worker is None:
@@ -62,19 +62,19 @@
         self.queueing.dispatch(function, now)
 
     def hedge_overdue(self, worker: Worker, now: int) -> None:
-        """Hedge the attempts that the worker should have answered."""
+        """Hedge the overdue attempts of the worker."""
         for activation in self.outliers.detect_overdue(worker, now):
             self._hedge(activation, now)
 
     def _retry_or_give_up(self, activation: Activation, now: int) -> None:
-        """Queue an activation for a retry if `SendRules` allows it, else give its final answer."""
+        """Queue an activation for a retry if `SendRules` allows it, else give the final answer."""
         if self.rules.may_send(activation, now):
             self.queueing.enqueue(activation, now, is_retry=True)
         else:
             self.actions.give_up(activation, now)
 
     def _hedge(self, activation: Activation, now: int) -> None:
-        """Queue an activation for a second attempt beside the one in flight; never a once-only one."""
+        """Queue an activation for a second attempt beside the one in flight, unless it is once-only."""
         if (
             self.activations.get(activation.id) is activation
             and activation.in_flight == 1
--- a/petrelwood/decide/scheduling/fleet.py
+++ b/petrelwood/decide/scheduling/fleet.py
@@ -1,23 +1,23 @@
-"""The workers that this dispatcher knows, by the endpoint list."""
+"""The workers that this dispatcher knows from the endpoint list."""
 
 from collections.abc import Sequence
 
 from petrelwood.decide.scheduling.records import Worker
 from petrelwood.ports import EndpointEntry
 
-# Spread the bits of a hash of 32 bits, which is first combined with another by exclusive or.
+# Multiplicative hashing that spreads the bits of a 32-bit hash, after an exclusive or with another hash.
 HASH_MULTIPLIER = 0x9E3779B1
 HASH_MASK = 0xFFFFFFFF
 
 
 class Fleet:
-    """All known workers and those that the endpoint list has as usable.
+    """All known workers, and those that the endpoint list marks as usable.
 
     Attributes:
         workers: known workers by id: usable ones, and others with attempts in flight.
-        usable: the usable ones; a change of the list makes a new one.
+        usable: the usable ones; each change of the endpoint list replaces this list object.
         zone: the dispatcher's own zone.
-        salt: drawn at the start, so that each dispatcher prefers other workers.
+        salt: drawn at the start, so that different dispatchers prefer different workers.
     """
 
     def __init__(self, zone: str, salt: int) -> None:
@@ -27,10 +27,10 @@
         self.salt = salt
 
     def apply(self, now: int, entries: Sequence[EndpointEntry], is_whole: bool) -> list[Worker]:
-        """Apply a change of the endpoint list, or a whole one.
+        """Apply a change of the endpoint list, or a complete endpoint list.
 
         Returns:
-            The workers whose copies are gone: they have restarted, or are not usable any more.
+            The workers whose copies are lost: they have restarted, or are no longer usable.
         """
         if is_whole:
             named = {entry.worker for entry in entries}
@@ -50,7 +50,7 @@
         }
 
     def _apply_entry(self, entry: EndpointEntry, now: int) -> Worker | None:
-        """Apply one entry and return its worker if it has restarted."""
+        """Apply one entry, and return its worker if the worker has restarted."""
         worker = self.workers.get(entry.worker)
         if worker is None:
             worker = self.workers[entry.worker] = Worker(
--- a/petrelwood/decide/scheduling/outcomes.py
+++ b/petrelwood/decide/scheduling/outcomes.py
@@ -1,4 +1,4 @@
-"""What is learnt from the end of an attempt: of its activation, its worker, its copy and its function."""
+"""Updates the records and estimates at the end of an attempt: activation, worker, copy and function."""
 
 from petrelwood.decide.scheduling.estimates import Estimates
 from petrelwood.decide.scheduling.load_order_limit import LoadOrderLimit
@@ -13,14 +13,15 @@
 NOTHING = CopyNote.NOTHING
 FOUND_WARM = CopyNote.FOUND_WARM
 BEGAN_LOAD = CopyNote.BEGAN_LOAD
-FUNCTION_EXISTS = frozenset((EndReason.COMPLETED, EndReason.MISSING))  # a worker knows the function
-# The dispatcher ended the attempt itself: that shows nothing of the worker.
-ENDED_BY_US = frozenset((EndReason.CANCELLED, EndReason.NOT_SENT))
+# Reasons which show that the worker knows the function.
+FUNCTION_EXISTS_REASONS = frozenset((EndReason.COMPLETED, EndReason.MISSING))
+# The dispatcher ended the attempt itself, which says nothing about the worker.
+ENDED_BY_DISPATCHER = frozenset((EndReason.CANCELLED, EndReason.NOT_SENT))
 BROKEN_CONNECTION = frozenset((EndReason.RESET, EndReason.NO_CONNECTION))
 
 
 class Outcomes:
-    """Hands the end of an attempt to the estimates, the outlier detection and the placement."""
+    """Passes the end of an attempt to the estimates, the outlier detection and the placement."""
 
     def __init__(
         self,
@@ -37,21 +38,21 @@
         self.placement = placement
 
     def record(self, attempt: Attempt, end: AttemptEnd, was_lost: bool, now: int) -> None:
-        """Record the end of an attempt; `was_lost`: its answer was believed lost."""
+        """Record the end of an attempt; `was_lost`: its answer was assumed lost."""
         activation = attempt.activation
         reason = end.reason
-        if reason in NEVER_RAN:  # with no other attempt, a once-only activation may be sent again
+        if reason in NEVER_RAN:  # if no other attempt may have run, a once-only activation may be sent again
             attempt.may_have_run = False
             if not any(each.may_have_run for each in activation.attempts):
                 activation.first_attempt = None
-        if reason in FUNCTION_EXISTS:
+        if reason in FUNCTION_EXISTS_REASONS:
             activation.function.exists = True
         self.load_orders.credit(activation, now)
         self.estimates.record_report(attempt.worker, end.report, now)
         self.outliers.record_end(attempt.worker, reason, now)
         if reason == COMPLETED:
             self._record_completion(attempt, end.note, end.duration, now)
-        elif reason not in ENDED_BY_US and not (was_lost and reason == EndReason.TIMED_OUT):
+        elif reason not in ENDED_BY_DISPATCHER and not (was_lost and reason == EndReason.TIMED_OUT):
             self._record_failure(attempt, reason, end.note, now)
 
     def _record_completion(self, attempt: Attempt, note: int, duration: int, now: int) -> None:
@@ -65,7 +66,7 @@
         if note == FOUND_WARM or has_no_note:
             self.estimates.record_service_time(attempt, duration, self.outliers.is_overloaded)
             self.outliers.record_latency(attempt, duration, now)
-        if not attempt.is_cold and note < BEGAN_LOAD:  # neither began nor awaited a load
+        if not attempt.is_cold and note < BEGAN_LOAD:  # it neither started nor awaited a load
             is_slow = duration > self.estimates.slow_after(attempt.activation)
             self.outliers.record_slowness(is_slow, attempt, now)
 
--- a/petrelwood/decide/scheduling/parameters.py
+++ b/petrelwood/decide/scheduling/parameters.py
@@ -1,4 +1,4 @@
-"""The fixed parameters of a scheduler: its terms, and the intervals that follow from them."""
+"""The fixed parameters of a scheduler: its terms, and the intervals derived from them."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,20 +6,21 @@
 
 from petrelwood.ports import Terms
 
-SWEEPS_A_CHECK_INTERVAL = 50  # so that what is queued waits at most a fiftieth of it for a timer
+SWEEPS_PER_CHECK_INTERVAL = 50  # limits how long a queued activation waits for the timer
 
 
 @dataclass(frozen=True, slots=True)
 class Parameters:
-    """The terms, and what follows from them.
+    """The terms, and the values derived from them.
 
     Attributes:
-        terms: as the caller gave them.
+        terms: the configuration given by the caller.
         target_latency: the shortest target latency of all namespace types, ns.
-        check_interval: the periodic checks (overdue attempts, the endpoint list) run eight times in it, ns.
-        sweep_interval: time between two timers while something is queued, ns.
-        draw: returns a number in [0, 1) from the one seeded generator. A seeded run repeats only while all
-            draws stay in their order.
+        check_interval: the period in which the periodic checks (overdue attempts, the endpoint list) run
+            eight times, ns.
+        sweep_interval: time between two timers while any activation is queued, ns.
+        draw: returns a random number in [0, 1) from the only seeded generator. A run with the same seed is
+            reproducible only if all draws keep their order.
     """
 
     terms: Terms
@@ -34,7 +35,7 @@
         target_latency = min(type_.target_latency for type_ in terms.types.values())
         check_interval = target_latency
         if terms.must_request_list:
-            # The endpoint list must be requested in time, and the target latency may be far longer.
+            # The endpoint list must be requested in time, also where the target latency is much longer.
             check_interval = min(target_latency, terms.guarantees.max_list_request_interval)
-        sweep_interval = max(terms.tick, check_interval // SWEEPS_A_CHECK_INTERVAL)
+        sweep_interval = max(terms.tick, check_interval // SWEEPS_PER_CHECK_INTERVAL)
         return cls(terms, target_latency, check_interval, sweep_interval, Random(seed).random)
--- a/petrelwood/decide/scheduling/placement.py
+++ b/petrelwood/decide/scheduling/placement.py
@@ -1,7 +1,7 @@
 """Placement: which copy runs an activation, and on which worker a function gets another copy.
 
-A copy is added to the records here; what it needs, an attempt or a load order, is carried out by `queueing`
-and `actions`.
+This module adds a copy to the records; `queueing` and `actions` send the attempt or the load order that
+starts it.
 """
 
 from collections.abc import Iterator
@@ -18,41 +18,50 @@
 from petrelwood.decide.scheduling.worker_order import WorkerOrder
 from petrelwood.ports import CopyNote, EndReason
 
-# Loads within this factor count as equal, so that dispatchers agree on workers; beyond it a copy is added.
-EQUAL_LOADS = 1.5
-# The same while a function has fewer copies than all dispatchers want.
-EQUAL_LOADS_WHILE_FEW = 1
-# Part of the target latency for which a function gets no copy after no worker for one was found.
-PLACEMENT_PAUSE = 1 / 6
-CANDIDATES = 2  # the less loaded of two is nearly as good as the least loaded of all
-MOST_COLD_ATTEMPTS = 2  # that wait for loads at one worker: loads there get in each other's way
-# Most copies of one function, so that it can't take all workers: this part of the usable ones, or so many.
-COPY_LIMIT_PART = 0.5
-FEWEST_COPIES = 4
-PREFETCH_PART = 0.5  # of the rate limit of load orders, that loads ahead of calls may use
-REFUSED_LOADS_DIVISOR = 2  # of the target latency: how long a worker with too many loads is given none
-# Load times after which a copy that still loads is forgotten, or the time that copies are kept if longer.
-LOAD_TIMEOUT = 3
-RENEWAL_PART = 3, 4  # of the time that idle copies are kept, after which a load is ordered to keep one
-MOST_BACKOFF_DOUBLINGS = 6  # of a copy's backoff, which begins at its service time
-# Ends of an attempt that show that its worker has no copy.
-COPY_UNLOADED = frozenset((EndReason.MISSING, EndReason.RESET, EndReason.NO_CONNECTION))
+# Worker loads within this factor count as equal, so that all dispatchers choose the same workers. If the
+# least loaded worker with a copy exceeds the mean load by more than this factor, a copy is added.
+EQUAL_LOAD_FACTOR = 1.5
+# The factor above the mean load while the function has fewer copies than the dispatchers want.
+EQUAL_LOAD_FACTOR_WHILE_FEW = 1
+# Share of the target latency for which a function gets no copy after no worker was found for one.
+PLACEMENT_PAUSE_SHARE = 1 / 6
+MAX_CANDIDATES = 2  # the less loaded of two workers is nearly as good as the least loaded of all
+# Attempts that may wait for loads at one worker at the same time, because concurrent loads slow each other
+# down.
+MAX_COLD_ATTEMPTS = 2
+# Maximum number of copies of one function: this share of the usable workers, so that the function cannot take
+# all of them, but at least `MIN_COPY_LIMIT`.
+COPY_LIMIT_SHARE = 0.5
+MIN_COPY_LIMIT = 4
+PREFETCH_SHARE = 0.5  # share of the rate limit of load orders that loads ahead of calls may use
+# A worker that rejected a load order for having too many loads gets none for the target latency divided by
+# this.
+REFUSED_LOADS_DIVISOR = 2
+# A copy that is still loading is forgotten after this multiple of its load time, or after
+# `LoadOrders.min_idle_time` if that is longer.
+LOAD_TIMEOUT_FACTOR = 3
+# Numerator and denominator of the fraction of `LoadOrders.min_idle_time` after which a load is ordered to
+# keep an idle copy.
+RENEWAL_FRACTION = 3, 4
+MAX_BACKOFF_DOUBLINGS = 6  # doublings of a copy's backoff, which begins at its service time
+# Reasons for the end of an attempt which show that its worker has no copy.
+NO_COPY_REASONS = frozenset((EndReason.MISSING, EndReason.RESET, EndReason.NO_CONNECTION))
 
 
 class CopyStart(Enum):
-    """How a copy begins."""
+    """How a copy is started."""
 
     LOAD_ORDER = "load order"
-    ATTEMPT = "attempt"  # the worker loads by itself, or another dispatcher's copy is there
+    ATTEMPT = "attempt"  # the worker loads the copy by itself, or already has one for another dispatcher
 
 
 @dataclass(slots=True, frozen=True)
 class Candidates:
-    """Where a function may get a copy.
+    """The workers on which a function may get a copy.
 
     Attributes:
         workers: one or two workers, in the function's order.
-        start: how the copy is to begin.
+        start: how the copy is to be started.
     """
 
     workers: list[Worker]
@@ -60,7 +69,7 @@
 
 
 class Placement:
-    """Chooses copies and workers, and keeps the records of copies."""
+    """Chooses copies and workers, and maintains the records of copies."""
 
     def __init__(
         self,
@@ -79,7 +88,7 @@
         self.may_retry = terms.allowed.sends > 1
         self.draw = parameters.draw
         self.target_latency = parameters.target_latency
-        self.placement_pause = int(parameters.target_latency * PLACEMENT_PAUSE)
+        self.placement_pause = int(parameters.target_latency * PLACEMENT_PAUSE_SHARE)
         self.functions = functions
         self.estimates = estimates
         self.outliers = outliers
@@ -90,8 +99,8 @@
     def find_free_copy(self, function: Function, activation: Activation, now: int) -> Copy | None:
         """Return the copy with a free slot on the least loaded worker, or None.
 
-        Forgets copies that were idle for too long, and sets whether the function wants a further copy, as
-        even that worker is busier than the mean.
+        Forgets copies that were idle for too long. Sets whether the function wants a further copy, which is
+        the case if even that worker is busier than the mean.
         """
         best: Copy | None = None
         best_load: float = 0
@@ -100,24 +109,24 @@
             for copy in list(function.copies.values()):
                 worker = copy.worker
                 if copy.last_seen < oldest and not copy.in_flight and not copy.loading_since:
-                    del function.copies[worker.id]  # idle for so long that the worker may have dropped it
+                    del function.copies[worker.id]  # the worker may have unloaded the idle copy
                 elif self._may_run(copy, activation, now):
                     load = self.estimates.worker_load(worker, now) + (worker.zone != self.zone)
                     if best is None or load < best_load:
                         best = copy
                         best_load = load
         has_few = len(function.copies) < self.order.popularity.wanted_copies(function)
-        tolerance = EQUAL_LOADS_WHILE_FEW if has_few else EQUAL_LOADS
+        tolerance = EQUAL_LOAD_FACTOR_WHILE_FEW if has_few else EQUAL_LOAD_FACTOR
         function.wants_copy = best_load > tolerance * self.estimates.mean_worker_load + 1
         return best
 
     def useful_copies(self, function: Function, now: int) -> list[Copy]:
-        """Return the function's copies that will run queued activations, at once or after a while."""
+        """Return the function's copies that will run queued activations, now or later."""
         return self.outliers.useful_copies(function.copies.values(), now)
 
     def copy_limit(self) -> int:
-        """Return how many copies a function may get."""
-        return max(FEWEST_COPIES, int(COPY_LIMIT_PART * len(self.order.fleet.usable)))
+        """Return the maximum number of copies of a function."""
+        return max(MIN_COPY_LIMIT, int(COPY_LIMIT_SHARE * len(self.order.fleet.usable)))
 
     def may_add_further_copy(self, now: int) -> bool:
         """Return whether a function that has a copy may get another."""
@@ -126,27 +135,27 @@
     def find_candidates(
         self, function: Function, activation: Activation | None, now: int
     ) -> Candidates | None:
-        """Return where the function may get one more copy, or None, which pauses its placement.
+        """Return where the function may get one more copy, or pause its placement and return None.
 
-        `activation` is what would run there first, if anything is queued.
+        `activation` is the queued activation that would run there first, if there is one.
         """
         start = self._copy_start(function, activation, now)
         if start is CopyStart.ATTEMPT:
             is_allowed = not self.outliers.is_send_limit_reached()
         else:
             is_allowed = self.load_orders.may_order(now)
-        workers = self.first_open_workers(function, activation, now) if is_allowed else []
+        workers = self.first_eligible_workers(function, activation, now) if is_allowed else []
         if not workers:
             function.placement_paused_until = now + self.placement_pause
             return None
         return Candidates(workers, start)
 
     def add_copy(self, function: Function, candidates: Candidates, now: int) -> Copy:
-        """Add a copy on the less loaded of the candidates and return it; it is still to be begun."""
+        """Add a copy on the less loaded of the candidates and return it; the caller starts it."""
         first = candidates.workers[0]
         last = candidates.workers[-1]
         worker_load = self.estimates.worker_load
-        worker = last if EQUAL_LOADS * worker_load(last, now) < worker_load(first, now) else first
+        worker = last if EQUAL_LOAD_FACTOR * worker_load(last, now) < worker_load(first, now) else first
         copy = Copy(worker, last_seen=now, renewed_at=now)
         if function.copies:
             self.load_orders.record_further_copy(copy, function, now)
@@ -157,12 +166,12 @@
         return copy
 
     def prefetch(self, function: Function, now: int) -> Worker | None:
-        """Add a loading copy ahead of calls on the less loaded candidate and return its worker, or None."""
+        """Add a copy that loads ahead of calls on the less loaded candidate; return its worker, or None."""
         if now < max(function.placement_paused_until, self.load_orders.no_further_copies_until):
             return None
-        if not self.load_orders.may_order(now, PREFETCH_PART):
+        if not self.load_orders.may_order(now, PREFETCH_SHARE):
             return None
-        workers = self.first_open_workers(function, None, now)
+        workers = self.first_eligible_workers(function, None, now)
         if not workers:
             return None
         worker = min(workers, key=lambda each: self.estimates.worker_load(each, now))
@@ -176,7 +185,7 @@
             function.copies.pop(worker.id, None)
 
     def record_completion(self, attempt: Attempt, now: int) -> None:
-        """Record that a copy has answered, so that it is loaded."""
+        """Record that a copy has answered and is therefore loaded."""
         copy = attempt.copy
         worker = attempt.worker
         if worker.is_usable:
@@ -186,15 +195,15 @@
         copy.errors = 0
 
     def record_failure(self, attempt: Attempt, reason: EndReason, note: int, now: int) -> None:
-        """Forget the copy of a failed attempt if it is not loaded, and back off from it.
+        """Forget the copy of a failed attempt if it is not loaded, else back off from the copy.
 
-        The backoff doubles with each failure in a row: a copy that fails fast has free slots, and would be
-        sent the whole queue.
+        The backoff doubles with each consecutive failure, because a copy that fails fast always has free
+        slots and would be sent the whole queue.
         """
         copy = attempt.copy
         function = attempt.activation.function
-        # A worker that was full while the copy was to load has not begun the load.
-        is_unloaded = reason in COPY_UNLOADED or (reason == EndReason.FULL and copy.loading_since != 0)
+        # A worker that rejected the attempt as full has not started to load the copy.
+        is_unloaded = reason in NO_COPY_REASONS or (reason == EndReason.FULL and copy.loading_since != 0)
         if is_unloaded or note == CopyNote.LOAD_FAILED:
             copy.loading_since = 0
             if function.copies.get(attempt.worker.id) is copy:
@@ -205,13 +214,13 @@
             function.missed_at = now
             return
         backoff = function.service_time or self.estimates.usual_service_time
-        copy.backoff_until = now + (backoff << min(copy.errors, MOST_BACKOFF_DOUBLINGS))
+        copy.backoff_until = now + (backoff << min(copy.errors, MAX_BACKOFF_DOUBLINGS))
         copy.errors += 1
 
     def load_order_ended(
         self, function: Function, worker: Worker, reason: EndReason, copies: int, now: int
     ) -> None:
-        """Record the end of a load order; `copies` of the function are on the worker now."""
+        """Record the end of a load order; the worker has `copies` copies of the function now."""
         copy = function.copies.get(worker.id)
         if copies and worker.is_usable:
             if copy is None:
@@ -223,19 +232,23 @@
         elif copy and copy.loading_since:
             del function.copies[worker.id]
             copy.loading_since = 0
-            if reason in (EndReason.FULL, EndReason.NOT_SENT):  # too many loads there, or it never left
+            if reason in (
+                EndReason.FULL,
+                EndReason.NOT_SENT,
+            ):  # too many loads on the worker, or the order was never sent
                 worker.loads_refused_until = now + self.target_latency // REFUSED_LOADS_DIVISOR
                 function.placement_paused_until = now + self.placement_pause
             else:
                 self.load_orders.load_failed(function, now)
 
     def renewals(self, now: int) -> Iterator[tuple[Function, Worker]]:
-        """Forget copies and functions that are not used, and yield copies to load once more.
+        """Forget unused copies and functions, and yield the copies that are to be loaded once more.
 
-        An idle copy of a function that is still called is renewed by a load order. Each dispatcher draws, so
-        that one in all orders it. The caller gives each order before it takes the next.
+        An idle copy of a function that is still called is renewed by a load order. Each dispatcher decides at
+        random, so that on average one of all dispatchers sends it. The caller must send each load order
+        before it takes the next item.
         """
-        keep = self.load_terms.min_idle_time
+        min_idle_time = self.load_terms.min_idle_time
         for function in list(self.functions.values()):
             for copy in list(function.copies.values()):
                 if self._is_unused(copy, function, now):
@@ -244,7 +257,9 @@
                     copy.renewed_at = now
                     if self.draw() * self.dispatchers < 1 and self.outliers.accepts(copy.worker, now):
                         yield function, copy.worker
-            is_idle = not function.queued and not function.recent_calls and now - function.called_at > keep
+            is_idle = (
+                not function.queued and not function.recent_calls and now - function.called_at > min_idle_time
+            )
             if is_idle and not function.copies:
                 del self.functions[function.key]
 
@@ -259,25 +274,28 @@
         )
 
     def _copy_start(self, function: Function, activation: Activation | None, now: int) -> CopyStart:
-        """Return how a further copy of the function begins."""
+        """Return how a further copy of the function is started."""
         loads_on_send = self.load_terms.loads_on_send
         if not function.copies:
-            # Another dispatcher's copy may be there; if not, the miss uses up an attempt.
+            # The worker may have a copy for another dispatcher. If it has none, the attempt is lost to the
+            # miss.
             may_miss = now - function.missed_at > self.load_terms.min_idle_time and self.may_retry
             if loads_on_send or may_miss:
                 return CopyStart.ATTEMPT
         if activation is not None and loads_on_send and not self.load_terms.allowed:
-            return CopyStart.ATTEMPT  # nothing else brings one
+            return CopyStart.ATTEMPT  # load orders are not allowed, so only an attempt can start the copy
         return CopyStart.LOAD_ORDER
 
-    def first_open_workers(self, function: Function, activation: Activation | None, now: int) -> list[Worker]:
-        """Return the first workers in the function's order that may get a copy, two at most."""
+    def first_eligible_workers(
+        self, function: Function, activation: Activation | None, now: int
+    ) -> list[Worker]:
+        """Return the first workers in the function's order that may get a copy, at most `MAX_CANDIDATES`."""
         rules = self.rules
-        open_workers = (
+        eligible_workers = (
             worker
             for worker in self.order.workers_for(function)
             if worker.id not in function.copies
-            and worker.cold_attempts < MOST_COLD_ATTEMPTS
+            and worker.cold_attempts < MAX_COLD_ATTEMPTS
             and now >= worker.loads_refused_until
             and self.outliers.accepts(worker, now)
             and (
@@ -285,21 +303,21 @@
                 or (rules.may_run_on(activation, worker) and worker not in activation.full_workers)
             )
         )
-        return list(islice(open_workers, CANDIDATES))
+        return list(islice(eligible_workers, MAX_CANDIDATES))
 
     def _is_unused(self, copy: Copy, function: Function, now: int) -> bool:
-        """Return whether the copy was idle for longer than it is kept, or than its load can take."""
-        longest_load = LOAD_TIMEOUT * function.load_time if copy.loading_since else 0
+        """Return whether the copy was idle, or loading, for longer than its timeout."""
+        longest_load = LOAD_TIMEOUT_FACTOR * function.load_time if copy.loading_since else 0
         idle_since = max(copy.last_seen, copy.loading_since)
         return not copy.in_flight and now - idle_since > max(self.load_terms.min_idle_time, longest_load)
 
     def _needs_renewal(self, copy: Copy, function: Function, now: int) -> bool:
-        """Return whether the copy would soon be dropped while its function is called now and then."""
-        keep = self.load_terms.min_idle_time
-        part, whole = RENEWAL_PART
+        """Return whether the idle copy would soon be unloaded although its function is still called."""
+        min_idle_time = self.load_terms.min_idle_time
+        numerator, denominator = RENEWAL_FRACTION
         return (
             not copy.in_flight
             and not copy.loading_since
-            and now - copy.last_seen > keep * part // whole
-            and now - function.called_at < keep < now - copy.renewed_at
+            and now - copy.last_seen > min_idle_time * numerator // denominator
+            and now - function.called_at < min_idle_time < now - copy.renewed_at
         )
--- a/petrelwood/decide/scheduling/popularity.py
+++ b/petrelwood/decide/scheduling/popularity.py
@@ -1,17 +1,17 @@
-"""How popular functions are, by this dispatcher's own recent calls."""
+"""The popularity of functions, by their shares of this dispatcher's recent calls."""
 
 from collections import deque
 
 from petrelwood.decide.scheduling.fleet import Fleet
 from petrelwood.decide.scheduling.records import Function
 
-RECENT_CALLS = 64  # over which a function's part of all calls is counted
-# A function with one worker's part of all calls gets so many copies, so that none runs just one function.
-COPIES_A_WORKER = 4
-# A few calls may be chance: a function counts as called so much less often, and all functions together as
-# called so much more often, which matters while a dispatcher is new.
-DOUBTED_CALLS = 0.5
-ASSUMED_CALLS = RECENT_CALLS // 4
+RECENT_CALLS = 64  # number of last calls among which those of each function are counted
+# Copies that a function gets per worker's equal share of all calls, so that no worker runs just one function.
+COPIES_PER_WORKER = 4
+# A few calls may be chance, mainly while a dispatcher is new. Therefore `CALL_DISCOUNT` is subtracted from
+# the calls of a function, and `PRIOR_CALLS` is added to the calls of all functions.
+CALL_DISCOUNT = 0.5
+PRIOR_CALLS = RECENT_CALLS // 4
 
 
 class Popularity:
@@ -34,9 +34,9 @@
             self.recent.popleft().recent_calls -= 1
 
     def wanted_copies(self, function: Function) -> int:
-        """Return how many copies the other dispatchers want, if they get the same mix of calls.
+        """Return how many copies the other dispatchers want if they get the same mix of calls.
 
-        May be below 0 for a function without recent calls.
+        The result may be negative for a function without recent calls.
         """
-        others = COPIES_A_WORKER * len(self.fleet.usable) * (1 - 1 / self.dispatchers)
-        return int(others * (function.recent_calls - DOUBTED_CALLS) / (len(self.recent) + ASSUMED_CALLS))
+        others = COPIES_PER_WORKER * len(self.fleet.usable) * (1 - 1 / self.dispatchers)
+        return int(others * (function.recent_calls - CALL_DISCOUNT) / (len(self.recent) + PRIOR_CALLS))
--- a/petrelwood/decide/scheduling/queueing.py
+++ b/petrelwood/decide/scheduling/queueing.py
@@ -1,4 +1,4 @@
-"""The queue of each function: sends as slots become free, gives up in time, adds copies for a long queue."""
+"""The queue of each function: sends to free slots, gives up expired activations, adds copies."""
 
 from collections import deque
 from heapq import heappop, heappush
@@ -10,17 +10,18 @@
 from petrelwood.decide.scheduling.records import Activation, Copy, Function
 from petrelwood.decide.scheduling.send_rules import SendRules
 
-# Queued activations for each slot that is taken or loading, beyond which a copy is added.
-BACKLOG_A_SLOT = 1.0
-# Part of the target latency for which the oldest must have been queued before a function gets a further copy:
-# a slot may become free.
-COPY_DELAY = 1 / 6
-# At the limit of copies the newest are rejected beyond so many times the backlog for which a copy is added.
-LONGEST_BACKLOG = 2
+# Queued activations per slot that is in use or loading, above which a copy is added.
+BACKLOG_PER_SLOT = 1.0
+# Share of the target latency for which the oldest activation must have been queued before its function gets a
+# further copy, because a slot may become free in the meantime.
+COPY_DELAY_SHARE = 1 / 6
+# At the limit of copies, the newest activations are rejected if the queue is longer than this multiple of the
+# backlog above which a copy is added.
+MAX_BACKLOG_FACTOR = 2
 
 
 class Queueing:
-    """Queues activations, and decides what becomes of them as slots, copies and time allow.
+    """Queues activations, and sends them or gives them up as slots, copies and time allow.
 
     Attributes:
         waiting: functions with queued activations, by key.
@@ -38,7 +39,7 @@
     ) -> None:
         self.sweep_interval = parameters.sweep_interval
         self.tick = parameters.terms.tick
-        self.copy_delay = parameters.target_latency * COPY_DELAY  # ns
+        self.copy_delay = parameters.target_latency * COPY_DELAY_SHARE  # ns
         self.functions = functions
         self.activations = activations
         self.rules = rules
@@ -48,8 +49,8 @@
         self.waiting: dict[str, Function] = {}
 
     def enqueue(self, activation: Activation, now: int, is_retry: bool = False) -> None:
-        """Queue an activation, and dispatch its function; a retry or hedged request goes to the front."""
-        # A function that was idle may have been forgotten, and be known anew, since its activation was sent.
+        """Queue an activation, at the front if it is a retry or hedged request, and dispatch its function."""
+        # Since the activation was sent, its function may have been idle, forgotten and created again.
         function = self.functions.setdefault(activation.function.key, activation.function)
         activation.function = function
         if not activation.is_queued:
@@ -66,7 +67,7 @@
             self.actions.set_timer(now, self.sweep_interval)
 
     def dispatch_all(self, now: int) -> None:
-        """Dispatch the queues of all functions, then the activations of low priority to slots still free."""
+        """Dispatch the queues of all functions, then low-priority activations to the remaining free slots."""
         for function in list(self.waiting.values()):
             self.dispatch(function, now)
         remaining = [
@@ -78,9 +79,9 @@
             self.dispatch(function, now, with_low_priority=True)
 
     def dispatch(self, function: Function, now: int, with_low_priority: bool = False) -> None:
-        """Send to free slots, give up what is out of time, then add copies, or reject at their limit.
+        """Send to free slots, give up expired activations, then add copies, or reject at the limit of copies.
 
-        The order matters: what a free slot takes needs no copy.
+        The order matters: an activation that is sent to a free slot needs no further copy.
         """
         if function.queued:
             self._send_queued(function, now, with_low_priority)
@@ -112,7 +113,7 @@
         return min(self.sweep_interval, max(first - now, self.tick))
 
     def _send_queued(self, function: Function, now: int, with_low_priority: bool) -> None:
-        """Send queued activations to free slots: those of low priority last, if at all."""
+        """Send queued activations to free slots; those of low priority last, and only if requested."""
         if not any(copy.in_flight < function.slots for copy in function.copies.values()):
             function.wants_copy = False
             return
@@ -140,20 +141,20 @@
                 self._send(activation, copy, now)
                 continue
             unsent.append(activation)
-            if not activation.attempts:  # a retry may use fewer copies: it blocks no other
+            if not activation.attempts:  # a retry may run on fewer copies, so it must not block the others
                 break
         queue.extendleft(reversed(unsent))
 
     def _send(self, activation: Activation, copy: Copy, now: int) -> None:
-        """Take an activation out of its queue and send it."""
+        """Remove an activation from its queue and send it."""
         activation.function.dequeue(activation)
         self.actions.send(activation, copy, now)
 
     def _handle_expiry(self, activation: Activation, now: int) -> None:
-        """Send an activation that may be queued no longer to any free slot, or give it up.
+        """Send an expired activation to any free slot, or give it up.
 
-        What is expected of its service time may have changed, and one with an attempt in flight is given up
-        later: it stays queued then, with a new expiry.
+        It remains queued with a new expiry if the estimate of its service time has changed, or if it has an
+        attempt in flight, because it is given up later then.
         """
         may_send = self.rules.may_send(activation, now)
         function = activation.function
@@ -170,17 +171,18 @@
         """Add a copy if the queue is long, or reject the newest if the limit of copies is reached.
 
         Returns:
-            Whether a copy was added; another may be needed then.
+            Whether a copy was added, so that the backlog must be checked again.
         """
         copies = self.placement.useful_copies(function, now)
         slots = sum(function.slots if copy.loading_since else copy.in_flight for copy in copies)
-        if function.queued <= BACKLOG_A_SLOT * slots:
+        if function.queued <= BACKLOG_PER_SLOT * slots:
             return False
-        # Last, as `oldest_queued` drops stale entries, and `dispatch_all` looks at queues that are not empty.
+        # This check is the last one because `oldest_queued` drops stale entries, and `dispatch_all` tests
+        # whether the low-priority queue is empty.
         if function.copies and now - function.oldest_queued().arrived_at < self.copy_delay:
             return False
         if len(copies) >= self.placement.copy_limit():
-            longest = LONGEST_BACKLOG * BACKLOG_A_SLOT * len(copies) * function.slots
+            longest = MAX_BACKLOG_FACTOR * BACKLOG_PER_SLOT * len(copies) * function.slots
             while function.queued > longest:
                 self.actions.give_up(function.newest_queued(), now)
             return False
@@ -191,7 +193,7 @@
     def _may_add_further_copy(self, function: Function, now: int) -> bool:
         """Return whether the function may get a further copy.
 
-        If it has a queue, that must be the longest of all by activations for each copy.
+        If it has queued activations, it must have the most per copy of all functions.
         """
         if not self.placement.may_add_further_copy(now):
             return False
@@ -201,12 +203,12 @@
         return function is longest
 
     def _add_copy(self, function: Function, activation: Activation | None, now: int) -> bool:
-        """Add a copy, begin it by an attempt or a load order, and return whether it has begun."""
+        """Add a copy, start it by an attempt or a load order, and return whether it was started."""
         candidates = self.placement.find_candidates(function, activation, now)
         if candidates is None:
             return False
         if self.actions.check_health(candidates.workers, now):
-            return False  # it is added once they answer, or at the next sweep
+            return False  # the copy is added when they have answered, or at the next sweep
         copy = self.placement.add_copy(function, candidates, now)
         if candidates.start is CopyStart.ATTEMPT and activation is not None:
             self._send(activation, copy, now)
--- a/petrelwood/decide/scheduling/records.py
+++ b/petrelwood/decide/scheduling/records.py
@@ -1,7 +1,7 @@
-"""What the scheduler knows of workers, copies of functions, activations and attempts.
+"""The scheduler's records of workers, copies of functions, activations and attempts.
 
-Times are whole nanoseconds on the caller's clock. Which worker has a copy of which function, and in what
-state, is belief: it is learnt from answers, and other dispatchers change it too.
+Times are integer nanoseconds on the caller's clock. Which worker has a copy of which function, and in what
+state, is an assumption: it is derived from answers, and other dispatchers change it as well.
 """
 
 from collections import deque
@@ -12,50 +12,52 @@
 from petrelwood import ports
 from petrelwood.decide.scheduling.send_limit import SendLimit
 
-LONG_TIME = 1 << 50  # ns, some 13 days: longer than any span that is compared with it
-NEVER = LONG_TIME << 12  # ns: a time that does not come
+LONG_TIME = 1 << 50  # ns, about 13 days: longer than any duration that is compared with it
+NEVER = LONG_TIME << 12  # ns: a time that is never reached
 
 AttemptKey = tuple[str, int]
-"""An activation's id and the number of its attempt."""
+"""The id of an activation and the number of one of its attempts."""
 
 
 class LoadCredit(Enum):
-    """Whether an activation counts for the rate limit of load orders, which is a part of the activations."""
+    """Whether an activation raises the rate limit of load orders, which grows with the activations."""
 
-    NONE = "none"  # it does not, or no longer
-    PENDING = "pending"  # it will unless its client departs soon
+    NONE = "none"  # it does not count, or no longer counts
+    PENDING = "pending"  # it will count unless its client departs within a delay
     COUNTED = "counted"
 
 
 @dataclass(slots=True, eq=False)
 class Worker:
-    """A worker, and what is believed of its load and health.
+    """A worker, and the estimates of its load and health.
 
     Attributes:
         id: its name in the endpoint list.
         zone: its zone in the endpoint list.
         cell: its cell in the endpoint list.
         booted: when it started, ns; 0: long ago.
-        is_usable: the endpoint list has it and it does not drain.
-        first_seen: when this dispatcher heard of it, ns.
-        hash: a hash of the id: its place in each function's order of workers.
-        preference: sorts the workers where any of several may begin: those of the own zone first.
-        in_flight: attempts that it has not answered, oldest first.
-        lost: attempts whose answers are believed lost, as far newer ones were answered before them.
-        send_limit: limit of attempts in flight here, against crowding.
-        answered_at: when it last answered anything, ns.
-        newest_answered_sent_at: when the newest attempt left that it has answered, ns.
-        is_unresponsive: it has attempts in flight and answers none: nothing is sent to it.
-        unresponsive_periods: how often in a row it was unresponsive (at most 4).
+        is_usable: it is in the endpoint list and is not draining.
+        first_seen: when this dispatcher first saw it in the endpoint list, ns.
+        hash: a hash of the id, which determines its position in each function's order of workers.
+        preference: sort key of the first workers in a function's order: those of the dispatcher's zone come
+            first, the others follow in an order that is this dispatcher's own.
+        in_flight: attempts that it has not answered, in the order of their sends.
+        lost: attempts whose answers are assumed lost, because much newer attempts were answered first.
+        send_limit: limit of the attempts in flight at it, against overload.
+        answered_at: time of its last answer of any kind, ns.
+        newest_answered_sent_at: send time of the newest attempt that it has answered, ns.
+        is_unresponsive: it has attempts in flight and answers none of them; nothing is sent to it.
+        unresponsive_periods: consecutive periods in which it was unresponsive (at most 4).
         ejected_until: nothing is sent to it before this time, ns.
-        cold_attempts: attempts in flight that wait for a load here.
-        loads_refused_until: it rejected a load order as it has too many; it gets none before this time, ns.
-        relative_latency: how long it takes for an answer in proportion to the usual; 1.0 is usual.
-        reported_load: its load by its last report, in activations or cores; None: it has reported none.
-        in_flight_at_report: how many attempts were in flight when its load was last learnt.
-        load_known_at: when its load was last learnt, ns.
+        cold_attempts: attempts in flight that wait for a copy to load on it.
+        loads_refused_until: it gets no load order before this time, ns, as it rejected one for having too
+            many loads.
+        relative_latency: ratio of its response times to the expected ones; 1.0 is usual.
+        reported_load: the load in its last report, in activations or cores; None: it has reported none.
+        in_flight_at_report: attempts in flight at it at its last load report.
+        load_updated_at: when its load was last updated, by an answer or a load report, ns.
         health_checked_at: when the last health check was sent to it, ns.
-        slow_start_step: number of the step of its slow start for which the budget was computed.
+        slow_start_step: index of the slow start step for which the budget was computed.
         slow_start_budget: attempts that may still be sent to it in that step.
     """
 
@@ -80,7 +82,7 @@
     relative_latency: float = 1.0
     reported_load: float | None = None
     in_flight_at_report: int = 0
-    load_known_at: int = field(init=False)
+    load_updated_at: int = field(init=False)
     health_checked_at: int = field(init=False)
     slow_start_step: int = -1
     slow_start_budget: int = 0
@@ -88,18 +90,18 @@
     def __post_init__(self) -> None:
         self.hash = crc32(self.id.encode())
         self.answered_at = self.first_seen
-        self.load_known_at = self.first_seen - LONG_TIME
+        self.load_updated_at = self.first_seen - LONG_TIME
         self.health_checked_at = self.first_seen - LONG_TIME
 
     def reset(self) -> None:
-        """Forget what was believed of the process there, as it has restarted."""
+        """Reset what was learnt about the previous process, as the worker has restarted."""
         self.send_limit = SendLimit()
         self.ejected_until = 0
         self.is_unresponsive = False
         self.relative_latency = 1.0
 
     def is_in_group_of(self, other: "Worker", scope: ports.Scope) -> bool:
-        """Return whether both are in one zone, or in one cell: a group that drops repeats together."""
+        """Return whether both are in the same group for dropping repeats: the same zone, or the same cell."""
         if scope == ports.Scope.ZONE:
             return self.zone == other.zone
         return self.cell == other.cell
@@ -107,15 +109,15 @@
 
 @dataclass(slots=True, eq=False)
 class Copy:
-    """What is believed of a function's copy on one worker.
+    """The assumed state of a function's copy on one worker.
 
     Attributes:
-        worker: where it is.
-        last_seen: when it was last used or known to be there, ns.
-        renewed_at: when a load was last ordered only to keep it, ns.
-        in_flight: attempts of its function in flight there.
+        worker: the worker that has it.
+        last_seen: when it was last used or known to exist, ns.
+        renewed_at: when a load was last ordered only to keep it from being unloaded, ns.
+        in_flight: attempts in flight that are to run on it.
         loading_since: when its load began, ns; 0: it is loaded.
-        errors: failed attempts since the last that completed.
+        errors: failed attempts since the last completed one.
         backoff_until: nothing is sent to it before this time, ns.
     """
 
@@ -132,27 +134,28 @@
 class Function:
     """A function, its copies and its queued activations.
 
-    An activation that leaves its queue is only marked (`Activation.is_queued`), and skipped when its turn
-    comes, so that no event walks over a whole queue.
+    An activation that leaves its queue is only marked (`Activation.is_queued`) and is skipped when it reaches
+    an end of the queue, so that no event scans a whole queue.
 
     Attributes:
         key: its name.
-        slots: activations that one copy runs at a time.
+        slots: activations that one copy runs concurrently.
         load_time: time that loading a copy takes, ns; 0: not known yet.
         called_at: when it was last called, ns.
-        recent_calls: how many of the dispatcher's last activations were its own.
+        recent_calls: number of its calls among the last calls of the dispatcher (`Popularity.recent`).
         queue: queued activations, oldest first.
-        low_priority_queue: those of them that are late, or beyond their customer's share.
-        queued: how many of both are queued still.
+        low_priority_queue: queued activations that are late or over their customer's quota.
+        queued: number of activations in both queues that are still queued.
         expiries: a heap of (time in ns, activation): when to check whether to give up a queued activation.
-        copies: its copies by the worker's id.
-        service_time: its usual time for an answer, ns; 0: not known yet.
+        copies: its copies by worker id.
+        service_time: its usual response time on a loaded copy, ns; 0: not known yet.
         placement_paused_until: no copy is added before this time, ns.
         copy_added_at: when a copy was last added, ns.
         missed_at: when a worker last answered that it has no copy, ns.
-        wants_copy: even the least loaded worker with a copy is busier than others.
-        exists: a worker has answered that it knows the function.
-        hash: a hash of the key: it decides on the order of workers.
+        wants_copy: another copy is wanted, because a worker was full or all workers with a copy are busier
+            than the mean.
+        exists: an answer of a worker has shown that the function exists.
+        hash: a hash of the key, which determines its order of workers.
     """
 
     key: str
@@ -177,14 +180,14 @@
         self.hash = crc32(f"{self.key}".encode())
 
     def oldest_queued(self) -> "Activation":
-        """Return the activation that is queued longest; there must be one."""
+        """Return the activation that has been queued longest; one must be queued."""
         for queue in (self.low_priority_queue, self.queue):
             while queue and not queue[0].is_queued:
                 queue.popleft()
         return self.low_priority_queue[0] if self.low_priority_queue else self.queue[0]
 
     def newest_queued(self) -> "Activation":
-        """Return the activation that was queued last; there must be one."""
+        """Return the activation that was queued last; one must be queued."""
         for queue in (self.queue, self.low_priority_queue):
             while queue and not queue[-1].is_queued:
                 queue.pop()
@@ -201,21 +204,21 @@
     """An activation without a final answer.
 
     Attributes:
-        id: as the caller gave it.
-        function: what it calls.
-        type: the rules that hold for it.
-        due: by when it must have its final answer, ns.
-        arrived_at: when the scheduler was given it, ns.
-        work: its work hint, the time that it is expected to compute, ns; 0: not known.
-        slots: activations of its function that one copy runs at a time.
-        target_latency: the time from its arrival in which it should be answered, ns.
-        attempts: all its attempts, in their order.
-        in_flight: how many of them have not ended.
-        first_attempt: the first of them; None before it, and again once all are proved never to have run.
-        full_workers: workers that have answered that they are full.
+        id: the id that the caller gave it.
+        function: the function that it calls.
+        type: the rules of its namespace type.
+        due: the deadline for its final answer, ns.
+        arrived_at: when it arrived at the scheduler, ns.
+        work: its work hint, the expected computing time, ns; 0: not known.
+        slots: activations of its function that one copy runs concurrently.
+        target_latency: time from its arrival within which it should be answered, ns.
+        attempts: all its attempts, in order.
+        in_flight: number of attempts that have not ended.
+        first_attempt: its first attempt; None before it, and again once it is proved that no attempt has run.
+        full_workers: workers that rejected it because they were full.
         is_queued: it waits for a free slot.
-        is_over_quota: its customer has more activations here than its share.
-        load_credit: whether it counts for the rate limit of load orders.
+        is_over_quota: its customer was over its quota at this dispatcher when it arrived.
+        load_credit: whether it raises the rate limit of load orders.
     """
 
     id: str
@@ -235,7 +238,7 @@
     load_credit: LoadCredit = LoadCredit.NONE
 
     def __lt__(self, other: "Activation") -> bool:
-        """Order activations that expire at the same time: any order will do."""
+        """Break the tie of activations that expire at the same time; their order does not matter."""
         return False
 
 
@@ -244,15 +247,15 @@
     """One send of an activation to a worker.
 
     Attributes:
-        activation: what was sent.
-        number: which of the activation's attempts it is, from 0.
-        worker: where it went.
+        activation: the activation that was sent.
+        number: its index among the activation's attempts, from 0.
+        worker: the worker that it was sent to.
         copy: the copy that it is to run on.
-        sent_at: when it left, ns.
-        is_cold: the copy was not loaded when it left.
-        ahead: attempts of ours that were in flight at the worker when it left.
+        sent_at: when it was sent, ns.
+        is_cold: the copy was not loaded when it was sent.
+        ahead: this dispatcher's attempts that were in flight at the worker when it was sent.
         is_in_flight: it has not ended.
-        may_have_run: nothing proves that it did not run.
+        may_have_run: it is not proved that it did not run.
     """
 
     activation: Activation
--- a/petrelwood/decide/scheduling/scheduler.py
+++ b/petrelwood/decide/scheduling/scheduler.py
@@ -1,24 +1,25 @@
-"""The scheduler: what one dispatcher sends, loads, retries and rejects; `ports.py` has its interface.
+"""The scheduler of one dispatcher: sends, load orders, retries and rejections. `ports.py` has its interface.
 
-`Scheduler(now, terms, seed, outlet)` starts an instance. Its public methods are then called in the order of
-the events. It acts only through its `ports.Outlet`, within these calls. Times are whole nanoseconds on the
-caller's clock.
+`Scheduler(now, terms, seed, outlet)` starts an instance. The caller then calls its public methods in the
+order of the events. The scheduler acts only through its `ports.Outlet`, during these calls. Times are integer
+nanoseconds on the caller's clock.
 
-An activation passes `admission`, the queue of its function (`queueing`), `placement` and `actions`, which
-sends an attempt. The attempt's end passes `attempts` and `outcomes`, and may bring the activation back into
-its queue as a retry. The modules, each of which imports only those before it:
+An activation passes through `admission`, the queue of its function (`queueing`), `placement` and `actions`,
+which sends an attempt. The end of the attempt passes through `attempts` and `outcomes`, and may return the
+activation to its queue as a retry. The modules, each of which imports only those before it:
 
-- `send_limit`, `window_counter`: a limit of attempts in flight, and a counter, both without other records
-- `records`: workers, copies, functions, activations, attempts; `parameters`: what is given at the start
-- `fleet`: the workers, by the endpoint list; `popularity`, `worker_order`: which of them a function prefers
+- `send_limit`, `window_counter`: a limit of attempts in flight, and a counter; both are independent of the
+  records
+- `records`: workers, copies, functions, activations, attempts; `parameters`: the fixed parameters
+- `fleet`: the workers in the endpoint list; `popularity`, `worker_order`: which of them a function prefers
 - `load_order_limit`: the rate limit of load orders; `estimates`: service times and loads
-- `slow_start`, `outlier_detection`: which workers may be sent an attempt, and how many
+- `slow_start`, `outlier_detection`: which workers may be sent attempts, and how many
 - `send_rules`: whether, where and until when an activation may be sent
 - `placement`: copies and workers; `admission`: priority and load shedding
 - `actions`: sends, load orders, health checks and final answers; the only module that calls the outlet
-- `queueing`: the functions' queues; `outcomes`: what is learnt from the end of an attempt; `attempts`: what
-  follows from it, a retry, a hedged request or the final answer
-- `snapshot`: what is believed of the fleet, for logs
+- `queueing`: the queues of the functions; `outcomes`: updates the estimates and records at the end of an
+  attempt; `attempts`: decides on a retry, a hedged request or the final answer
+- `snapshot`: the current estimates of the fleet, for logs
 """
 
 from collections.abc import Sequence
@@ -43,10 +44,10 @@
 from petrelwood.ports import Arrival, AttemptEnd, EndpointEntry, EndReason, Outlet, Terms
 
 CHECKS_PER_INTERVAL = 8  # periodic checks in each `Parameters.check_interval`
-# The endpoint list is requested after half of the time in which it must be, so that a lost request can
-# follow.
+# The endpoint list is requested every `Guarantees.max_list_request_interval` ns divided by this, so that a
+# lost request can be repeated in time.
 LIST_REQUEST_DIVISOR = 2
-CLEANUPS_PER_KEEP = 16  # in `LoadOrders.min_idle_time`, the time that idle copies stay
+CLEANUPS_PER_IDLE_TIME = 16  # cleanups in each `LoadOrders.min_idle_time`
 
 
 class Scheduler:
@@ -97,7 +98,7 @@
         actions.set_timer(now, parameters.sweep_interval)
 
     def endpoints_changed(self, now: int, entries: Sequence[EndpointEntry], is_whole: bool) -> None:
-        """Apply a change of the endpoint list, or a whole list, and dispatch what is queued."""
+        """Apply a change of the endpoint list, or a complete list, and dispatch the queued activations."""
         for worker in self.fleet.apply(now, entries, is_whole):
             self.placement.forget_copies(worker)
         self.slow_start.fleet_changed(self.fleet.usable, now)
@@ -105,7 +106,10 @@
         self.queueing.dispatch_all(now)
 
     def endpoint_list_lost(self, now: int) -> None:
-        """Request the endpoint list soon, as no changes come; after a drawn time, so not all at once."""
+        """Schedule a request for the endpoint list, as its changes no longer arrive.
+
+        The delay is random, so that the dispatchers do not all request it at the same time.
+        """
         delay = int(self.parameters.draw() * self.parameters.check_interval)
         self.list_requested_at = now - self._list_request_time() + delay
 
@@ -124,25 +128,25 @@
             self._check_least_known_worker(function, now)
 
     def attempt_ended(self, now: int, end: AttemptEnd) -> None:
-        """Handle the end of an attempt: record it, and retry or end its activation."""
+        """Record the end of an attempt, and retry or end its activation."""
         self.attempts.handle_end(end, now)
 
     def stream_started(self, now: int, activation_id: str, attempt: int, worker_id: str) -> None:
-        """Let an activation take any time, as its streamed answer has begun."""
+        """Remove the deadline of an activation, as its streamed answer has begun."""
         activation = self.activations.get(activation_id)
         if activation is not None:
             activation.due = NEVER
             self.fleet.workers[worker_id].answered_at = now
 
     def client_departed(self, now: int, activation_id: str) -> None:
-        """Forget an activation that its client has cancelled; it no longer counts for load orders."""
+        """Remove an activation that its client has cancelled; it no longer raises the load order limit."""
         activation = self.activations.get(activation_id)
         if activation is not None:
             self.load_orders.revoke(activation)
             self.actions.finish(activation)
 
     def process_ending(self, now: int, activation_id: str) -> None:
-        """Give up an activation, as this dispatcher ends; the caller stops what is in flight."""
+        """Give up an activation, as this dispatcher ends; the caller stops its attempts in flight."""
         activation = self.activations.get(activation_id)
         if activation is not None:
             activation.due = now
@@ -159,27 +163,28 @@
         self.queueing.dispatch(function, now)
 
     def may_load_order_leave(self, now: int, given_at: int) -> bool:
-        """Return whether a load order that was decided at `given_at` and has waited may leave now.
+        """Return whether a delayed load order that was decided at `given_at` may be sent now.
 
-        If so, it counts for the rate limit at this time.
+        If so, it is counted against the rate limit at `now`.
         """
         return self.load_orders.may_leave(now, given_at)
 
     def load_order_withdrawn(self, now: int, given_at: int) -> None:
-        """Take a load order that was decided at `given_at` and never left off the rate limit."""
+        """Uncount a load order that was decided at `given_at` and was never sent."""
         self.load_orders.withdraw(given_at)
 
     def load_orders_restored(self, now: int, orders: int) -> None:
-        """Count the load orders that an earlier incarnation gave in the last period."""
+        """Count the load orders that an earlier incarnation sent in the last period."""
         self.load_orders.restore(now, orders)
 
     def prefetch(self, now: int, key: str, slots: int, load_time: int) -> str | None:
-        """Order one copy ahead of a call, if the dispatcher has nothing else to do.
+        """Order one copy ahead of calls, if the dispatcher has spare capacity.
 
-        Never while anything is queued, answers are slow or loads fail; within a part of the rate limit.
+        No copy is ordered while any activation is queued, while most answers are slow or shortly after a load
+        failed. Prefetches may use only a share of the rate limit.
 
         Returns:
-            The worker that it is ordered on, or None.
+            The worker that is to load the copy, or None.
         """
         function = self._function(key, slots, load_time)
         if self.queueing.waiting or self.outliers.is_overloaded:
@@ -193,24 +198,24 @@
     def health_check_ended(
         self, now: int, worker_id: str, reason: EndReason, report: dict[str, float] | None
     ) -> None:
-        """Handle the end of a health check, and the load report that it brought."""
+        """Record the load report that a health check has returned, and dispatch the queued activations."""
         worker = self.fleet.workers.get(worker_id)
         if worker is not None and reason == EndReason.COMPLETED:
             self.estimates.record_report(worker, report, now)
         self.queueing.dispatch_all(now)
 
     def timer_fired(self, now: int, mark: str) -> None:
-        """Run the periodic checks if they are due, and dispatch what is queued.
+        """Run the periodic checks if they are due, and dispatch the queued activations.
 
-        There is one timer: `mark` is not looked at.
+        `mark` is ignored, because there is only one timer.
         """
         if not self.actions.clear_timer(now):
-            return  # it was replaced by an earlier one
+            return  # it was replaced by an earlier timer
         try:
             if now >= self.next_check:
                 self._run_periodic_checks(now)
             self.queueing.dispatch_all(now)
-        finally:  # whatever fails, the sweeps go on
+        finally:  # keep sweeping, whatever fails
             if self.queueing.waiting:
                 wait = self.queueing.time_to_sweep(now)
             else:
@@ -218,11 +223,11 @@
             self.actions.set_timer(now, wait)
 
     def snapshot(self) -> SchedulerSnapshot:
-        """Return what is believed of the fleet now, for logs."""
+        """Return the current estimates of the fleet, for logs."""
         return take_snapshot(self.fleet.usable, self.functions.values(), self.outliers)
 
     def _function(self, key: str, slots: int, load_time: int) -> Function:
-        """Return the function, which need not be known yet, with its latest facts."""
+        """Return the function, created if it is new, with its slots and load time updated."""
         function = self.functions.get(key)
         if function is None:
             function = self.functions[key] = Function(key)
@@ -231,18 +236,18 @@
         return function
 
     def _check_least_known_worker(self, function: Function, now: int) -> None:
-        """Check the health of the worker with a copy whose load was learnt longest ago."""
+        """Check the health of the worker with a copy whose load or health was checked longest ago."""
         workers = [copy.worker for copy in function.copies.values() if copy.worker.is_usable]
-        workers.sort(key=lambda worker: max(worker.health_checked_at, worker.load_known_at))
+        workers.sort(key=lambda worker: max(worker.health_checked_at, worker.load_updated_at))
         self.actions.check_health(workers[:1], now)
 
     def _list_request_time(self) -> int:
         return self.terms.guarantees.max_list_request_interval // LIST_REQUEST_DIVISOR
 
     def _run_periodic_checks(self, now: int) -> None:
-        """Update the slow start and the mean load, hedge what is overdue, request the endpoint list.
+        """Update the slow start and the mean load, hedge overdue attempts, request the endpoint list.
 
-        Only workers in use are walked over, so that it costs little on a large fleet.
+        Only workers in use are visited, so that the cost stays low on a large fleet.
         """
         fleet_size = len(self.fleet.usable)
         self.slow_start.update(now, now - self.next_check + self.time_between_checks, fleet_size)
@@ -254,11 +259,11 @@
             self.list_requested_at = now
             self.actions.request_endpoint_list()
         if now >= self.next_cleanup:
-            self.next_cleanup = now + self.terms.orders.min_idle_time // CLEANUPS_PER_KEEP
+            self.next_cleanup = now + self.terms.orders.min_idle_time // CLEANUPS_PER_IDLE_TIME
             self._clean_up(now)
 
     def _clean_up(self, now: int) -> None:
-        """Renew idle copies that are still needed, and forget what is not used any more."""
+        """Renew idle copies that are still needed, and forget unused copies, functions and workers."""
         for function, worker in self.placement.renewals(now):
             self.actions.order_load(function, worker, now)
         self.fleet.forget_unused()
--- a/petrelwood/decide/scheduling/send_limit.py
+++ b/petrelwood/decide/scheduling/send_limit.py
@@ -1,17 +1,18 @@
-"""A limit of the attempts in flight at a time, by additive increase and multiplicative decrease.
+"""A limit of the attempts in flight, by additive increase and multiplicative decrease (AIMD).
 
-Not `decide.overload.concurrency_limit.ConcurrencyLimit`, which bounds what a dispatcher takes in, by turns:
-this one bounds what is sent out, learns from each single answer and limits nothing before a slow one.
+It differs from `decide.overload.concurrency_limit.ConcurrencyLimit`, which limits the requests that a
+dispatcher admits and is updated in rounds: this class limits the attempts that are sent, is updated by each
+answer, and sets no limit before the first slow answer.
 """
 
-REDUCTION = 0.85  # of what is in flight, to which a slow answer reduces the limit
+REDUCTION_FACTOR = 0.85  # a slow answer reduces the limit to this share of the attempts in flight
 
 
 class SendLimit:
-    """Limit of attempts in flight; each slow answer reduces it, each full round of others raises it by one.
+    """A limit of attempts in flight: a slow answer reduces it, `limit` other answers raise it by one.
 
     Attributes:
-        limit: most attempts in flight at a time; None while nothing limits them.
+        limit: maximum number of attempts in flight; None: no limit.
         reduced_at: when it was last reduced, ns.
     """
 
@@ -22,20 +23,21 @@
         self.reduced_at = 0
 
     def record_answer(
-        self, is_slow: bool, in_flight: int, now: int, sent_at: int, least: float = 1.0
+        self, is_slow: bool, in_flight: int, now: int, sent_at: int, min_limit: float = 1.0
     ) -> None:
-        """Learn from one answer.
+        """Update the limit after one answer.
 
         Args:
             is_slow: whether the answer took too long.
             in_flight: attempts that are still in flight.
             now: time of the answer, ns.
-            sent_at: when its attempt was sent, ns. One that was sent before the last reduction says nothing
-                about its effect: answers that are slow for one reason reduce the limit once.
-            least: a reduction leaves the limit no lower than this.
+            sent_at: when its attempt was sent, ns. A slow answer to an attempt that was sent before the last
+                reduction is ignored: it does not show the effect of the reduction, and answers that are slow
+                for the same reason must reduce the limit only once.
+            min_limit: the minimum of the limit after a reduction.
         """
         if is_slow and sent_at >= self.reduced_at:
-            self.limit = max(least, min(self.limit or in_flight + 1, in_flight + 1) * REDUCTION)
+            self.limit = max(min_limit, min(self.limit or in_flight + 1, in_flight + 1) * REDUCTION_FACTOR)
             self.reduced_at = now
         elif not is_slow and self.limit is not None and in_flight + 1 >= self.limit:
             self.limit += 1 / self.limit
--- a/petrelwood/decide/scheduling/send_rules.py
+++ b/petrelwood/decide/scheduling/send_rules.py
@@ -1,7 +1,7 @@
 """Whether, where and until when an activation may be sent, by the rules of its namespace type.
 
-`SendRules.may_send` is the one place that allows a second attempt, be it a retry or a hedged request.
-`Activation.first_attempt`, by which it knows of an earlier one that may have run, is cleared in `outcomes`.
+`SendRules.may_send` is the only place that allows a second attempt, for a retry or a hedged request. It uses
+`Activation.first_attempt` to detect that an earlier attempt may have run; `outcomes` clears that field.
 """
 
 from petrelwood.decide.scheduling.estimates import Estimates
@@ -12,21 +12,22 @@
 # Python 3.11 is slow to look a member up on its enum, and these are looked up for each activation.
 REPEATABLE = Effect.REPEATABLE
 DEDUPLICATED = Effect.DEDUPLICATED
-# An attempt needs half of its expected time, and so many sweeps, before the deadline: else it would be late.
-LEAST_SWEEPS_LEFT = 2
+# An attempt needs half of its expected time before the deadline, and at least this many sweep intervals; with
+# less time left, its answer would be late.
+MIN_SWEEPS_LEFT = 2
 
 
 class SendRules:
-    """The rules on retries and hedged requests, and the times at which a queued activation is given up."""
+    """The rules for retries and hedged requests, and the times at which a queued activation is given up."""
 
     def __init__(self, parameters: Parameters, estimates: Estimates) -> None:
         self.allowed = parameters.terms.allowed
         self.sweep_interval = parameters.sweep_interval
-        self.shortest_attempt = LEAST_SWEEPS_LEFT * parameters.sweep_interval  # ns
+        self.shortest_attempt = MIN_SWEEPS_LEFT * parameters.sweep_interval  # ns
         self.estimates = estimates
 
     def may_send(self, activation: Activation, now: int) -> bool:
-        """Return whether the activation may be sent, for the first time or once more, to any worker."""
+        """Return whether the activation may be sent to any worker, for the first time or again."""
         if len(activation.attempts) >= self.allowed.sends:
             return False
         if activation.in_flight and not self.allowed.overlap:
@@ -37,14 +38,14 @@
         if first is None or activation.type.effect == REPEATABLE:
             return True
         if activation.type.effect != DEDUPLICATED:
-            return False  # once-only, and an attempt may have run
+            return False  # it is once-only, and an attempt may have run
         return now < first.sent_at + activation.type.window
 
     def may_run_on(self, activation: Activation, worker: Worker) -> bool:
-        """Return whether the worker may run the activation, by the attempts made so far.
+        """Return whether the worker may run the activation, considering the previous attempts.
 
-        No attempt may have run on it, and a repeat of a deduplicated activation stays in the group of the
-        first attempt's worker.
+        A worker on which an attempt may have run is excluded, and a repeat of a deduplicated activation must
+        stay in the group of the first attempt's worker.
         """
         for attempt in activation.attempts:
             if attempt.worker is worker and attempt.may_have_run:
@@ -56,9 +57,9 @@
         return worker.is_in_group_of(first.worker, type_.scope)
 
     def may_reject(self, activation: Activation) -> bool:
-        """Return whether a rejection does no harm: its client may retry, and the activation may run again.
+        """Return whether the activation may be rejected: its client may retry it, and it may run again.
 
-        Else the final answer is an abort, which says that it may have run.
+        Otherwise its final answer is an abort, which states that the activation may have run.
         """
         type_ = activation.type
         if not activation.first_attempt or type_.effect == REPEATABLE:
@@ -66,7 +67,7 @@
         return type_.effect == DEDUPLICATED and type_.scope == Scope.ALL
 
     def expiry(self, activation: Activation) -> int:
-        """Return the time at which to give up the activation unless it was sent, as estimated now, ns."""
+        """Return the estimated time at which to give up the activation if it is still queued, ns."""
         expiry = activation.due - self._time_needed(activation)
         if activation.first_attempt and activation.type.effect == DEDUPLICATED:
             expiry = min(expiry, activation.first_attempt.sent_at + activation.type.window)
@@ -77,11 +78,12 @@
     def queueing_limit(self, activation: Activation) -> int:
         """Return the time until which the activation may be queued with no attempt in flight, ns.
 
-        That is a sweep before half of its time is over, so that a rejected client can retry in the other.
+        That is one sweep interval before the middle of its time, so that a rejected client can retry in the
+        second half.
         """
         half = (activation.due - activation.arrived_at) // 2
         return activation.arrived_at + max(0, half - self.sweep_interval)
 
     def _time_needed(self, activation: Activation) -> int:
-        """Return the time before the deadline that an attempt needs at least, ns."""
+        """Return the minimum time before the deadline that an attempt needs, ns."""
         return max(self.estimates.expected_time(activation) // 2, self.shortest_attempt)
--- a/petrelwood/decide/scheduling/slow_start.py
+++ b/petrelwood/decide/scheduling/slow_start.py
@@ -1,9 +1,9 @@
-"""Slow start: how much a worker that has just started is sent.
+"""Slow start: how many attempts a worker that has just started is sent.
 
 A worker is cold for `Guarantees.warm_up_time` after its start: at first it has only a share of its capacity
-(`initial_capacity_share`), and it crashes if it is sent `crash_load_multiple` times that within
-`slow_start_window` ns. Therefore each step of `slow_start_window` ns has a budget of attempts. The
-dispatchers do not know of each other's sends, so each takes its own part of the budget.
+(`initial_capacity_share`), and it crashes if it is sent `crash_load_multiple` times its present capacity
+within `slow_start_window` ns. Therefore each step of `slow_start_window` ns has a budget of attempts. The
+dispatchers do not know each other's sends, so each uses only its own part of the budget.
 """
 
 from collections.abc import Iterable
@@ -13,9 +13,10 @@
 from petrelwood.decide.scheduling.records import Worker
 from petrelwood.decide.scheduling.window_counter import BackdatedCounter
 
-# All dispatchers together plan for what makes a worker fall over, divided by this: draws may add up to more.
-BUDGET_PART_DIVISOR = 3
-UNLIMITED = 1  # the budget of a warm worker: any number over 0, as sends are not taken off it
+# All dispatchers together plan for the load that crashes a worker, divided by this, because the random
+# roundings of their budgets may add up to more than planned.
+CRASH_LOAD_DIVISOR = 3
+UNLIMITED = 1  # the budget of a warm worker: any positive number, because sends do not reduce it
 
 
 class SlowStart:
@@ -23,9 +24,9 @@
 
     Attributes:
         warm_workers: usable workers that are warm, as of the last update.
-        warming_up: those that are not.
+        warming_up: usable workers that are not warm, as of the last update.
         warm_answers: answers of warm workers in the last `warm_up_time` ns.
-        warm_worker_time: the sum over warm workers of the time that each was warm then, ns.
+        warm_worker_time: the sum over warm workers of the time that each was warm in that period, ns.
     """
 
     def __init__(self, parameters: Parameters, estimates: Estimates) -> None:
@@ -39,13 +40,13 @@
         self.warm_worker_time = BackdatedCounter(self.guarantees.warm_up_time)
 
     def is_warm(self, worker: Worker, now: int) -> bool:
-        """Return whether the worker has been up long enough for its full load."""
+        """Return whether the worker has been up long enough for its full capacity."""
         return not worker.booted or max(0, now - worker.booted) >= self.guarantees.warm_up_time
 
     def budget(self, worker: Worker, now: int) -> int:
-        """Return how many attempts may still be sent to the worker in this step; over 0 if it is warm.
+        """Return how many attempts may still be sent to the worker in this step; positive if it is warm.
 
-        Draws the budget of a cold worker at the first call in each step.
+        The first call in each step draws the budget of a cold worker.
         """
         if self.is_warm(worker, now) or not self.guarantees.slow_start_window:
             return UNLIMITED
@@ -60,11 +61,11 @@
         self.warm_answers.add(now, int(self.is_warm(worker, now)))
 
     def fleet_changed(self, usable: Iterable[Worker], now: int) -> None:
-        """Note which of the usable workers are cold, after a change of the endpoint list."""
+        """Record which of the usable workers are cold, after a change of the endpoint list."""
         self.warming_up = [worker for worker in usable if not self.is_warm(worker, now)]
 
     def update(self, now: int, elapsed: int, fleet_size: int) -> None:
-        """Count the warm workers, and the time that they were warm in the last `elapsed` ns."""
+        """Update the number of warm workers, and add the last `elapsed` ns to their warm time."""
         self.warm_worker_time.add(now, self.warm_workers * elapsed)
         self.warming_up = [worker for worker in self.warming_up if not self.is_warm(worker, now)]
         self.warm_workers = fleet_size - len(self.warming_up)
@@ -72,23 +73,31 @@
     def _draw_budget(self, step: int, now: int) -> int:
         """Return this dispatcher's part of a cold worker's budget for one step, in attempts.
 
-        It follows the rate of answers of a warm worker, or the dispatcher's part of what one core can do if
-        that is more. A fraction of an attempt is rounded by a draw, so that all dispatchers together keep
-        the budget.
+        It is proportional to the answer rate of a warm worker, or to the dispatcher's part of the rate of one
+        core if that is higher. A fraction of an attempt is rounded up or down at random, so that all
+        dispatchers together keep the budget on average.
         """
-        terms = self.guarantees
+        guarantees = self.guarantees
         capacity = (
-            terms.initial_capacity_share
-            + (1 - terms.initial_capacity_share) * step * terms.slow_start_window / terms.warm_up_time
+            guarantees.initial_capacity_share
+            + (1 - guarantees.initial_capacity_share)
+            * step
+            * guarantees.slow_start_window
+            / guarantees.warm_up_time
         )
         warm_time = max(
-            self.warm_worker_time.lower_bound(now), max(1, self.warm_workers) * terms.warm_up_time
+            self.warm_worker_time.lower_bound(now), max(1, self.warm_workers) * guarantees.warm_up_time
         )
         estimates = self.estimates
-        # Without hints the usual service time may still be a guess, and answers tell more.
+        # Without hints the usual service time may still be the initial guess; the answer time is more
+        # reliable.
         work = max(estimates.usual_service_time, estimates.mean_arriving_work or estimates.mean_answer_time)
         rate = max(self.warm_answers.lower_bound(now) / warm_time, 1 / work / self.dispatchers)
         return int(
-            terms.crash_load_multiple / BUDGET_PART_DIVISOR * capacity * rate * terms.slow_start_window
+            guarantees.crash_load_multiple
+            / CRASH_LOAD_DIVISOR
+            * capacity
+            * rate
+            * guarantees.slow_start_window
             + self.draw()
         )
--- a/petrelwood/decide/scheduling/snapshot.py
+++ b/petrelwood/decide/scheduling/snapshot.py
@@ -1,4 +1,4 @@
-"""What a scheduler believes of the fleet at one time, for logs."""
+"""A snapshot of a scheduler's estimates of the fleet, for logs."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -9,24 +9,24 @@
 
 
 class WorkerSnapshot(NamedTuple):
-    """What is believed of one usable worker."""
+    """The estimates of one usable worker."""
 
     worker: str
-    in_flight: int  # attempts
+    in_flight: int  # attempts in flight
     relative_latency: float  # 1.0 is usual
-    send_limit: float | None  # attempts in flight at a time; None: no limit
+    send_limit: float | None  # limit of the attempts in flight; None: no limit
     is_unresponsive: bool
-    copies: int  # functions that are believed to have a copy there
+    copies: int  # functions that are assumed to have a copy on it
 
 
 class SchedulerSnapshot(NamedTuple):
-    """What is believed of the fleet."""
+    """The estimates of the fleet."""
 
-    in_flight: int  # attempts at all workers
-    slow_share: float  # of answers
+    in_flight: int  # attempts in flight at all workers
+    slow_share: float  # share of slow answers
     shed_probability: float
-    send_limit: float | None  # attempts in flight at a time; None: no limit
-    functions: int  # that are known
+    send_limit: float | None  # limit of the attempts in flight; None: no limit
+    functions: int  # number of known functions
     workers: list[WorkerSnapshot]  # the usable ones
 
 
--- a/petrelwood/decide/scheduling/window_counter.py
+++ b/petrelwood/decide/scheduling/window_counter.py
@@ -1,21 +1,21 @@
-"""A counter over a sliding window, to which past events can still be added, or taken off again.
+"""A counter over a sliding window that can add and remove past events.
 
-`decide.overload.sliding_window.SlidingWindowCounter` counts events as they happen. Here an event may be
-counted late, at the time when it happened (an activation earns its credit only some time after its arrival),
-and an event may be taken back. Since a bucket leaves the window at once as a whole, there are two answers: a
-rate limit must not be passed, so what is used is rounded up and what is earned is rounded down.
+`decide.overload.sliding_window.SlidingWindowCounter` counts events when they happen. This counter can count
+an event later, at the time when it happened (an activation is credited some time after its arrival), and can
+remove it again. A bucket leaves the window as a whole, so the exact count is known only within bounds. A rate
+limit must not be exceeded, so its usage is taken from the upper bound and its credit from the lower bound.
 """
 
-BUCKETS = 12  # that cover the span: counts are exact to a twelfth of it
+BUCKETS = 12  # buckets per span; the window is exact to one bucket, a twelfth of the span
 
 
 class BackdatedCounter:
-    """Counts over the last `span` ns, in buckets that are used in turn.
+    """Counts the events of the last `span` ns in a ring of buckets.
 
     Attributes:
         width: time that one bucket covers, ns.
-        counts: the buckets; one more than cover the span, as the span begins within the oldest.
-        newest: number of the newest bucket since time 0; it stands at `newest % len(counts)`.
+        counts: the buckets; one more than `BUCKETS`, because the span begins within the oldest one.
+        newest: number of the newest bucket since time 0; its index is `newest % len(counts)`.
     """
 
     __slots__ = ("counts", "newest", "width")
@@ -26,23 +26,23 @@
         self.newest = 0
 
     def add(self, at: int, count: int = 1) -> None:
-        """Count events of time `at`, which may be past; those that have left the window are ignored."""
+        """Count events at time `at`, which may be past; those that have left the window are ignored."""
         self._advance(at)
         bucket = at // self.width
         if bucket + BUCKETS >= self.newest:
             self.counts[bucket % (BUCKETS + 1)] += count
 
     def upper_bound(self, now: int) -> int:
-        """Return a count that is no less than the events of the last span."""
+        """Return an upper bound of the number of events in the last span."""
         self._advance(now)
         return sum(self.counts)
 
     def lower_bound(self, now: int) -> int:
-        """Return a count that is no more than the events of the last span."""
+        """Return a lower bound of the number of events in the last span."""
         return self.upper_bound(now) - self.counts[(self.newest + 1) % (BUCKETS + 1)]
 
     def _advance(self, now: int) -> None:
-        """Empty the buckets that have left the window."""
+        """Clear the buckets that have left the window."""
         bucket = now // self.width
         for emptied in range(max(self.newest + 1, bucket - BUCKETS), bucket + 1):
             self.counts[emptied % (BUCKETS + 1)] = 0
--- a/petrelwood/decide/scheduling/worker_order.py
+++ b/petrelwood/decide/scheduling/worker_order.py
@@ -1,7 +1,7 @@
 """The order of workers in which a function's copies are placed.
 
-Each function has its own order of all workers, by a hash of both names. All dispatchers have the same order,
-so that they use the same copies without knowing of each other.
+Each function has its own order of all workers, by a hash of both names (rendezvous hashing). All dispatchers
+compute the same order, so that they use the same copies without communicating.
 """
 
 from collections.abc import Iterator
@@ -12,17 +12,18 @@
 from petrelwood.decide.scheduling.popularity import Popularity
 from petrelwood.decide.scheduling.records import Function, Worker
 
-CACHED_ORDERS = 64  # functions whose first workers are cached, as popular ones are placed often
-SPARE_WORKERS = 32  # further workers that are ranked, as ranks are spread evenly only by chance
-FURTHER_CACHED = 4  # workers that are cached beyond those that are wanted, as some may be full
-POSITION_BITS = 20  # that a worker's index in the fleet takes beside its rank: up to a million workers
+CACHED_ORDERS = 64  # functions whose first workers are cached, because popular functions are placed often
+SPARE_WORKERS = 32  # additional workers below the rank limit, because ranks are only roughly evenly spread
+FURTHER_CACHED = 4  # workers that are cached in addition to the wanted ones, because some may be full
+POSITION_BITS = 20  # bits for a worker's index in the fleet beside its rank: up to a million workers
 
 
 class WorkerOrder:
     """The workers in each function's order.
 
     Attributes:
-        cached: the first workers of a function, by its key; the oldest entry goes first.
+        hashes: the hashes of the usable workers, in the order of `Fleet.usable`.
+        cached: the first workers of a function, by its key; the oldest entry is evicted first.
     """
 
     def __init__(self, fleet: Fleet, popularity: Popularity) -> None:
@@ -32,16 +33,16 @@
         self.cached: dict[str, list[Worker]] = {}
 
     def fleet_changed(self) -> None:
-        """Forget the cached orders, as the endpoint list has changed."""
+        """Clear the cached orders, as the endpoint list has changed."""
         self.hashes = [worker.hash for worker in self.fleet.usable]
         self.cached.clear()
 
     def workers_for(self, function: Function) -> Iterator[Worker]:
         """Yield all usable workers in the function's order.
 
-        A function that other dispatchers call too needs several workers. Its first workers, as many as that,
-        come in this dispatcher's own order, those of its zone first: else all dispatchers would send their
-        few calls to the same one.
+        A function that other dispatchers also call needs several workers. That number of its first workers
+        is yielded in this dispatcher's own order, the workers of its zone first. Otherwise all dispatchers
+        would send their few calls to the same worker.
         """
         wanted = max(0, self.popularity.wanted_copies(function))
         size = len(self.fleet.usable)
@@ -58,10 +59,10 @@
             yield from islice(self.first_by_hash(function, size), len(first), None)
 
     def first_by_hash(self, function: Function, count: int) -> list[Worker]:
-        """Return the first workers of the fleet by rank, `count` of them at least.
+        """Return the first workers of the fleet by rank, at least `count` of them.
 
-        Ranks are spread evenly: only those below a limit that a few more will be below are sorted, so that a
-        large fleet costs one multiplication a worker.
+        Ranks are spread evenly, so only those below a limit are sorted; the limit is chosen such that a few
+        more than `count` are below it. A large fleet thus costs one multiplication per worker.
         """
         salt = function.hash
         mask = HASH_MASK
--- a/petrelwood/simulator_adapter.py
+++ b/petrelwood/simulator_adapter.py
@@ -1,8 +1,8 @@
-"""The adapter: speaks the simulator's protocol on standard input and output.
+"""The adapter to the simulator's protocol on standard input and output.
 
-`python -m petrelwood.simulator_adapter` reads one frame a line and answers each with one. It hosts any number
-of schedulers, which share nothing, and translates names, units and reasons only: each event of a frame
-becomes one call of its scheduler, each call of its outlet one order of the answer.
+`python -m petrelwood.simulator_adapter` reads one frame per line and answers each frame with one line. It
+hosts any number of independent schedulers. It only translates names, units and reasons: each event in a frame
+becomes one call of its scheduler, and each call of the scheduler's outlet becomes one order in the answer.
 """
 
 import sys
@@ -19,13 +19,13 @@
 from petrelwood.node.module_terms import module_terms
 
 Event = dict[str, Any]
-"""An event of a frame, as the simulator sends it; whatever it lacks is reported by name."""
+"""An event in a frame, as the simulator sends it; a missing field is reported by its name."""
 Order = dict[str, object]
-"""An order of the answer."""
+"""An order in the answer."""
 
 US: Final = 1_000  # ns in the protocol's unit of time
-US_A_MS: Final = 1_000
-NOTE_MASK: Final = 7  # of an end's detail: the bits that hold a `CopyNote`
+US_PER_MS: Final = 1_000
+NOTE_MASK: Final = 7  # the bits of an end's `detail` that hold a `CopyNote`
 REASONS: Final = {
     "GOOD": ports.EndReason.COMPLETED,
     "BAD": ports.EndReason.ERROR,
@@ -41,13 +41,13 @@
 
 
 class OrderOutlet:
-    """Outlet of one scheduler: collects the orders of the frame in hand."""
+    """Outlet of one scheduler: collects the orders for the answer to the current frame."""
 
     def __init__(self) -> None:
         self.orders: list[Order] = []
 
     def send(self, activation_id: str, worker: str, limit: int) -> None:
-        """Send an activation to a worker; `limit` (ns): how long the attempt may take."""
+        """Send an activation to a worker; `limit`: the attempt's timeout in ns."""
         self.orders.append({"t": "callOut", "corr": activation_id, "runner": worker, "allowFor": limit // US})
 
     def reject(self, activation_id: str, retry_after: int) -> None:
@@ -67,11 +67,11 @@
         self.orders.append({"t": "startCopy", "callee": function, "runner": worker, "nInst": copies})
 
     def check_health(self, worker: str) -> None:
-        """Ask a worker for a load report."""
+        """Request a load report from a worker."""
         self.orders.append({"t": "askLoad", "runner": worker})
 
     def set_timer(self, mark: str, wait: int) -> None:
-        """Set a timer; `wait` (ns) is rounded up, so that it never fires early."""
+        """Set a timer; `wait` (ns) is rounded up, so that the timer never fires early."""
         self.orders.append({"t": "sleep", "mark": mark, "wait": -(-wait // US)})
 
     def request_endpoint_list(self) -> None:
@@ -80,12 +80,12 @@
 
 
 class Adapter:
-    """The schedulers of this process, and the endpoint lists that the simulator has numbered.
+    """The schedulers of this process, and the endpoint lists that the simulator has registered.
 
     Attributes:
-        lists: the numbered lists.
-        schedulers: the schedulers that run, by the dispatcher's id.
-        outlets: their outlets.
+        lists: the registered endpoint lists, by page number.
+        schedulers: the running schedulers, by dispatcher id.
+        outlets: their outlets, by dispatcher id.
     """
 
     def __init__(self) -> None:
@@ -101,27 +101,27 @@
             "directoryUpdate": self._endpoints_changed,
             "left": _client_departed,
             "streaming": _stream_started,
-            "fromPeer": _pass_over,
+            "fromPeer": _ignore,
         }
 
     def handle_frame(self, frame: Event) -> Event:
-        """Return the answer to a frame: the orders of each dispatcher that gives any.
+        """Return the answer to a frame: the orders of each dispatcher that has any.
 
         Raises:
-            KeyError: A field is missing, or a word is unknown.
+            KeyError: A field is missing, or its value is unknown.
             ValueError: An event is of an unknown kind, or for a dispatcher that was not started.
         """
         now = frame["simTime"] * US
-        touched: dict[str, None] = {}  # in the order of the frame
+        addressed: dict[str, None] = {}  # dispatchers with events, in the order of the frame
         for group in frame["dispatchers"]:
             dispatcher = group.get("dispatcherId")
             for event in group["in"]:
                 if event["t"] == "register":
                     self.lists[event["page"]] = [decode_endpoint(entry) for entry in event["elements"]]
                 else:
-                    touched[dispatcher] = None
+                    addressed[dispatcher] = None
                     self._handle_event(now, dispatcher, event)
-        return {"turn": frame["turn"], "dispatchers": self._take_orders(touched)}
+        return {"turn": frame["turn"], "dispatchers": self._take_orders(addressed)}
 
     def _take_orders(self, dispatchers: dict[str, None]) -> list[Event]:
         groups = []
@@ -163,7 +163,7 @@
 
 
 def decode_endpoint(entry: Event) -> ports.EndpointEntry:
-    """Return an entry of an endpoint list."""
+    """Decode an entry of an endpoint list."""
     return ports.EndpointEntry(
         worker=entry["runner"],
         zone=entry.get("rackZone") or "",
@@ -182,7 +182,7 @@
         due=event["due"] * US,
         slots=int(event.get("width") or 1),
         work_hint=(event.get("work") or 0) * US,
-        load_time=int((event.get("loadTimeMs") or 0) * US_A_MS * US),
+        load_time=int((event.get("loadTimeMs") or 0) * US_PER_MS * US),
     )
     scheduler.activation_arrived(now, arrival)
 
@@ -227,12 +227,12 @@
     scheduler.stream_started(now, event["corr"], event["n"], event["runner"])
 
 
-def _pass_over(scheduler: Scheduler, now: int, event: Event) -> None:
-    """Pass over an event that the scheduler has no use for."""
+def _ignore(scheduler: Scheduler, now: int, event: Event) -> None:
+    """Ignore an event that the scheduler does not need."""
 
 
 def describe_fault(number: int, fault: Exception) -> str:
-    """Return what is wrong with line `number`, with the place in the scheduler if the fault is there."""
+    """Return the error message for line `number`, with the source line if the scheduler failed."""
     place = traceback.extract_tb(fault.__traceback__)[-1]
     file = Path(place.filename)
     if file.parent.name == "scheduling":
@@ -245,7 +245,7 @@
     """Answer the frames on standard input.
 
     Returns:
-        0 at the end of the input, or the fault that ended the process, with the line's number.
+        0 at the end of the input, or the error message of the fault that ended the process.
     """
     adapter = Adapter()
     for number, line in enumerate(sys.stdin.buffer, 1):
@@ -255,7 +255,7 @@
             answer = adapter.handle_frame(orjson.loads(line))
         except orjson.JSONDecodeError as fault:
             return f"petrelwood: line {number} is not JSON: {fault}"
-        except Exception as fault:  # the boundary of the process: whatever it is ends it with its place
+        except Exception as fault:  # process boundary: any fault ends the process and is reported
             return describe_fault(number, fault)
         sys.stdout.buffer.write(orjson.dumps(answer) + b"\n")
         sys.stdout.buffer.flush()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -182,8 +182,8 @@
     module = parts.scheduler(workers)
     fn = Function("new")
     for _ in range(earlier):
-        module.placement.first_open_workers(fn, None, SECOND)
-    return counting.operations(module.placement.first_open_workers, fn, None, SECOND)
+        module.placement.first_eligible_workers(fn, None, SECOND)
+    return counting.operations(module.placement.first_eligible_workers, fn, None, SECOND)
 
 
 class Operations(unittest.TestCase):
