--- a/petrelwood/decide/scheduling/actions.py
+++ b/petrelwood/decide/scheduling/actions.py
@@ -51,7 +51,7 @@
     ) -> None:
         terms = parameters.terms
         self.allowed = terms.allowed
-        self.health_check_cost = terms.health_check_cost
+        self.cost_per_check = terms.health_check_cost
         self.draw = parameters.draw
         self.sweep_interval = parameters.sweep_interval
         self.load_validity = parameters.target_latency // LOAD_VALIDITY_DIVISOR  # ns
@@ -121,7 +121,7 @@
         Returns:
             Whether any of the workers has not answered a recent health check.
         """
-        cost = self.health_check_cost
+        cost = self.cost_per_check
         is_too_expensive = cost > MAX_HEALTH_CHECK_COST and self.draw() * cost > MAX_HEALTH_CHECK_COST
         if self.allowed.probe and not is_too_expensive:
             for worker in workers:
--- a/petrelwood/decide/scheduling/slow_start.py
+++ b/petrelwood/decide/scheduling/slow_start.py
@@ -77,16 +77,16 @@
         core if that is higher. A fraction of an attempt is rounded up or down at random, so that all
         dispatchers together keep the budget on average.
         """
-        guarantees = self.guarantees
+        platform = self.guarantees
         capacity = (
-            guarantees.initial_capacity_share
-            + (1 - guarantees.initial_capacity_share)
+            platform.initial_capacity_share
+            + (1 - platform.initial_capacity_share)
             * step
-            * guarantees.slow_start_window
-            / guarantees.warm_up_time
+            * platform.slow_start_window
+            / platform.warm_up_time
         )
         warm_time = max(
-            self.warm_worker_time.lower_bound(now), max(1, self.warm_workers) * guarantees.warm_up_time
+            self.warm_worker_time.lower_bound(now), max(1, self.warm_workers) * platform.warm_up_time
         )
         estimates = self.estimates
         # Without hints the usual service time may still be the initial guess; the answer time is more
@@ -94,10 +94,6 @@
         work = max(estimates.usual_service_time, estimates.mean_arriving_work or estimates.mean_answer_time)
         rate = max(self.warm_answers.lower_bound(now) / warm_time, 1 / work / self.dispatchers)
         return int(
-            guarantees.crash_load_multiple
-            / CRASH_LOAD_DIVISOR
-            * capacity
-            * rate
-            * guarantees.slow_start_window
+            platform.crash_load_multiple / CRASH_LOAD_DIVISOR * capacity * rate * platform.slow_start_window
             + self.draw()
         )
