--- a/tests/scheduler_driver.py
+++ b/tests/scheduler_driver.py
@@ -106,10 +106,10 @@
             self.scheduler.timer_fired(self.now, mark)
         self.now = ms * MS
 
-    def arrive(self, *acts, fn=1, slots=1, timeout=3000, customer="", work=0, load_time=300):
+    def arrive(self, *acts, fn=1, slots=1, timeout=3000, customer="", work=0, loading_time=300):
         for act in acts:
             due = self.now + timeout * MS
-            arrival = ports.Arrival(act, fn, "plain", customer, due, slots, work * MS, load_time * MS)
+            arrival = ports.Arrival(act, fn, "plain", customer, due, slots, work * MS, loading_time * MS)
             self.scheduler.activation_arrived(self.now, arrival)
 
     def answer(self, act, worker, reason=ports.EndReason.COMPLETED, attempt=0, duration=100, note=1):
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -111,7 +111,7 @@
 
     def test_a_load_of_minutes_is_neither_forgotten_nor_followed_by_others(self):
         d = SchedulerDriver("long_load", workers="abcdef", loads_on_send=False, target_latency=2000)
-        d.arrive("x1", timeout=90_000, load_time=30_000)
+        d.arrive("x1", timeout=90_000, loading_time=30_000)
         worker = d.lines[0][-1]
         d.answer("x1", worker, ports.EndReason.MISSING, duration=5)
         d.advance_to(29_000)
@@ -123,7 +123,7 @@
 
     def test_a_load_time_that_nothing_tells_is_learnt(self):
         d = SchedulerDriver("load_learnt", workers="ab", loads_on_send=False)
-        d.arrive("x1", load_time=0)
+        d.arrive("x1", loading_time=0)
         d.answer("x1", d.lines[0][-1], ports.EndReason.MISSING, duration=5)
         d.advance_to(700)
         d.scheduler.load_order_ended(
@@ -189,10 +189,10 @@
         self.assertGreater(counts[0.08], 0)
 
     def test_work_beyond_a_share_that_earns_as_much_is_no_lesser_work(self):
-        for utility, is_over_quota in ((0.1, True), (1.0, False)):
+        for utility, expected in ((0.1, True), (1.0, False)):
             d = SchedulerDriver("", workers="a", quotas=(("acme", 1.0),), over_quota_utility=utility)
             d.arrive(*(f"x{i}" for i in range(9)), customer="acme")
-            self.assertEqual(d.scheduler.activations["x8"].is_over_quota, is_over_quota)
+            self.assertEqual(d.scheduler.activations["x8"].is_over_quota, expected)
 
     def test_times_of_zero_divide_nothing(self):
         """A worker starts at a time ahead of the dispatcher's clock, while the warm-up time, the slow start
