--- a/tests/cold_budget.py
+++ b/tests/cold_budget.py
@@ -1,16 +1,18 @@
-"""A judge of rule 4, with a book of its own: what all dispatchers together send to workers that have just
-started, held against what the settings say that such a worker bears.
-
-Real `Scheduler` instances, as many as a case has dispatchers, share scripted workers, clients and one clock;
-no socket and no loop. Messages take `TRANSIT` each way, whatever else takes time is drawn from one seeded
-generator. Times are whole nanoseconds, but for a case's own figures, which are in milliseconds.
-
-The book of one start of a worker: a window is as long as the settings' `fall`, and ends at an arrival. N is
-what the worker bears in it: multiple x present capacity x window / mean work, with the capacity that the
-settings vouch for at that age, rising evenly from the cold part to the whole. An arrival weighs as the mean
-work of its type does against that of all types, whatever becomes of it. Over N + 2 x root of N + 2 the worker
-falls, and the rule is broken where over two thirds of that window came from dispatchers that had been told of
-the start."""
+"""An independent check of rule 4: the load that all dispatchers together send to workers that have just
+started must not exceed what such a worker tolerates according to the settings.
+
+Real `Scheduler` instances, one per dispatcher of the case, share scripted workers, clients and one virtual
+clock; there are no sockets and no event loop. Messages take `TRANSIT` each way; all other durations are drawn
+from one seeded generator. Times are integer nanoseconds, except the values of a `Case`, which are
+milliseconds.
+
+A `Book` accounts for one start of a worker. A window is as long as the slow start window of the settings
+(`fall`) and ends at an arrival. N is the load that the worker tolerates in a window: crash load multiple x
+present capacity x window / mean work, where the capacity guaranteed by the settings rises linearly with the
+worker's age from the initial share to the whole. The weight of an arrival is the mean work of its type
+relative to that of all types, whatever becomes of it. Above N + 2 x root of N + 2 the worker crashes, for N
+under 30 above N + 3 x root of N + 3. The rule is broken if more than two thirds of that window came from
+dispatchers that had been notified of the start."""
 
 import heapq
 import itertools
@@ -26,91 +28,91 @@
 MS = 1_000_000
 SECOND = 1000 * MS
 TRANSIT = MS // 2
-TOLD_PART = 2 / 3
-SMALL_BUDGET = 30  # a budget under it has the wider bound
-LANES = 4  # activations that one copy runs at a time
-QUEUE = 8  # activations that wait at a worker, for each core
+NOTIFIED_SHARE = 2 / 3
+SMALL_BUDGET = 30  # budgets below this have the wider bound
+SLOTS = 4  # activations that one copy runs concurrently
+QUEUE_PER_CORE = 8  # maximum number of activations queued at a worker, per core
 
 
 @dataclass
 class Case:
-    """One play. Times in ms; `used` is the part of the warm fleet's capacity that clients ask for."""
+    """The parameters of one simulated run. Times are in ms."""
 
     seed: int = 1
     dispatchers: int = 25
     workers: int = 8
     cores: int = 4
     works: tuple = (200,)  # mean work of each type
-    used: float = 0.6
-    unequal: float = 1.0  # a fifth of the dispatchers see so many times the traffic of the others
+    utilization: float = 0.6  # share of the warm fleet's capacity that clients request
+    heavy_factor: float = 1.0  # traffic of a fifth of the dispatchers relative to the others
     functions: int = 24
-    load: int = 400
-    target: int = 1000
+    load_time: int = 400
+    target_latency: int = 1000
     stretch: float = 0.0
-    cold: int = 8000
-    cold_part: float = 0.2
-    multiple: float = 2.5
-    fall: int = 1500
+    warm_up_time: int = 8000
+    initial_capacity_share: float = 0.2
+    crash_load_multiple: float = 2.5
+    slow_start_window: int = 1500
     loads_on_send: bool = True
-    retries: float = 0.5  # of the clients that are turned away, so many ask again
-    warm_up: int = 9000  # nothing restarts before
-    restarted: float = 0.25  # part of the workers
-    steps: int = 1  # so many groups of them, `apart` from each other
-    apart: int = 1000
-    away: int = 1000  # so long they have been gone before, and all know it
-    told: tuple = (0, 20)  # how long after a start the first and the last dispatcher is told
-    gone_told: tuple = (0, 0)  # likewise after its end
-    fresh: bool = False  # all dispatchers are restarted with the first workers and have learnt nothing
-    killed: tuple = ()  # all dispatchers are killed and started anew, so long after the first restart
-    slow: float = 1.0  # the speed of those that restart, against the others
+    retry_share: float = 0.5  # share of the rejected clients that retry
+    first_restart_at: int = 9000  # time of the first restart
+    restart_share: float = 0.25  # share of the workers that restart
+    restart_groups: int = 1  # number of groups in which they restart, `group_interval` apart
+    group_interval: int = 1000
+    downtime: int = 1000  # time for which they were stopped before, as all dispatchers know
+    start_notice: tuple = (0, 20)  # delays after a start until the first and the last notice
+    stop_notice: tuple = (0, 0)  # the same after a stop
+    restarts_dispatchers: bool = False  # all dispatchers restart with the first workers, without any state
+    dispatcher_kills: tuple = ()  # times after the first restart at which all dispatchers restart
+    restarted_speed: float = 1.0  # speed of the restarted workers relative to the others
     tick: int = 10
-    hints: bool = True  # clients tell roughly how much work an activation is
-    swing: float = 1.0  # a burst: traffic is so many times as much for `burst`
-    burst: tuple = ()  # from, until
+    hints: bool = True  # requests carry an approximate work hint
+    burst_factor: float = 1.0  # factor of the traffic during `burst_period`
+    burst_period: tuple = ()  # start and end of the burst
 
 
 def bound(budget):
-    """Requests of mean work in one window that a worker bears with a budget of so many."""
+    """Return the number of requests of mean work per window that a worker tolerates with this budget N."""
     if budget < SMALL_BUDGET:
         return budget + 3 * math.sqrt(budget) + 3
     return narrow_bound(budget)
 
 
 def narrow_bound(budget):
-    """What it was for each budget, and is for those that are not small."""
+    """Return the narrower bound, which is the bound for budgets that are not small."""
     return budget + 2 * math.sqrt(budget) + 2
 
 
-class Fall(NamedTuple):
-    """A window that was over its bound: when (ns after the start), what arrived in it, N, and the part of it
-    that came from dispatchers that had been told."""
+class Crash(NamedTuple):
+    """A window over its bound: its end (ns after the start), the load that arrived in it, N, and the share of
+    the load from dispatchers that had been notified."""
 
     age: int
     arrived: float
     budget: float
-    told: float
+    notified_share: float
 
 
 class Book:
-    """Of one start of one worker."""
+    """The accounts of one start of one worker."""
 
     def __init__(self, terms, capacity, started):
-        """`capacity`: requests of mean work a second, warm."""
+        """`capacity`: requests of mean work per second when warm."""
         self.guarantees, self.capacity, self.started = terms.guarantees, capacity, started
-        self.window, self.sum, self.told, self.falls = deque(), 0.0, {}, []
-        self.narrow_falls = []
-        self.largest, self.highest, self.total, self.most = 0.0, 0.0, 0, 0
+        self.window, self.sum, self.notified, self.crashes = deque(), 0.0, {}, []
+        self.narrow_crashes = []
+        self.max_bound_ratio, self.max_budget_ratio, self.total, self.most = 0.0, 0.0, 0, 0
 
     def budget(self, age):
-        """N at that age (ns)."""
+        """Return N at this age (ns)."""
         guarantees = self.guarantees
-        part = (
+        share = (
             guarantees.initial_capacity_share
             + (1 - guarantees.initial_capacity_share) * age / guarantees.warm_up_time
         )
-        return guarantees.crash_load_multiple * part * self.capacity * guarantees.slow_start_window / SECOND
+        return guarantees.crash_load_multiple * share * self.capacity * guarantees.slow_start_window / SECOND
 
-    def arrives(self, now, dispatcher, weight):
+    def record_arrival(self, now, dispatcher, weight):
         age = now - self.started
         if age >= self.guarantees.warm_up_time:
             return
@@ -120,59 +122,68 @@
         while now - self.window[0][0] > self.guarantees.slow_start_window:
             self.sum -= self.window.popleft()[2]
         budget = self.budget(age)
-        self.largest = max(self.largest, self.sum / bound(budget))
-        self.highest = max(self.highest, self.sum / budget)
+        self.max_bound_ratio = max(self.max_bound_ratio, self.sum / bound(budget))
+        self.max_budget_ratio = max(self.max_budget_ratio, self.sum / budget)
         if self.sum > narrow_bound(budget):
-            told = sum(w for at, who, w in self.window if self.told.get(who, at + 1) <= at)
-            fall = Fall(age, self.sum, budget, told / self.sum)
-            self.narrow_falls.append(fall)
+            notified = sum(w for at, who, w in self.window if self.notified.get(who, at + 1) <= at)
+            crash = Crash(age, self.sum, budget, notified / self.sum)
+            self.narrow_crashes.append(crash)
             if self.sum > bound(budget):
-                self.falls.append(fall)
+                self.crashes.append(crash)
 
-    def broken(self):
-        """The first fall breaks the rule, if those that were told answer for it."""
-        return bool(self.falls) and self.falls[0].told > TOLD_PART
+    def is_broken(self):
+        """Return whether the first crash breaks the rule, as notified dispatchers caused it."""
+        return bool(self.crashes) and self.crashes[0].notified_share > NOTIFIED_SHARE
 
-    def narrowly_broken(self):
-        """The same under the narrower bound."""
-        return bool(self.narrow_falls) and self.narrow_falls[0].told > TOLD_PART
+    def is_narrowly_broken(self):
+        """Return the same for the narrower bound."""
+        return bool(self.narrow_crashes) and self.narrow_crashes[0].notified_share > NOTIFIED_SHARE
 
 
 class Job:
-    __slots__ = ("dispatcher", "act", "n", "fn", "work", "came", "note", "over")
-
-    def __init__(self, dispatcher, act, n, fn, work, came):
-        self.dispatcher, self.act, self.n, self.fn, self.work, self.came = dispatcher, act, n, fn, work, came
-        self.note, self.over = ports.CopyNote.FOUND_WARM, False
+    __slots__ = ("dispatcher", "act", "n", "fn", "work", "sent_at", "note", "is_over")
+
+    def __init__(self, dispatcher, act, n, fn, work, sent_at):
+        self.dispatcher, self.act, self.n, self.fn, self.work, self.sent_at = (
+            dispatcher,
+            act,
+            n,
+            fn,
+            work,
+            sent_at,
+        )
+        self.note, self.is_over = ports.CopyNote.FOUND_WARM, False
 
 
 class Worker:
-    """Cores that run one activation each, a queue, copies that load and stay. It never falls: its book
-    tells whether it would have."""
+    """A worker with cores that run one activation each, a queue, and copies that load and stay loaded. It
+    never crashes; its book tells whether it would have."""
 
     def __init__(self, world, name, speed=1.0):
         self.world, self.name, self.speed, self.booted, self.book = world, name, speed, 0, None
-        self.copies, self.loading, self.queue, self.running, self.life = set(), {}, deque(), 0, 0
+        self.copies, self.loading, self.queue, self.running, self.incarnation = set(), {}, deque(), 0, 0
         self.usable = True
 
     def stop(self):
-        """What it held is lost with its connections."""
+        """Stop the worker: its activations are lost with its connections."""
         for job in self.queue:
-            self.world.end(job, self, ports.EndReason.RESET)
+            self.world.end_job(job, self, ports.EndReason.RESET)
         for fn, waiting in self.loading.items():
-            for waits in waiting:
-                if isinstance(waits, Job):
-                    self.world.end(waits, self, ports.EndReason.RESET)
+            for waiter in waiting:
+                if isinstance(waiter, Job):
+                    self.world.end_job(waiter, self, ports.EndReason.RESET)
                 else:
-                    self.world.later(TRANSIT, waits.stands, self, fn, ports.EndReason.RESET, 0)
+                    self.world.call_later(
+                        TRANSIT, waiter.load_order_ended, self, fn, ports.EndReason.RESET, 0
+                    )
         self.copies, self.loading, self.queue, self.running = set(), {}, deque(), 0
-        self.usable, self.life = False, self.life + 1
+        self.usable, self.incarnation = False, self.incarnation + 1
 
     def start(self, book):
         self.usable, self.booted, self.book = True, self.world.now, book
 
-    def part(self):
-        """Of its warm capacity, what it can do now."""
+    def capacity_share(self):
+        """Return the present share of its warm capacity."""
         guarantees, age = self.world.terms.guarantees, self.world.now - self.booted
         if not self.booted or age >= guarantees.warm_up_time:
             return self.speed
@@ -183,12 +194,12 @@
 
     def arrives(self, job, weight):
         if not self.usable:
-            self.world.end(job, self, ports.EndReason.NO_CONNECTION)
+            self.world.end_job(job, self, ports.EndReason.NO_CONNECTION)
             return
         if self.book:
-            self.book.arrives(self.world.now, job.dispatcher, weight)
+            self.book.record_arrival(self.world.now, job.dispatcher, weight)
         if job.fn in self.copies:
-            self.enter(job)
+            self.enqueue(job)
         elif job.fn in self.loading:
             job.note = ports.CopyNote.AWAITED_LOAD
             self.loading[job.fn].append(job)
@@ -196,59 +207,61 @@
             job.note = ports.CopyNote.BEGAN_LOAD
             self.load(job.fn, job)
         else:
-            self.world.end(job, self, ports.EndReason.MISSING)
+            self.world.end_job(job, self, ports.EndReason.MISSING)
 
-    def enter(self, job):
+    def enqueue(self, job):
         if self.running < self.world.case.cores:
             self.run(job)
-        elif len(self.queue) < QUEUE * self.world.case.cores:
+        elif len(self.queue) < QUEUE_PER_CORE * self.world.case.cores:
             self.queue.append(job)
         else:
-            self.world.end(job, self, ports.EndReason.FULL)
+            self.world.end_job(job, self, ports.EndReason.FULL)
 
     def run(self, job):
         self.running += 1
-        self.world.later(int(job.work / self.part()), self.ran, job, self.life)
+        self.world.call_later(int(job.work / self.capacity_share()), self.finish_run, job, self.incarnation)
 
-    def ran(self, job, life):
-        if life != self.life:
-            self.world.end(job, self, ports.EndReason.RESET)
+    def finish_run(self, job, incarnation):
+        if incarnation != self.incarnation:
+            self.world.end_job(job, self, ports.EndReason.RESET)
             return
         self.running -= 1
-        self.world.end(job, self, ports.EndReason.COMPLETED)
+        self.world.end_job(job, self, ports.EndReason.COMPLETED)
         while self.queue and self.running < self.world.case.cores:
-            waits = self.queue.popleft()
-            if not waits.over:
-                self.run(waits)
-
-    def load(self, fn, waits=None):
-        """`waits`: a job, or the dispatcher that has ordered the copy."""
-        self.loading[fn] = [waits]
-        took = int(self.world.chance.uniform(0.5, 1.5) * self.world.case.load * MS)
-        self.world.later(took, self.loaded, fn, self.life)
-
-    def loaded(self, fn, life):
-        if life == self.life:
+            waiter = self.queue.popleft()
+            if not waiter.is_over:
+                self.run(waiter)
+
+    def load(self, fn, waiter=None):
+        """`waiter`: a job, or the dispatcher that ordered the copy."""
+        self.loading[fn] = [waiter]
+        duration = int(self.world.random.uniform(0.5, 1.5) * self.world.case.load_time * MS)
+        self.world.call_later(duration, self.finish_load, fn, self.incarnation)
+
+    def finish_load(self, fn, incarnation):
+        if incarnation == self.incarnation:
             self.copies.add(fn)
-            for waits in self.loading.pop(fn):
-                if isinstance(waits, Job):
-                    self.enter(waits)
+            for waiter in self.loading.pop(fn):
+                if isinstance(waiter, Job):
+                    self.enqueue(waiter)
                 else:
-                    self.world.later(TRANSIT, waits.stands, self, fn)
+                    self.world.call_later(TRANSIT, waiter.load_order_ended, self, fn)
 
-    def ordered(self, dispatcher, fn):
+    def order_load(self, dispatcher, fn):
         if not self.usable:
-            self.world.later(TRANSIT, dispatcher.stands, self, fn, ports.EndReason.NO_CONNECTION, 0)
+            self.world.call_later(
+                TRANSIT, dispatcher.load_order_ended, self, fn, ports.EndReason.NO_CONNECTION, 0
+            )
         elif fn in self.copies:
-            self.world.later(TRANSIT, dispatcher.stands, self, fn)
+            self.world.call_later(TRANSIT, dispatcher.load_order_ended, self, fn)
         elif fn in self.loading:
             self.loading[fn].append(dispatcher)
         else:
             self.load(fn, dispatcher)
 
 
-class Asked:
-    """An activation that no final answer has ended."""
+class PendingActivation:
+    """An activation without a final answer."""
 
     __slots__ = ("fn", "type", "work", "sends")
 
@@ -260,109 +273,116 @@
     """A real `Scheduler` and its outlet."""
 
     def __init__(self, world, rate):
-        """`rate`: activations a second."""
-        self.world, self.rate, self.jobs, self.scheduler, self.life = world, rate, {}, None, 0
+        """`rate`: activations per second."""
+        self.world, self.rate, self.jobs, self.scheduler, self.incarnation = world, rate, {}, None, 0
 
-    def begin(self):
-        """A new life that knows the list and nothing else. Who waits for the one before is lost."""
+    def restart(self):
+        """Start a new incarnation that knows only the endpoint list; the previous one's requests are lost."""
         for act, _ in self.jobs:
-            self.world.acts.pop(act, None)
-        self.jobs, self.life = {}, self.life + 1
-        self.scheduler = Scheduler(self.world.now, self.world.terms, self.world.chance.getrandbits(60), self)
+            self.world.activations.pop(act, None)
+        self.jobs, self.incarnation = {}, self.incarnation + 1
+        self.scheduler = Scheduler(self.world.now, self.world.terms, self.world.random.getrandbits(60), self)
         self.scheduler.endpoints_changed(
-            self.world.now, [self.world.listed(w) for w in self.world.workers], True
+            self.world.now, [self.world.entry_of(w) for w in self.world.workers], True
         )
 
-    # What `ports.Outlet` names.
+    # The methods of `ports.Outlet`.
     def send(self, act, worker, limit):
-        world, asked = self.world, self.world.acts[act]
-        job = Job(self, act, asked.sends, asked.fn, asked.work, world.now)
-        asked.sends += 1
+        world, activation = self.world, self.world.activations[act]
+        job = Job(self, act, activation.sends, activation.fn, activation.work, world.now)
+        activation.sends += 1
         self.jobs[act, job.n] = job
         world.sends += 1
-        world.later(TRANSIT, world.by_name[worker].arrives, job, world.weights[asked.type])
+        world.call_later(TRANSIT, world.by_name[worker].arrives, job, world.weights[activation.type])
 
     def reject(self, act, retry_after):
         world = self.world
         world.rejected += 1
-        asked = world.acts.pop(act)
-        if world.chance.random() < world.case.retries:
-            again = retry_after + int(world.chance.random() * 300 * MS)
-            world.later(again, world.ask, self, asked.fn, asked.type)
+        activation = world.activations.pop(act)
+        if world.random.random() < world.case.retry_share:
+            delay = retry_after + int(world.random.random() * 300 * MS)
+            world.call_later(delay, world.send_request, self, activation.fn, activation.type)
 
     def abort(self, act):
         self.world.aborted += 1
-        self.world.acts.pop(act)
+        self.world.activations.pop(act)
 
     def cancel(self, act, n):
         if job := self.jobs.get((act, n)):
-            job.over = True
-            self.world.later(0, self.ended, job, "", ports.EndReason.CANCELLED)
+            job.is_over = True
+            self.world.call_later(0, self.attempt_ended, job, "", ports.EndReason.CANCELLED)
 
     def order_load(self, worker, fn, copies):
-        self.world.later(TRANSIT, self.world.by_name[worker].ordered, self, fn)
+        self.world.call_later(TRANSIT, self.world.by_name[worker].order_load, self, fn)
 
     def check_health(self, worker):
-        raise AssertionError("no probe is allowed here")
+        raise AssertionError("a health check was sent, but none are allowed")
 
     def request_endpoint_list(self):
-        raise AssertionError("the list is told here")
+        raise AssertionError("the endpoint list was requested, but it is pushed")
 
     def set_timer(self, mark, wait):
-        self.world.later(wait, self.rings, self.life, mark)
+        self.world.call_later(wait, self.timer_fired, self.incarnation, mark)
 
-    # What the world tells.
-    def rings(self, life, mark):
-        if life == self.life:
+    # Events.
+    def timer_fired(self, incarnation, mark):
+        if incarnation == self.incarnation:
             self.scheduler.timer_fired(self.world.now, mark)
 
-    def told(self, worker, booted):
+    def notify(self, worker, booted):
         if worker.booted == booted:
             if worker.usable:
-                worker.book.told.setdefault(self, self.world.now)
-            self.scheduler.endpoints_changed(self.world.now, [self.world.listed(worker)], False)
+                worker.book.notified.setdefault(self, self.world.now)
+            self.scheduler.endpoints_changed(self.world.now, [self.world.entry_of(worker)], False)
 
-    def stands(self, worker, fn, code=ports.EndReason.COMPLETED, copies=1):
-        self.scheduler.load_order_ended(self.world.now, worker.name, fn, code, copies)
+    def load_order_ended(self, worker, fn, reason=ports.EndReason.COMPLETED, copies=1):
+        self.scheduler.load_order_ended(self.world.now, worker.name, fn, reason, copies)
 
-    def ended(self, job, worker, code):
+    def attempt_ended(self, job, worker, reason):
         if self.jobs.pop((job.act, job.n), None) is None:
             return
-        over = code == ports.EndReason.COMPLETED and job.act in self.world.acts
-        if over:
+        is_final = reason == ports.EndReason.COMPLETED and job.act in self.world.activations
+        if is_final:
             self.world.completed += 1
-            del self.world.acts[job.act]
-        note = job.note if code == ports.EndReason.COMPLETED else 0
-        took = self.world.now - job.came
-        end = ports.AttemptEnd(job.act, job.n, worker, code, note, over, took, None)
+            del self.world.activations[job.act]
+        note = job.note if reason == ports.EndReason.COMPLETED else 0
+        duration = self.world.now - job.sent_at
+        end = ports.AttemptEnd(job.act, job.n, worker, reason, note, is_final, duration, None)
         self.scheduler.attempt_ended(self.world.now, end)
 
 
 class World:
     def __init__(self, case):
-        self.case, self.chance, self.now, self.events = case, random.Random(case.seed), 0, []
-        self.order, self.ids, self.acts = itertools.count(), itertools.count(), {}
+        self.case, self.random, self.now, self.events = case, random.Random(case.seed), 0, []
+        self.event_order, self.ids, self.activations = itertools.count(), itertools.count(), {}
         self.sends = self.rejected = self.aborted = self.completed = 0
         self.terms, mean = self._terms(), sum(case.works) / len(case.works)
         self.weights = {str(n): work / mean for n, work in enumerate(case.works)}
-        self.capacity = case.cores * 1000 / mean  # requests of mean work a second that one worker bears
+        # requests of mean work per second that one warm worker can run
+        self.capacity = case.cores * 1000 / mean
         self.workers = [Worker(self, f"w{n}-{case.seed}") for n in range(case.workers)]
         self.by_name, self.books = {w.name: w for w in self.workers}, []
-        heavy = [case.unequal if n % 5 == 0 else 1.0 for n in range(case.dispatchers)]
-        rate = case.used * self.capacity * case.workers / sum(heavy)
-        self.dispatchers = [Dispatcher(self, rate * part) for part in heavy]
+        weights = [case.heavy_factor if n % 5 == 0 else 1.0 for n in range(case.dispatchers)]
+        rate = case.utilization * self.capacity * case.workers / sum(weights)
+        self.dispatchers = [Dispatcher(self, rate * weight) for weight in weights]
 
     def _terms(self):
         c = self.case
         type_ = ports.NamespaceType(
-            c.target * MS, ports.Effect.REPEATABLE, "all", 0, c.stretch, 4 * c.target * MS
+            c.target_latency * MS, ports.Effect.REPEATABLE, "all", 0, c.stretch, 4 * c.target_latency * MS
         )
         return ports.Terms(
             zone="",
             dispatchers=c.dispatchers,
             types={str(n): type_ for n in range(len(c.works))},
             quotas={},
-            guarantees=ports.Guarantees(0, c.cold * MS, c.cold_part, c.multiple, c.fall * MS),
+            guarantees=ports.Guarantees(
+                0,
+                c.warm_up_time * MS,
+                c.initial_capacity_share,
+                c.crash_load_multiple,
+                c.slow_start_window * MS,
+            ),
             orders=ports.LoadOrders(True, c.loads_on_send, 60_000 * MS, 0, 0, 0),
             allowed=ports.Allowed(3, True, True, False, True, 500 * MS),
             must_request_list=False,
@@ -370,87 +390,96 @@
             tick=c.tick * MS,
         )
 
-    def later(self, wait, call, *args):
-        heapq.heappush(self.events, (self.now + max(0, wait), next(self.order), call, args))
+    def call_later(self, wait, call, *args):
+        heapq.heappush(self.events, (self.now + max(0, wait), next(self.event_order), call, args))
 
-    def listed(self, worker):
+    def entry_of(self, worker):
         return ports.EndpointEntry(worker.name, "", 0, worker.booted, worker.usable)
 
-    def end(self, job, worker, code):
-        job.over = True
-        self.later(TRANSIT, job.dispatcher.ended, job, worker.name, code)
+    def end_job(self, job, worker, reason):
+        job.is_over = True
+        self.call_later(TRANSIT, job.dispatcher.attempt_ended, job, worker.name, reason)
 
-    def starts(self, dispatcher):
-        dispatcher.begin()
-        self.later(int(self.chance.expovariate(dispatcher.rate) * SECOND), self.comes, dispatcher)
+    def start_dispatcher(self, dispatcher):
+        dispatcher.restart()
+        self.call_later(
+            int(self.random.expovariate(dispatcher.rate) * SECOND), self.client_arrives, dispatcher
+        )
 
     # Clients.
-    def comes(self, dispatcher):
-        """One activation, and the next one's time."""
+    def client_arrives(self, dispatcher):
+        """Send one activation, and schedule the next one."""
         now, c = self.now / MS, self.case
-        swing = c.swing if c.burst and c.burst[0] <= now < c.burst[1] else 1.0
-        self.later(int(self.chance.expovariate(dispatcher.rate * swing) * SECOND), self.comes, dispatcher)
-        fn = int(c.functions * self.chance.random() ** 2)
-        self.ask(dispatcher, fn, str(self.chance.randrange(len(c.works))))
+        factor = c.burst_factor if c.burst_period and c.burst_period[0] <= now < c.burst_period[1] else 1.0
+        self.call_later(
+            int(self.random.expovariate(dispatcher.rate * factor) * SECOND), self.client_arrives, dispatcher
+        )
+        fn = int(c.functions * self.random.random() ** 2)
+        self.send_request(dispatcher, fn, str(self.random.randrange(len(c.works))))
 
-    def ask(self, dispatcher, fn, type_):
+    def send_request(self, dispatcher, fn, type_):
         act, mean = str(next(self.ids)), self.case.works[int(type_)] * MS
-        work = int(self.chance.gammavariate(2, mean / 2))
-        self.acts[act] = Asked(fn, type_, work)
-        due, hint = self.now + 4 * self.case.target * MS, int(work * self.chance.uniform(0.7, 1.4))
+        work = int(self.random.gammavariate(2, mean / 2))
+        self.activations[act] = PendingActivation(fn, type_, work)
+        due, hint = self.now + 4 * self.case.target_latency * MS, int(work * self.random.uniform(0.7, 1.4))
         hint *= self.case.hints
-        arrival = ports.Arrival(act, fn, type_, "", due, LANES, hint, self.case.load * MS)
+        arrival = ports.Arrival(act, fn, type_, "", due, SLOTS, hint, self.case.load_time * MS)
         dispatcher.scheduler.activation_arrived(self.now, arrival)
 
-    # Troubles.
-    def restarts(self):
+    # Faults.
+    def schedule_restarts(self):
         c = self.case
-        gone = self.workers[: max(1, round(c.restarted * c.workers))]
-        self.later((c.warm_up - c.away) * MS, self.stop, gone)
-        for step in range(c.steps):
-            self.later((c.warm_up + step * c.apart) * MS, self.restart, gone[step :: c.steps], step == 0)
+        restarted = self.workers[: max(1, round(c.restart_share * c.workers))]
+        self.call_later((c.first_restart_at - c.downtime) * MS, self.stop, restarted)
+        for step in range(c.restart_groups):
+            self.call_later(
+                (c.first_restart_at + step * c.group_interval) * MS,
+                self.restart,
+                restarted[step :: c.restart_groups],
+                step == 0,
+            )
 
     def stop(self, workers):
         for worker in workers:
             worker.stop()
             for dispatcher in self.dispatchers:
-                if any(self.case.gone_told):
-                    wait = int(self.chance.uniform(*self.case.gone_told) * MS)
-                    self.later(wait, dispatcher.told, worker, worker.booted)
+                if any(self.case.stop_notice):
+                    delay = int(self.random.uniform(*self.case.stop_notice) * MS)
+                    self.call_later(delay, dispatcher.notify, worker, worker.booted)
                 else:
-                    dispatcher.told(worker, worker.booted)
+                    dispatcher.notify(worker, worker.booted)
 
     def restart(self, workers, first):
         c = self.case
         for worker in workers:
-            worker.speed = c.slow
-            book = Book(self.terms, self.capacity * c.slow, self.now)
+            worker.speed = c.restarted_speed
+            book = Book(self.terms, self.capacity * c.restarted_speed, self.now)
             self.books.append(book)
             worker.start(book)
             for dispatcher in self.dispatchers:
-                if c.fresh and first:
-                    book.told[dispatcher] = self.now
+                if c.restarts_dispatchers and first:
+                    book.notified[dispatcher] = self.now
                 else:
-                    at = int(self.chance.uniform(*c.told) * MS)
-                    self.later(at, dispatcher.told, worker, worker.booted)
-        if c.fresh and first:
+                    delay = int(self.random.uniform(*c.start_notice) * MS)
+                    self.call_later(delay, dispatcher.notify, worker, worker.booted)
+        if c.restarts_dispatchers and first:
             for dispatcher in self.dispatchers:
-                dispatcher.begin()
+                dispatcher.restart()
 
     def kill_dispatchers(self):
         for dispatcher in self.dispatchers:
-            dispatcher.begin()
+            dispatcher.restart()
             for book in self.books:
-                book.told.setdefault(dispatcher, self.now)
+                book.notified.setdefault(dispatcher, self.now)
 
     def play(self):
         for dispatcher in self.dispatchers:
-            self.later(int(self.chance.random() * SECOND), self.starts, dispatcher)
-        self.restarts()
-        for after in self.case.killed:
-            self.later((self.case.warm_up + after) * MS, self.kill_dispatchers)
+            self.call_later(int(self.random.random() * SECOND), self.start_dispatcher, dispatcher)
+        self.schedule_restarts()
+        for after in self.case.dispatcher_kills:
+            self.call_later((self.case.first_restart_at + after) * MS, self.kill_dispatchers)
         c = self.case
-        end = (c.warm_up + (c.steps - 1) * c.apart + c.cold) * MS
+        end = (c.first_restart_at + (c.restart_groups - 1) * c.group_interval + c.warm_up_time) * MS
         while self.events and self.events[0][0] <= end:
             self.now, _, call, args = heapq.heappop(self.events)
             call(*args)
