--- a/tests/cold_budget.py
+++ b/tests/cold_budget.py
@@ -235,7 +235,7 @@
     def load(self, fn, waiter=None):
         """`waiter`: a job, or the dispatcher that ordered the copy."""
         self.loading[fn] = [waiter]
-        duration = int(self.world.random.uniform(0.5, 1.5) * self.world.case.load_time * MS)
+        duration = int(self.world.rng.uniform(0.5, 1.5) * self.world.case.load_time * MS)
         self.world.call_later(duration, self.finish_load, fn, self.incarnation)
 
     def finish_load(self, fn, incarnation):
@@ -281,7 +281,7 @@
         for act, _ in self.jobs:
             self.world.activations.pop(act, None)
         self.jobs, self.incarnation = {}, self.incarnation + 1
-        self.scheduler = Scheduler(self.world.now, self.world.terms, self.world.random.getrandbits(60), self)
+        self.scheduler = Scheduler(self.world.now, self.world.terms, self.world.rng.getrandbits(60), self)
         self.scheduler.endpoints_changed(
             self.world.now, [self.world.entry_of(w) for w in self.world.workers], True
         )
@@ -299,8 +299,8 @@
         world = self.world
         world.rejected += 1
         activation = world.activations.pop(act)
-        if world.random.random() < world.case.retry_share:
-            delay = retry_after + int(world.random.random() * 300 * MS)
+        if world.rng.random() < world.case.retry_share:
+            delay = retry_after + int(world.rng.random() * 300 * MS)
             world.call_later(delay, world.send_request, self, activation.fn, activation.type)
 
     def abort(self, act):
@@ -353,7 +353,7 @@
 
 class World:
     def __init__(self, case):
-        self.case, self.random, self.now, self.events = case, random.Random(case.seed), 0, []
+        self.case, self.rng, self.now, self.events = case, random.Random(case.seed), 0, []
         self.event_order, self.ids, self.activations = itertools.count(), itertools.count(), {}
         self.sends = self.rejected = self.aborted = self.completed = 0
         self.terms, mean = self._terms(), sum(case.works) / len(case.works)
@@ -362,9 +362,9 @@
         self.capacity = case.cores * 1000 / mean
         self.workers = [Worker(self, f"w{n}-{case.seed}") for n in range(case.workers)]
         self.by_name, self.books = {w.name: w for w in self.workers}, []
-        weights = [case.heavy_factor if n % 5 == 0 else 1.0 for n in range(case.dispatchers)]
-        rate = case.utilization * self.capacity * case.workers / sum(weights)
-        self.dispatchers = [Dispatcher(self, rate * weight) for weight in weights]
+        traffic_weights = [case.heavy_factor if n % 5 == 0 else 1.0 for n in range(case.dispatchers)]
+        rate = case.utilization * self.capacity * case.workers / sum(traffic_weights)
+        self.dispatchers = [Dispatcher(self, rate * weight) for weight in traffic_weights]
 
     def _terms(self):
         c = self.case
@@ -402,9 +402,7 @@
 
     def start_dispatcher(self, dispatcher):
         dispatcher.restart()
-        self.call_later(
-            int(self.random.expovariate(dispatcher.rate) * SECOND), self.client_arrives, dispatcher
-        )
+        self.call_later(int(self.rng.expovariate(dispatcher.rate) * SECOND), self.client_arrives, dispatcher)
 
     # Clients.
     def client_arrives(self, dispatcher):
@@ -412,16 +410,16 @@
         now, c = self.now / MS, self.case
         factor = c.burst_factor if c.burst_period and c.burst_period[0] <= now < c.burst_period[1] else 1.0
         self.call_later(
-            int(self.random.expovariate(dispatcher.rate * factor) * SECOND), self.client_arrives, dispatcher
+            int(self.rng.expovariate(dispatcher.rate * factor) * SECOND), self.client_arrives, dispatcher
         )
-        fn = int(c.functions * self.random.random() ** 2)
-        self.send_request(dispatcher, fn, str(self.random.randrange(len(c.works))))
+        fn = int(c.functions * self.rng.random() ** 2)
+        self.send_request(dispatcher, fn, str(self.rng.randrange(len(c.works))))
 
     def send_request(self, dispatcher, fn, type_):
         act, mean = str(next(self.ids)), self.case.works[int(type_)] * MS
-        work = int(self.random.gammavariate(2, mean / 2))
+        work = int(self.rng.gammavariate(2, mean / 2))
         self.activations[act] = PendingActivation(fn, type_, work)
-        due, hint = self.now + 4 * self.case.target_latency * MS, int(work * self.random.uniform(0.7, 1.4))
+        due, hint = self.now + 4 * self.case.target_latency * MS, int(work * self.rng.uniform(0.7, 1.4))
         hint *= self.case.hints
         arrival = ports.Arrival(act, fn, type_, "", due, SLOTS, hint, self.case.load_time * MS)
         dispatcher.scheduler.activation_arrived(self.now, arrival)
@@ -444,7 +442,7 @@
             worker.stop()
             for dispatcher in self.dispatchers:
                 if any(self.case.stop_notice):
-                    delay = int(self.random.uniform(*self.case.stop_notice) * MS)
+                    delay = int(self.rng.uniform(*self.case.stop_notice) * MS)
                     self.call_later(delay, dispatcher.notify, worker, worker.booted)
                 else:
                     dispatcher.notify(worker, worker.booted)
@@ -460,7 +458,7 @@
                 if c.restarts_dispatchers and first:
                     book.notified[dispatcher] = self.now
                 else:
-                    delay = int(self.random.uniform(*c.start_notice) * MS)
+                    delay = int(self.rng.uniform(*c.start_notice) * MS)
                     self.call_later(delay, dispatcher.notify, worker, worker.booted)
         if c.restarts_dispatchers and first:
             for dispatcher in self.dispatchers:
@@ -474,7 +472,7 @@
 
     def play(self):
         for dispatcher in self.dispatchers:
-            self.call_later(int(self.random.random() * SECOND), self.start_dispatcher, dispatcher)
+            self.call_later(int(self.rng.random() * SECOND), self.start_dispatcher, dispatcher)
         self.schedule_restarts()
         for after in self.case.dispatcher_kills:
             self.call_later((self.case.first_restart_at + after) * MS, self.kill_dispatchers)
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -154,26 +154,26 @@
         """A former fault: the answers of the whole window are attributed to the few workers still warm."""
 
         def broken_budget(slow_start, worker, now):
-            guarantees, age = slow_start.guarantees, max(0, now - worker.booted)
-            if not worker.booted or age >= guarantees.warm_up_time:
+            platform, age = slow_start.guarantees, max(0, now - worker.booted)
+            if not worker.booted or age >= platform.warm_up_time:
                 return 1
-            step = age // guarantees.slow_start_window
+            step = age // platform.slow_start_window
             if step != worker.slow_start_step:
                 share = (
-                    guarantees.initial_capacity_share
-                    + (1 - guarantees.initial_capacity_share)
+                    platform.initial_capacity_share
+                    + (1 - platform.initial_capacity_share)
                     * step
-                    * guarantees.slow_start_window
-                    / guarantees.warm_up_time
+                    * platform.slow_start_window
+                    / platform.warm_up_time
                 )
                 rate = max(
                     slow_start.warm_answers.lower_bound(now)
                     / max(1, slow_start.warm_workers)
-                    / guarantees.warm_up_time,
+                    / platform.warm_up_time,
                     1 / slow_start.estimates.usual_service_time / slow_start.dispatchers,
                 )
                 worker.slow_start_budget = int(
-                    guarantees.crash_load_multiple / 3 * share * rate * guarantees.slow_start_window
+                    platform.crash_load_multiple / 3 * share * rate * platform.slow_start_window
                     + slow_start.draw()
                 )
                 worker.slow_start_step = step
