--- a/tests/ration.py
+++ b/tests/ration.py
@@ -1,11 +1,11 @@
-"""A judge of rule 5, with books of its own: what arrives at workers, held against what clients had sent by
-then.
+"""An independent check of rule 5, the rate limit of load orders: the load orders that arrive at the workers
+are compared with the activations that the clients had sent by then.
 
-A written run of the dispatcher's core, module and links on `virtual`: connections that come up late, never or
-are refused, answers that are lost, workers that hang or are replaced, loads that fail, clients that give up,
-floods that are taken back or that ask for what nobody has, and a load of work that falls off steeply. An
-order counts when it has arrived whole, an activation when its last byte was sent; what a bad client sends
-counts for nothing."""
+A scripted run of the dispatcher's core, scheduler and links on `virtual`: connections that are established
+late, never or refused, lost answers, workers that hang or are replaced, loads that fail, clients that give
+up, floods of requests that are cancelled or call unknown functions, and traffic that drops steeply. A load
+order counts when it has arrived completely, an activation when its last byte was sent. The requests of a
+malicious client do not count."""
 
 import bisect
 import copy
@@ -20,7 +20,7 @@
 from petrelwood.node.call_request import FunctionFigures
 
 MS = virtual.MS
-GRACE = 2.0  # s, as `node_site.SETTINGS` tells it
+GRACE = 2.0  # s, as in `node_site.SETTINGS`
 
 
 class Log:
@@ -34,7 +34,15 @@
 
 
 class Case:
-    """What a run is like. Times in ms, rates a second."""
+    """The parameters of a run. Times are in ms, rates per second, unless their name says otherwise.
+
+    `period`, `base_orders` and `orders_per_activation` are the rate limit of load orders. `rate` is the rate
+    of the requests at peak times, and `off_peak_factor` multiplies it at other times; `floods` is the rate of
+    floods. `late_share`, `never_share` and `refused_share` of the connections are established late (by up to
+    `max_connect_delay`), never or refused. `unknown_share` of the requests call unknown functions, and
+    `cancel_share` are cancelled. The dispatcher reads a request `read_lag` after its last byte was sent.
+    There are `replacements` rounds in which workers are replaced.
+    """
 
     def __init__(self, seed, **changes):
         (
@@ -68,7 +76,7 @@
             self.target,
         ) = (0.3, 1000, 0.05, 0.02, 0.2, 0.1, 0.1, 2, 400)
         self.functions, self.workers, self.replacements, self.streams = 60, 8, 3, 32
-        # the part of the workers that hang at a time, and for how many seconds
+        # the share of the workers that hang at a time, and the duration in seconds
         self.hang_share, self.hang_seconds = 0.0, 12
         vars(self).update(changes)
 
@@ -87,7 +95,7 @@
 
 
 class Exchange:
-    """`sent`: when its last byte was sent, s; `bad`: whether its client means no good."""
+    """`sent`: when its last byte was sent, s; `bad`: whether its client is malicious."""
 
     def __init__(self, world, bad):
         self.world, self.act, self.ended, self.sent, self.bad = (
@@ -102,15 +110,15 @@
         return self.ended is None
 
     def may_send(self, link):
-        """Nothing of a client ever lies unread here: what it does is told at once."""
+        """Return True: no client input is ever unread here, as each client action is delivered at once."""
         return True
 
     def answer(self, what, body=b"", retry_after=0, why="", act=None):
         if self.ended is not None:
             raise AssertionError("a second final answer")
         self.ended = what
-        if self.bad and what == "completed":  # it was an activation like any other
-            bisect.insort(self.world.asked, self.sent)
+        if self.bad and what == "completed":  # it was executed, so it counts like any other activation
+            bisect.insort(self.world.request_times, self.sent)
         self.world.ends[what] = self.world.ends.get(what, 0) + 1
 
 
@@ -124,7 +132,7 @@
             set(),
             None,
         )
-        self.hung_until = 0.0  # reads nothing until then, and then all at once
+        self.hung_until = 0.0  # it reads nothing until this time (s), and then everything at once
 
     def joins(self, stream):
         c, chance = self.world.case, self.world.chance
@@ -158,10 +166,10 @@
         elif kind == "TOP":
             stream.says({"type": "PONG", "req": tag, "meta": {"l": "inflight:1;queue:0"}})
         elif kind == "SPAWN":
-            self.world.ordered(self.name, meta["asset"])
-            good = meta["asset"] in self.world.real and chance.random() > 0.05
+            self.world.record_order(self.name, meta["asset"])
+            good = meta["asset"] in self.world.known_functions and chance.random() > 0.05
             self.world.later(chance.uniform(0.05, 0.6), self.loaded, stream, tag, meta["asset"], good)
-        elif meta["asset"] not in self.world.real:
+        elif meta["asset"] not in self.world.known_functions:
             stream.says({"type": "FAULT", "req": tag, "meta": {}})
         elif meta["asset"] not in self.copies:
             stream.says({"type": "NONE", "req": tag, "meta": {}})
@@ -181,7 +189,7 @@
 class World:
     def __init__(self, case):
         self.case, self.chance, self.hosts, self.ends = case, random.Random(case.seed), {}, {}
-        self.asked, self.orders, self.number, self.serial, self.floods, self.workers_added = (
+        self.request_times, self.orders, self.number, self.serial, self.floods, self.workers_added = (
             [],
             [],
             0,
@@ -189,8 +197,8 @@
             0,
             0,
         )
-        self.real, self.worst, self.after_grace, self.scheduled_call = set(), None, [], None
-        self.names = [f"{n:016x}" for n in range(1, 1 + 3 * case.functions)]
+        self.known_functions, self.worst, self.after_grace, self.scheduled_call = set(), None, [], None
+        self.function_names = [f"{n:016x}" for n in range(1, 1 + 3 * case.functions)]
 
     async def run(self):
         self.clock = virtual.Clock()
@@ -229,7 +237,7 @@
     def later(self, seconds, call, *args):
         self.clock.loop.call_later(seconds, call, *args)
 
-    # The roster.
+    # The endpoint list.
     def add_worker(self):
         self.workers_added += 1
         self.hosts[self.workers_added] = Worker(self, f"w{self.workers_added}", self.workers_added)
@@ -248,7 +256,8 @@
         )
 
     def replace(self, part=0.6):
-        """The oldest are told to be gone, and live on for a while; as many new ones are told with that."""
+        """Replace this share of the workers, oldest first, in one new list; the old ones keep running for
+        some time."""
         for port in [port for port, host in self.hosts.items() if host.gone_at is None][
             : int(self.case.workers * part)
         ]:
@@ -257,7 +266,7 @@
         self.publish_list()
 
     def replace_in_steps(self, steps, since, until):
-        """Six in ten are replaced, in so many steps between two times (s)."""
+        """Replace 60 % of the workers in `steps` steps between two times (s)."""
 
         def step():
             self.replace(0.6 / steps)
@@ -276,32 +285,34 @@
 
     # Clients.
     def rate(self):
-        """Heavy for a part of each period, then little: what gave the right to orders leaves the window at
-        once."""
+        """Return the rate, which is high for a quarter of each cycle and then drops, so that the activations
+        which allowed load orders leave the window quickly."""
         phase = self.clock.loop.time() % 13 / 13
         return self.case.rate * (1 if phase < 0.25 else self.case.off_peak_factor)
 
     def client(self):
         now, span = (
             self.clock.loop.time(),
-            int(1 + now_part(self.clock.loop.time(), self.case) * 2) * self.case.functions,
+            int(1 + elapsed_share(self.clock.loop.time(), self.case) * 2) * self.case.functions,
         )
-        strange = self.chance.random() < self.case.unknown_share
+        is_unknown = self.chance.random() < self.case.unknown_share
         fn = (
             f"{self.chance.getrandbits(63) | 1 << 63:016x}"
-            if strange
-            else self.names[int(span * self.chance.random() ** 2)]
+            if is_unknown
+            else self.function_names[int(span * self.chance.random() ** 2)]
+        )
+        if not is_unknown:
+            self.known_functions.add(fn)
+            self.request_times.append(now)
+        exchange = self.send_request(
+            fn, is_unknown, self.case.target * (1 if self.chance.random() < 0.2 else 3)
         )
-        if not strange:
-            self.real.add(fn)
-            self.asked.append(now)
-        exchange = self.send_request(fn, strange, self.case.target * (1 if self.chance.random() < 0.2 else 3))
         if self.chance.random() < self.case.cancel_share:
-            self.later(self.chance.uniform(0, 0.3), self.leave, exchange)
+            self.later(self.chance.uniform(0, 0.3), self.cancel_request, exchange)
         self.later(self.chance.expovariate(self.rate()), self.client)
 
     def send_request(self, fn, bad, ttl, id_=None):
-        """Its last byte is sent now; the dispatcher reads it a little later."""
+        """Send a request whose last byte is sent now; the dispatcher reads it `read_lag` later."""
         exchange = Exchange(self, bad)
         self.number += 1
         id_, lag = id_ or f"{self.number:016x}", self.case.read_lag / 1000
@@ -318,58 +329,65 @@
                 exchange,
             )
 
-    def leave(self, exchange):
+    def cancel_request(self, exchange):
         if exchange.ended is None and exchange.act is not None:
             exchange.ended = "left"
             self.node.detach_client(exchange.act, exchange)
 
     def flood(self):
-        """Hundreds at once, half of them under one id: for what nobody has, taken back at once, a little
-        later or never, or for what somebody has, taken back."""
+        """Send hundreds of requests at once. Half of the floods use a single id. Their functions are unknown,
+        and they are cancelled at once, a little later or never; or their functions are known, and they are
+        cancelled at once or a little later."""
         self.floods += 1
         size, fn = 200, f"{self.chance.getrandbits(63) | 1 << 63:016x}"
-        known = self.chance.random() < 0.3 and self.real
-        one, back = (
+        is_known = self.chance.random() < 0.3 and self.known_functions
+        uses_one_id, cancel_delay = (
             self.chance.random() < 0.5,
-            self.chance.choice((0.0, 0.0, 0.02) if known else (0.0, 0.0, 0.02, None)),
+            self.chance.choice((0.0, 0.0, 0.02) if is_known else (0.0, 0.0, 0.02, None)),
         )
         for n in range(size):
             name = (
-                self.chance.choice(sorted(self.real)) if known else fn if one else f"{int(fn, 16) ^ n:016x}"
+                self.chance.choice(sorted(self.known_functions))
+                if is_known
+                else fn
+                if uses_one_id
+                else f"{int(fn, 16) ^ n:016x}"
             )
             exchange = self.send_request(
-                name, True, 3 * self.case.target, f"{self.floods:08x}{0 if one else n:08x}"
+                name, True, 3 * self.case.target, f"{self.floods:08x}{0 if uses_one_id else n:08x}"
             )
-            if back is not None:
-                self.later(self.case.read_lag / 1000 + 0.0001 + back, self.leave, exchange)
+            if cancel_delay is not None:
+                self.later(self.case.read_lag / 1000 + 0.0001 + cancel_delay, self.cancel_request, exchange)
         self.later(self.chance.expovariate(self.case.floods), self.flood)
 
-    # The judge.
-    def ordered(self, worker_, fn):
+    # The check.
+    def record_order(self, worker_, fn):
         now, c = self.clock.loop.time(), self.case
         self.orders.append(now)
         if not c.period:
             return
         since = now - c.period / 1000
         orders = len(self.orders) - bisect.bisect_right(self.orders, since)
-        taken = bisect.bisect_right(self.asked, now) - bisect.bisect_right(self.asked, since)
-        over = orders - (c.base_orders + c.orders_per_activation * taken)
+        activations = bisect.bisect_right(self.request_times, now) - bisect.bisect_right(
+            self.request_times, since
+        )
+        over = orders - (c.base_orders + c.orders_per_activation * activations)
         if self.worst is None or over > self.worst[0]:
-            self.worst = (round(over, 3), orders, taken, round(now, 3))
+            self.worst = (round(over, 3), orders, activations, round(now, 3))
 
 
-def now_part(now, case):
+def elapsed_share(now, case):
     return min(1.0, now / case.seconds)
 
 
 def run_case(case):
-    """The `World` after the run; `worst`: (orders over the ration, orders, activations, s) where it was
-    nearest or most broken."""
+    """Run a case and return its `World`. Its `worst` is (orders over the limit, orders, activations, s) where
+    the excess was greatest or the margin smallest."""
     return run_world(World(case))
 
 
 def run_world(world):
-    """Plays a world that was made before."""
+    """Run a world and return it."""
     with (
         mock.patch.object(service, "LoopClock", virtual.Clock),
         mock.patch.object(worker.sockets, "fresh", lambda host: None),
--- a/tests/test_ration.py
+++ b/tests/test_ration.py
@@ -1,4 +1,4 @@
-"""Rule 5, the ration of load orders, as the workers see it: see `ration` for the judge."""
+"""Rule 5, the rate limit of load orders, as seen by the workers; `ration` has the simulation."""
 
 import types
 import unittest
@@ -51,10 +51,10 @@
                     self.assertIsNone(world.worst)
 
     def test_the_judge_sees_a_dispatcher_that_breaks_it(self):
-        def always(self, now, part=1.0):
+        def always_allow(self, now, share=1.0):
             return self.orders.allowed
 
-        def at_once(self, act, now):  # what is sent gives a right, whatever it is
+        def credit_at_once(self, act, now):  # each activation that is sent raises the limit
             if act.load_credit is LoadCredit.NONE:
                 act.load_credit = LoadCredit.COUNTED
                 self.credited.add(act.arrived_at)
@@ -66,16 +66,18 @@
         ):
             with (
                 self.subTest(what=what, **changes),
-                mock.patch.object(LoadOrderLimit, what, {"may_order": always, "credit": at_once}[what]),
+                mock.patch.object(
+                    LoadOrderLimit, what, {"may_order": always_allow, "credit": credit_at_once}[what]
+                ),
             ):
                 self.assertGreater(ration.run_case(ration.Case(1, **changes)).worst[0], 3)
 
 
 class Late(unittest.TestCase):
-    """Orders that have waited for their connection."""
+    """Load orders that have waited for their connection."""
 
-    def play(self, joins, script, **changes):
-        """Runs `script(world)` with one worker, whose connections come up after `joins` seconds."""
+    def play(self, connect_delay, script, **changes):
+        """Run `script(world)` with one worker, whose connections are up after `connect_delay` s (None: never)."""
         case = ration.Case(
             1,
             workers=1,
@@ -94,77 +96,77 @@
         )
         world = ration.World(case)
         world.client = lambda: script(world)
-        with mock.patch.object(ration.Worker, "joins", lambda _, stream: joins):
+        with mock.patch.object(ration.Worker, "joins", lambda _, stream: connect_delay):
             return ration.run_world(world)
 
     @staticmethod
-    def give(world, orders):
-        """What the module may order of so many, now."""
+    def order_loads(world, orders):
+        """Try to order this number of loads now, and return how many the scheduler could order."""
         module = world.node.scheduler
-        given = 0
+        ordered = 0
         for n in range(orders):
             fn = module.functions.setdefault(f"{n:016x}", Function(f"{n:016x}"))
-            given += bool(module.actions.order_load(fn, module.fleet.usable[0], world.node.now()))
-        return given
+            ordered += bool(module.actions.order_load(fn, module.fleet.usable[0], world.node.now()))
+        return ordered
 
     def test_an_order_whose_right_has_gone_while_it_waited_does_not_leave(self):
-        """Forty activations bear four orders; the connection is up when their window has passed."""
-        given = []
+        """Forty activations allow four load orders; the connection is established after their window."""
+        ordered = []
 
         def script(world):
             world.node.scheduler.load_orders.credited.add(world.node.now(), 40)
-            world.later(0.5, lambda: given.append(self.give(world, 9)))
-            world.later(2.0, lambda: given.append(self.give(world, 9)))
+            world.later(0.5, lambda: ordered.append(self.order_loads(world, 9)))
+            world.later(2.0, lambda: ordered.append(self.order_loads(world, 9)))
             world.later(2.0, world.node.scheduler.load_orders.credited.add, world.node.now() + 2000 * MS, 20)
-            world.later(2.1, lambda: given.append(self.give(world, 9)))
+            world.later(2.1, lambda: ordered.append(self.order_loads(world, 9)))
 
         world = self.play(0.9, script)
-        self.assertEqual(given, [4, 0, 2])
-        # those of 2.1 s, on the connection that is up by then
+        self.assertEqual(ordered, [4, 0, 2])
+        # those of 2.1 s, on the connection that is established by then
         self.assertEqual(len(world.orders), 2)
 
     def test_an_order_counts_from_when_it_left(self):
-        """Given at 0.1 s, gone at 0.6 s: at 1.3 s the window still has it."""
-        given = []
+        """Decided at 0.1 s and sent at 0.6 s, the orders are still in the window at 1.3 s."""
+        ordered = []
 
         def script(world):
             world.node.scheduler.load_orders.credited.add(world.node.now(), 40)
-            world.later(0.1, lambda: given.append(self.give(world, 9)))
+            world.later(0.1, lambda: ordered.append(self.order_loads(world, 9)))
             world.later(1.2, lambda: world.node.scheduler.load_orders.credited.add(world.node.now(), 40))
-            world.later(1.3, lambda: given.append(self.give(world, 9)))
-            world.later(1.9, lambda: given.append(self.give(world, 9)))
+            world.later(1.3, lambda: ordered.append(self.order_loads(world, 9)))
+            world.later(1.9, lambda: ordered.append(self.order_loads(world, 9)))
 
         world = self.play(0.5, script)
-        self.assertEqual(given, [4, 0, 4])
+        self.assertEqual(ordered, [4, 0, 4])
         self.assertEqual(len(world.orders), 8)
 
     def test_an_order_that_never_left_does_not_count(self):
-        """Its worker drains while it waits for a connection that is never made."""
-        given = []
+        """The worker drains while the load order waits for a connection that is never established."""
+        ordered = []
 
         def script(world):
             world.node.scheduler.load_orders.credited.add(world.node.now(), 40)
-            world.later(0.1, lambda: given.append(self.give(world, 9)))
+            world.later(0.1, lambda: ordered.append(self.order_loads(world, 9)))
             world.later(0.2, world.replace, 1)
-            world.later(0.3, lambda: given.append(self.give(world, 9)))
+            world.later(0.3, lambda: ordered.append(self.order_loads(world, 9)))
 
         world = self.play(None, script)
-        self.assertEqual((given, world.orders), ([4, 4], []))
+        self.assertEqual((ordered, world.orders), ([4, 4], []))
 
     def test_an_order_waits_no_longer_than_for_its_answer(self):
-        """The only connection is taken by a send that is never answered, and no other may be opened."""
+        """The only connection is occupied by a send that is never answered, and no other may be opened."""
         ends = []
 
         def script(world):
             node = world.node
             node.resource_limits.workers = 1
             node.scheduler.load_orders.credited.add(node.now(), 200)
-            self.give(world, 1)
+            self.order_loads(world, 1)
             node.load_order_ended = lambda worker_, fn, code, copies: ends.append(
                 (round(node.now() / 1e9), code)
             )
-            world.later(0.3, lambda: self.give(world, 2))
-            world.later(0.4, lambda: self.give(world, 1))
+            world.later(0.3, lambda: self.order_loads(world, 2))
+            world.later(0.4, lambda: self.order_loads(world, 1))
 
         with (
             mock.patch.object(ration.Worker, "line", lambda *_: None),
@@ -183,27 +185,27 @@
 
 
 class Others(unittest.TestCase):
-    """The same at the links of the other fronts and of the emulator."""
+    """The same with the link of the webhook dispatcher and with that of the emulator."""
 
     class Core:
-        """What a link asks of the core, with a clock that is set; `asked` and `kept_back` are the times of
-        the orders told."""
+        """The interface of the core to a link, with a clock that is set. `checked` and `not_sent` are the
+        times of the load orders for which it was called."""
 
         name, reconnects = "n0", None
 
-        def __init__(self, bears):
-            self.time, self.bears, self.asked, self.kept_back, self.ends = 0, bears, [], [], []
+        def __init__(self, allows):
+            self.time, self.allows, self.checked, self.not_sent, self.ends = 0, allows, [], [], []
             self.loop = types.SimpleNamespace(call_soon=lambda *_: None)
 
         def now(self):
             return self.time
 
         def may_send_order(self, at):
-            self.asked.append(at)
-            return self.bears(at)
+            self.checked.append(at)
+            return self.allows(at)
 
         def order_not_sent(self, at):
-            self.kept_back.append(at)
+            self.not_sent.append(at)
 
         def submit(self, call, *args):
             call(*args)
@@ -218,29 +220,29 @@
         connect_within=100, quiet=10**9, queue=1 << 20, frame=1 << 16, order_within=10**9
     )
 
-    def wait(self, link, core):
-        """Two orders, given at 0 and at 50, before the connection is up."""
+    def order_before_connected(self, link, core):
+        """Give two load orders, at 0 and at 50, before the connection is established."""
         link.order_load("early", 1, 1)
         core.time = 50
         link.order_load("late", 1, 1)
         core.time = 90
 
-    def told(self, core):
+    def check_first_order_not_sent(self, core):
         self.assertEqual(
-            (core.asked, core.kept_back, core.ends), ([0, 50], [0], [("early", ports.EndReason.NOT_SENT)])
+            (core.checked, core.not_sent, core.ends), ([0, 50], [0], [("early", ports.EndReason.NOT_SENT)])
         )
 
     def test_the_link_of_the_webhook_dispatcher(self):
         core, written = self.Core(lambda at: at > 0), []
         link = links_worker.WorkerLink("w", ("h", 1), self.TERMS, lambda: 0.5, core, None)
         link._connect = link.state.on_connecting
-        self.wait(link, core)
+        self.order_before_connected(link, core)
         link.state.on_connected()
         link.state.on_greeting(90, "w", 1)
         link.stream = types.SimpleNamespace(_total_write_index=0)
         link._write = written.append
         link._flush()
-        self.told(core)
+        self.check_first_order_not_sent(core)
         self.assertIn(b"late", written[0])
         self.assertNotIn(b"early", written[0])
 
@@ -253,9 +255,9 @@
             name="w", hall="a", machine=object(), silent=False, booted=1, life=1, links=[]
         )
         link = emulate_link.Link(platform, node, core, "a", self.TERMS, lambda: 0.5)
-        self.wait(link, core)
+        self.order_before_connected(link, core)
         link._connected(link.attempt)
-        self.told(core)
+        self.check_first_order_not_sent(core)
         self.assertEqual([call.fn for call in link.out.values()], ["late"])
 
     def test_one_that_is_refused_at_once_never_left(self):
@@ -263,7 +265,7 @@
         link = links_worker.WorkerLink("w", ("h", 1), self.TERMS, lambda: 0.5, core, None)
         link.state = types.SimpleNamespace(on_call=lambda now: CallDecision.REJECT)
         link.order_load("one", 1, 1)
-        self.assertEqual((core.kept_back, core.ends), ([0], [("one", ports.EndReason.NO_CONNECTION)]))
+        self.assertEqual((core.not_sent, core.ends), ([0], [("one", ports.EndReason.NO_CONNECTION)]))
 
 
 if __name__ == "__main__":
