--- a/tests/test_larger_fleet.py
+++ b/tests/test_larger_fleet.py
@@ -1,5 +1,5 @@
-"""One dispatcher process with the same traffic in fleets of 36, 576 and 3,200 workers: what it needs against
-the operators' limits, how the list of workers reaches it, and that the checks can fail."""
+"""One dispatcher process with the same traffic in fleets of 36, 576 and 3,200 workers: its use of resources
+against the operators' limits, how it gets the list of workers, and that the checks can fail."""
 
 import asyncio
 import sys
@@ -12,20 +12,20 @@
 
 DAY = larger_fleet.Day(seconds=3.0, calls_a_second=40.0)
 USUAL = {CPU: 1.0, MEMORY: 30.0, DESCRIPTORS: 90, MADE: 80, LISTS: 100.0, SERVED: 0.9}
-LONGEST_ANSWER = 8_000  # bytes of an answer by DNS
-# The dispatcher with a module that looks at the whole fleet, many times over, at each call.
-LOOKS_AT_EVERYBODY = """
+LONGEST_ANSWER = 8_000  # bytes, the maximum of a DNS answer
+# A dispatcher whose scheduler iterates over the whole fleet many times at each call.
+ITERATES_OVER_ALL_WORKERS = """
 import runpy
 from petrelwood.decide.scheduling.scheduler import Scheduler
 
-honest = Scheduler.activation_arrived
+original = Scheduler.activation_arrived
 
-def activation(scheduler, now, *arguments):
+def activation_arrived(scheduler, now, *arguments):
     for _ in range(100):
         max((worker for worker in scheduler.fleet.usable), key=lambda worker: worker.cold_attempts)
-    honest(scheduler, now, *arguments)
+    original(scheduler, now, *arguments)
 
-Scheduler.activation_arrived = activation
+Scheduler.activation_arrived = activation_arrived
 runpy.run_module("petrelwood.node", run_name="__main__")
 """
 
@@ -50,17 +50,17 @@
 
 
 class Lists(unittest.TestCase):
-    """A whole list over 8,000 bytes does not fit an answer by DNS: `known` holds it at the start, and answers
-    are truncated."""
+    """A whole list over 8,000 bytes does not fit a DNS answer. The dispatcher gets it in `known` at its
+    start, and the answers are truncated."""
 
     def answered(self, workers):
-        """What the discovery's stand-in answers, for so many workers."""
+        """Return the answer of the discovery stand-in for `workers` workers, and whether it is truncated."""
         asked = b"\x12\x34" + roster_protocol.encode_query()
-        discovery, told = larger_fleet.CountedRoster(), []
-        discovery.transport = mock.Mock(sendto=lambda wire, sender: told.append(wire))
+        discovery, answers = larger_fleet.CountedRoster(), []
+        discovery.transport = mock.Mock(sendto=lambda wire, sender: answers.append(wire))
         discovery.entries = {f"s-{n:08x}": (5050, "Ready", "north", 0) for n in range(workers)}
         discovery.datagram_received(asked, None)
-        return told[0], discovery.truncated
+        return answers[0], discovery.truncated
 
     def test_the_usual_list_fits_an_answer(self):
         wire, truncated = self.answered(FLEETS[0])
@@ -69,7 +69,7 @@
         self.assertEqual(len(roster_protocol.decode_answer(wire)[1]), FLEETS[0])
 
     def test_a_part_of_a_larger_one_is_enough_to_know_that_it_does_not(self):
-        """Written whole, 3,200 entries take the loop of clients and workers for a second at each change."""
+        """Encoding all 3,200 entries blocks the event loop of clients and workers for a second per change."""
         with mock.patch.object(
             larger_fleet.node_site, "answer", wraps=larger_fleet.node_site.answer
         ) as written:
@@ -98,7 +98,7 @@
         cls.usual = play(FLEETS[0])
 
     def verdicts(self, workers, command=larger_fleet.COMMAND):
-        """(the larger fleet's `Played`, its figures beyond their limits)"""
+        """Return the larger fleet's `Played`, and the verdicts on its figures that exceed their limits."""
         larger = play(workers, command)
         verdicts = larger_fleet.verdicts(self.usual.figures, larger.figures, workers)
         return larger, [one for one in verdicts if not one.kept]
@@ -117,7 +117,7 @@
                 self.assertEqual(larger.unanswered, 0)
 
     def test_a_module_that_looks_at_everybody_at_each_call_is_seen(self):
-        _, beyond = self.verdicts(FLEETS[-1], (sys.executable, "-c", LOOKS_AT_EVERYBODY))
+        _, beyond = self.verdicts(FLEETS[-1], (sys.executable, "-c", ITERATES_OVER_ALL_WORKERS))
         self.assertIn(CPU, [one.what for one in beyond])
 
 
--- a/tests/test_ration.py
+++ b/tests/test_ration.py
@@ -77,7 +77,7 @@
     """Load orders that have waited for their connection."""
 
     def play(self, connect_delay, script, **changes):
-        """Run `script(world)` with one worker, whose connections are up after `connect_delay` s (None: never)."""
+        """Run `script(world)` with one worker, whose connections are up after this delay (s; None: never)."""
         case = ration.Case(
             1,
             workers=1,
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,6 +1,6 @@
-"""The budgets of `benchmarks/scale/size.py` and the slopes of the capacity page, in counted operations,
-messages and bytes on hollow fleets; that each check can fail; and what a scale run refuses and leaves
-behind."""
+"""Checks the budgets of `benchmarks/scale/size.py` and the slopes of the capacity page by counting
+operations, messages and bytes on hollow fleets. Also checks that each of these checks can fail, what a scale
+run refuses, and what it leaves behind."""
 
 import json
 import os
@@ -30,87 +30,87 @@
 
 SECOND = 1_000_000_000
 ROOT = pathlib.Path(__file__).parent.parent
-FLAT = 0.02  # a cost that does not grow may differ by this part over a row of sizes
+FLAT = 0.02  # a constant cost may differ by this share between the sizes
 FLEETS = (50, 200, 400)  # workers
-CARRIED = (size.LARGE_WORKERS, size.MIDDLE_WORKERS)  # the page has 94,000 workers as missing
+CARRIED = (size.LARGE_WORKERS, size.MIDDLE_WORKERS)  # the capacity page lists 94,000 workers as missing
 EVENTS_A_SECOND = size.MEMBER_CHANGES_A_DAY * size.ASSUMED_EVENTS_A_RESTART / size.SECONDS_A_DAY
 
 
 def line(measure, sizes):
-    """The fitted line of `measure(size)`."""
+    """Return the line fitted to `measure(size)`."""
     return Figure("", "", "", tuple(Sample(x, measure(x), 0) for x in sizes), "").line()
 
 
 def steady_control(site, restarted=1):
-    """(messages, bytes) that the roster tells each dispatcher after the first second, while so many workers
-    restart."""
+    """Return (messages, bytes) that the roster sends to each dispatcher after the first second, while
+    `restarted` workers restart."""
     fleet = HollowFleet(site, 1)
     fleet.at(2, fleet.lose_workers, list(fleet.nodes)[:restarted], 1)
     fleet.run()
     flow = fleet.traffic.flows[flows.LIST_TO_DISPATCHERS]
     messages = flow.messages - flow.messages_by_second[0]
-    told = flow.bytes - flow.bytes_by_second[0]
-    return messages / site.dispatchers, told / site.dispatchers
+    received = flow.bytes - flow.bytes_by_second[0]
+    return messages / site.dispatchers, received / site.dispatchers
 
 
 class WholeLists(ChangeLog):
-    """A roster that tells the whole list at each change."""
+    """A roster that sends the whole list at each change."""
 
     def event(self, kind, entries, number):
-        """The whole list, whatever has changed."""
+        """Send the whole list, whatever has changed."""
         return super().event("list", list(self.entries.values()), number)
 
 
-class AsksEverybody(Scheduler):
-    """A module that asks all workers at each call."""
+class ChecksAllWorkers(Scheduler):
+    """A scheduler that checks the health of all workers at each call."""
 
     def activation_arrived(self, now, *arguments):
-        """One probe for each worker, first."""
+        """Send a health check to each worker first."""
         for worker in self.fleet.usable:
             self.actions.outlet.check_health(worker.id)
         super().activation_arrived(now, *arguments)
 
 
-class LooksAtEverybody(Scheduler):
-    """A module that looks at the whole fleet at each call."""
+class IteratesOverAllWorkers(Scheduler):
+    """A scheduler that iterates over the whole fleet at each call."""
 
     def activation_arrived(self, now, *arguments):
-        """A look at each worker, first."""
+        """Iterate over all workers first."""
         self.busiest = max((worker for worker in self.fleet.usable), key=lambda worker: worker.cold_attempts)
         super().activation_arrived(now, *arguments)
 
 
-class CountsEverybody(SlowStart):
-    """A slow start that counts the warm workers of the whole fleet at each update."""
+class CountsAllWorkers(SlowStart):
+    """A slow start that iterates over the whole fleet at each update to count the warm workers."""
 
     def fleet_changed(self, usable, now):
-        """A list: it is kept whole."""
+        """Store the whole list."""
         self.usable = usable
         super().fleet_changed(usable, now)
 
     def update(self, now, *arguments):
-        """A look at each worker, first."""
+        """Iterate over all workers first."""
         self.warm_workers = sum(self.is_warm(worker, now) for worker in self.usable)
         super().update(now, *arguments)
 
 
-class SortsEverybody(WorkerOrder):
-    """An order that ranks the whole fleet at each placement."""
+class SortsAllWorkers(WorkerOrder):
+    """A worker order that ranks the whole fleet at each placement."""
 
     def first_by_hash(self, fn, count):
-        """All workers; nothing is cached."""
+        """Return all workers, without any caching."""
         self.cached.clear()
         return super().first_by_hash(fn, len(self.fleet.usable))
 
 
 class Control(unittest.TestCase):
-    """What a dispatcher hears of the fleet, against its budget of bytes."""
+    """The traffic about the fleet that a dispatcher receives, against its budget of bytes."""
 
     def check_flat(self, sites):
         seen = [steady_control(site) for site in sites]
-        for messages, told in seen[1:]:
+        for messages, received in seen[1:]:
             self.assertAlmostEqual(messages, seen[0][0], delta=FLAT * seen[0][0])
-            self.assertAlmostEqual(told, seen[0][1], delta=FLAT * seen[0][1])
+            self.assertAlmostEqual(received, seen[0][1], delta=FLAT * seen[0][1])
 
     def test_it_does_not_grow_with_the_dispatchers(self):
         self.check_flat([SiteSize(d, 24, 10, 1.0, 4, 1) for d in (5, 20)])
@@ -121,8 +121,8 @@
         with mock.patch("benchmarks.scale.fleet.ChangeLog", WholeLists), self.assertRaises(AssertionError):
             self.check_flat(sites)
 
-    def check_a_switch(self):
-        """All workers of a switch are lost in one second, among as many that stay."""
+    def check_switch_lost(self):
+        """Lose all workers of a switch at once, in a fleet of twice that number."""
         lost = size.ASSUMED_WORKERS_A_RACK * size.ASSUMED_RACKS_A_SWITCH
         fleet = HollowFleet(SiteSize(3, 2 * lost, 10, 1.0, 6, 1), 1)
         fleet.at(3, fleet.lose_workers, list(fleet.nodes)[:lost], 60)
@@ -133,12 +133,12 @@
         self.assertLessEqual(peak, size.CONTROL_BYTES_A_SECOND)
 
     def test_a_switch_stays_within_the_budget_of_bytes(self):
-        self.check_a_switch()
+        self.check_switch_lost()
         with mock.patch("benchmarks.scale.fleet.ChangeLog", WholeLists), self.assertRaises(AssertionError):
-            self.check_a_switch()
+            self.check_switch_lost()
 
-    def check_all_at_once(self):
-        """All dispatchers start: each asks once, is told the list once, and has it."""
+    def check_all_started_at_once(self):
+        """Start all dispatchers: each requests the list once, receives it once, and applies it."""
         site = SiteSize(20, 24, 10, 1.0, 4, 1)
         fleet = HollowFleet(site, 1)
         fleet.at(2, fleet.lose_dispatchers, list(fleet.day.dispatchers), 0.5)
@@ -147,18 +147,18 @@
         self.assertEqual(fleet.traffic.flows[flows.LIST_ASKED].messages, 2 * site.dispatchers)
 
     def test_all_dispatchers_started_at_once_ask_once_each(self):
-        self.check_all_at_once()
+        self.check_all_started_at_once()
 
-        class Forgets(ChangeLog):
+        class SkipsChange(ChangeLog):
             def after(self, resume):
-                """The list, and a change that does not follow it."""
+                """Return the list, and a change that is out of sequence."""
                 return [*super().after(resume), ("change", [], self.number + 2)]
 
-        with mock.patch("benchmarks.scale.fleet.ChangeLog", Forgets), self.assertRaises(AssertionError):
-            self.check_all_at_once()
+        with mock.patch("benchmarks.scale.fleet.ChangeLog", SkipsChange), self.assertRaises(AssertionError):
+            self.check_all_started_at_once()
 
     def check_roster_lost(self):
-        """The roster is away for 12 s: calls go on, few askings, and all have the list again."""
+        """The roster is down for 12 s: calls continue, few requests are made, and all get the list again."""
         lost = events.SCRIPTED[-1]
         self.assertIn("roster lost", lost.name)
         fleet, values = events.observe(lost, events.SMALL_SITE, 0)
@@ -178,16 +178,16 @@
 
 
 def placement_operations(workers, earlier):
-    """Counted operations of putting a function's workers in order, which was done so often before."""
-    module = parts.scheduler(workers)
+    """Return the counted operations of ordering a function's workers, after `earlier` such calls."""
+    scheduler = parts.scheduler(workers)
     fn = Function("new")
     for _ in range(earlier):
-        module.placement.first_eligible_workers(fn, None, SECOND)
-    return counting.operations(module.placement.first_eligible_workers, fn, None, SECOND)
+        scheduler.placement.first_eligible_workers(fn, None, SECOND)
+    return counting.operations(scheduler.placement.first_eligible_workers, fn, None, SECOND)
 
 
 class Operations(unittest.TestCase):
-    """What the module executes, in byte-code instructions."""
+    """The cost of the scheduler in bytecode instructions."""
 
     def check_flat(self, counts):
         self.assertLessEqual(max(counts) - min(counts), FLAT * min(counts), counts)
@@ -195,7 +195,7 @@
     def test_a_call_of_a_known_copy_does_not_grow_with_the_workers(self):
         self.check_flat([parts.warm_call_operations(workers, 20) for workers in FLEETS])
         with (
-            mock.patch("benchmarks.scale.parts.Scheduler", LooksAtEverybody),
+            mock.patch("benchmarks.scale.parts.Scheduler", IteratesOverAllWorkers),
             self.assertRaises(AssertionError),
         ):
             self.check_flat([parts.warm_call_operations(workers, 20) for workers in FLEETS])
@@ -204,7 +204,7 @@
         self.check_flat([parts.warm_call_operations(50, functions) for functions in (20, 200, 2_000)])
 
     def check_control(self, reading):
-        """The timers and the day's news of workers of a dispatcher stay within its part of a core."""
+        """The timers of a dispatcher and a day's worker changes stay within its part of a core."""
         timers = line(parts.idle_operations, FLEETS)
         by_workers = line(lambda workers: parts.change_operations(workers, 20), FLEETS)
         by_functions = line(lambda functions: parts.change_operations(50, functions), (20, 200, 2_000))
@@ -216,25 +216,25 @@
         for reading in size.FLEET_READINGS:
             self.check_control(reading)
         with (
-            mock.patch("petrelwood.decide.scheduling.scheduler.SlowStart", CountsEverybody),
+            mock.patch("petrelwood.decide.scheduling.scheduler.SlowStart", CountsAllWorkers),
             self.assertRaises(AssertionError),
         ):
             self.check_control(size.SINGLE_INSTANCE_WORKERS)
 
     def check_idle(self):
-        """A look at an idle fleet of warm workers costs next to nothing a worker."""
+        """The periodic check of an idle fleet of warm workers costs next to nothing per worker."""
         self.assertLess(line(parts.idle_operations, FLEETS).slope, 5)
 
     def test_timers_do_not_look_at_warm_workers(self):
         self.check_idle()
         with (
-            mock.patch("petrelwood.decide.scheduling.scheduler.SlowStart", CountsEverybody),
+            mock.patch("petrelwood.decide.scheduling.scheduler.SlowStart", CountsAllWorkers),
             self.assertRaises(AssertionError),
         ):
             self.check_idle()
 
     def check_placements(self):
-        """The first placement of a function ranks each worker once and sorts few; later ones rank nobody."""
+        """The first placement of a function ranks each worker once and sorts few; later ones rank none."""
         first, later = (line(lambda w, n=n: placement_operations(w, n), (400, 1_000, 2_000)) for n in (0, 1))
         self.assertLess(first.slope, 20)
         self.assertLess(later.slope, 0.1)
@@ -242,54 +242,54 @@
     def test_a_placement_costs_little_a_worker(self):
         self.check_placements()
         with (
-            mock.patch("petrelwood.decide.scheduling.scheduler.WorkerOrder", SortsEverybody),
+            mock.patch("petrelwood.decide.scheduling.scheduler.WorkerOrder", SortsAllWorkers),
             self.assertRaises(AssertionError),
         ):
             self.check_placements()
 
 
 class HashOrder(unittest.TestCase):
-    """The cached first workers of a function against the whole fleet, ranked and sorted."""
+    """The cached first workers of a function, compared with the whole fleet ranked and sorted."""
 
-    def expected(self, module, fn):
+    def expected(self, scheduler, fn):
         def rank(worker):
             return (worker.hash ^ fn.hash) * HASH_MULTIPLIER & HASH_MASK
 
-        def turn(worker):
-            return worker.zone != module.terms.zone, (
-                worker.hash ^ module.fleet.salt
+        def preference(worker):
+            return worker.zone != scheduler.terms.zone, (
+                worker.hash ^ scheduler.fleet.salt
             ) * HASH_MULTIPLIER & HASH_MASK
 
-        ranked = sorted(module.fleet.usable, key=rank)
-        some = module.popularity.wanted_copies(fn)
-        if some <= 1:
+        ranked = sorted(scheduler.fleet.usable, key=rank)
+        wanted = scheduler.popularity.wanted_copies(fn)
+        if wanted <= 1:
             return ranked
-        return sorted(ranked[:some], key=turn) + ranked[some:]
+        return sorted(ranked[:wanted], key=preference) + ranked[wanted:]
 
     def test_it_is_that_of_all_ranks(self):
         for workers in (1, 2, 5, 60, 500):
-            module = parts.scheduler(workers)
+            scheduler = parts.scheduler(workers)
             for number in range(8):
                 fn = Function(f"f-{number}")
                 for fn.recent_calls in (0, 1, 3, 40):
-                    self.assertEqual(list(module.order.workers_for(fn)), self.expected(module, fn))
+                    self.assertEqual(list(scheduler.order.workers_for(fn)), self.expected(scheduler, fn))
 
     def test_a_change_of_the_list_changes_it(self):
-        module, fn = parts.scheduler(60), Function("f-1")
-        before = list(module.order.workers_for(fn))
+        scheduler, fn = parts.scheduler(60), Function("f-1")
+        before = list(scheduler.order.workers_for(fn))
         gone = ports.EndpointEntry(before[0].id, before[0].zone, 0, 0, False)
-        module.endpoints_changed(SECOND, [gone], False)
-        self.assertEqual(list(module.order.workers_for(fn)), before[1:])
+        scheduler.endpoints_changed(SECOND, [gone], False)
+        self.assertEqual(list(scheduler.order.workers_for(fn)), before[1:])
 
     def test_it_is_kept_for_so_many_functions(self):
-        module = parts.scheduler(60)
+        scheduler = parts.scheduler(60)
         for number in range(3 * CACHED_ORDERS):
-            next(module.order.workers_for(Function(f"f-{number}")))
-        self.assertEqual(len(module.order.cached), CACHED_ORDERS)
+            next(scheduler.order.workers_for(Function(f"f-{number}")))
+        self.assertEqual(len(scheduler.order.cached), CACHED_ORDERS)
 
 
 class Memory(unittest.TestCase):
-    """What a dispatcher knows of workers and functions, against its budget."""
+    """The memory that a dispatcher uses for workers and functions, against its budget."""
 
     def known(self, reading):
         workers = line(parts.memory_with_workers, (50, 200))
@@ -310,10 +310,10 @@
 
 
 class Calls(unittest.TestCase):
-    """What a call makes a dispatcher send."""
+    """The messages that a dispatcher sends for a call."""
 
     def messages(self, workers, policy=Scheduler):
-        """Messages to workers that belong to calls, without greetings, for each call."""
+        """Return the messages to workers per call, without greetings."""
         with mock.patch.object(HollowFleet, "module", policy):
             fleet = HollowFleet(SiteSize(4, workers, 30, 40.0, 6, 2), 1)
             fleet.run()
@@ -327,11 +327,11 @@
     def test_messages_of_a_call_do_not_grow_with_the_workers(self):
         self.check_flat(Scheduler)
         with self.assertRaises(AssertionError):
-            self.check_flat(AsksEverybody)
+            self.check_flat(ChecksAllWorkers)
 
 
 class Real(unittest.TestCase):
-    """A dispatcher process on loopback sends what a hollow dispatcher does."""
+    """A dispatcher process on loopback sends the same as a hollow dispatcher."""
 
     def check(self, hollow, found):
         counted = [one for one in real.compared(hollow, found, 0) if one.unit in ("messages", "bytes")]
@@ -364,7 +364,7 @@
 
 
 class Machine(unittest.TestCase):
-    """What does not fit is refused, and what is interrupted leaves nothing behind."""
+    """A run that does not fit is refused, and an interrupted run leaves no process behind."""
 
     def command(self, folder, *more):
         return [sys.executable, "-m", "benchmarks.scale", "--out", folder, *more]
@@ -434,7 +434,9 @@
                 run.kill()
             run.wait()
             run.stderr.close()
-        until = time.monotonic() + 60  # Python's own helper of it ends once it sees that its parent has
+        until = (
+            time.monotonic() + 60
+        )  # Python's own helper process ends when it notices that its parent has ended
         while any(alive(pid) for pid in started) and time.monotonic() < until:
             time.sleep(0.05)
         self.assertEqual([pid for pid in started if alive(pid)], [])
@@ -447,7 +449,7 @@
 
 
 def status(pid):
-    """(state, parent) of a process; None where there is none."""
+    """Return (state, parent) of a process, or None if there is no such process."""
     try:
         text = pathlib.Path(f"/proc/{pid}/stat").read_text()
     except OSError:
@@ -457,12 +459,12 @@
 
 
 def alive(pid):
-    """Whether it runs still."""
+    """Return whether the process is still running."""
     seen = status(pid)
     return seen is not None and seen[0] != "Z"
 
 
 def children(parent):
-    """Processes that this one has started and that run still."""
+    """Return the running processes that this process has started."""
     pids = [int(path.name) for path in pathlib.Path("/proc").glob("[0-9]*")]
     return [pid for pid in pids if (status(pid) or ("", 0))[1] == parent and alive(pid)]
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -1,4 +1,4 @@
-"""How the package of the decision module is built: what its docstring promises of its files."""
+"""The structure of the scheduling package, as the docstring of its entry module describes it."""
 
 import ast
 import re
@@ -16,21 +16,21 @@
 
 
 def described():
-    """The modules in the order of the entry's docstring, and the entry itself."""
+    """Return the modules in the order of the entry module's docstring, and the entry module itself."""
     text = ast.get_docstring(ast.parse(FILES[ENTRY].read_text()))
     lists = [line.partition(":") for line in text.splitlines() if line.startswith("- `")]
     return [name for line in lists for part in line for name in re.findall(r"`(\w+)`", part)] + [ENTRY]
 
 
 def imported(file):
-    """The modules of the package that a file imports from."""
+    """Return the modules of the package that a file imports from."""
     prefix = "petrelwood.decide.scheduling."
     nodes = [node for node in ast.walk(ast.parse(file.read_text())) if isinstance(node, ast.ImportFrom)]
     return {node.module.removeprefix(prefix) for node in nodes if (node.module or "").startswith(prefix)}
 
 
 def upward(order):
-    """Each import of a module that stands later in the order."""
+    """Return each import of a module that is not earlier in the order."""
     place = {name: number for number, name in enumerate(order)}
     return [
         f"{name} imports {other}"
@@ -41,7 +41,7 @@
 
 
 def private_uses(text):
-    """Private attributes that are reached into by anything but the object itself."""
+    """Return the private attributes that are accessed from outside the object itself."""
     return [
         node.attr
         for node in ast.walk(ast.parse(text))
@@ -53,7 +53,7 @@
 
 
 def outlet_calls(text):
-    """Calls of the outlet's methods on an attribute or name `outlet`."""
+    """Return the calls of the outlet's methods on an attribute or variable `outlet`."""
     calls = [node.func for node in ast.walk(ast.parse(text)) if isinstance(node, ast.Call)]
     methods = [func for func in calls if isinstance(func, ast.Attribute) and func.attr in OUTLET]
     owners = [(getattr(func.value, "attr", None) or getattr(func.value, "id", None)) for func in methods]
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter to the simulator's protocol: what it answers, and how it reports what it can't use."""
+"""The adapter to the simulator's protocol: its answers, and its error messages for unusable input."""
 
 import io
 import json
@@ -25,14 +25,14 @@
 
 
 def frame(*events, turn=1):
-    """A line with the events of one dispatcher."""
+    """Return a line with the events of one dispatcher."""
     return json.dumps(
         {"turn": turn, "simTime": 1000, "dispatchers": [{"dispatcherId": "d1", "in": events}]}
     ).encode()
 
 
 def run(*lines):
-    """The frames that the adapter answers these lines with, and how it ends."""
+    """Run the adapter on these lines, and return its answers and its exit status."""
     with (
         mock.patch.object(sys, "stdin", mock.Mock(buffer=io.BytesIO(b"\n".join(lines)))),
         mock.patch.object(sys, "stdout", mock.Mock(buffer=io.BytesIO())) as output,
@@ -63,9 +63,9 @@
         self.assertRegex(self.end(frame(START), b"{"), r"^petrelwood: line 2 is not JSON: ")
 
     def test_a_field_that_is_missing(self):
-        lacking = {key: value for key, value in CALL.items() if key != "due"}
+        incomplete = {key: value for key, value in CALL.items() if key != "due"}
         self.assertEqual(
-            self.end(frame(START), frame(lacking)), "petrelwood: line 2: missing or unknown field: 'due'"
+            self.end(frame(START), frame(incomplete)), "petrelwood: line 2: missing or unknown field: 'due'"
         )
 
     def test_an_unknown_event_and_one_for_a_dispatcher_that_was_not_started(self):
@@ -84,12 +84,12 @@
             (send_limit.SendLimit, "is_reached", "send_limit"),
         )
         for owner, method, module in cases:
-            honest = getattr(owner, method)
-            code = honest.__code__
+            original = getattr(owner, method)
+            code = original.__code__
             broken = compile("\n" * 20 + "def f(*_): raise RuntimeError('broken')", code.co_filename, "exec")
-            space = {}
-            exec(broken, space)
-            with self.subTest(module), mock.patch.object(owner, method, space["f"]):
+            namespace = {}
+            exec(broken, namespace)
+            with self.subTest(module), mock.patch.object(owner, method, namespace["f"]):
                 self.assertEqual(
                     self.end(frame(LIST, START, CHANGE), frame(CALL)),
                     f"petrelwood: line 2: fault in the module at {module}.py:21: RuntimeError('broken')",
