--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -122,7 +122,7 @@
             self.check_flat(sites)
 
     def check_switch_lost(self):
-        """Lose all workers of a switch at once, in a fleet of twice that number."""
+        """Lose all workers of a switch within one second, in a fleet of twice that number."""
         lost = size.ASSUMED_WORKERS_A_RACK * size.ASSUMED_RACKS_A_SWITCH
         fleet = HollowFleet(SiteSize(3, 2 * lost, 10, 1.0, 6, 1), 1)
         fleet.at(3, fleet.lose_workers, list(fleet.nodes)[:lost], 60)
@@ -179,11 +179,11 @@
 
 def placement_operations(workers, earlier):
     """Return the counted operations of ordering a function's workers, after `earlier` such calls."""
-    scheduler = parts.scheduler(workers)
+    instance = parts.scheduler(workers)
     fn = Function("new")
     for _ in range(earlier):
-        scheduler.placement.first_eligible_workers(fn, None, SECOND)
-    return counting.operations(scheduler.placement.first_eligible_workers, fn, None, SECOND)
+        instance.placement.first_eligible_workers(fn, None, SECOND)
+    return counting.operations(instance.placement.first_eligible_workers, fn, None, SECOND)
 
 
 class Operations(unittest.TestCase):
@@ -251,41 +251,41 @@
 class HashOrder(unittest.TestCase):
     """The cached first workers of a function, compared with the whole fleet ranked and sorted."""
 
-    def expected(self, scheduler, fn):
+    def expected(self, instance, fn):
         def rank(worker):
             return (worker.hash ^ fn.hash) * HASH_MULTIPLIER & HASH_MASK
 
         def preference(worker):
-            return worker.zone != scheduler.terms.zone, (
-                worker.hash ^ scheduler.fleet.salt
+            return worker.zone != instance.terms.zone, (
+                worker.hash ^ instance.fleet.salt
             ) * HASH_MULTIPLIER & HASH_MASK
 
-        ranked = sorted(scheduler.fleet.usable, key=rank)
-        wanted = scheduler.popularity.wanted_copies(fn)
+        ranked = sorted(instance.fleet.usable, key=rank)
+        wanted = instance.popularity.wanted_copies(fn)
         if wanted <= 1:
             return ranked
         return sorted(ranked[:wanted], key=preference) + ranked[wanted:]
 
     def test_it_is_that_of_all_ranks(self):
         for workers in (1, 2, 5, 60, 500):
-            scheduler = parts.scheduler(workers)
+            instance = parts.scheduler(workers)
             for number in range(8):
                 fn = Function(f"f-{number}")
                 for fn.recent_calls in (0, 1, 3, 40):
-                    self.assertEqual(list(scheduler.order.workers_for(fn)), self.expected(scheduler, fn))
+                    self.assertEqual(list(instance.order.workers_for(fn)), self.expected(instance, fn))
 
     def test_a_change_of_the_list_changes_it(self):
-        scheduler, fn = parts.scheduler(60), Function("f-1")
-        before = list(scheduler.order.workers_for(fn))
+        instance, fn = parts.scheduler(60), Function("f-1")
+        before = list(instance.order.workers_for(fn))
         gone = ports.EndpointEntry(before[0].id, before[0].zone, 0, 0, False)
-        scheduler.endpoints_changed(SECOND, [gone], False)
-        self.assertEqual(list(scheduler.order.workers_for(fn)), before[1:])
+        instance.endpoints_changed(SECOND, [gone], False)
+        self.assertEqual(list(instance.order.workers_for(fn)), before[1:])
 
     def test_it_is_kept_for_so_many_functions(self):
-        scheduler = parts.scheduler(60)
+        instance = parts.scheduler(60)
         for number in range(3 * CACHED_ORDERS):
-            next(scheduler.order.workers_for(Function(f"f-{number}")))
-        self.assertEqual(len(scheduler.order.cached), CACHED_ORDERS)
+            next(instance.order.workers_for(Function(f"f-{number}")))
+        self.assertEqual(len(instance.order.cached), CACHED_ORDERS)
 
 
 class Memory(unittest.TestCase):
@@ -434,9 +434,8 @@
                 run.kill()
             run.wait()
             run.stderr.close()
-        until = (
-            time.monotonic() + 60
-        )  # Python's own helper process ends when it notices that its parent has ended
+        # Python's own helper process ends when it notices that its parent has ended.
+        until = time.monotonic() + 60
         while any(alive(pid) for pid in started) and time.monotonic() < until:
             time.sleep(0.05)
         self.assertEqual([pid for pid in started if alive(pid)], [])
