--- a/petrelwood/decide/scheduling/parameters.py
+++ b/petrelwood/decide/scheduling/parameters.py
@@ -6,7 +6,8 @@
 
 from petrelwood.ports import Terms
 
-SWEEPS_PER_CHECK_INTERVAL = 50  # limits how long a queued activation waits for the timer
+# A queued activation waits for the timer for at most the check interval divided by this.
+SWEEPS_PER_CHECK_INTERVAL = 50
 
 
 @dataclass(frozen=True, slots=True)
--- a/petrelwood/decide/scheduling/popularity.py
+++ b/petrelwood/decide/scheduling/popularity.py
@@ -6,7 +6,8 @@
 from petrelwood.decide.scheduling.records import Function
 
 RECENT_CALLS = 64  # number of last calls among which those of each function are counted
-# Copies that a function gets per worker's equal share of all calls, so that no worker runs just one function.
+# Copies that a function gets if its share of all calls equals that of one worker. With several copies no
+# worker runs just one function.
 COPIES_PER_WORKER = 4
 # A few calls may be chance, mainly while a dispatcher is new. Therefore `CALL_DISCOUNT` is subtracted from
 # the calls of a function, and `PRIOR_CALLS` is added to the calls of all functions.
