--- a/petrelwood/decide/scheduling/estimates.py
+++ b/petrelwood/decide/scheduling/estimates.py
@@ -82,8 +82,8 @@
         relative_load = worker.relative_latency / self.mean_relative_latency
         if self.mean_reported_load and worker.reported_load is not None:
             relative_load *= worker.reported_load / self.mean_reported_load
-        known = self.mean_worker_load * (1 + (relative_load - 1) * freshness)
-        return known + len(worker.in_flight) - worker.in_flight_at_report * freshness
+        known_load = self.mean_worker_load * (1 + (relative_load - 1) * freshness)
+        return known_load + len(worker.in_flight) - worker.in_flight_at_report * freshness
 
     def record_arrival(self, work: int, arrivals: int) -> None:
         """Update the mean work hint, which runs over the last `arrivals`, with the hint of one more."""
--- a/petrelwood/decide/scheduling/fleet.py
+++ b/petrelwood/decide/scheduling/fleet.py
@@ -33,9 +33,9 @@
             The workers whose copies are lost: they have restarted, or are no longer usable.
         """
         if is_whole:
-            named = {entry.worker for entry in entries}
+            listed_ids = {entry.worker for entry in entries}
             for worker in self.usable:
-                worker.is_usable = worker.id in named
+                worker.is_usable = worker.id in listed_ids
         restarted = [found for entry in entries if (found := self._apply_entry(entry, now))]
         removed = [worker for worker in self.usable if not worker.is_usable]
         self.usable = [worker for worker in self.workers.values() if worker.is_usable]
--- a/petrelwood/decide/scheduling/worker_order.py
+++ b/petrelwood/decide/scheduling/worker_order.py
@@ -64,7 +64,7 @@
         Ranks are spread evenly, so only those below a limit are sorted; the limit is chosen such that a few
         more than `count` are below it. A large fleet thus costs one multiplication per worker.
         """
-        salt = function.hash
+        function_hash = function.hash
         mask = HASH_MASK
         multiplier = HASH_MULTIPLIER
         usable = self.fleet.usable
@@ -73,11 +73,11 @@
         ranks = [
             rank << POSITION_BITS | position
             for position, worker_hash in enumerate(self.hashes)
-            if (rank := (worker_hash ^ salt) * multiplier & mask) < limit
+            if (rank := (worker_hash ^ function_hash) * multiplier & mask) < limit
         ]
         if len(ranks) < min(count, size):
             ranks = [
-                ((worker_hash ^ salt) * multiplier & mask) << POSITION_BITS | position
+                ((worker_hash ^ function_hash) * multiplier & mask) << POSITION_BITS | position
                 for position, worker_hash in enumerate(self.hashes)
             ]
         ranks.sort()
