--- a/petrelwood/decide/scheduling/scheduler.py
+++ b/petrelwood/decide/scheduling/scheduler.py
@@ -17,8 +17,9 @@
 - `send_rules`: whether, where and until when an activation may be sent
 - `placement`: copies and workers; `admission`: priority and load shedding
 - `actions`: sends, load orders, health checks and final answers; the only module that calls the outlet
-- `queueing`: the queues of the functions; `outcomes`: updates the estimates and records at the end of an
-  attempt; `attempts`: decides on a retry, a hedged request or the final answer
+- `queueing`: the queues of the functions
+- `outcomes`: updates the estimates and records at the end of an attempt
+- `attempts`: decides on a retry, a hedged request or the final answer
 - `snapshot`: the current estimates of the fleet, for logs
 """
 
