--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -44,7 +44,7 @@
 from petrelwood.decide.cluster import membership
 from petrelwood.decide.cluster.link_state import LinkPhase
 from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announcement, Rollout, dwell_for
-from petrelwood.decide.delivery.state_records import ActivationEnded, ActivationTaken
+from petrelwood.decide.delivery.state_records import ActivationAdmitted, ActivationEnded
 from petrelwood.dispatch.handover.hooks import HandoverHooks
 from petrelwood.dispatch.health import HeartbeatReporter
 from petrelwood.dispatch.recent_answers import RecentAnswers
@@ -435,7 +435,7 @@
                 begun = time.process_time()
                 for number in range(size):
                     name = f"msg_{number:026d}"
-                    log.add(ActivationTaken(WALL + number, "customer", name, WALL, "once"))
+                    log.add(ActivationAdmitted(WALL + number, "customer", name, WALL, "once"))
                     log.flush()
                     log.add(ActivationEnded(WALL + number, "customer", name, "completed", True, b'{"ok":1}'))
                     log.flush()
@@ -458,7 +458,7 @@
     class Greeter(Plain):
         async def handle_stream(self, stream, address):
             accepted.append(stream)
-            stream.write(rpc.notice("hello", ["w0", 0]))
+            stream.write(rpc.notification("hello", ["w0", 0]))
             try:
                 while True:
                     received[0] += len(await stream.read_bytes(65_536, partial=True))
@@ -495,7 +495,7 @@
     def now(self):
         return time.monotonic_ns()
 
-    def active(self, link):
+    def schedule_checks(self, link):
         pass
 
 
--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -74,8 +74,8 @@
 
     # What differs from the core of `petrelwood serve`.
     def _make_stages(self) -> tuple[None, Intake, None]:
-        usual = min(each.target_latency for each in self.terms.types.values()) // USUAL_SHARE
-        return None, cast(Intake, CapacityIntake(self.resource_limits, usual)), None
+        typical_duration = min(each.target_latency for each in self.terms.types.values()) // USUAL_SHARE
+        return None, cast(Intake, CapacityIntake(self.resource_limits, typical_duration)), None
 
     def _make_activations(self) -> Activations:
         return NodeActivations(self)
@@ -180,7 +180,7 @@
         if losses <= LOSSES_LOGGED or not losses % LOSSES_A_LINE:
             self.log.info("a connection to a worker is lost", worker=worker, why=why, out=out, losses=losses)
 
-    def active(self, link: NodeLink) -> None:
+    def schedule_checks(self, link: NodeLink) -> None:
         """Note that a link has a call that has not ended."""
         self.active_links[link] = True
 
--- a/tests/ration.py
+++ b/tests/ration.py
@@ -98,7 +98,7 @@
     """`sent`: when its last byte was sent, s; `bad`: whether its client is malicious."""
 
     def __init__(self, world, bad):
-        self.world, self.act, self.ended, self.sent, self.bad = (
+        self.world, self.activation_id, self.ended, self.sent, self.bad = (
             world,
             None,
             None,
@@ -113,7 +113,7 @@
         """Return True: no client input is ever unread here, as each client action is delivered at once."""
         return True
 
-    def answer(self, what, body=b"", retry_after=0, why="", act=None):
+    def answer(self, what, body=b"", retry_after=0, detail="", activation_id=None):
         if self.ended is not None:
             raise AssertionError("a second final answer")
         self.ended = what
@@ -330,9 +330,9 @@
             )
 
     def cancel_request(self, exchange):
-        if exchange.ended is None and exchange.act is not None:
+        if exchange.ended is None and exchange.activation_id is not None:
             exchange.ended = "left"
-            self.node.detach_client(exchange.act, exchange)
+            self.node.detach_client(exchange.activation_id, exchange)
 
     def flood(self):
         """Send hundreds of requests at once. Half of the floods use a single id. Their functions are unknown,
@@ -390,7 +390,7 @@
     """Run a world and return it."""
     with (
         mock.patch.object(service, "LoopClock", virtual.Clock),
-        mock.patch.object(worker.sockets, "fresh", lambda host: None),
+        mock.patch.object(worker.sockets, "new_socket", lambda host: None),
         mock.patch.object(
             worker, "Stream", lambda *_, **__: virtual.Stream(lambda address: world.hosts.get(address[1]))
         ),
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -286,7 +286,7 @@
     def test_which_connection(self):
         class Line:
             def __init__(self, name, up, open_, carried=()):
-                self.name, self.up, self.open, self.carried = (
+                self.name, self.up, self.in_flight, self.recent_call_ids = (
                     name,
                     up,
                     dict.fromkeys(open_),
@@ -305,19 +305,19 @@
             ("coming up", ([Line("a", False, "")], "x", 4, False)),
             ("it has carried this id", ([Line("a", True, "", "x"), Line("b", True, "p")], "x", 4, False)),
         ):
-            line = connection_pool.choose(*args)
+            line = connection_pool.choose_connection(*args)
             said.append(f"{what}: {line.name if line else '-'}")
         compare(self, "node_pool", said)
 
     def test_an_id_is_remembered_by_its_connection_and_not_for_ever(self):
         class Line:
-            carried = {}
+            recent_call_ids = {}
 
         for number in range(100):
-            connection_pool.remember(Line, number)
+            connection_pool.record_call_id(Line, number)
         self.assertEqual(
-            (len(Line.carried), 99 in Line.carried, 0 in Line.carried),
-            (connection_pool.MOST_REMEMBERED_IDS, True, False),
+            (len(Line.recent_call_ids), 99 in Line.recent_call_ids, 0 in Line.recent_call_ids),
+            (connection_pool.MAX_REMEMBERED_IDS, True, False),
         )
 
     def test_the_end(self):
@@ -332,8 +332,8 @@
                 f"longest action timeout {longest} ms: killed {700 + min(longest, 3000)} ms after it at the soonest"
             )
             said += [
-                f"{at:5d} ms, {owed} owed: closed {ends.closed(at * MS)}, cut {ends.out_of_time(at * MS)}, "
-                f"over {ends.over(at * MS, owed, True)}"
+                f"{at:5d} ms, {owed} owed: closed {ends.is_admission_closed(at * MS)}, cut {ends.must_answer_all(at * MS)}, "
+                f"over {ends.may_exit(at * MS, owed, True)}"
                 for at, owed in looks
             ]
         compare(self, "node_leaving", said)
@@ -496,7 +496,7 @@
             ran = [(tag, meta) for w in workers for tag, meta in zip(w.runs, w.meta)]
             self.assertEqual(len(ran), len({tag for tag, _ in ran}))
             self.assertEqual([m.get("op") for tag, m in ran if tag == marked["call"]], ["ab" * 16])
-            self.assertFalse(client.strange)
+            self.assertFalse(client.unexpected)
             client.close()
             self.assertEqual(await site.stop(), 0)
 
@@ -558,7 +558,7 @@
             await site.until(lambda: len(worker.kills) == 2)
             self.assertEqual((await client.call(fn=1))[0], "completed")
             self.assertFalse(first.done())
-            self.assertFalse(client.strange)
+            self.assertFalse(client.unexpected)
             client.close()
 
     async def test_spoilt_answers_end_their_connection_and_prove_nothing(self):
@@ -599,7 +599,7 @@
             client = await site.client()
             for n in range(60):
                 self.assertEqual(await client.call(fn=1, body=b"%d" % n), ("completed", b"%d" % n))
-            self.assertFalse(client.strange)
+            self.assertFalse(client.unexpected)
             client.close()
 
     async def test_a_drain_and_a_worker_at_the_address_of_one_that_has_gone(self):
@@ -636,7 +636,7 @@
             site.workers.append(new)
             first, kinds = [None], ["lost", "cut", "failed", "id", "old"] * 2
 
-            def spoil(wire):
+            def rewrite(wire):
                 first[0] = first[0] or wire
                 kind = kinds.pop() if kinds else None
                 return {
@@ -647,7 +647,7 @@
                     "old": wire[:2] + first[0][2:],
                 }.get(kind, wire)
 
-            site.roster.spoil = spoil
+            site.roster.rewrite = rewrite
             asked = site.roster.asked
             await site.until(lambda: site.roster.asked > asked)
             site.roster.tell(new)
