--- a/petrelwood/decide/scheduling/placement.py
+++ b/petrelwood/decide/scheduling/placement.py
@@ -248,7 +248,7 @@
         random, so that on average one of all dispatchers sends it. The caller must send each load order
         before it takes the next item.
         """
-        min_idle_time = self.load_terms.min_idle_time
+        idle_limit = self.load_terms.min_idle_time
         for function in list(self.functions.values()):
             for copy in list(function.copies.values()):
                 if self._is_unused(copy, function, now):
@@ -258,7 +258,7 @@
                     if self.draw() * self.dispatchers < 1 and self.outliers.accepts(copy.worker, now):
                         yield function, copy.worker
             is_idle = (
-                not function.queued and not function.recent_calls and now - function.called_at > min_idle_time
+                not function.queued and not function.recent_calls and now - function.called_at > idle_limit
             )
             if is_idle and not function.copies:
                 del self.functions[function.key]
@@ -313,11 +313,11 @@
 
     def _needs_renewal(self, copy: Copy, function: Function, now: int) -> bool:
         """Return whether the idle copy would soon be unloaded although its function is still called."""
-        min_idle_time = self.load_terms.min_idle_time
+        idle_limit = self.load_terms.min_idle_time
         numerator, denominator = RENEWAL_FRACTION
         return (
             not copy.in_flight
             and not copy.loading_since
-            and now - copy.last_seen > min_idle_time * numerator // denominator
-            and now - function.called_at < min_idle_time < now - copy.renewed_at
+            and now - copy.last_seen > idle_limit * numerator // denominator
+            and now - function.called_at < idle_limit < now - copy.renewed_at
         )
--- a/tests/scheduler_driver.py
+++ b/tests/scheduler_driver.py
@@ -24,9 +24,9 @@
     min_idle_time=8000,
     warm_up_time=8000,
     slow_start_window=1000,
-    health_check_cost=0.0,
+    check_cost=0.0,
     quotas=(),
-    over_quota_utility=0.0,
+    utility_over_quota=0.0,
 ):
     return ports.Terms(
         zone="north",
@@ -45,8 +45,8 @@
         must_request_list=bool(list_request_interval),
         reports_by_probe=health_checks,
         tick=2 * MS,
-        health_check_cost=health_check_cost,
-        over_quota_utility=over_quota_utility,
+        health_check_cost=check_cost,
+        over_quota_utility=utility_over_quota,
     )
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -176,7 +176,7 @@
     def test_dear_probes_are_sent_more_rarely(self):
         counts = {}
         for cost in (0.0, 0.01, 0.08):
-            d = SchedulerDriver("", workers="abcdef", health_checks=True, health_check_cost=cost)
+            d = SchedulerDriver("", workers="abcdef", health_checks=True, check_cost=cost)
             for i in range(200):
                 d.advance_to(1000 * i)
                 d.arrive(f"x{i}")
@@ -190,7 +190,7 @@
 
     def test_work_beyond_a_share_that_earns_as_much_is_no_lesser_work(self):
         for utility, expected in ((0.1, True), (1.0, False)):
-            d = SchedulerDriver("", workers="a", quotas=(("acme", 1.0),), over_quota_utility=utility)
+            d = SchedulerDriver("", workers="a", quotas=(("acme", 1.0),), utility_over_quota=utility)
             d.arrive(*(f"x{i}" for i in range(9)), customer="acme")
             self.assertEqual(d.scheduler.activations["x8"].is_over_quota, expected)
 
