--- a/petrelwood/decide/overload/concurrency_limit.py
+++ b/petrelwood/decide/overload/concurrency_limit.py
@@ -13,9 +13,9 @@
 # A cut sets the ceiling to this share of the number of unanswered activations, and the limit to this share of
 # the ceiling.
 CUT_FACTOR = 0.75
-FAST_RISE_FACTOR = 1.25  # multiplies the limit in each interval with a rise far below the ceiling
+FAST_RISE_FACTOR = 1.25  # multiplies the limit in each interval with a rise that is not near the ceiling
 SLOW_RISE_FACTOR = 1.02  # multiplies the limit in each interval with a rise near the ceiling
-SLOW_RISE_STEP = 0.5  # activations added to the limit as well in each rise near the ceiling
+SLOW_RISE_STEP = 0.5  # activations added to the limit as well in each such rise near the ceiling
 NEAR_CEILING_SHARE = 0.85  # share of the ceiling from which on the limit counts as near it
 START_DIVISOR = 16  # the limit starts at `most` divided by this after a restart
 MAX_CUT_DELAY = 8  # intervals by which a cut delays the start of the next interval, at most
--- a/petrelwood/decide/overload/intake.py
+++ b/petrelwood/decide/overload/intake.py
@@ -27,9 +27,9 @@
 # The initial estimate of an activation's duration: the shortest action timeout divided by this.
 INITIAL_DURATION_DIVISOR = 4
 DURATION_SMOOTHING = 64  # the running mean of the duration moves by a difference divided by this
-IN_TIME_DIVISOR = 2  # an answer is in time within the action timeout divided by this
+IN_TIME_DIVISOR = 2  # an answer within the action timeout divided by this is always in time
 QUIET_DIVISOR = 2  # a customer is quiet below an equal share of the limit divided by this
-# Without a measured throughput a Retry-After is longer than the typical duration by this factor times the share
+# Without a measured throughput a Retry-After exceeds the typical duration by this factor times the share
 # of the capacity that is in use.
 FULLNESS_WEIGHT = 4
 MAX_FULLNESS = 3.0  # the upper bound of that product
--- a/petrelwood/decide/overload/resource_limits.py
+++ b/petrelwood/decide/overload/resource_limits.py
@@ -69,7 +69,7 @@
             self.counts[reason] += 1
             return Verdict(REJECT, reason, retry_after=self.typical_duration)
         due = request.arrived_at + request.patience
-        return Verdict(ADMIT, due=due, client_leaves=due)
+        return Verdict(ADMIT, due=due, client_gives_up_at=due)
 
     def on_admitted(self, customer: str, request_id: str) -> None:
         """Count an admitted activation."""
