--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -1,4 +1,4 @@
-"""What is decided beside the module: each scenario prints a short trace, compared with the kept one."""
+"""Decisions outside the decision module: the trace of each scenario is compared with a stored one."""
 
 import random
 import unittest
@@ -34,35 +34,39 @@
     return 0.5
 
 
-class Book:
-    """A ledger, an intake and the pending activations on one clock, and what they said."""
+class TracedIntake:
+    """A ledger, an intake and the pending activations on one clock, with a trace of their decisions."""
 
-    def __init__(self, kept, most=100, held=10, part=0.8, bytes_=1000, began=WALL):
-        limits = Limits(10, 1000, 1000, S, S, S, 4, held, part, most, bytes_, 8, 10_000)
+    def __init__(
+        self, trace_name, max_ids=100, held=10, per_customer=0.8, max_result_bytes=1000, started_at=WALL
+    ):
+        limits = Limits(10, 1000, 1000, S, S, S, 4, held, per_customer, max_ids, max_result_bytes, 8, 10_000)
         allowed = ports.Allowed(3, True, True, True, True, 10 * S)
         terms = ports.Terms("", 1, TYPES, {"x": 10.0, "y": 10.0}, None, None, allowed, False, False, 1)
-        self.kept, self.now, self.lines = kept, 0, []
-        self.ledger = Ledger(most, bytes_, 300 * S, TYPES, {n: 600 * S for n in TYPES}, began)
+        self.trace_name, self.now, self.lines = trace_name, 0, []
+        self.ledger = Ledger(
+            max_ids, max_result_bytes, 300 * S, TYPES, {n: 600 * S for n in TYPES}, started_at
+        )
         self.intake = Intake(limits, TIMEOUTS, terms, self.ledger, half)
         self.pending = PendingActivations(self.intake, self.ledger)
 
-    def say(self, text):
+    def trace(self, text):
         self.lines.append(f"{self.now / S:6.1f}  {text}")
 
-    def ask(self, id_, type_, stamp, customer="x", wait=0, sends=1):
-        """One request; what is taken gets that many sends."""
-        ask = ActivationRequest(customer, id_, WALL + stamp * S, type_, self.now, wait * S)
-        verdict = self.intake.decide(self.now, WALL + self.now, ask)
+    def request(self, id_, type_, stamp, customer="x", wait=0, sends=1):
+        """Make a request and begin `sends` attempts if it is admitted; `stamp` and `wait` are in seconds."""
+        request = ActivationRequest(customer, id_, WALL + stamp * S, type_, self.now, wait * S)
+        verdict = self.intake.decide(self.now, WALL + self.now, request)
         key, more = (customer, id_), f" due {verdict.due / S:.2f}" if verdict.due else ""
         if verdict.outcome == intake.ADMIT:
-            act = self.pending.admit(ask, verdict.due, "f", RULE, b"", f"{id_}@{stamp}")
+            act = self.pending.admit(request, verdict.due, "f", RULE, b"", f"{id_}@{stamp}")
             for _ in range(sends):
                 self.pending.begin_attempt(act.id)
         elif verdict.outcome == intake.JOIN:
             self.pending.join(key, verdict.due, f"{id_}@{stamp}")
         elif verdict.retry_after:
             more = f" back after {verdict.retry_after / S:.2f}"
-        self.say(
+        self.trace(
             f"{id_}@{stamp} {type_}: {verdict.outcome} {verdict.reason}{verdict.body.decode()}".rstrip()
             + more
         )
@@ -70,15 +74,15 @@
     def end(self, id_, outcome, body=None, customer="x"):
         act = self.pending.by_key.get((customer, id_))
         ended = self.pending.end(self.now, act.id, outcome, body) if act else None
-        self.say(f"    {id_} {outcome}, told to {[w for w, _ in ended.waiters] if ended else 'nobody'}")
+        self.trace(f"    {id_} {outcome}, told to {[w for w, _ in ended.waiters] if ended else 'nobody'}")
 
     def compare(self, test):
-        compare(test, self.kept, self.lines)
+        compare(test, self.trace_name, self.lines)
 
 
 class LedgerCases(unittest.TestCase):
     def test_retries_of_each_kind_after_each_end(self):
-        b = Book("retries", held=100)
+        b = TracedIntake("retries", held=100)
         for type_ in TYPES:
             for outcome in (
                 ledger.ActivationState.COMPLETED,
@@ -87,75 +91,75 @@
                 ledger.ActivationState.CLIENT_LEFT,
             ):
                 id_ = f"{type_}-{outcome}"
-                b.ask(id_, type_, 10)
+                b.request(id_, type_, 10)
                 b.end(id_, outcome, b"=result" if outcome == ledger.ActivationState.COMPLETED else None)
-                b.ask(id_, type_, 11)
+                b.request(id_, type_, 11)
         b.compare(self)
 
     def test_a_replay_is_never_an_activation(self):
-        b = Book("replays")
-        b.ask("m1", "once", 10)
-        b.ask("m1", "once", 10)
-        b.ask("m1", "once", 9)
+        b = TracedIntake("replays")
+        b.request("m1", "once", 10)
+        b.request("m1", "once", 10)
+        b.request("m1", "once", 9)
         b.end("m1", ledger.ActivationState.REJECTED)
-        b.ask("m1", "once", 10)
+        b.request("m1", "once", 10)
         b.now = 200 * S
-        b.ask("m1", "once", 10)
-        b.ask("m1", "once", 200)
-        b.say("signed before this life began:")
-        b.ask("m2", "again", -1)
+        b.request("m1", "once", 10)
+        b.request("m1", "once", 200)
+        b.trace("signed before this life began:")
+        b.request("m2", "again", -1)
         b.compare(self)
 
     def test_a_retry_joins_the_try_that_runs(self):
-        b = Book("joins")
-        b.ask("m1", "once", 10)
+        b = TracedIntake("joins")
+        b.request("m1", "once", 10)
         b.now = S
-        b.ask("m1", "once", 11)
+        b.request("m1", "once", 11)
         b.now = 2 * S
         b.end("m1", ledger.ActivationState.COMPLETED, b"=result")
         b.compare(self)
 
     def test_deduplicated_for_all_repeats_only_inside_its_window(self):
-        b = Book("window")
-        b.ask("m1", "all", 10)
+        b = TracedIntake("window")
+        b.request("m1", "all", 10)
         b.now = S
         b.end("m1", ledger.ActivationState.ABORTED)
-        b.ask("m1", "all", 11)
+        b.request("m1", "all", 11)
         b.now = int(1.9 * S)
         b.end("m1", ledger.ActivationState.REJECTED)
         b.now = int(2.1 * S)
-        b.ask("m1", "all", 12)
-        b.say("turned away before any send, it is as new:")
-        b.ask("m2", "all", 13, sends=0)
+        b.request("m1", "all", 12)
+        b.trace("turned away before any send, it is as new:")
+        b.request("m2", "all", 13, sends=0)
         b.end("m2", ledger.ActivationState.REJECTED)
         b.now = 9 * S
-        b.ask("m2", "all", 14)
+        b.request("m2", "all", 14)
         b.compare(self)
 
     def test_a_full_ledger_refuses_and_forgets_only_what_it_may(self):
-        b = Book("ledger_full", most=2)
-        b.ask("m1", "again", 0)
+        b = TracedIntake("ledger_full", max_ids=2)
+        b.request("m1", "again", 0)
         b.end("m1", ledger.ActivationState.COMPLETED, b"=1")
-        b.ask("m2", "again", 0)
-        b.ask("m3", "again", 0)
+        b.request("m2", "again", 0)
+        b.request("m3", "again", 0)
         b.now = 599 * S
-        b.ask("m3", "again", 599)
+        b.request("m3", "again", 599)
         b.now = 601 * S
-        b.ask("m3", "again", 601)
-        b.say(f"m2 still runs, {len(b.ledger.entries)} ids are known")
+        b.request("m3", "again", 601)
+        b.trace(f"m2 still runs, {len(b.ledger.entries)} ids are known")
         b.compare(self)
 
     def test_bodies_have_a_bound_of_their_own(self):
-        b = Book("bodies", bytes_=10)
+        b = TracedIntake("bodies", max_result_bytes=10)
         for id_ in ("m1", "m2"):
-            b.ask(id_, "again", 10)
+            b.request(id_, "again", 10)
             b.end(id_, ledger.ActivationState.COMPLETED, b"=eight..")
-        b.ask("m1", "again", 11)
-        b.ask("m2", "again", 11)
+        b.request("m1", "again", 11)
+        b.request("m2", "again", 11)
         b.compare(self)
 
     def test_never_more_ids_than_the_bound_and_none_forgotten_early(self):
-        chance, b = random.Random(5), Book("", most=50, held=1000)
+        chance, b = random.Random(5), TracedIntake("", max_ids=50, held=1000)
         seen, stamp = {}, 0
         for step in range(4000):
             b.now += chance.randrange(2 * S)
@@ -174,70 +178,72 @@
 
 class IntakeCases(unittest.TestCase):
     def test_room_parts_time_and_the_end(self):
-        b = Book("room", held=5)
+        b = TracedIntake("room", held=5)
         for i in range(5):
-            b.ask(f"x{i}", "again", 10)
-        b.ask("y0", "again", 10, customer="y")
-        b.ask("y1", "again", 10, customer="y")
-        b.ask("x0", "again", 11)
-        b.say("a retry joins without room")
+            b.request(f"x{i}", "again", 10)
+        b.request("y0", "again", 10, customer="y")
+        b.request("y1", "again", 10, customer="y")
+        b.request("x0", "again", 11)
+        b.trace("a retry joins without room")
         b.end("x1", ledger.ActivationState.COMPLETED, b"=r")
-        b.ask("x9", "again", 12)
+        b.request("x9", "again", 12)
         b.intake.closing = True
-        b.ask("y2", "again", 12, customer="y")
-        b.ask("x1", "again", 13)
+        b.request("y2", "again", 12, customer="y")
+        b.request("x1", "again", 13)
         b.compare(self)
 
     def test_patience_never_lengthens_the_action_timeout(self):
         self.assertEqual(deadlines.deadline(0, 9 * S, 4 * S), deadlines.deadline(0, 0, 4 * S))
-        due, gone = deadlines.deadline(S, 2 * S, 4 * S)
-        self.assertTrue(S < due < gone == 3 * S)
+        due, gives_up_at = deadlines.deadline(S, 2 * S, 4 * S)
+        self.assertTrue(S < due < gives_up_at == 3 * S)
         self.assertTrue(deadlines.has_too_little_time(due, due, 4 * S))
 
 
 class DutyCases(unittest.TestCase):
     def test_one_final_answer_whoever_asks(self):
-        b = Book("pending")
-        b.ask("m1", "again", 10)
+        b = TracedIntake("pending")
+        b.request("m1", "again", 10)
         act = b.pending.by_key["x", "m1"]
         b.end("m1", ledger.ActivationState.COMPLETED, b"=1")
-        b.say(
+        b.trace(
             f"again: {b.pending.end(b.now, act.id, ledger.ActivationState.ABORTED)}, "
             f"sent after it: {b.pending.begin_attempt(act.id)}"
         )
-        b.ask("m2", "again", 10)
-        b.ask("m3", "once", 10)
+        b.request("m2", "again", 10)
+        b.request("m3", "once", 10)
         for id_ in ("m2", "m3"):
             act = b.pending.by_key["x", id_]
-            ends = b.pending.client_departed(act.id, act.waiters[0].exchange)
-            b.say(f"the client of {id_} goes: {'end' if ends else None}")
+            may_end = b.pending.client_departed(act.id, act.waiters[0].exchange)
+            b.trace(f"the client of {id_} goes: {'end' if may_end else None}")
         b.now = 5 * S
-        for act, late, whole in b.pending.overdue(b.now):
-            b.say(f"overdue {act.key[1]}, whole {whole}, waiters apart {late}")
-        b.say(f"counted twice: {b.pending.counts['twice']}")
+        for act, late, is_final in b.pending.overdue(b.now):
+            b.trace(f"overdue {act.key[1]}, whole {is_final}, waiters apart {late}")
+        b.trace(f"counted twice: {b.pending.counts['twice']}")
         b.compare(self)
 
     def test_an_id_that_comes_again_has_its_own_time(self):
-        """Found on join+mass (sockets): the time of a request that had ended cut short another under its
-        id."""
+        """Guards against the deadline of an ended request ending a later request with the same id.
+
+        Found in the scenario join+mass on sockets.
+        """
         pending = PendingActivations(CapacityIntake(ResourceLimits(256, 64 << 20), S), None, None)
-        for came in (0, 1):
-            ask = ActivationRequest("x", "m1", 0, "again", came * S, 2 * S, "")
-            pending.admit(ask, (2 + came) * S, "f", RULE, b"", None)
-            if not came:
+        for arrived in (0, 1):
+            request = ActivationRequest("x", "m1", 0, "again", arrived * S, 2 * S, "")
+            pending.admit(request, (2 + arrived) * S, "f", RULE, b"", None)
+            if not arrived:
                 pending.end(S // 2, "m1", ledger.ActivationState.COMPLETED)
         self.assertEqual(pending.overdue(2 * S), [])
         self.assertEqual(pending.next_deadline(), 3 * S)
-        self.assertEqual([whole for _, _, whole in pending.overdue(3 * S)], [True])
+        self.assertEqual([is_final for _, _, is_final in pending.overdue(3 * S)], [True])
 
     def test_a_joined_retry_with_less_patience_is_answered_apart(self):
-        b = Book("apart")
-        b.ask("m1", "once", 10)
+        b = TracedIntake("apart")
+        b.request("m1", "once", 10)
         b.now = S // 2
-        b.ask("m1", "once", 11, wait=1)
+        b.request("m1", "once", 11, wait=1)
         for b.now in (S, 2 * S, 4 * S):
-            for act, late, whole in b.pending.overdue(b.now):
-                b.say(f"overdue {act.key[1]}, whole {whole}, waiters apart {late}")
+            for act, late, is_final in b.pending.overdue(b.now):
+                b.trace(f"overdue {act.key[1]}, whole {is_final}, waiters apart {late}")
         b.compare(self)
 
 
@@ -272,7 +278,7 @@
 
     def test_what_an_end_proves(self):
         lines = []
-        for name, of in (
+        for name, reason_of in (
             ("loss", send_outcome.of_loss),
             ("time", send_outcome.of_timeout),
             ("cancel", send_outcome.of_cancel),
@@ -282,7 +288,7 @@
                 (send_outcome.SendStage.QUEUED, "in our queue"),
                 (send_outcome.SendStage.WRITTEN, "handed over"),
             ):
-                code = of(stage_)
+                code = reason_of(stage_)
                 lines.append(f"{name}, {word}: {code}, never ran {code in ports.NEVER_RAN}")
         for word in ("full", "missing", "draining", "error", "cancelled", "late", "nonsense"):
             code = send_outcome.of_error(word)
@@ -291,13 +297,13 @@
 
     def test_waits_double_and_are_drawn(self):
         chance = random.Random(1).random
-        waits = Backoff(100, 1000, chance)
-        drawn = [waits.failed(0) for _ in range(8)]
+        backoff = Backoff(100, 1000, chance)
+        drawn = [backoff.failed(0) for _ in range(8)]
         for n, wait in enumerate(drawn):
-            whole = min(100 << n, 1000)
-            self.assertTrue(whole // 2 <= wait <= whole, (n, wait))
-        waits.succeeded()
-        self.assertTrue(waits.may_retry(0))
+            longest = min(100 << n, 1000)
+            self.assertTrue(longest // 2 <= wait <= longest, (n, wait))
+        backoff.succeeded()
+        self.assertTrue(backoff.may_retry(0))
         full = [Backoff(1000, 1000, chance, full=True).failed(0) for _ in range(400)]
         self.assertTrue(min(full) < 100 and max(full) > 900)
 
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -1,5 +1,5 @@
-"""Storms: symptoms on and off, retry policy, the bound on what is held, admission by address, budgets; on a
-virtual clock."""
+"""Overload control on a virtual clock: storm symptoms, the retry policy, retry budgets, the concurrency limit
+and the admission of connections by address."""
 
 import itertools
 import random
@@ -24,21 +24,24 @@
 
 class Signs(unittest.TestCase):
     def play(self, phases, seed=1):
-        """Phases of (seconds, asks a second, share of repeats, connections an ask, share of cold sends, asks
-        at a time)."""
+        """Play phases and return the detector and the changes of its symptoms.
+
+        Each phase is (seconds, requests per second, share of retries, connections per request, share of cold
+        attempts, requests at a time).
+        """
         chance, storms, now, lines = random.Random(seed), StormDetector(), 0, []
-        for seconds, pace, repeats, connects, cold, bunch in phases:
-            end, next_ask = now + seconds * S, now
+        for seconds, rate, retries, connections, cold, bunch in phases:
+            end, next_request = now + seconds * S, now
             while now < end:
-                looks = now + S // 2
-                while next_ask < looks:
+                next_update = now + S // 2
+                while next_request < next_update:
                     for _ in range(bunch):
-                        storms.record_request(next_ask, chance.random() < repeats)
-                        if chance.random() < connects:
-                            storms.record_connection(next_ask)
-                        storms.record_attempt(next_ask, chance.random() < cold)
-                    next_ask += int(chance.expovariate(pace / bunch) * S)
-                now = looks
+                        storms.record_request(next_request, chance.random() < retries)
+                        if chance.random() < connections:
+                            storms.record_connection(next_request)
+                        storms.record_attempt(next_request, chance.random() < cold)
+                    next_request += int(chance.expovariate(rate / bunch) * S)
+                now = next_update
                 lines += [
                     f"{now / S:5.1f}  {name} {'on' if on else 'off'}" for name, on, _ in storms.update(now)
                 ]
@@ -97,14 +100,14 @@
     def test_who_listens_gets_in_and_who_does_not_wears_out_only_his_own(self):
         policy, lines = retry_budget.RetryPolicy(1000), []
         policy.retry_after(0, "calm", "c1", S, half, 60 * S, False)
-        for at in range(12):  # he retries each 100 ms, whatever he is told
-            how = policy.classify(at * S // 10, "loud", "l1")
-            may = how != retry_budget.RetryTiming.EARLY or policy.may_retry_early("loud")
+        for at in range(12):  # retries every 100 ms, whatever the Retry-After
+            timing = policy.classify(at * S // 10, "loud", "l1")
+            may = timing != retry_budget.RetryTiming.EARLY or policy.may_retry_early("loud")
             wait = policy.retry_after(
-                at * S // 10, "loud", "l1", S, half, 60 * S, how == retry_budget.RetryTiming.EARLY
+                at * S // 10, "loud", "l1", S, half, 60 * S, timing == retry_budget.RetryTiming.EARLY
             )
             lines.append(
-                f"{at / 10:4.1f}  loud {how} {'goes on' if may else 'is over his budget'}, "
+                f"{at / 10:4.1f}  loud {timing} {'goes on' if may else 'is over his budget'}, "
                 f"told {wait / S:.0f} s"
             )
         lines.append(
@@ -143,7 +146,8 @@
         terms = type("Terms", (), {"connect_within": S // 4, "quiet": S})
         shared = Budget(1.0, 2, every=10 * S)
         links = [LinkState(f"w{i}", terms, half, shared) for i in range(5)]
-        self.assertEqual([link.on_call(0) for link in links], ["connect"] * 5)  # the first time is free
+        # the first connection of a link is not charged to the budget
+        self.assertEqual([link.on_call(0) for link in links], ["connect"] * 5)
         for link in links:
             link.on_connecting(0)
             link.on_lost(0)
@@ -153,57 +157,61 @@
         self.assertTrue(links[0].on_greeting(S, "w0", 7))
         self.assertEqual(links[3].on_call(S), "connect")
         self.assertEqual(links[4].on_call(S), "refuse")
-        self.assertEqual(links[4].on_call(11 * S), "connect")  # time earns too
+        self.assertEqual(links[4].on_call(11 * S), "connect")  # elapsed time earns too
 
 
 class Bound(unittest.TestCase):
-    def serve(self, seconds, offered, able, patience, limit=None, pace=None, queue=0, repeats=0):
-        """A server that does `able` a second in order; (answers in time a second, queue at the end). Late
-        ones ask again."""
-        now, in_time, step, back, todo, work = 0, 0, S // 20, 0.0, [0] * queue, 0.0
+    def serve(self, seconds, offered, capacity, patience, limit=None, estimate=None, queue=0, retries=0):
+        """Simulate a server that answers `capacity` requests per second in order of arrival.
+
+        Each late answer is followed by `retries` further requests on average. Returns the answers in time per
+        second and the length of the queue at the end.
+        """
+        now, in_time, step, retries_due, queued, work = 0, 0, S // 20, 0.0, [0] * queue, 0.0
         while now < seconds * S:
-            back_now, back = int(back), back - int(back)
-            for _ in range(int(offered / 20) + back_now):
-                if (limit is None or limit.has_capacity(len(todo))) and not (
-                    pace and pace.is_too_late(now, len(todo), now + patience)
+            retries_now, retries_due = int(retries_due), retries_due - int(retries_due)
+            for _ in range(int(offered / 20) + retries_now):
+                if (limit is None or limit.has_capacity(len(queued))) and not (
+                    estimate and estimate.is_too_late(now, len(queued), now + patience)
                 ):
-                    todo.append(now)
-            work += able / 20
-            while work >= 1 and todo:
-                good, work = now - todo.pop(0) <= patience, work - 1
-                in_time += good
-                back += 0 if good else repeats
+                    queued.append(now)
+            work += capacity / 20
+            while work >= 1 and queued:
+                is_in_time, work = now - queued.pop(0) <= patience, work - 1
+                in_time += is_in_time
+                retries_due += 0 if is_in_time else retries
                 if limit is not None:
-                    limit.record_answer(good)
-                if pace is not None:
-                    pace.record_answer(now)
+                    limit.record_answer(is_in_time)
+                if estimate is not None:
+                    estimate.record_answer(now)
             work = min(work, 1.0)
             if limit is not None:
-                limit.update(now, len(todo))
+                limit.update(now, len(queued))
             now += step
-        return in_time / seconds, len(todo)
+        return in_time / seconds, len(queued)
 
     def limit(self):
         return ConcurrencyLimit(5000, 8, S // 2)
 
     def test_after_a_trigger_it_comes_back_by_itself_where_none_does_not(self):
-        """Metastable: 80 a second offered to 100, behind a queue of 800 whose late ones ask again."""
+        """Metastable overload: 80 requests per second are offered to a capacity of 100, behind a queue of 800
+        whose late requests are retried."""
         for more, least, most in (
             ({}, 0, 10),
             ({"limit": self.limit()}, 55, 80),
-            ({"pace": ThroughputEstimate(8)}, 64, 80),
-            ({"limit": self.limit(), "pace": ThroughputEstimate(8)}, 64, 80),
+            ({"estimate": ThroughputEstimate(8)}, 64, 80),
+            ({"limit": self.limit(), "estimate": ThroughputEstimate(8)}, 64, 80),
         ):
-            served, _ = self.serve(60, 80, 100, S, queue=800, repeats=0.9, **more)
+            served, _ = self.serve(60, 80, 100, S, queue=800, retries=0.9, **more)
             self.assertTrue(least <= served <= most, (sorted(more), served))
 
     def test_at_any_load_both_keep_nine_tenths_of_what_can_be_served_and_each_alone_two_thirds(self):
         for offered in (60, 100, 120, 200, 300, 500):
-            able = min(offered, 100)
+            capacity = min(offered, 100)
             both, queue = self.serve(60, offered, 100, S, self.limit(), ThroughputEstimate(8))
-            self.assertGreater(both, 0.9 * able, offered)
+            self.assertGreater(both, 0.9 * capacity, offered)
             self.assertLess(queue, 150)
-            self.assertGreater(self.serve(60, offered, 100, S, limit=self.limit())[0], 0.66 * able)
+            self.assertGreater(self.serve(60, offered, 100, S, limit=self.limit())[0], 0.66 * capacity)
             if offered > 100:
                 self.assertLess(self.serve(60, offered, 100, S)[0], 20)
 
@@ -223,98 +231,100 @@
         self.assertEqual(int(limit.limit), 8)
 
     def test_a_queue_is_told_from_a_lull(self):
-        pace = ThroughputEstimate(20)
+        estimate = ThroughputEstimate(20)
         for at in range(50):
-            pace.record_answer(at * S // 10)
-        self.assertIsNone(pace.expected_wait(5 * S, 5))  # few are held: nothing is believed
-        self.assertAlmostEqual(pace.expected_wait(5 * S, 40) / S, 4.0, delta=0.3)
-        self.assertTrue(pace.is_too_late(5 * S, 40, 8 * S))
-        self.assertFalse(pace.is_too_late(5 * S, 40, 10 * S))
-        self.assertIsNone(pace.expected_wait(60 * S, 40))  # nothing has left for long: nothing is known
+            estimate.record_answer(at * S // 10)
+        self.assertIsNone(estimate.expected_wait(5 * S, 5))  # too few are unanswered: no estimate
+        self.assertAlmostEqual(estimate.expected_wait(5 * S, 40) / S, 4.0, delta=0.3)
+        self.assertTrue(estimate.is_too_late(5 * S, 40, 8 * S))
+        self.assertFalse(estimate.is_too_late(5 * S, 40, 10 * S))
+        self.assertIsNone(estimate.expected_wait(60 * S, 40))  # no answer for a long time: no estimate
 
 
 class Doors(unittest.TestCase):
-    def door(self, connections=80, handshakes=0, bytes_=10_000):
+    def make_admission(self, connections=80, handshakes=0, bytes_=10_000):
         return admission.ConnectionAdmission(connections, handshakes, bytes_, half, max_addresses=100)
 
     def test_a_crowd_of_one_address_does_not_keep_others_out(self):
-        door, crowd = self.door(), 0
+        control, crowd = self.make_admission(), 0
         for at in range(400):
-            crowd += door.admit_connection(at * S // 4, "10.0.0.1") == admission.AdmissionVerdict.ADMIT
-        others = [door.admit_connection(100 * S, f"10.0.1.{i}") for i in range(5)]
+            crowd += control.admit_connection(at * S // 4, "10.0.0.1") == admission.AdmissionVerdict.ADMIT
+        others = [control.admit_connection(100 * S, f"10.0.1.{i}") for i in range(5)]
         self.assertEqual((crowd, others), (70, [admission.AdmissionVerdict.ADMIT] * 5))
-        self.assertEqual(door.admit_connection(101 * S, "10.0.0.1"), admission.AdmissionVerdict.OVER_SHARE)
+        self.assertEqual(control.admit_connection(101 * S, "10.0.0.1"), admission.AdmissionVerdict.OVER_SHARE)
         for _ in range(70):
-            door.on_closed("10.0.0.1")
+            control.on_closed("10.0.0.1")
         self.assertEqual(
-            (door.open, door.admit_connection(200 * S, "10.0.0.1")), (5, admission.AdmissionVerdict.ADMIT)
+            (control.open, control.admit_connection(200 * S, "10.0.0.1")),
+            (5, admission.AdmissionVerdict.ADMIT),
         )
 
     def test_the_pace_of_an_address_and_a_storm(self):
-        door = self.door()
+        control = self.make_admission()
         self.assertEqual(
-            [door.admit_connection(0, "a") for _ in range(22)].count(admission.AdmissionVerdict.ADMIT), 20
+            [control.admit_connection(0, "a") for _ in range(22)].count(admission.AdmissionVerdict.ADMIT), 20
         )
-        self.assertEqual(door.admit_connection(0, "b"), admission.AdmissionVerdict.ADMIT)
+        self.assertEqual(control.admit_connection(0, "b"), admission.AdmissionVerdict.ADMIT)
         self.assertEqual(
-            [door.admit_connection(S, "a") for _ in range(12)].count(admission.AdmissionVerdict.ADMIT), 10
+            [control.admit_connection(S, "a") for _ in range(12)].count(admission.AdmissionVerdict.ADMIT), 10
         )
-        door.is_storm = True
+        control.is_storm = True
         self.assertEqual(
-            [door.admit_connection(2 * S, "a") for _ in range(12)].count(admission.AdmissionVerdict.ADMIT), 2
+            [control.admit_connection(2 * S, "a") for _ in range(12)].count(admission.AdmissionVerdict.ADMIT),
+            2,
         )
-        self.assertGreater(door.retry_after_seconds("a", 2 * S), 1)
+        self.assertGreater(control.retry_after_seconds("a", 2 * S), 1)
 
     def test_wrong_signatures_in_a_row_are_refused_unread_for_longer_each_time(self):
-        door, bans = self.door(), []
+        control, bans = self.make_admission(), []
         for _ in range(3):
             at = max(bans[-1][1] if bans else 0, 0)
             for _ in range(admission.MAX_BAD_SIGNATURES):
-                self.assertTrue(door.may_check_signature(at, "a"))
-                door.record_signature(at, "a", False)
-            self.assertFalse(door.may_check_signature(at, "a"))
-            bans.append((at, door.addresses["a"].backoff.not_before))
+                self.assertTrue(control.may_check_signature(at, "a"))
+                control.record_signature(at, "a", False)
+            self.assertFalse(control.may_check_signature(at, "a"))
+            bans.append((at, control.addresses["a"].backoff.not_before))
         lengths = [end - begin for begin, end in bans]
         self.assertEqual([round(b / a, 2) for a, b in itertools.pairwise(lengths)], [2.0, 2.0])
-        self.assertTrue(door.may_check_signature(bans[-1][1], "a") and door.may_check_signature(0, "b"))
-        door.record_signature(bans[-1][1], "a", True)
+        self.assertTrue(control.may_check_signature(bans[-1][1], "a") and control.may_check_signature(0, "b"))
+        control.record_signature(bans[-1][1], "a", True)
         for _ in range(admission.MAX_BAD_SIGNATURES - 1):
-            door.record_signature(bans[-1][1], "a", False)
-        self.assertTrue(door.may_check_signature(bans[-1][1], "a"))
+            control.record_signature(bans[-1][1], "a", False)
+        self.assertTrue(control.may_check_signature(bans[-1][1], "a"))
 
     def test_bytes_and_handshakes_are_shared_out(self):
-        door = self.door(handshakes=10)
-        self.assertEqual([door.reserve_bytes(0, "a", 1000) for _ in range(10)].count(True), 8)
-        self.assertTrue(door.reserve_bytes(0, "b", 1000))
-        door.release_bytes("a", 8000)
-        self.assertTrue(door.reserve_bytes(0, "a", 1000))
+        control = self.make_admission(handshakes=10)
+        self.assertEqual([control.reserve_bytes(0, "a", 1000) for _ in range(10)].count(True), 8)
+        self.assertTrue(control.reserve_bytes(0, "b", 1000))
+        control.release_bytes("a", 8000)
+        self.assertTrue(control.reserve_bytes(0, "a", 1000))
         self.assertEqual(
-            [door.admit_connection(0, "a") for _ in range(12)].count(admission.AdmissionVerdict.ADMIT), 9
+            [control.admit_connection(0, "a") for _ in range(12)].count(admission.AdmissionVerdict.ADMIT), 9
         )
-        self.assertEqual(door.admit_connection(0, "b"), admission.AdmissionVerdict.ADMIT)
-        self.assertEqual(door.admit_connection(0, "c"), admission.AdmissionVerdict.AT_CAPACITY)
-        door.on_handshake_done("a")
-        self.assertEqual(door.admit_connection(0, "c"), admission.AdmissionVerdict.ADMIT)
+        self.assertEqual(control.admit_connection(0, "b"), admission.AdmissionVerdict.ADMIT)
+        self.assertEqual(control.admit_connection(0, "c"), admission.AdmissionVerdict.AT_CAPACITY)
+        control.on_handshake_done("a")
+        self.assertEqual(control.admit_connection(0, "c"), admission.AdmissionVerdict.ADMIT)
 
     def test_addresses_are_bounded_and_what_is_counted_comes_back_to_nothing(self):
-        chance, door, held = random.Random(7), self.door(connections=300, handshakes=50), []
+        chance, control, held = random.Random(7), self.make_admission(connections=300, handshakes=50), []
         for step in range(4000):
             at, address = step * S // 50, f"10.0.{chance.randrange(20)}.{chance.randrange(30)}"
             if held and chance.random() < 0.5:
                 gone, size, shaking = held.pop(chance.randrange(len(held)))
-                door.release_bytes(gone, size)
+                control.release_bytes(gone, size)
                 if shaking:
-                    door.on_handshake_done(gone)
-                door.on_closed(gone)
-            elif door.admit_connection(at, address) == admission.AdmissionVerdict.ADMIT:
+                    control.on_handshake_done(gone)
+                control.on_closed(gone)
+            elif control.admit_connection(at, address) == admission.AdmissionVerdict.ADMIT:
                 size = chance.randrange(50)
-                held.append((address, size if door.reserve_bytes(at, address, size) else 0, True))
+                held.append((address, size if control.reserve_bytes(at, address, size) else 0, True))
         for gone, size, _ in held:
-            door.release_bytes(gone, size)
-            door.on_handshake_done(gone)
-            door.on_closed(gone)
-        self.assertEqual((door.open, door.handshaking, door.reserved_bytes), (0, 0, 0))
-        self.assertLessEqual(len(door.addresses), 101)
+            control.release_bytes(gone, size)
+            control.on_handshake_done(gone)
+            control.on_closed(gone)
+        self.assertEqual((control.open, control.handshaking, control.reserved_bytes), (0, 0, 0))
+        self.assertLessEqual(len(control.addresses), 101)
 
 
 if __name__ == "__main__":
