--- a/tests/test_always_answered.py
+++ b/tests/test_always_answered.py
@@ -1,7 +1,8 @@
-"""No request is left with no answer, and no dispatcher that runs serves nobody: with a list that comes whole
-after a silence or never, with a KILL, with requests that come in pieces, with a reload and an end at once.
+"""Every request is answered, and a running dispatcher always serves: with an endpoint list that arrives only
+after a silence or never, after SIGKILL, with requests that arrive in pieces, and with a reload directly
+followed by a shutdown.
 
-Each test names the broken dispatcher that it was shown to fail on, where the text before (d60e4e0) passed it.
+Where the version before (d60e4e0) passes a test, the test names a broken dispatcher on which it fails.
 """
 
 import asyncio
@@ -21,31 +22,32 @@
 from petrelwood.node import graceful_shutdown
 from petrelwood.node import roster as names
 
-KINDS = ("plain", "marked", "single")
-LONG = {"classes": {"deadline": SLOW * 1_000_000}}  # no machine is so busy that an activation's time is up
-WORDS = ("completed", "Throttled", "Broken")
+TYPES = ("plain", "marked", "single")
+# a deadline so long that no activation expires on a busy machine
+LONG_DEADLINE = {"classes": {"deadline": SLOW * 1_000_000}}
+ANSWER_WORDS = ("completed", "Throttled", "Broken")
 
 
-class Steps:
-    """`shutdown.Shutdown` that the test takes on by itself, however long the machine is held up."""
+class ManualShutdown:
+    """A `shutdown.Shutdown` whose progress the test controls, however long the machine is busy."""
 
     def __init__(self, now, longest):
-        self.taking = True
+        self.is_admitting = True
 
     def closed(self, now):
-        return not self.taking
+        return not self.is_admitting
 
     def out_of_time(self, now):
         return False
 
     def over(self, now, owed, quiet):
-        return not self.taking and not owed and quiet
+        return not self.is_admitting and not owed and quiet
 
 
-class Patient(Site):
-    """A dispatcher in its own process, on a machine where all may take long."""
+class PatientSite(Site):
+    """A dispatcher in its own process, with timeouts for a machine where everything may take long."""
 
-    # neither is its end cut short by the 3 s that the platform may give it, nor are slow clients closed
+    # The 3 s that the platform may allow do not cut the shutdown short, and slow clients are not closed.
     COMMAND = (
         sys.executable,
         "-c",
@@ -67,95 +69,101 @@
 
 
 def silent(wire):
-    """`Roster.spoil` of one that never answers."""
+    """`Roster.spoil` of a roster that never answers."""
     return None
 
 
 async def health(site, client):
-    """What the dispatcher says of itself."""
+    """Return the dispatcher's answer to a health request."""
     client.last += 1
     client.sock.sendall(msgpack.packb([0, client.last, "health", [{}]]))
     await site.until(lambda: client.last in client.read())
     return client.answers[client.last]
 
 
-async def word(site, client, number):
-    """The answer's first word, or how the connection ended."""
+async def first_word(site, client, number):
+    """Return the first word of the answer, or how the connection ended."""
     await site.until(lambda: number in client.read() or client.ended)
     return client.answers.get(number, (client.ended,))[0]
 
 
 class Discovery(unittest.IsolatedAsyncioTestCase):
     async def test_a_list_that_never_comes(self):
-        """No worker is known: all is turned away in its time, of every type, and health goes on. Fails on a
-        dispatcher where neither the module's rejection nor the core's own deadline answers."""
+        """No worker is known: requests of every type are rejected in time, and health requests are answered.
+
+        Fails on a dispatcher where neither the module's rejection nor the core's own deadline answers."""
         async with Inside([]) as site:
             site.roster.spoil = silent
             client, numbers = Caller(site.address), []
             for _ in range(3):
-                numbers += [client.call(ask(fn=n, ttl=600), type_=kind) for n, kind in enumerate(KINDS)]
+                numbers += [client.call(ask(fn=n, ttl=600), type_=type_) for n, type_ in enumerate(TYPES)]
                 self.assertEqual(await health(site, client), ("completed", True))
             for number in numbers:
-                self.assertEqual(await word(site, client, number), "Throttled")
+                self.assertEqual(await first_word(site, client, number), "Throttled")
             self.assertEqual(site.node.pending.counts["defects"], 0)
             self.assertFalse(site.node.pending.activations)
             client.close()
 
     async def test_a_list_that_comes_whole_after_a_silence(self):
-        """What is held then goes to its workers, and so does what comes. Fails on a dispatcher that stops
-        asking when the list is lost."""
+        """Pending and later requests are then sent to workers.
+
+        Fails on a dispatcher that stops requesting the list when it is lost."""
         worker = Worker("s-1")
-        async with Inside([], **LONG, familyInfo={"keep": 300_000}) as site:
+        async with Inside([], **LONG_DEADLINE, familyInfo={"keep": 300_000}) as site:
             site.roster.spoil = silent
             await site.until(lambda: any("endpoint list lost" in line for line in site.log))
             client = Caller(site.address)
             early = client.call(ask(fn=1, ttl=600))
-            self.assertEqual(await word(site, client, early), "Throttled")
+            self.assertEqual(await first_word(site, client, early), "Throttled")
             held = client.call(ask(fn=1, ttl=30_000))
             await site.until(lambda: site.node.intake.unanswered)
             await worker.open()
             site.workers.append(worker)
             site.roster.tell(worker)
             site.roster.spoil = None
-            self.assertEqual(await word(site, client, held), "completed")
+            self.assertEqual(await first_word(site, client, held), "completed")
             later = client.call(ask(fn=1, ttl=30_000))
-            self.assertEqual(await word(site, client, later), "completed")
+            self.assertEqual(await first_word(site, client, later), "completed")
             client.close()
 
     async def test_all_workers_are_others_after_a_silence(self):
-        """Those of the start have gone under it, so nothing can be served: each request is answered, and from
-        the new list on all are. Fails on a dispatcher that takes no list after its first."""
+        """The initial workers have ended meanwhile, so nothing can be served. Each request is still answered,
+        and all are served once the new list arrives. Fails on a dispatcher that accepts one list only."""
         old, new = Worker("s-1"), Worker("s-2")
-        async with Inside([old], **LONG) as site:
+        async with Inside([old], **LONG_DEADLINE) as site:
             client = Caller(site.address)
-            self.assertEqual(await word(site, client, client.call(ask(fn=1, ttl=30_000))), "completed")
+            self.assertEqual(await first_word(site, client, client.call(ask(fn=1, ttl=30_000))), "completed")
             site.roster.spoil = silent
             await old.close()
-            for kind in KINDS:
-                self.assertIn(await word(site, client, client.call(ask(fn=1, ttl=600), type_=kind)), WORDS)
+            for type_ in TYPES:
+                self.assertIn(
+                    await first_word(site, client, client.call(ask(fn=1, ttl=600), type_=type_)), ANSWER_WORDS
+                )
             await new.open()
             site.workers.append(new)
             site.roster.tell(old, "Gone")
             site.roster.tell(new)
             site.roster.spoil = None
             await site.until(lambda: site.node.membership.is_usable("s-2"))
-            self.assertEqual(await word(site, client, client.call(ask(fn=1, ttl=30_000))), "completed")
+            self.assertEqual(await first_word(site, client, client.call(ask(fn=1, ttl=30_000))), "completed")
             client.close()
 
     async def test_a_silence_that_lasts_leaves_what_is_known(self):
-        """The list is lost for good; its workers are there and go on serving. Fails on a dispatcher that
-        forgets its workers when the list is lost."""
-        async with Inside([Worker("s-1")], **LONG, familyInfo={"keep": 300_000}) as site:
+        """The list is lost for good, but its workers continue to serve. Fails on a dispatcher that forgets
+        its workers when the list is lost."""
+        async with Inside([Worker("s-1")], **LONG_DEADLINE, familyInfo={"keep": 300_000}) as site:
             site.roster.spoil = silent
             await site.until(lambda: any("endpoint list lost" in line for line in site.log))
             client = Caller(site.address)
             for _ in range(3):
-                self.assertEqual(await word(site, client, client.call(ask(fn=1, ttl=30_000))), "completed")
+                self.assertEqual(
+                    await first_word(site, client, client.call(ask(fn=1, ttl=30_000))), "completed"
+                )
             client.close()
 
     async def test_a_roster_that_can_not_be_asked_at_the_start(self):
-        """No way to its address, or no descriptor: the dispatcher serves by the list that it was given, and
-        asks when it can. The text before did not start: 'can't listen on ...', status 2."""
+        """Without a route to the roster or a descriptor, the dispatcher serves by the list that it was given,
+        and polls the roster once it can. The version before exited: 'can't listen on ...', status 2."""
         fresh, fails = sockets.fresh, [True]
 
         def failing(host, kind=socket.SOCK_STREAM):
@@ -164,9 +172,11 @@
             return fresh(host, kind)
 
         with mock.patch.object(names.sockets, "fresh", failing):
-            async with Inside([Worker("s-1")], **LONG) as site:
+            async with Inside([Worker("s-1")], **LONG_DEADLINE) as site:
                 client = Caller(site.address)
-                self.assertEqual(await word(site, client, client.call(ask(fn=1, ttl=30_000))), "completed")
+                self.assertEqual(
+                    await first_word(site, client, client.call(ask(fn=1, ttl=30_000))), "completed"
+                )
                 self.assertEqual(site.roster.asked, 0)
                 fails[0] = False
                 await site.until(lambda: site.node.roster.counts["good"])
@@ -175,20 +185,20 @@
 
 class Killed(unittest.IsolatedAsyncioTestCase):
     async def test_right_after_an_accept(self):
-        """Clients see a close, whatever of them was taken; the next process serves on the same port at once.
+        """Clients see a close, whatever was accepted; the next process serves on the same port at once.
 
         Fails on a listener that does not reuse its address."""
         slow = Worker("s-1", lambda *_: b"")
-        async with Patient([slow]) as site:
+        async with PatientSite([slow]) as site:
             nothing, half, whole, unread, last = (Caller(site.address) for _ in range(5))
-            # it was accepted, and so were those before it
+            # this client was accepted, and so were those before it
             self.assertEqual(await health(site, last), ("completed", True))
             whole.call(ask(fn=1, ttl=30_000))
             await site.until(lambda: slow.runs)
             half.call(ask(fn=1), part=slice(None, 40))
             site.process.send_signal(signal.SIGSTOP)
             unread.call(ask(fn=1))
-            queued = Caller(site.address)  # the machine has accepted it, the process never will
+            queued = Caller(site.address)  # accepted by the kernel, but never by the process
             queued.call(ask(fn=1))
             site.process.kill()
             await site.process.wait()
@@ -207,9 +217,9 @@
 
 class Pieces(unittest.IsolatedAsyncioTestCase):
     async def test_requests_that_come_byte_by_byte(self):
-        """Those of three clients in turn, each with another one behind it. Fails on a dispatcher that gives a
-        reader away which still has a part."""
-        async with Inside([Worker("s-1")], **LONG) as site:
+        """The requests of three clients in turn, each with another request behind it. Fails on a dispatcher
+        that reuses a reader which still has part of a request."""
+        async with Inside([Worker("s-1")], **LONG_DEADLINE) as site:
             clients = [Caller(site.address) for _ in range(3)]
             parts = [
                 b"".join(
@@ -224,23 +234,22 @@
                     await site.turns(4)
             for client, body in zip(clients, (b"A", b"B", b"C"), strict=True):
                 for number in (1, 2):
-                    self.assertEqual(await word(site, client, number), "completed")
+                    self.assertEqual(await first_word(site, client, number), "completed")
                     self.assertEqual(client.answers[number][1], body)
                 client.close()
 
     async def test_across_a_drain(self):
-        """The rest comes while requests are still taken, and when none is taken any more but something is
-        still owed; or it never comes. Fails on a dispatcher that closes its idle clients when it stops
-        taking."""
-        worker, steps = Raw("s-1"), Steps(0, 0)
+        """The rest of a request arrives while requests are still admitted; or after admission has ended while
+        an answer is still due; or never. Fails on a dispatcher that closes idle clients as admission ends."""
+        worker, shutdown = Raw("s-1"), ManualShutdown(0, 0)
         with (
-            mock.patch.object(graceful_shutdown, "Shutdown", lambda *_: steps),
+            mock.patch.object(graceful_shutdown, "Shutdown", lambda *_: shutdown),
             mock.patch.object(resource_limits, "REQUEST_TIMEOUT", SLOW * 1_000_000_000),
         ):
-            await self._pieces_across_a_drain(worker, steps)
+            await self._pieces_across_a_drain(worker, shutdown)
 
-    async def _pieces_across_a_drain(self, worker, steps):
-        async with Inside([worker], **LONG) as site:
+    async def _pieces_across_a_drain(self, worker, shutdown):
+        async with Inside([worker], **LONG_DEADLINE) as site:
             busy, soon, late, never = (Caller(site.address) for _ in range(4))
             out = busy.call(ask(fn=1, ttl=30_000), type_="single")
             await site.until(worker.runs)
@@ -255,32 +264,32 @@
             soon.call(requests[soon], part=slice(40, None))
             await site.until(lambda: len(worker.runs()) == 2)
             worker.answer(worker.runs()[1])
-            self.assertEqual(await word(site, soon, 1), "completed")
-            steps.taking = False
+            self.assertEqual(await first_word(site, soon, 1), "completed")
+            shutdown.is_admitting = False
             await site.until(lambda: site.node.intake.closing)
             late.call(requests[late], part=slice(40, None))
-            self.assertEqual(await word(site, late, 1), "Throttled")
+            self.assertEqual(await first_word(site, late, 1), "Throttled")
             self.assertFalse(ending.done())
             worker.answer(worker.runs()[0])
-            self.assertEqual(await word(site, busy, out), "completed")
+            self.assertEqual(await first_word(site, busy, out), "completed")
             await asyncio.wait_for(ending, SLOW)
-            self.assertEqual(await word(site, never, 1), "end")
+            self.assertEqual(await first_word(site, never, 1), "end")
 
 
 class ReloadAndEnd(unittest.IsolatedAsyncioTestCase):
     async def test_a_reload_followed_at_once_by_a_drain(self):
-        """The new file is whole, half written or gone, and the roster that it names says nothing. What is out
-        and what still comes on open and new connections is answered; status 0. Fails on a dispatcher that
-        stops listening at SIGTERM."""
+        """The new file is complete, half written or missing, and the roster that it names never answers.
+        Requests in flight and new ones on open and new connections are answered; the exit status is 0. Fails
+        on a dispatcher that stops listening at SIGTERM."""
         for file in ("whole", "half written", "gone"):
             with self.subTest(file):
-                goes_on = asyncio.Event()
+                may_answer = asyncio.Event()
 
-                async def waits(worker, said, writer, goes_on=goes_on):
+                async def wait_if_single(worker, said, writer, may_answer=may_answer):
                     if said["meta"]["sort"] == "single":
-                        await goes_on.wait()
+                        await may_answer.wait()
 
-                async with Patient([Worker("s-1", waits)]) as site:
+                async with PatientSite([Worker("s-1", wait_if_single)]) as site:
                     mute = Roster()
                     await mute.open()
                     mute.spoil = silent
@@ -301,7 +310,7 @@
                     for client in (opened, fresh):
                         answer = await client.call(ttl=30_000, within=SLOW)
                         self.assertIn(answer[0], ("completed", "Throttled"))
-                    goes_on.set()
+                    may_answer.set()
                     self.assertEqual((await asyncio.wait_for(out, SLOW))[0], "completed")
                     self.assertEqual(await asyncio.wait_for(site.process.wait(), SLOW), 0)
                     mute.transport.close()
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -1,10 +1,9 @@
-"""A client that closes its connection or cancels has gone: no send, first or further, begins more than 0.1 s
-later.
+"""After a client closes its connection or cancels, no attempt for it begins more than 0.1 s later.
 
-The crossing is forced as in `test_crossings`: the end lies unread behind what lets the send go, and the loop
-is held up. No time is measured: what its client's end precedes never leaves. Each test was shown to fail on
-the text before (d60e4e0), which went by the time since its last look, or on the broken dispatcher that it
-names."""
+The crossing is forced as in `test_crossings`: while the event loop is blocked, the departure is still unread
+behind the event that triggers the send. No time is measured: a send that the client's departure precedes must
+never leave. Each test fails on the version before (d60e4e0), which relied on the time since its last check,
+or on the broken dispatcher that it names."""
 
 import asyncio
 import contextlib
@@ -21,46 +20,47 @@
 from petrelwood.links import sockets
 from petrelwood.node import worker as link
 
-WAYS = ("end", "reset", "cancel")
+DEPARTURES = ("end", "reset", "cancel")
 ONE_LANE = "lanes:1;load_ms:20"
-HOLDS = ((0.03,), (0.06,), (0.09,), (0.09, 0.09))  # s, each within what was once taken for no hold-up
+# Durations in s for which the loop is blocked; the version before did not recognise any of them as blocked.
+BLOCKINGS = ((0.03,), (0.06,), (0.09,), (0.09, 0.09))
 
 
 def ids(worker):
-    """Of the activations that have reached a worker, in their order."""
+    """Return the ids of the activations that have reached a worker, in order."""
     return [said["req"] for _, said in worker.runs()]
 
 
-async def held_up_twice(first, *more):
-    """The loop stands still, and again when it has been told what came but has not read it."""
+async def block_repeatedly(first, *more):
+    """Block the event loop, and again after it was notified of incoming data but before it reads them."""
     held_up(first)
     await asyncio.sleep(0)
     for seconds in more:
         asyncio.get_running_loop().call_soon(time.sleep, seconds)
 
 
-async def after_a_look(site):
-    """The moment from which the longest is left until the next look."""
-    looks = site.node.check_count
-    await site.until(lambda: site.node.check_count > looks)
+async def after_next_check(site):
+    """Wait for the next periodic check, so that the time until the following one is longest."""
+    checks = site.node.check_count
+    await site.until(lambda: site.node.check_count > checks)
 
 
-def leaving_first(client, how):
-    """`NodeLink._on_connected` that comes as the client of the send that waits for the connection leaves."""
-    up, left = link.NodeLink._on_connected, []
+def depart_before_connected(client, how):
+    """Return a `NodeLink._on_connected` before which the client of the send that waits for it departs."""
+    on_connected, departed = link.NodeLink._on_connected, []
 
-    def late(self, line):
-        if self.runs and not left:
-            left.append(how)
+    def after_departure(self, line):
+        if self.runs and not departed:
+            departed.append(how)
             client.close(how)
             held_up(0.06)
-        up(self, line)
+        on_connected(self, line)
 
-    return late
+    return after_departure
 
 
-def sending_again(node, worker):
-    """`Node.send_ended` that decides on a further send to `worker`, as the module may."""
+def send_again_to(node, worker):
+    """Return a `Node.send_ended` that also sends to `worker`, as the decision module may decide."""
     send_ended = node.send_ended
 
     def again(act, *rest):
@@ -72,9 +72,9 @@
 
 class EndUnread(unittest.IsolatedAsyncioTestCase):
     async def test_behind_the_answer_that_frees_its_lane(self):
-        for how in WAYS:
-            for holds in HOLDS:
-                with self.subTest(how, holds=holds):
+        for how in DEPARTURES:
+            for durations in BLOCKINGS:
+                with self.subTest(how, durations=durations):
                     worker = Raw("s-1")
                     async with Inside([worker]) as site:
                         first, gone = Caller(site.address), Caller(site.address)
@@ -82,41 +82,43 @@
                         await site.until(worker.runs)
                         gone.call(left := ask(fn=1, facts=ONE_LANE))
                         await site.until(lambda: site.node.intake.unanswered == 2)
-                        await after_a_look(site)
+                        await after_next_check(site)
                         worker.answer(worker.runs()[0])
                         gone.close(how)
-                        await held_up_twice(*holds)
+                        await block_repeatedly(*durations)
                         await site.until(lambda: site.node.pending.counts["left"] == 1)
                         await site.turns()
                         self.assertNotIn(left["call"], ids(worker))
                         first.close()
 
     async def test_behind_the_connection_that_its_first_send_waits_for(self):
-        for how in WAYS:
+        for how in DEPARTURES:
             with self.subTest(how):
                 worker = Raw("s-1")
                 async with Inside([worker], **NO_CANCEL) as site:
                     gone = Caller(site.address)
-                    with mock.patch.object(link.NodeLink, "_on_connected", leaving_first(gone, how)):
+                    with mock.patch.object(
+                        link.NodeLink, "_on_connected", depart_before_connected(gone, how)
+                    ):
                         gone.call(left := ask(fn=1))
                         await site.until(lambda: site.node.pending.counts["left"] == 1)
                     await site.turns()
                     self.assertNotIn(left["call"], ids(worker))
 
     async def test_behind_its_own_request(self):
-        """Both lie unread when the loop goes on, in one reading for a cancel."""
-        for how in WAYS:
+        """Request and departure are both unread when the loop continues; a cancel comes in the same read."""
+        for how in DEPARTURES:
             with self.subTest(how):
                 worker = Raw("s-1")
                 async with Inside([worker]) as site:
                     stays, gone = Caller(site.address), Caller(site.address)
                     stays.call(ask(fn=1))
-                    await site.until(worker.runs)  # a connection is up, and another one rests
+                    await site.until(worker.runs)  # a connection is established, and another one is idle
                     worker.answer(worker.runs()[0])
                     await site.until(stays.read)
                     gone.call(left := ask(fn=1))
                     gone.close(how)
-                    await held_up_twice(0.06)
+                    await block_repeatedly(0.06)
                     await site.turns()
                     stays.call(kept := ask(fn=1))
                     await site.until(lambda kept=kept, worker=worker: kept["call"] in ids(worker))
@@ -124,16 +126,16 @@
                     stays.close()
 
     async def test_behind_the_answer_that_asks_for_a_further_send(self):
-        """The first worker turns it away. Its client leaves, and the send to the second one is decided before
-        that is read."""
-        for how in WAYS:
-            for holds in HOLDS:
-                with self.subTest(how, holds=holds):
+        """The first worker rejects the send. The client departs, and the send to the second worker is decided
+        before the departure is read."""
+        for how in DEPARTURES:
+            for durations in BLOCKINGS:
+                with self.subTest(how, durations=durations):
                     workers = [Raw("s-1"), Raw("s-2")]
                     quiet = {"permissions": {"probes": False}, "loadInfo": {"how": "silent"}}
                     async with Inside(workers, **quiet) as site:
                         client = Caller(site.address)
-                        for worker in workers:  # a connection to each is up
+                        for worker in workers:  # establish a connection to each
                             site.node.submit(site.node.outlet.check_health, worker.name)
                             await site.until(worker.read)
                             worker.write(0, {"type": "PONG", "req": worker.read()[0][1]["req"], "meta": {}})
@@ -143,12 +145,12 @@
                         client.call(left := ask(fn=1))
                         await site.until(lambda each=workers: each[0].runs() or each[1].runs())
                         first, second = workers if workers[0].runs() else workers[::-1]
-                        await after_a_look(site)
-                        again = sending_again(site.node, second.name)
+                        await after_next_check(site)
+                        again = send_again_to(site.node, second.name)
                         with mock.patch.object(site.node, "send_ended", again):
                             first.answer(first.runs()[0], type="SHED")
                             client.close(how)
-                            await held_up_twice(*holds)
+                            await block_repeatedly(*durations)
                             await site.until(lambda: site.node.pending.counts["left"] == 1)
                         await site.turns()
                         self.assertNotIn(left["call"], ids(second))
@@ -156,19 +158,19 @@
 
 class Waits(unittest.IsolatedAsyncioTestCase):
     async def test_behind_another_send_whose_worker_does_not_read(self):
-        """All descriptors are used up, so sends share a connection. One that waits for room in the machine's
-        hands would begin whenever the worker reads again."""
+        """All descriptors are used up, so sends share a connection. A send that waits for room in the send
+        buffer of the kernel would begin whenever the worker reads again."""
         worker, fresh = Raw("s-1"), sockets.fresh
         worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
 
-        def narrow(host, kind=socket.SOCK_STREAM):
+        def small_send_buffer(host, kind=socket.SOCK_STREAM):
             sock = fresh(host, kind)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             return sock
 
         with (
-            mock.patch.object(link.sockets, "fresh", narrow),
-            # on a busy machine it waits longer
+            mock.patch.object(link.sockets, "fresh", small_send_buffer),
+            # a long timeout, so that a busy machine does not trigger it
             mock.patch.object(link, "WRITE_TIMEOUT", SLOW * 1_000_000_000),
         ):
             async with Inside([worker], **NO_CANCEL) as site:
@@ -178,7 +180,7 @@
                 await site.until(
                     lambda: (
                         site.node.links
-                        and any(line.stream.writing() for line in site.node.links["s-1"].lines)
+                        and any(connection.stream.writing() for connection in site.node.links["s-1"].lines)
                     )
                 )
                 gone.call(ask(fn=2))
@@ -193,7 +195,7 @@
                 stays.close()
 
     async def test_who_is_closed_for_its_faults_has_gone(self):
-        """Nothing of it is read any more, so neither is its cancel."""
+        """Nothing more is read from the client, and so neither is its cancel."""
         worker = Raw("s-1")
         async with Inside([worker]) as site:
             first, bad = Caller(site.address), Caller(site.address)
@@ -201,13 +203,12 @@
             await site.until(worker.runs)
             bad.call(left := ask(fn=1, facts=ONE_LANE))
             await site.until(lambda: site.node.intake.unanswered == 2)
-            with mock.patch.object(
-                site.node.front, "check"
-            ):  # it ends its connection, if it reads, at a look
-                wrongs = [
+            # without the check that would end the connection of a client that reads
+            with mock.patch.object(site.node.front, "check"):
+                malformed = [
                     msgpack.packb([0, 2 + n, "nothing", [{}, b""]]) for n in range(resource_limits.MAX_FAULTS)
                 ]
-                bad.sock.sendall(b"".join(wrongs) + msgpack.packb([2, "cancel", [1]]))
+                bad.sock.sendall(b"".join(malformed) + msgpack.packb([2, "cancel", [1]]))
                 await site.until(lambda: any(client.draining for client in site.node.front.clients))
                 worker.answer(worker.runs()[0])
                 await site.until(lambda: site.node.pending.counts["completed"] == 1)
@@ -218,8 +219,8 @@
             first.close()
 
     async def test_who_never_stops_sending_is_served(self):
-        """Something of it lies unread at each look. What it had sent at the first one is read at the second
-        reading, so its sends leave. Fails on a dispatcher that waits until nothing lies unread."""
+        """Data of the client are unread at each check. The data sent before the first check are read at the
+        second read, so the client's sends leave. Fails on a dispatcher that waits until nothing is unread."""
         worker = Raw("s-1")
         async with Inside([worker]) as site:
             chatty, talks = Caller(site.address), True
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,5 +1,4 @@
-"""State that survives: a kill at every byte and every write, disks that fail, lives that follow each
-other."""
+"""State that survives restarts: kills at every byte and every write, failing disks, later incarnations."""
 
 import errno
 import pathlib
@@ -38,7 +37,7 @@
 
 
 class Monotonic:
-    """The monotonic clock, set by hand."""
+    """A monotonic clock that the test sets."""
 
     def __init__(self, time=0):
         self.time = time
@@ -48,25 +47,27 @@
 
 
 class Files(files.Files):
-    """Fails at the n-th call that could: `full` writes nothing, `torn` a part, `sync` fails to make
-    durable."""
+    """Fails at the n-th write or sync.
+
+    `how`: `full` writes nothing, `torn` writes a part, `sync` fails to make data durable.
+    """
 
     def __init__(self, at, how):
-        self.left, self.how = at, how
+        self.calls_left, self.how = at, how
 
-    def _turn(self):
-        self.left -= 1
-        return self.left == 0
+    def _is_failing_call(self):
+        self.calls_left -= 1
+        return self.calls_left == 0
 
     def write(self, handle, data):
-        if self.how != "sync" and self._turn():
+        if self.how != "sync" and self._is_failing_call():
             if self.how == "torn":
                 super().write(handle, data[: len(data) // 2])
             raise OSError(errno.ENOSPC, "No space left on device")
         return super().write(handle, data)
 
     def sync(self, handle):
-        if self.how == "sync" and self._turn():
+        if self.how == "sync" and self._is_failing_call():
             raise OSError(errno.EIO, "Input/output error")
         super().sync(handle)
 
@@ -88,14 +89,14 @@
 
 
 class Logs(Case):
-    def written(self, log, count=20, wall=WALL):
+    def write_records(self, log, count=20, wall=WALL):
         for i in range(count):
             log.add(ActivationAdmitted(wall + i, "x", f"m{i}", wall, "once"))
             log.flush()
         return log
 
     def test_a_kill_at_every_byte_keeps_a_beginning_of_what_was_written(self):
-        path = self.written(self.log()).log.path
+        path = self.write_records(self.log()).log.path
         data, seen = path.read_bytes(), []
         for size in range(len(data) + 1):
             path.write_bytes(data[:size])
@@ -106,7 +107,7 @@
         self.assertEqual(seen, sorted(seen))
 
     def test_a_life_follows_another_and_never_writes_into_its_segments(self):
-        self.written(self.log())
+        self.write_records(self.log())
         second = self.log(WALL + S)
         self.assertEqual((second.epoch, len(second.found)), (2, 21))
         second.add(ActivationEnded(WALL + S, "x", "m1", ActivationState.COMPLETED, True, b"done"))
@@ -129,7 +130,7 @@
         self.assertLess(len(state_segments.segments(self.folder)), 8)
 
     def test_a_step_of_the_wall_clock_removes_nothing_early(self):
-        """Segments written in this life, and found ones, under steps in both directions."""
+        """Segments of this incarnation and of an earlier one, under steps in both directions."""
         for step in (3600 * S, -3600 * S, 5 * S, -5 * S):
             with self.subTest(step=step), tempfile.TemporaryDirectory() as folder:
                 now = Monotonic(1000 * S)
@@ -145,7 +146,7 @@
                         r.id for r in state_segments.read(folder)[0] if isinstance(r, ActivationAdmitted)
                     }
                     self.assertEqual(taken, {"found", "own"})
-                # what was sealed last has its age from then on
+                # the age of the last sealed segment counts from its sealing
                 now.time = 2001 * S
                 log.begin_next_segment(WALL + now.time - 1000 * S + step)
                 self.assertEqual(
@@ -184,13 +185,13 @@
         path.write_bytes(append_log.MARK + append_log.frame(msgpack.packb(["new kind", 1, 2])))
         with self.assertRaises(StateUnreadableError):
             state_segments.read(self.folder)
-        # whole, only unknown: left for a build that knows it
+        # a complete record of an unknown kind: left for a build that knows it
         self.assertEqual(len(state_segments.repair(self.folder)), 0)
         path.write_bytes(b"something else")
         self.assertEqual([found.path.suffix for found in state_segments.repair(self.folder)], [".unreadable"])
 
     def test_the_commands(self):
-        log = self.written(self.log(), 3)
+        log = self.write_records(self.log(), 3)
         log.add(ActivationEnded(WALL + 9, "x", "m1", ActivationState.COMPLETED, True, b"{}"))
         log.flush()
 
@@ -213,17 +214,17 @@
 
 
 class Returns(unittest.TestCase):
-    LIFE = IncarnationStarted(WALL, "b1", 1, 1)
+    FIRST_START = IncarnationStarted(WALL, "b1", 1, 1)
 
-    def story(self, records, wall, boot="b1", durable=False):
-        """What a later life at `wall` makes of an id that comes again with a newer stamp."""
+    def recover(self, records, wall, boot="b1", durable=False):
+        """Return the recovered state of a later incarnation that starts at `wall`, and its ledger."""
         found = recovery.replay(records, wall, boot, durable)
         ledger = Ledger(100, 1000, 300 * S, TYPES, REMEMBER, wall)
         recovery.restore_ledger(ledger, found, 50 * S, wall)
         return found, ledger
 
     def test_what_may_be_done_with_each_id(self):
-        records, lines, at = [self.LIFE], [], WALL + 5 * S
+        records, lines, at = [self.FIRST_START], [], WALL + 5 * S
         for type_ in TYPES:
             for outcome, sent in (
                 (None, None),
@@ -251,7 +252,7 @@
             (WALL + 40 * S, "35 s later, the window is over"),
             (WALL - 90 * S, "the clock went back"),
         ):
-            _, ledger = self.story(records, wall)
+            _, ledger = self.recover(records, wall)
             lines.append(word)
             for (_, id_), entry in list(ledger.entries.items()):
                 verdict, entry = ledger.admit(
@@ -263,7 +264,7 @@
 
     def test_replays_signed_before_the_restart(self):
         records = [
-            self.LIFE,
+            self.FIRST_START,
             ActivationAdmitted(WALL + S, "x", "m1", WALL, "once"),
             ActivationEnded(WALL + 2 * S, "x", "m1", ActivationState.COMPLETED, True, b"r"),
         ]
@@ -274,7 +275,7 @@
             ("the machine fell, each was on the disk", WALL + 9 * S, "b2", True),
             ("the clock went back", WALL - 9 * S, "b1", False),
         ):
-            found, ledger = self.story(records, wall, boot, durable)
+            found, ledger = self.recover(records, wall, boot, durable)
             asked = [
                 ledger.admit(50 * S, wall, ("x", id_), stamp, "once")[0]
                 for id_, stamp in (("m1", WALL), ("m2", WALL + S), ("m3", wall + S))
@@ -289,14 +290,14 @@
     def test_orders_and_cold_windows_of_the_life_before(self):
         guarantees = ports.Guarantees(S, 8 * S, 0.25, 2.5, S)
         orders = ports.LoadOrders(True, True, 8 * S, 6, 0.4, 5 * S)
-        records = [self.LIFE] + [LoadOrdered(WALL + i * S, "w1", "f", 1) for i in range(10)]
+        records = [self.FIRST_START] + [LoadOrdered(WALL + i * S, "w1", "f", 1) for i in range(10)]
         for wall, count, cold_after in (
             (WALL + 10 * S, 4, S),
             (WALL + 9 * S, 5, S),
             (WALL + 60 * S, 0, 0),
             (WALL - 60 * S, 10, S),
         ):
-            found, _ = self.story(records, wall)
+            found, _ = self.recover(records, wall)
             back = recovery.RestartLimits(found, 50 * S, wall, guarantees, orders)
             self.assertEqual(
                 (back.recent_orders, back.cold_workers_from - 50 * S, back.starts_slowly),
@@ -305,19 +306,19 @@
             self.assertEqual(
                 (back.may_send(50 * S, True), back.may_send(50 * S, False)), (cold_after == 0, True)
             )
-        found, _ = self.story(records + [IncarnationEnded(WALL + 10 * S)], WALL + 11 * S)
+        found, _ = self.recover(records + [IncarnationEnded(WALL + 10 * S)], WALL + 11 * S)
         self.assertFalse(recovery.RestartLimits(found, 0, WALL + 11 * S, guarantees, orders).starts_slowly)
 
     def test_no_order_of_damage_raises(self):
         chance = random.Random(2)
-        records = [self.LIFE] + [
+        records = [self.FIRST_START] + [
             chance.choice(
                 [
                     ActivationAdmitted(WALL + i, "x", f"m{i % 9}", WALL, chance.choice([*TYPES, "gone"])),
                     ActivationEnded(WALL + i, "x", f"m{i % 9}", ActivationState.ABORTED, True, None),
                     LoadOrdered(WALL + i, "w", "f", 1),
                     IncarnationEnded(WALL + i),
-                    self.LIFE,
+                    self.FIRST_START,
                 ]
             )
             for i in range(300)
@@ -325,15 +326,15 @@
         for _ in range(200):
             some = [r for r in records if chance.random() < 0.7]
             chance.shuffle(some)
-            found, ledger = self.story(some, WALL + chance.randrange(-100, 100) * S)
+            found, ledger = self.recover(some, WALL + chance.randrange(-100, 100) * S)
             self.assertTrue(all(entry.state != ActivationState.RUNNING for entry in ledger.entries.values()))
 
 
 class Lives(unittest.TestCase):
-    """Dispatchers killed at drawn moments of an emulated day, before clients that ask again even for what may
-    have run."""
+    """Dispatchers are killed at random times of an emulated day, while clients retry even activations that
+    may have run."""
 
-    def effects(self, seed, kept):
+    def play(self, seed, keeps_state):
         day = script.read(script.find(str(pathlib.Path(__file__).parent / "days" / "small.kdl")))
         chance = random.Random(seed)
         kills = tuple(
@@ -346,7 +347,7 @@
             for _ in range(6)
         )
         day = day._replace(
-            state=kept,
+            state=keeps_state,
             troubles=kills,
             clients=tuple(c._replace(insists=True, retries=4) for c in day.clients),
         )
@@ -358,14 +359,14 @@
     def test_nothing_runs_twice_over_hundreds_of_kills(self):
         kills, without = 0, 0
         for seed in range(1, 41):
-            broken, lives, completed = self.effects(seed, True)
+            broken, lives, completed = self.play(seed, True)
             self.assertEqual(broken, [], seed)
             self.assertGreater(completed, 100)
             kills += lives
         for seed in range(1, 13):
-            without += len(self.effects(seed, False)[0])
+            without += len(self.play(seed, False)[0])
         self.assertGreater(kills, 150)
-        # the same clients break the rule where nothing survives
+        # the same clients break the rule if no state survives
         self.assertGreater(without, 0)
 
 
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -1,9 +1,9 @@
-"""The time that a worker is told is what the client has left as the frame is written, within 0.15 s; a send
-that has none left never leaves, which proves that it never ran.
+"""A worker is told the time that the client has left when the frame is written, within 0.15 s. A send without
+any time left is never written, which proves that it never ran.
 
-Waits are forced by a clock that jumps: the connection comes up, the rest ahead leaves, the loop goes on when
-that much has passed. Each test failed on the text before (668305e), where a send's frame was made as it was
-queued, but those that name the broken dispatcher that they fail on."""
+Waits are forced by advancing the clock before the connection is established, the unsent data ahead leave, or
+the loop continues. Each test fails on the version before (668305e), which encoded the frame of a send when it
+was queued, except those that name the broken dispatcher that they fail on."""
 
 import socket
 import types
@@ -24,18 +24,18 @@
 MS = 1_000_000
 SLACK = 150  # ms
 TTL = 3900  # ms
-CLOCK_RESOLUTION = 15  # ms, of the kernel's ticks and of what it rounds
-CONNECTS = {"cancelling": False, "connectTimeout": 20_000_000}
+CLOCK_RESOLUTION = 15  # ms, for the ticks of the kernel and its rounding
+LONG_CONNECT_TIMEOUT = {"cancelling": False, "connectTimeout": 20_000_000}
 
 
-def jump(node, milliseconds):
-    """The dispatcher's clock goes on by so much at once."""
+def advance_clock(node, milliseconds):
+    """Advance the dispatcher's clock at once."""
     now = node.now
     node.now = lambda: now() + milliseconds * MS
 
 
-def narrow(fresh=sockets.fresh):
-    """`sockets.fresh` whose sockets take little at a time."""
+def small_send_buffer(fresh=sockets.fresh):
+    """Return a `sockets.fresh` whose sockets have small send buffers."""
 
     def made(host, kind=socket.SOCK_STREAM):
         sock = fresh(host, kind)
@@ -46,10 +46,10 @@
 
 
 class LateConnections:
-    """Connections to workers come up when the test says so."""
+    """Delays the establishment of connections to workers until the test calls `establish`."""
 
     def __init__(self):
-        self.up = node_worker.NodeLink._on_connected
+        self.on_connected = node_worker.NodeLink._on_connected
         self.waiting = []
 
     def hold(self):
@@ -58,20 +58,19 @@
 
         return mock.patch.object(node_worker.NodeLink, "_on_connected", wait)
 
-    def come_up(self):
+    def establish(self):
         for args in self.waiting:
-            self.up(*args)
+            self.on_connected(*args)
 
 
-def waits_for_a_connection(node, name):
-    """Whether a send to this worker waits, and all connections that were begun have come up but for our
-    word."""
+def is_waiting_for_connection(node, name):
+    """Whether a send to this worker waits, and only the test delays the connections that were begun."""
     link = node.links.get(name)
     return link and link.runs and link.waiting and len(link.lines) == link.connecting
 
 
 def patience(worker, fields):
-    """What a worker was told with a request, ms; None where it was not told of it."""
+    """Return the patience that a worker got with a request, ms; None if it did not get the request."""
     return next(
         (said["meta"]["patience"] for _, said in worker.runs() if said["req"] == fields["call"]), None
     )
@@ -80,33 +79,33 @@
 class WaitsForItsConnection(unittest.IsolatedAsyncioTestCase):
     async def test_the_wait_is_taken_off(self):
         worker, late = Raw("s-1"), LateConnections()
-        async with Inside([worker], permissions=CONNECTS) as site:
+        async with Inside([worker], permissions=LONG_CONNECT_TIMEOUT) as site:
             client = Caller(site.address)
             with late.hold():
                 client.call(fields := ask(fn=1, ttl=TTL))
-                await site.until(lambda: waits_for_a_connection(site.node, "s-1"))
+                await site.until(lambda: is_waiting_for_connection(site.node, "s-1"))
             link = site.node.links["s-1"]
             self.assertGreater(link.waiting_bytes, 0)
-            jump(site.node, 1000)
-            late.come_up()
+            advance_clock(site.node, 1000)
+            late.establish()
             await site.until(worker.runs)
             self.assertLessEqual(patience(worker, fields), TTL - 1000)
             self.assertEqual(link.waiting_bytes, sum(call.size for call in link.waiting))
             client.close()
 
     async def test_with_none_left_it_never_leaves(self):
-        """Its client is told at once that it never ran, of once-only work too."""
+        """The client is told at once that the activation never ran, also for once-only activations."""
         for type_ in ("plain", "marked", "single"):
             with self.subTest(type_):
                 worker, late = Raw("s-1"), LateConnections()
-                async with Inside([worker], permissions=CONNECTS) as site:
+                async with Inside([worker], permissions=LONG_CONNECT_TIMEOUT) as site:
                     client = Caller(site.address)
                     with late.hold():
                         number = client.call(ask(fn=1, ttl=TTL), type_=type_)
-                        await site.until(lambda node=site.node: waits_for_a_connection(node, "s-1"))
-                    jump(site.node, TTL)
-                    late.come_up()
-                    await site.until(client.read, within=1)  # long before its time is up
+                        await site.until(lambda node=site.node: is_waiting_for_connection(node, "s-1"))
+                    advance_clock(site.node, TTL)
+                    late.establish()
+                    await site.until(client.read, within=1)  # long before its deadline
                     self.assertEqual(client.answers[number][0], "Throttled")
                     await site.turns()
                     self.assertEqual(worker.runs(), [])
@@ -116,11 +115,11 @@
                     client.close()
 
     async def test_a_second_attempt(self):
-        """The other one is out, or was turned away: its worker is told what is left as it goes."""
+        """The first attempt is in flight or was rejected; the second carries the time left as it is sent."""
         for how in ("out", "turned away"):
             with self.subTest(how):
                 workers, late = [Raw("s-1"), Raw("s-2")], LateConnections()
-                async with Inside(workers, permissions=CONNECTS) as site:
+                async with Inside(workers, permissions=LONG_CONNECT_TIMEOUT) as site:
                     client, node = Caller(site.address), site.node
                     client.call(fields := ask(fn=1, ttl=TTL))
                     await site.until(lambda node=node: node.links.in_flight)
@@ -128,14 +127,14 @@
                     first, second = workers if name == "s-1" else workers[::-1]
                     await site.until(first.runs)
                     with late.hold():
-                        node.links[second.name].give_up("the test has its connections come up late")
+                        node.links[second.name].give_up("the test delays its connections")
                         node.submit(node.outlet.send, act, second.name, 0)
                         if how == "turned away":
                             first.answer(first.runs()[0], type="SHED")
                             await site.until(lambda node=node, act=act: (act, 0) not in node.links.in_flight)
-                        await site.until(lambda args=(node, second.name): waits_for_a_connection(*args))
-                    jump(node, 1000)
-                    late.come_up()
+                        await site.until(lambda args=(node, second.name): is_waiting_for_connection(*args))
+                    advance_clock(node, 1000)
+                    late.establish()
                     await site.until(second.runs)
                     self.assertLessEqual(patience(second, fields), TTL - 1000)
                     client.close()
@@ -143,7 +142,7 @@
 
 class WaitsInTheListenQueue(unittest.IsolatedAsyncioTestCase):
     async def test_a_request_that_lay_there_unread_has_as_much_less_time(self):
-        """Guards against a wait in the kernel that is not counted, as the loop itself is in time."""
+        """Guards against not counting a wait in the kernel because the loop itself is in time."""
         worker = Raw("s-1")
         async with Inside([worker]) as site:
             site.node.loop.remove_reader(site.node.front.listener.sock)
@@ -151,8 +150,8 @@
             number = client.call(fields := ask(fn=1, ttl=TTL))
             sent_at = site.node.now()
             await site.until(lambda: site.node.now() - sent_at > 400 * MS)
-            looks = site.node.check_count
-            await site.until(lambda: site.node.check_count > looks + 1)  # the loop counts as in time
+            checks = site.node.check_count
+            await site.until(lambda: site.node.check_count > checks + 1)  # the loop counts as in time
             waited = (site.node.now() - sent_at) // MS
             site.node.loop.add_reader(site.node.front.listener.sock, site.node.front.listener._accept)
             await site.until(worker.runs)
@@ -162,7 +161,7 @@
             client.close()
 
     async def test_one_whose_time_was_up_there_is_answered_at_once(self):
-        """Guards against a client that is answered only after its time, counted anew from the reading."""
+        """Guards against an answer after the client's deadline because its time is counted from the read."""
         worker = Raw("s-1")
         async with Inside([worker]) as site:
             site.node.loop.remove_reader(site.node.front.listener.sock)
@@ -177,14 +176,14 @@
             client.close()
 
     async def test_a_kernel_that_does_not_tell(self):
-        """Guards against a request that is lost where the wait can't be asked for."""
+        """Guards against losing a request if the kernel does not report the wait."""
         with socket.socket(socket.AF_UNIX) as sock:
             self.assertEqual(sockets.time_since_last_data(sock), 0)
 
 
 class WaitsBehindAnother(unittest.IsolatedAsyncioTestCase):
-    async def _two(self, site, worker):
-        """A send whose rest has not left, and one behind it on the only connection."""
+    async def _begin_two(self, site, worker):
+        """Begin a send that is partly unsent, and one queued behind it on the only connection."""
         site.node.resource_limits.workers = 1
         clients = [Caller(site.address) for _ in range(2)]
         clients[0].call(first := ask(fn=1, ttl=TTL), b"z" * resource_limits.MAX_BODY)
@@ -199,42 +198,42 @@
         worker = Raw("s-1")
         worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         with (
-            mock.patch.object(node_worker.sockets, "fresh", narrow()),
+            mock.patch.object(node_worker.sockets, "fresh", small_send_buffer()),
             mock.patch.object(node_worker, "WRITE_TIMEOUT", SLOW * 1000 * MS),
         ):
             async with Inside([worker], **NO_CANCEL) as site:
-                clients, _, second = await self._two(site, worker)
-                jump(site.node, 1000)
+                clients, _, second = await self._begin_two(site, worker)
+                advance_clock(site.node, 1000)
                 await site.until(lambda: second["call"] in ids(worker))
                 self.assertLessEqual(patience(worker, second), TTL - 1000)
                 for client in clients:
                     client.close()
 
     async def test_a_rest_that_stays_unsent_never_follows(self):
-        """Its worker reads again later: it has not got the whole of it, and what waited behind it is told
-        what is left. Its client has an answer."""
+        """The worker reads again later: it does not get the rest of the frame, and the send queued behind it
+        leaves with the time left. The client of the first send gets an answer."""
         worker = Raw("s-1")
         worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        with mock.patch.object(node_worker.sockets, "fresh", narrow()):
+        with mock.patch.object(node_worker.sockets, "fresh", small_send_buffer()):
             async with Inside([worker], **NO_CANCEL) as site:
-                clients, _, second = await self._two(site, worker)
+                clients, _, second = await self._begin_two(site, worker)
                 began = site.node.now()
                 link = site.node.links["s-1"]
                 blocked = next(line for line in link.lines if line.stream.writing())
                 await site.until(lambda: blocked not in link.lines)
                 await site.until(lambda: second["call"] in ids(worker))
                 self.assertLess(patience(worker, second), TTL)
-                await site.until(lambda: 1 in clients[0].read())  # and not only when its time is up
+                await site.until(lambda: 1 in clients[0].read())  # and not only at its deadline
                 self.assertLess(site.node.now() - began, TTL * MS // 2)
                 for client in clients:
                     client.close()
 
     async def test_a_client_that_leaves_while_its_rest_is_unsent_behind_anothers_open_one(self):
-        """Both are on one connection: it is closed all the same, and the other's client gets an answer."""
+        """Both sends share a connection: it is closed nevertheless, and the other client gets an answer."""
         worker = Raw("s-1")
         worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         with (
-            mock.patch.object(node_worker.sockets, "fresh", narrow()),
+            mock.patch.object(node_worker.sockets, "fresh", small_send_buffer()),
             mock.patch.object(node_worker, "WRITE_TIMEOUT", SLOW * 1000 * MS),
         ):
             async with Inside([worker], **NO_CANCEL, familyInfo={"mayOrder": False}) as site:
@@ -259,7 +258,7 @@
 
 class HeldUp(unittest.IsolatedAsyncioTestCase):
     async def test_a_request_that_lay_unread_while_the_loop_was_held_up(self):
-        """Its client's time runs from its last byte, not from our reading. Failed on the text before."""
+        """The client's time runs from the arrival of the last byte, not from the read of the dispatcher."""
         worker = Raw("s-1")
         async with Inside([worker]) as site:
             client = Caller(site.address)
@@ -275,7 +274,7 @@
 
 
 class Core:
-    """As much of a dispatcher as a link needs."""
+    """The parts of a dispatcher that a link needs."""
 
     def __init__(self):
         self.time, self.ends, self.reconnects, self.name = 0, [], None, "d"
