--- a/tests/test_always_answered.py
+++ b/tests/test_always_answered.py
@@ -96,7 +96,9 @@
             site.roster.spoil = silent
             client, numbers = Caller(site.address), []
             for _ in range(3):
-                numbers += [client.call(ask(fn=n, ttl=600), type_=type_) for n, type_ in enumerate(TYPES)]
+                numbers += [
+                    client.call(ask(fn=n, ttl=600), type_=type_name) for n, type_name in enumerate(TYPES)
+                ]
                 self.assertEqual(await health(site, client), ("completed", True))
             for number in numbers:
                 self.assertEqual(await first_word(site, client, number), "Throttled")
@@ -135,9 +137,10 @@
             self.assertEqual(await first_word(site, client, client.call(ask(fn=1, ttl=30_000))), "completed")
             site.roster.spoil = silent
             await old.close()
-            for type_ in TYPES:
+            for type_name in TYPES:
                 self.assertIn(
-                    await first_word(site, client, client.call(ask(fn=1, ttl=600), type_=type_)), ANSWER_WORDS
+                    await first_word(site, client, client.call(ask(fn=1, ttl=600), type_=type_name)),
+                    ANSWER_WORDS,
                 )
             await new.open()
             site.workers.append(new)
