--- a/petrelwood/decide/delivery/ledger.py
+++ b/petrelwood/decide/delivery/ledger.py
@@ -108,9 +108,8 @@
         self.counts: dict[str, int] = {verdict.value: 0 for verdict in LedgerVerdict}
         self._results: OrderedDict[Key, LedgerEntry] = OrderedDict()  # entries with a result, oldest first
         self._result_bytes = 0
-        self._expiries: deque[tuple[int, Key]] = (
-            deque()
-        )  # (when to check for expiry, key), in order of arrival
+        # (when to check for expiry, key), in order of arrival
+        self._expiries: deque[tuple[int, Key]] = deque()
 
     # Accepted timestamps
     def earliest_timestamp(self, type_name: str) -> int:
--- a/petrelwood/decide/delivery/mqtt_acknowledgement.py
+++ b/petrelwood/decide/delivery/mqtt_acknowledgement.py
@@ -161,9 +161,8 @@
         """Handle a known message that is delivered again; return False if it must be treated as a new one."""
         is_proving = known.state is DeliveryState.PROVING
         if qos == EXACTLY_ONCE and is_proving:
-            self.actions.acknowledge(
-                _packet_id(known), qos
-            )  # the PUBREC was lost, and the message was not begun
+            # the PUBREC was lost, and the message was not begun
+            self.actions.acknowledge(_packet_id(known), qos)
             return True
         if not is_duplicate:
             return False
--- a/petrelwood/decide/overload/intake.py
+++ b/petrelwood/decide/overload/intake.py
@@ -161,9 +161,8 @@
         self.unanswered = 0  # admitted activations without an answer
         self.unanswered_by_customer: dict[str, int] = {}
         shortest = min(timeouts.values())
-        self.typical_duration = (
-            shortest // INITIAL_DURATION_DIVISOR
-        )  # running mean from arrival to answer, ns
+        # running mean of the time from arrival to answer, ns
+        self.typical_duration = shortest // INITIAL_DURATION_DIVISOR
         least = max(MIN_CONCURRENCY, limits.held // MIN_CONCURRENCY_DIVISOR)
         self.throughput = ThroughputEstimate(least)
         self.concurrency_limit = ConcurrencyLimit(limits.held, least, shortest // IN_TIME_DIVISOR)
