--- a/tests/test_always_answered.py
+++ b/tests/test_always_answered.py
@@ -15,7 +15,7 @@
 
 import msgpack
 from node_site import Roster, Site, Worker, ask
-from test_crossings import SLOW, Caller, Inside, Raw, settings
+from test_crossings import SLOW, Caller, InProcessSite, ManualWorker, settings
 
 from petrelwood.decide.overload import resource_limits
 from petrelwood.links import sockets
@@ -34,13 +34,13 @@
     def __init__(self, now, longest):
         self.is_admitting = True
 
-    def closed(self, now):
+    def is_admission_closed(self, now):
         return not self.is_admitting
 
-    def out_of_time(self, now):
+    def must_answer_all(self, now):
         return False
 
-    def over(self, now, owed, quiet):
+    def may_exit(self, now, owed, quiet):
         return not self.is_admitting and not owed and quiet
 
 
@@ -54,7 +54,7 @@
         "import sys; from petrelwood.node import __main__ as node; "
         "from petrelwood.decide.cluster import shutdown; "
         "from petrelwood.decide.overload import resource_limits as limits; "
-        f"shutdown.LONGEST_TIMEOUT = limits.FIRST_REQUEST_TIMEOUT = {SLOW}_000_000_000; "
+        f"shutdown.MAX_TIMEOUT = limits.FIRST_REQUEST_TIMEOUT = {SLOW}_000_000_000; "
         f"limits.REQUEST_TIMEOUT = {SLOW}_000_000_000; sys.exit(node.main())",
     )
 
@@ -69,7 +69,7 @@
 
 
 def silent(wire):
-    """`Roster.spoil` of a roster that never answers."""
+    """`Roster.rewrite` of a roster that never answers."""
     return None
 
 
@@ -92,8 +92,8 @@
         """No worker is known: requests of every type are rejected in time, and health requests are answered.
 
         Fails on a dispatcher where neither the module's rejection nor the core's own deadline answers."""
-        async with Inside([]) as site:
-            site.roster.spoil = silent
+        async with InProcessSite([]) as site:
+            site.roster.rewrite = silent
             client, numbers = Caller(site.address), []
             for _ in range(3):
                 numbers += [
@@ -111,8 +111,8 @@
 
         Fails on a dispatcher that stops requesting the list when it is lost."""
         worker = Worker("s-1")
-        async with Inside([], **LONG_DEADLINE, familyInfo={"keep": 300_000}) as site:
-            site.roster.spoil = silent
+        async with InProcessSite([], **LONG_DEADLINE, familyInfo={"keep": 300_000}) as site:
+            site.roster.rewrite = silent
             await site.until(lambda: any("endpoint list lost" in line for line in site.log))
             client = Caller(site.address)
             early = client.call(ask(fn=1, ttl=600))
@@ -122,7 +122,7 @@
             await worker.open()
             site.workers.append(worker)
             site.roster.tell(worker)
-            site.roster.spoil = None
+            site.roster.rewrite = None
             self.assertEqual(await first_word(site, client, held), "completed")
             later = client.call(ask(fn=1, ttl=30_000))
             self.assertEqual(await first_word(site, client, later), "completed")
@@ -132,10 +132,10 @@
         """The initial workers have ended meanwhile, so nothing can be served. Each request is still answered,
         and all are served once the new list arrives. Fails on a dispatcher that accepts one list only."""
         old, new = Worker("s-1"), Worker("s-2")
-        async with Inside([old], **LONG_DEADLINE) as site:
+        async with InProcessSite([old], **LONG_DEADLINE) as site:
             client = Caller(site.address)
             self.assertEqual(await first_word(site, client, client.call(ask(fn=1, ttl=30_000))), "completed")
-            site.roster.spoil = silent
+            site.roster.rewrite = silent
             await old.close()
             for type_name in TYPES:
                 self.assertIn(
@@ -146,7 +146,7 @@
             site.workers.append(new)
             site.roster.tell(old, "Gone")
             site.roster.tell(new)
-            site.roster.spoil = None
+            site.roster.rewrite = None
             await site.until(lambda: site.node.membership.is_usable("s-2"))
             self.assertEqual(await first_word(site, client, client.call(ask(fn=1, ttl=30_000))), "completed")
             client.close()
@@ -154,8 +154,8 @@
     async def test_a_silence_that_lasts_leaves_what_is_known(self):
         """The list is lost for good, but its workers continue to serve. Fails on a dispatcher that forgets
         its workers when the list is lost."""
-        async with Inside([Worker("s-1")], **LONG_DEADLINE, familyInfo={"keep": 300_000}) as site:
-            site.roster.spoil = silent
+        async with InProcessSite([Worker("s-1")], **LONG_DEADLINE, familyInfo={"keep": 300_000}) as site:
+            site.roster.rewrite = silent
             await site.until(lambda: any("endpoint list lost" in line for line in site.log))
             client = Caller(site.address)
             for _ in range(3):
@@ -167,15 +167,15 @@
     async def test_a_roster_that_can_not_be_asked_at_the_start(self):
         """Without a route to the roster or a descriptor, the dispatcher serves by the list that it was given,
         and polls the roster once it can. The version before exited: 'can't listen on ...', status 2."""
-        fresh, fails = sockets.fresh, [True]
+        fresh, fails = sockets.new_socket, [True]
 
         def failing(host, kind=socket.SOCK_STREAM):
             if kind == socket.SOCK_DGRAM and fails[0]:
                 raise OSError(101, "Network is unreachable")
             return fresh(host, kind)
 
-        with mock.patch.object(names.sockets, "fresh", failing):
-            async with Inside([Worker("s-1")], **LONG_DEADLINE) as site:
+        with mock.patch.object(names.sockets, "new_socket", failing):
+            async with InProcessSite([Worker("s-1")], **LONG_DEADLINE) as site:
                 client = Caller(site.address)
                 self.assertEqual(
                     await first_word(site, client, client.call(ask(fn=1, ttl=30_000))), "completed"
@@ -222,7 +222,7 @@
     async def test_requests_that_come_byte_by_byte(self):
         """The requests of three clients in turn, each with another request behind it. Fails on a dispatcher
         that reuses a reader which still has part of a request."""
-        async with Inside([Worker("s-1")], **LONG_DEADLINE) as site:
+        async with InProcessSite([Worker("s-1")], **LONG_DEADLINE) as site:
             clients = [Caller(site.address) for _ in range(3)]
             parts = [
                 b"".join(
@@ -244,7 +244,7 @@
     async def test_across_a_drain(self):
         """The rest of a request arrives while requests are still admitted; or after admission has ended while
         an answer is still due; or never. Fails on a dispatcher that closes idle clients as admission ends."""
-        worker, shutdown = Raw("s-1"), ManualShutdown(0, 0)
+        worker, shutdown = ManualWorker("s-1"), ManualShutdown(0, 0)
         with (
             mock.patch.object(graceful_shutdown, "Shutdown", lambda *_: shutdown),
             mock.patch.object(resource_limits, "REQUEST_TIMEOUT", SLOW * 1_000_000_000),
@@ -252,7 +252,7 @@
             await self._pieces_across_a_drain(worker, shutdown)
 
     async def _pieces_across_a_drain(self, worker, shutdown):
-        async with Inside([worker], **LONG_DEADLINE) as site:
+        async with InProcessSite([worker], **LONG_DEADLINE) as site:
             busy, soon, late, never = (Caller(site.address) for _ in range(4))
             out = busy.call(ask(fn=1, ttl=30_000), type_="single")
             await site.until(worker.runs)
@@ -295,7 +295,7 @@
                 async with PatientSite([Worker("s-1", wait_if_single)]) as site:
                     mute = Roster()
                     await mute.open()
-                    mute.spoil = silent
+                    mute.rewrite = silent
                     opened = await site.client()
                     await opened.call(ttl=30_000, within=SLOW)
                     out = opened.begin(ask(fn=1, ttl=30_000), type_="single")
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -14,7 +14,7 @@
 
 import msgpack
 from node_site import ask
-from test_crossings import NO_CANCEL, SLOW, Caller, Inside, Raw, held_up
+from test_crossings import NO_CANCEL, SLOW, Caller, InProcessSite, ManualWorker, block_loop
 
 from petrelwood.decide.overload import resource_limits
 from petrelwood.links import sockets
@@ -33,7 +33,7 @@
 
 async def block_repeatedly(first, *more):
     """Block the event loop, and again after it was notified of incoming data but before it reads them."""
-    held_up(first)
+    block_loop(first)
     await asyncio.sleep(0)
     for seconds in more:
         asyncio.get_running_loop().call_soon(time.sleep, seconds)
@@ -53,7 +53,7 @@
         if self.runs and not departed:
             departed.append(how)
             client.close(how)
-            held_up(0.06)
+            block_loop(0.06)
         on_connected(self, line)
 
     return after_departure
@@ -75,8 +75,8 @@
         for how in DEPARTURES:
             for durations in BLOCKINGS:
                 with self.subTest(how, durations=durations):
-                    worker = Raw("s-1")
-                    async with Inside([worker]) as site:
+                    worker = ManualWorker("s-1")
+                    async with InProcessSite([worker]) as site:
                         first, gone = Caller(site.address), Caller(site.address)
                         first.call(ask(fn=1, facts=ONE_LANE))
                         await site.until(worker.runs)
@@ -94,8 +94,8 @@
     async def test_behind_the_connection_that_its_first_send_waits_for(self):
         for how in DEPARTURES:
             with self.subTest(how):
-                worker = Raw("s-1")
-                async with Inside([worker], **NO_CANCEL) as site:
+                worker = ManualWorker("s-1")
+                async with InProcessSite([worker], **NO_CANCEL) as site:
                     gone = Caller(site.address)
                     with mock.patch.object(
                         link.NodeLink, "_on_connected", depart_before_connected(gone, how)
@@ -109,8 +109,8 @@
         """Request and departure are both unread when the loop continues; a cancel comes in the same read."""
         for how in DEPARTURES:
             with self.subTest(how):
-                worker = Raw("s-1")
-                async with Inside([worker]) as site:
+                worker = ManualWorker("s-1")
+                async with InProcessSite([worker]) as site:
                     stays, gone = Caller(site.address), Caller(site.address)
                     stays.call(ask(fn=1))
                     await site.until(worker.runs)  # a connection is established, and another one is idle
@@ -131,9 +131,9 @@
         for how in DEPARTURES:
             for durations in BLOCKINGS:
                 with self.subTest(how, durations=durations):
-                    workers = [Raw("s-1"), Raw("s-2")]
+                    workers = [ManualWorker("s-1"), ManualWorker("s-2")]
                     quiet = {"permissions": {"probes": False}, "loadInfo": {"how": "silent"}}
-                    async with Inside(workers, **quiet) as site:
+                    async with InProcessSite(workers, **quiet) as site:
                         client = Caller(site.address)
                         for worker in workers:  # establish a connection to each
                             site.node.submit(site.node.outlet.check_health, worker.name)
@@ -160,7 +160,7 @@
     async def test_behind_another_send_whose_worker_does_not_read(self):
         """All descriptors are used up, so sends share a connection. A send that waits for room in the send
         buffer of the kernel would begin whenever the worker reads again."""
-        worker, fresh = Raw("s-1"), sockets.fresh
+        worker, fresh = ManualWorker("s-1"), sockets.new_socket
         worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
 
         def small_send_buffer(host, kind=socket.SOCK_STREAM):
@@ -169,18 +169,20 @@
             return sock
 
         with (
-            mock.patch.object(link.sockets, "fresh", small_send_buffer),
+            mock.patch.object(link.sockets, "new_socket", small_send_buffer),
             # a long timeout, so that a busy machine does not trigger it
             mock.patch.object(link, "WRITE_TIMEOUT", SLOW * 1_000_000_000),
         ):
-            async with Inside([worker], **NO_CANCEL) as site:
+            async with InProcessSite([worker], **NO_CANCEL) as site:
                 site.node.resource_limits.workers = 1
                 stays, gone = Caller(site.address), Caller(site.address)
                 stays.call(first := ask(fn=1), b"z" * resource_limits.MAX_BODY)
                 await site.until(
                     lambda: (
                         site.node.links
-                        and any(connection.stream.writing() for connection in site.node.links["s-1"].lines)
+                        and any(
+                            connection.stream.writing() for connection in site.node.links["s-1"].connections
+                        )
                     )
                 )
                 gone.call(ask(fn=2))
@@ -196,8 +198,8 @@
 
     async def test_who_is_closed_for_its_faults_has_gone(self):
         """Nothing more is read from the client, and so neither is its cancel."""
-        worker = Raw("s-1")
-        async with Inside([worker]) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker]) as site:
             first, bad = Caller(site.address), Caller(site.address)
             first.call(ask(fn=1, facts=ONE_LANE))
             await site.until(worker.runs)
@@ -221,8 +223,8 @@
     async def test_who_never_stops_sending_is_served(self):
         """Data of the client are unread at each check. The data sent before the first check are read at the
         second read, so the client's sends leave. Fails on a dispatcher that waits until nothing is unread."""
-        worker = Raw("s-1")
-        async with Inside([worker]) as site:
+        worker = ManualWorker("s-1")
+        async with InProcessSite([worker]) as site:
             chatty, talks = Caller(site.address), True
             nothing = msgpack.packb([2, "cancel", [999]])
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -13,7 +13,7 @@
 
 import msgpack
 from node_site import Client, Site, Worker, ask
-from test_crossings import Caller, Inside, Raw, held_up, settings
+from test_crossings import Caller, InProcessSite, ManualWorker, block_loop, settings
 
 from petrelwood.decide.cluster.shutdown import Shutdown
 from petrelwood.node import graceful_shutdown
@@ -116,21 +116,21 @@
             moments.append(began)
             return made(began, longest)
 
-        async with Inside([Raw("s-1")]) as site:
+        async with InProcessSite([ManualWorker("s-1")]) as site:
             with mock.patch.object(graceful_shutdown, "Shutdown", shutdown):
                 signalled = site.node.now()
-                held_up(0.4)
+                block_loop(0.4)
                 await site.node.close()
         self.assertLessEqual(moments[0], signalled)
 
     async def test_who_goes_on_sending_keeps_only_itself(self):
         """One that never stops leaves no look at which all is quiet; who rests is closed meanwhile. The text
         before closed nobody until all were quiet."""
-        async with Inside([Raw("s-1")]) as site:
+        async with InProcessSite([ManualWorker("s-1")]) as site:
             chatty, rests = Caller(site.address), Caller(site.address)
             rests.sock.sendall(msgpack.packb([0, 1, "health", [{}]]))
             await site.until(rests.read)
-            with mock.patch.object(site.node.front, "quiet", lambda: False):
+            with mock.patch.object(site.node.front, "is_drained", lambda: False):
                 ending = asyncio.ensure_future(site.node.close())
                 await site.until(lambda: rests.read() is not None and rests.ended)
                 self.assertIsNotNone(site.node.front.listener.sock)  # it still listens
@@ -144,14 +144,14 @@
             with self.subTest(longest):
                 kill = int(min(longest, 3) * SECOND) + 700_000_000
                 shutdown = Shutdown(0, int(longest * SECOND))
-                self.assertFalse(shutdown.closed(699_999_999))
-                self.assertTrue(shutdown.closed(700_000_000))
+                self.assertFalse(shutdown.is_admission_closed(699_999_999))
+                self.assertTrue(shutdown.is_admission_closed(700_000_000))
                 margin = min(100_000_000, int(longest * SECOND) // 8)
-                self.assertTrue(shutdown.out_of_time(kill - 2 * margin))
-                self.assertTrue(shutdown.over(kill - margin, 1, False))
-                self.assertFalse(shutdown.over(699_999_999, 0, True))
-                self.assertTrue(shutdown.over(700_000_000, 0, True))
-                self.assertFalse(shutdown.over(700_000_000, 1, True))
+                self.assertTrue(shutdown.must_answer_all(kill - 2 * margin))
+                self.assertTrue(shutdown.may_exit(kill - margin, 1, False))
+                self.assertFalse(shutdown.may_exit(699_999_999, 0, True))
+                self.assertTrue(shutdown.may_exit(700_000_000, 0, True))
+                self.assertFalse(shutdown.may_exit(700_000_000, 1, True))
 
 
 if __name__ == "__main__":
