--- a/petrelwood/decide/cluster/__init__.py
+++ b/petrelwood/decide/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Membership of workers, links to them, and how a process starts, changes its settings and stops."""
+"""Worker membership and links, handover, shutdown, and the replicated log and roll-out of configurations."""
--- a/petrelwood/decide/cluster/completion.py
+++ b/petrelwood/decide/cluster/completion.py
@@ -1,10 +1,10 @@
-"""The share of answers that completed, by which a process or a version is compared with the one before it."""
+"""The completion rate, used to compare a process or a version with the one before it."""
 
 from typing import NamedTuple
 
 
 class CompletionRate(NamedTuple):
-    """The share of answers that completed, 0 to 1, and the number of answers that it was measured on."""
+    """The share of answers that completed (0 to 1), and the number of answers that it is based on."""
 
     share: float
     answers: int
@@ -14,7 +14,7 @@
 
 
 class CompletionCounter:
-    """Counts answers by whether they completed their activation."""
+    """Counts answers that completed their activation, and answers that did not."""
 
     __slots__ = ("completed", "failed")
 
@@ -24,28 +24,28 @@
 
     @property
     def answers(self) -> int:
-        """Return the number of all answers, completed or not."""
+        """Return the total number of answers."""
         return self.completed + self.failed
 
     def record(self, completed: bool) -> None:
-        """Count one answer; `completed`: whether it completed its activation."""
+        """Count one answer; `completed` tells whether it completed its activation."""
         if completed:
             self.completed += 1
         else:
             self.failed += 1
 
     def halve(self) -> None:
-        """Halve both counts, so that later answers weigh more."""
+        """Halve both counts, so that later answers have more weight."""
         self.completed //= 2
         self.failed //= 2
 
     def restart(self, completed: int = 0, failed: int = 0) -> None:
-        """Replace both counts, by default with 0."""
+        """Set both counts, by default to 0."""
         self.completed = completed
         self.failed = failed
 
     def rate(self) -> CompletionRate:
-        """Return the share of answers that completed; 1.0 if there were none."""
+        """Return the completion rate; its share is 1.0 if there were no answers."""
         if not self.answers:
             return NO_ANSWERS
         return CompletionRate(self.completed / self.answers, self.answers)
--- a/petrelwood/decide/cluster/connection_pool.py
+++ b/petrelwood/decide/cluster/connection_pool.py
@@ -1,30 +1,31 @@
-"""The choice of a worker's connection for a call, and whether another connection is needed.
+"""Selection of a worker's connection for a call, and whether another connection is needed.
 
-One call to a connection as long as more connections may be opened: if an answer arrives damaged, its
-connection is of no further use, and every other call in flight on it may have run. Calls share connections
-only where the budget of file descriptors is used up, the least loaded connection first.
+Each connection carries one call at a time while more connections may be opened: a connection is closed after
+a malformed answer, and each other call in flight on it may have run. Calls share connections only when the
+budget of file descriptors is used up; the least loaded connection is then used first.
 """
 
 from collections.abc import Sequence
 from typing import Protocol, TypeVar
 
-MAX_REMEMBERED_IDS = 8  # of a connection: an answer to one is not taken for another call of that id
-MAX_CONNECTING = 4  # connections of one worker that may be coming up at a time
+# Recent call ids remembered per connection, so that a late answer is not matched to another call with its id.
+MAX_REMEMBERED_IDS = 8
+MAX_CONNECTING = 4  # concurrent connection attempts per worker
 
 
 class Connection(Protocol):
-    """The state of a connection on which the choice depends."""
+    """The state of a connection on which the selection depends."""
 
     up: bool
     in_flight: dict[str, object]  # the calls in flight, by id
-    recent_call_ids: dict[str, bool]  # the last ids that it has carried, oldest first
+    recent_call_ids: dict[str, bool]  # the ids of the last calls, oldest first
 
 
 AnyConnection = TypeVar("AnyConnection", bound=Connection)
 
 
 def record_call_id(connection: Connection, call_id: str) -> None:
-    """Record that a connection carries a call of this id, and forget the oldest of too many."""
+    """Record the id of a call on this connection; drop the oldest id beyond `MAX_REMEMBERED_IDS`."""
     connection.recent_call_ids[call_id] = True
     if len(connection.recent_call_ids) > MAX_REMEMBERED_IDS:
         del connection.recent_call_ids[next(iter(connection.recent_call_ids))]
@@ -33,12 +34,12 @@
 def choose_connection(
     connections: Sequence[AnyConnection], call_id: str, most_in_flight: int, may_open: bool
 ) -> AnyConnection | None:
-    """Return the connection for a call, or None if the call has to wait for one.
+    """Return the connection for a call, or None if the call must wait for one.
 
     Args:
-        connections: those of the worker, the last used at the end.
-        call_id: the call's id; a connection that carried a call of the same id recently is not chosen.
-        most_in_flight: calls that may share one connection.
+        connections: the connections of the worker, the most recently used last.
+        call_id: the call's id; a connection that recently carried a call with this id is not chosen.
+        most_in_flight: how many calls may share one connection.
         may_open: whether another connection may be opened.
     """
     for connection in reversed(connections):
--- a/petrelwood/decide/cluster/durable_replica.py
+++ b/petrelwood/decide/cluster/durable_replica.py
@@ -1,11 +1,12 @@
-"""A replica whose replies leave only once what they depend on is on its disk, even if the disk fails.
+"""A replica that replies only after the state on which the reply depends is on disk, even if the disk fails.
 
-After a failed write the replica in memory is ahead of the disk: it may have promised or accepted what a
-restart would forget. None of that has left, as each reply is given only after a write. Until a later write of
-the whole state has succeeded the replica does not vote, and says so (`NotVoting`). It goes on learning what
-others have decided, as that is a fact whichever server stores it. Writes are retried with backoff.
+After a failed write the state in memory is ahead of the disk: it may contain promises or accepted records
+that a restart would lose. Other servers have seen none of these, because a reply is returned only after its
+write. The replica replies `NotVoting` until a later write of the whole state succeeds. It continues to learn
+decided records, because a decided record is final whichever server stores it. Writes are retried with
+backoff.
 
-Free of I/O but for `save`, which is handed in, as the clock is. Times in ns.
+This module does no I/O itself: `save` and the current time are passed in. Times in ns.
 """
 
 from collections.abc import Callable, Mapping
@@ -17,20 +18,20 @@
 from petrelwood.decide.overload.backoff import Backoff
 from petrelwood.errors import UnavailableError
 
-FIRST_RETRY_DELAY = 100 * MS
+FIRST_RETRY_DELAY = 100 * MS  # after the first failed write
 MAX_RETRY_DELAY = 5_000 * MS
 Save = Callable[[list[Any]], None]
 
 
 class DiskFailedError(UnavailableError):
-    """The log can't be written at present; another server may be able to serve the request."""
+    """The log can't currently be written; another server may be able to serve the request."""
 
 
 class DiskObserver(Protocol):
     """Receives the failures and recoveries of a replica's disk."""
 
     def disk_failed(self, error: OSError, retry_in: int) -> None:
-        """Handle a failed write, to be retried in `retry_in` ns; the replica does not vote until then."""
+        """Handle a failed write; it is retried in `retry_in` ns, until then the replica does not vote."""
 
     def disk_recovered(self, outage: int) -> None:
         """Handle the first successful write after an outage of `outage` ns; the replica may vote again."""
@@ -39,8 +40,8 @@
 class DurableReplica:
     """A replica and its disk.
 
-    `save(value)` makes `Replica.durable_state()` survive a crash, or raises OSError. `random_fraction()` is
-    drawn in [0, 1).
+    `save(value)` stores the result of `Replica.durable_state()` such that it survives a crash, or raises
+    OSError. `random_fraction()` returns a random number in [0, 1).
     """
 
     def __init__(
@@ -59,11 +60,11 @@
 
     @property
     def failed(self) -> bool:
-        """Return whether the disk has failed, so that the replica in memory may be ahead of it."""
+        """Return whether the last write failed, so that the state in memory may be ahead of the disk."""
         return self.failed_since is not None
 
     def require_disk(self) -> None:
-        """Raise an error while the disk has failed.
+        """Raise an error if the last write to the disk failed.
 
         Raises:
             DiskFailedError: the last write failed.
@@ -74,10 +75,10 @@
             ) from self._error
 
     def answer(self, message: Message, now: int) -> Reply:
-        """Return the reply to a message, once all that it depends on is durable.
+        """Return the reply to a message, after making the state on which it depends durable.
 
         Raises:
-            DiskFailedError: the message is a `Learn`, and what it carries could not be written.
+            DiskFailedError: the message is a `Learn` and its records could not be written.
         """
         if isinstance(message, Learn):
             reply = self.replica.answer(message)
@@ -90,25 +91,25 @@
         return reply if self.save_changes(now) else NotVoting()
 
     def learn(self, extract: Extract, now: int) -> None:
-        """Learn decided records, and write them."""
+        """Apply decided records, and write them."""
         self.replica.learn(extract)
         self.save_changes(now)
 
     def rejoin(self, voted_in: Mapping[str, int], servers: int, now: int) -> bool:
-        """Rejoin as `Replica.rejoin` does; return whether the replica votes from now on."""
+        """Rejoin by `Replica.rejoin`; return whether the replica votes from now on."""
         return self.replica.rejoin(voted_in, servers) and self.save_changes(now)
 
     def save_changes(self, now: int) -> bool:
-        """Write the state if it has changed; return whether all of it is on the disk.
+        """Write the state if it has changed; return whether the whole state is on disk.
 
-        After a failure only `retry` writes.
+        After a failed write, only `retry` writes.
         """
         if self.replica.changed and not self.failed:
             self._write(now)
         return not self.failed
 
     def retry(self, now: int) -> None:
-        """Write the whole state again if the disk has failed and the backoff is over; to be called often."""
+        """Write the whole state again if the last write failed and the backoff has elapsed; call it often."""
         if self.failed and self._backoff.may_retry(now):
             self._write(now)
 
--- a/petrelwood/decide/cluster/handover.py
+++ b/petrelwood/decide/cluster/handover.py
@@ -1,13 +1,14 @@
-"""The handover from a serving process to its successor: who serves when, and when the old one resumes.
+"""The handover from a serving process to its successor: who serves when, and when the predecessor resumes.
 
     the predecessor: serving -> offering -> handing -> watching -> over
     the successor:   checking -> waiting -> owning -> proven
 
-Every activation belongs to the process that admitted it, and only that one sends it to workers or answers it.
-New activations change over at one moment: when the predecessor has stopped accepting, has flushed its state,
-and says go. Until then it goes on serving whatever the successor does. After it, the predecessor keeps the
-listeners open without accepting until the successor has proven itself. If the successor dies, hands back, or
-misses its heartbeats before that, the predecessor accepts again. Times in ns of each process's own clock.
+Every activation belongs to the process that admitted it; only this process sends it to workers or answers it.
+New activations switch to the successor at one moment: when the predecessor has stopped accepting, has flushed
+its state, and sends "go". Until then the predecessor continues to serve, whatever the successor does. After
+that, the predecessor keeps the listeners open without accepting until the successor has proven itself. If the
+successor dies, hands back, or misses its heartbeats before that, the predecessor accepts again. Times in ns
+of each process's own clock.
 """
 
 from collections.abc import Mapping
@@ -19,10 +20,10 @@
 SECOND = 1_000_000_000
 READY_TIMEOUT = 15 * SECOND  # from the offer until the successor can serve
 ACCEPT_TIMEOUT = 2 * SECOND  # from go until the successor accepts
-HEARTBEAT_TIMEOUT = 2 * SECOND  # after which a successor that has not proven itself has failed
-PROBATION = 5 * SECOND  # how long a successor serves before it has proven itself
-MIN_ANSWERS = 20  # answers from which a completion rate is compared
-MAX_RATE_DROP = 0.2  # how much smaller the completed share may be than before
+HEARTBEAT_TIMEOUT = 2 * SECOND  # without a heartbeat, after which an unproven successor counts as failed
+PROBATION = 5 * SECOND  # time for which a successor must serve before it counts as proven
+MIN_ANSWERS = 20  # required on both sides before completion rates are compared
+MAX_RATE_DROP = 0.2  # tolerated drop of the completed share, as a difference of shares
 PROTOCOL_VERSION = 1
 
 
@@ -51,31 +52,31 @@
 
     OFFER = "offer"  # pass the listeners
     GO = "go"  # stop accepting and let the successor begin
-    RESUME = "resume"  # accept again: the successor has failed
+    RESUME = "resume"  # accept again, because the successor has failed
     END = "end"  # the handover is over, and this process may end
 
 
 class SuccessorAction(StrEnum):
     """What the successor must do next."""
 
-    READY = "ready"  # say that it can serve
+    READY = "ready"  # report that it can serve
     ACCEPT = "accept"
-    PROVEN = "proven"  # say that it has proven itself
+    PROVEN = "proven"  # report that it has proven itself
     HAND_BACK = "back"
-    GIVE_UP = "give up"  # it never served: nothing has to be handed back
+    GIVE_UP = "give up"  # abandon the handover; it never served, so there is nothing to hand back
 
 
 class TakeoverRequest(NamedTuple):
-    """The facts that a process sends when it asks to take over; none of them is checked yet."""
+    """The facts that a process sends when it requests to take over; none of them has been validated."""
 
-    gateway: object  # its name; a peer may say anything
-    protocol: object  # version of the hand-over's messages
+    gateway: object  # the gateway's name; a peer may send any value
+    protocol: object  # version of the handover protocol
     state_formats: Any  # (oldest, newest) format of stored state that it reads
     pid: object
 
     @classmethod
     def from_message(cls, facts: Mapping[str, object]) -> "TakeoverRequest":
-        """Return the request of a `hello` message's facts, which `rejection_reason` checks."""
+        """Return the request in the facts of a `hello` message, which `rejection_reason` validates."""
         return cls(facts.get("name"), facts.get("protocol"), facts.get("reads", (0, -1)), facts.get("pid"))
 
     def as_message(self) -> dict[str, object]:
@@ -93,17 +94,17 @@
 
     Raises:
         ValueError: the state formats are not a pair.
-        TypeError: the state formats are no numbers.
+        TypeError: the state formats are not numbers.
     """
     if is_busy:
         return "an upgrade is under way"
     if request.gateway != gateway:
-        return f"it is for gateway '{request.gateway}', this is '{gateway}'"
+        return f"it is for gateway '{request.gateway}', this is gateway '{gateway}'"
     oldest, newest = request.state_formats
     if not oldest <= state_format <= newest:
-        return f"it reads state of format {oldest} to {newest}, this writes {state_format}"
+        return f"it reads state formats {oldest} to {newest}, this process writes format {state_format}"
     if request.protocol != PROTOCOL_VERSION:
-        return f"it speaks hand-over {request.protocol}, this speaks {PROTOCOL_VERSION}"
+        return f"it uses handover protocol {request.protocol}, this process uses {PROTOCOL_VERSION}"
     return None
 
 
@@ -115,7 +116,7 @@
     TIMEOUT_REASONS = {
         PredecessorPhase.OFFERING: "it was not ready in time",
         PredecessorPhase.HANDING: "it did not accept in time",
-        PredecessorPhase.WATCHING: "it went silent before it had proven itself",
+        PredecessorPhase.WATCHING: "its heartbeats stopped before it had proven itself",
     }
 
     def __init__(self) -> None:
@@ -123,7 +124,7 @@
         self.deadline = 0
         self.has_drained = False
         self.has_proven_successor = False
-        self.reason = ""  # why the last hand-over failed
+        self.reason = ""  # why the last handover failed
 
     def is_busy(self) -> bool:
         """Return whether a handover is under way."""
@@ -164,20 +165,20 @@
         return self._end_if_done()
 
     def on_drained(self) -> PredecessorAction | None:
-        """Handle that all activations that were admitted here have their answers."""
+        """Handle that all activations admitted by this process have been answered."""
         self.has_drained = True
         return self._end_if_done()
 
     def on_successor_lost(self, reason: str) -> PredecessorAction | None:
-        """Handle that the successor is gone or hands back; return RESUME if accepting had stopped here."""
+        """Handle that the successor is gone or hands back; return RESUME if accepting had stopped."""
         is_proven = self.phase == PredecessorPhase.WATCHING and self.has_proven_successor
         if is_proven or self.phase == PredecessorPhase.OVER:
-            # it has proven itself, so this process does not serve again
+            # The successor has proven itself, so this process does not serve again.
             return None
         return self._resume(reason)
 
     def check(self, now: int) -> PredecessorAction | None:
-        """Return RESUME if the successor was too slow or missed its heartbeats; to be called periodically."""
+        """Return RESUME if the successor timed out or missed its heartbeats; call it periodically."""
         reason = self.TIMEOUT_REASONS.get(self.phase)
         if reason is not None and not self.has_proven_successor and now >= self.deadline:
             return self._resume(reason)
@@ -206,7 +207,7 @@
         self.probation = probation
         self.deadline = now + READY_TIMEOUT
         self.reason = ""  # why it failed
-        self.before = NO_ANSWERS  # of the predecessor, when it said go
+        self.before = NO_ANSWERS  # the predecessor's completion rate at the time of its "go"
         self.answers = CompletionCounter()
 
     def on_ready_to_serve(self, now: int) -> SuccessorAction:
@@ -216,7 +217,7 @@
         return SuccessorAction.READY
 
     def on_go(self, now: int, before: CompletionRate) -> SuccessorAction | None:
-        """Handle that the predecessor has stopped accepting; `before` is its own completion rate."""
+        """Handle that the predecessor has stopped accepting; `before` is its completion rate."""
         if self.phase != SuccessorPhase.WAITING:
             return None
         self.phase = SuccessorPhase.OWNING
@@ -225,14 +226,14 @@
         return SuccessorAction.ACCEPT
 
     def record_answer(self, completed: bool) -> None:
-        """Count the answer of an activation that was admitted here."""
+        """Count the answer of an activation that this process admitted."""
         if self.phase == SuccessorPhase.OWNING:
             self.answers.record(completed)
 
     def check(self, now: int) -> SuccessorAction | None:
-        """Return the action that is due: give up, hand back, or report success; to be called periodically."""
+        """Return the action that is due now, or None; call it periodically."""
         if self.phase in (SuccessorPhase.CHECKING, SuccessorPhase.WAITING) and now >= self.deadline:
-            self.fail("there was no word to go in time")
+            self.fail("the predecessor did not say go in time")
             return SuccessorAction.GIVE_UP
         if self.phase != SuccessorPhase.OWNING:
             return None
@@ -246,16 +247,16 @@
         return None
 
     def on_predecessor_lost(self) -> SuccessorAction | None:
-        """Handle that the predecessor is gone: give up before the go, serve alone after it."""
+        """Handle that the predecessor is gone: give up if it has not said go, otherwise continue to serve."""
         if self.phase in (SuccessorPhase.CHECKING, SuccessorPhase.WAITING):
-            self.fail("the old process went before it gave way")
+            self.fail("the predecessor ended before the handover")
             return SuccessorAction.GIVE_UP
         if self.phase == SuccessorPhase.OWNING:
             self.phase = SuccessorPhase.PROVEN
         return None
 
     def fail(self, reason: str) -> None:
-        """Mark the handover as failed, so that the predecessor goes on serving."""
+        """Mark the handover as failed, so that the predecessor continues to serve."""
         self.phase = SuccessorPhase.FAILED
         self.reason = reason
 
--- a/petrelwood/decide/cluster/link_state.py
+++ b/petrelwood/decide/cluster/link_state.py
@@ -1,11 +1,11 @@
-"""The state of one link to a worker: when to connect, when it is up, and when it is given up.
+"""The state of one link to a worker: when to connect, when it is up, and when to abandon the connection.
 
     down -> connecting -> greeting -> up -> down
 
-A link is up only once the worker has sent a greeting with its id and start time. A peer that accepts the
-connection and stays silent was never up, so the calls that were queued for it provably never ran. A greeting
-with another id comes from the wrong peer; one with another start time than before comes from a new
-incarnation of the worker, which knows nothing of calls made to the one before.
+A link is up only after the worker has sent a greeting with its id and start time. If a peer accepts the
+connection but sends nothing, the link was never up, so the calls that are queued for it provably never ran. A
+greeting with a different worker id comes from the wrong peer. A greeting with a new start time comes from a
+new incarnation of the worker, which has no knowledge of calls to the previous one.
 """
 
 from collections.abc import Callable
@@ -14,8 +14,8 @@
 
 from petrelwood.decide.overload.backoff import Backoff, Budget
 
-MAX_UNANSWERED_PINGS = 3  # unanswered pings of a link with calls in flight before it is given up
-MAX_BACKOFF_FACTOR = 16  # times the time to connect
+MAX_UNANSWERED_PINGS = 3  # pings without an answer before a link with calls in flight is abandoned
+MAX_BACKOFF_FACTOR = 16  # the longest backoff, as a multiple of the connect timeout
 
 
 class LinkPhase(StrEnum):
@@ -31,11 +31,11 @@
     """What to do with a new call."""
 
     QUEUE = "wait"
-    CONNECT = "connect"  # begin to connect, and queue the call
+    CONNECT = "connect"  # start connecting, and queue the call
     REJECT = "refuse"
 
 
-# Each call asks for these, and Python 3.11 is slow to look a member up on its enum.
+# Aliases for the path of every call, because looking up an enum member is slow in Python 3.11.
 DOWN = LinkPhase.DOWN
 UP = LinkPhase.UP
 QUEUE = CallDecision.QUEUE
@@ -55,18 +55,18 @@
 
     @property
     def connect_within(self) -> int:
-        """Return the longest time from the start of a connection until the worker's greeting."""
+        """Return the timeout from the start of a connection attempt to the worker's greeting."""
 
     @property
     def quiet(self) -> int:
-        """Return how long a link with calls in flight may be silent."""
+        """Return how long a link with calls in flight may receive nothing."""
 
 
 class LinkState:
     """The state of one link to a worker; times in ns.
 
-    `random_fraction()` is drawn in [0, 1). `reconnect_budget` is shared by all links and limits reconnecting
-    after failures; None: no limit.
+    `random_fraction()` returns a random number in [0, 1). `reconnect_budget` is shared by all links and
+    limits reconnection attempts after failures; None: no limit.
     """
 
     __slots__ = (
@@ -98,9 +98,9 @@
         )
         self.connecting_since = 0
         self.last_received_at = 0
-        self.pings = 0  # unanswered, since bytes were last received
+        self.pings = 0  # pings sent since bytes were last received
         self.worker_started: int | None = None
-        self.incarnations = 0  # of the worker, that have sent a greeting on this link
+        self.incarnations = 0  # number of worker incarnations that have sent a greeting on this link
 
     def on_call(self, now: int) -> CallDecision:
         """Return what to do with a new call."""
@@ -113,11 +113,11 @@
         return CONNECT
 
     def _may_reconnect(self, now: int) -> bool:
-        """Return whether the shared budget allows another connection attempt after a failure."""
+        """Return whether the shared budget permits another connection attempt after a failure."""
         return self.reconnect_budget is None or self.reconnect_budget.spend(now)
 
     def on_connecting(self, now: int) -> None:
-        """Handle that a connection is being made."""
+        """Handle the start of a connection attempt."""
         self.phase = LinkPhase.CONNECTING
         self.connecting_since = now
 
@@ -127,7 +127,10 @@
             self.phase = LinkPhase.GREETING
 
     def on_greeting(self, now: int, worker: object, started: int) -> bool:
-        """Return whether the peer is the expected worker; `started`: the start time in its greeting."""
+        """Handle a greeting; return whether the peer is the expected worker.
+
+        `worker` and `started` are the worker id and the start time in the greeting.
+        """
         if self.phase != LinkPhase.GREETING or worker != self.worker:
             return False
         if started != self.worker_started:
@@ -146,15 +149,15 @@
         self.pings = 0
 
     def on_lost(self, now: int) -> int:
-        """Handle a lost or failed connection; return when the next one may be tried.
+        """Handle a lost or failed connection; return the time from which the next attempt is allowed.
 
-        The backoff is short after a connection that was up, and grows with each failure to connect.
+        The backoff is short after a connection that was up, and grows with each failed attempt.
         """
         self.phase = LinkPhase.DOWN
         return self.backoff.failed(now)
 
     def check(self, now: int, has_calls_in_flight: bool) -> LinkCheck | None:
-        """Return what the link needs, or None; to be called periodically while the link is not down."""
+        """Return the action that the link needs, or None; call it periodically while the link is not down."""
         if self.phase in (LinkPhase.CONNECTING, LinkPhase.GREETING):
             is_late = now - self.connecting_since >= self.terms.connect_within
             return LinkCheck.GIVE_UP if is_late else None
--- a/petrelwood/decide/cluster/log_proposal.py
+++ b/petrelwood/decide/cluster/log_proposal.py
@@ -1,6 +1,6 @@
-"""The proposer's side of single-decree Paxos: having one record decided in the replicated log.
+"""The proposer of single-decree Paxos, which gets one record decided in the replicated log.
 
-Free of I/O. Times in ns of any clock that does not go back.
+This module does no I/O. Times in ns of any monotonic clock.
 """
 
 from collections.abc import Callable, Sequence
@@ -24,20 +24,19 @@
 from petrelwood.decide.cluster.replicated_log import Replica, majority
 
 MS = 1_000_000
-PHASE_TIMEOUT = 1_000 * MS  # for each phase of a ballot to find a majority, before a higher one is tried
-QUORUM_TIMEOUT = 4_000 * MS  # for a record to be decided, before the proposal fails for want of a quorum
-FIRST_RETRY_DELAY = (
-    20 * MS
-)  # the first wait after a rejected ballot; doubled each time and drawn from all of it
-MAX_RETRY_DELAY = 500 * MS
+PHASE_TIMEOUT = 1_000 * MS  # for each phase of a ballot to reach a majority, before a higher ballot is tried
+QUORUM_TIMEOUT = 4_000 * MS  # for a record to be decided, before the proposal fails without a quorum
+# After a rejected ballot the delay is drawn uniformly below a bound, which doubles with each rejection.
+FIRST_RETRY_DELAY = 20 * MS  # the first bound
+MAX_RETRY_DELAY = 500 * MS  # the highest bound
 MAX_DOUBLINGS = 8
 
 
 class Proposer:
     """Creates the ballots of one process.
 
-    `identity`: unique to the process, so that no ballot is used twice for two records, not even after a
-    restart or the loss of a disk.
+    `identity` is unique to the process, so that no ballot is used for two records, even after a restart or
+    the loss of a disk.
     """
 
     def __init__(self, identity: str) -> None:
@@ -45,18 +44,18 @@
         self.round = 0
 
     def ballot(self, above: int) -> Ballot:
-        """Return a new ballot whose round is higher than `above` and than all before it."""
+        """Return a new ballot with a round above `above` and above all earlier rounds of this proposer."""
         self.round = max(self.round, above) + 1
         return Ballot(self.round, self.identity)
 
 
 class Proposal:
-    """The proposal of one record for the first slot that is free.
+    """The proposal of one record for the first free slot.
 
-    `send(server, message)` is called for each message that goes out, those to this server among them; its
-    reply is passed to `handle_reply`, late or never. `decided_slot`: the record's slot once it is decided,
-    else None. `failed`: there was no quorum in time. The record may still be decided later; a new proposal of
-    the same id then finds its slot.
+    `send(server, message)` is called for each outgoing message, including those to this server itself. The
+    owner passes each reply to `handle_reply`; a reply may arrive late or never. `decided_slot` is the
+    record's slot after it was decided, else None. `failed` tells that there was no quorum in time; the record
+    may still be decided later, and a new proposal with the same id then finds its slot.
     """
 
     def __init__(
@@ -88,7 +87,7 @@
             return
         self._slot = self._replica.chosen + 1
         self._ballot = self._proposer.ballot(self._replica.promised.round)
-        self._value: Record | None = None  # what this ballot proposes, once it is known
+        self._value: Record | None = None  # the record that this ballot proposes, once known
         self._promises: dict[str, Promise] = {}
         self._acceptors: set[str] = set()
         self._retry_at = now + PHASE_TIMEOUT
@@ -104,7 +103,7 @@
         return self.decided_slot is not None or self.failed
 
     def check(self, now: int) -> None:
-        """Start a higher ballot after one that found no majority in time; to be called often."""
+        """Start a higher ballot if the current one reached no majority in time; call it often."""
         if self.ended:
             return
         if now >= self._deadline:
@@ -115,7 +114,7 @@
     def handle_reply(self, server: str, message: Message, reply: Reply, now: int) -> None:
         """Process a server's reply to `message`.
 
-        A server that lacks decided records is sent them; a reply to another ballot or slot is ignored else.
+        A server that lacks decided records is sent them. Any other reply to an old ballot or slot is ignored.
         """
         if self.ended or isinstance(message, Learn):
             return
--- a/petrelwood/decide/cluster/log_records.py
+++ b/petrelwood/decide/cluster/log_records.py
@@ -1,6 +1,7 @@
 """The records of the replicated log, and the messages and replies of its servers.
 
-The settings of a version are stored compressed, to about a tenth: 400 dispatchers may request them at once.
+The settings of a version are stored compressed, to about a tenth of their size, because 400 dispatchers may
+request them at once.
 """
 
 import enum
@@ -9,7 +10,7 @@
 
 from petrelwood.errors import StorageError
 
-MAX_TEXT_SIZE = 2 << 20  # bytes of one version's text; 13,000 functions by name take 831 KB
+MAX_TEXT_SIZE = 2 << 20  # bytes of one version's settings; 13,000 functions by name take 831 KB
 
 
 class CorruptVersionError(StorageError):
@@ -25,7 +26,7 @@
 
 
 class Ballot(NamedTuple):
-    """A ballot of Paxos, ordered by round, then by the proposer's identity, unique to its process."""
+    """A Paxos ballot, ordered by round, then by the proposer's identity, which is unique to its process."""
 
     round: int
     proposer: str
@@ -37,11 +38,11 @@
 class Record(NamedTuple):
     """The content of a slot; the order of its fields is that of the stored form and of the wire form."""
 
-    id: str  # unique, so that a record that is appended again is found again
-    kind: str  # a `RecordKind`
+    id: str  # unique, so that a repeated append of the same record is recognized
+    kind: str  # a `RecordKind`, or a kind of another build
     number: int  # REVOCATION: the version that is revoked; a version's own number is its slot
-    rollout_start: int  # VERSION: wall-clock ns at which its roll-out begins
-    body: bytes  # VERSION: the settings by `compress_text`; REVOCATION: who revokes it, and why, in UTF-8
+    rollout_start: int  # VERSION: the start of its roll-out, wall-clock ns
+    body: bytes  # VERSION: the settings by `compress_text`; REVOCATION: who revoked it and why, in UTF-8
 
 
 class Entry(NamedTuple):
@@ -81,7 +82,7 @@
 
 
 class Promise(NamedTuple):
-    """The reply that no lower ballot will be accepted, with the record that was accepted before."""
+    """The reply that no lower ballot will be accepted, with the record accepted earlier, if any."""
 
     accepted: Ballot  # LOWEST where no record was accepted
     record: Record | None
@@ -92,13 +93,13 @@
 
 
 class Rejected(NamedTuple):
-    """The reply that the slot is promised to a higher ballot."""
+    """The reply that a higher ballot was promised for the slot."""
 
     promised: Ballot
 
 
 class Behind(NamedTuple):
-    """The reply that the replica lacks decided slots before this one."""
+    """The reply that the replica lacks decided slots before this one; it knows those up to `chosen`."""
 
     chosen: int
 
@@ -110,11 +111,11 @@
 
 
 class NotVoting(NamedTuple):
-    """The reply of a replica that may not vote in this slot: it lost its disk, or its disk fails now."""
+    """The reply of a replica that may not vote in this slot: it lost its disk or can't write to it."""
 
 
 class Learned(NamedTuple):
-    """The reply to `Learn`: the last slot up to which the replica knows all decided records."""
+    """The reply to `Learn`: the replica knows all decided records up to slot `chosen`."""
 
     chosen: int
 
@@ -124,7 +125,7 @@
 
 
 def compress_text(text: str) -> bytes:
-    """Return the body of a version with these settings."""
+    """Return the record body for a version with these settings."""
     return zlib.compress(text.encode("utf-8"))
 
 
@@ -140,5 +141,5 @@
     except (zlib.error, ValueError) as error:
         raise CorruptVersionError(f"a version's settings can't be decompressed: {error}") from error
     if len(text) > MAX_TEXT_SIZE or not decompressor.eof:
-        raise CorruptVersionError("a version's settings are too large, or not complete")
+        raise CorruptVersionError("a version's settings are too large or incomplete")
     return text
--- a/petrelwood/decide/cluster/membership.py
+++ b/petrelwood/decide/cluster/membership.py
@@ -1,13 +1,14 @@
-"""The endpoint list: what the roster has reported of workers, gaps in its events, and workers' incarnations.
+"""The endpoint list: the workers that the roster has reported, gaps in its events, and worker incarnations.
 
-The roster sends a complete list or watch events, each with an id that grows. An event that does not follow
-the one before means that something was missed: the list is then requested anew.
+The roster sends a complete list or watch events, each with an increasing id. An event whose id does not
+follow the last one shows that an event was missed; the complete list is then requested again.
 
-A worker's start is reported as wall-clock time of the platform, and converted to this dispatcher's own clock
-once an incarnation. Two rules bound its age. This machine's wall clock is read without its steps, so the
-offset between the two clocks is the one from before a step. And an incarnation that was not on the list when
-the list was last known to be complete has started since: it is no older than that, whatever the clocks say,
-plus the delay that its event may have. An incarnation that left the list and comes back keeps its start.
+A worker's start is reported in wall-clock time of the platform. It is converted to this dispatcher's own
+clock once per incarnation. Two rules limit its age. First, this machine's wall clock is read without steps,
+so the offset between the two clocks stays the one from before a step. Second, an incarnation that was not on
+the list when the list was last known to be complete has started since then: whatever the clocks say, it is
+not older than that time, apart from the possible delay of its event. An incarnation that left the list and
+returns keeps its start.
 """
 
 from collections import OrderedDict
@@ -20,15 +21,15 @@
 from petrelwood.decide.wall_clock import FOLLOWED, UnsteppedWallClock
 from petrelwood.errors import ProtocolError
 
-# A list received now may lack a worker that started up to this much earlier (ns): an age beyond is an error
-# of the clocks, one within it is an event that came late.
+# A list may lack workers that started up to this long before it was received, ns. An excess age up to this
+# value is attributed to a late event, a larger one to an error of the clocks.
 MAX_EVENT_DELAY = 1_500_000_000
-MAX_DEPARTED = 4_096  # incarnations that have left the list and whose start is remembered
-MAX_BACKOFF_FACTOR = 64  # times the first wait
+MAX_DEPARTED = 4_096  # incarnations that have left the list and whose start is still remembered
+MAX_BACKOFF_FACTOR = 64  # the longest backoff, as a multiple of the first one
 
 
 class MalformedEndpointError(ProtocolError):
-    """An entry that the roster sent can't be decoded as an endpoint."""
+    """An entry sent by the roster can't be decoded as an endpoint."""
 
 
 class EndpointState(StrEnum):
@@ -40,11 +41,11 @@
 
 
 class EventOrder(StrEnum):
-    """How the id of a watch event follows the last known one."""
+    """How the id of a watch event relates to the last known one."""
 
     NEXT = "next"
-    OLD = "old"  # known already
-    GAP = "gap"  # something before it was missed
+    OLD = "old"  # already known
+    GAP = "gap"  # at least one event before it was missed
 
 
 class Endpoint(NamedTuple):
@@ -54,15 +55,15 @@
     address: tuple[str, int]
     zone: str
     cell: int
-    booted: int  # its start, wall-clock ns; 0: long ago
+    booted: int  # start time, wall-clock ns; 0: long ago
     state: EndpointState
 
 
 class ListChange(NamedTuple):
-    """The changes by a list or a watch event."""
+    """The changes made by a list or a watch event."""
 
     listed: list[ports.EndpointEntry]
-    leaving: list[str]  # workers that drain or are gone, and were not said to before
+    leaving: list[str]  # workers newly reported as draining or gone
 
 
 class Member:
@@ -72,11 +73,11 @@
 
     def __init__(self, endpoint: Endpoint, booted: int) -> None:
         self.endpoint = endpoint
-        self.booted = booted  # on our clock; 0: long ago
-        self.draining_since = 0
+        self.booted = booted  # start time on this dispatcher's clock; 0: long ago
+        self.draining_since = 0  # 0: not draining
 
     def listed(self) -> ports.EndpointEntry:
-        """Return the worker as the decision module is notified of it."""
+        """Return the entry with which the decision module is notified of the worker."""
         endpoint = self.endpoint
         is_usable = endpoint.state == EndpointState.USABLE
         return ports.EndpointEntry(endpoint.worker, endpoint.zone, endpoint.cell, self.booted, is_usable)
@@ -85,9 +86,9 @@
 class Membership:
     """The endpoint list of one dispatcher.
 
-    Times in ns of this dispatcher's clock unless said otherwise. `lost_after`: silence after which the roster
-    counts as lost; `first_wait`: the first backoff before it is requested again; `random_fraction()` is drawn
-    in [0, 1).
+    Times in ns of this dispatcher's clock unless stated otherwise. `lost_after` is the silence after which
+    the roster counts as lost; `first_wait` is the first backoff before it is requested again;
+    `random_fraction()` returns a random number in [0, 1).
     """
 
     def __init__(self, lost_after: int, first_wait: int, random_fraction: Callable[[], float]) -> None:
@@ -99,8 +100,8 @@
         self.is_lost = False
         self.backoff = Backoff(first_wait, MAX_BACKOFF_FACTOR * first_wait, random_fraction)
         self.platform_clock = UnsteppedWallClock()
-        self.complete_at: int | None = None  # when the list was last known to be complete; None: never yet
-        # (worker, its reported start) -> its start on our clock
+        self.complete_at: int | None = None  # when the list was last known to be complete; None: not yet
+        # (worker, reported start) -> start on this dispatcher's clock
         self.departed: OrderedDict[tuple[str, int], int] = OrderedDict()
 
     @property
@@ -109,12 +110,12 @@
         return None if self.epoch is None else f"{self.epoch}-{self.number}"
 
     def forget_position(self) -> None:
-        """Forget the last event's id after a gap, so that a complete list is requested."""
+        """Forget the id of the last event after a gap, so that a complete list is requested."""
         self.epoch = None
         self.number = 0
 
     def order_of(self, event_id: str) -> EventOrder:
-        """Return how an event follows the last known one."""
+        """Return how an event relates to the last known one."""
         epoch, _, number = event_id.rpartition("-")
         if not number.isdigit() or epoch != self.epoch:
             return EventOrder.GAP
@@ -123,7 +124,7 @@
         return EventOrder.NEXT if int(number) == self.number + 1 else EventOrder.GAP
 
     def on_contact(self, now: int) -> bool:
-        """Handle that bytes were received from the roster; return whether it was lost until now."""
+        """Handle bytes received from the roster; return whether it counted as lost until now."""
         was_lost = self.is_lost
         self.last_contact_at = now
         self.is_lost = False
@@ -131,11 +132,11 @@
         return was_lost
 
     def correct_clock(self, ahead: int, now: int) -> list[ports.EndpointEntry]:
-        """Correct the platform clock by an earlier reading; return the workers that are younger by it.
+        """Correct the platform clock by an earlier reading; return the workers whose start this makes later.
 
-        `ahead`: how far the wall clock was ahead of the monotonic one (ns) in an earlier process on this
-        start of the machine. Either reading may be wrong; the lesser one counts, so workers are no older than
-        either clock says.
+        `ahead` is how far the wall clock was ahead of the monotonic clock (ns) in an earlier process since
+        the machine's boot. Either reading may be wrong. The smaller one is used, so that no worker is older
+        than either reading implies.
         """
         clock = self.platform_clock
         difference = 0 if clock.ahead is None else clock.ahead - ahead
@@ -149,19 +150,19 @@
         return [member.listed() for member in younger]
 
     def on_complete(self, now: int) -> None:
-        """Handle that the list is complete as of `now`: the roster has reported all events up to then."""
+        """Handle that the list is complete at `now`: the roster has reported all events up to that time."""
         if self.complete_at is not None:
             self.complete_at = now
 
     def is_newly_lost(self, now: int) -> bool:
-        """Return whether the roster has been silent for too long; True only once for each silence."""
+        """Return whether the roster has just become lost by silence; True only once per silence."""
         if self.is_lost or now - self.last_contact_at < self.lost_after:
             return False
         self.is_lost = True
         return True
 
     def apply_list(self, list_id: str, endpoints: Sequence[Endpoint], now: int, wall: int) -> ListChange:
-        """Apply a complete list; return what it changed. `wall`: this machine's wall clock, ns."""
+        """Apply a complete list and return the changes; `wall` is this machine's wall clock, ns."""
         self.epoch, _, number = list_id.rpartition("-")
         self.number = int(number)
         named = {endpoint.worker for endpoint in endpoints}
@@ -173,17 +174,17 @@
         return ListChange(change.listed, leaving + change.leaving)
 
     def apply_change(self, event_id: str, endpoints: Iterable[Endpoint], now: int, wall: int) -> ListChange:
-        """Apply a watch event that follows the last one; return what it changed."""
+        """Apply a watch event that follows the last one, and return the changes."""
         self.number = int(event_id.rpartition("-")[2])
         return self._apply(endpoints, now, wall)
 
     def is_usable(self, worker: str) -> bool:
-        """Return whether a worker is on the list and may be sent activations."""
+        """Return whether a worker is on the list and may receive activations."""
         member = self.members.get(worker)
         return member is not None and member.endpoint.state == EndpointState.USABLE
 
     def address_of(self, worker: str) -> tuple[str, int] | None:
-        """Return the address on which a worker listens, or None if it is not on the list."""
+        """Return the address of a worker, or None if it is not on the list."""
         member = self.members.get(worker)
         return member.endpoint.address if member else None
 
@@ -205,7 +206,7 @@
         return change
 
     def _member(self, endpoint: Endpoint, now: int, platform_wall: int) -> Member:
-        """Return the member of an endpoint, a new one for a new incarnation."""
+        """Return the member for an endpoint; create a new one for a new incarnation."""
         member = self.members.get(endpoint.worker)
         if member is None or member.endpoint.booted != endpoint.booted:
             member = Member(endpoint, self._start(endpoint, now, platform_wall))
@@ -213,7 +214,7 @@
         return member
 
     def _start(self, endpoint: Endpoint, now: int, platform_wall: int) -> int:
-        """Return when a new incarnation has started on this dispatcher's clock; 0: long ago."""
+        """Return the start of a new incarnation on this dispatcher's clock; 0: long ago."""
         if not endpoint.booted:
             return 0
         known = self.departed.pop((endpoint.worker, endpoint.booted), None)
@@ -236,13 +237,13 @@
 
 
 def decode_endpoint(raw: object) -> Endpoint:
-    """Return the endpoint that a roster sent as a JSON object.
+    """Decode an endpoint that a roster sent as a JSON object.
 
     Raises:
         MalformedEndpointError: a field is missing or has the wrong form.
     """
     if not isinstance(raw, dict):
-        raise MalformedEndpointError("an entry must be an object")
+        raise MalformedEndpointError("an endpoint entry must be an object")
     try:
         host, _, port = raw["address"].rpartition(":")
         worker = raw["worker"]
@@ -252,10 +253,10 @@
         booted = int(raw.get("booted") or 0)
         state = raw["state"]
     except (KeyError, ValueError, TypeError, AttributeError) as error:
-        raise MalformedEndpointError(f"an entry lacks or garbles {error}") from error
+        raise MalformedEndpointError(f"an endpoint entry has a missing or invalid field: {error}") from error
     if not isinstance(worker, str) or not worker or not isinstance(zone, str) or not host:
-        raise MalformedEndpointError("an entry's worker, zone and address must be text")
+        raise MalformedEndpointError("worker, zone and address of an endpoint entry must be text")
     try:
         return Endpoint(worker, address, zone, cell, booted, EndpointState(state))
     except ValueError as error:
-        raise MalformedEndpointError(f"an entry's state can't be {state!r}") from error
+        raise MalformedEndpointError(f"an endpoint entry has an unknown state: {state!r}") from error
--- a/petrelwood/decide/cluster/rollout.py
+++ b/petrelwood/decide/cluster/rollout.py
@@ -1,17 +1,18 @@
-"""A staged roll-out of a version over dispatchers that do not communicate: who applies it when, and rollback.
-
-A version is announced to all (by whatever way: a folder that all read, a push): its number, when its roll-out
-begins, and whether any dispatcher has called it off. Each dispatcher has a place in the order, drawn by a
-hash of its name and the version, so that none is always first; stage by stage a larger part applies it. A
-dispatcher that applied it compares its completion rate with the one before. If the rate has fallen it rolls
-back by itself and calls the version off; then dispatchers whose turn has not come do not apply it, and those
-that have applied it roll back too. Of two versions at once the newer number counts for everyone, whichever
-was announced first; a dispatcher that missed some goes to the newest at its turn.
-
-Times are wall-clock ns, since they must mean the same to all dispatchers, but without the steps of this
-machine's clock (`decide.wall_clock`): a step neither skips a stage nor delays one. A version was announced
-before it is seen: one that is dated ahead of this clock shows that the clocks differ, and begins when it is
-first seen.
+"""Staged roll-out of a version over dispatchers that do not communicate: when each applies it, and rollback.
+
+A version is announced to all dispatchers, for example by a shared folder or a push. The announcement has its
+number, the start of its roll-out, and whether any dispatcher has revoked it. Each dispatcher has a position
+in the order, by a hash of its name and the version, so that no dispatcher is always first. With each stage a
+larger share of the dispatchers applies the version. A dispatcher that has applied it compares its completion
+rate with the rate under the previous version. If the rate has dropped, the dispatcher rolls back and revokes
+the version; dispatchers that have not reached their stage then do not apply it, and those that have applied
+it roll back too. If several versions are announced, the highest number applies to all dispatchers, in
+whichever order they were announced; a dispatcher that missed some applies the newest one at its stage.
+
+Times are wall-clock ns, because they must mean the same to all dispatchers, but without the steps of this
+machine's clock (`decide.wall_clock`): a step neither skips nor delays a stage. A version is always announced
+before it is seen. A start ahead of this clock therefore shows that the clocks differ, and the roll-out begins
+when the version is first seen.
 """
 
 import hashlib
@@ -23,32 +24,33 @@
 from petrelwood.decide.cluster.completion import NO_ANSWERS, CompletionCounter, CompletionRate
 
 SECOND = 1_000_000_000
-STAGES = (0.02, 0.1, 0.3, 1.0)  # parts of all dispatchers that have applied it by the end of each stage
-DWELL = 30 * SECOND  # between two stages
-MIN_ANSWERS = 30  # answers under a version from which it is judged
-MAX_RATE_DROP = 0.1  # how far the completed share may fall below the baseline
-NOISE_DEVIATIONS = 3.5  # standard deviations that chance may make: the rate is compared again and again
-MIN_VARIANCE = 0.01  # of an answer
-MAX_BASELINE_ANSWERS = 2000  # answers after which the counts of the baseline are halved
-ROLLBACK_ANSWERS = 100  # answers that the baseline counts as after a rollback
-WATCHED_STAGES = 2  # over which one that applied it watches itself
-# What a roll-out that is to end in time leaves for the last dispatchers: a poll of the configuration servers,
-# an answer, a look at the folder of versions, and applying it, each of them up to a second.
+STAGES = (0.02, 0.1, 0.3, 1.0)  # share of all dispatchers that has applied a version by the end of each stage
+DWELL = 30 * SECOND  # time between two stages
+MIN_ANSWERS = 30  # answers required under a version and the one before it to compare them
+MAX_RATE_DROP = 0.1  # tolerated drop of the completed share below the baseline, as a difference of shares
+# Standard deviations attributed to chance; this many, because the rates are compared repeatedly.
+NOISE_DEVIATIONS = 3.5
+MIN_VARIANCE = 0.01  # lower bound for the variance of one answer (0 or 1)
+MAX_BASELINE_ANSWERS = 2000  # number of answers at which the counts of the baseline are halved
+ROLLBACK_ANSWERS = 100  # number of answers as which the baseline counts after a rollback
+WATCHED_STAGES = 2  # number of dwell times for which a dispatcher monitors a version that it applied
+# Part of the time for a roll-out that is reserved for the last dispatchers: polling the configuration
+# servers, the answer, reading the folder of versions, and applying the version take up to a second each.
 COMPLETION_RESERVE = 4 * SECOND
-MIN_ROLLOUT_TIME = 7 * SECOND  # a second for each stage but the last
+MIN_ROLLOUT_TIME = 7 * SECOND  # the reserve, and a second for each stage except the last
 DEFAULT_ROLLOUT_TIME = COMPLETION_RESERVE + (len(STAGES) - 1) * DWELL
 
 
 class Announcement(NamedTuple):
-    """A version as it is announced to all dispatchers."""
+    """A version as announced to all dispatchers."""
 
     number: int
     rollout_start: int  # wall-clock ns
-    revoked: bool
+    revoked: bool  # by any dispatcher
 
 
 class RolloutAction(StrEnum):
-    """What a dispatcher must do about a version."""
+    """What a dispatcher must do with a version."""
 
     APPLY = "take"
     ROLL_BACK = "back"
@@ -62,20 +64,20 @@
 
 
 def dwell_for(within: int, stages: Sequence[float] = STAGES) -> int:
-    """Return the time between two stages, ns, for a roll-out that is to end everywhere within `within` ns."""
+    """Return the time between two stages (ns) for a roll-out that must end everywhere within `within` ns."""
     return (within - COMPLETION_RESERVE) // (len(stages) - 1)
 
 
 def stage_delay(name: str, version: int, stages: Sequence[float] = STAGES, dwell: int = DWELL) -> int:
-    """Return how long after the start of a roll-out a dispatcher applies the version, ns."""
+    """Return the delay from the start of a roll-out until a dispatcher applies the version, ns."""
     digest = hashlib.blake2b(f"{name}/{version}".encode(), digest_size=4).digest()
-    place = int.from_bytes(digest, "big") / 2**32
-    stage = next(number for number, part in enumerate(stages) if place < part or part == stages[-1])
+    position = int.from_bytes(digest, "big") / 2**32
+    stage = next(number for number, part in enumerate(stages) if position < part or part == stages[-1])
     return stage * dwell
 
 
 class Rollout:
-    """One dispatcher's part in the roll-outs; `version` is the one that it runs now."""
+    """The roll-outs of one dispatcher; `version` is the one that it currently runs."""
 
     __slots__ = (
         "answers",
@@ -96,19 +98,19 @@
         self.version = version
         self.stages = stages
         self.dwell = dwell
-        self.previous_version: int | None = None  # to roll back to
-        self.applied_at: int | None = None  # while the version is watched
-        self.answers = CompletionCounter()  # under the version
-        self.baseline: CompletionRate = NO_ANSWERS  # under the version before
-        self.faulty_version: int | None = None  # the last one that this dispatcher has found bad
-        self.rejected: set[int] = set()  # versions that are never applied here again
-        self.first_seen_at: dict[int, int] = {}  # announced version -> when it was first seen here
+        self.previous_version: int | None = None  # the version to roll back to
+        self.applied_at: int | None = None  # set while the version is monitored
+        self.answers = CompletionCounter()  # under the current version
+        self.baseline: CompletionRate = NO_ANSWERS  # under the previous version
+        self.faulty_version: int | None = None  # the last one that this dispatcher found worse
+        self.rejected: set[int] = set()  # versions that this dispatcher never applies again
+        self.first_seen_at: dict[int, int] = {}  # announced version -> time when this dispatcher first saw it
 
     def to_state(self, clock_ahead: int = 0) -> list[object]:
-        """Return what a successor process needs to continue, as plain values; see `from_state`.
+        """Return the state that a successor process needs to continue, as plain values; see `from_state`.
 
-        `clock_ahead`: ns by which the system's wall clock, from which the successor begins, is ahead of the
-        clock without steps.
+        `clock_ahead` is by how many ns the system's wall clock, with which the successor begins, is ahead of
+        the clock without steps.
         """
         applied_at = None if self.applied_at is None else self.applied_at + clock_ahead
         return [self.version, self.previous_version, list(self.baseline), applied_at, sorted(self.rejected)]
@@ -117,10 +119,10 @@
     def from_state(
         cls, name: str, state: Sequence[Any], stages: Sequence[float] = STAGES, dwell: int = DWELL
     ) -> "Rollout":
-        """Return the roll-out that a successor process continues from what `to_state` returned.
+        """Return the roll-out with a state that `to_state` returned in the predecessor process.
 
         Raises:
-            ValueError: `to_state` can't have returned this.
+            ValueError: the state is not one that `to_state` returns.
         """
         try:
             version, previous_version, (share, answers), applied_at, rejected = state
@@ -134,31 +136,31 @@
         return rollout
 
     def on_apply_failed(self) -> int:
-        """Handle that the last version could not be applied; return the version that runs here now.
+        """Handle that the last version could not be applied; return the version that runs now.
 
-        The version is rejected here for good. After a rollback there is none to go back to, and nothing
-        changes.
+        This dispatcher rejects the version permanently. After a rollback there is no version to return to,
+        and nothing changes.
         """
         if self.previous_version is not None:
             self._leave_version()
         return self.version
 
     def on_apply_postponed(self) -> None:
-        """Handle that the version to apply can't be read now; a later step tries it again."""
+        """Handle that the version to apply can't currently be read; a later step retries it."""
         version = self.version
         self.on_apply_failed()
         self.rejected.discard(version)
 
     def record_answer(self, completed: bool) -> None:
-        """Count the answer of an activation that was admitted here."""
+        """Count the answer of an activation that this dispatcher admitted."""
         self.answers.record(completed)
         if self.applied_at is None and self.answers.answers >= MAX_BASELINE_ANSWERS:
-            self.answers.halve()  # the baseline follows slowly
+            self.answers.halve()  # so that the baseline slowly follows recent answers
 
     def decide(self, wall: int, announcements: Sequence[Announcement]) -> RolloutStep | None:
         """Return the next step if one is due, else None.
 
-        `wall`: the wall-clock time without steps, ns; `announcements`: all known ones, in any order.
+        `wall` is the wall-clock time without steps, ns; `announcements` are all known ones in any order.
         """
         known = {each.number: each for each in announcements}
         self.first_seen_at = {number: self.first_seen_at.get(number, wall) for number in known}
@@ -169,7 +171,7 @@
                 self.faulty_version = self.version
                 return self._roll_back()
             if wall - self.applied_at >= WATCHED_STAGES * self.dwell:
-                # it stays, unless it is called off later: what is measured from now on is the baseline
+                # The version is kept unless it is revoked later; answers from now on make up the baseline.
                 self.applied_at = None
         newest = self._newest(announcements)
         if newest is None or wall < self._due_at(newest):
@@ -195,7 +197,7 @@
         if not newer:
             return None
         newest = max(newer)
-        # one that was rejected here still counts for the others: nothing older is applied in its place
+        # A version rejected by this dispatcher still applies to others, so no older one is applied instead.
         return None if newest.number in self.rejected else newest
 
     def _due_at(self, announcement: Announcement) -> int:
@@ -203,7 +205,7 @@
         return rollout_start + stage_delay(self.name, announcement.number, self.stages, self.dwell)
 
     def _apply(self, version: int, wall: int) -> RolloutStep:
-        if self.applied_at is None:  # else a rollback goes to the version before the one on watch
+        if self.applied_at is None:  # else a rollback returns to the version before the monitored one
             self.previous_version = self.version
             self.baseline = self.answers.rate()
         self.version = version
--- a/petrelwood/decide/cluster/shutdown.py
+++ b/petrelwood/decide/cluster/shutdown.py
@@ -1,21 +1,24 @@
 """Graceful shutdown: how long a dispatcher still admits activations, and when all must have final answers.
 
-The platform may kill it as early as its longest action timeout (at most `MAX_TIMEOUT`) plus
+The platform may kill the process as early as its longest action timeout (at most `MAX_TIMEOUT`) plus
 `ADMISSION_PERIOD` after SIGTERM. Times in ns.
 """
 
 MILLISECOND = 1_000_000
-ADMISSION_PERIOD = 700 * MILLISECOND  # connections and requests still come so long, as the platform says
-MAX_TIMEOUT = 3_000 * MILLISECOND
-# Left for the last answers before the kill: so much, or that part of the timeout where it is less.
+# After SIGTERM, during which connections and requests still arrive according to the platform.
+ADMISSION_PERIOD = 700 * MILLISECOND
+MAX_TIMEOUT = 3_000 * MILLISECOND  # the platform waits no longer than this for an action timeout
+# The margin for the last answers before the kill is the smaller of `MAX_MARGIN` and the timeout divided by
+# `MARGIN_DIVISOR`.
 MAX_MARGIN = 400 * MILLISECOND
 MARGIN_DIVISOR = 4
 
 
 class Shutdown:
-    """The times of one graceful shutdown.
+    """The schedule of one graceful shutdown.
 
-    `started_at`: when SIGTERM came, at the earliest; `longest`: the longest action timeout.
+    `started_at` is the earliest time at which SIGTERM may have arrived; `longest` is the longest action
+    timeout.
     """
 
     __slots__ = ("final_answers_after", "end_after", "started_at")
@@ -28,7 +31,7 @@
         self.end_after = self.final_answers_after + margin // 2
 
     def is_admission_closed(self, now: int) -> bool:
-        """Return whether nothing new is admitted any more."""
+        """Return whether new activations are no longer admitted."""
         return now - self.started_at >= ADMISSION_PERIOD
 
     def must_answer_all(self, now: int) -> bool:
@@ -36,7 +39,7 @@
         return now - self.started_at >= self.final_answers_after
 
     def may_exit(self, now: int, pending: int, quiet: bool) -> bool:
-        """Return whether the process may end; `quiet`: the sockets have nothing left to send or read."""
+        """Return whether the process may exit; `quiet`: the sockets have nothing left to send or read."""
         return (
             self.is_admission_closed(now) and not pending and quiet or now - self.started_at >= self.end_after
         )
--- a/petrelwood/decide/cluster/version_watch.py
+++ b/petrelwood/decide/cluster/version_watch.py
@@ -1,11 +1,12 @@
-"""What a dispatcher knows of the configuration log, and which servers it polls for more and when.
-
-A decided record is a fact, so one server that has it is enough: a dispatcher needs no quorum to read, and
-goes on with what it knows when no server answers at all (static stability). Each round it polls two servers:
-the first that works in its own order of preference, by rendezvous hashing of its name (Thaler and
-Ravishankar, 1998), so that dispatchers spread evenly and a lost server's share spreads too; and one more in
-turn, so that a server that is partitioned from the others is not the only one polled. Times in ns; `wall` is
-wall-clock time without the steps of this machine's clock (`decide.wall_clock`).
+"""A dispatcher's position in the configuration log, and which servers it polls for new records and when.
+
+A decided record is final, so a dispatcher needs no quorum to read; one server that has the record suffices.
+If no server answers, the dispatcher continues with the records that it has (static stability). In each round
+it polls two servers. The first is the first working one in its own order of preference, which is by
+rendezvous hashing of its name (Thaler and Ravishankar, 1998); thus the load is spread evenly, and so is the
+share of a lost server. The second one rotates over the other working servers, so that a server that is
+partitioned from the rest is not the only one polled. Times in ns; `wall` is wall-clock time without the steps
+of this machine's clock (`decide.wall_clock`).
 """
 
 import hashlib
@@ -16,24 +17,25 @@
 from petrelwood.decide.overload.backoff import Backoff
 
 SECOND = 1_000_000_000
-ROUND_INTERVAL = SECOND  # between two rounds of polls
-ROUND_JITTER = 0.2  # part of a round that is drawn: dispatchers started together do not stay together
-POLLED_EACH_ROUND = 2  # servers
-ANSWER_TIMEOUT = SECOND  # a server that takes longer has failed
+ROUND_INTERVAL = SECOND  # longest time between two rounds of polls
+# Share of the interval by which it is shortened at random, so that dispatchers do not poll in lockstep.
+ROUND_JITTER = 0.2
+POLLED_EACH_ROUND = 2  # number of servers polled in a round
+ANSWER_TIMEOUT = SECOND  # after which a poll counts as failed
 FIRST_BACKOFF = SECOND  # before a server that failed is polled again
 MAX_BACKOFF = 30 * SECOND
 
 
 class Version(NamedTuple):
-    """A new version that this dispatcher has read from the log."""
+    """A new version read from the log."""
 
     number: int
-    rollout_start: int  # wall-clock ns at which its roll-out begins, for this dispatcher
+    rollout_start: int  # the start of its roll-out for this dispatcher, wall-clock ns
     body: bytes  # see `log_records.decompress_text`
 
 
 class Revocation(NamedTuple):
-    """The revocation of a version by some dispatcher, read from the log."""
+    """The revocation of a version by a dispatcher, read from the log."""
 
     number: int
     reason: str
@@ -49,8 +51,8 @@
 class VersionWatch:
     """Follows the log for one dispatcher.
 
-    `position`: the last slot of the log that it has read; `rollout_time`: ns that a roll-out takes from its
-    start to its last stage; `random_fraction()` is drawn in [0, 1).
+    `position` is the last slot of the log that was read; `rollout_time` is the time from the start of a
+    roll-out to its last stage, ns; `random_fraction()` returns a random number in [0, 1).
     """
 
     __slots__ = (
@@ -82,13 +84,13 @@
             server: Backoff(FIRST_BACKOFF, MAX_BACKOFF, random_fraction) for server in self.servers
         }
         self.next_round_at = 0
-        self.second_server = 0  # its place among those that work; the first is always polled
+        self.second_server = 0  # index of the rotating server among the working ones; 0 is always polled
         self.last_answer_at: int | None = None
-        self.gaps = 0  # answers that began after our position
-        self.duplicates = 0  # answers that ended before our position
+        self.gaps = 0  # number of answers that began after the position
+        self.duplicates = 0  # number of answers that ended before the position
 
     def servers_to_poll(self, now: int) -> tuple[str, ...]:
-        """Return the servers to poll now; none before the next round."""
+        """Return the servers to poll now, or none before the next round is due."""
         if now < self.next_round_at:
             return ()
         self.next_round_at = now + int(ROUND_INTERVAL * (1 - ROUND_JITTER * self.random_fraction()))
@@ -99,11 +101,11 @@
         return (working[0], working[self.second_server])
 
     def on_failure(self, server: str, now: int) -> None:
-        """Handle a server without an answer in time, or with one that can't be read."""
+        """Handle that a server did not answer in time, or that its answer can't be read."""
         self.backoffs[server].failed(now)
 
     def on_answer(self, server: str, extract: Extract, now: int, wall: int) -> list[Version | Revocation]:
-        """Return the new events in an answer, in the log's order."""
+        """Return the new events in an answer, in the order of the log."""
         self.backoffs[server].succeeded()
         self.last_answer_at = now
         if extract.since > self.position:
@@ -121,14 +123,14 @@
             return Revocation(record.number, record.body.decode("utf-8", "replace"))
         if record.kind == RecordKind.VERSION:
             return Version(slot, self._rollout_start(record.rollout_start, wall), record.body)
-        return None  # of a later build: not ours to act on
+        return None  # a record kind of a later build
 
     def _rollout_start(self, proposed_start: int, wall: int) -> int:
         """Return when the stages of a version begin for this dispatcher, wall-clock ns.
 
-        A record may be decided long after it was proposed, or be read late. The stages from its proposed
-        start are over then, and all dispatchers that read it would apply it together: so they begin when it
-        is read. They also do so for a start ahead of this clock: the record was proposed before it is read,
-        so the clocks differ.
+        A record may be decided long after it was proposed, or be read late. If all stages from its proposed
+        start are over by then, all dispatchers that read it would apply it at the same time; the stages begin
+        when it is read instead. They also do so for a start ahead of this clock: a record is proposed before
+        it is read, so such a start shows that the clocks differ.
         """
         return proposed_start if 0 <= wall - proposed_start <= self.rollout_time else wall
