--- a/petrelwood/decide/forecasting/__init__.py
+++ b/petrelwood/decide/forecasting/__init__.py
@@ -1,1 +1,1 @@
-"""Forecasts of calls, and what is loaded ahead because of them."""
+"""Forecasts of calls, and the early loads that are planned from them."""
--- a/petrelwood/decide/forecasting/account.py
+++ b/petrelwood/decide/forecasting/account.py
@@ -1,8 +1,8 @@
 """The account of early loads: how each one ended, what it cost and saved, and when to suspend them.
 
-The balances of each function, of each zone and of all are in seconds of cold wait, less the price of what was
-spent; they forget slowly. Where one turns negative, early loads are suspended, and tried again after a
-backoff.
+There is a balance per function, per zone and in total. Each is the seconds of cold wait saved less the costs,
+and decays slowly. When a balance falls below `-BALANCE_CREDIT`, early loads are suspended, and tried again
+after a backoff.
 """
 
 from collections import Counter
@@ -15,27 +15,27 @@
 
 SECOND = 1_000_000_000
 GIGABYTE = 1_000_000_000
-BALANCE_DECAY = 0.02  # of a balance, with each end
-BALANCE_CREDIT = 2.0  # seconds of cold wait that a balance may fall before early loads are suspended
-MAX_SUSPENSION_FACTOR = 64  # times the first one
-MAX_OPEN_LOADS = 10_000  # that are tracked at a time; also the balances of each kind
-LISTED_FUNCTIONS = 10  # that the table for people has
+BALANCE_DECAY = 0.02  # share of a balance that is lost with each ended early load
+BALANCE_CREDIT = 2.0  # seconds by which a balance may be negative before early loads are suspended
+MAX_SUSPENSION_FACTOR = 64  # the longest suspension, as a multiple of the first one
+MAX_OPEN_LOADS = 10_000  # early loads tracked at a time; also the most balances of functions, and of zones
+LISTED_FUNCTIONS = 10  # number of functions in the table for operators
 
 
 class LoadEnd(StrEnum):
-    """How an early load ended; the strings are those of the log of early loads."""
+    """How an early load ended; the strings are written to the log of early loads."""
 
     USED_IN_TIME = "in time"
-    USED_LATE = "late"  # called while it was still loading
+    USED_LATE = "late"  # called while the copy was still loading
     NEVER_USED = "never used"
-    EVICTED_ANOTHER = "pushed another out"  # which was then missing
+    EVICTED_ANOTHER = "pushed another out"  # it evicted a copy that was then missing for a call
     FAILED = "failed"
-    STOPPED = "stopped"  # by a rule, before it was ordered
+    STOPPED = "stopped"  # prevented by a rule before it was ordered
 
 
 @dataclass(slots=True, eq=False)
 class EarlyLoad:
-    """One early load that is being loaded, or that nothing has used yet. Times in ns."""
+    """One early load that is still loading, or that no call has used yet. Times in ns."""
 
     function: str
     zone: str
@@ -49,20 +49,23 @@
 
 
 class Balance:
-    """The balance of one function, of one zone or of all; `random_fraction()` is drawn in [0, 1)."""
+    """The balance of one function, of one zone, or in total.
+
+    `random_fraction()` returns a random number in [0, 1).
+    """
 
     __slots__ = ("backoff", "end_counts", "gigabyte_seconds", "is_suspended", "saved_seconds", "seconds")
 
     def __init__(self, first_suspension: int, random_fraction: Callable[[], float]) -> None:
-        self.seconds = 0.0  # of cold wait that were saved, less what they cost
+        self.seconds = 0.0  # the balance: cold wait saved, less the costs; it decays
         self.end_counts: Counter[LoadEnd] = Counter()
         self.backoff = Backoff(first_suspension, MAX_SUSPENSION_FACTOR * first_suspension, random_fraction)
         self.is_suspended = False
-        self.gigabyte_seconds = 0.0  # for which copies stood unused
-        self.saved_seconds = 0.0
+        self.gigabyte_seconds = 0.0  # memory held by copies before their first use, in total
+        self.saved_seconds = 0.0  # the sum of positive results
 
     def record(self, now: int, end: LoadEnd, seconds: float, gigabyte_seconds: float) -> None:
-        """Take in the end of an early load; `seconds` is what it saved less its costs."""
+        """Record the end of an early load; `seconds` is the cold wait that it saved, less its costs."""
         self.end_counts[end] += 1
         self.seconds = self.seconds * (1 - BALANCE_DECAY) + seconds
         self.gigabyte_seconds += gigabyte_seconds
@@ -75,19 +78,22 @@
             self.backoff.succeeded()
 
     def may_load(self, now: int) -> bool:
-        """Return whether early loads may be ordered; after its backoff a suspension is lifted on trial."""
+        """Return whether early loads may be ordered; after the backoff, lift a suspension on trial."""
         if self.is_suspended and self.backoff.may_retry(now):
             self.is_suspended = False
-            self.seconds = -BALANCE_CREDIT / 2  # the trial has half of the credit
+            self.seconds = -BALANCE_CREDIT / 2  # the trial starts with half of the credit
         return not self.is_suspended
 
 
 EndObserver = Callable[[int, EarlyLoad, LoadEnd, float, float], object]
-"""Hears of each end: now, the load, how it ended, seconds saved less costs, gigabyte-seconds unused."""
+"""Called for each end: now, the load, how it ended, seconds saved less costs, gigabyte-seconds unused."""
 
 
 class Account:
-    """The early loads of one dispatcher. Times in ns; `random_fraction()` is drawn in [0, 1)."""
+    """The early loads of one dispatcher. Times in ns.
+
+    `random_fraction()` returns a random number in [0, 1).
+    """
 
     def __init__(
         self,
@@ -104,7 +110,7 @@
         self.total = Balance(first_suspension, random_fraction)
         self.functions: dict[str, Balance] = {}
         self.zones: dict[str, Balance] = {}
-        self.untracked = 0  # orders that were not tracked, as too many were open
+        self.untracked = 0  # number of orders not tracked because too many were open
         self.on_end: EndObserver | None = None
 
     def may_load(self, now: int, function: str, zone: str) -> bool:
@@ -127,7 +133,7 @@
     def load_ended(
         self, now: int, function: str, worker: str, completed: bool, evicted: str | None = None
     ) -> None:
-        """Note the end of a load order; `evicted` is the function whose copy it replaced."""
+        """Record the end of a load order; `evicted` is the function whose copy it replaced."""
         load = self.open_loads.get((function, worker))
         if load is None:
             return
@@ -138,14 +144,14 @@
             load.evicted = evicted
 
     def call_completed(self, now: int, function: str, worker: str, warm: bool) -> LoadEnd | None:
-        """Note that a call has run, and return how the early load that it used ended, or None.
+        """Record a completed call; return how the early load that it used ended, or None.
 
-        `warm`: it found a loaded copy.
+        `warm` tells whether the call found a loaded copy.
         """
         load = self.open_loads.get((function, worker))
         if load is None:
             return None
-        if load.loaded_at is None:  # still loading: the call waited less than without
+        if load.loaded_at is None:  # still loading; the call waited less than without the early load
             saved = min(load.load_time, now - load.ordered_at)
             return self._end(now, load, LoadEnd.USED_LATE, saved / SECOND)
         if warm:
@@ -153,23 +159,23 @@
         return None
 
     def record_stopped(self, function: str, zone: str) -> None:
-        """Count an early load that was not ordered, by a rule or as calls needed the capacity; it is free."""
+        """Count an early load that a rule or the calls' need of capacity prevented; it costs nothing."""
         for balance in self._balances(function, zone):
             balance.end_counts[LoadEnd.STOPPED] += 1
 
     def copy_missing(self, now: int, function: str) -> None:
-        """End the early loads that evicted a copy of the function, as it was missing."""
+        """End the early loads that evicted a copy of a function, after a call missed that copy."""
         for load in list(self.open_loads.values()):
             if load.evicted == function:
                 self._end(now, load, LoadEnd.EVICTED_ANOTHER, -load.load_time / SECOND)
 
     def expire(self, now: int) -> None:
-        """End the early loads whose time has passed without a call."""
+        """End the early loads that have expired without a call."""
         for load in [each for each in self.open_loads.values() if now >= each.expires_at]:
             self._end(now, load, LoadEnd.NEVER_USED, 0.0)
 
     def lines(self) -> Iterator[str]:
-        """Yield a table for people: all, the zones, then the functions with the worst balances."""
+        """Yield the lines of a table for operators: total, zones, the functions with the lowest balances."""
         worst = sorted(self.functions.items(), key=lambda item: item[1].seconds)[:LISTED_FUNCTIONS]
         for name, balance in [("all", self.total), *sorted(self.zones.items()), *worst]:
             end_counts = ", ".join(
--- a/petrelwood/decide/forecasting/distribution.py
+++ b/petrelwood/decide/forecasting/distribution.py
@@ -1,31 +1,29 @@
-"""The distribution of a count that is forecast, and the score of a forecast.
+"""The distribution of a forecast count, and the score of a forecast.
 
-A forecast is a mean and a spread (variance over mean), read as a negative binomial: calls vary more than a
-Poisson distribution would have it.
+A forecast is a mean and a spread (variance divided by mean). It is interpreted as a negative binomial
+distribution, because the number of calls varies more than in a Poisson distribution.
 """
 
 import math
 from typing import NamedTuple
 
-MIN_EXCESS_SPREAD = (
-    1e-6  # of the spread over 1: at 1 the distribution would be Poisson's, which has no (r, p)
-)
-MAX_SUMMED_COUNTS = (
-    400  # counts that a score is summed over; beyond, the closed form of a normal is near enough
-)
-TAIL_DEVIATIONS = 4  # how far over the mean a score is summed
-MIN_VARIANCE = 1e-9  # of the normal, which has no score at 0
+# Lower bound for the spread less 1; a spread of 1 would be a Poisson distribution, which has no (r, p).
+MIN_EXCESS_SPREAD = 1e-6
+# Counts over which a score is summed; above, the closed form for a normal distribution is accurate enough.
+MAX_SUMMED_COUNTS = 400
+TAIL_DEVIATIONS = 4  # standard deviations above the mean up to which a score is summed
+MIN_VARIANCE = 1e-9  # of the normal distribution, whose score is undefined for a variance of 0
 
 
 class Parameters(NamedTuple):
-    """A negative binomial distribution: the failures before the `r`th success of chance `p` each."""
+    """A negative binomial distribution: failures before the `r`th success, with success probability `p`."""
 
     r: float
     p: float
 
 
 def negative_binomial(mean: float, spread: float) -> Parameters:
-    """Return the negative binomial with that mean and a variance of mean * spread, spread over 1."""
+    """Return the negative binomial distribution with this mean and variance mean * spread, spread > 1."""
     spread = max(spread, 1.0 + MIN_EXCESS_SPREAD)
     p = 1 / spread
     return Parameters(mean * p / (1 - p), p)
@@ -57,9 +55,9 @@
 
 
 def ranked_probability_score(mean: float, spread: float, count: float) -> float:
-    """Return the ranked probability score of a forecast after `count` came.
+    """Return the ranked probability score of a forecast, given the actual `count`.
 
-    Less is better; 0 is a forecast that was certain and right.
+    Lower is better; 0 is the score of a forecast that was certain and correct.
     """
     variance = mean * spread
     most = max(math.ceil(count), int(mean + TAIL_DEVIATIONS * math.sqrt(max(variance, 1)))) + 1
--- a/petrelwood/decide/forecasting/early_loads.py
+++ b/petrelwood/decide/forecasting/early_loads.py
@@ -1,9 +1,9 @@
 """The early loads of one dispatcher: forecast, plan, order and account.
 
-The dispatcher reports calls, their ends and the ends of load orders; in each slot a plan is made, and its
-loads are offered to the scheduler one by one. Calls always come first: the scheduler rejects an early load
-while anything waits, and what it rejects is not offered again. Without a forecast, or with a stale or absurd
-one, nothing is loaded early and the dispatcher goes on as if there were no forecasts.
+The dispatcher reports calls, their ends, and the ends of load orders. In each slot a plan is made, and its
+loads are offered to the scheduler one at a time. Calls have priority: the scheduler rejects an early load
+while any call is queued, and a rejected load is not offered again. Without a forecast, or with a stale or
+implausible one, nothing is loaded early, and the dispatcher works as it would without forecasts.
 """
 
 from collections.abc import Callable
@@ -16,29 +16,29 @@
 from petrelwood.decide.forecasting.series import FIRST_SPREAD
 from petrelwood.decide.forecasting.slot_calendar import Calendar
 
-MAX_FORECAST_RATIO = 50.0  # a forecast of so many times the busiest slot ever seen is not believed
-BUSIEST_DECAY = 0.999  # of the busiest slot, with each slot
-STORE_SMOOTHING = 0.1  # how fast the store's health follows the ends of load orders
-STORE_SPARE_FACTOR = 2  # half healthy, the store has nothing free for early loads
-SUSPENSION_SLOTS = 2  # that early loads are suspended for at first
-RUN_TIME_SMOOTHING_DIVISOR = 16  # the mean duration of calls moves by one in so many of a difference,
-LOAD_TIME_SMOOTHING_DIVISOR = 8  # and that of loads
-LOAD_TO_RUN_TIME_RATIO = 4  # a call is taken to last one in so many of a load where none was seen
+MAX_FORECAST_RATIO = 50.0  # a forecast above this multiple of the busiest slot is implausible, and ignored
+BUSIEST_DECAY = 0.999  # factor per slot by which the record of the busiest slot decays
+STORE_SMOOTHING = 0.1  # weight of one ended load order in the moving average of the store's health
+STORE_SPARE_FACTOR = 2  # with 2, a store with a health of 1/2 has no free capacity for early loads
+SUSPENSION_SLOTS = 2  # slots for which the first suspension lasts
+RUN_TIME_SMOOTHING_DIVISOR = 16  # the mean run time moves by the difference to a new value divided by this
+LOAD_TIME_SMOOTHING_DIVISOR = 8  # the mean load time moves by the difference to a new value divided by this
+LOAD_TO_RUN_TIME_RATIO = 4  # assumed ratio of load time to run time before a call was seen
 UNLIMITED_MEMORY = 1 << 60  # bytes
 
 LoadOrder = Callable[[str, int, int], str | None]
-"""Orders an early load of (function, lanes, load time) and returns the worker; None: it was rejected."""
+"""Orders an early load of (function, lanes, load time); returns its worker, or None if it was rejected."""
 
 
 @dataclass(slots=True, eq=False)
 class ModelEstimate:
-    """What a dispatcher has learnt of a function's model. Times in ns."""
+    """What a dispatcher has learnt about a function's model. Times in ns."""
 
-    lanes: int  # calls that one copy runs at a time
+    lanes: int  # calls that one copy runs concurrently
     load_time: int  # 0: not known
     type: str  # namespace type
-    work: int = 0  # of one call; 0: not known
-    copies: dict[str, int] = field(default_factory=dict)  # when each worker was last seen with one
+    run_time: int = 0  # duration of one call; 0: not known
+    copies: dict[str, int] = field(default_factory=dict)  # worker -> when it was last known to have a copy
 
 
 class EarlyLoadTerms(NamedTuple):
@@ -46,17 +46,20 @@
 
     calendar: Calendar
     prices: planner.Prices
-    min_idle_time: int  # ns that an idle copy stays loaded at least
-    dispatchers: int  # whose calls are alike; each is taken to see an equal share
+    min_idle_time: int  # ns for which an idle copy stays loaded at least
+    dispatchers: int  # number of dispatchers with the same calls; each is assumed to receive an equal share
     zone: str
-    size: int = 0  # bytes of a usual copy; 0: not known
-    memory: int = 0  # bytes that the early loads of this dispatcher may take; 0: no limit
-    max_loads: int = planner.MAX_LOADS  # early loads of one slot
-    incremental: bool = False  # whether the forecast is learnt a few functions at a time
+    size: int = 0  # bytes of a typical copy; 0: not known
+    memory: int = 0  # bytes that the early loads of this dispatcher may use; 0: no limit
+    max_loads: int = planner.MAX_LOADS  # early loads per slot
+    incremental: bool = False  # whether the caller learns the forecast a few functions at a time
 
 
 class EarlyLoads:
-    """The early loads of one dispatcher. Times in ns; `random_fraction()` is drawn in [0, 1)."""
+    """The early loads of one dispatcher. Times in ns.
+
+    `random_fraction()` returns a random number in [0, 1).
+    """
 
     def __init__(
         self, terms: EarlyLoadTerms, random_fraction: Callable[[], float], order_load: LoadOrder
@@ -71,22 +74,22 @@
         self.forecast = Forecast(calendar, self._kind_of, incremental=terms.incremental)
         self.account = Account(terms.prices, SUSPENSION_SLOTS * calendar.slot, random_fraction)
         self.models: dict[str, ModelEstimate] = {}
-        self.store_health = 1.0  # the share of load orders that complete, 0 to 1
-        self.busiest_slot = 1.0  # calls of the busiest slot, slowly forgotten
+        self.store_health = 1.0  # moving average of the share of load orders that complete, 0 to 1
+        self.busiest_slot = 1.0  # calls in the busiest slot so far; decays slowly
         self.calls_in_slot = 0
         self.ordered = 0
         self.rejected = 0
         self.plans = 0
-        # calls of all dispatchers together in the slot after (wall clock) of (function)
+        # (wall clock, function) -> mean and spread of the calls in the next slot, at all dispatchers together
         self.expected_calls: Callable[[int, str], tuple[float, float]] = self._expected_calls
 
     def _kind_of(self, function: str) -> str:
         model = self.models.get(function)
         return model.type if model else ""
 
-    # What the dispatcher reports.
+    # Reports from the dispatcher
     def call_arrived(self, wall: int, function: str, lanes: int, load_time: int, type_: str) -> None:
-        """Note a call that has arrived; `wall` is the wall clock, ns."""
+        """Record the arrival of a call; `wall` is the wall clock, ns."""
         if function not in self.models:
             self.models[function] = ModelEstimate(lanes, load_time, type_)
         self.calls_in_slot += 1
@@ -97,37 +100,39 @@
     def call_completed(
         self, now: int, function: str, worker: str, warm: bool, duration: int, load_time: int
     ) -> None:
-        """Note a call that was completed; `warm`: it found a copy, else it waited `load_time` ns for one."""
+        """Record a completed call; `warm`: it found a copy, else it waited `load_time` ns for one."""
         model = self.models.get(function)
         if model is None:
             return
         model.copies[worker] = now
         if warm:
-            model.work = (
-                model.work + (duration - model.work) // RUN_TIME_SMOOTHING_DIVISOR if model.work else duration
+            model.run_time = (
+                model.run_time + (duration - model.run_time) // RUN_TIME_SMOOTHING_DIVISOR
+                if model.run_time
+                else duration
             )
         elif model.load_time:
             model.load_time += (load_time - model.load_time) // LOAD_TIME_SMOOTHING_DIVISOR
         self.account.call_completed(now, function, worker, warm)
 
     def copy_missing(self, now: int, function: str, worker: str) -> None:
-        """Note that a worker had no copy for a call."""
+        """Record that a worker had no copy for a call."""
         if function in self.models:
             self.models[function].copies.pop(worker, None)
         self.account.copy_missing(now, function)
 
     def load_ended(self, now: int, function: str, worker: str, completed: bool) -> None:
-        """Note the end of a load order; those that complete show that the store has capacity."""
+        """Record the end of a load order; a completed one shows that the store has capacity."""
         self.store_health += STORE_SMOOTHING * ((1.0 if completed else 0.0) - self.store_health)
         self.account.load_ended(now, function, worker, completed)
         if completed and function in self.models:
             self.models[function].copies[worker] = now
 
-    # Each slot.
+    # Planning
     def plan_slot(self, now: int, wall: int, orders: float) -> int:
-        """Order early loads for the next slot; returns how many.
+        """Order early loads for the next slot; return their number.
 
-        `orders` is how many the rate limit of load orders allows; `wall` is the wall clock.
+        `orders` is the number that the rate limit of load orders allows; `wall` is the wall clock, ns.
         """
         self.forecast.advance(wall)
         self.account.expire(now)
@@ -149,7 +154,7 @@
         return ordered
 
     def _loadable_models(self, now: int) -> dict[str, planner.Model]:
-        """Return the models of functions that may be loaded early; forget copies not seen for long."""
+        """Return the models of functions that may be loaded early; forget copies not seen for a long time."""
         found = {}
         for function, model in self.models.items():
             for worker in [
@@ -157,9 +162,9 @@
             ]:
                 del model.copies[worker]
             if model.load_time and self.account.may_load(now, function, self.terms.zone):
-                work = model.work or model.load_time // LOAD_TO_RUN_TIME_RATIO
+                run_time = model.run_time or model.load_time // LOAD_TO_RUN_TIME_RATIO
                 found[function] = planner.Model(
-                    self.terms.size or 1, model.load_time, work, len(model.copies)
+                    self.terms.size or 1, model.load_time, run_time, len(model.copies)
                 )
         return found
 
@@ -182,9 +187,9 @@
         return True
 
     def _expected_calls(self, wall: int, function: str) -> CallForecast:
-        """Return ours times the number of dispatchers, as each sees an equal share."""
-        times = self.terms.dispatchers
-        found = self.forecast.predict(wall + self.terms.calendar.slot, function, times=times)
-        if found.mean > MAX_FORECAST_RATIO * self.busiest_slot * times:
+        """Return this dispatcher's forecast times the number of dispatchers, as each sees an equal share."""
+        scale = self.terms.dispatchers
+        found = self.forecast.predict(wall + self.terms.calendar.slot, function, scale=scale)
+        if found.mean > MAX_FORECAST_RATIO * self.busiest_slot * scale:
             return CallForecast(0.0, FIRST_SPREAD)
         return found
--- a/petrelwood/decide/forecasting/forecast.py
+++ b/petrelwood/decide/forecasting/forecast.py
@@ -1,7 +1,7 @@
-"""How often each function will be called: from the time of day, known dates, recent pace, and its kind.
+"""Forecasts of the calls of each function, from the time of day, known dates, the recent rate, and its kind.
 
-Calls are counted in slots of a fixed width. Each function has a `Series` of its own; a function without a
-history borrows from the others of its kind.
+Calls are counted in slots of a fixed width. Each function has its own `Series`; the forecast of a function
+with little history is based on the other functions of its kind.
 """
 
 import math
@@ -13,31 +13,32 @@
 from petrelwood.decide.forecasting.series import FIRST_SPREAD, MIN_SPREAD, Prediction, Series
 from petrelwood.decide.forecasting.slot_calendar import Calendar, SlotKeys
 
-PRIOR_CALLS = 0.5  # that what is borrowed counts for: half a call, as where nothing is known
-MIN_KIND_MEAN = 1e-6  # calls a slot that a kind is taken to have at least
-MAX_ENDED_SLOTS = 3  # that may wait to be learnt
-MAX_EMPTY_SLOTS = 8  # of a gap that are learnt as slots without any call
-MAX_GAP_DAYS = 2  # a longer gap is not learnt of
+# Weight of the kind's forecast as a number of observed calls: half a call, as for an uninformative prior.
+PRIOR_CALLS = 0.5
+MIN_KIND_MEAN = 1e-6  # lower bound for the mean of a kind, calls per slot
+MAX_ENDED_SLOTS = 3  # ended slots that may be queued for learning
+MAX_EMPTY_SLOTS = 8  # slots of a gap up to which they are learnt as slots without calls
+MAX_GAP_DAYS = 2  # nothing is learnt from a longer gap
 MAX_FUNCTIONS = 20_000
-IDLE_PACE = 1e-3  # calls a slot under which a function is forgotten, where there are too many
-STALE_SLOTS = 4  # unseen, after which nothing should be built on a forecast
+IDLE_CALL_RATE = 1e-3  # calls per slot below which a function is forgotten if there are too many
+STALE_SLOTS = 4  # slots without an update after which a forecast must not be used
 NOTHING_KNOWN = Prediction(None, FIRST_SPREAD, 0)
 
 
 class CallForecast(NamedTuple):
-    """The calls that are expected of one function."""
+    """The expected number of calls of one function."""
 
     mean: float
-    spread: float  # variance over mean
+    spread: float  # variance divided by mean
 
 
 @dataclass(slots=True)
 class EndedSlot:
-    """A slot that is over and not learnt yet."""
+    """A slot that has ended and was not learnt yet."""
 
     keys: SlotKeys
     counts: dict[str, int]
-    functions: list[str]  # that are still to be learnt
+    functions: list[str]  # functions still to be learnt
 
 
 @dataclass(slots=True)
@@ -70,18 +71,18 @@
         self.ended_slots: deque[EndedSlot] = deque()
         self.series: dict[str, Series] = {}
         self.kinds: dict[str, Series] = {}
-        self.counts: dict[str, int] = {}  # of the slot that is open
-        self.slot: int | None = None  # the number of the slot that is open
+        self.counts: dict[str, int] = {}  # calls by function in the open slot
+        self.slot: int | None = None  # the number of the open slot
         self.discarded_slots = 0
 
     def record_call(self, at: int, function: str) -> int:
-        """Count a call; returns how many slots have ended since the last call."""
+        """Count a call; return how many slots have ended since the last call."""
         ended = self.advance(at)
         self.counts[function] = self.counts.get(function, 0) + 1
         return ended
 
     def advance(self, at: int) -> int:
-        """End the slots that are over at a time; returns their number."""
+        """End the slots that are over at this time; return their number."""
         slot = at // self.calendar.slot
         if self.slot is None:
             self.slot = slot
@@ -90,7 +91,7 @@
             return 0
         gap = slot - self.slot
         if gap < 0 or gap > MAX_GAP_DAYS * self.calendar.day // self.calendar.slot:
-            # the clock stepped, or nothing ran: nothing is learnt of it
+            # The clock was stepped or the process did not run, so nothing is learnt from the open slot.
             self.counts = {}
             self.slot = slot
             self.discarded_slots += 1
@@ -109,7 +110,7 @@
             if function not in self.series and len(self.series) < self.max_functions:
                 self.series[function] = Series()
         self._learn_kinds(keys, counts)
-        if len(self.ended_slots) >= MAX_ENDED_SLOTS:  # so far behind that the oldest is given up
+        if len(self.ended_slots) >= MAX_ENDED_SLOTS:  # learning lags too far behind, so the oldest is dropped
             self.ended_slots.popleft()
             self.discarded_slots += 1
         self.ended_slots.append(EndedSlot(keys, counts, list(self.series)))
@@ -126,7 +127,7 @@
             self.kinds.setdefault(kind, Series()).learn(keys, total.calls / total.functions)
 
     def learn(self, functions: int) -> bool:
-        """Learn so many functions of the slots that have ended; returns whether some are left."""
+        """Learn at most `functions` functions of the ended slots; return whether some are left."""
         while self.ended_slots and functions > 0:
             ended = self.ended_slots[0]
             while ended.functions and functions > 0:
@@ -142,20 +143,20 @@
     def _forget_idle(self) -> None:
         if len(self.series) < self.max_functions:
             return
-        paces = {function: series.recent.level for function, series in self.series.items()}
-        for function, pace in paces.items():
-            if not pace or pace < IDLE_PACE:
+        rates = {function: series.recent.level for function, series in self.series.items()}
+        for function, rate in rates.items():
+            if not rate or rate < IDLE_CALL_RATE:
                 del self.series[function]
 
-    def predict(self, at: int, function: str, slots: int = 1, times: float = 1) -> CallForecast:
-        """Return the calls of a function in the next `slots` slots from a time on.
+    def predict(self, at: int, function: str, slots: int = 1, scale: float = 1) -> CallForecast:
+        """Return the expected calls of a function in the next `slots` slots from this time on.
 
-        `times` is how many times the calls that this dispatcher sees there are in all. Of what nothing is
-        known the mean is 0.
+        `scale` is the ratio of all calls to the calls that this dispatcher receives. The mean is 0 if nothing
+        is known.
 
-        What was seen is weighed against what its kind does, as a Poisson count against a gamma prior: a call
-        or two of one's own, times hundreds of dispatchers, must not pass for a busy function. The spread says
-        how little was seen.
+        The function's own calls are combined with the forecast of its kind, as a Poisson count with a gamma
+        prior. Otherwise one or two own calls, multiplied by hundreds of dispatchers, would make a function
+        seem busy. The fewer calls were observed, the larger is the spread.
         """
         series = self.series.get(function)
         kind = self.kinds.get(self.kind_of(function))
@@ -176,21 +177,21 @@
             total += mean * self.calendar.factor(when, function)
             worst_spread = max(worst_spread, spread)
             fewest_calls = min(fewest_calls, calls)
-        return CallForecast(total * times, max(worst_spread, 1 + total * times / fewest_calls))
+        return CallForecast(total * scale, max(worst_spread, 1 + total * scale / fewest_calls))
 
     def dump(self) -> Iterator[list[Any]]:
-        """Yield the state in parts: the head first, then a function at a time."""
+        """Yield the state in parts: the header first, then one kind or function at a time."""
         yield [self.calendar.slot, self.calendar.day, self.calendar.week, self.slot]
         for table, prefix in ((self.kinds, "kind"), (self.series, "function")):
             for name in list(table):
-                if name in table:  # it may be forgotten between two parts
+                if name in table:  # it may have been forgotten since the previous part
                     yield [prefix, name, table[name].dump()]
 
     def restore(self, parts: Iterable[Any]) -> int:
-        """Take in a state that `dump` gave; returns how many functions it has.
+        """Restore a state that `dump` returned; return its number of functions.
 
-        That is 0 where its slots are of another width, or where it makes no sense: then all is learnt anew.
-        The slots that passed meanwhile are learnt as a gap when the next call comes.
+        The number is 0 if the state has a different slot width, day or week, or is malformed; nothing is
+        restored then. The slots that have passed in the meantime are learnt as a gap at the next call.
         """
         try:
             head, *rest = parts
@@ -198,7 +199,7 @@
                 return 0
             found: dict[str, dict[str, Series]] = {"kind": {}, "function": {}}
             for prefix, name, state in rest:
-                found[prefix][name] = Series.restored(state)
+                found[prefix][name] = Series.from_dump(state)
         except (ValueError, TypeError, KeyError, IndexError):
             return 0
         self.kinds = found["kind"]
@@ -206,5 +207,5 @@
         return len(self.series)
 
     def is_stale(self, at: int, slots: int = STALE_SLOTS) -> bool:
-        """Return whether so much time has passed unseen that nothing should be built on the forecast."""
+        """Return whether the forecast is too old to be used: not updated for over `slots` slots."""
         return self.slot is None or abs(at // self.calendar.slot - self.slot) > slots
--- a/petrelwood/decide/forecasting/planner.py
+++ b/petrelwood/decide/forecasting/planner.py
@@ -1,17 +1,18 @@
-"""Which copies to load early, and until when they are of use: expected savings against costs.
+"""Planning of early loads: which copies to load, and until when, by expected savings and costs.
 
-An early load saves the cold waits of the calls that would come before demand's own load is over. It costs
-the fetch, and the memory that the copy takes while it is idle. Loads are planned in the order of savings for
-each byte until memory, load orders or the store's free capacity are used up: greedy, which is within one load
-of the best for a knapsack whose items are small against it, and never exceeds a limit (both are tested).
+An early load saves the cold waits of calls that would arrive before a load triggered by the first call is
+complete. It costs the fetch, and the memory that the copy uses while it is idle. Loads are planned in the
+order of savings per byte until memory, load orders or the store's free capacity are used up. This greedy
+order is within one load of the optimum for a knapsack whose items are small compared with it, and never
+exceeds a limit (both are tested).
 
-Only a first copy is planned, where none is known. Further ones are demand's, which knows what it needs:
-guessed ones went to workers that no call was sent to, and were most of the useless fetches of many
-dispatchers.
+Only a first copy is planned, for functions without a known copy. Further copies are loaded on demand, because
+calls show what is needed: planned ones were loaded on workers to which no call was sent, and made up most of
+the useless fetches with many dispatchers.
 
-Hundreds of dispatchers plan alone. For each copy each one draws with the chance of one in as many as there
-are, so that about one of them plans it. All choose workers in a function's hash order, so two that draw the
-same copy find it loaded, which costs an order and no load. The planner proposes; the scheduler decides.
+Hundreds of dispatchers plan independently. Each of n dispatchers plans a copy with probability 1/n, so that
+about one of them plans it. All choose workers in the hash order of the function, so if two plan the same
+copy, the second order finds it loaded and causes no second load. The planner proposes; the scheduler decides.
 """
 
 from collections.abc import Callable, Mapping
@@ -21,15 +22,15 @@
 
 SECOND = 1_000_000_000
 GIGABYTE = 1_000_000_000
-MAX_LOADS = 64  # of one plan
+MAX_LOADS = 64  # early loads per plan
 
 
 class FreeCapacity(NamedTuple):
-    """What early loads may use now."""
+    """The resources that early loads may currently use."""
 
-    memory: int  # bytes, over the workers
-    orders: float  # load orders, of their rate limit
-    store: float  # the share of the store's pace that is free, 0 to 1
+    memory: int  # bytes over all workers
+    orders: float  # load orders permitted by their rate limit
+    store: float  # the free share of the store's throughput, 0 to 1
 
 
 class Model(NamedTuple):
@@ -37,47 +38,49 @@
 
     size: int  # bytes of a copy
     load_time: int  # ns
-    work: int  # ns of one call
-    copies: int  # that are known to be loaded
+    run_time: int  # duration of one call, ns
+    copies: int  # number of copies known to be loaded
 
 
 class PlannedLoad(NamedTuple):
-    """A first copy of a function that should be loaded early."""
+    """A planned early load of the first copy of a function."""
 
     function: str
-    savings: float  # seconds of cold wait that it should save, less its costs
-    expires_at: int  # ns; from then on it is of no use
+    savings: float  # expected savings: seconds of cold wait, less the costs
+    expires_at: int  # ns; the load is useless from then on
 
 
 class Prices(NamedTuple):
-    """What is spent, in seconds of cold wait."""
+    """The costs of early loads, in seconds of cold wait."""
 
-    fetch: float  # a fetch from the store
-    memory: float  # a gigabyte that is idle for a second
+    fetch: float  # of one fetch from the store
+    memory: float  # of one gigabyte that is idle for one second
 
 
 class PlanTerms(NamedTuple):
-    """What all plans of a dispatcher have in common."""
+    """The terms that are common to all plans of a dispatcher."""
 
-    slot: int  # ns that a plan looks ahead
-    min_idle_time: int  # ns that an idle copy stays loaded at least
+    slot: int  # ns for which a plan looks ahead
+    min_idle_time: int  # ns for which an idle copy stays loaded at least
     prices: Prices
-    dispatchers: int  # that plan side by side
-    max_loads: int = MAX_LOADS  # early loads of one plan
+    dispatchers: int  # number of dispatchers that plan independently
+    max_loads: int = MAX_LOADS  # early loads per plan
 
 
 def expected_savings(mean: float, spread: float, model: Model, terms: PlanTerms) -> float:
-    """Return the seconds of cold wait that a first copy should save, less its costs.
+    """Return the expected savings of a first copy: seconds of cold wait, less the costs.
 
-    `mean` and `spread` are those of the calls in the next slot.
+    `mean` and `spread` describe the number of calls in the next slot.
     """
-    chance = at_least_one(mean, spread)
-    pace = mean / terms.slot  # calls a ns
-    # the calls that come while demand's own load is under way wait too
-    waiting = 1 + pace * model.load_time / 2
-    saved = chance * waiting * model.load_time / SECOND
-    idle = min(terms.min_idle_time, terms.slot) / SECOND * (1 - min(1.0, mean * model.work / terms.slot))
-    return saved - terms.prices.fetch - terms.prices.memory * idle * model.size / GIGABYTE
+    probability = at_least_one(mean, spread)
+    call_rate = mean / terms.slot  # calls per ns
+    # Calls that arrive during the load triggered by the first call wait too, half of it on average.
+    waiting_calls = 1 + call_rate * model.load_time / 2
+    saved = probability * waiting_calls * model.load_time / SECOND
+    idle_seconds = (
+        min(terms.min_idle_time, terms.slot) / SECOND * (1 - min(1.0, mean * model.run_time / terms.slot))
+    )
+    return saved - terms.prices.fetch - terms.prices.memory * idle_seconds * model.size / GIGABYTE
 
 
 def plan(
@@ -86,12 +89,12 @@
     forecast: Callable[[str], tuple[float, float]],
     capacity: FreeCapacity,
     terms: PlanTerms,
-    chance: Callable[[], float],
+    random_fraction: Callable[[], float],
 ) -> list[PlannedLoad]:
     """Return the early loads of the next slot, best first.
 
-    `models` has the functions by name; `forecast` returns the mean and the spread of the calls of one in the
-    next slot, at all dispatchers together; `chance` is drawn in [0, 1).
+    `models` maps function names to models. `forecast` returns the mean and the spread of a function's calls
+    in the next slot at all dispatchers together. `random_fraction()` returns a random number in [0, 1).
     """
     candidates = []
     for name in sorted(models):
@@ -100,7 +103,7 @@
         if model.copies or mean <= 0:
             continue
         savings = expected_savings(mean, spread, model, terms)
-        if savings > 0 and chance() * terms.dispatchers < 1:
+        if savings > 0 and random_fraction() * terms.dispatchers < 1:
             candidates.append((savings / model.size, savings, name))
     candidates.sort(key=lambda candidate: (-candidate[0], candidate[2]))
     loads: list[PlannedLoad] = []
--- a/petrelwood/decide/forecasting/series.py
+++ b/petrelwood/decide/forecasting/series.py
@@ -1,8 +1,8 @@
-"""The forecasts of one function: three methods, weighed by back-test on its own past.
+"""The forecasts of one function: three methods, selected by back-testing on its own history.
 
-The seasonal method (the mean of the same slot in earlier seasons) is selected unless another has scored
-better by a tenth for long enough, by the ranked probability score of the whole distribution. What is suddenly
-hot is seen from its last slot.
+The seasonal method (the mean of the same slot in earlier seasons) is used unless another method has scored
+better by a tenth for long enough. The score is the ranked probability score of the whole distribution. A
+function that suddenly becomes hot is forecast from its last slot.
 """
 
 import math
@@ -14,34 +14,35 @@
 from petrelwood.decide.forecasting.distribution import ranked_probability_score
 from petrelwood.decide.forecasting.slot_calendar import SlotKeys
 
-SWITCH_SCORE_RATIO = 0.9  # of the selected method's score, under which another takes its place
-MIN_TRIALS = 144  # slots scored before any may
-SCORE_SMOOTHING = 0.005  # a method must have been better for long
-SPREAD_SMOOTHING = 0.05
-FIRST_SPREAD = 2.0  # of a method that has not been tried
-MIN_SPREAD = 1.05  # no method is taken for as sure as Poisson's distribution
-MIN_SCALED_MEAN = 0.25  # a miss is measured against at least so many calls
-MAX_SCALED_ERROR = 400  # of one slot, over its mean and squared: more would drown all others
-RECENT_SMOOTHING = 0.3  # of the recent pace
-RATIO_SMOOTHING = 0.2  # of the recent pace against the season's
-MIN_RATIO = 0.25
+SWITCH_SCORE_RATIO = 0.9  # another method is selected if its score is below this share of the current one's
+MIN_TRIALS = 144  # scored slots before the method may change
+SCORE_SMOOTHING = 0.005  # small, so that a method must have been better for a long time
+SPREAD_SMOOTHING = 0.05  # weight of one slot in the moving average of a spread
+FIRST_SPREAD = 2.0  # spread of a method without any scored slot
+MIN_SPREAD = 1.05  # no method is assumed to be as certain as a Poisson distribution, whose spread is 1
+MIN_SCALED_MEAN = 0.25  # lower bound for the mean by which a squared error is divided, calls
+# Upper bound for the squared error of one slot divided by its mean; a larger one would dominate all others.
+MAX_SCALED_ERROR = 400
+RECENT_SMOOTHING = 0.3  # weight of one slot in the recent rate
+RATIO_SMOOTHING = 0.2  # weight of one slot in the ratio of counts to the seasonal mean
+MIN_RATIO = 0.25  # bounds of this ratio as a factor of a forecast
 MAX_RATIO = 4.0
-HOT_DEVIATIONS = 4.0  # a slot so many deviations over its forecast makes the function hot
-HOT_SLOTS = 3  # slots without it that end that
-RECENT_SLOTS = 5.0  # that the recent pace looks back on
-MAX_SEASONS = 14  # of each slot that are remembered
-MIN_WEEKS = 4  # of a slot of the week before it says more than that of the day
+HOT_DEVIATIONS = 4.0  # standard deviations above the forecast from which a slot makes the function hot
+HOT_SLOTS = 3  # slots below that after which the function is no longer hot
+RECENT_EFFECTIVE_SLOTS = 5.0  # number of slots on which the recent rate counts as based, at most
+MAX_SEASONS = 14  # seasons remembered for each slot
+MIN_WEEKS = 4  # weeks observed before the slot of the week is preferred to the slot of the day
 
 
 class Method(StrEnum):
-    """How a mean is forecast; the strings are those of stored forecasts and of `petrelwood forecast`."""
+    """How a mean is forecast; the strings are used in stored forecasts and by `petrelwood forecast`."""
 
     SEASONAL = "seasonal"  # the same slot of earlier seasons
-    RECENT = "recent"  # the recent pace, whatever the time
-    BOTH = "both"  # the season, scaled by the recent pace
+    RECENT = "recent"  # the recent rate, independent of the time
+    BOTH = "both"  # the seasonal mean, scaled by the recent ratio to it
 
 
-# Each slot asks for these for each function, and Python 3.11 is slow to look a member up on its enum.
+# Aliases for code that runs per function and slot, because looking up an enum member is slow in Python 3.11.
 SEASONAL = Method.SEASONAL
 RECENT = Method.RECENT
 BOTH = Method.BOTH
@@ -52,12 +53,12 @@
     """A forecast of the calls in one slot."""
 
     mean: float | None  # None: nothing is known
-    spread: float  # variance over mean
-    slots: float  # that it rests on
+    spread: float  # variance divided by mean
+    slots: float  # number of slots on which it is based
 
 
 class SeasonalMean:
-    """The mean of the same slot in earlier seasons: of the week where there are enough, else of the day."""
+    """The mean of the same slot of the week in earlier weeks if there are enough, else of the day."""
 
     __slots__ = ("slots",)
 
@@ -73,7 +74,7 @@
         return self.slots.get(("day", keys.day)) or ()
 
     def learn(self, keys: SlotKeys, count: float) -> None:
-        """Take in the count of a slot that is over."""
+        """Record the count of an ended slot."""
         if keys.week is not None:
             self.slots.setdefault(("week", keys.week), deque(maxlen=MAX_SEASONS)).append(count)
         self.slots.setdefault(("day", keys.day), deque(maxlen=MAX_SEASONS)).append(count)
@@ -89,7 +90,7 @@
         self.level: float | None = None
 
     def learn(self, value: float) -> None:
-        """Take in a value."""
+        """Add a value."""
         if self.level is None:
             self.level = value
         else:
@@ -97,10 +98,10 @@
 
 
 class Series:
-    """What is known of the calls of one function, or of one kind of functions."""
+    """The history and forecasts of the calls of one function, or of one kind of functions."""
 
     __slots__ = (
-        "hot",
+        "hot_slots_left",
         "last_count",
         "ratio",
         "recent",
@@ -115,29 +116,29 @@
     def __init__(self) -> None:
         self.seasonal = SeasonalMean()
         self.recent = SmoothedMean(RECENT_SMOOTHING)
-        self.ratio = SmoothedMean(RATIO_SMOOTHING)  # of counts to the seasonal mean
+        self.ratio = SmoothedMean(RATIO_SMOOTHING)  # ratio of counts to the seasonal mean
         self.scores: dict[Method, float | None] = dict.fromkeys(METHODS)
         self.spreads: dict[Method, float] = dict.fromkeys(METHODS, FIRST_SPREAD)
-        self.trials = 0  # slots for which the seasonal method was scored
+        self.trials = 0  # number of slots for which the seasonal method was scored
         self.selected = SEASONAL
-        self.hot = 0  # slots for which it still counts as hot
+        self.hot_slots_left = 0  # remaining slots for which the function counts as hot; 0: not hot
         self.slots_seen = 0
         self.last_count: float | None = None
 
     def means(self, keys: SlotKeys) -> dict[Method, float | None]:
-        """Return each method's mean for a slot, None where it has none."""
+        """Return the mean of each method for a slot; None if the method has none."""
         return self._means(_mean(self.seasonal.counts(keys)))
 
     def _means(self, season: float | None) -> dict[Method, float | None]:
-        pace = self.recent.level
+        recent = self.recent.level
         both = None
-        if season is not None and pace is not None:
+        if season is not None and recent is not None:
             ratio = 1.0 if self.ratio.level is None else self.ratio.level
             both = season * min(MAX_RATIO, max(MIN_RATIO, ratio))
-        return {SEASONAL: season, RECENT: pace, BOTH: both}
+        return {SEASONAL: season, RECENT: recent, BOTH: both}
 
     def learn(self, keys: SlotKeys, count: float) -> None:
-        """Score what was forecast for a slot that is over, then learn its count."""
+        """Score the forecasts for an ended slot, then learn its count."""
         means = self.means(keys)
         season = means[SEASONAL]
         for method, mean in means.items():
@@ -145,7 +146,7 @@
                 self._score(method, mean, count)
         self.trials += season is not None
         self._select_method()
-        self._judge_heat(means, count)
+        self._update_hot(means, count)
         if season is not None:
             self.ratio.learn((count + 1) / (season + 1))
         self.seasonal.learn(keys, count)
@@ -156,15 +157,15 @@
     def predict(self, keys: SlotKeys) -> Prediction:
         """Return the forecast for a slot."""
         counts = self.seasonal.counts(keys)
-        mean, spread = self._believed(self._means(_mean(counts)))
+        mean, spread = self._selected_prediction(self._means(_mean(counts)))
         is_seasonal = counts and self.selected is not RECENT
-        slots = len(counts) if is_seasonal else min(RECENT_SLOTS, self.slots_seen)
-        if self.hot and self.last_count is not None and self.last_count > (mean or 0.0):
-            return Prediction(float(self.last_count), spread, 1.0)  # it says more than the past does
+        slots = len(counts) if is_seasonal else min(RECENT_EFFECTIVE_SLOTS, self.slots_seen)
+        if self.hot_slots_left and self.last_count is not None and self.last_count > (mean or 0.0):
+            return Prediction(float(self.last_count), spread, 1.0)  # the last slot predicts better
         return Prediction(mean, spread, slots)
 
     def dump(self) -> list[Any]:
-        """Return what it has learnt as plain lists, from which `restored` makes it again."""
+        """Return the state as plain lists, from which `from_dump` restores it."""
         return [
             [[season, slot, list(counts)] for (season, slot), counts in self.seasonal.slots.items()],
             self.recent.level,
@@ -173,20 +174,22 @@
             [self.spreads[method] for method in METHODS],
             self.trials,
             self.selected.value,
-            self.hot,
+            self.hot_slots_left,
             self.slots_seen,
             self.last_count,
         ]
 
     @classmethod
-    def restored(cls, state: Iterable[Any]) -> "Series":
-        """Return the series that `dump` gave a state of.
+    def from_dump(cls, state: Iterable[Any]) -> "Series":
+        """Return the series with a state that `dump` returned.
 
         Raises:
-            ValueError, TypeError, KeyError: the state makes no sense.
+            ValueError, TypeError, KeyError: the state is malformed.
         """
         series = cls()
-        slots, recent, ratio, scores, spreads, trials, selected, hot, slots_seen, last_count = state
+        slots, recent, ratio, scores, spreads, trials, selected, hot_slots_left, slots_seen, last_count = (
+            state
+        )
         for season, slot, counts in slots:
             series.seasonal.slots[season, slot] = deque(map(float, counts), maxlen=MAX_SEASONS)
         series.recent.level = None if recent is None else float(recent)
@@ -198,11 +201,11 @@
         series.spreads = {
             method: max(MIN_SPREAD, float(spread)) for method, spread in zip(METHODS, spreads, strict=True)
         }
-        if not all(map(math.isfinite, (trials, hot, slots_seen))):
-            raise ValueError("a series makes no sense")
+        if not all(map(math.isfinite, (trials, hot_slots_left, slots_seen))):
+            raise ValueError("the stored series has a number that is not finite")
         series.selected = Method(selected)
         series.trials = trials
-        series.hot = hot
+        series.hot_slots_left = hot_slots_left
         series.slots_seen = slots_seen
         series.last_count = last_count
         return series
@@ -211,10 +214,10 @@
         found = ranked_probability_score(mean, self.spreads[method], count)
         before = self.scores[method]
         self.scores[method] = found if before is None else before + SCORE_SMOOTHING * (found - before)
-        miss = (count - mean) ** 2 / max(mean, MIN_SCALED_MEAN)
+        scaled_error = (count - mean) ** 2 / max(mean, MIN_SCALED_MEAN)
         spread = self.spreads[method]
         self.spreads[method] = max(
-            MIN_SPREAD, spread + SPREAD_SMOOTHING * (min(miss, MAX_SCALED_ERROR) - spread)
+            MIN_SPREAD, spread + SPREAD_SMOOTHING * (min(scaled_error, MAX_SCALED_ERROR) - spread)
         )
 
     def _select_method(self) -> None:
@@ -227,15 +230,15 @@
         elif self.selected is not SEASONAL and scores[SEASONAL] <= scores[self.selected]:
             self.selected = SEASONAL
 
-    def _judge_heat(self, means: dict[Method, float | None], count: float) -> None:
-        mean, spread = self._believed(means)
+    def _update_hot(self, means: dict[Method, float | None], count: float) -> None:
+        mean, spread = self._selected_prediction(means)
         if mean is not None and count > mean + HOT_DEVIATIONS * math.sqrt(max(1.0, mean * spread)):
-            self.hot = HOT_SLOTS
-        elif self.hot:
-            self.hot -= 1
+            self.hot_slots_left = HOT_SLOTS
+        elif self.hot_slots_left:
+            self.hot_slots_left -= 1
 
-    def _believed(self, means: dict[Method, float | None]) -> tuple[float | None, float]:
-        """Return mean and spread of the selected method, or of another that has a mean."""
+    def _selected_prediction(self, means: dict[Method, float | None]) -> tuple[float | None, float]:
+        """Return mean and spread of the selected method, or else of another method that has a mean."""
         for method in (self.selected, SEASONAL, RECENT):
             mean = means[method]
             if mean is not None:
--- a/petrelwood/lab/past.py
+++ b/petrelwood/lab/past.py
@@ -91,7 +91,8 @@
         low, high = (next((k for k, p in enumerate(below) if p >= part), len(below)) for part in (0.1, 0.9))
         yield (
             f"  next: {mean:.2f} calls, {low} to {high} in eight of ten; a call at all: "
-            f"{distribution.at_least_one(mean, spread):.0%}" + ("; it is hot" if series.hot else "")
+            f"{distribution.at_least_one(mean, spread):.0%}"
+            + ("; it is hot" if series.hot_slots_left else "")
         )
     if chart:
         _draw(function, steps, slot, chart)
