--- a/petrelwood/decide/bgp/__init__.py
+++ b/petrelwood/decide/bgp/__init__.py
@@ -1,1 +1,1 @@
-"""Service addresses announced by BGP: neighbours, the routing table, whether a dispatcher can serve."""
+"""Announcing service addresses by BGP: neighbours, a routing table, and a dispatcher's service health."""
--- a/petrelwood/decide/bgp/announcement.py
+++ b/petrelwood/decide/bgp/announcement.py
@@ -1,8 +1,8 @@
-"""What is announced to each peer, and what each peer announces of our addresses.
+"""The routes announced to each peer, and the routes that each peer announces for this speaker's addresses.
 
-A REDUCED address carries a higher MED, our own AS number more often, and the graceful-shutdown community of
-RFC 8326, so that routers that follow any of them prefer another path; a router that follows none still has it
-while there is nothing else.
+A REDUCED address is announced with a higher MED, a longer AS path, and the graceful-shutdown community of RFC
+8326, so that routers that evaluate any of these prefer another path. The path remains usable if there is no
+other.
 """
 
 from collections.abc import Iterable, Sequence
@@ -22,19 +22,19 @@
     next_hop: bytes
     communities: tuple[int, ...]
     med: int | None
-    reduced_med: int  # the MED where it is REDUCED
-    reduced_prepend: int  # how many times more our AS number stands in the path then
+    reduced_med: int  # the MED at level REDUCED
+    reduced_prepend: int  # how often the own AS number is prepended in addition at level REDUCED
 
 
 class RouteChanges(NamedTuple):
-    """What brings a peer up to date."""
+    """The changes that bring a peer up to date."""
 
     announced: list[tuple[bgp.Attrs, list[Prefix]]]
     withdrawn: list[Prefix]
 
 
 def attributes(service: Service, level: ServiceLevel, asn: int) -> bgp.Attrs | None:
-    """Return the path attributes of an address at a level; None at NONE."""
+    """Return the path attributes of an address at a service level, or None at level NONE."""
     if level == ServiceLevel.NONE:
         return None
     is_reduced = level == ServiceLevel.REDUCED
@@ -52,12 +52,12 @@
 
 
 def is_reduced(attrs: bgp.Attrs) -> bool:
-    """Return whether an announcement, ours or another's, asks routers to prefer others."""
+    """Return whether an announcement of any speaker requests that routers prefer other paths."""
     return bgp.GRACEFUL_SHUTDOWN in attrs.communities
 
 
 class AnnouncedRoutes:
-    """What one peer has been sent. `families`: those that the session carries."""
+    """The routes that were sent to one peer; `families` are the address families of the session."""
 
     def __init__(self, asn: int) -> None:
         self.asn = asn
@@ -65,16 +65,16 @@
         self.families: tuple[int, ...] = ()
 
     def reset(self, families: Iterable[tuple[int, int]] = ()) -> None:
-        """Forget all: the session is new, or gone. `families` are pairs of address family and SAFI."""
+        """Forget all routes, as a session starts or ends; `families`: pairs of address family and SAFI."""
         self.routes = {}
         self.families = tuple(afi for afi, safi in families if safi == bgp.UNICAST)
 
     def forget_family(self, afi: int) -> None:
-        """Forget the routes of a family, which the peer wants to be sent again."""
+        """Forget the routes of a family, because the peer requests them again."""
         self.routes = {prefix: attrs for prefix, attrs in self.routes.items() if prefix[0] != afi}
 
     def changes(self, services: Iterable[Service], level: ServiceLevel) -> RouteChanges:
-        """Return what brings the peer up to date; it counts as sent."""
+        """Return the changes that bring the peer up to date, and record them as sent."""
         wanted = {}
         for service in services:
             attrs = attributes(service, level, self.asn)
@@ -90,27 +90,27 @@
 
 
 class ReceivedRoutes:
-    """The routes that one peer announces for our own addresses.
+    """The routes that one peer announces for this speaker's addresses.
 
-    All others are counted and not stored, so that a full table costs no memory. `max_routes`: routes that are
-    accepted from the peer.
+    All other routes are counted but not stored, so that a full table needs no memory. `max_routes` is the
+    number of routes accepted from the peer.
     """
 
     def __init__(self, services: Iterable[Service], max_routes: int) -> None:
-        self.next_hops = {service.prefix: service.next_hop for service in services}  # ours
+        self.next_hops = {service.prefix: service.next_hop for service in services}  # own next hops
         self.max_routes = max_routes
         self.reset()
 
     def reset(self) -> None:
-        """Forget all: the session is new, or gone."""
+        """Forget all routes at the start or end of a session."""
         self.routes: dict[Prefix, bgp.Attrs] = {}
         self.count = 0
         self.ignored = 0
 
     def apply(self, update: bgp.Update) -> bool:
-        """Take in an update; returns whether the peer stays within its limit.
+        """Apply an update; return whether the peer is within its limit.
 
-        Announcements less withdrawals are counted, of any prefix.
+        The count is the number of announcements less the number of withdrawals, for all prefixes.
         """
         for prefix in update.withdrawn:
             self.count = max(0, self.count - 1)
@@ -129,13 +129,13 @@
             self.ignored += 1
 
     def has_other(self, prefix: Prefix) -> bool:
-        """Return whether another dispatcher announces one of our addresses, and not REDUCED."""
+        """Return whether another dispatcher announces this own address, and not as REDUCED."""
         found = self.routes.get(prefix)
         return found is not None and found.next_hop != self.next_hops[prefix] and not is_reduced(found)
 
 
 def all_seen_elsewhere(services: Sequence[Service], received: Iterable[ReceivedRoutes]) -> bool:
-    """Return whether each of the addresses is announced by another, as one peer at least shows."""
+    """Return whether another dispatcher announces each address, according to at least one peer."""
     peers = list(received)
     return bool(services) and all(
         any(routes.has_other(service.prefix) for routes in peers) for service in services
--- a/petrelwood/decide/bgp/neighbor.py
+++ b/petrelwood/decide/bgp/neighbor.py
@@ -1,10 +1,10 @@
-"""The state machine of one BGP neighbour (RFC 4271, section 8), free of I/O.
+"""The state machine of one BGP neighbour (RFC 4271, section 8), without I/O.
 
     idle -> connect -> (open sent -> open confirm) of each connection -> established
 
-Two connections may be open for a while, one by each side; one stays. Its owner reports what happens, and
-calls `check_timers` at `next_timer()` or later. Times in ns of our own clock. Attempts to connect go through
-a `Backoff`, which is forgotten once a session has lasted.
+Two connections may be open for a short time, one opened by each side; one of them is closed. The owner
+reports events, and calls `check_timers` at `next_timer()` or later. Times in ns of the local clock.
+Connection attempts are delayed by a `Backoff`, which is reset after a session has lasted long enough.
 """
 
 import struct
@@ -17,18 +17,18 @@
 from petrelwood.wire import bgp
 
 SECOND = 1_000_000_000
-OPEN_TIMEOUT = 240 * SECOND  # in which an OPEN has to come
-STABLE_HOLD_TIMES = 3  # that a session must last for its backoff to be forgotten
-KEEPALIVES_PER_HOLD = 3
-KEEPALIVE_JITTER = 0.25  # of the interval, drawn off it so that those of many do not fall together
-MAX_ROUTES = 10_000
+OPEN_TIMEOUT = 240 * SECOND  # for the peer's OPEN
+STABLE_HOLD_TIMES = 3  # hold times that a session must last before the backoff is reset
+KEEPALIVES_PER_HOLD = 3  # KEEPALIVEs sent per hold time
+KEEPALIVE_JITTER = 0.25  # share of the interval by which it is shortened at random, against synchronization
+MAX_ROUTES = 10_000  # default limit of routes accepted from a peer
 MAX_BACKOFF = 60 * SECOND
 REFRESH_SIZE = 4  # octets of a ROUTE-REFRESH
-BAD_MESSAGE_LENGTH = 2  # the subcode of a message of a bad length
+BAD_MESSAGE_LENGTH = 2  # subcode of a message header error (RFC 4271, 6.1)
 
 
 class State(StrEnum):
-    """The states of a session, in their order; the strings are those of the status file."""
+    """The states of a session in their order; the strings are written to the status file."""
 
     IDLE = "idle"
     CONNECT = "connect"
@@ -41,7 +41,7 @@
 
 
 class Opener(StrEnum):
-    """Who opened a connection, which names it: there is one of each at most."""
+    """The side that opened a connection; it identifies the connection, as each side has at most one."""
 
     US = "ours"
     PEER = "theirs"
@@ -56,17 +56,17 @@
     hold: int  # seconds
     families: Sequence[tuple[int, int]]  # pairs of address family and SAFI
     role: int | None = None  # RFC 9234
-    passive: bool = False  # never connects itself
-    max_routes: int = MAX_ROUTES  # that are accepted from the peer
+    passive: bool = False  # whether this side never connects
+    max_routes: int = MAX_ROUTES  # routes accepted from the peer
     first_backoff: int = SECOND
     max_backoff: int = MAX_BACKOFF
 
 
 class SessionOwner(Protocol):
-    """The actions that a neighbour requests of its owner, and the events that it reports."""
+    """The actions that a neighbour requests from its owner, and the events that it reports to it."""
 
     def connect(self) -> object:
-        """Open a connection; its end is reported by `connection_made` or `connect_failed`."""
+        """Open a connection; the owner reports the result by `connection_made` or `connect_failed`."""
 
     def write(self, key: Opener, data: bytes, /) -> object:
         """Write to a connection."""
@@ -75,7 +75,7 @@
         """Close a connection."""
 
     def session_established(self, found: bgp.Open, /) -> object:
-        """Handle an established session with the peer of this OPEN."""
+        """Handle an established session; `found` is the peer's OPEN."""
 
     def session_ended(self, why: str, /) -> object:
         """Handle the end of the established session."""
@@ -84,7 +84,7 @@
         """Handle routes that the peer announces or withdraws."""
 
     def resend_routes(self, afi: int, /) -> object:
-        """Send the routes of an address family again, as the peer requests."""
+        """Send the routes of an address family again, at the peer's request."""
 
 
 @dataclass(slots=True, eq=False)
@@ -92,21 +92,21 @@
     """One connection to the peer."""
 
     key: Opener
-    opened_at: int  # or when its session was established
+    opened_at: int  # later the time when its session was established
     hold_expires: int  # 0: never
     state: State = State.OPEN_SENT
     reader: bgp.Reader = field(default_factory=bgp.Reader)
-    open: bgp.Open | None = None  # the peer's
-    hold: int = 0  # seconds, as agreed
+    open: bgp.Open | None = None  # the peer's OPEN
+    hold: int = 0  # seconds, as negotiated
     keepalive_due: int = 0  # 0: never
 
     def has_lasted(self, now: int) -> bool:
-        """Return whether its session has lasted for so long that it counts as good."""
+        """Return whether the session has lasted long enough to count as stable."""
         return self.hold > 0 and now - self.opened_at > STABLE_HOLD_TIMES * self.hold * SECOND
 
 
 class Neighbor:
-    """The sessions with one peer; `random_fraction()` is drawn in [0, 1)."""
+    """The sessions with one peer; `random_fraction()` returns a random number in [0, 1)."""
 
     def __init__(
         self, terms: NeighborTerms, owner: SessionOwner, random_fraction: Callable[[], float]
@@ -120,11 +120,11 @@
         self.retry_at = 0
         self.backoff = Backoff(terms.first_backoff, terms.max_backoff, random_fraction)
         self.counts = {"up": 0, "down": 0, "updates": 0, "notes": 0, "collisions": 0, "refused": 0}
-        self.down_reason = ""  # why there is no session; "" while there is one
+        self.down_reason = ""  # why there is no session; empty while there is one
 
     @property
     def state(self) -> State:
-        """The state of the connection that is furthest."""
+        """The state of the most advanced connection."""
         states = [connection.state for connection in self.connections.values()]
         none = State.CONNECT if self.running and self.connecting else State.IDLE
         return max(states, key=STATES.index, default=none)
@@ -137,23 +137,23 @@
                 return connection
         return None
 
-    # What its owner reports.
+    # Events reported by the owner
     def start(self, now: int) -> None:
-        """Connect to the peer, and accept its connections."""
+        """Start to connect to the peer, and to accept its connections."""
         self.running = True
         self.retry_at = now
         self.check_timers(now)
 
     def stop(self, now: int, subcode: int = bgp.SHUTDOWN, text: str = "") -> None:
-        """End every connection with a CEASE; nothing is attempted again until `start`."""
+        """End all connections with a CEASE; make no further attempts until `start`."""
         self.running = False
         self.connecting = False
         for connection in list(self.connections.values()):
             data = bgp.shutdown_text(text) if text else b""
-            self._end(now, connection, bgp.Wrong(bgp.CEASE, subcode, text or "stopped here", data))
+            self._end(now, connection, bgp.Wrong(bgp.CEASE, subcode, text or "stopped on this side", data))
 
     def connection_made(self, now: int, key: Opener) -> bool:
-        """Handle an opened connection, and return whether it is wanted; else its owner closes it."""
+        """Handle an opened connection; return whether it is used, otherwise the owner must close it."""
         if key is Opener.US:
             self.connecting = False
         if not self.running or key in self.connections or self.established is not None:
@@ -166,12 +166,12 @@
         return True
 
     def connect_failed(self, now: int) -> None:
-        """Handle a failed attempt of ours to connect."""
+        """Handle a failed connection attempt of this side."""
         self.connecting = False
         self.retry_at = self.backoff.failed(now)
 
     def connection_lost(self, now: int, key: Opener, why: str = "the connection broke") -> None:
-        """Handle the end of a connection."""
+        """Handle a connection that was closed or lost."""
         connection = self.connections.get(key)
         if connection is not None:
             self._close(now, connection, why)
@@ -188,27 +188,27 @@
                     return
         except bgp.Wrong as fault:
             self._end(now, connection, fault)
-        except struct.error:  # shorter than its kind has to be, in a way that no rule names
+        except struct.error:  # shorter than its message type requires, with no specific error code
             self._end(
                 now,
                 connection,
-                bgp.Wrong(bgp.HEADER_ERROR, BAD_MESSAGE_LENGTH, "a message that is cut short"),
+                bgp.Wrong(bgp.HEADER_ERROR, BAD_MESSAGE_LENGTH, "a message is too short"),
             )
 
     def route_limit_exceeded(self, now: int) -> None:
-        """End the session, as the peer has announced more routes than are accepted."""
+        """End the session, because the peer has announced more routes than are accepted."""
         connection = self.established
         if connection is not None:
             self._end(
                 now, connection, bgp.Wrong(bgp.CEASE, bgp.PREFIXES, f"over {self.terms.max_routes} routes")
             )
 
-    # Timers.
+    # Timers
     def check_timers(self, now: int) -> None:
-        """Do what is due: expire hold times, send KEEPALIVEs, connect."""
+        """Perform the actions that are due: expire hold times, send KEEPALIVEs, connect."""
         for connection in list(self.connections.values()):
             if connection.hold_expires and now >= connection.hold_expires:
-                fault = bgp.Wrong(bgp.HOLD_EXPIRED, 0, "nothing was heard for the hold time")
+                fault = bgp.Wrong(bgp.HOLD_EXPIRED, 0, "nothing was received for the hold time")
                 self._end(now, connection, fault)
             elif connection.keepalive_due and now >= connection.keepalive_due:
                 self._send_keepalive(now, connection)
@@ -220,7 +220,7 @@
             self.owner.connect()
 
     def next_timer(self) -> int | None:
-        """Return when `check_timers` has something to do, or None."""
+        """Return when the next action of `check_timers` is due, or None."""
         times = []
         for connection in self.connections.values():
             times += [time for time in (connection.hold_expires, connection.keepalive_due) if time]
@@ -238,19 +238,19 @@
             interval = connection.hold * SECOND / KEEPALIVES_PER_HOLD
             connection.keepalive_due = now + int(interval * (1 - KEEPALIVE_JITTER * self.random_fraction()))
 
-    # Messages.
+    # Messages
     def _message(self, now: int, connection: Connection, kind: int, body: bytes) -> None:
         if kind == bgp.NOTIFICATION:
             found = bgp.read_notification(body)
-            why = f"the peer ended it: {found.code}/{found.sub} {found.text()}".strip()
+            why = f"the peer closed the session: {found.code}/{found.sub} {found.text()}".strip()
             self._close(now, connection, why)
         elif connection.state is State.OPEN_SENT:
             if kind != bgp.OPEN:
-                raise bgp.Wrong(bgp.FSM_ERROR, 1, f"a {bgp.NAMES[kind]} before the OPEN")
+                raise bgp.Wrong(bgp.FSM_ERROR, 1, f"a {bgp.NAMES[kind]} was received before the OPEN")
             self._on_open(now, connection, bgp.read_open(body))
         elif connection.state is State.OPEN_CONFIRM:
             if kind != bgp.KEEPALIVE:
-                raise bgp.Wrong(bgp.FSM_ERROR, 2, f"a {bgp.NAMES[kind]} before the first KEEPALIVE")
+                raise bgp.Wrong(bgp.FSM_ERROR, 2, f"a {bgp.NAMES[kind]} was received before the first KEEPALIVE")
             self._establish(now, connection)
         else:
             self._session_message(now, connection, kind, body)
@@ -269,7 +269,7 @@
                 afi, _, _ = struct.unpack("!HBB", body)
                 self.owner.resend_routes(afi)
         elif kind == bgp.OPEN:
-            raise bgp.Wrong(bgp.FSM_ERROR, 3, "an OPEN in an established session")
+            raise bgp.Wrong(bgp.FSM_ERROR, 3, "an OPEN was received in an established session")
 
     def _on_open(self, now: int, connection: Connection, found: bgp.Open) -> None:
         self._check_open(found)
@@ -284,20 +284,21 @@
         self._send_keepalive(now, connection)
 
     def _check_open(self, found: bgp.Open) -> None:
-        """Raise `bgp.Wrong` where the peer does not fit our terms."""
+        """Raise `bgp.Wrong` if the peer's OPEN does not match the terms."""
         terms = self.terms
         if terms.peer_asn and found.asn != terms.peer_asn:
-            raise bgp.Wrong(bgp.OPEN_ERROR, 2, f"AS {found.asn}, and {terms.peer_asn} was expected")
+            raise bgp.Wrong(bgp.OPEN_ERROR, 2, f"the peer has AS {found.asn}, but {terms.peer_asn} was
+            expected")
         if found.id == terms.id and found.asn == terms.asn:
-            raise bgp.Wrong(bgp.OPEN_ERROR, 3, "the peer has our own identifier")
+            raise bgp.Wrong(bgp.OPEN_ERROR, 3, "the peer has this speaker's own identifier")
         if terms.role is not None and found.role is not None and (terms.role, found.role) not in bgp.AGREE:
-            raise bgp.Wrong(bgp.OPEN_ERROR, 11, f"roles {terms.role} and {found.role} do not go together")
+            raise bgp.Wrong(bgp.OPEN_ERROR, 11, f"roles {terms.role} and {found.role} are incompatible")
 
     def _loses_collision(self, now: int, connection: Connection, found: bgp.Open) -> bool:
-        """End one of two connections; returns whether it is this one.
+        """End one of two connections, if there are two; return whether it is this one.
 
-        The one stays that was opened by the higher identifier (RFC 4271, 6.8; RFC 6286 where they are equal),
-        unless a session is established already.
+        The connection opened by the side with the higher identifier is kept (RFC 4271, 6.8; RFC 6286 for
+        equal identifiers), unless a session is already established.
         """
         others = (each for each in self.connections.values() if each is not connection)
         other = next((each for each in others if each.state is not State.OPEN_SENT), None)
@@ -321,7 +322,7 @@
         if connection.open is not None:
             self.owner.session_established(connection.open)
 
-    # Ends.
+    # Closing
     def _end_duplicate(self, now: int, connection: Connection) -> None:
         fault = bgp.Wrong(bgp.CEASE, bgp.COLLISION, "another connection is kept")
         self._end(now, connection, fault, is_failure=False)
--- a/petrelwood/decide/bgp/routing_table.py
+++ b/petrelwood/decide/bgp/routing_table.py
@@ -1,8 +1,9 @@
-"""A routing table: paths by prefix and neighbour, and the best of them (RFC 4271, 9.1, in parts).
+"""A routing table: paths by prefix and neighbour, and the best paths (part of RFC 4271, 9.1).
 
-Shorter AS path, lower origin, lower MED among paths of the same neighbouring AS, then the lower identifier;
-paths that differ in the last only share the traffic. The graceful-shutdown community makes a path the last
-choice (RFC 8326). Flows are spread by hash, or resiliently: a bucket stays with its path until that is gone.
+The order is: shorter AS path, lower origin, lower MED among paths of the same neighbouring AS, lower
+identifier. Paths that differ only in the identifier share the traffic. A path with the graceful-shutdown
+community is used only if there is no other (RFC 8326). Flows are spread by a hash, or resiliently: a bucket
+of flows keeps its path until that path is gone.
 """
 
 import hashlib
@@ -12,15 +13,15 @@
 from petrelwood.errors import PetrelwoodError
 from petrelwood.wire import bgp
 
-BUCKETS = 128  # of flows, where they are spread resiliently
+BUCKETS = 128  # number of flow buckets for resilient spreading
 MAX_PATHS = 100_000
-NO_MED = 1 << 32  # over every MED, which has 32 bits
+NO_MED = 1 << 32  # above every MED, which has 32 bits
 Peer = Any
-"""What names a neighbour: anything that can be sorted and hashed."""
+"""The identifier of a neighbour: any sortable and hashable value."""
 
 
 class RouteLimitError(PetrelwoodError):
-    """A routing table would have more paths than it may."""
+    """An update would exceed the maximum number of paths of a routing table."""
 
 
 def _rank(attrs: bgp.Attrs) -> tuple[bool, int, int]:
@@ -35,7 +36,7 @@
 
 
 def _med(attrs: bgp.Attrs) -> int:
-    """Return the MED of a path; none counts as the lowest."""
+    """Return the MED of a path; a missing MED counts as the lowest."""
     return attrs.med or 0
 
 
@@ -49,10 +50,10 @@
         self.buckets: dict[Prefix, dict[int, Peer]] = {}
 
     def apply(self, peer: Peer, update: bgp.Update) -> list[Prefix]:
-        """Take in an update; returns the prefixes whose best paths have changed.
+        """Apply an update; return the prefixes whose best paths have changed.
 
         Raises:
-            RouteLimitError: there are too many paths.
+            RouteLimitError: there would be too many paths.
         """
         changed = [prefix for prefix in update.withdrawn if self._withdraw(prefix, peer)]
         attrs = update.attrs
@@ -61,7 +62,7 @@
         return changed
 
     def remove_peer(self, peer: Peer) -> list[Prefix]:
-        """Remove the paths of a session that has ended; returns the prefixes that it changes."""
+        """Remove the paths of an ended session; return the prefixes whose best paths have changed."""
         prefixes = [prefix for prefix, paths in self.paths.items() if peer in paths]
         return [prefix for prefix in prefixes if self._withdraw(prefix, peer)]
 
@@ -79,19 +80,19 @@
         paths = self.paths.setdefault(prefix, {})
         if peer not in paths:
             if self.path_count >= self.max_paths:
-                raise RouteLimitError(f"over {self.max_paths} paths")
+                raise RouteLimitError(f"the routing table can't have over {self.max_paths} paths")
             self.path_count += 1
         paths[peer] = attrs
         return before != self.best(prefix)
 
     def best(self, prefix: Prefix) -> list[tuple[Peer, bgp.Attrs]]:
-        """Return all paths that are equally good, the one of the lowest peer first."""
+        """Return all equally good best paths, that of the lowest peer first."""
         paths = self.paths.get(prefix)
         if not paths:
             return []
         least = min(map(_rank, paths.values()))
         candidates = {peer: attrs for peer, attrs in paths.items() if _rank(attrs) == least}
-        meds: dict[int, int] = {}  # the lowest by neighbouring AS
+        meds: dict[int, int] = {}  # the lowest MED by neighbouring AS
         for attrs in candidates.values():
             first = _first_as(attrs)
             meds[first] = min(meds.get(first, NO_MED), _med(attrs))
@@ -100,15 +101,15 @@
         )
 
     def pick(self, prefix: Prefix, flow: object, resilient: bool = False) -> Peer | None:
-        """Return the peer that a flow goes to, or None; the flow is told from others by its text."""
+        """Return the peer to which a flow is sent, or None; the flow is identified by its `str`."""
         peers = [peer for peer, _ in self.best(prefix)]
         if not peers:
             return None
-        mark = int.from_bytes(hashlib.blake2b(str(flow).encode(), digest_size=4).digest(), "big")
+        flow_hash = int.from_bytes(hashlib.blake2b(str(flow).encode(), digest_size=4).digest(), "big")
         if not resilient:
-            return peers[mark % len(peers)]
+            return peers[flow_hash % len(peers)]
         buckets = self.buckets.setdefault(prefix, {})
-        number = mark % BUCKETS
+        number = flow_hash % BUCKETS
         if buckets.get(number) not in peers:
             shares = {peer: sum(1 for each in buckets.values() if each == peer) for peer in peers}
             buckets[number] = min(peers, key=lambda peer: (shares[peer], str(peer)))
--- a/petrelwood/decide/bgp/service_health.py
+++ b/petrelwood/decide/bgp/service_health.py
@@ -1,33 +1,34 @@
-"""Whether a dispatcher can serve, and so how its service addresses are announced.
-
-A fault is either its own (a graceful shutdown, a stalled event loop, no heartbeats, an old endpoint list,
-state that can't be made durable) or may be shared by all dispatchers (no usable worker, answers that do not
-come in time). For its own faults it is withdrawn at once. For those that may be shared it is REDUCED, and
-withdrawn only while another announcement of the address is seen that is not: if all are ill all stay REDUCED,
-and the last one can't be withdrawn, without a word between them. One that was withdrawn so is REDUCED again
-as soon as no such other is seen.
-
-A dispatcher is announced again late: after it was well for the settling time, which doubles with each recent
-withdrawal; half of that is forgotten each minute. A graceful shutdown is meant and does not count. Times in
-ns.
+"""The health of a dispatcher, and the level at which its service addresses are announced.
+
+A fault is either its own (a graceful shutdown, a stalled event loop, missing heartbeats, a stale endpoint
+list, state that can't be made durable), or possibly shared by all dispatchers (no usable worker, answers that
+are not in time). For its own fault a dispatcher is withdrawn immediately. For a possibly shared fault it is
+REDUCED, and withdrawn only while another announcement of the address is seen that is not REDUCED. Thus, if
+all dispatchers are unhealthy, all stay REDUCED and the last one is never withdrawn, although the dispatchers
+do not communicate. A dispatcher that was withdrawn for a shared fault is REDUCED again when no such other
+announcement is seen.
+
+A dispatcher is announced again only after it was healthy for the settling time. This time doubles with each
+recent withdrawal; the number of recent withdrawals is halved each minute. A graceful shutdown is intended and
+does not count as a withdrawal. Times in ns.
 """
 
 from enum import StrEnum
 from typing import NamedTuple
 
 SECOND = 1_000_000_000
-MIN_ANSWERS = 20  # that say something of how many come in time
-UNHEALTHY_SHARE = 0.5  # of answers that completed: under it a dispatcher is ill,
-HEALTHY_SHARE = 0.8  # and over this it is well again
-WITHDRAWALS_HALF_LIFE = 60 * SECOND  # in which half of the withdrawals is forgotten
-MAX_DOUBLINGS = 6  # of the settling time
+MIN_ANSWERS = 20  # recent answers required to judge the completed share
+UNHEALTHY_SHARE = 0.5  # a dispatcher with a completed share below this is unhealthy
+HEALTHY_SHARE = 0.8  # an unhealthy dispatcher with a completed share of at least this is healthy again
+WITHDRAWALS_HALF_LIFE = 60 * SECOND  # in which the number of recent withdrawals is halved
+MAX_DOUBLINGS = 6  # upper bound for doublings of the settling time
 SHUTTING_DOWN = "it drains"
 ANSWERS_LATE = "answers do not come in time"
-NEVER_HEARD = "nothing was heard of it yet"
+NEVER_HEARD = "no heartbeat was received yet"
 
 
 class ServiceLevel(StrEnum):
-    """How a service address is announced; the strings are those of the status file and the commands."""
+    """How a service address is announced; the strings are used in the status file and by commands."""
 
     FULL = "full"
     REDUCED = "less"  # announced, but any other announcement is preferred
@@ -35,43 +36,43 @@
 
 
 class HealthReport(NamedTuple):
-    """What a dispatcher reports of itself in each heartbeat, in the order of its wire form."""
+    """The report of a dispatcher in each heartbeat, with the fields in the order of the wire form."""
 
-    closing: bool  # a graceful shutdown, or a hand-over
-    list_age: int  # ns since its endpoint list was known to be fresh
+    closing: bool  # whether a graceful shutdown or a handover is under way
+    list_age: int  # ns since its endpoint list was last known to be up to date
     usable_workers: int
-    completed: int  # recent answers
+    completed: int  # recent answers that completed
     failed: int  # recent answers that did not complete
-    stalled: int  # ns that its event loop stood still lately, the longest time
-    is_durable: bool  # whether what must be durable is
+    stalled: int  # the longest recent stall of its event loop, ns
+    is_durable: bool  # whether the state that must be durable is durable
 
 
 class HealthBounds(NamedTuple):
     """The limits by which a dispatcher is judged, ns."""
 
-    silence: int  # without a heartbeat, after which it is taken to hang
-    list_age: int
-    stall: int
-    settling: int  # for which it must be well before it is announced
+    silence: int  # time without a heartbeat after which it counts as hung
+    list_age: int  # highest tolerated age of the endpoint list
+    stall: int  # longest tolerated stall of the event loop
+    settling: int  # time for which it must be healthy before it is announced
 
 
 class Fault(NamedTuple):
-    """What keeps a dispatcher from serving."""
+    """The reason why a dispatcher can't serve."""
 
     reason: str
-    is_shared: bool = False  # it may be the same at all dispatchers
+    is_shared: bool = False  # whether all dispatchers may have the same fault
 
 
 def find_fault(report: HealthReport, bounds: HealthBounds, was_late: bool = False) -> Fault | None:
-    """Return the fault that a report shows, or None; `was_late`: its answers were late before."""
+    """Return the fault shown by a report, or None; `was_late`: its answers were late in the last report."""
     if report.closing:
         return Fault(SHUTTING_DOWN)
     if report.stalled > bounds.stall:
-        return Fault("its loop stands still")
+        return Fault("its event loop is stalled")
     if report.list_age > bounds.list_age:
-        return Fault("its list of workers is old")
+        return Fault("its endpoint list is stale")
     if not report.is_durable:
-        return Fault("it can't keep what must be kept")
+        return Fault("its state can't be made durable")
     if not report.usable_workers:
         return Fault("no worker is usable", is_shared=True)
     answers = report.completed + report.failed
@@ -82,34 +83,34 @@
 
 
 class ServiceHealth:
-    """The health of one dispatcher, as the speaker beside it judges it."""
+    """The health of one dispatcher, as judged by the speaker on the same machine."""
 
     def __init__(self, bounds: HealthBounds, now: int) -> None:
         self.bounds = bounds
         self.level = ServiceLevel.NONE
-        self.reason = NEVER_HEARD  # for the level; "" at FULL
+        self.reason = NEVER_HEARD  # reason for the level; empty at FULL
         self.report: HealthReport | None = None
         self.last_heartbeat = now
         self.well_since: int | None = None
         self.withdrawals = 0
-        self._recent_withdrawals = 0.0  # for faults of its own, halved with time
+        self._recent_withdrawals = 0.0  # withdrawals for its own faults; decays with time
         self._decayed_at = now
         self._was_late = False
 
     def heartbeat(self, now: int, report: HealthReport) -> None:
-        """Take in a heartbeat."""
+        """Record a heartbeat."""
         self.report = report
         self.last_heartbeat = now
 
     def settling_time(self, now: int) -> int:
-        """Return how long it must be well now before it is announced, ns."""
+        """Return for how long it must currently be healthy before it is announced, ns."""
         return int(self.bounds.settling * 2 ** min(MAX_DOUBLINGS, self._decay_withdrawals(now)))
 
     def update(self, now: int, seen_elsewhere: bool) -> bool:
-        """Judge anew; returns whether the level or its reason has changed.
+        """Update the level; return whether the level or its reason has changed.
 
-        It is called at each heartbeat and a few times a second. `seen_elsewhere`: another announcement is
-        seen that is not REDUCED.
+        Call it at each heartbeat and a few times per second. `seen_elsewhere` tells whether another
+        announcement that is not REDUCED is seen.
         """
         fault = self._find_fault(now)
         level = _level_of(fault, seen_elsewhere)
@@ -119,7 +120,7 @@
             self.well_since = None
         elif not self._has_settled(now):
             level = ServiceLevel.REDUCED if self.level is ServiceLevel.REDUCED else ServiceLevel.NONE
-            reason = "it was not well for long enough"
+            reason = "it has not been healthy for long enough"
         if level is ServiceLevel.NONE and self.level is not ServiceLevel.NONE:
             self.withdrawals += 1
             if fault is None or (fault.reason != SHUTTING_DOWN and not fault.is_shared):
@@ -129,7 +130,7 @@
         return (level, reason) != before
 
     def next_change(self, now: int) -> int | None:
-        """Return when it would change without another heartbeat, or None."""
+        """Return when the level would change without another heartbeat, or None."""
         if self.report is None:
             return None
         times = [self.last_heartbeat + self.bounds.silence + 1] if self.level is not ServiceLevel.NONE else []
@@ -141,7 +142,7 @@
         if self.report is None:
             return Fault(NEVER_HEARD)
         if now - self.last_heartbeat > self.bounds.silence:
-            return Fault("it says nothing")
+            return Fault("its heartbeats have stopped")
         fault = find_fault(self.report, self.bounds, self._was_late)
         self._was_late = fault is not None and fault.reason == ANSWERS_LATE
         return fault
--- a/petrelwood/decide/forecasting/series.py
+++ b/petrelwood/decide/forecasting/series.py
@@ -130,12 +130,12 @@
         return self._means(_mean(self.seasonal.counts(keys)))
 
     def _means(self, season: float | None) -> dict[Method, float | None]:
-        recent = self.recent.level
+        recent_rate = self.recent.level
         both = None
-        if season is not None and recent is not None:
+        if season is not None and recent_rate is not None:
             ratio = 1.0 if self.ratio.level is None else self.ratio.level
             both = season * min(MAX_RATIO, max(MIN_RATIO, ratio))
-        return {SEASONAL: season, RECENT: recent, BOTH: both}
+        return {SEASONAL: season, RECENT: recent_rate, BOTH: both}
 
     def learn(self, keys: SlotKeys, count: float) -> None:
         """Score the forecasts for an ended slot, then learn its count."""
