--- a/petrelwood/decide/bgp/neighbor.py
+++ b/petrelwood/decide/bgp/neighbor.py
@@ -246,11 +246,11 @@
             self._close(now, connection, why)
         elif connection.state is State.OPEN_SENT:
             if kind != bgp.OPEN:
-                raise bgp.Wrong(bgp.FSM_ERROR, 1, f"a {bgp.NAMES[kind]} was received before the OPEN")
+                raise bgp.Wrong(bgp.FSM_ERROR, 1, f"a {bgp.NAMES[kind]} came before the OPEN")
             self._on_open(now, connection, bgp.read_open(body))
         elif connection.state is State.OPEN_CONFIRM:
             if kind != bgp.KEEPALIVE:
-                raise bgp.Wrong(bgp.FSM_ERROR, 2, f"a {bgp.NAMES[kind]} was received before the first KEEPALIVE")
+                raise bgp.Wrong(bgp.FSM_ERROR, 2, f"a {bgp.NAMES[kind]} came before the first KEEPALIVE")
             self._establish(now, connection)
         else:
             self._session_message(now, connection, kind, body)
@@ -287,8 +287,9 @@
         """Raise `bgp.Wrong` if the peer's OPEN does not match the terms."""
         terms = self.terms
         if terms.peer_asn and found.asn != terms.peer_asn:
-            raise bgp.Wrong(bgp.OPEN_ERROR, 2, f"the peer has AS {found.asn}, but {terms.peer_asn} was
-            expected")
+            raise bgp.Wrong(
+                bgp.OPEN_ERROR, 2, f"the peer has AS {found.asn}, but {terms.peer_asn} was expected"
+            )
         if found.id == terms.id and found.asn == terms.asn:
             raise bgp.Wrong(bgp.OPEN_ERROR, 3, "the peer has this speaker's own identifier")
         if terms.role is not None and found.role is not None and (terms.role, found.role) not in bgp.AGREE:
