--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -1,5 +1,7 @@
-"""BGP: messages bent and cut, neighbours on a clock that is handed in, what is announced; traces are read by
-people."""
+"""BGP: malformed messages, sessions of neighbours in simulated time, service health, and routing tables.
+
+Reviewers read the expected event traces.
+"""
 
 import random
 import struct
@@ -129,7 +131,7 @@
                     data[at] = chance.choice((0, 1, 127, 255))
                 if not data:
                     data = bytearray(b"\0")
-            # most of them framed rightly, or nothing behind the frame is met
+            # Most messages get a valid header, otherwise only the header would be tested.
             if chance.random() < 0.7 and len(data) >= 19:
                 data[:16] = bgp.MARKER
                 data[16:18] = struct.pack("!H", len(data))
@@ -141,7 +143,7 @@
         self.assertGreater(len(faults), 8, faults)
 
     def test_faults_in_attributes_take_routes_back_or_end_the_session(self):
-        """RFC 7606, attribute by attribute."""
+        """Error handling of RFC 7606 for each attribute."""
         lines = []
         good = {
             1: (0x40, b"\0"),
@@ -202,17 +204,17 @@
         self.assertEqual(bgp.Notification(6, 2, b"\3a\x1bb").text(), "a?b")
 
 
-SYN = b"a connection is asked for"
+SYN = b"connection attempt"
 
 
 class Wire:
-    """Two neighbours and what is between them, on one clock."""
+    """Two neighbours and the connections between them, with one simulated clock."""
 
     def __init__(self, a=None, b=None, seed=1):
-        self.now, self.lines, self.flying, self.chance = 0, [], [], random.Random(seed)
+        self.now, self.lines, self.in_transit, self.chance = 0, [], [], random.Random(seed)
         self.ends = {}
         for name, terms in (("A", a or terms_of(65001, 65000, 1)), ("B", b or terms_of(65000, 65001, 2))):
-            end = self.ends[name] = End(self, name)
+            end = self.ends[name] = Side(self, name)
             end.neighbor = neighbor.Neighbor(terms, end, self.chance.random)
 
     def other(self, name):
@@ -221,36 +223,36 @@
     def say(self, name, what):
         self.lines.append(f"{self.now / S:7.2f}  {name} {what}")
 
-    def joins(self, ours, theirs):
-        """A connection that one has asked for reaches the other."""
+    def connect_to(self, ours, theirs):
+        """Deliver a connection attempt of one side to the other."""
         if not theirs.neighbor.running:
             ours.neighbor.connect_failed(self.now)
             return
         taken = theirs.neighbor.connection_made(self.now, neighbor.Opener.PEER)
         if not ours.neighbor.connection_made(self.now, neighbor.Opener.US):
-            self.flying.append((theirs.name, neighbor.Opener.US, None))
+            self.in_transit.append((theirs.name, neighbor.Opener.US, None))
         elif not taken:
-            self.flying.append((ours.name, neighbor.Opener.PEER, None))
+            self.in_transit.append((ours.name, neighbor.Opener.PEER, None))
 
-    def run(self, until, deaf=()):
-        """Passes bytes on, ten ms each way, and time."""
+    def run(self, until, unreachable=()):
+        """Advance the time, and deliver bytes with a delay of ten ms in each direction."""
         while self.now < until:
             self.now += S // 100
-            going, self.flying = self.flying, []
+            going, self.in_transit = self.in_transit, []
             for to, key, data in going:
-                if to in deaf:
-                    if data == SYN:  # nobody answers: the try times out
+                if to in unreachable:
+                    if data == SYN:  # no answer, so the attempt times out
                         self.other(to).neighbor.connect_failed(self.now)
                     continue
                 other_key = neighbor.Opener.PEER if key == neighbor.Opener.US else neighbor.Opener.US
                 if data == SYN:
-                    self.joins(self.other(to), self.ends[to])
+                    self.connect_to(self.other(to), self.ends[to])
                 elif data is None:
                     self.ends[to].neighbor.connection_lost(self.now, other_key)
                 else:
                     self.ends[to].neighbor.data_received(self.now, other_key, data)
             for name, end in self.ends.items():
-                if name not in deaf:
+                if name not in unreachable:
                     end.neighbor.check_timers(self.now)
 
 
@@ -259,13 +261,13 @@
     return neighbor.NeighborTerms(asn, peer, id_, **made)
 
 
-class End:
+class Side:
     def __init__(self, wire, name):
-        self.wire, self.name, self.ups, self.heard_ = wire, name, 0, []
+        self.wire, self.name, self.ups, self.updates = wire, name, 0, []
 
     def connect(self):
         self.wire.say(self.name, "connects")
-        self.wire.flying.append((self.wire.other(self.name).name, neighbor.Opener.US, SYN))
+        self.wire.in_transit.append((self.wire.other(self.name).name, neighbor.Opener.US, SYN))
 
     def write(self, key, data):
         kind = data[18]
@@ -276,10 +278,10 @@
                 f"{bgp.NAMES[kind]} on {key}"
                 + (f" {words.code}/{words.sub} {words.text()}" if words else ""),
             )
-        self.wire.flying.append((self.wire.other(self.name).name, key, data))
+        self.wire.in_transit.append((self.wire.other(self.name).name, key, data))
 
     def close(self, key):
-        self.wire.flying.append((self.wire.other(self.name).name, key, None))
+        self.wire.in_transit.append((self.wire.other(self.name).name, key, None))
 
     def resend_routes(self, afi):
         self.wire.say(self.name, f"is asked for family {afi} again")
@@ -292,7 +294,7 @@
         self.wire.say(self.name, f"is down: {why}")
 
     def update_received(self, update):
-        self.heard_.append(update)
+        self.updates.append(update)
 
 
 class Neighbors(unittest.TestCase):
@@ -321,9 +323,9 @@
 
     def test_a_life_of_a_session(self):
         wire = self.started(terms_of(65001, 65000, 1), terms_of(65000, 65001, 2, passive=True, hold=3))
-        wire.run(20 * S)  # keepalives hold it
+        wire.run(20 * S)  # KEEPALIVEs keep the session up
         self.assertEqual([e.ups for e in wire.ends.values()], [1, 1])
-        wire.run(24 * S, deaf=("B",))  # B hangs: A must notice within the hold time
+        wire.run(24 * S, unreachable=("B",))  # B hangs: A must notice within the hold time
         wire.run(27 * S)
         wire.ends["A"].neighbor.stop(wire.now, bgp.SHUTDOWN, "drained")
         wire.run(29 * S)
@@ -361,15 +363,16 @@
             wire = self.started(seed=seed)
             for _ in range(20):
                 wire.run(
-                    wire.now + chance.randrange(S // 50, 3 * S), deaf=chance.choice(((), (), ("A",), ("B",)))
+                    wire.now + chance.randrange(S // 50, 3 * S),
+                    unreachable=chance.choice(((), (), ("A",), ("B",))),
                 )
-                if wire.flying and chance.random() < 0.5:
-                    at = chance.randrange(len(wire.flying))
-                    to, key, data = wire.flying[at]
+                if wire.in_transit and chance.random() < 0.5:
+                    at = chance.randrange(len(wire.in_transit))
+                    to, key, data = wire.in_transit[at]
                     if data and data != SYN:
                         bent = bytearray(data)
                         bent[chance.randrange(len(bent))] ^= 1 << chance.randrange(8)
-                        wire.flying[at] = to, key, bytes(bent)
+                        wire.in_transit[at] = to, key, bytes(bent)
                 if chance.random() < 0.3:
                     end = wire.ends[chance.choice("AB")]
                     for key in list(end.neighbor.connections):
@@ -382,18 +385,18 @@
                         end.neighbor.counts["up"] - end.neighbor.counts["down"],
                         states.count(neighbor.State.ESTABLISHED),
                     )
-            wire.run(wire.now + 150 * S)  # whatever came, it heals
+            wire.run(wire.now + 150 * S)  # the session recovers after all faults
             self.assertTrue(
                 all(end.neighbor.established for end in wire.ends.values()), (seed, wire.lines[-9:])
             )
 
 
 class Serves(unittest.TestCase):
-    FINE = service_health.HealthReport(False, 0, 9, 100, 0, 0, True)
+    HEALTHY = service_health.HealthReport(False, 0, 9, 100, 0, 0, True)
     BOUNDS = service_health.HealthBounds(S * 3 // 20, 30 * S, S // 2, S)
 
     def play(self, steps, every=S // 20):
-        """`steps`: (seconds, facts or None: silence, whether others are seen)."""
+        """Play steps of (seconds, report or None for no heartbeat, whether other announcements are seen)."""
         made, lines, now = service_health.ServiceHealth(self.BOUNDS, 0), [], 0
         for seconds, facts, others in steps:
             for _ in range(round(seconds * S / every)):
@@ -405,7 +408,7 @@
         return lines, made
 
     def test_late_on_early_off(self):
-        f = self.FINE
+        f = self.HEALTHY
         lines, _ = self.play(
             [
                 (0.3, None, False),
@@ -424,13 +427,13 @@
         compare(self, "serving_own", lines)
 
     def test_what_may_be_everyones_never_takes_the_last_one_away(self):
-        f, ill = self.FINE, self.FINE._replace(usable_workers=0)
+        f, unhealthy = self.HEALTHY, self.HEALTHY._replace(usable_workers=0)
         lines, made = self.play(
             [
                 (2, f, False),
-                (2, ill, False),
-                (2, ill, True),
-                (1, ill, False),
+                (2, unhealthy, False),
+                (2, unhealthy, True),
+                (1, unhealthy, False),
                 (3, f, True),
                 (1, f._replace(completed=10, failed=90), False),
                 (1, f._replace(completed=70, failed=30), False),
@@ -441,17 +444,19 @@
         self.assertEqual(made.level, service_health.ServiceLevel.FULL)
 
     def test_flapping_is_damped_and_forgiven(self):
-        f, lines = self.FINE, []
+        f, lines = self.HEALTHY, []
         steps = [(2, f, True)]
         for _ in range(12):
             steps += [(0.5, None, True), (4, f, True)]
         lines, made = self.play([*steps, (400, f, True)])
-        self.assertLess(made.withdrawals, 7, lines)  # of twelve hangs
+        self.assertLess(made.withdrawals, 7, lines)  # after twelve hangs
         self.assertEqual(made.level, service_health.ServiceLevel.FULL)
 
     def test_all_ill_at_once_and_one_stays_whatever_the_order(self):
-        """Many speakers and a router that tells each the best path of another: never is nobody announced for
-        longer than a turn."""
+        """Many speakers, and a router that sends each the best path of another one.
+
+        The address is never without an announcement for more than one step.
+        """
         for seed in range(8):
             chance, count = random.Random(seed), random.Random(seed).choice((2, 4, 30))
             nodes, table, update = (
@@ -459,20 +464,20 @@
                 RoutingTable(),
                 announcement.Service(PREFIX, b"\x7f\0\0\1", (), None, 1000, 3),
             )
-            told, gone, ill = [None] * count, 0, [False] * count
-            for turn in range(600):
-                now = turn * S // 20
-                if turn > 200 and turn % 10 == 0:
-                    ill = (
-                        [chance.random() < 0.7 if turn < 300 else True for _ in range(count)]
-                        if turn < 500
+            told, gone, unhealthy = [None] * count, 0, [False] * count
+            for step in range(600):
+                now = step * S // 20
+                if step > 200 and step % 10 == 0:
+                    unhealthy = (
+                        [chance.random() < 0.7 if step < 300 else True for _ in range(count)]
+                        if step < 500
                         else [False] * count
                     )
                 for i in chance.sample(range(count), count):
                     others = any(
                         not announcement.is_reduced(a) for peer, a in table.best(PREFIX)[:1] if peer != i
                     )
-                    nodes[i].heartbeat(now, self.FINE._replace(usable_workers=0 if ill[i] else 5))
+                    nodes[i].heartbeat(now, self.HEALTHY._replace(usable_workers=0 if unhealthy[i] else 5))
                     nodes[i].update(now, others)
                     want = announcement.attributes(
                         update._replace(next_hop=bytes((127, 0, 0, i))), nodes[i].level, 65001
@@ -482,25 +487,25 @@
                         table.apply(
                             i, bgp.Update(() if want else (PREFIX,), (PREFIX,) if want else (), want, ())
                         )
-                if turn > 60:
+                if step > 60:
                     gone = gone + 1 if not table.best(PREFIX) else 0
-                    self.assertLessEqual(gone, 1, (seed, turn))
+                    self.assertLessEqual(gone, 1, (seed, step))
 
 
 class Tables(unittest.TestCase):
     def test_the_best_and_what_shares_with_it(self):
         table = RoutingTable()
 
-        def hears(peer, found):
+        def announce(peer, found):
             table.apply(peer, bgp.Update((), (PREFIX,), found, ()))
 
-        hears(1, attrs((65001,)))
-        hears(2, attrs((65001,)))
-        hears(3, attrs((65001, 65001)))
+        announce(1, attrs((65001,)))
+        announce(2, attrs((65001,)))
+        announce(3, attrs((65001, 65001)))
         self.assertEqual([p for p, _ in table.best(PREFIX)], [1, 2])
-        hears(1, attrs((65001,), med=10))
+        announce(1, attrs((65001,), med=10))
         self.assertEqual([p for p, _ in table.best(PREFIX)], [2])
-        hears(2, attrs((65001,), communities=(bgp.GRACEFUL_SHUTDOWN,)))
+        announce(2, attrs((65001,), communities=(bgp.GRACEFUL_SHUTDOWN,)))
         self.assertEqual([p for p, _ in table.best(PREFIX)], [1])
         table.remove_peer(1)
         self.assertEqual([p for p, _ in table.best(PREFIX)], [3])
--- a/tests/test_configuration_disk.py
+++ b/tests/test_configuration_disk.py
@@ -1,4 +1,4 @@
-"""A configuration server whose disk fails: it says so, does not vote, promises nothing, and rejoins."""
+"""A configuration server whose disk fails reports it, does not vote or promise anything, and rejoins."""
 
 import asyncio
 import errno
@@ -12,7 +12,7 @@
 
 import structlog
 from test_configuration_servers import run
-from test_replicated_log import troubled, version
+from test_replicated_log import cluster_after_faults, version
 from tornado.netutil import bind_sockets
 
 from petrelwood.control import catching_up, log_storage, messages, server
@@ -40,17 +40,17 @@
 
 SEEDS = 24
 CALLS = ("create", "write", "sync", "close", "replace", "sync_folder")
-PATIENT = 30  # seconds; far over what a busy machine needs
+TIMEOUT = 30  # seconds; far above what a busy machine needs
 
 
 class Killed(BaseException):
-    """The process ends here."""
+    """The process is killed at this point."""
 
 
-class FailingFiles(Files):
-    """Files of which one call fails, so many times; None: until `failing` is None. Writes are short.
+class FaultyFiles(Files):
+    """Files on which the call `failing` fails `times` times, or until `failing` is None. Writes are short.
 
-    `kill_after`: bytes after which the process is killed in the midst of a write.
+    `kill_after` is the number of bytes after which the process is killed during a write.
     """
 
     def __init__(self, failing=None, times=None, number=errno.EIO, kill_after=None):
@@ -74,7 +74,7 @@
             data = data[: min(self.kill_after, 7)]
             self.kill_after -= len(data)
         elif self.failing == "write" and len(data) > 8:
-            return super().write(handle, data[:8])  # a part of it gets through
+            return super().write(handle, data[:8])  # a part of the data is written
         else:
             self._call("write")
         return super().write(handle, data[: self.part])
@@ -97,20 +97,20 @@
 
 
 class Observer:
-    """Notes what is said of the disk."""
+    """Records the reports about the disk."""
 
     def __init__(self):
-        self.said = []
+        self.reports = []
 
     def disk_failed(self, error, retry_in):
-        self.said.append(("failed", error.errno, retry_in))
+        self.reports.append(("failed", error.errno, retry_in))
 
     def disk_recovered(self, outage):
-        self.said.append(("recovered", outage))
+        self.reports.append(("recovered", outage))
 
 
-class Eager(DurableReplica):
-    """Broken on purpose: it replies also when the write has failed."""
+class RepliesBeforeWrite(DurableReplica):
+    """A deliberately faulty replica that replies even if the write has failed."""
 
     def answer(self, message, now):
         reply = self.replica.answer(message)
@@ -125,13 +125,13 @@
         self.folder = pathlib.Path(folder.name)
 
     def durable(self, files, new_after=None):
-        """A durable replica on the folder's log."""
+        """Return a durable replica on the log in the folder."""
         storage = LogStorage(self.folder, files)
         replica = storage.open(new_after)
         return DurableReplica(replica, storage.save, Random(1).random, Observer())
 
-    def begun(self):
-        """A log in which slot 1 is promised and accepted and which a restart finds."""
+    def accepted_log(self):
+        """Store a log in which a record is accepted in slot 1, and return its replica."""
         durable = self.durable(Files(), 0)
         self.assertEqual(
             durable.answer(Accept(1, Ballot(1, "a"), version(1)), 0),
@@ -140,7 +140,7 @@
         return durable
 
     def on_disk(self):
-        """What a restart finds."""
+        """Return the state that a restart reads."""
         return LogStorage(self.folder).open(None).durable_state()
 
 
@@ -153,19 +153,19 @@
                     self.check_outage(call, times)
 
     def check_outage(self, call, times):
-        self.begun()
-        files = FailingFiles(call, times, errno.ENOSPC)
+        self.accepted_log()
+        files = FaultyFiles(call, times, errno.ENOSPC)
         durable, now = self.durable(files), 0
         high = Ballot(9, "b")
         self.assertEqual(durable.answer(Prepare(1, high), now), NotVoting())
         failed = durable.replica.durable_state()
-        # nothing more is promised, and nothing more is tried before the backoff is over
+        # There is no further promise, and no further write before the backoff has elapsed.
         self.assertEqual(durable.answer(Prepare(1, Ballot(10, "c")), now), NotVoting())
         self.assertEqual(durable.answer(Accept(1, high, version(2)), now), NotVoting())
         self.assertEqual((durable.replica.durable_state(), files.failed), (failed, 1))
         with self.assertRaisesRegex(DiskFailedError, os.strerror(errno.ENOSPC)):
             durable.require_disk()
-        # a restart at any moment of it finds what was there before, or more than was promised
+        # A restart during the outage reads the state before it, or a later promise.
         found = LogStorage(self.folder).open(None)
         self.assertGreaterEqual(found.promised, Ballot(1, "a"))
         self.assertEqual(found.accepted, Ballot(1, "a"))
@@ -179,7 +179,7 @@
             now += durable_replica.MAX_RETRY_DELAY
             durable.retry(now)
         self.assertFalse(durable.failed)
-        self.assertEqual([word for word, *_ in durable._observer.said].count("recovered"), 1)
+        self.assertEqual([word for word, *_ in durable._observer.reports].count("recovered"), 1)
         self.assertEqual(
             durable.answer(Prepare(1, high), now),
             Promise(Ballot(1, "a"), version(1)),
@@ -187,8 +187,8 @@
         self.assertEqual(self.on_disk(), durable.replica.durable_state())
 
     def test_what_was_decided_is_learned_while_the_disk_fails_and_is_there_after_it(self):
-        self.begun()
-        files = FailingFiles("sync")
+        self.accepted_log()
+        files = FaultyFiles("sync")
         durable = self.durable(files)
         extract = Extract(0, 1, ((1, version(1)),))
         with self.assertRaises(DiskFailedError):
@@ -200,7 +200,7 @@
         self.assertEqual(LogStorage(self.folder).open(None).chosen, 2)
 
     def test_a_server_that_rejoins_on_a_disk_that_fails_votes_only_once_that_is_durable(self):
-        files = FailingFiles("replace")
+        files = FaultyFiles("replace")
         durable = self.durable(files)
         self.assertFalse(durable.rejoin({"b": 0, "c": 0}, 3, 0))
         durable.learn(Extract(0, 1, ((1, version(1)),)), 0)
@@ -213,11 +213,11 @@
         self.assertEqual(LogStorage(self.folder).open(None).votes_from, 2)
 
     def test_a_kill_at_each_byte_of_a_write_leaves_the_log_before_it(self):
-        self.begun()
+        self.accepted_log()
         before = self.on_disk()
         size = len(snapshot.pack(log_storage.KIND, log_storage.VERSION, before))
         for after in range(size):
-            durable = self.durable(FailingFiles(kill_after=after))
+            durable = self.durable(FaultyFiles(kill_after=after))
             with self.assertRaises(Killed):
                 durable.answer(Prepare(1, Ballot(2, "b")), 0)
             self.assertEqual(self.on_disk(), before, after)
@@ -227,11 +227,11 @@
         )
 
     def test_a_kill_at_each_byte_of_the_write_after_a_failure_leaves_the_log_before_it(self):
-        self.begun()
+        self.accepted_log()
         before = self.on_disk()
         size = len(snapshot.pack(log_storage.KIND, log_storage.VERSION, before))
         for after in range(0, size, 3):
-            files = FailingFiles("sync", 1)
+            files = FaultyFiles("sync", 1)
             durable = self.durable(files)
             self.assertEqual(durable.answer(Prepare(1, Ballot(2, "b")), 0), NotVoting())
             files.kill_after = after
@@ -243,7 +243,7 @@
         for call in CALLS:
             with self.subTest(call), tempfile.TemporaryDirectory() as folder:
                 self.folder = pathlib.Path(folder)
-                self.begun()
+                self.accepted_log()
                 before = self.on_disk()
                 durable = self.durable(snapshot.Files())
                 with mock.patch.object(snapshot.Files, call, side_effect=Killed):
@@ -253,21 +253,21 @@
                 self.assertEqual(self.on_disk(), durable.replica.durable_state() if is_renamed else before)
 
     def test_writes_of_one_byte_at_a_time_make_the_whole_log(self):
-        self.begun()
-        files = FailingFiles()
+        self.accepted_log()
+        files = FaultyFiles()
         files.part = 1
         durable = self.durable(files)
         self.assertIsInstance(durable.answer(Prepare(1, Ballot(2, "b")), 0), Promise)
         self.assertEqual(self.on_disk(), durable.replica.durable_state())
 
     def test_a_file_that_failed_is_not_written_to_again(self):
-        self.begun()
-        files = FailingFiles("sync", 1)
+        self.accepted_log()
+        files = FaultyFiles("sync", 1)
         self.durable(files).answer(Prepare(1, Ballot(2, "b")), 0)
         self.assertEqual([path.name for path in self.folder.iterdir()], [log_storage.FILE])
 
     def test_a_disk_that_can_not_be_read_does_not_pass_for_a_lost_one(self):
-        self.begun()
+        self.accepted_log()
         fault = OSError(errno.EIO, os.strerror(errno.EIO))
         for new_after in (None, 0):
             with mock.patch.object(pathlib.Path, "stat", side_effect=fault):
@@ -284,12 +284,12 @@
 
 
 class InVirtualTime(unittest.TestCase):
-    """Five servers whose disks fail one after the other, some of them at a time."""
+    """Five servers whose disks fail in turn, some at the same time."""
 
     def test_no_slot_is_decided_twice_and_no_promise_leaves_before_it_is_durable(self):
         failures = recoveries = decided = 0
         for seed in range(SEEDS):
-            cluster = troubled(seed, disks=seed % 2 == 1, disk_faults=0.5)
+            cluster = cluster_after_faults(seed, disks=seed % 2 == 1, disk_faults=0.5)
             self.assertEqual(cluster.judge(), [], seed)
             failures += sum(one.disk_failures for one in cluster.servers.values())
             recoveries += sum(one.disk_recoveries for one in cluster.servers.values())
@@ -298,7 +298,7 @@
 
     def test_afterwards_all_of_them_vote_again(self):
         for seed in range(SEEDS // 3):
-            cluster = troubled(seed, disks=False, disk_faults=0.5)
+            cluster = cluster_after_faults(seed, disks=False, disk_faults=0.5)
             self.assertFalse(any(one.durable.failed for one in cluster.servers.values()))
             record = cluster.new_record()
             cluster.propose("c1", record)
@@ -306,7 +306,7 @@
             self.assertNotIn(None, {one.replica.slot_of(record.id) for one in cluster.servers.values()}, seed)
 
     def test_the_judge_finds_one_that_replies_before_it_is_durable(self):
-        cluster = troubled(1, disks=False, disk_faults=0.5, durable_type=Eager)
+        cluster = cluster_after_faults(1, disks=False, disk_faults=0.5, durable_type=RepliesBeforeWrite)
         self.assertTrue(any("not have it on its disk" in fault for fault in cluster.judge()))
 
     def test_with_two_of_five_disks_failing_records_are_decided_and_with_three_none(self):
@@ -322,12 +322,12 @@
 
 
 class Process(unittest.IsolatedAsyncioTestCase):
-    """Three real servers on one loop; the disk of one of them fails."""
+    """Three real servers on one event loop; the disk of one of them fails."""
 
     async def asyncSetUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.files = FailingFiles()
+        self.files = FaultyFiles()
         self.enterContext(mock.patch.object(catching_up, "INTERVAL", 0.05))
         self.enterContext(mock.patch.object(durable_replica, "MAX_RETRY_DELAY", SECOND // 4))
         addresses, self.servers, sockets = {}, {}, {}
@@ -354,7 +354,7 @@
             self.addCleanup(client.close)
 
     async def call(self, name, method, params):
-        return await self.clients[name].call(method, params, PATIENT)
+        return await self.clients[name].call(method, params, TIMEOUT)
 
     async def append(self, name, n):
         (slot,) = await self.call(name, "append", [list(version(n))])
@@ -363,19 +363,19 @@
     async def test_it_says_so_does_not_vote_and_rejoins(self):
         self.assertEqual(await self.append("c1", 1), 1)
         self.files.failing, self.files.number = "write", errno.ENOSPC
-        # c2 has a quorum without it; c1 fails at the first message of this and learns what is decided
+        # c2 has a quorum without c1; c1 fails at its first message, and learns the decided record.
         self.assertEqual(await self.append("c2", 2), 2)
         self.assertEqual(await self.call("c1", "prepare", [3, 9, "x"]), ["not voting"])
         with self.assertRaisesRegex(RpcError, "No space left on device"):
             await self.append("c1", 3)
-        async with asyncio.timeout(PATIENT):
+        async with asyncio.timeout(TIMEOUT):
             while self.servers["c1"].replica.chosen < 2:
                 await asyncio.sleep(0.01)
         self.assertEqual((await self.call("c1", "read", [0]))[1], 2)
         self.assertIn("log write failed; not voting", [call.args[0] for call in self.log.calls])
-        self.servers["c3"].close()  # without it there is no quorum until c1 votes again
+        self.servers["c3"].close()  # without c3 there is no quorum until c1 votes again
         self.files.failing = None
-        async with asyncio.timeout(PATIENT):
+        async with asyncio.timeout(TIMEOUT):
             while self.servers["c1"].durable.failed:
                 await asyncio.sleep(0.01)
         self.assertIn("log written again", [call.args[0] for call in self.log.calls])
@@ -401,7 +401,7 @@
 
         with mock.patch.object(socket.socket, "accept", limited):
             for client in (*clients[:3], clients[0], clients[3]):
-                self.assertEqual(await client.call("read", [0], PATIENT), [0, 0, []])
+                self.assertEqual(await client.call("read", [0], TIMEOUT), [0, 0, []])
             self.assertEqual([client._stream.closed() for client in clients], [False, True, False, False])
 
 
--- a/tests/test_configuration_servers.py
+++ b/tests/test_configuration_servers.py
@@ -1,4 +1,4 @@
-"""Configuration servers as real processes: publishing, the loss of servers and disks, who follows them."""
+"""Configuration servers as real processes: publishing, lost servers and disks, and followers."""
 
 import asyncio
 import json
@@ -25,17 +25,17 @@
 from petrelwood.store import snapshot, versions
 
 SECOND = 10**9
-PATIENT = 60  # seconds; far over what a busy machine needs
+TIMEOUT = 60  # seconds; far above what a busy machine needs
 PETRELWOOD = [sys.executable, "-m", "petrelwood.cli"]
 
 
 def run(*words):
-    """A command to its end."""
-    return subprocess.run([*PETRELWOOD, *words], capture_output=True, text=True, timeout=PATIENT)
+    """Run a command to completion."""
+    return subprocess.run([*PETRELWOOD, *words], capture_output=True, text=True, timeout=TIMEOUT)
 
 
-class Group:
-    """Five servers on loopback, each a process."""
+class ServerGroup:
+    """Servers on loopback, each in its own process."""
 
     def __init__(self, folder, count=5):
         self.folder, self.processes, self.addresses = pathlib.Path(folder), {}, {}
@@ -43,12 +43,12 @@
         for name in self.names:
             self.addresses[name] = ("127.0.0.1", free_port())
 
-    def where(self, name):
+    def address_of(self, name):
         return "{}:{}".format(*self.addresses[name])
 
     async def start(self, name, *more):
-        peers = [w for n in self.names if n != name for w in ("--peer", f"{n}={self.where(n)}")]
-        words = ["configuration", "serve", "--name", name, "--listen", self.where(name), *peers]
+        peers = [w for n in self.names if n != name for w in ("--peer", f"{n}={self.address_of(n)}")]
+        words = ["configuration", "serve", "--name", name, "--listen", self.address_of(name), *peers]
         with open(self.folder / f"{name}.log", "a") as output:
             self.processes[name] = process = await asyncio.create_subprocess_exec(
                 *PETRELWOOD,
@@ -59,8 +59,8 @@
                 stdout=subprocess.PIPE,
                 stderr=output,
             )
-        line = await asyncio.wait_for(process.stdout.readline(), PATIENT)
-        assert json.loads(line)["ready"] == self.where(name), self.said(name)
+        line = await asyncio.wait_for(process.stdout.readline(), TIMEOUT)
+        assert json.loads(line)["ready"] == self.address_of(name), self.log_text(name)
 
     async def start_all(self):
         await asyncio.gather(*(self.start(name, "--new-log-after", "0") for name in self.names))
@@ -73,7 +73,7 @@
         for name in list(self.processes):
             await self.kill(name)
 
-    def said(self, name):
+    def log_text(self, name):
         return (self.folder / f"{name}.log").read_text()
 
     async def append(self, name, record):
@@ -94,20 +94,20 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = pathlib.Path(folder.name)
-        self.group = Group(self.folder)
+        self.group = ServerGroup(self.folder)
         self.addAsyncCleanup(self.group.end)
         await self.group.start_all()
         self.tasks = []
 
     async def until(self, holds):
-        for _ in range(20 * PATIENT):
+        for _ in range(20 * TIMEOUT):
             if holds():
                 return
             await asyncio.sleep(0.05)
-        self.fail("; ".join(self.group.said(name)[-400:] for name in self.group.names))
+        self.fail("; ".join(self.group.log_text(name)[-400:] for name in self.group.names))
 
     def follow(self, folder):
-        """A follower with a folder, on the loop of this test."""
+        """Return a follower with this folder, which runs on the event loop of the test."""
         terms = ConfigurationTerms(tuple(self.group.addresses.values()), 13 * SECOND)
         follower = ConfigurationFollower(
             "d1", terms, str(folder), LoopClock(), random.Random(1).random, structlog.get_logger()
@@ -128,13 +128,13 @@
         await self.group.kill("c3")
         with self.assertRaisesRegex(RpcError, "no quorum"):
             await self.group.append("c1", version(4))
-        late = self.follow(self.folder / "late")  # what was decided is still told
+        late = self.follow(self.folder / "late")  # decided records are still served
         await self.until(lambda: late.watch.position == 3)
         self.assertEqual([a.number for a in versions.announced(self.folder / "late")], [3])
         await self.group.end()
-        again = self.follow(folder)  # and kept where it was heard of
+        again = self.follow(folder)  # a follower keeps what it has read
         self.assertEqual((again.watch.position, len(versions.announced(folder))), (3, 3))
-        # with a quorum back, the record that was left without one is decided once
+        # With a quorum again, the record that lacked one is decided once.
         for name in ("c1", "c2", "c3"):
             await self.group.start(name)
         self.assertEqual(await self.group.append("c2", version(4)), 4)
@@ -147,25 +147,25 @@
         await self.group.kill("c5")
         (self.folder / "c5" / log_storage.FILE).unlink()
         await self.group.start("c5")
-        await self.until(lambda: "rejoined" in self.group.said("c5"))
-        # it votes from the second slot on: the one before is decided by the others, while there are enough
-        await self.until(lambda: "record decided" in self.group.said("c5"))
+        await self.until(lambda: "rejoined" in self.group.log_text("c5"))
+        # It votes from the second slot on; the slot before is decided while the others still have a quorum.
+        await self.until(lambda: "record decided" in self.group.log_text("c5"))
         await self.group.kill("c3")
         await self.group.kill("c4")
 
-        async def decided(n):  # with it alone there is a quorum; until it votes again there is none
-            for _ in range(PATIENT):
+        async def decided(n):  # c5 completes the quorum, so this fails until it votes again
+            for _ in range(TIMEOUT):
                 try:
                     return await self.group.append("c1", version(n))
                 except RpcError:
                     await asyncio.sleep(0.1)
-            self.fail(self.group.said("c5"))
+            self.fail(self.group.log_text("c5"))
 
         slot = await decided(4)
         self.assertGreaterEqual(slot, 4)
-        for name in ("c1", "c2", "c5"):  # all agree on each slot
+        for name in ("c1", "c2", "c5"):  # all agree on every slot
             client = RpcClient(self.group.addresses[name], messages.MAX_MESSAGE_SIZE)
-            for _ in range(20 * PATIENT):
+            for _ in range(20 * TIMEOUT):
                 found = messages.decode_extract(await client.call("catch-up", [0], 10))
                 if found.chosen >= slot:
                     break
@@ -259,44 +259,46 @@
 
 
 class Dispatcher(DispatcherCase):
-    """A real dispatcher takes a published version, keeps it over the loss of all servers, and leaves it."""
+    """A real dispatcher applies a published version, keeps it without any server, and rolls it back."""
 
     async def test_a_published_version_is_taken_kept_without_servers_and_left(self):
-        group = Group(self.folder, 3)
+        group = ServerGroup(self.folder, 3)
         self.addAsyncCleanup(group.end)
         await group.start_all()
-        own, servers = self.path.read_text(), [f'    server "{group.where(n)}"' for n in group.names]
+        own, servers = self.path.read_text(), [f'    server "{group.address_of(n)}"' for n in group.names]
         self.path.write_text(
             "\n".join([own, 'versions "versions"', "configuration {", *servers, '    within "7s"', "}\n"])
         )
         new = self.folder / "new.kdl"
         new.write_text(self.path.read_text() + 'function "new-*" type="again" lanes=4\n')
         process = await self.start()
-        told = [w for n in group.names for w in ("--server", group.where(n))]
+        server_options = [w for n in group.names for w in ("--server", group.address_of(n))]
         loop = asyncio.get_running_loop()
-        ended = await loop.run_in_executor(None, lambda: run("configuration", "publish", str(new), *told))
+        ended = await loop.run_in_executor(
+            None, lambda: run("configuration", "publish", str(new), *server_options)
+        )
         self.assertEqual(ended.stdout, "version 1 is published\n", ended.stderr)
         await self.serves("new-1", 200)
         await group.end()
         process.kill()
         await process.wait()
-        await self.start()  # with no server: from its folder
+        await self.start()  # without servers it reads its folder
         await self.serves("new-1", 200)
         for name in group.names:
             await group.start(name)
-        ended = await loop.run_in_executor(None, lambda: run("configuration", "revoke", "1", *told))
+        ended = await loop.run_in_executor(None, lambda: run("configuration", "revoke", "1", *server_options))
         self.assertEqual(ended.stdout, "version 1 is called off\n", ended.stderr)
         await self.serves("new-1", 404)
 
     async def serves(self, function, status):
-        """Until an activation for it ends with this status."""
-        for _ in range(10 * PATIENT):
+        """Send activations of a function until one ends with this status."""
+        for _ in range(10 * TIMEOUT):
             self.stamp += 1
             try:
                 message = self.message(function, stamp=int(time.time()) + self.stamp)
                 if (await self.caller.call(message, 30)).status == status:
                     return
-            except Broken:  # the process that it was connected to was killed
+            except Broken:  # the connected process was killed
                 pass
             await asyncio.sleep(0.1)
         self.fail(self.said())
--- a/tests/test_early.py
+++ b/tests/test_early.py
@@ -1,5 +1,4 @@
-"""Early loads and the history on real sockets: wishes become orders, drains and restarts hold, the disk may
-fail."""
+"""Early loads and the call history on real sockets, through drains, restarts and disk faults."""
 
 import asyncio
 import pathlib
@@ -59,11 +58,11 @@
         await self.call(0.6)
         self.roster.tell(w.entry("draining"))
         await self.until(lambda: not self.core.membership.is_usable("w1"))
-        held = len(w.holds)
+        holds_before = len(w.holds)
         early = self.core.forecasts.early
-        turns = early.plans
-        await self.until(lambda: early.plans >= turns + 5)
-        self.assertEqual(len(w.holds), held)
+        plans_before = early.plans
+        await self.until(lambda: early.plans >= plans_before + 5)
+        self.assertEqual(len(w.holds), holds_before)
 
     async def test_the_history_is_written_and_a_failing_disk_stops_only_it(self):
         with tempfile.TemporaryDirectory() as folder:
@@ -129,7 +128,7 @@
         await self.call(0.6, "again-1", 0.1)
         forecast = self.core.forecasts.early.forecast
         self.assertNotIn("again-7", forecast.series)
-        await self.call(0.6, "again-7", 0.005)  # nobody had ever called it
+        await self.call(0.6, "again-7", 0.005)  # a function that was never called before
         await self.until(
             lambda: (
                 forecast.series.get("again-7") is not None
@@ -137,8 +136,8 @@
                 > 4 * forecast.predict(self.core.clock.wall(), "again-1")[0]
             )
         )
-        turns = self.core.forecasts.early.plans
-        await self.until(lambda: self.core.forecasts.early.plans >= turns + 10)
+        plans_before = self.core.forecasts.early.plans
+        await self.until(lambda: self.core.forecasts.early.plans >= plans_before + 10)
         self.assertEqual([h for w in (w1, w2) for h in w.holds if h[0].startswith("again-9")], [])
 
 
@@ -160,7 +159,7 @@
             self.assertEqual([f.broken for f in rules.judge(platform.case()) if f.broken], [])
             seen[early] = result.row(platform)
         self.assertGreater(seen[True]["early loads"], 100)
-        self.assertGreater(seen[True]["early loads"], seen["made"])  # it went on through the drains
+        self.assertGreater(seen[True]["early loads"], seen["made"])  # early loads continued during the drains
         self.assertLess(seen[True]["cold starts"], seen[False]["cold starts"])
         self.assertGreater(seen[True]["service"], seen[False]["service"] - 0.01)
         self.assertLessEqual(
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -1,5 +1,8 @@
-"""Forecasts, plans and accounts: proper scores, back-tests, gaps and steps of the clock, greedy against the
-best, turns."""
+"""Forecasts, plans and accounts of early loads.
+
+The tests cover proper scores, back-tests, gaps and clock steps, the greedy plan against the optimum, and
+independent planning by many dispatchers.
+"""
 
 import itertools
 import math
@@ -19,25 +22,24 @@
 CALENDAR = Calendar(SLOT, DAY, 7 * DAY)
 
 
-def poisson(chance, mean):
-    limit, product, count = math.exp(-mean), chance.random(), 0
+def poisson(rng, mean):
+    limit, product, count = math.exp(-mean), rng.random(), 0
     while product > limit:
-        product, count = product * chance.random(), count + 1
+        product, count = product * rng.random(), count + 1
     return count
 
 
-def busy(at):
-    """Calls a slot at a time: a working day's hump."""
+def usual_calls(at):
+    """Return the mean number of calls in the slot at this time, with a peak during the working day."""
     hour = at % DAY / DAY * 24
     return 12 * max(0.05, math.sin(math.pi * (hour - 6) / 14)) if 6 < hour < 20 else 0.4
 
 
 class Scores(unittest.TestCase):
     def test_the_score_is_proper(self):
-        """Over counts that are drawn from a distribution no other forecast scores better than that
-        distribution."""
-        chance = random.Random(2)
-        counts = [poisson(chance, 6.0) for _ in range(4000)]
+        """For counts drawn from a distribution, no forecast scores better than that distribution."""
+        rng = random.Random(2)
+        counts = [poisson(rng, 6.0) for _ in range(4000)]
         found = {
             mean: sum(distribution.ranked_probability_score(mean, 1.0001, c) for c in counts)
             for mean in (3.0, 5.0, 6.0, 7.0, 10.0)
@@ -65,12 +67,12 @@
 
 
 class BackTest(unittest.TestCase):
-    def play(self, pace, days, chance):
-        """(scores of the believed, of the plain method) over the last third, and the series."""
+    def play(self, calls_at, days, rng):
+        """Return the mean scores over the last third, of the selected and the seasonal method; and the series."""
         series, mine, plain = Series(), [], []
         for slot in range(days * 144):
             at = slot * SLOT
-            keys, count = CALENDAR.keys(at), poisson(chance, pace(at))
+            keys, count = CALENDAR.keys(at), poisson(rng, calls_at(at))
             if slot > days * 96:
                 mean, spread, _ = series.predict(keys)
                 mine.append(distribution.ranked_probability_score(mean, spread, count))
@@ -83,29 +85,29 @@
         return sum(mine) / len(mine), sum(plain) / len(plain), series
 
     def test_the_plain_method_stays_where_nothing_pays(self):
-        mine, plain, series = self.play(busy, 21, random.Random(1))
+        mine, plain, series = self.play(usual_calls, 21, random.Random(1))
         self.assertEqual(series.selected, "seasonal")
         self.assertLess(abs(mine / plain - 1), 1e-9)
 
     def test_another_is_believed_where_it_pays(self):
         def doubling(at):
-            return busy(at) * 1.12 ** (at // DAY)
+            return usual_calls(at) * 1.12 ** (at // DAY)
 
         mine, plain, series = self.play(doubling, 21, random.Random(1))
         self.assertNotEqual(series.selected, "seasonal")
         self.assertLess(mine, 0.9 * plain)
 
     def test_seasons_beat_the_recent_pace_at_the_edges_of_the_day(self):
-        _, _, series = self.play(busy, 14, random.Random(3))
+        _, _, series = self.play(usual_calls, 14, random.Random(3))
         self.assertLess(series.scores["seasonal"], series.scores["recent"])
 
 
 class Whole(unittest.TestCase):
     def learned(self, days=8, functions=5, **more):
-        chance, found = random.Random(4), forecast.Forecast(more.get("calendar", CALENDAR), lambda f: f[:2])
+        rng, found = random.Random(4), forecast.Forecast(more.get("calendar", CALENDAR), lambda f: f[:2])
         for slot in range(days * 144):
             for number in range(functions):
-                for _ in range(poisson(chance, busy(slot * SLOT) / (number + 1))):
+                for _ in range(poisson(rng, usual_calls(slot * SLOT) / (number + 1))):
                     found.record_call(slot * SLOT + 1, f"ab{number}")
             found.advance((slot + 1) * SLOT)
         return found
@@ -137,42 +139,49 @@
         found, at = self.learned(), 8 * DAY
         before = found.predict(9 * DAY + 13 * 3600 * S, "ab0")
         found.record_call(at, "ab0")
-        found.advance(at - 3 * DAY)  # the clock steps back: that slot is thrown away
+        found.advance(at - 3 * DAY)  # the clock steps back, so the open slot is discarded
         self.assertEqual((found.discarded_slots, found.predict(9 * DAY + 13 * 3600 * S, "ab0")), (1, before))
-        found.advance(at + 30 * DAY)  # nobody was here for a month
+        found.advance(at + 30 * DAY)  # a gap of a month
         self.assertEqual(found.discarded_slots, 2)
         self.assertFalse(found.is_stale(at + 30 * DAY))
         self.assertTrue(found.is_stale(at + 31 * DAY))
 
     def test_daylight_saving_costs_two_edges_and_no_more(self):
-        """The wall clock of the calls shifts by an hour: within two days the forecast has followed."""
-        chance, series, errors = random.Random(6), Series(), []
+        """The calls shift by an hour of wall-clock time; the forecast follows within two days."""
+        rng, series, errors = random.Random(6), Series(), []
         for slot in range(21 * 144):
             at = slot * SLOT
-            keys, mean = CALENDAR.keys(at), busy(at + (3600 * S if slot >= 14 * 144 else 0))
+            keys, mean = CALENDAR.keys(at), usual_calls(at + (3600 * S if slot >= 14 * 144 else 0))
             if slot >= 14 * 144:
                 errors.append(abs((series.predict(keys)[0] or 0) - mean))
-            series.learn(keys, poisson(chance, mean))
+            series.learn(keys, poisson(rng, mean))
         days = [sum(errors[i * 144 : (i + 1) * 144]) / 144 for i in range(7)]
         self.assertLess(days[5], days[0])
 
     def test_learning_in_slices_comes_to_the_same(self):
-        whole, sliced = self.learned(days=2), forecast.Forecast(CALENDAR, lambda f: f[:2], incremental=True)
-        chance = random.Random(4)
+        whole_forecast, incremental_forecast = (
+            self.learned(days=2),
+            forecast.Forecast(CALENDAR, lambda f: f[:2], incremental=True),
+        )
+        rng = random.Random(4)
         for slot in range(2 * 144):
             for number in range(5):
-                for _ in range(poisson(chance, busy(slot * SLOT) / (number + 1))):
-                    sliced.record_call(slot * SLOT + 1, f"ab{number}")
-            sliced.advance((slot + 1) * SLOT)
-            while sliced.learn(2):
+                for _ in range(poisson(rng, usual_calls(slot * SLOT) / (number + 1))):
+                    incremental_forecast.record_call(slot * SLOT + 1, f"ab{number}")
+            incremental_forecast.advance((slot + 1) * SLOT)
+            while incremental_forecast.learn(2):
                 pass
         for number in range(5):
-            self.assertEqual(whole.predict(2 * DAY, f"ab{number}"), sliced.predict(2 * DAY, f"ab{number}"))
-        # nobody works: it stays bounded, and says what it gave up
+            self.assertEqual(
+                whole_forecast.predict(2 * DAY, f"ab{number}"),
+                incremental_forecast.predict(2 * DAY, f"ab{number}"),
+            )
+        # Without learning, the queue of ended slots stays bounded, and discarded slots are counted.
         for slot in range(288, 300):
-            sliced.record_call(slot * SLOT, "ab0")
+            incremental_forecast.record_call(slot * SLOT, "ab0")
         self.assertEqual(
-            (len(sliced.ended_slots), sliced.discarded_slots > 0), (forecast.MAX_ENDED_SLOTS, True)
+            (len(incremental_forecast.ended_slots), incremental_forecast.discarded_slots > 0),
+            (forecast.MAX_ENDED_SLOTS, True),
         )
 
     def test_thousands_of_functions_are_bounded(self):
@@ -192,14 +201,14 @@
 
 
 class Plans(unittest.TestCase):
-    def plan(self, functions, means, dispatchers=1, chance=None, memory=1 << 60, orders=99, store=1.0):
+    def plan(self, functions, means, dispatchers=1, rng=None, memory=1 << 60, orders=99, store=1.0):
         return planner.plan(
             0,
             functions,
             lambda n: (means[n], 1.2),
             planner.FreeCapacity(memory, orders, store),
             planner.PlanTerms(60 * S, 60 * S, PRICES, dispatchers),
-            chance or (lambda: 0.0),
+            rng or (lambda: 0.0),
         )
 
     def test_what_is_called_is_wished_and_what_is_not_or_stands_is_not(self):
@@ -221,14 +230,14 @@
         self.assertEqual(self.plan(functions, means, store=0.0), [])
 
     def test_greedy_is_within_one_wish_of_the_best(self):
-        chance = random.Random(8)
+        rng = random.Random(8)
         for _ in range(60):
             functions = {
-                f"f{i}": model(size=chance.randrange(1, 9) * 10**8, load=chance.randrange(1, 9) * S // 4)
+                f"f{i}": model(size=rng.randrange(1, 9) * 10**8, load=rng.randrange(1, 9) * S // 4)
                 for i in range(9)
             }
-            means = {name: chance.uniform(0.2, 3) for name in functions}
-            memory = chance.randrange(8, 25) * 10**8
+            means = {name: rng.uniform(0.2, 3) for name in functions}
+            memory = rng.randrange(8, 25) * 10**8
             found = self.plan(functions, means, memory=memory)
             self.assertLessEqual(sum(functions[w.function].size for w in found), memory)
             terms = planner.PlanTerms(60 * S, 60 * S, PRICES, 1)
@@ -246,17 +255,17 @@
             self.assertGreaterEqual(sum(once.values()) + max(worths.values()) + 1e-9, best)
 
     def test_many_dispatchers_take_turns_without_talk(self):
-        """With the same history all together wish about what one alone would, at 1, 4, 100 and 300."""
+        """With the same history, 1, 4, 100 or 300 dispatchers together plan about what one alone would."""
         functions = {f"f{i}": model(size=10**8) for i in range(60)}
         means = {name: 4.0 for name in functions}
         alone = len(self.plan(functions, means))
         for count in (1, 4, 100, 300):
-            made, turns = 0, 6
+            planned, turns = 0, 6
             for turn in range(turns):
                 for number in range(count):
-                    chance = random.Random(f"{turn}/{number}").random
-                    made += len(self.plan(functions, means, count, chance))
-            self.assertLess(abs(made / turns / alone - 1), 0.25, (count, made / turns, alone))
+                    rng = random.Random(f"{turn}/{number}").random
+                    planned += len(self.plan(functions, means, count, rng))
+            self.assertLess(abs(planned / turns / alone - 1), 0.25, (count, planned / turns, alone))
 
 
 class Accounts(unittest.TestCase):
@@ -308,9 +317,9 @@
 
 
 class Early(unittest.TestCase):
-    def made(self, wish, dispatchers=1):
+    def make_early_loads(self, order_load, dispatchers=1):
         terms = EarlyLoadTerms(Calendar(10 * S, 3600 * S, 0), PRICES, 60 * S, dispatchers, "n")
-        return EarlyLoads(terms, random.Random(1).random, wish)
+        return EarlyLoads(terms, random.Random(1).random, order_load)
 
     def play(self, early, slots, functions=("a", "b")):
         for slot in range(slots):
@@ -322,19 +331,19 @@
             yield now + 9 * S
 
     def test_it_wishes_what_is_called_and_takes_a_refusal(self):
-        wished = []
-        early = self.made(
-            lambda fn, lanes, load: wished.append(fn) or (f"w{len(wished)}" if len(wished) % 2 else None)
+        ordered = []
+        early = self.make_early_loads(
+            lambda fn, lanes, load: ordered.append(fn) or (f"w{len(ordered)}" if len(ordered) % 2 else None)
         )
         for now in self.play(early, 30):
             early.models["a"].copies.clear()
             early.plan_slot(now, now, 10)
-        self.assertEqual(set(wished), {"a"})
-        self.assertEqual(early.ordered + early.rejected, len(wished))
+        self.assertEqual(set(ordered), {"a"})
+        self.assertEqual(early.ordered + early.rejected, len(ordered))
 
     def test_stale_absurd_or_missing_forecasts_wish_nothing(self):
-        wished = []
-        early = self.made(lambda fn, lanes, load: wished.append(fn))
+        ordered = []
+        early = self.make_early_loads(lambda fn, lanes, load: ordered.append(fn))
         self.assertEqual(early.plan_slot(S, S, 10), 0)
         now = list(self.play(early, 30))[-1]
         early.models["a"].copies.clear()
@@ -342,18 +351,18 @@
         early.forecast.calendar.events = [(0, 1 << 62, 10_000.0, "")]
         early.forecast.slot = (now + 3600 * S) // (10 * S)
         early.plan_slot(now + 3600 * S, now + 3600 * S, 10)
-        self.assertEqual(wished, [])
+        self.assertEqual(ordered, [])
 
     def test_a_store_that_fails_stops_early_loads_before_it_is_pushed_over(self):
-        wished = []
-        early = self.made(lambda fn, lanes, load: wished.append(fn) or f"w{len(wished)}")
+        ordered = []
+        early = self.make_early_loads(lambda fn, lanes, load: ordered.append(fn) or f"w{len(ordered)}")
         for now in self.play(early, 40):
             early.models["a"].copies.clear()
             early.plan_slot(now, now, 10)
             if now > 150 * S:
                 for _ in range(5):
                     early.load_ended(now, "b", "w9", False)
-        late = len(wished)
+        late = len(ordered)
         self.assertLess(early.store_health, 0.5)
         self.assertEqual(early.plan_slot(now + 10 * S, now + 10 * S, 10), 0)
         self.assertLess(late, 30)
--- a/tests/test_forecast_storage.py
+++ b/tests/test_forecast_storage.py
@@ -1,4 +1,4 @@
-"""The snapshot of forecasts has one writer at a time, and keeps what was known at the end."""
+"""The snapshot of forecasts has one writer at a time, and contains the state at close."""
 
 import asyncio
 import pathlib
@@ -11,7 +11,7 @@
 from petrelwood.dispatch.forecast_storage import SNAPSHOT_KIND, SNAPSHOT_VERSION, ForecastStorage
 from petrelwood.store import snapshot
 
-WAIT = 30  # s that a thread may take on a busy machine before it is called lost
+WAIT = 30  # seconds that a thread may take on a busy machine
 
 
 class Writers(unittest.TestCase):
@@ -30,7 +30,7 @@
         return snapshot.read(self.storage.file, SNAPSHOT_KIND, SNAPSHOT_VERSION)[1]
 
     def test_the_end_waits_for_a_write_that_goes_on(self):
-        """Guards against two writers of one temporary file, and a snapshot that can't be read."""
+        """Two concurrent writers of one temporary file would leave a snapshot that can't be read."""
         writing, go_on, in_write, most = threading.Event(), threading.Event(), [], []
         write = snapshot.write
 
@@ -47,11 +47,11 @@
             self.storage.forecasts.slot = 0
             with mock.patch.object(self.storage.loop, "run_in_executor", self._in_thread):
                 self.storage.next_snapshot = 0
-                self.storage.step(1)  # all of it in one step
+                self.storage.step(1)  # makes the whole snapshot in one step
             self.assertTrue(writing.wait(WAIT))
             closing = threading.Thread(target=self.storage.close)
             closing.start()
-            closing.join(0.2)  # time to write beside the other, if nothing keeps it from that
+            closing.join(0.2)  # enough time for a concurrent write, if nothing prevents it
             go_on.set()
             closing.join(WAIT)
             self.thread.join(WAIT)
@@ -59,7 +59,7 @@
         self.assertEqual(self.kept(), ["at the end"])
 
     def test_a_write_that_begins_after_the_end_changes_nothing(self):
-        """Guards against an older snapshot over the one of the end."""
+        """An older snapshot must not overwrite the one written at close."""
         with mock.patch.object(self.storage.loop, "run_in_executor", self._later):
             self.storage.next_snapshot = 0
             self.forecasts.early.forecast.dump = lambda: iter(["before"])
--- a/tests/test_replicated_log.py
+++ b/tests/test_replicated_log.py
@@ -1,4 +1,7 @@
-"""The replicated log: no slot decided twice, no record lost or doubled, whatever else is lost or doubled."""
+"""The replicated log under lost and duplicated messages, crashes and lost disks.
+
+No slot may be decided twice, and no reported record may be lost or duplicated.
+"""
 
 import unittest
 
@@ -32,15 +35,15 @@
     return Record(f"r{n}", kind, number, n, f"text {n}".encode())
 
 
-def filled(records):
+def replica_with(records):
     replica = Replica()
     for slot, record in enumerate(records, 1):
         replica.learn(Extract(slot - 1, slot, ((slot, record),)))
     return replica
 
 
-def troubled(seed, disks, replica=Replica, steps=100, **more):
-    """A cluster after many troubles and proposals, all mended at the end."""
+def cluster_after_faults(seed, disks, replica=Replica, steps=100, **more):
+    """Return a cluster after many proposals and faults, with all faults healed at the end."""
     cluster = Cluster(seed, replica_type=replica, **more)
     for _ in range(steps):
         for _ in range(2):
@@ -52,8 +55,8 @@
     return cluster
 
 
-class Forgetful(Replica):
-    """Broken on purpose: it does not keep its promises over a restart."""
+class ForgetsPromises(Replica):
+    """A deliberately faulty replica that loses its promises at a restart."""
 
     def durable_state(self):
         value = super().durable_state()
@@ -61,8 +64,8 @@
         return value
 
 
-class Hasty(Replica):
-    """Broken on purpose: with its disk it loses the memory that it has lost it, and votes at once."""
+class ForgetsLostDisk(Replica):
+    """A deliberately faulty replica that votes immediately after it has lost its disk."""
 
     @classmethod
     def from_durable_state(cls, value):
@@ -75,19 +78,19 @@
     def test_no_slot_is_decided_twice_and_nothing_told_is_lost(self):
         decided = 0
         for seed in range(SEEDS):
-            cluster = troubled(seed, disks=False)
+            cluster = cluster_after_faults(seed, disks=False)
             self.assertEqual(cluster.judge(), [], seed)
             decided += len(cluster.reported)
-        self.assertGreater(decided, 10 * SEEDS)  # it was not quiet
+        self.assertGreater(decided, 10 * SEEDS)  # the runs had enough activity
 
     def test_also_while_disks_are_lost_one_after_the_other(self):
         for seed in range(SEEDS):
-            cluster = troubled(seed, disks=True)
+            cluster = cluster_after_faults(seed, disks=True)
             self.assertEqual(cluster.judge(), [], seed)
 
     def test_after_all_of_it_a_record_is_decided_and_all_servers_have_it(self):
         for seed in range(SEEDS // 3):
-            cluster = troubled(seed, disks=True)
+            cluster = cluster_after_faults(seed, disks=True)
             record = cluster.new_record()
             cluster.propose("c1", record)
             cluster.heal(5)
@@ -95,9 +98,12 @@
             self.assertEqual(len(slots), 1, seed)
             self.assertNotIn(None, slots, seed)
 
-    def crossing(self, replica, disk_lost):
-        """Three of five accept a record; the third restarts before it learns that it is decided, and with the
-        two that knew nothing proposes another one for the same slot."""
+    def run_competing_proposals(self, replica, disk_lost):
+        """Run two proposals for one slot and return the cluster.
+
+        Three of five servers accept a record. The third restarts before it learns that the record is decided.
+        Then another record is proposed for the same slot, to the third server and the two that know nothing.
+        """
         cluster = Cluster(1, network=Network(0, 0, 10 * MS), replica_type=replica)
         cluster.crash("c4")
         cluster.crash("c5")
@@ -108,11 +114,11 @@
             if third.replica.record is not None:
                 break
         self.assertEqual(third.replica.chosen, 0)
-        cluster.partition = {"c1": 1, "c2": 1}  # its own acceptance is on its way; nothing else passes
+        cluster.partition = {"c1": 1, "c2": 1}  # its own acceptance is in transit; nothing else is delivered
         if disk_lost:
             cluster.lose_disk("c3")
         cluster.start("c3")
-        cluster.run(SECOND)  # what was on its way to the two finds them down
+        cluster.run(SECOND)  # messages in transit to the two servers arrive while they are down
         self.assertEqual(cluster.reported, {"r1": 1})
         cluster.start("c4")
         cluster.start("c5")
@@ -122,15 +128,19 @@
         return cluster
 
     def test_what_was_accepted_is_proposed_again_after_a_restart(self):
-        cluster = self.crossing(Replica, disk_lost=False)
+        cluster = self.run_competing_proposals(Replica, disk_lost=False)
         self.assertEqual(cluster.judge(), [])
         self.assertEqual(cluster.reported, {"r1": 1, "r2": 2})
-        self.assertNotEqual(self.crossing(Forgetful, disk_lost=False).judge(), [])  # the judge can fail
+        self.assertNotEqual(
+            self.run_competing_proposals(ForgetsPromises, disk_lost=False).judge(), []
+        )  # the check can fail
 
     def test_a_server_that_lost_its_disk_does_not_vote_where_it_may_have(self):
-        cluster = self.crossing(Replica, disk_lost=True)
+        cluster = self.run_competing_proposals(Replica, disk_lost=True)
         self.assertEqual(cluster.judge(), [])
-        self.assertNotEqual(self.crossing(Hasty, disk_lost=True).judge(), [])  # the judge can fail
+        self.assertNotEqual(
+            self.run_competing_proposals(ForgetsLostDisk, disk_lost=True).judge(), []
+        )  # the check can fail
 
 
 class Quorum(unittest.TestCase):
@@ -155,10 +165,10 @@
         for gone, decides in (("c5", True), ("c4", True), ("c3", False), ("c2", False)):
             cluster.crash(gone)
             self.assertEqual(self.append(cluster, "c1").id in cluster.reported, decides, gone)
-        self.assertEqual(cluster.servers["c1"].replica.chosen, 2)  # what was decided can still be read
+        self.assertEqual(cluster.servers["c1"].replica.chosen, 2)  # decided records can still be read
 
     def test_a_record_of_a_minority_that_is_found_later_is_decided_once(self):
-        """Appended again under its id after it was said to have failed."""
+        """The record is appended again with its id after its append was reported as failed."""
         cluster = Cluster(5, network=Network(loss=0))
         cluster.partition = {"c1": 1, "c2": 1}
         record = self.append(cluster, "c1")
@@ -189,7 +199,7 @@
         self.assertEqual(replica.answer(Prepare(1, Ballot(3, "c"))), Promise(new, version(2)))
 
     def test_slots_before_and_after_the_first_undecided_one(self):
-        replica = filled([version(1), version(2)])
+        replica = replica_with([version(1), version(2)])
         self.assertEqual(replica.answer(Prepare(4, Ballot(1, "a"))), Behind(2))
         ahead = replica.answer(Prepare(2, Ballot(1, "a")))
         self.assertEqual(ahead, Ahead(Extract(1, 2, ((2, version(2)),))))
@@ -205,7 +215,7 @@
         self.assertIsInstance(replica.answer(Prepare(9, Ballot(1, "a"))), Promise)
 
     def test_what_is_kept_over_a_restart_is_all_of_it(self):
-        replica = filled([version(1), version(2, RecordKind.REVOCATION, 1)])
+        replica = replica_with([version(1), version(2, RecordKind.REVOCATION, 1)])
         replica.answer(Accept(3, Ballot(4, "a"), version(3)))
         again = Replica.from_durable_state(replica.durable_state())
         self.assertEqual(again.durable_state(), replica.durable_state())
@@ -214,7 +224,7 @@
 
 class Log(unittest.TestCase):
     def test_a_gap_changes_nothing_and_a_duplicate_neither(self):
-        replica = filled([version(1)])
+        replica = replica_with([version(1)])
         for extract in (Extract(3, 4, ((4, version(4)),)), Extract(0, 1, ((1, version(9)),))):
             self.assertFalse(replica.learn(extract))
             self.assertEqual((replica.chosen, replica.records), (1, {1: version(1)}))
@@ -222,18 +232,18 @@
         self.assertEqual(replica.chosen, 2)
 
     def test_who_follows_gets_the_newest_version_that_stands_and_all_that_was_called_off(self):
-        replica = filled([version(1), version(2), version(3), version(4, RecordKind.REVOCATION, 3)])
+        replica = replica_with([version(1), version(2), version(3), version(4, RecordKind.REVOCATION, 3)])
         self.assertEqual([slot for slot, _ in replica.extract(0, compact=True).entries], [2, 4])
         self.assertEqual([slot for slot, _ in replica.extract(2, compact=True).entries], [4])
         self.assertEqual(replica.extract(0, compact=True).chosen, 4)
 
     def test_what_is_kept_is_bounded_and_the_version_that_stands_is_never_dropped(self):
-        replica = filled(
+        replica = replica_with(
             [version(1)] + [version(n, RecordKind.REVOCATION, 999) for n in range(2, 3 * RETAINED_RECORDS)]
         )
         self.assertEqual(len(replica.records), RETAINED_RECORDS + 1)
         self.assertEqual(replica.records[1].body, b"text 1")
-        replica = filled([version(n) for n in range(1, 3 * RETAINED_RECORDS)])
+        replica = replica_with([version(n) for n in range(1, 3 * RETAINED_RECORDS)])
         self.assertEqual(len(replica.records), RETAINED_RECORDS)
         self.assertEqual(len([r for r in replica.records.values() if r.body]), RETAINED_TEXTS)
 
@@ -241,7 +251,7 @@
         records = [version(1)]
         for n in range(2, 2 * RETAINED_RECORDS, 2):
             records += [version(n), version(n + 1, RecordKind.REVOCATION, n)]
-        replica = filled(records)
+        replica = replica_with(records)
         self.assertEqual(replica.extract(0, compact=True).entries[0], (1, version(1)))
 
     def test_the_settings_of_a_version_come_out_as_they_went_in_and_never_larger_than_they_may_be(self):
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""A staged roll-out over many dispatchers that do not talk, on a clock that is handed in."""
+"""Staged roll-outs over many dispatchers that do not communicate, with simulated time."""
 
 import random
 import unittest
@@ -10,74 +10,77 @@
 S = 10**9
 
 
-class World:
-    """Dispatchers with answers; versions that are bad complete less. What one calls off all read a second
-    later."""
+class Fleet:
+    """The roll-outs of many dispatchers that answer activations.
+
+    Under a bad version fewer activations complete. A revocation by one dispatcher is read by all a second
+    later.
+    """
 
     def __init__(self, count, bad=(), seed=1, share=0.97):
-        self.chance, self.bad, self.share, self.off = random.Random(seed), set(bad), share, {}
-        self.nodes, self.announced, self.lines, self.most = (
+        self.rng, self.bad, self.share, self.revoked_at = random.Random(seed), set(bad), share, {}
+        self.rollouts, self.announced, self.lines, self.most_bad = (
             [Rollout(f"d{i}", 1) for i in range(count)],
             [],
             [],
             0,
         )
 
-    def play(self, begin, end, step=S, pace=5, sees=lambda node, at: True):
+    def play(self, begin, end, step=S, answers_per_step=5, is_reachable=lambda node, at: True):
         for at in range(begin, end, step):
-            told = [
-                a._replace(revoked=self.off.get(a.number, 1 << 62) <= at)
+            announcements = [
+                a._replace(revoked=self.revoked_at.get(a.number, 1 << 62) <= at)
                 for a in self.announced
                 if a.rollout_start <= at
             ]
-            for node in self.nodes:
-                for _ in range(pace):
-                    node.record_answer(
-                        self.chance.random() < (0.5 if node.version in self.bad else self.share)
-                    )
-                if not sees(node, at):
+            for node in self.rollouts:
+                for _ in range(answers_per_step):
+                    node.record_answer(self.rng.random() < (0.5 if node.version in self.bad else self.share))
+                if not is_reachable(node, at):
                     continue
-                if node.decide(at, told) and node.faulty_version is not None:
-                    self.off.setdefault(node.faulty_version, at + S)
-            have = sum(n.version != 1 for n in self.nodes)
-            self.most = max(self.most, sum(n.version in self.bad for n in self.nodes))
+                if node.decide(at, announcements) and node.faulty_version is not None:
+                    self.revoked_at.setdefault(node.faulty_version, at + S)
+            have = sum(n.version != 1 for n in self.rollouts)
+            self.most_bad = max(self.most_bad, sum(n.version in self.bad for n in self.rollouts))
             if at % (10 * S) == 0:
                 self.lines.append(
-                    f"{at // S:4d} s  {have:3d} of {len(self.nodes)} have a newer one; "
-                    f"called off: {sorted(self.off)}"
+                    f"{at // S:4d} s  {have:3d} of {len(self.rollouts)} have a newer one; "
+                    f"called off: {sorted(self.revoked_at)}"
                 )
 
 
 class Rollouts(unittest.TestCase):
     def test_a_good_version_goes_over_all_in_its_stages(self):
-        world = World(100)
-        world.announced = [Announcement(2, 20 * S, False)]
-        world.play(0, 200 * S)
-        compare(self, "rollout_good", world.lines)
+        fleet = Fleet(100)
+        fleet.announced = [Announcement(2, 20 * S, False)]
+        fleet.play(0, 200 * S)
+        compare(self, "rollout_good", fleet.lines)
 
     def test_a_bad_one_reaches_the_first_stages_only_and_goes_back_by_itself(self):
         for seed in range(5):
-            world = World(100, bad=[2], seed=seed)
-            world.announced = [Announcement(2, 20 * S, False)]
-            world.play(0, 300 * S)
-            self.assertEqual({n.version for n in world.nodes}, {1})
-            self.assertLessEqual(world.most, 15)
-            self.assertEqual(set(world.off), {2})
+            fleet = Fleet(100, bad=[2], seed=seed)
+            fleet.announced = [Announcement(2, 20 * S, False)]
+            fleet.play(0, 300 * S)
+            self.assertEqual({n.version for n in fleet.rollouts}, {1})
+            self.assertLessEqual(fleet.most_bad, 15)
+            self.assertEqual(set(fleet.revoked_at), {2})
 
     def test_a_process_that_an_upgrade_began_goes_on_watching(self):
-        """Whatever is handed over in the middle, it ends as without: a bad version is left, a good one
-        stays."""
+        """A handover to a new process during a roll-out does not change its result.
+
+        A bad version is rolled back, a good one is kept.
+        """
         for share, ends in ((0.5, 0), (0.97, 2)):
-            chance, node, off = random.Random(3), Rollout("d1", 0), False
+            rng, node, revoked = random.Random(3), Rollout("d1", 0), False
             for at in range(0, 400 * S, S):
                 for _ in range(5):
-                    node.record_answer(chance.random() < (share if node.version == 2 else 0.97))
+                    node.record_answer(rng.random() < (share if node.version == 2 else 0.97))
                 was = node.version
-                node.decide(at, [Announcement(2, 20 * S, off)])
-                off = off or node.faulty_version == 2
+                node.decide(at, [Announcement(2, 20 * S, revoked)])
+                revoked = revoked or node.faulty_version == 2
                 if node.version != was or at == 40 * S:
                     node = Rollout.from_state("d1", node.to_state())
-            self.assertEqual((node.version, off), (ends, ends == 0))
+            self.assertEqual((node.version, revoked), (ends, ends == 0))
 
     def test_what_could_not_be_done_is_refused_and_a_newer_one_is_not(self):
         node = Rollout("d1", 0)
@@ -103,23 +106,23 @@
 
     def test_two_at_once_and_one_that_was_away_settle_on_the_newest(self):
         for seed in range(5):
-            world = World(60, seed=seed)
-            world.announced = [Announcement(3, 25 * S, False), Announcement(2, 20 * S, False)]
-            world.play(0, 400 * S, sees=lambda node, at: node.name != "d7" or at > 300 * S)
-            self.assertEqual({n.version for n in world.nodes}, {3})
+            fleet = Fleet(60, seed=seed)
+            fleet.announced = [Announcement(3, 25 * S, False), Announcement(2, 20 * S, False)]
+            fleet.play(0, 400 * S, is_reachable=lambda node, at: node.name != "d7" or at > 300 * S)
+            self.assertEqual({n.version for n in fleet.rollouts}, {3})
 
     def test_a_good_one_after_a_bad_one_is_taken(self):
-        world = World(60, bad=[2])
-        world.announced = [Announcement(2, 20 * S, False), Announcement(3, 200 * S, False)]
-        world.play(0, 500 * S)
-        self.assertEqual({n.version for n in world.nodes}, {3})
+        fleet = Fleet(60, bad=[2])
+        fleet.announced = [Announcement(2, 20 * S, False), Announcement(3, 200 * S, False)]
+        fleet.play(0, 500 * S)
+        self.assertEqual({n.version for n in fleet.rollouts}, {3})
 
     def test_noise_does_not_call_a_version_off(self):
         for seed in range(10):
-            world = World(50, seed=seed, share=0.9)
-            world.announced = [Announcement(2, 20 * S, False)]
-            world.play(0, 200 * S)
-            self.assertEqual((world.off, {n.version for n in world.nodes}), ({}, {2}), seed)
+            fleet = Fleet(50, seed=seed, share=0.9)
+            fleet.announced = [Announcement(2, 20 * S, False)]
+            fleet.play(0, 200 * S)
+            self.assertEqual((fleet.revoked_at, {n.version for n in fleet.rollouts}), ({}, {2}), seed)
 
     def test_the_order_is_another_for_each_version_and_the_parts_are_kept(self):
         names = [f"d{i}" for i in range(1000)]
--- a/tests/test_stored_configuration.py
+++ b/tests/test_stored_configuration.py
@@ -1,6 +1,7 @@
-"""What an earlier version stored and sent is read by this one, and this one stores and sends the same.
+"""Compatibility of the stored form and the wire form of the configuration log with an earlier version.
 
-The files under stored/ were written by the text before the log was split into modules.
+This version reads what the earlier one stored and sent, and writes the same bytes. The files under stored/
+were written by the code before the log was split into modules.
 """
 
 import json
@@ -67,7 +68,7 @@
 
 
 class Wire(StoredLog):
-    """Bytes of the parameters and results, as an earlier version sent them."""
+    """Parameters and results have the bytes that an earlier version sent."""
 
     def assert_sent(self, value, sent):
         self.assertEqual(msgpack.packb(value, use_bin_type=True).hex(), sent)
--- a/tests/test_version_watch.py
+++ b/tests/test_version_watch.py
@@ -1,4 +1,4 @@
-"""What a dispatcher makes of the answers of configuration servers: gaps, duplicates, order, lost servers."""
+"""How a dispatcher handles answers of configuration servers: gaps, duplicates, order, failed servers."""
 
 import random
 import tempfile
@@ -24,16 +24,16 @@
 from petrelwood.store import snapshot, versions
 
 SERVERS = [f"c{n}" for n in range(1, 6)]
-STAGED = 9 * SECOND
+ROLLOUT_TIME = 9 * SECOND
 WALL = 10**18
 
 
 def watch(name="d1", position=0, seed=1):
-    return VersionWatch(name, SERVERS, position, STAGED, random.Random(seed).random)
+    return VersionWatch(name, SERVERS, position, ROLLOUT_TIME, random.Random(seed).random)
 
 
-def version(slot, begun=WALL):
-    return slot, Record(f"r{slot}", RecordKind.VERSION, 0, begun, b"%d" % slot)
+def version(slot, rollout_start=WALL):
+    return slot, Record(f"r{slot}", RecordKind.VERSION, 0, rollout_start, b"%d" % slot)
 
 
 def extract(since, *entries):
@@ -71,41 +71,41 @@
             self.assertEqual(one.position, slot)
 
     def test_one_that_hears_of_it_within_its_stages_keeps_to_the_common_beginning(self):
-        (found,) = watch().on_answer("c1", extract(0, version(1, WALL - STAGED)), 0, WALL)
-        self.assertEqual(found.rollout_start, WALL - STAGED)
+        (found,) = watch().on_answer("c1", extract(0, version(1, WALL - ROLLOUT_TIME)), 0, WALL)
+        self.assertEqual(found.rollout_start, WALL - ROLLOUT_TIME)
 
     def test_one_decided_long_after_it_was_proposed_still_goes_stage_by_stage(self):
-        """Else all would take it together: also one that is heard of after an hour apart."""
+        """Otherwise all dispatchers would apply it together, also after an hour without contact."""
         (found,) = watch().on_answer("c1", extract(0, version(1, WALL - 3600 * SECOND)), 0, WALL)
         self.assertEqual(found.rollout_start, WALL)
 
 
 class Questions(unittest.TestCase):
     def test_two_servers_a_round_and_all_of_them_over_a_few(self):
-        one, now, asked = watch(), 0, Counter()
+        one, now, polled = watch(), 0, Counter()
         for _ in range(20):
             servers = one.servers_to_poll(now)
             self.assertEqual(len(set(servers)), 2)
             self.assertEqual(one.servers_to_poll(now), ())
             self.assertGreaterEqual(one.next_round_at - now, ROUND_INTERVAL * (1 - ROUND_JITTER))
-            asked.update(servers)
+            polled.update(servers)
             now = one.next_round_at
-        self.assertEqual(set(asked), set(SERVERS))
-        self.assertEqual(asked[one.servers[0]], 20)
+        self.assertEqual(set(polled), set(SERVERS))
+        self.assertEqual(polled[one.servers[0]], 20)
 
     def test_a_server_that_fails_is_left_out_for_longer_each_time_and_comes_back(self):
-        one, now, asked = watch(), 0, []
+        one, now, polled = watch(), 0, []
         first = one.servers[0]
         for _ in range(300):
             for server in one.servers_to_poll(now):
                 if server == first:
-                    asked.append(now)
+                    polled.append(now)
                     one.on_failure(server, now)
                 else:
                     one.on_answer(server, extract(0), now, WALL)
             now = one.next_round_at
-        waits = [b - a for a, b in zip(asked, asked[1:], strict=False)]
-        self.assertLess(len(asked), 30)
+        waits = [b - a for a, b in zip(polled, polled[1:], strict=False)]
+        self.assertLess(len(polled), 30)
         self.assertLessEqual(max(waits), MAX_BACKOFF + ROUND_INTERVAL)
         one.on_answer(first, extract(0), now, WALL)
         self.assertIn(first, one.servers_to_poll(one.next_round_at))
@@ -122,7 +122,9 @@
     def test_dispatchers_spread_and_a_lost_servers_share_spreads_too(self):
         names = [f"d{n}" for n in range(400)]
         first = Counter(preference(name, SERVERS)[0] for name in names)
-        self.assertLess(max(first.values()), 110)  # of 80 each; three and a half deviations
+        self.assertLess(
+            max(first.values()), 110
+        )  # the mean is 80; 110 is three and a half standard deviations above it
         rest = [s for s in SERVERS if s != "c1"]
         moved = {n: preference(n, rest)[0] for n in names if preference(n, SERVERS)[0] == "c1"}
         self.assertEqual(set(moved.values()), set(rest))
@@ -145,19 +147,19 @@
             self.assertEqual(versions.position(path.parent), 0)
 
     def test_a_beginning_that_is_no_number_leaves_its_version_out(self):
-        """Guards against one damaged file that keeps a dispatcher from every version."""
+        """One damaged file must not keep a dispatcher from reading all versions."""
         with tempfile.TemporaryDirectory() as folder:
             for number in (1, 2):
                 versions.receive(folder, number, f"text {number}", WALL)
-            for begun in ("1e999", "-1e999", "NaN", "null", "[]", '"soon"', "{}"):
-                with self.subTest(begun):
+            for stored in ("1e999", "-1e999", "NaN", "null", "[]", '"soon"', "{}"):
+                with self.subTest(stored):
                     path = versions.path_of(folder, 1).with_suffix(versions.BEGINNING)
-                    path.write_text(f'{{"begun": {begun}}}')
+                    path.write_text(f'{{"begun": {stored}}}')
                     self.assertEqual([each.number for each in versions.announced(folder)], [2])
 
 
 class HalfApplied(unittest.IsolatedAsyncioTestCase):
-    """A version that is only partly in the folder is no version, and all of an answer is read again."""
+    """A version of which some files are missing is ignored, and the whole answer is applied again."""
 
     async def test_what_a_full_disk_or_a_kill_cuts_off_is_taken_again_as_a_whole(self):
         with tempfile.TemporaryDirectory() as folder:
@@ -166,7 +168,7 @@
             body = compress_text("settings")
             off = (2, Record("r2", RecordKind.REVOCATION, 1, WALL, b"d9: it did worse"))
             answer = extract(0, (1, Record("r1", RecordKind.VERSION, 0, WALL, body)), off)
-            for fails_at in range(4):  # each file of it in turn can't be written
+            for fails_at in range(4):  # number of files that can be written before the failure
                 calls = [0]
 
                 def put(path, data, mode=None, durable=False, files=None, calls=calls, fails_at=fails_at):
