--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -204,7 +204,7 @@
         self.assertEqual(bgp.Notification(6, 2, b"\3a\x1bb").text(), "a?b")
 
 
-SYN = b"connection attempt"
+SYN = b"a connection is asked for"
 
 
 class Wire:
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -68,7 +68,7 @@
 
 class BackTest(unittest.TestCase):
     def play(self, calls_at, days, rng):
-        """Return the mean scores over the last third, of the selected and the seasonal method; and the series."""
+        """Return the mean scores of the selected and the seasonal method over the last third; and the series."""
         series, mine, plain = Series(), [], []
         for slot in range(days * 144):
             at = slot * SLOT
@@ -331,19 +331,21 @@
             yield now + 9 * S
 
     def test_it_wishes_what_is_called_and_takes_a_refusal(self):
-        ordered = []
+        requested = []
         early = self.make_early_loads(
-            lambda fn, lanes, load: ordered.append(fn) or (f"w{len(ordered)}" if len(ordered) % 2 else None)
+            lambda fn, lanes, load: (
+                requested.append(fn) or (f"w{len(requested)}" if len(requested) % 2 else None)
+            )
         )
         for now in self.play(early, 30):
             early.models["a"].copies.clear()
             early.plan_slot(now, now, 10)
-        self.assertEqual(set(ordered), {"a"})
-        self.assertEqual(early.ordered + early.rejected, len(ordered))
+        self.assertEqual(set(requested), {"a"})
+        self.assertEqual(early.ordered + early.rejected, len(requested))
 
     def test_stale_absurd_or_missing_forecasts_wish_nothing(self):
-        ordered = []
-        early = self.make_early_loads(lambda fn, lanes, load: ordered.append(fn))
+        requested = []
+        early = self.make_early_loads(lambda fn, lanes, load: requested.append(fn))
         self.assertEqual(early.plan_slot(S, S, 10), 0)
         now = list(self.play(early, 30))[-1]
         early.models["a"].copies.clear()
@@ -351,18 +353,18 @@
         early.forecast.calendar.events = [(0, 1 << 62, 10_000.0, "")]
         early.forecast.slot = (now + 3600 * S) // (10 * S)
         early.plan_slot(now + 3600 * S, now + 3600 * S, 10)
-        self.assertEqual(ordered, [])
+        self.assertEqual(requested, [])
 
     def test_a_store_that_fails_stops_early_loads_before_it_is_pushed_over(self):
-        ordered = []
-        early = self.make_early_loads(lambda fn, lanes, load: ordered.append(fn) or f"w{len(ordered)}")
+        requested = []
+        early = self.make_early_loads(lambda fn, lanes, load: requested.append(fn) or f"w{len(requested)}")
         for now in self.play(early, 40):
             early.models["a"].copies.clear()
             early.plan_slot(now, now, 10)
             if now > 150 * S:
                 for _ in range(5):
                     early.load_ended(now, "b", "w9", False)
-        late = len(ordered)
+        late = len(requested)
         self.assertLess(early.store_health, 0.5)
         self.assertEqual(early.plan_slot(now + 10 * S, now + 10 * S, 10), 0)
         self.assertLess(late, 30)
