--- a/petrelwood/decide/cluster/polling.py
+++ b/petrelwood/decide/cluster/polling.py
@@ -3,7 +3,9 @@
 from collections.abc import Callable
 
 MILLISECOND = 1_000_000
-INTERVAL = 250 * MILLISECOND  # after a usable answer; the roster may itself learn of an event 1.5 s late
+# After a usable answer. The roster may learn of an event 1.5 s late, and does not delay an answer to wait for
+# one.
+INTERVAL = 250 * MILLISECOND
 RETRY_INTERVAL = 80 * MILLISECOND  # after a query that has no answer yet
 # Period after a query in which its answer is accepted; the answer is dated by the time of the query.
 ANSWER_LIFETIME = 4_500 * MILLISECOND
