--- a/petrelwood/decide/cluster/handover.py
+++ b/petrelwood/decide/cluster/handover.py
@@ -200,14 +200,14 @@
 class Successor:
     """The handover in the process that takes over; each event returns the action to carry out, or None."""
 
-    __slots__ = ("answers", "before", "deadline", "phase", "probation", "reason")
+    __slots__ = ("answers", "deadline", "phase", "predecessor_rate", "probation", "reason")
 
     def __init__(self, now: int, probation: int = PROBATION) -> None:
         self.phase = SuccessorPhase.CHECKING
         self.probation = probation
         self.deadline = now + READY_TIMEOUT
         self.reason = ""  # why it failed
-        self.before = NO_ANSWERS  # the predecessor's completion rate at the time of its "go"
+        self.predecessor_rate = NO_ANSWERS  # the predecessor's completion rate at the time of its "go"
         self.answers = CompletionCounter()
 
     def on_ready_to_serve(self, now: int) -> SuccessorAction:
@@ -216,13 +216,13 @@
         self.deadline = now + READY_TIMEOUT
         return SuccessorAction.READY
 
-    def on_go(self, now: int, before: CompletionRate) -> SuccessorAction | None:
-        """Handle that the predecessor has stopped accepting; `before` is its completion rate."""
+    def on_go(self, now: int, predecessor_rate: CompletionRate) -> SuccessorAction | None:
+        """Handle that the predecessor has stopped accepting; `predecessor_rate` is its completion rate."""
         if self.phase != SuccessorPhase.WAITING:
             return None
         self.phase = SuccessorPhase.OWNING
         self.deadline = now + self.probation
-        self.before = before
+        self.predecessor_rate = predecessor_rate
         return SuccessorAction.ACCEPT
 
     def record_answer(self, completed: bool) -> None:
@@ -239,7 +239,10 @@
             return None
         if self._is_worse():
             completed = self.answers.completed
-            self.fail(f"only {completed} of {self.answers.answers} completed, {self.before.share:.0%} before")
+            self.fail(
+                f"only {completed} of {self.answers.answers} completed, "
+                f"{self.predecessor_rate.share:.0%} before"
+            )
             return SuccessorAction.HAND_BACK
         if now >= self.deadline:
             self.phase = SuccessorPhase.PROVEN
@@ -262,6 +265,6 @@
 
     def _is_worse(self) -> bool:
         now = self.answers.rate()
-        if now.answers < MIN_ANSWERS or self.before.answers < MIN_ANSWERS:
+        if now.answers < MIN_ANSWERS or self.predecessor_rate.answers < MIN_ANSWERS:
             return False
-        return now.share < self.before.share - MAX_RATE_DROP
+        return now.share < self.predecessor_rate.share - MAX_RATE_DROP
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -68,7 +68,7 @@
 
 class BackTest(unittest.TestCase):
     def play(self, calls_at, days, rng):
-        """Return the mean scores of the selected and the seasonal method in the last third, and the series."""
+        """Return the mean scores in the last third (selected method, seasonal method), and the series."""
         series, mine, plain = Series(), [], []
         for slot in range(days * 144):
             at = slot * SLOT
