--- a/petrelwood/decide/bgp/service_health.py
+++ b/petrelwood/decide/bgp/service_health.py
@@ -24,7 +24,7 @@
 MAX_DOUBLINGS = 6  # upper bound for doublings of the settling time
 SHUTTING_DOWN = "it drains"
 ANSWERS_LATE = "answers do not come in time"
-NEVER_HEARD = "no heartbeat was received yet"
+NO_HEARTBEAT = "no heartbeat was received yet"
 
 
 class ServiceLevel(StrEnum):
@@ -88,7 +88,7 @@
     def __init__(self, bounds: HealthBounds, now: int) -> None:
         self.bounds = bounds
         self.level = ServiceLevel.NONE
-        self.reason = NEVER_HEARD  # reason for the level; empty at FULL
+        self.reason = NO_HEARTBEAT  # reason for the level; empty at FULL
         self.report: HealthReport | None = None
         self.last_heartbeat = now
         self.well_since: int | None = None
@@ -140,7 +140,7 @@
 
     def _find_fault(self, now: int) -> Fault | None:
         if self.report is None:
-            return Fault(NEVER_HEARD)
+            return Fault(NO_HEARTBEAT)
         if now - self.last_heartbeat > self.bounds.silence:
             return Fault("its heartbeats have stopped")
         fault = find_fault(self.report, self.bounds, self._was_late)
