--- a/petrelwood/node/client_connection.py
+++ b/petrelwood/node/client_connection.py
@@ -170,8 +170,8 @@
         elif isinstance(message, rpc.Notification) and message.method == "cancel":
             for msgid in message.params:
                 exchange = self.open.pop(msgid, None) if isinstance(msgid, int) else None
-                if exchange is not None and exchange.act is not None:
-                    self.front.core.detach_client(exchange.act, exchange)
+                if exchange is not None and exchange.activation_id is not None:
+                    self.front.core.detach_client(exchange.activation_id, exchange)
             self.request_ended()
         else:
             raise rpc.MalformedRpcError("neither a request nor a cancel")
@@ -183,7 +183,7 @@
         if msgid in self.open:  # nobody could tell which of the two an answer is for
             raise rpc.MalformedRpcError("a number that is open")
         if self.draining:
-            self.send_rejection(msgid, core.intake.usual)
+            self.send_rejection(msgid, core.intake.typical_duration)
         elif method in core.terms.types:
             self._handle_call(msgid, method, request.params, now)
         elif method == "health":
@@ -214,7 +214,7 @@
             return
         self.requested = True
         if not self._has_capacity():
-            self.send_rejection(msgid, core.intake.usual)
+            self.send_rejection(msgid, core.intake.typical_duration)
             return
         exchange = self.open[msgid] = Exchange(self, msgid)
         self.front.connection_busy(self)
@@ -260,8 +260,8 @@
         self.unreadable = True
         for msgid, exchange in list(self.open.items()):
             del self.open[msgid]
-            if exchange.act is not None:
-                self.front.core.detach_client(exchange.act, exchange)
+            if exchange.activation_id is not None:
+                self.front.core.detach_client(exchange.activation_id, exchange)
             self.send_failure(msgid)
 
     def _drain(self, now: int) -> None:
@@ -340,8 +340,8 @@
         self.reader = None
         self.stream.close()
         for exchange in list(self.open.values()):
-            if exchange.act is not None:
-                self.front.core.detach_client(exchange.act, exchange)
+            if exchange.activation_id is not None:
+                self.front.core.detach_client(exchange.activation_id, exchange)
         self.open.clear()
 
 
