--- a/petrelwood/node/__init__.py
+++ b/petrelwood/node/__init__.py
@@ -1,1 +1,1 @@
-"""A dispatcher on the platform of its operators: their protocols as one more way in and out of the core."""
+"""A dispatcher on the operators' platform: connects the dispatch core to the protocols of the platform."""
--- a/petrelwood/node/__main__.py
+++ b/petrelwood/node/__main__.py
@@ -1,17 +1,17 @@
-"""`python -m petrelwood.node`: one dispatcher as its platform starts it, until SIGTERM.
+"""`python -m petrelwood.node`: run one dispatcher, as the platform starts it, until SIGTERM.
 
-Exit status 0 after SIGTERM, 2 with one line on standard error where it can't start.
+The exit status is 0 after SIGTERM, and 2 with one line on standard error if the start fails.
 """
 
 import signal
 import sys
 
-EARLY_SIGNALS: list[int] = []  # those that come before the event loop runs
+EARLY_SIGNALS: list[int] = []  # received before the event loop runs
 
 
 def main() -> int:
     """Run a dispatcher until SIGTERM; return the exit status."""
-    # Most of the start is spent in imports: signals are caught before them.
+    # Imports take most of the start-up time, so the signal handlers are installed before them.
     from petrelwood.node import program
 
     return program.run(EARLY_SIGNALS)
--- a/petrelwood/node/call_request.py
+++ b/petrelwood/node/call_request.py
@@ -1,4 +1,4 @@
-"""The parameters of a client's call, checked and decoded."""
+"""Validation and decoding of the parameters of a client's call."""
 
 import functools
 import math
@@ -12,24 +12,24 @@
 HEX_DIGITS = frozenset("0123456789abcdef")
 ID_DIGITS = 16  # of a call's and of a function's id
 IDEMPOTENCY_KEY_DIGITS = 32
-LONGEST_PATIENCE = 2  # action timeouts that a client may say it waits
-LONGEST_WORK = 1_000  # action timeouts that a call's work or its function's load may take, by its own word
-MOST_LANES = 1_024
-LARGEST_FACT = 1e9
-CACHED_FACTS = 512  # texts of further figures whose decoding is cached
+MAX_PATIENCE_FACTOR = 2  # the longest patience that a client may announce, in action timeouts
+MAX_WORK_FACTOR = 1_000  # the longest work and load time that a call may announce, in action timeouts
+MAX_LANES = 1_024  # the most activations that a call may let one copy run at a time
+MAX_FACT = 1e9  # the largest number in a `facts` field
+FACTS_CACHE_SIZE = 512  # decoded `facts` fields that are cached
 ONLY_STRINGS = frozenset((str,))
 
 
 class InvalidRequestError(PetrelwoodError):
-    """A request that can be read, and that asks for something it may not ask for."""
+    """A well-formed request with a missing, malformed or forbidden parameter."""
 
 
 class FunctionFigures(NamedTuple):
-    """What a call says of its function and its work; a `dispatch.interfaces.Rule`."""
+    """The figures that a call announces of its function and its work; a `dispatch.interfaces.Rule`."""
 
     lanes: int  # activations that one copy runs at a time
-    load_time: int  # ns; 0: not told
-    work: int  # ns; 0: not told
+    load_time: int  # ns; 0: unknown
+    work: int  # ns; 0: unknown
 
 
 class CallRequest(NamedTuple):
@@ -57,19 +57,19 @@
     return text
 
 
-@functools.lru_cache(maxsize=CACHED_FACTS)
+@functools.lru_cache(maxsize=FACTS_CACHE_SIZE)
 def _decode_facts(text: str, longest_load: float) -> tuple[int, int]:
-    """Return the lanes, and the load time in ns, in a call's further figures.
+    """Return the lanes and the load time (ns) in the `facts` field of a call.
 
-    The text is the same in each call of a function. `longest_load`: ms.
+    The result is cached, because every call of a function has the same text. `longest_load`: ms.
     """
     facts = {}
     for part in filter(None, text.split(";")):
         name, _, value = part.partition(":")
-        facts[name] = _number(value, 0, LARGEST_FACT, name)
+        facts[name] = _number(value, 0, MAX_FACT, name)
     lanes = int(facts.get("lanes", 1))
     load = facts.get("load_ms", 0.0)
-    if not 1 <= lanes <= MOST_LANES or load > longest_load:
+    if not 1 <= lanes <= MAX_LANES or load > longest_load:
         raise InvalidRequestError("lanes or load_ms is out of range")
     return lanes, int(load * MS)
 
@@ -89,8 +89,8 @@
 
 
 def _decode_figures(fields: dict[str, str], timeout: int) -> FunctionFigures:
-    """Return what a call says of its function and its work; `timeout` in ns."""
-    longest_work = LONGEST_WORK * timeout / MS
+    """Return the figures that a call announces of its function and its work; `timeout` in ns."""
+    longest_work = MAX_WORK_FACTOR * timeout / MS
     work = _number(fields["work"], 0, longest_work, "work") if "work" in fields else 0.0
     lanes, load_time = _decode_facts(fields.get("facts", ""), longest_work)
     return FunctionFigures(lanes, load_time, int(work * MS))
@@ -104,14 +104,14 @@
     customers: Collection[str],
     timeouts: Mapping[str, int],
 ) -> CallRequest:
-    """Return the call in a request's parameters.
+    """Return the call decoded from the parameters of a request.
 
     Args:
-        namespace_type: the request's method.
+        namespace_type: the method of the request.
         fields: the first parameter.
         body: the second parameter.
-        received_at: ns; the client's patience runs from then.
-        customers: names of the customers; empty where the platform has none, so that any may call.
+        received_at: ns; the start of the client's patience.
+        customers: names of the customers; if empty, the platform has none and accepts any name.
         timeouts: the action timeout of each namespace type, ns.
 
     Raises:
@@ -125,7 +125,7 @@
     idempotency_key = fields.get("dedupe", "")
     if idempotency_key:
         _id(idempotency_key, IDEMPOTENCY_KEY_DIGITS, "dedupe")
-    patience = _number(fields.get("ttl"), 1, LONGEST_PATIENCE * timeout / MS, "ttl")
+    patience = _number(fields.get("ttl"), 1, MAX_PATIENCE_FACTOR * timeout / MS, "ttl")
     figures = _decode_figures(fields, timeout)
     call_id = _id(fields.get("call"), ID_DIGITS, "call")
     return CallRequest(
--- a/petrelwood/node/client_connection.py
+++ b/petrelwood/node/client_connection.py
@@ -1,7 +1,7 @@
-"""One connection of a client: MessagePack-RPC, with a namespace type, `cancel` or `health` as the method.
+"""One client connection: MessagePack-RPC with a namespace type, `cancel` or `health` as the method.
 
-An invalid request is answered with an error; what can't be read ends the connection. A valid call goes to the
-core, whose answer comes back through `Exchange.answer`, once.
+An invalid request is answered with an error; malformed data ends the connection. A valid call is passed to
+the core, which answers it once through `Exchange.answer`.
 """
 
 import asyncio
@@ -19,47 +19,47 @@
 from petrelwood.node.stream import Stream
 from petrelwood.node.units import MS
 
-READ_SIZE = 16_384  # bytes of one read at most
-READER_POOL_SIZE = 8  # kept for the connections that receive next: one has some 40 KB
-LARGEST_ANSWER = resource_limits.MAX_BODY + resource_limits.MAX_TEXT  # bytes
+READ_SIZE = 16_384  # the maximum size of one read, in bytes
+READER_POOL_SIZE = 8  # idle readers kept for reuse by other connections; one takes some 40 KB
+MAX_ANSWER_SIZE = resource_limits.MAX_BODY + resource_limits.MAX_TEXT  # bytes
 MESSAGE_LIMITS = rpc.MessageLimits(
     resource_limits.MAX_BODY, resource_limits.MAX_TEXT, resource_limits.MAX_MEMBERS
 )
 CALL_PARAMETERS = 2  # the fields and the body
 
-# the errors that answers carry
+# Error names in answers
 THROTTLED = "Throttled"
 BROKEN = "Broken"
 INVALID = "Invalid"
 
 
 class ConnectionTable(Protocol):
-    """All connections of clients, as one of them needs it: `node.front.Front`."""
+    """The interface of the table of all client connections, `node.front.Front`, for one of them."""
 
     core: Dispatcher
     clients: "dict[ClientConnection, bool]"
     counts: dict[str, int]
     reader_pool: list[rpc.Reader]
-    reads: int  # of all connections
+    reads: int  # the number of reads on all connections
 
     def is_over_capacity(self) -> bool:
-        """Return whether there are more connections than there is capacity for."""
+        """Return whether the number of connections exceeds the capacity."""
 
     def note_fault(self, kind: str, reason: str) -> None:
         """Count and log a client's fault."""
 
     def connection_idle(self, connection: "ClientConnection") -> None:
-        """Note that a connection has no open request since now."""
+        """Note that a connection no longer has an open request."""
 
     def connection_busy(self, connection: "ClientConnection") -> None:
         """Note that a connection has an open request or is closed."""
 
 
 class ClientConnection:
-    """One connection of a client.
+    """One client connection.
 
-    It drains once nothing more is taken from it, and is closed when all its requests are answered. Times are
-    in ns.
+    A draining connection accepts no further requests and is closed once all its requests are answered. Times
+    are in ns.
     """
 
     __slots__ = (
@@ -69,13 +69,13 @@
         "front",
         "invalid_requests",
         "last_write",
-        "open",
+        "open_requests",
         "over_capacity",
         "partial_since",
         "pending_read",
         "reader",
         "requested",
-        "since",
+        "state_since",
         "stream",
         "unreadable",
     )
@@ -83,31 +83,31 @@
     def __init__(self, front: ConnectionTable, stream: Stream, now: int, over_capacity: bool = False) -> None:
         self.front = front
         self.stream = stream
-        self.over_capacity = over_capacity  # there was no capacity for it: its calls are rejected
-        self.open: dict[int, Exchange] = {}  # requests without an answer, by message id
-        self.since = now  # when it was made, last had no open request, or began to drain
-        self.requested = False  # it has sent a whole request, other than an invalid one
+        self.over_capacity = over_capacity  # accepted beyond the capacity: its calls are rejected
+        self.open_requests: dict[int, Exchange] = {}  # unanswered requests, by message id
+        self.state_since = now  # when it was accepted, became idle or began to drain
+        self.requested = False  # whether a complete, valid request was received
         self.invalid_requests = 0
         self.draining = False
-        self.unreadable = False  # it has sent what can't be read: what follows is dropped
-        self.reader: rpc.Reader | None = None  # while a message is partly received
-        self.partial_since = 0  # when that began to come; 0: none
-        self.pending_read: asyncio.Future[bytes] | None = None  # resolved with the next bytes
-        self.emptying_reads = 0  # reads that left nothing unread
-        self.deferred_links: dict[PumpedLink, bool] = {}  # with sends that wait until this client was read
-        self.last_write: asyncio.Future[None] | None = None  # resolved once all is in the kernel's hands
+        self.unreadable = False  # malformed data was received: further data is dropped
+        self.reader: rpc.Reader | None = None  # set while a message is partly received
+        self.partial_since = 0  # when the partial message began to arrive; 0: there is none
+        self.pending_read: asyncio.Future[bytes] | None = None  # resolved with the next data
+        self.emptying_reads = 0  # reads that emptied the socket buffer
+        self.deferred_links: dict[PumpedLink, bool] = {}  # links with sends that wait for a read
+        self.last_write: asyncio.Future[None] | None = None  # resolved once the kernel has all data
 
     def now(self) -> int:
         """Return the monotonic time in ns."""
         return self.front.core.now()
 
     async def serve(self) -> None:
-        """Serve the connection to its end."""
+        """Serve the connection until it ends."""
         front = self.front
         core = front.core
         try:
             while True:
-                # A client that does not read its answers gets no further ones.
+                # Read no further requests while the client does not read its answers.
                 while self._is_write_buffer_full() and self.last_write is not None:
                     await self.last_write
                 self.pending_read = self.stream.read_bytes(READ_SIZE, partial=True)
@@ -122,13 +122,13 @@
                     self.emptying_reads += 1
         except StreamClosedError:
             pass
-        except Exception as error:  # a fault of the program costs this connection, not the dispatcher
+        except Exception as error:  # an internal error closes this connection only
             core.defect("front", error)
         self.close()
 
-    # What comes.
+    # Incoming data
     def _receive(self, data: bytes, now: int) -> None:
-        """Handle the messages that are complete with `data`."""
+        """Handle the messages that `data` completes."""
         front = self.front
         reader = self.reader
         if reader is None:
@@ -149,16 +149,16 @@
             self._fail_unreadable(now)
 
     def _handle(self, message: rpc.Message, now: int) -> None:
-        """Handle one message; a fault of the program costs that message alone."""
+        """Handle one message; an internal error affects that message alone."""
         try:
             self._handle_message(message, now)
         except rpc.MalformedRpcError:
             raise
-        except Exception as error:  # the boundary between this message and all others
+        except Exception as error:  # keeps the error from affecting other messages
             self.front.core.defect("front", error)
             if not isinstance(message, rpc.Request):
                 return
-            exchange = self.open.get(message.message_id)
+            exchange = self.open_requests.get(message.message_id)
             if exchange is not None:
                 exchange.answer(ActivationState.ABORTED)
             else:
@@ -169,26 +169,26 @@
             self._handle_request(message, now)
         elif isinstance(message, rpc.Notification) and message.method == "cancel":
             for msgid in message.params:
-                exchange = self.open.pop(msgid, None) if isinstance(msgid, int) else None
+                exchange = self.open_requests.pop(msgid, None) if isinstance(msgid, int) else None
                 if exchange is not None and exchange.act is not None:
                     self.front.core.detach_client(exchange.act, exchange)
             self.request_ended()
         else:
-            raise rpc.MalformedRpcError("neither a request nor a cancel")
+            raise rpc.MalformedRpcError("the message is neither a request nor a cancel")
 
     def _handle_request(self, request: rpc.Request, now: int) -> None:
         core = self.front.core
         msgid = request.message_id
         method = request.method
-        if msgid in self.open:  # nobody could tell which of the two an answer is for
-            raise rpc.MalformedRpcError("a number that is open")
+        if msgid in self.open_requests:  # an answer could not be matched to one of the two requests
+            raise rpc.MalformedRpcError("the message id is already in use")
         if self.draining:
             self.send_rejection(msgid, core.intake.usual)
         elif method in core.terms.types:
             self._handle_call(msgid, method, request.params, now)
         elif method == "health":
             self.requested = True
-            self._write(rpc.response(msgid, None, [core.serves(), {}]))
+            self._write(rpc.response(msgid, None, [core.is_ready(), {}]))
             self.request_ended()
         else:
             self._send_invalid(msgid, "no such class")
@@ -216,59 +216,59 @@
         if not self._has_capacity():
             self.send_rejection(msgid, core.intake.usual)
             return
-        exchange = self.open[msgid] = Exchange(self, msgid)
+        exchange = self.open_requests[msgid] = Exchange(self, msgid)
         self.front.connection_busy(self)
         core.admit(call.activation, call.function, call.figures, call.body, exchange)
 
     def _arrival_time(self, now: int) -> int:
-        """Return when what was read at `now` came at the earliest.
+        """Return the earliest possible arrival time of data read at `now`.
 
-        A first request may have waited in the listen queue, which the loop's own lag does not show.
+        A first request may have waited in the listen queue, which the lag of the event loop does not show.
         """
-        arrived = self.front.core.arrived(now)
+        arrival = self.front.core.earliest_arrival(now)
         if self.requested or self.stream.closed():
-            return arrived
-        return min(arrived, now - sockets.time_since_last_data(self.stream.socket))
+            return arrival
+        return min(arrival, now - sockets.time_since_last_data(self.stream.socket))
 
     def _has_capacity(self) -> bool:
-        """Return whether one more call may be open on this connection."""
+        """Return whether this connection may have one more open call."""
         if self.over_capacity:
             self.over_capacity = self.front.is_over_capacity()
             if self.over_capacity:
                 return False
-        calls = len(self.open)
+        calls = len(self.open_requests)
         if (
             calls >= resource_limits.MAX_OPEN_REQUESTS
-            or self.stream.unsent() + (calls + 1) * LARGEST_ANSWER > resource_limits.MAX_UNREAD
+            or self.stream.unsent_bytes() + (calls + 1) * MAX_ANSWER_SIZE > resource_limits.MAX_UNREAD
         ):
             self.front.counts["over request limit"] += 1
             return False
         return True
 
     def _fail_unreadable(self, now: int) -> None:
-        """Answer each open request as failed, since those that follow can't be told apart.
+        """Answer each open request as failed after malformed data, and drain the connection.
 
-        What still comes is dropped: to close over unread bytes would reset the connection, and the reset
-        would overtake the answers.
+        Later messages can't be told apart, so further data is read and dropped: closing a connection with
+        unread data would reset it, and the reset would overtake the answers.
         """
         self.reader = None
         self.partial_since = 0
-        if not self.open and not self.stream.writing():
+        if not self.open_requests and not self.stream.writing():
             self.close()
             return
         self._drain(now)
         self.unreadable = True
-        for msgid, exchange in list(self.open.items()):
-            del self.open[msgid]
+        for msgid, exchange in list(self.open_requests.items()):
+            del self.open_requests[msgid]
             if exchange.act is not None:
                 self.front.core.detach_client(exchange.act, exchange)
             self.send_failure(msgid)
 
     def _drain(self, now: int) -> None:
-        """Take nothing more; `Front.check` closes it."""
+        """Accept no further requests; `Front.check` closes the connection later."""
         if not self.draining:
             self.draining = True
-            self.since = now
+            self.state_since = now
 
     def _pump_deferred_links(self) -> None:
         if self.deferred_links:
@@ -277,10 +277,13 @@
             for link in links:
                 self.front.core.submit(link.pump)
 
-    # What goes.
+    # Outgoing data
     def _is_write_buffer_full(self) -> bool:
-        """Return whether answers that are not sent, or not made yet, need all the memory for them."""
-        return self.stream.unsent() + len(self.open) * LARGEST_ANSWER > resource_limits.MAX_UNREAD
+        """Return whether unsent answers and those to open requests may exceed their memory limit."""
+        return (
+            self.stream.unsent_bytes() + len(self.open_requests) * MAX_ANSWER_SIZE
+            > resource_limits.MAX_UNREAD
+        )
 
     def _write(self, frame: bytes) -> None:
         try:
@@ -293,7 +296,7 @@
         self._write(rpc.response(msgid, None, [body, {}]))
 
     def send_rejection(self, msgid: int, retry_after: int) -> None:
-        """Answer a request as rejected; `retry_after` in ns, 0 where it is not told."""
+        """Answer a request as rejected; `retry_after` in ns, 0 to leave it out."""
         fields = {"pushback": str(-(-retry_after // MS))} if retry_after else {}
         self._write(rpc.response(msgid, [THROTTLED, fields], None))
 
@@ -302,24 +305,24 @@
         self._write(rpc.response(msgid, [BROKEN, {}], None))
 
     def _send_invalid(self, msgid: int, reason: str) -> None:
-        """Answer an invalid request; a client that sends many is drained."""
+        """Answer an invalid request with an error; drain the connection after `MAX_FAULTS` of them."""
         self.front.note_fault("invalid", reason)
         self.invalid_requests += 1
         self._write(rpc.response(msgid, [INVALID, {"why": reason}], None))
         if self.invalid_requests >= resource_limits.MAX_FAULTS:
             self._drain(self.front.core.now())
 
-    # Its state.
+    # State
     def request_ended(self) -> None:
-        """Note that a request is no longer open, perhaps the last one."""
-        if not self.open and not self.draining:
-            self.since = self.front.core.now()
+        """Note that a request is no longer open; the connection is idle if it was the last one."""
+        if not self.open_requests and not self.draining:
+            self.state_since = self.front.core.now()
             self.front.connection_idle(self)
 
     def has_unread_input(self) -> bool:
-        """Return whether anything has come that was not handled yet, here or in the kernel.
+        """Return whether data has arrived that was not handled yet, in the process or in the kernel.
 
-        To close then would lose a request, and the reset that follows overtakes what was written.
+        Closing the connection would then lose a request, and cause a reset that overtakes written answers.
         """
         return (
             self.pending_read is None
@@ -328,21 +331,21 @@
         )
 
     def is_quiescent(self) -> bool:
-        """Return whether all that was written has been sent, and all that has come was handled."""
+        """Return whether all written data has been sent and all received data was handled."""
         return not self.stream.writing() and not self.has_unread_input()
 
     def close(self) -> None:
-        """Close the connection; its open requests are cancelled."""
+        """Close the connection and cancel its open requests."""
         self.draining = True
         if self.front.clients.pop(self, None) is None:
             return
         self.front.connection_busy(self)
         self.reader = None
         self.stream.close()
-        for exchange in list(self.open.values()):
+        for exchange in list(self.open_requests.values()):
             if exchange.act is not None:
                 self.front.core.detach_client(exchange.act, exchange)
-        self.open.clear()
+        self.open_requests.clear()
 
 
 def _new_reader() -> rpc.Reader:
--- a/petrelwood/node/client_listener.py
+++ b/petrelwood/node/client_listener.py
@@ -1,4 +1,4 @@
-"""The listening socket for clients: how many connections are accepted, and when."""
+"""The listening socket for clients: when connections are accepted, and how many."""
 
 import socket
 from typing import Protocol
@@ -8,20 +8,20 @@
 from petrelwood.links.interfaces import Address
 from petrelwood.node.interfaces import Dispatcher
 
-# Connections accepted in one turn of the event loop, and ns that this may take: answers wait meanwhile.
-ACCEPTS_PER_TURN = 32
-ACCEPT_TIME_PER_TURN = 3_000_000
-# Connections that the kernel accepts ahead of us, each perhaps with a request that waits behind all others:
-# usually, and while the event loop is late over and over.
+# Limits of one iteration of the event loop: the number of connections accepted, and the time for that (ns).
+# Answers are delayed meanwhile.
+ACCEPTS_PER_ITERATION = 32
+ACCEPT_TIME_PER_ITERATION = 3_000_000
+# The size of the listen queue. A connection in it may already carry a request, which waits behind all others.
 BACKLOG = 128
-SHORT_BACKLOG = 8
+SHORT_BACKLOG = 8  # while the event loop is repeatedly late
 
 
 class ConnectionOwner(Protocol):
-    """Whoever serves the accepted connections: `node.front.Front`."""
+    """The interface of the object that serves accepted connections, `node.front.Front`."""
 
     def has_capacity(self) -> bool:
-        """Return whether one more connection may be accepted."""
+        """Return whether another connection may be accepted."""
 
     def evict_idle(self) -> bool:
         """Close the connection that has been idle longest; return whether there was one."""
@@ -31,11 +31,10 @@
 
 
 class ClientListener:
-    """Accepts the connections of clients.
+    """Accepts client connections.
 
-    It pauses after an error that is the machine's, and where there is no capacity: the socket stays readable,
-    so that the event loop would come back at once, over and over. Connections wait in the kernel until it
-    resumes.
+    The listener pauses after an error of the machine, and while there is no capacity. Otherwise the event
+    loop would spin, because the socket stays readable. Connections wait in the kernel until it resumes.
     """
 
     def __init__(self, owner: ConnectionOwner, core: Dispatcher) -> None:
@@ -49,7 +48,7 @@
         """Listen on an address.
 
         Raises:
-            OSError: that is not possible.
+            OSError: the address can't be listened on.
         """
         self.sock = sockets.fresh(address[0])
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -59,16 +58,17 @@
         self.core.loop.add_reader(self.sock, self._accept)
 
     def close(self) -> None:
-        """Accept nothing more, and close the socket."""
+        """Stop accepting connections and close the socket."""
         if self.sock is not None:
             self.core.loop.remove_reader(self.sock)
             self.sock.close()
             self.sock = None
 
     def shed(self, late: bool) -> bool:
-        """Shorten the backlog while the event loop is late over and over; return whether that has changed.
+        """Shorten the backlog while the event loop is repeatedly late; return whether the backlog changed.
 
-        The kernel then turns away what could not be answered in time, and such a client has its other ways.
+        The kernel then refuses connections whose requests could not be answered in time; their clients have
+        other ways to get an answer.
         """
         if late == self.shedding or self.sock is None:
             return False
@@ -91,12 +91,12 @@
         if listening is None:
             return
         started_at = self.core.now()
-        self.core.answer_due(started_at)  # what is due must not wait for new connections
+        self.core.answer_due(started_at)  # due answers must not wait for new connections
         connection_errors = 0  # in a row
-        evicted = False  # for a connection that could not be accepted yet
-        for _ in range(SHORT_BACKLOG if self.shedding else ACCEPTS_PER_TURN):
+        has_evicted = False  # an idle connection was closed since the last accepted one
+        for _ in range(SHORT_BACKLOG if self.shedding else ACCEPTS_PER_ITERATION):
             if not self.owner.has_capacity():
-                if not sockets.readable((listening,)):  # nobody has come for whom to close another
+                if not sockets.readable((listening,)):  # no pending connection to make room for
                     return
                 if not self.owner.evict_idle():
                     self._pause(listening)
@@ -111,14 +111,14 @@
                     connection_errors += 1
                     if connection_errors < CONNECTION_ERRORS_IN_A_ROW:
                         continue
-                # Where one descriptor more did not help, another would not: the machine is out of them.
-                elif kind is AcceptError.DESCRIPTORS and not evicted and self.owner.evict_idle():
-                    evicted = True
+                # If freeing one descriptor did not help, the whole machine is out of them: free no more.
+                elif kind is AcceptError.DESCRIPTORS and not has_evicted and self.owner.evict_idle():
+                    has_evicted = True
                     continue
                 self._pause(listening)
                 return
             connection_errors = 0
-            evicted = False
+            has_evicted = False
             self.owner.take_connection(sock)
-            if self.core.now() - started_at > ACCEPT_TIME_PER_TURN:
+            if self.core.now() - started_at > ACCEPT_TIME_PER_ITERATION:
                 return
--- a/petrelwood/node/configuration.py
+++ b/petrelwood/node/configuration.py
@@ -1,6 +1,7 @@
 """The configuration of one dispatcher: environment variables, and the JSON file that the platform writes.
 
-The file is decoded once, to what the core and the decision module need. Its keys are the platform's.
+The file is decoded once into the values that the core and the decision module need. Its keys are defined by
+the platform.
 """
 
 import errno
@@ -16,8 +17,8 @@
 from petrelwood.node.module_terms import module_terms
 from petrelwood.node.units import MS
 
-CONNECT_TIMEOUT = 250 * MS  # of connections to workers, where the settings set none
-LOAD_ORDER_TIMEOUT = 10_000 * MS  # where the settings set none
+CONNECT_TIMEOUT = 250 * MS  # the default for connections to workers
+LOAD_ORDER_TIMEOUT = 10_000 * MS  # the default for load orders
 ENDPOINT_STATES = {
     "Ready": EndpointState.USABLE,
     "Terminating": EndpointState.DRAINING,
@@ -29,7 +30,7 @@
 
 
 class NoDescriptorError(ConfigurationError):
-    """The file could not be opened: the process or the machine has no file descriptor left."""
+    """The file could not be opened, because the process or the machine has no file descriptor left."""
 
 
 class RawEndpoint(TypedDict):
@@ -44,7 +45,7 @@
 
 
 class RawTopology(TypedDict):
-    """The workers that one event lists: all of them (a snapshot), or those that changed."""
+    """The workers that one event lists: all workers (a snapshot), or only the changed ones."""
 
     snapshot: NotRequired[bool]
     endpoints: list[RawEndpoint]
@@ -57,7 +58,7 @@
 
 
 class RawEvents(TypedDict):
-    """The events of the endpoint list that came before the start, in order."""
+    """The events of the endpoint list before the start of the dispatcher, in order."""
 
     batch: list[RawEvent]
 
@@ -65,7 +66,7 @@
 class EndpointBatch(NamedTuple):
     """The endpoints of one event."""
 
-    complete: bool  # whether it replaces all that came before it
+    complete: bool  # whether it replaces all earlier batches
     endpoints: tuple[Endpoint, ...]
 
 
@@ -73,47 +74,47 @@
     """The terms of connections to workers; times in ns."""
 
     connect_within: int
-    idle: int  # a worker closes a connection that has been idle so long; 0: never
-    streams: int  # requests that one connection may carry at a time
+    idle: int  # the idle timeout after which a worker closes a connection; 0: none
+    streams: int  # the number of concurrent requests on one connection
     order_within: int  # the timeout of a load order
     cancels: bool  # whether a sent request may be cancelled
 
 
 class Configuration(NamedTuple):
-    """The configuration of a dispatcher; those parts of `settings.gateway.Gateway` that the core uses."""
+    """The configuration of a dispatcher, with the parts of `settings.gateway.Gateway` that the core uses."""
 
     name: str
     listen: Address  # for clients
-    names: Address  # of the directory, which is asked for the endpoint list
-    number: int  # of the last event in `known`
+    names: Address  # of the roster, which is polled for the endpoint list
+    number: int  # the number of the last event in `known`
     known: tuple[EndpointBatch, ...]  # the endpoint list at the start
-    seed: str  # of the random numbers
-    sockets: int  # file descriptors that the process may have open
+    seed: str  # of the random number generator
+    sockets: int  # the number of file descriptors that the process may have open
     memory: int  # bytes
     timeouts: dict[str, int]  # namespace type -> action timeout, ns
-    customers: frozenset[str]  # their names, also of those without a quota
+    customers: frozenset[str]  # the names of all customers, including those without a quota
     workers: WorkerTerms
     terms: ports.Terms
-    damps: bool = False  # the core's damping of retry storms
-    early: None = None  # no load forecasts
-    limits: None = None  # of webhooks
+    damps: bool = False  # whether the core damps retry storms
+    early: None = None  # the terms of load forecasts; there are none here
+    limits: None = None  # the limits of webhooks; there are none here
 
 
 def parse_address(text: str) -> Address:
     """Return the address of "HOST:PORT".
 
     Raises:
-        ValueError: it has no port.
+        ValueError: the port is missing or not a number.
     """
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 def decode_endpoint(raw: RawEndpoint) -> Endpoint:
-    """Return an endpoint of the file's list.
+    """Return the decoded endpoint.
 
     Raises:
-        KeyError, TypeError, ValueError, AttributeError: it is malformed.
+        KeyError, TypeError, ValueError, AttributeError: the endpoint is malformed.
     """
     return Endpoint(
         raw["name"],
@@ -130,7 +131,7 @@
     for event in events["batch"]:
         topology = event["topology"]
         complete = bool(topology.get("snapshot")) or not batches
-        endpoints = [decode_endpoint(each) for each in topology["endpoints"]]  # a generator costs a call each
+        endpoints = [decode_endpoint(each) for each in topology["endpoints"]]  # faster than a generator
         batches.append(EndpointBatch(complete, tuple(endpoints)))
     return tuple(batches)
 
@@ -146,7 +147,7 @@
 
 
 def decode(raw: dict[str, Any]) -> Configuration:
-    """Return the configuration in the file's object.
+    """Return the configuration decoded from the JSON object of the file.
 
     Raises:
         ConfigurationError: a value is missing or malformed.
@@ -176,7 +177,7 @@
 
 
 def _usable_descriptors(configured: int) -> int:
-    """Return how many descriptors this process may open: a lower limit of its own overrides the file's."""
+    """Return the configured limit of open descriptors, or that of the process if it is lower."""
     limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return configured if limit == resource.RLIM_INFINITY else min(configured, limit)
 
@@ -198,10 +199,12 @@
 
 
 def read(environ: Mapping[str, str]) -> Configuration:
-    """Return the configuration that the environment and the file it names give, within the process's limits.
+    """Return the configuration from the environment and the file that it names.
+
+    The number of descriptors is bounded by the limit of the process.
 
     Raises:
-        NoDescriptorError: the file can't be opened now, and may well be good.
+        NoDescriptorError: the file can't be opened for lack of a descriptor; its content may be valid.
         ConfigurationError: a variable is missing, or the file is unreadable or malformed.
     """
     for variable in (NAME_VARIABLE, LISTEN_VARIABLE, FILE_VARIABLE):
--- a/petrelwood/node/exchange.py
+++ b/petrelwood/node/exchange.py
@@ -1,15 +1,17 @@
-"""One request of a client and its one answer."""
+"""One request of a client and its answer."""
 
 from typing import Protocol
 
 from petrelwood.decide.delivery.ledger import ActivationState
 from petrelwood.decide.overload import intake
 
-# ns after a client's end or cancel in which an attempt for it may still begin, by the operators' rules
+# The time after a client's disconnect or cancel in which an attempt for it may still begin (ns); a rule of
+# the operators.
 DEPARTURE_GRACE = 100_000_000
-# ns for which one check for a client's unread bytes counts; a new check is then due
+# The validity of a check for unread data of a client (ns); after that the check is repeated.
 CHECK_LIFETIME = DEPARTURE_GRACE // 2
-# reads that emptied the socket, after which all is read that lay there at the check, however much still comes
+# The number of reads that empty the socket buffer, after which all data that was unread at the check has been
+# read, however much still arrives.
 READS_TO_CATCH_UP = 2
 
 COMPLETED = ActivationState.COMPLETED
@@ -17,30 +19,30 @@
 
 
 class PumpedLink(Protocol):
-    """A link to a worker, with sends that wait."""
+    """A link to a worker, with a queue of sends."""
 
     def pump(self) -> None:
-        """Send what may be sent now."""
+        """Write the queued sends that may leave now."""
 
 
 class Client(Protocol):
-    """The connection of a client, as an exchange needs it."""
+    """The interface of a client connection for its exchanges."""
 
-    open: "dict[int, Exchange]"
-    emptying_reads: int  # reads that left nothing unread
-    deferred_links: dict[PumpedLink, bool]  # links with sends that wait until this client was read
+    open_requests: "dict[int, Exchange]"
+    emptying_reads: int  # reads that emptied the socket buffer
+    deferred_links: dict[PumpedLink, bool]  # links with sends that wait for a read
 
     def now(self) -> int:
         """Return the monotonic time in ns."""
 
     def has_unread_input(self) -> bool:
-        """Return whether anything has come that was not handled yet."""
+        """Return whether data has arrived that was not handled yet."""
 
     def send_result(self, msgid: int, body: bytes) -> None:
         """Answer a request with its result."""
 
     def send_rejection(self, msgid: int, retry_after: int) -> None:
-        """Answer a request as rejected; `retry_after` in ns, 0 where it is not told."""
+        """Answer a request as rejected; `retry_after` in ns, 0 to leave it out."""
 
     def send_failure(self, msgid: int) -> None:
         """Answer a request as failed."""
@@ -50,25 +52,28 @@
 
 
 class Exchange:
-    """One request of a client, which gets one answer at most; a `dispatch.activations.Exchange`."""
+    """One request of a client, answered at most once; a `dispatch.activations.Exchange`."""
 
     __slots__ = ("act", "client", "checked_at", "msgid", "reads_at_check")
 
     def __init__(self, client: Client, msgid: int) -> None:
         self.client = client
         self.msgid = msgid
-        self.act: str | None = None  # the id of its activation, once it is admitted
-        self.checked_at = 0  # ns, when an attempt was first held back until its client is read; 0: none is
-        self.reads_at_check = 0  # the client's `emptying_reads` then
+        self.act: str | None = None  # the id of its activation once it is admitted
+        self.checked_at = (
+            0  # when an attempt was first deferred until its client is read (ns); 0: none is deferred
+        )
+        self.reads_at_check = 0  # `emptying_reads` of the client at that time
 
-    def waits(self) -> bool:
+    def is_waiting(self) -> bool:
         """Return whether the client still waits for the answer."""
-        return self.client.open.get(self.msgid) is self
+        return self.client.open_requests.get(self.msgid) is self
 
     def may_send(self, link: PumpedLink) -> bool:
-        """Return whether the client is known to wait still, so that an attempt may be sent for it.
+        """Return whether the client is known to be waiting still, so that an attempt may be sent for it.
 
-        Its end or cancel may lie unread: then `link` is pumped again once the client was read.
+        It is not while its disconnect or cancel may be unread; `link` is then pumped again after the next
+        read.
         """
         client = self.client
         if client.has_unread_input():
@@ -86,19 +91,21 @@
     def answer(
         self, outcome: str, body: bytes = b"", retry_after: int = 0, why: str = "", act: str | None = None
     ) -> None:
-        """Give the client its answer; without effect once it has one or has left.
+        """Send the answer to the client; has no effect if it was answered or has left.
 
         Args:
-            outcome: how the activation ended (`ActivationState`), or a verdict of the intake.
-            body: the result, of one that completed.
-            retry_after: ns that a rejected client should stay away; 0: not told.
-            why: not told on this protocol.
-            act: not told on this protocol.
+            outcome: the final state of the activation (`ActivationState`), or a decision of the intake.
+            body: the result of a completed activation.
+            retry_after: the time (ns) after which a rejected client should retry; 0: none.
+            why: not sent by this protocol.
+            act: not sent by this protocol.
         """
-        if not self.waits():  # cancelled, and its number perhaps used again; or the client has left
+        if (
+            not self.is_waiting()
+        ):  # it was cancelled, and its message id may be reused; or the client has left
             return
         client = self.client
-        del client.open[self.msgid]
+        del client.open_requests[self.msgid]
         if outcome == COMPLETED:
             client.send_result(self.msgid, body)
         elif outcome in REJECTIONS:
--- a/petrelwood/node/front.py
+++ b/petrelwood/node/front.py
@@ -1,7 +1,7 @@
-"""Clients: their connections, which of them are idle, and which are closed.
+"""The table of client connections: tracks idle connections and closes connections.
 
-`node.client_listener` accepts connections, `node.client_connection` reads and answers requests,
-`node.call_request` decodes them. The limits are set in `decide.overload.resource_limits`.
+`node.client_listener` accepts connections, `node.client_connection` reads and answers requests, and
+`node.call_request` decodes calls. The limits are set in `decide.overload.resource_limits`.
 """
 
 import itertools
@@ -18,18 +18,19 @@
 from petrelwood.node.interfaces import Dispatcher
 from petrelwood.node.stream import Stream
 
-# Connections beyond the clients' capacity: a call on one is rejected, which is better than to close it.
+# The number of connections accepted beyond the capacity: rejecting their calls is better than closing them.
 CONNECTIONS_OVER_CAPACITY = 8
-# bytes of rejections that one read may cause, beyond the answers to a client's open requests
+# The size of the rejections that one read may cause, in addition to the answers to open requests (bytes).
 REJECTIONS_SIZE = 16 * READ_SIZE
-# ns that a client may leave answers unread while it has no open request
+# The time for which a client without open requests may leave answers unread (ns).
 UNREAD_ANSWER_TIMEOUT = 10_000_000_000
-FAULTS_LOGGED = 8  # of each kind; then one in so many
-FAULTS_A_LINE = 1_024
+# Client faults that are logged: the first FAULTS_LOGGED of each kind, then one in FAULTS_PER_LOG_LINE.
+FAULTS_LOGGED = 8
+FAULTS_PER_LOG_LINE = 1_024
 
 
 class Front:
-    """The clients of one dispatcher. Times in ns."""
+    """The client connections of one dispatcher. Times are in ns."""
 
     def __init__(self, core: Dispatcher, limits: ResourceLimits, log: Logger) -> None:
         self.core = core
@@ -37,10 +38,10 @@
         self.log = log
         self.listener = ClientListener(self, core)
         self.clients: dict[ClientConnection, bool] = {}
-        # those without an open request, idle longest first
+        # connections without an open request, idle longest first
         self.idle: OrderedDict[ClientConnection, bool] = OrderedDict()
         self.reader_pool: list[rpc.Reader] = []
-        self.reads = 0  # of all connections
+        self.reads = 0  # the number of reads on all connections
         self.counts = {
             "connections": 0,
             "evicted": 0,
@@ -51,53 +52,53 @@
         }
 
     def note_fault(self, kind: str, reason: str) -> None:
-        """Count a client's fault; log the first few of its kind, then one in many."""
+        """Count a client's fault; log the first ones of each kind, then one in `FAULTS_PER_LOG_LINE`."""
         self.counts[kind] += 1
         count = self.counts[kind]
-        if count <= FAULTS_LOGGED or not count % FAULTS_A_LINE:
+        if count <= FAULTS_LOGGED or not count % FAULTS_PER_LOG_LINE:
             self.log.info("client fault", kind=kind, reason=reason, count=count)
 
     def open(self, address: Address) -> None:
         """Listen for clients.
 
         Raises:
-            OSError: that is not possible.
+            OSError: the address can't be listened on.
         """
         self.listener.open(address)
 
     def stop(self) -> None:
-        """Accept nothing more, and close all connections."""
+        """Stop accepting connections and close all of them."""
         self.listener.close()
         for client in list(self.clients):
             client.close()
 
     def shed_connections(self, late: bool) -> None:
-        """Let the kernel turn connections away while the event loop is late over and over."""
+        """Let the kernel refuse connections while the event loop is repeatedly late."""
         if self.listener.shed(late):
             self.log.info("connections are shed" if late else "connections are no longer shed")
 
-    # New connections.
+    # New connections
     def is_over_capacity(self) -> bool:
-        """Return whether there are more connections than there is capacity for."""
+        """Return whether the number of connections exceeds the capacity."""
         return len(self.clients) > self.limits.clients
 
     def has_capacity(self) -> bool:
-        """Return whether one more may be accepted, if only to reject what it asks."""
+        """Return whether another connection may be accepted, be it only to reject its calls."""
         return len(self.clients) < self.limits.clients + CONNECTIONS_OVER_CAPACITY
 
     def evict_idle(self) -> bool:
         """Close the connection that has been idle longest; return whether there was one.
 
-        None is closed that has an open request, an unsent answer or unread input.
+        A connection with an open request, an unsent answer or unread input is never closed.
         """
         return self._evict_idle_connections(1)
 
     def _make_capacity(self) -> bool:
-        """Close idle connections if one more is then within the capacity; return whether it is."""
+        """Close idle connections if that makes room for one more; return whether there is room."""
         return self._evict_idle_connections(len(self.clients) + 1 - self.limits.clients)
 
     def _evict_idle_connections(self, count: int) -> bool:
-        """Close the `count` connections that have been idle longest; none if there are fewer."""
+        """Close the `count` connections that have been idle longest, or none if there are fewer."""
         quiescent = (each for each in self.idle if each.is_quiescent())
         evicted = list(itertools.islice(quiescent, max(0, count)))
         if len(evicted) < count:
@@ -113,7 +114,7 @@
         over_capacity = not self._make_capacity()
         try:
             self._serve(sock, over_capacity)
-        except OSError:  # it can't be set up: nothing of it was read
+        except OSError:  # the connection can't be set up; nothing of it was read
             sock.close()
 
     def _serve(self, sock: socket.socket, over_capacity: bool) -> None:
@@ -130,9 +131,9 @@
         self.idle[client] = True
         self.core.loop.create_task(client.serve())
 
-    # Idle connections.
+    # Idle connections
     def connection_idle(self, connection: ClientConnection) -> None:
-        """Note that a connection has no open request since now."""
+        """Note that a connection no longer has an open request."""
         self.idle[connection] = True
         self.idle.move_to_end(connection)
 
@@ -141,44 +142,44 @@
         self.idle.pop(connection, None)
 
     def check(self, now: int) -> None:
-        """Accept again after a pause, and close connections whose time is up."""
+        """Resume a paused listener, and close connections that exceed a timeout."""
         self.listener.resume()
         for client in list(self.clients):
-            if not client.open:  # each open request is answered first, and none later than its deadline
+            if not client.open_requests:  # open requests are answered first, by their deadlines
                 self._check_timeouts(client, now)
         for client in list(self.idle):
-            idle = now - client.since
+            idle = now - client.state_since
             if idle <= resource_limits.IDLE_TIMEOUT:
                 break
             if client.is_quiescent() or (client.stream.writing() and idle > UNREAD_ANSWER_TIMEOUT):
                 client.close()
 
     def _check_timeouts(self, client: ClientConnection, now: int) -> None:
-        """Close a connection that has drained, or whose request takes too long to come."""
+        """Close a connection that has drained, or whose request takes too long to arrive."""
         if client.draining:
-            if client.is_quiescent() or now - client.since > resource_limits.REQUEST_TIMEOUT:
+            if client.is_quiescent() or now - client.state_since > resource_limits.REQUEST_TIMEOUT:
                 client.close()
             return
         partial_request_too_old = (
             client.partial_since and now - client.partial_since > resource_limits.REQUEST_TIMEOUT
         )
         no_request_in_time = (
-            not client.requested and now - client.since > resource_limits.FIRST_REQUEST_TIMEOUT
+            not client.requested and now - client.state_since > resource_limits.FIRST_REQUEST_TIMEOUT
         )
         if (partial_request_too_old or no_request_in_time) and not client.has_unread_input():
             self.counts["timed out"] += 1
             client.close()
 
     def close_idle(self) -> None:
-        """Close the idle connections on which nothing is unsent or unread."""
+        """Close the idle connections without unsent or unread data."""
         for client in list(self.idle):
             if client.is_quiescent():
                 client.close()
 
-    def quiet(self) -> bool:
-        """Return whether all that was written has been sent, and all that has come was read.
+    def is_quiescent(self) -> bool:
+        """Return whether all written data has been sent, and all incoming data was read.
 
-        That is requests, ends, and connections that the kernel has accepted.
+        Incoming data includes requests, disconnects and connections in the listen queue.
         """
         for client in self.clients:
             if client.stream.writing() or client.pending_read is None or client.pending_read.done():
--- a/petrelwood/node/graceful_shutdown.py
+++ b/petrelwood/node/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: a dispatcher takes what still comes, then rejects it, and answers all that it owes.
+"""Graceful shutdown: accept late requests for a while, then reject them, and answer all open ones.
 
 The times are decided in `decide.cluster.shutdown`.
 """
@@ -13,17 +13,17 @@
 from petrelwood.dispatch.activations import Activations
 from petrelwood.node.front import Front
 
-CHECK_INTERVAL = 0.01  # seconds
+CHECK_INTERVAL = 0.01  # seconds between two checks of whether the shutdown is complete
 
 
 class ClosableIntake(Protocol):
     """The stage that admits activations."""
 
-    closing: bool  # nothing more is admitted
+    closing: bool  # whether new requests are rejected
 
 
 class ShutdownCore(Protocol):
-    """What the shutdown needs of the dispatcher."""
+    """The interface of the dispatcher for its shutdown."""
 
     @property
     def intake(self) -> ClosableIntake:
@@ -35,7 +35,7 @@
 
     @property
     def activations(self) -> Activations:
-        """What ends activations."""
+        """The stage that ends activations."""
 
     @property
     def scheduler(self) -> Scheduler:
@@ -43,31 +43,31 @@
 
     @property
     def front(self) -> Front:
-        """The clients."""
+        """The client connections."""
 
     def now(self) -> int:
         """Return the monotonic time in ns."""
 
     def submit(self, call: Callable[..., object], /, *args: object) -> object:
-        """Make a call at once, or after the one that is being made."""
+        """Make a call at once, or after the call in progress."""
 
 
 class GracefulShutdown:
     """The shutdown of one dispatcher.
 
-    It listens to the last: a connection that the kernel has accepted may have a request in it, which a closed
-    listener would lose. `started_at`: when SIGTERM came at the earliest; `longest`: the longest action
-    timeout. Times in ns.
+    It listens until the end, because connections in the listen queue may carry requests, which a closed
+    listener would lose. `started_at`: the earliest time at which SIGTERM can have arrived; `max_timeout`: the
+    longest action timeout. Times are in ns.
     """
 
-    def __init__(self, core: ShutdownCore, started_at: int, longest: int) -> None:
+    def __init__(self, core: ShutdownCore, started_at: int, max_timeout: int) -> None:
         self.core = core
-        self.times = Shutdown(started_at, longest)
+        self.times = Shutdown(started_at, max_timeout)
 
     async def drain(self) -> None:
-        """Wait until all is answered and the sockets are quiet, or the time is up."""
+        """Wait until all requests are answered and the sockets are quiescent, or the time is up."""
         core = self.core
-        while not self.times.over(core.now(), len(core.pending.activations), core.front.quiet()):
+        while not self.times.over(core.now(), len(core.pending.activations), core.front.is_quiescent()):
             self._check()
             await asyncio.sleep(CHECK_INTERVAL)
 
@@ -75,15 +75,15 @@
         core = self.core
         core.intake.closing = self.times.closed(core.now())
         if self.times.closed(core.now()) and not core.pending.activations:
-            core.front.close_idle()  # those that go on sending keep only themselves
+            core.front.close_idle()  # a client that keeps sending must not keep the others connected
         if self.times.out_of_time(core.now()):
             for activation_id in sorted(core.pending.activations):
                 core.submit(self._answer, activation_id)
 
     def _answer(self, activation_id: str) -> None:
-        """End an activation whose time ends with the process.
+        """End an activation that can't complete before the process ends.
 
-        The module decides on its answer by how its attempts end, as it does when it is due.
+        The decision module chooses the answer by the ends of the attempts, as it does at the deadline.
         """
         if activation_id in self.core.pending.activations:
             self.core.scheduler.process_ending(self.core.now(), activation_id)
--- a/petrelwood/node/interfaces.py
+++ b/petrelwood/node/interfaces.py
@@ -1,4 +1,4 @@
-"""Interfaces of the dispatcher that the client side needs."""
+"""Interfaces of the dispatcher for the client side."""
 
 import asyncio
 from collections.abc import Callable, Collection, Mapping
@@ -14,7 +14,7 @@
 
     @property
     def usual(self) -> int:
-        """The usual time in ns from arrival to answer: the Retry-After of a rejected client."""
+        """The usual time from arrival to answer (ns), sent to rejected clients as the time to retry after."""
 
 
 class Terms(Protocol):
@@ -26,7 +26,7 @@
 
 
 class CallTerms(Protocol):
-    """The customers and types that calls may name: `node.configuration.Configuration`."""
+    """The customers and namespace types that calls may name: `node.configuration.Configuration`."""
 
     @property
     def customers(self) -> Collection[str]:
@@ -59,11 +59,11 @@
     def now(self) -> int:
         """Return the monotonic time in ns."""
 
-    def arrived(self, now: int) -> int:
-        """Return the earliest arrival time of data read now: before `now` if the loop was delayed."""
+    def earliest_arrival(self, now: int) -> int:
+        """Return the earliest possible arrival time of data read now; before `now` after a blocked loop."""
 
-    def serves(self) -> bool:
-        """Return whether it accepts calls: its start is complete and its shutdown has not begun."""
+    def is_ready(self) -> bool:
+        """Return whether calls are accepted: the start is complete and the shutdown has not begun."""
 
     def is_open(self, act_id: str) -> bool:
         """Return whether an activation has this id, or an attempt of an earlier one is still in flight."""
@@ -83,7 +83,7 @@
         """Admit a call, or answer it at once."""
 
     def detach_client(self, act_id: str, exchange: Exchange, /) -> None:
-        """End an activation that its client no longer waits for, if it may be ended."""
+        """End an activation whose client no longer waits for it, if it may be ended."""
 
     def submit(self, call: Callable[..., object], *args: object) -> None:
         """Make a call, after the call in progress."""
--- a/petrelwood/node/json_object.py
+++ b/petrelwood/node/json_object.py
@@ -1,4 +1,4 @@
-"""Checked access to decoded JSON: each value is taken by its name, in the shape that it must have."""
+"""Validated access to decoded JSON: each value is read by its name and checked for its type."""
 
 import math
 from collections.abc import Collection
@@ -17,9 +17,8 @@
 class JsonObject:
     """One JSON object and its path in the document.
 
-    A value of another shape than asked for is reported with its path. Null counts as absent, and names that
-    nobody asks for are ignored. Each getter takes a `default` for an absent value; without one, an absent
-    value is an error.
+    A value of the wrong type is reported with its path. Null counts as absent, and unknown names are ignored.
+    Each getter takes a `default` for an absent value; without one, an absent value is an error.
 
     Raises:
         ConfigurationError: `raw` is no object; from each getter, the value is absent or malformed.
--- a/petrelwood/node/load_report.py
+++ b/petrelwood/node/load_report.py
@@ -1,4 +1,4 @@
-"""Load reports of workers, from the platform's field names to the decision module's."""
+"""Load reports of workers: translates the platform's field names to those of the decision module."""
 
 MODULE_FIELDS = {
     "concurrent": "running",
@@ -10,13 +10,13 @@
     "queue": "waiting",
     "util": "cores",
 }
-"""The decision module's name of each field; the settings of a site choose among the platform's names."""
+"""The decision module's name of each field. Each site sets which of the platform's names it uses."""
 
 
 def load_report(gauge: dict[str, float] | None) -> dict[str, float] | None:
-    """Return a load report under the module's field names; what is None or empty stays so.
+    """Return a load report with the module's field names; return None and an empty report unchanged.
 
-    Fields that the module does not know are dropped.
+    Fields unknown to the module are dropped.
     """
     if not gauge:
         return gauge
--- a/petrelwood/node/log.py
+++ b/petrelwood/node/log.py
@@ -1,6 +1,6 @@
-"""The log of a dispatcher on the platform: one JSON object a line.
+"""The log of a dispatcher on the platform: one JSON object per line.
 
-It has few imports, so that a dispatcher fits into a small machine; structlog has many.
+It is used instead of structlog because it has few imports, so that a dispatcher fits into a small machine.
 """
 
 import time
@@ -17,21 +17,21 @@
 
     def _write(self, level: str, event: str, fields: dict[str, object]) -> None:
         line = {"at": round(time.time(), 3), "level": level, "event": event, **fields}
-        text = orjson.dumps(line, default=str, option=orjson.OPT_NON_STR_KEYS)  # members of an enum as keys
+        text = orjson.dumps(line, default=str, option=orjson.OPT_NON_STR_KEYS)  # allows enum members as keys
         self.out.write(text.decode() + "\n")
         self.out.flush()
 
     def debug(self, event: str, **fields: object) -> None:
-        """Write nothing: the platform's log has no room for it."""
+        """Do nothing, because the log of the platform has no room for debug events."""
 
     def info(self, event: str, **fields: object) -> None:
         """Log a normal event."""
         self._write("info", event, fields)
 
     def warning(self, event: str, **fields: object) -> None:
-        """Log a fault that service survives."""
+        """Log a fault that does not interrupt service."""
         self._write("warning", event, fields)
 
     def error(self, event: str, **fields: object) -> None:
-        """Log a fault that an operator should see to."""
+        """Log a fault that needs an operator."""
         self._write("error", event, fields)
--- a/petrelwood/node/module_terms.py
+++ b/petrelwood/node/module_terms.py
@@ -1,6 +1,6 @@
-"""The decision module's terms, from the settings that the simulator and the platform share.
+"""Decodes the terms of the decision module from the settings that the simulator and the platform share.
 
-Times in the settings are microseconds.
+Times in the settings are in microseconds.
 """
 
 from petrelwood import ports
@@ -12,8 +12,12 @@
     "once": ports.Effect.ONCE_ONLY,
 }
 SCOPES = tuple(ports.Scope)
-MEMBERSHIP_MODES = ("push", "ask")  # the endpoint list comes by itself, or is polled
-REPORT_MODES = ("piggyback", "pull", "silent")  # load reports come with answers, with health checks, or never
+MEMBERSHIP_MODES = ("push", "ask")  # the endpoint list is pushed or polled
+REPORT_MODES = (
+    "piggyback",
+    "pull",
+    "silent",
+)  # load reports come with answers, with health checks, or not at all
 
 
 def _namespace_types(settings: JsonObject) -> dict[str, ports.NamespaceType]:
@@ -73,7 +77,7 @@
 
 
 def module_terms(raw: object) -> ports.Terms:
-    """Return the terms that a settings object sets for the decision module.
+    """Return the terms of the decision module in a settings object.
 
     Raises:
         ConfigurationError: a value is missing or malformed.
--- a/petrelwood/node/node_activations.py
+++ b/petrelwood/node/node_activations.py
@@ -1,4 +1,4 @@
-"""Activations on a platform where each has the id that its client gave it."""
+"""Activations on a platform where clients choose the ids."""
 
 from typing import Protocol, cast
 
@@ -10,23 +10,23 @@
 
 
 class NodeActivationsCore(ActivationsCore, Protocol):
-    """What these activations need of the core."""
+    """The interface of the core for these activations."""
 
     def is_open(self, act_id: str) -> bool:
         """Return whether an activation has this id, or an attempt of an earlier one is still in flight."""
 
 
 class NodeActivations(Activations):
-    """Activations that have the ids which their clients gave them."""
+    """Activations with ids that their clients chose."""
 
     core: NodeActivationsCore
 
     def admit(
         self, request: ActivationRequest, function: str, rule: Rule, body: bytes, exchange: Exchange
     ) -> None:
-        """Admit a request, or answer it at once, also where its id is in use."""
-        # The core is handed exchanges of this package alone; its own type has no `waits`.
-        if not cast(ClientExchange, exchange).waits():  # its client left between its reading and its turn
+        """Admit a request, or answer it at once, for example if its id is in use."""
+        # The core has only exchanges of this package; its own type has no `is_waiting`.
+        if not cast(ClientExchange, exchange).is_waiting():  # the client left after the request was read
             return
         if self.core.is_open(request.id):
             exchange.answer(intake.ABORT, why="an id that is open")
--- a/petrelwood/node/program.py
+++ b/petrelwood/node/program.py
@@ -1,4 +1,4 @@
-"""The program of one dispatcher on its platform: from its configuration to SIGTERM."""
+"""The program of one dispatcher on its platform, from reading the configuration to SIGTERM."""
 
 import asyncio
 import gc
@@ -14,19 +14,19 @@
 from petrelwood.node.log import JsonLogger
 from petrelwood.node.service import Node
 
-# A stream imports it at its first use, when no descriptor may be left.
+# A stream imports this module at its first use, when no descriptor may be left to open its file.
 importlib.import_module("tornado.platform.asyncio")
 
-RELOAD_INTERVAL = 0.1  # seconds until a file that can't be used is read again
-# How often a malformed file is read again: it may be half written when its signal comes, and the platform
-# waits 4 s for the change. Without end while no descriptor is left to open it.
-MOST_RELOADS = 30
-# Few objects live long; what dies in reference cycles is collected soon, and cheaply.
+RELOAD_INTERVAL = 0.1  # seconds until an unusable file is read again
+# The number of times that a malformed file is read again: it may be half written when the signal arrives, and
+# the platform waits 4 s for the change. While no descriptor is left to open the file, retries are unlimited.
+MAX_RELOAD_RETRIES = 30
+# Few objects live long, so frequent collections are cheap and free reference cycles soon.
 COLLECTION_THRESHOLDS = (1000, 5, 5)
 
 
 class SignalHandler:
-    """Ends the dispatcher at SIGTERM, and reads its configuration again at SIGHUP."""
+    """Ends the dispatcher at SIGTERM, and reloads its configuration at SIGHUP."""
 
     def __init__(self, node: Node, log: JsonLogger, end: asyncio.Event) -> None:
         self.node = node
@@ -41,19 +41,19 @@
             return
         if self.next_reload is not None:
             self.next_reload.cancel()
-        self._reload(MOST_RELOADS)
+        self._reload(MAX_RELOAD_RETRIES)
 
     def _reload(self, retries: int, deferred: bool = False) -> None:
-        """Read the file; `deferred`: whether it was logged that this has to wait."""
+        """Read the file; `deferred`: whether it was logged already that no descriptor is left to open it."""
         self.next_reload = None
         try:
             self.node.reload(configuration.read(os.environ))
         except NoDescriptorError as error:
             if not deferred:
-                self.log.warning("the new configuration has to wait", why=str(error))
+                self.log.warning("can't open the new configuration yet; will retry", why=str(error))
             self._retry(retries, True)
         except ConfigurationError as error:
-            if retries == MOST_RELOADS:
+            if retries == MAX_RELOAD_RETRIES:
                 self.log.error("the new configuration is wrong; nothing changes", why=str(error))
             if retries:
                 self._retry(retries - 1)
@@ -65,7 +65,7 @@
 def _tune_collector() -> None:
     gc.collect()
     gc.set_threshold(*COLLECTION_THRESHOLDS)
-    gc.freeze()  # what was made at the start stays for good, and is not looked through again
+    gc.freeze()  # objects made at the start live until the end: exclude them from collections
 
 
 async def _serve(gateway: Configuration, log: JsonLogger, early_signals: Iterable[int]) -> None:
@@ -88,14 +88,14 @@
     )
     await end.wait()
     await node.close()
-    # A signal that comes while the loop is closed must not end the process by its default action.
+    # A signal that arrives while the loop is being closed must not end the process by its default action.
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGTERM))
 
 
 def run(early_signals: Iterable[int]) -> int:
     """Run a dispatcher until SIGTERM; return the exit status.
 
-    `early_signals`: those that came before the event loop runs, looked at once it does.
+    `early_signals`: signals received before the event loop runs, which handles them first.
     """
     log = JsonLogger(sys.stderr)
     try:
--- a/petrelwood/node/roster.py
+++ b/petrelwood/node/roster.py
@@ -1,8 +1,8 @@
 """The roster of workers, polled by DNS over UDP.
 
-`node.roster_protocol` has the messages. What is believed of the endpoint list is decided in
-`decide.cluster.membership`, when to poll in `decide.cluster.polling`. An answer counts if it comes from the
-roster, has the id of an open query and is complete; a list that is older than the last one changes nothing.
+`node.roster_protocol` encodes and decodes the messages, `decide.cluster.membership` decides how lists change
+the membership, and `decide.cluster.polling` when to poll. An answer is accepted if it comes from the roster,
+has the id of an open query and is complete; a list that is older than the last one is ignored.
 """
 
 import asyncio
@@ -19,19 +19,19 @@
 from petrelwood.node.roster_protocol import EndpointList, UnusableAnswerError
 from petrelwood.ports import EndpointEntry
 
-DATAGRAM_SIZE = 65_535  # bytes of a datagram at most
-MOST_READS = 8  # datagrams in one turn of the loop
-# As many failed reads in a row are borne: a query that is refused makes one of them.
-MOST_RECEIVE_FAILURES = 8
-UNUSABLE_ANSWERS_LOGGED = 7
-# send(2): the socket is as good as before, and nothing was sent
+DATAGRAM_SIZE = 65_535  # the maximum size of a datagram, in bytes
+MAX_READS_PER_ITERATION = 8  # the number of datagrams read in one iteration of the event loop
+# The number of successive failed reads that are tolerated; a refused query causes one.
+MAX_RECEIVE_FAILURES = 8
+UNUSABLE_ANSWERS_LOGGED = 7  # the number of unusable answers that are logged; later ones are only counted
+# Errors of send(2) after which the socket remains usable and nothing was sent.
 TRANSIENT_ERRORS = frozenset(
     (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS, errno.ENOMEM, errno.ECONNREFUSED)
 )
 
 
 class RosterCore(Protocol):
-    """What the roster needs of the dispatcher."""
+    """The interface of the dispatcher for the roster."""
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
@@ -47,13 +47,13 @@
     def endpoints_changed(
         self, entries: list[EndpointEntry], draining: list[str], is_whole: bool, /
     ) -> object:
-        """Learn of a new endpoint list; `draining`: workers that drain or are gone since."""
+        """Handle a new endpoint list; `draining`: workers that began to drain or are gone."""
 
 
 class DnsRoster:
     """The roster at one address.
 
-    Each new list goes to `membership`, and what it changes to `core`. Times in ns.
+    Each new list is applied to `membership`, and its changes are passed to `core`. Times are in ns.
     """
 
     def __init__(
@@ -71,15 +71,15 @@
         self.log = log
         self.sock: socket.socket | None = None
         self.query_without_id = roster_protocol.encode_query()
-        # the last answer without its id: most answers repeat it, and need not be decoded
+        # the last answer without its id; most answers are equal to it and need not be decoded
         self.last_answer: bytes | None = None
         self.counts = {"asked": 0, "good": 0, "unusable": 0, "old": 0}
-        self.needs_reopening = False  # it could not be opened, or its socket has failed
+        self.needs_reopening = False  # the socket could not be opened, or has failed
         self.failure_logged = False  # since the last usable answer
         self.receive_failures = 0  # since the last datagram or query
 
     def open(self) -> None:
-        """Open the socket; where that fails it is tried again before the next query."""
+        """Open the socket; if that fails, the next query tries again."""
         self.needs_reopening = False
         try:
             self._connect()
@@ -90,7 +90,7 @@
         self.close()
         self.sock = sockets.fresh(self.address[0], socket.SOCK_DGRAM)
         self.sock.setblocking(False)
-        self.sock.connect(self.address)  # the kernel drops what comes from anyone else
+        self.sock.connect(self.address)  # the kernel drops datagrams from other senders
         self.core.loop.add_reader(self.sock, self._read, self.sock)
 
     def close(self) -> None:
@@ -101,7 +101,7 @@
             self.sock = None
 
     def set_address(self, address: Address) -> None:
-        """Poll the roster at another address from now on; the numbers of its lists go on."""
+        """Poll the roster at another address from now on; the numbering of the lists continues."""
         self.address = address
         self.polling.restart(self.core.now())
         self.failure_logged = False
@@ -121,11 +121,11 @@
             self._send(self.sock, query_id + self.query_without_id)
 
     def _send(self, sock: socket.socket, query: bytes) -> None:
-        """Send a query. Where it can't be sent now, the next one follows soon."""
+        """Send a query; if it can't be sent now, the next one follows soon."""
         try:
             try:
                 sock.send(query)
-            except ConnectionRefusedError:  # of the query before; this one was not sent
+            except ConnectionRefusedError:  # reports the refusal of the previous query; this one was not sent
                 sock.send(query)
         except OSError as error:
             if error.errno not in TRANSIENT_ERRORS:
@@ -134,26 +134,26 @@
     def _reopen_later(self, error: OSError) -> None:
         """Close the socket; the next query opens another one.
 
-        It may never work again: the local address that it is bound to may have gone.
+        The socket may never work again, because the local address that it is bound to may be gone.
         """
         self.close()
         self.needs_reopening = True
         if not self.failure_logged:
             self.failure_logged = True
             host, port = self.address
-            self.log.warning("the roster can't be asked", address=f"{host}:{port}", why=str(error))
+            self.log.warning("can't query the roster", address=f"{host}:{port}", why=str(error))
 
     def _read(self, sock: socket.socket) -> None:
-        """Handle the datagrams that have come, up to `MOST_READS`."""
-        for _ in range(MOST_READS):
+        """Handle up to `MAX_READS_PER_ITERATION` received datagrams."""
+        for _ in range(MAX_READS_PER_ITERATION):
             try:
                 data = sock.recv(DATAGRAM_SIZE)
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError as error:  # a refusal of what was sent before
+            except OSError as error:  # reports the refusal of an earlier query
                 self.receive_failures += 1
-                # a query has one refusal: this would go on, as fast as the loop turns
-                if self.receive_failures > MOST_RECEIVE_FAILURES:
+                # a query is refused once; more failures would make the event loop spin
+                if self.receive_failures > MAX_RECEIVE_FAILURES:
                     self._reopen_later(error)
                     return
                 continue
@@ -182,23 +182,23 @@
         self._usable_answer_received(now)
         if endpoint_list.serial > self.membership.number:
             self._apply(endpoint_list, now)
-        # an answer may come long after it was written, but not before its query was sent
+        # the answer may be old, but it was written after its query was sent
         self.membership.on_complete(queried_at)
 
     def _end_query(self, data: bytes) -> int | None:
-        """Return when the query of an answer was sent, or None if it answers no open one."""
+        """Return when the query of an answer was sent, or None if no open query has its id."""
         if len(data) < roster_protocol.HEADER_SIZE:
             return None
         return self.polling.end_query(int.from_bytes(data[: roster_protocol.ID_SIZE], "big"))
 
     def _decode(self, data: bytes) -> EndpointList | None:
-        """Return the list in an answer, or None where it is unusable, which is counted and logged."""
+        """Return the list in an answer; count and log an unusable answer and return None."""
         try:
             return roster_protocol.decode_answer(data)
         except UnusableAnswerError as error:
             self.counts["unusable"] += 1
             if self.counts["unusable"] <= UNUSABLE_ANSWERS_LOGGED:
-                self.log.info("an answer of the roster is of no use", why=str(error))
+                self.log.info("ignored an unusable roster answer", why=str(error))
             return None
 
     def _apply(self, endpoint_list: EndpointList, now: int) -> None:
--- a/petrelwood/node/roster_protocol.py
+++ b/petrelwood/node/roster_protocol.py
@@ -1,8 +1,8 @@
 """The endpoint list as DNS messages: a query for the SRV records of one name, and the answers to it.
 
-An answer lists all workers. Each SRV record names one, with its port and its state (as the priority); an A
-record has its address, and a TXT record its cell and its start. The serial of the SOA record is the number of
-the list. The messages are encoded and decoded by dnspython.
+An answer lists all workers. Each SRV record names a worker, with its port and its state (as the priority); an
+A record has the address of the worker, and a TXT record its cell and its start time. The serial of the SOA
+record is the number of the list. The messages are encoded and decoded by dnspython.
 """
 
 from collections.abc import Callable
@@ -28,12 +28,12 @@
 
 SERVICE_NAME = dns.name.from_text("_api._tcp.svc.local")
 STATE_OF_PRIORITY = {0: EndpointState.USABLE, 1: EndpointState.DRAINING}
-ID_SIZE = 2  # bytes of a message's id, its first ones
-HEADER_SIZE = 12  # bytes of a message at least
-LEAST_TARGET_LABELS = 3  # a worker's name: its id, its zone, and what follows
+ID_SIZE = 2  # bytes of the id at the start of a message
+HEADER_SIZE = 12  # the minimum size of a message, in bytes
+MIN_TARGET_LABELS = 3  # the name of a worker: its id, its zone and a suffix
 
-# The library imports a record type's module when the first record of it comes, when no descriptor may be left
-# to open the module's file.
+# The library imports the module of a record type with the first record of that type. Import them now, because
+# no descriptor may be left then to open the file of the module.
 _load_class: Callable[[dns.rdataclass.RdataClass, dns.rdatatype.RdataType], object] = (
     dns.rdata.get_rdata_class
 )
@@ -42,18 +42,18 @@
 
 
 class UnusableAnswerError(ProtocolError):
-    """An answer that has no complete and well-formed endpoint list."""
+    """An answer without a complete and well-formed endpoint list."""
 
 
 class EndpointList(NamedTuple):
     """A complete endpoint list."""
 
-    serial: int  # its number: a later list has a larger one
+    serial: int  # the number of the list; later lists have larger numbers
     endpoints: list[Endpoint]
 
 
 def encode_query() -> bytes:
-    """Return the query for the endpoint list without its id, which goes before it."""
+    """Return the query for the endpoint list without the id that precedes it."""
     query = dns.message.make_query(SERVICE_NAME, dns.rdatatype.SRV)
     query.flags = dns.flags.Flag(0)
     return query.to_wire()[ID_SIZE:]
@@ -63,12 +63,12 @@
     """Return the endpoint list in an answer.
 
     Raises:
-        UnusableAnswerError: it can't be read, answers another query, or lacks a part of the list.
+        UnusableAnswerError: the answer is malformed, to another query, or lacks a part of the list.
     """
     try:
         message = dns.message.from_wire(data)
     except (dns.exception.DNSException, ValueError, IndexError) as error:
-        raise UnusableAnswerError(f"can't be read: {error!r}") from error
+        raise UnusableAnswerError(f"the answer is malformed: {error!r}") from error
     _check_header(message)
     _check_question(message)
     serial = _serial(message)
@@ -78,18 +78,18 @@
 def _check_header(message: dns.message.Message) -> None:
     is_answer = message.flags & dns.flags.QR and message.opcode() == dns.opcode.QUERY
     if not is_answer or message.flags & dns.flags.TC:
-        raise UnusableAnswerError("not a whole answer")
+        raise UnusableAnswerError("the message is not a complete answer")
     if message.rcode() != dns.rcode.NOERROR:
-        raise UnusableAnswerError(f"it says {dns.rcode.to_text(message.rcode())}")
+        raise UnusableAnswerError(f"the answer has the error code {dns.rcode.to_text(message.rcode())}")
 
 
 def _check_question(message: dns.message.Message) -> None:
     questions = message.question
     if len(questions) != 1 or questions[0].name != SERVICE_NAME or questions[0].rdtype != dns.rdatatype.SRV:
-        raise UnusableAnswerError("it answers another question")
+        raise UnusableAnswerError("the answer is to another question")
     record_sets = message.answer + message.authority + message.additional
     if any(record_set.rdclass != dns.rdataclass.IN for record_set in record_sets):
-        raise UnusableAnswerError("it has records of another class")
+        raise UnusableAnswerError("the answer has records of another class")
 
 
 def _serial(message: dns.message.Message) -> int:
@@ -97,7 +97,7 @@
     first_records = [record_set[0] for record_set in message.authority if len(record_set)]
     serials = [record.serial for record in first_records if isinstance(record, SOA)]
     if len(serials) != 1:
-        raise UnusableAnswerError("it has no serial")
+        raise UnusableAnswerError("the answer lacks its SOA record or has several")
     return serials[0]
 
 
@@ -121,7 +121,7 @@
 
 
 def _decode_text(record: TXT) -> dict[str, str]:
-    """Return the values by name in the strings `name=value` of a TXT record."""
+    """Return the values in the `name=value` strings of a TXT record, by name."""
     values: dict[str, str] = {}
     for string in record.strings:
         name, _, value = string.decode("utf-8", "replace").partition("=")
@@ -132,17 +132,17 @@
 def _decode_endpoint(
     record: SRV, hosts: dict[dns.name.Name, str], texts: dict[dns.name.Name, dict[str, str]]
 ) -> Endpoint:
-    """Return the endpoint that an SRV record names; `hosts` and `texts`: its other records, by its name."""
+    """Return the endpoint of an SRV record; `hosts` and `texts`: the A and TXT records, by target name."""
     target = record.target
     labels = target.labels
     text = texts.get(target)
     if (
         target not in hosts
         or text is None
-        or len(labels) < LEAST_TARGET_LABELS
+        or len(labels) < MIN_TARGET_LABELS
         or record.priority not in STATE_OF_PRIORITY
     ):
-        raise UnusableAnswerError(f"it does not tell of {target}")
+        raise UnusableAnswerError(f"a record of {target} is missing or has an unknown state")
     try:
         return Endpoint(
             labels[0].decode(),
@@ -153,4 +153,4 @@
             STATE_OF_PRIORITY[record.priority],
         )
     except ValueError as error:
-        raise UnusableAnswerError(f"it garbles {target}: {error}") from error
+        raise UnusableAnswerError(f"a record of {target} is malformed: {error}") from error
--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -1,7 +1,8 @@
 """One dispatcher on the platform: the core on an event loop, with its clients, its links and its roster.
 
-The types of `dispatch.core` are those of `petrelwood serve`: its settings, its intake, its links, its rules
-of functions. Here each is another one that has all that the core uses of it here, hence the casts.
+`dispatch.core` is annotated with the types of `petrelwood serve` for the settings, the intake, the links and
+the rules of functions. This package has its own types with the attributes that the core uses here, hence the
+casts.
 """
 
 import asyncio
@@ -35,19 +36,21 @@
     from petrelwood.settings.functions import FunctionRule
     from petrelwood.settings.gateway import Gateway
 
-CHECK_INTERVAL = 0.05  # seconds between checks of links, clients and the roster
-CHECKS_PER_CLEANUP = 20  # checks between two searches for idle connections
-CHECKS_PER_LOG_LINE = 100  # checks between two log lines of what is believed
-USUAL_SHARE = 4  # a rejected client is told to wait for the shortest target latency / so much
-# Lost connections that are logged: the first so many, then one in so many, whatever the workers do.
+CHECK_INTERVAL = 0.05  # seconds between two checks of links, clients and the roster
+CHECKS_PER_CLEANUP = 20  # checks between two searches for idle connections to workers
+CHECKS_PER_LOG_LINE = 100  # checks between two `standing` log lines
+# A rejected client is told to retry after the shortest target latency divided by this.
+USUAL_TIME_DIVISOR = 4
+# Lost connections that are logged: the first LOSSES_LOGGED, then one in LOSSES_PER_LOG_LINE, of all workers
+# together.
 LOSSES_LOGGED = 32
-LOSSES_A_LINE = 64
-# Of a function without a request: each request brings its own figures.
+LOSSES_PER_LOG_LINE = 64
+# The rule of a function for which there is no request; each request has the figures of its function.
 UNKNOWN_FUNCTION = cast("FunctionRule", FunctionFigures(1, 0, 0))
 
 
 class Node(Core):
-    """One dispatcher. Times in ns."""
+    """One dispatcher. Times are in ns."""
 
     scheduler: Scheduler
 
@@ -55,26 +58,26 @@
         self.configuration = gateway
         self.loop = asyncio.get_running_loop()
         self.resource_limits = ResourceLimits(gateway.sockets, gateway.memory)
-        self.active_links: dict[NodeLink, bool] = {}  # that may have calls which have not ended
+        self.active_links: dict[NodeLink, bool] = {}  # links that may have open calls
         self.next_check: asyncio.TimerHandle | None = None
         self.check_count = 0
-        self.last_tag = 0  # the number in the last tag
-        self.worker_connections = 0
-        self.connection_losses = 0  # to workers
-        self.serving = False  # the start is over, and the end has not begun
+        self.last_tag = 0  # the number in the last tag of a load order or health check
+        self.worker_connections = 0  # open connections to workers
+        self.connection_losses = 0  # lost connections to workers
+        self.serving = False  # the start is complete and the shutdown has not begun
         settings = cast("Gateway", gateway)
         make_link = cast(MakeLink, self._make_link)
         super().__init__(settings, LoopClock(), Random(gateway.seed), make_link, log, scheduler)
-        self.node_links = cast(dict[str, NodeLink], self.links)
+        self.links_by_worker = cast(dict[str, NodeLink], self.links)
         self.front = Front(self, self.resource_limits, log)
-        self.deferred_timers: list[str] = []  # marks of timers that have fired while the loop was behind
+        self.deferred_timers: list[str] = []  # marks of timers that fired while the loop was behind
         self.catch_up = CatchUp(self, self.front, self._on_caught_up)
         self.late_checks = LateChecks(self.now())
         self.roster = DnsRoster(gateway.names, self.membership, RosterPolling(self.chance.random), self, log)
 
-    # What differs from the core of `petrelwood serve`.
+    # Differences from the core of `petrelwood serve`
     def _make_stages(self) -> tuple[None, Intake, None]:
-        usual = min(each.target_latency for each in self.terms.types.values()) // USUAL_SHARE
+        usual = min(each.target_latency for each in self.terms.types.values()) // USUAL_TIME_DIVISOR
         return None, cast(Intake, CapacityIntake(self.resource_limits, usual)), None
 
     def _make_activations(self) -> Activations:
@@ -84,61 +87,62 @@
         return NodeLink(worker, address, self.configuration.workers, self)
 
     def rule(self, function: str) -> "FunctionRule":
-        """Return what is known of a function without a request."""
+        """Return the rule of a function for which there is no request."""
         return UNKNOWN_FUNCTION
 
     def transmit(self, link: WorkerLink, act: PendingActivation, attempt: int, remaining: int) -> None:
         """Hand an attempt to a link; `remaining`: ns until its deadline."""
         cast(NodeLink, link).run(act, attempt, remaining)
 
-    # For the front and the links: what may be done now.
-    def serves(self) -> bool:
-        """Return whether it takes calls: its start is over, and its end has not begun."""
+    # Conditions checked by the front and the links
+    def is_ready(self) -> bool:
+        """Return whether calls are accepted: the start is complete and the shutdown has not begun."""
         return self.serving and not self.intake.closing
 
     def is_open(self, act_id: str) -> bool:
         """Return whether an activation has this id, or an attempt of an earlier one is still in flight.
 
-        Its answer would be taken for the new one's; also where it was another customer's, as workers know no
-        more of an activation than the id.
+        The answer to that attempt would be taken for an answer to the new activation, even if the earlier one
+        was of another customer, because workers know activations only by their ids.
         """
         return act_id in self.pending.activations or any(
             (act_id, attempt) in self.links.in_flight for attempt in range(self.terms.allowed.sends)
         )
 
     def may_send(self, act_id: str, link: PumpedLink) -> bool:
-        """Return whether an attempt may leave now: not while its client's end or cancel may lie unread.
+        """Return whether an attempt may leave now: not while its client's disconnect or cancel may be unread.
 
-        Then the link is pumped again once the client was read.
+        In that case the link is pumped again after the next read from the client.
         """
         activation = self.pending.activations.get(act_id)
         return activation is None or all(waiter.exchange.may_send(link) for waiter in activation.waiters)
 
     def answer_due(self, now: int) -> None:
-        """Answer the activations whose deadline has come.
+        """Answer the activations whose deadline has passed.
 
-        The front does so before it takes anything new, as a turn of the event loop may be long.
+        The front calls this before it accepts new requests, because an iteration of the event loop may take
+        long.
         """
         self.activations.answer_due(now)
 
-    # After the event loop was held up.
-    def behind(self) -> bool:
-        """Return whether what came while the loop was held up may lie unread: nothing is sent meanwhile."""
+    # Catching up after the event loop was blocked
+    def is_behind(self) -> bool:
+        """Return whether data that arrived while the loop was blocked may be unread; nothing is sent then."""
         return self.catch_up.is_behind()
 
-    def arrived(self, now: int) -> int:
-        """Return when what is read now came at the earliest: before `now`, if the loop was held up."""
+    def earliest_arrival(self, now: int) -> int:
+        """Return the earliest possible arrival time of data read now; before `now` after a blocked loop."""
         return self.catch_up.arrival_time(now)
 
     def timer_fired(self, mark: str) -> None:
-        """Tell the module that a timer of its own has fired, once it knows what has come until then."""
-        if self.behind():
+        """Notify the module that one of its timers has fired, after all data that arrived before was read."""
+        if self.is_behind():
             self.deferred_timers.append(mark)
         else:
             super().timer_fired(mark)
 
     def _on_caught_up(self) -> None:
-        """Do what was deferred while the loop was behind."""
+        """Run the timers and pump the links that were deferred while the loop was behind."""
         deferred_timers = self.deferred_timers
         self.deferred_timers = []
         for mark in deferred_timers:
@@ -146,25 +150,25 @@
         for link in list(self.active_links):
             link.pump()
 
-    # For the links: connections to workers, and the tags of calls on them.
-    def opened(self) -> None:
+    # For the links: connections to workers, and tags of calls
+    def connection_opened(self) -> None:
         """Count a new connection to a worker."""
         self.worker_connections += 1
 
-    def closed(self) -> None:
-        """Count a connection to a worker that was closed."""
+    def connection_closed(self) -> None:
+        """Count a closed connection to a worker."""
         self.worker_connections -= 1
 
-    def may_open(self) -> bool:
-        """Return whether a link may open another connection, if need be in place of an idle one."""
+    def may_open_connection(self) -> bool:
+        """Return whether a link may open another connection, possibly in place of an idle one."""
         has_capacity = self.worker_connections < self.resource_limits.workers
-        return has_capacity or any(link.idle_connection() for link in self.node_links.values())
+        return has_capacity or any(link.longest_idle_connection() for link in self.links_by_worker.values())
 
-    def makes_room(self) -> bool:
-        """Return whether a link may open another connection; idle ones are closed for it if need be."""
+    def make_room(self) -> bool:
+        """Close idle connections if a link needs that to open another one; return whether it may."""
         while self.worker_connections >= self.resource_limits.workers:
-            # the link that closes one may open another at once, for what it has queued
-            if not any(link.close_idle() for link in self.node_links.values()):
+            # a link that closes one may at once open another for its queued calls
+            if not any(link.close_idle() for link in self.links_by_worker.values()):
                 return False
         return True
 
@@ -174,26 +178,26 @@
         return f"{self.name}-{self.last_tag}"
 
     def note_loss(self, worker: str, why: str, out: int) -> None:
-        """Count a lost connection to a worker, and log some; `out`: the calls that were in flight on it."""
+        """Count a lost connection to a worker, and log some of them; `out`: the calls in flight on it."""
         self.connection_losses += 1
         losses = self.connection_losses
-        if losses <= LOSSES_LOGGED or not losses % LOSSES_A_LINE:
+        if losses <= LOSSES_LOGGED or not losses % LOSSES_PER_LOG_LINE:
             self.log.info("a connection to a worker is lost", worker=worker, why=why, out=out, losses=losses)
 
-    def active(self, link: NodeLink) -> None:
-        """Note that a link has a call that has not ended."""
+    def mark_active(self, link: NodeLink) -> None:
+        """Note that a link has an open call."""
         self.active_links[link] = True
 
-    # Start, checks and shutdown.
+    # Start, checks and shutdown
     def begin(self) -> None:
         """Listen for clients, and poll the roster.
 
         Raises:
-            OSError: it can't listen.
+            OSError: the address can't be listened on.
         """
         self._apply_known_list()
         self.front.open(self.configuration.listen)
-        # tried again where it can't be opened now: the known list serves without it
+        # if that fails it is retried later; until then the configured endpoint list is used
         self.roster.open()
         self.serving = True
         self._check()
@@ -214,7 +218,7 @@
         self.endpoints_changed(change.listed, change.leaving, True)
 
     def _check(self) -> None:
-        """Check links, clients and the roster, again and again."""
+        """Check links, clients and the roster, and schedule the next check."""
         self.next_check = self.loop.call_later(CHECK_INTERVAL, self._check)
         now = self.now()
         self.front.shed_connections(self.late_checks.note_check(now))
@@ -234,12 +238,12 @@
             self.endpoint_list_lost()
 
     def _close_idle_connections(self, now: int) -> None:
-        for link in list(self.node_links.values()):
+        for link in list(self.links_by_worker.values()):
             link.close_expired(now)
         self.links.release_unused(self.membership.members)
 
     def reload(self, gateway: Configuration) -> None:
-        """Put a new configuration in force, at SIGHUP: only the roster's address can change while it runs."""
+        """Apply a new configuration, at SIGHUP; only the address of the roster can change at run time."""
         host, port = gateway.names
         self.log.info("new configuration", names=f"{host}:{port}")
         self.configuration = self.configuration._replace(names=gateway.names)
@@ -248,24 +252,24 @@
 
     async def close(self) -> None:
         """Shut down gracefully, at SIGTERM."""
-        # the signal may have come while the loop was held up, and the time until the kill runs from then
-        started_at = self.arrived(self.now())
+        # the signal may have arrived while the loop was blocked, and the time until the kill runs from then
+        started_at = self.earliest_arrival(self.now())
         self.serving = False
         await GracefulShutdown(self, started_at, max(self.configuration.timeouts.values())).drain()
-        # nothing comes between the check that found the sockets quiet and this
+        # nothing can arrive between the check that found the sockets quiescent and this call
         self.front.stop()
         if self.next_check is not None:
             self.next_check.cancel()
         self.roster.close()
         self.log.info("closed", **self.figures())
 
-    # What is logged.
+    # Logging
     def standing(self) -> StandingFields:
-        """Return the fields of the regular log line, and begin to count the links' ends anew."""
+        """Return the fields of the regular log line, and reset the counts of call ends in the links."""
         counts = self.pending.counts
-        believed = self.scheduler.snapshot()
+        snapshot = self.scheduler.snapshot()
         clients = len(self.front.clients)
-        return standing_fields(counts, self.intake.unanswered, believed, self.node_links, clients)
+        return standing_fields(counts, self.intake.unanswered, snapshot, self.links_by_worker, clients)
 
     def figures(self) -> dict[str, object]:
         """Return all counts, for logs and tests."""
--- a/petrelwood/node/standing_log.py
+++ b/petrelwood/node/standing_log.py
@@ -1,4 +1,4 @@
-"""The fields of the log line `standing`: what a dispatcher believes of load and health every few seconds."""
+"""The fields of the log line `standing`: the load and health estimates of a dispatcher, every few seconds."""
 
 from collections.abc import Mapping, Sized
 from typing import Protocol, TypedDict
@@ -8,7 +8,7 @@
 
 
 class ReportedLink(Protocol):
-    """A link to a worker, as far as it is reported."""
+    """The interface of a link to a worker for the log line."""
 
     ends: dict[str, int]  # answers other than completed, by reason, since the last line
 
@@ -18,17 +18,17 @@
 
 
 class StandingFields(TypedDict):
-    """The fields of the line; its names are those that `docs/on-call.md` explains."""
+    """The fields of the line; `docs/on-call.md` explains their names."""
 
-    taken: int  # activations since the start, as the next three
+    taken: int  # activations since the start, like the next three
     completed: int
     rejected: int
     aborted: int
     held: int  # activations without an answer
     out: int  # attempts in flight
     slow: float  # the share of answers that were slow
-    turned: float  # the probability that an activation is shed
-    cap: float | None  # the limit of attempts in flight; None: there is none
+    turned: float  # the probability of shedding an activation
+    cap: float | None  # the limit of attempts in flight; None: no limit
     functions: int
     clients: int  # connections
     listed: int  # usable workers
@@ -41,20 +41,21 @@
 def standing_fields(
     counts: Mapping[str, int],
     unanswered: int,
-    believed: SchedulerSnapshot,
+    snapshot: SchedulerSnapshot,
     links: Mapping[str, ReportedLink],
     clients: int,
 ) -> StandingFields:
-    """Return the fields, and begin to count the ends of the links anew.
+    """Return the fields, and reset the counts of ends in the links.
 
-    Of hundreds of workers only those are reported that have something of ours, or are thought ill.
+    To keep the line short with hundreds of workers, only workers are included that have connections, attempts
+    or copies of this dispatcher, a send limit, or are unresponsive.
 
     Args:
-        counts: of activations, by how they ended.
+        counts: the numbers of activations, by final state.
         unanswered: activations without an answer.
-        believed: what the scheduler believes of the fleet.
-        links: by worker.
-        clients: connections of clients.
+        snapshot: the scheduler's estimates of the fleet.
+        links: the links, by worker.
+        clients: the number of client connections.
     """
     return {
         "taken": counts["taken"],
@@ -62,20 +63,20 @@
         "rejected": counts[ActivationState.REJECTED],
         "aborted": counts[ActivationState.ABORTED],
         "held": unanswered,
-        "out": believed.in_flight,
-        "slow": round(believed.slow_share, 2),
-        "turned": round(believed.shed_probability, 2),
-        "cap": _rounded(believed.send_limit),
-        "functions": believed.functions,
+        "out": snapshot.in_flight,
+        "slow": round(snapshot.slow_share, 2),
+        "turned": round(snapshot.shed_probability, 2),
+        "cap": _rounded(snapshot.send_limit),
+        "functions": snapshot.functions,
         "clients": clients,
-        "listed": len(believed.workers),
+        "listed": len(snapshot.workers),
         "ends": _take_ends(links),
-        "workers": _workers(believed.workers, links),
+        "workers": _workers(snapshot.workers, links),
     }
 
 
 def _take_ends(links: Mapping[str, ReportedLink]) -> dict[str, dict[str, int]]:
-    """Return the ends by worker, and begin to count them anew."""
+    """Return the counts of ends by worker, and reset them."""
     ends = {worker: link.ends for worker, link in links.items() if link.ends}
     for worker in ends:
         links[worker].ends = {}
--- a/petrelwood/node/stream.py
+++ b/petrelwood/node/stream.py
@@ -1,4 +1,4 @@
-"""Tornado's stream without its first look at the socket: most reads here begin before there is anything."""
+"""Tornado's stream without its initial read attempt, because most reads here begin before data arrives."""
 
 import asyncio
 from typing import TYPE_CHECKING
@@ -10,15 +10,15 @@
 
 
 class Stream(IOStream):
-    """A connection of a client or to a worker."""
+    """A connection from a client or to a worker."""
 
     if TYPE_CHECKING:
 
         def read_bytes(self, num_bytes: int, partial: bool = False) -> asyncio.Future[bytes]:
-            """As in IOStream, whose annotation hides that it returns a future."""
+            """Read as in IOStream, whose annotation hides that it returns a future."""
 
     def _try_inline_read(self) -> None:
-        """As in IOStream, but what is not in the buffer is waited for: one system call a read and not two."""
+        """Read as in IOStream, but wait for data that is not buffered, which saves a system call per read."""
         pos = self._find_read_pos()
         if pos is not None:
             self._read_from_buffer(pos)
@@ -27,13 +27,13 @@
         self._add_io_state(IOLoop.READ)
 
     def set_nodelay(self, value: bool) -> None:
-        """As in IOStream, but a connection that can't be told so still serves."""
+        """Set the option as in IOStream, but keep a connection on which that fails."""
         if value:
             sockets.disable_delay(self.socket)
 
-    def unsent(self) -> int:
-        """Bytes that were written and that the kernel has not taken yet.
+    def unsent_bytes(self) -> int:
+        """Return the number of written bytes that the kernel has not taken yet.
 
-        None of a closed stream, which may have been closed by the write that failed.
+        It is 0 for a closed stream, which may have been closed by a failed write.
         """
         return 0 if self.closed() else len(self._write_buffer)
--- a/petrelwood/node/units.py
+++ b/petrelwood/node/units.py
@@ -1,4 +1,4 @@
-"""The units of time in the settings and the protocol of the platform, in nanoseconds."""
+"""The time units of the platform's settings and protocol, in nanoseconds."""
 
 US = 1_000
 MS = 1_000_000
--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -1,8 +1,8 @@
-"""The link to one worker on the platform's wire: JSON lines over a few connections, which are reused.
+"""The link to one worker with the platform's protocol: JSON lines over a few reused connections.
 
-The queue, the stages and the ends of calls are those of `links.calls`. Which connection carries a call is
-decided in `decide.cluster.connection_pool`. A connection on which a malformed answer came is closed, and what
-was in flight on it may have run.
+`links.calls` manages the queue, the stages and the ends of calls, and `decide.cluster.connection_pool`
+chooses the connection of a call. A connection with a malformed answer is closed; the calls in flight on it
+may have run.
 """
 
 import contextlib
@@ -26,57 +26,58 @@
 from petrelwood.ports import CopyNote, EndReason
 
 SECOND = 1000 * MS
-READ_SIZE = 16_384  # bytes taken from the socket at a time
-READ_BUFFER_FRAMES = 4  # the most that a connection buffers of what it has read, in frames of the largest
-# ns that the kernel may take to accept a frame: it states the time left when it was made, so that a worker
-# which reads it much later believes that its client waits longer than it does
+READ_SIZE = 16_384  # the maximum size of one read, in bytes
+READ_BUFFER_FRAMES = 4  # the size of the read buffer of a connection, in frames of the maximum size
+# The time that the kernel may take to accept a frame (ns). A frame states the time left when it was encoded,
+# so a worker that reads it much later would assume that the client waits longer than it does.
 WRITE_TIMEOUT = 100 * MS
 
 
 class NodeLinkCore(LinkCore, LoopOwner, Protocol):
-    """What a link needs of the dispatcher that runs it."""
+    """The interface of the dispatcher for its links."""
 
-    def active(self, link: "NodeLink", /) -> object:
-        """Have `link.check` called now and then, until that says otherwise."""
+    def mark_active(self, link: "NodeLink", /) -> object:
+        """Have `link.check` called regularly until it returns false."""
 
-    def behind(self) -> bool:
-        """Return whether the loop was held up, and what came meanwhile may not have been read yet.
+    def is_behind(self) -> bool:
+        """Return whether the loop was blocked, and data that arrived meanwhile may still be unread.
 
-        Nothing is written until then; the core calls `link.pump` afterwards.
+        Nothing is written until that data was read; the core calls `link.pump` afterwards.
         """
 
     def may_send(self, activation: str, link: "NodeLink", /) -> bool:
         """Return whether an attempt may leave now; if not, the core calls `link.pump` later.
 
-        It may not while the cancellation or the end of its client may not have been read yet.
+        It may not while a cancel or disconnect of its client may be unread.
         """
 
-    def may_open(self) -> bool:
+    def may_open_connection(self) -> bool:
         """Return whether a descriptor is left for a connection, or an idle connection could be closed."""
 
-    def makes_room(self) -> bool:
-        """Return the same, and close an idle connection of any link where that is needed."""
+    def make_room(self) -> bool:
+        """Close an idle connection of any link if no descriptor is left; return whether one is available."""
 
-    def opened(self) -> object:
+    def connection_opened(self) -> object:
         """Note that a connection takes a descriptor."""
 
-    def closed(self) -> object:
+    def connection_closed(self) -> object:
         """Note that a connection has released its descriptor."""
 
     def next_tag(self) -> str:
-        """Return an id for a call that is no attempt."""
+        """Return the id of a call other than an attempt."""
 
     def note_loss(self, worker: str, why: str, out: int, /) -> object:
-        """Log that a connection is lost with `out` calls in flight, or was not made."""
+        """Log that a connection was lost with `out` calls in flight, or was not established."""
 
     def defect(self, where: str, fault: Exception, /) -> object:
-        """Log a defect of our own, and abort the activations that it touched."""
+        """Log an internal error and abort the affected activations."""
 
 
 class NodeLink(Calls[RunContent | bytes, WorkerConnection]):
     """The link of a dispatcher to one worker.
 
-    It reports each end to the core through `submit`. The `activation` of a call is its id on the wire.
+    It reports the end of each call to the core through `submit`. The `activation` of a call is its id on the
+    wire.
     """
 
     MIN_TIME_LEFT = MS
@@ -87,11 +88,11 @@
         super().__init__(worker, address, core)
         self.terms = terms
         self.ends: dict[str, int] = {}  # answers other than completed, by reason, since they were last logged
-        self.connections: list[WorkerConnection] = []  # made or coming up, the last used at the end
-        self.connecting = 0  # how many of them are coming up
+        self.connections: list[WorkerConnection] = []  # established or connecting, the last used at the end
+        self.connecting = 0  # the number of them that are connecting
         self.pumping = False  # whether `pump` is running
 
-    # What the dispatcher calls.
+    # For the dispatcher
     def run(self, act: PendingActivation, attempt: int, remaining: int) -> None:
         """Send an attempt of an activation; `remaining`: ns until its deadline."""
         now = self.core.now()
@@ -103,7 +104,7 @@
         self._submit(call)
 
     def order_load(self, function: str, lanes: int, copies: int) -> None:
-        """Order the worker to have so many copies of a function; `lanes` has no place on this wire."""
+        """Order the worker to have `copies` copies of a function; `lanes` is not part of this protocol."""
         tag = self.core.next_tag()
         frame = worker_protocol.encode_load_order(tag, function, copies)
         self._submit(Call(LOAD_ORDER, tag, copies, function, self.core.now(), frame, len(frame), tag))
@@ -116,60 +117,61 @@
 
     def _submit(self, call: NodeCall) -> None:
         self._enqueue(call)
-        self.core.active(self)
+        self.core.mark_active(self)
         self.pump()
 
     def withdraw(self, activation: str, attempt: int) -> None:
-        """As in `Calls`; a connection on which the attempt has left in part is closed."""
+        """Withdraw an attempt as in `Calls`; close its connection if it was partly written."""
         super().withdraw(activation, attempt)
-        self._drop_unsent(activation, attempt, "its activation ended before all of it had left")
+        self._drop_unsent(activation, attempt, "the activation ended before its command was fully written")
 
     def late(self, activation: str, attempt: int) -> None:
-        """As in `Calls`; closes a connection that is unresponsive, or where the attempt has left in part."""
-        self._drop_unsent(activation, attempt, "its time was up before all of it had left")
+        """End a late attempt as in `Calls`; close its connection if unresponsive or if the frame is partly sent."""
+        self._drop_unsent(activation, attempt, "the deadline passed before its command was fully written")
         call = self.runs.get((activation, attempt))
         super().late(activation, attempt)
         if call is not None:
             self._close_if_unresponsive(call)
 
     def _drop_unsent(self, activation: str, attempt: int, why: str) -> None:
-        """Close the connection of an attempt whose frame has not left completely, whatever else is in flight.
+        """Close the connection of an attempt whose frame is partly unsent, whatever else is in flight on it.
 
-        The rest must not follow: a worker that reads again would begin what has ended.
+        The rest of the frame must not be sent, because a worker that reads it later would run an ended
+        attempt.
         """
         call = self.runs.get((activation, attempt))
         if call is not None and call.connection is not None and call.connection.has_unsent(call):
             self._lost(call.connection, why)
 
-    # Writing.
+    # Writing
     def pump(self) -> None:
-        """Write what is queued, as far as connections are made, or open connections for it."""
-        # a connection that is made or lost meanwhile comes back here
-        if self.pumping or self.core.behind():
+        """Write queued calls to established connections, and open connections for the others."""
+        # a connection that is established or lost meanwhile calls this again
+        if self.pumping or self.core.is_behind():
             return
         self.pumping = True
-        deferred = 0  # attempts that may not leave yet; they are at the end of the queue
+        deferred = 0  # the number of attempts that may not leave yet, at the end of the queue
         try:
             while len(self.waiting) > deferred:
                 call = self.waiting[0]
-                # a call behind the unsent rest of another would begin whenever its worker reads again
+                # a call behind a partly unsent frame would start whenever the worker reads again
                 ready = [connection for connection in self.connections if not connection.stream.writing()]
                 connection = connection_pool.choose(
-                    ready, call.activation, self.terms.streams, self.core.may_open()
+                    ready, call.activation, self.terms.streams, self.core.may_open_connection()
                 )
                 if connection is not None:
                     if connection.stream.closed() or connection.has_expired(self.core.now(), self.terms.idle):
-                        self._lost(connection, "closed or idle")  # before anything of the call has left
+                        self._lost(connection, "closed or idle")  # nothing of the call was written yet
                     elif call.kind == RUN and not self.core.may_send(call.activation, self):
                         self.waiting.rotate(-1)
                         deferred += 1
                     elif self._may_leave(call):
                         self._write(connection, self.waiting.popleft())
-                elif self._wants_connection() and self.core.makes_room():
+                elif self._wants_connection() and self.core.make_room():
                     self._connect()
                 elif (
                     not self.connections
-                ):  # no descriptor is left, and no connection that could carry it later
+                ):  # no descriptor is left, and no connection could carry the call later
                     self._end(call, send_outcome.of_crowding())
                 else:
                     break
@@ -177,7 +179,7 @@
             self.pumping = False
 
     def _wants_connection(self) -> bool:
-        """Return whether more calls are queued than connections are coming up, and another one may."""
+        """Return whether more calls are queued than connections are connecting, and another may connect."""
         return self.connecting < min(len(self.waiting), connection_pool.MOST_CONNECTING)
 
     def _encode(self, call: NodeCall) -> bytes:
@@ -185,7 +187,7 @@
         if isinstance(content, bytes):
             return content
         if content is None or call.deadline is None:
-            raise TypeError(f"call {call.activation} has left, or has no deadline")
+            raise TypeError(f"can't encode call {call.activation}: it has left, or has no deadline")
         patience = max(1, (call.deadline - self.core.now()) // MS)
         namespace_type, key, body = content
         return worker_protocol.encode_run(call.activation, namespace_type, call.function, patience, key, body)
@@ -198,12 +200,12 @@
         connection_pool.remember(connection, call.activation)
         connection.last_call = call
         connection.last_write_at = self.core.now()
-        self.connections.remove(connection)  # the last used is at the end
+        self.connections.remove(connection)  # keep the last used one at the end
         self.connections.append(connection)
         try:
             written = connection.stream.write(frame)
         except (StreamClosedError, StreamBufferFullError):
-            self.core.loop.call_soon(self._lost, connection, "closed under a call")
+            self.core.loop.call_soon(self._lost, connection, "closed while a call was written")
             return
         if connection.stream.writing():
             written.add_done_callback(lambda _: self.pump())
@@ -215,22 +217,22 @@
         with contextlib.suppress(StreamClosedError, StreamBufferFullError):
             connection.stream.write(worker_protocol.encode_cancel(call.activation))
 
-    # The connections.
+    # Connections
     def _connect(self) -> None:
         if self.address is None:
-            raise TypeError(f"the address of {self.worker} is not known")
+            raise TypeError(f"can't connect to {self.worker}: its address is unknown")
         buffer_size = resource_limits.FRAME * READ_BUFFER_FRAMES
         try:
             stream = Stream(
                 sockets.fresh(self.address[0]), max_buffer_size=buffer_size, read_chunk_size=READ_SIZE
             )
-        except OSError:  # no descriptor after all: nothing was sent
+        except OSError:  # no descriptor is left after all; nothing was sent
             self._end(self.waiting[0], send_outcome.of_crowding())
             return
         connection = WorkerConnection(stream, self.core.now())
         self.connections.append(connection)
         self.connecting += 1
-        self.core.opened()
+        self.core.connection_opened()
         connection.connect_timer = self.core.loop.call_later(
             self.terms.connect_within / SECOND, self._lost, connection, "not made in time"
         )
@@ -241,9 +243,9 @@
         self._lost(connection, reason)
 
     async def _read(self, connection: WorkerConnection, address: Address) -> None:
-        """Connect, and handle what the worker answers until an error ends that."""
+        """Connect, and handle the answers of the worker until an error ends the connection."""
         await connection.stream.connect(address)
-        if connection.connect_timer is None:  # it was given up meanwhile
+        if connection.connect_timer is None:  # the connection was given up meanwhile
             return
         self._on_connected(connection)
         reader = worker_protocol.AnswerReader(resource_limits.FRAME)
@@ -260,22 +262,22 @@
         self.pump()
 
     def _stop_connect_timer(self, connection: WorkerConnection) -> None:
-        """Note that a connection is no longer coming up."""
+        """Note that a connection is no longer connecting."""
         if connection.connect_timer is not None:
             connection.connect_timer.cancel()
             connection.connect_timer = None
             self.connecting -= 1
 
     def _lost(self, connection: WorkerConnection, why: str) -> None:
-        """Close a connection, and end what is in flight on it; without effect if that was done before."""
+        """Close a connection and end the calls in flight on it; has no effect on a closed one."""
         if connection not in self.connections:
             return
         self.connections.remove(connection)
         connection.stream.close()
-        self.core.closed()
+        self.core.connection_closed()
         if not connection.up:
             self._stop_connect_timer(connection)
-            if self.waiting:  # one call ends for one connection that was not made
+            if self.waiting:  # one call ends for each connection that was not established
                 self._end(self.waiting[0], send_outcome.of_loss(QUEUED))
         if connection.open or not connection.up:
             self.counts.lost += 1
@@ -286,14 +288,14 @@
         self.pump()
 
     def give_up(self, why: str) -> None:
-        """Close all connections; what is in flight on them ends."""
+        """Close all connections and end the calls in flight on them."""
         for connection in list(self.connections):
             self._lost(connection, why)
 
     def check(self, now: int) -> bool:
-        """Look for what is overdue at `now` (ns); return whether this has to be called again."""
+        """End calls that are overdue at `now` (ns); return whether this must be called again."""
         for connection in [each for each in self.connections if each.has_stalled(now, WRITE_TIMEOUT)]:
-            if not self.core.behind():  # else it may be this side that did not write
+            if not self.core.is_behind():  # otherwise this side may not have written
                 self._lost(connection, "it does not read")
         for call in self._expired_attempts(now):
             self.late(call.activation, call.number)
@@ -307,46 +309,46 @@
         """Close the connection of a call that timed out, if it is idle and nothing was read since."""
         connection = call.connection
         if connection is not None and connection.last_read_at <= call.made_at and not connection.open:
-            self._lost(connection, "nothing was heard in time")
+            self._lost(connection, "no answer in time")
 
     def close_expired(self, now: int) -> None:
-        """Close the connections that have been idle for too long at `now` (ns)."""
+        """Close the connections that have exceeded their idle timeout at `now` (ns)."""
         for connection in [each for each in self.connections if each.has_expired(now, self.terms.idle)]:
             self._lost(connection, "idle")
 
-    def idle_connection(self) -> WorkerConnection | None:
+    def longest_idle_connection(self) -> WorkerConnection | None:
         """Return the connection that has been idle longest, or None."""
         return next((connection for connection in self.connections if connection.is_idle()), None)
 
     def close_idle(self) -> bool:
         """Close the connection that has been idle longest; return whether there was one."""
-        connection = self.idle_connection()
+        connection = self.longest_idle_connection()
         if connection is not None:
-            self._lost(connection, "its descriptor is needed")
+            self._lost(connection, "closed to free its descriptor")
         return connection is not None
 
-    # Reading.
+    # Reading
     def _on_answer(self, connection: WorkerConnection, answer: worker_protocol.Answer) -> None:
         call: NodeCall | None = connection.open.get(answer.tag)
-        if call is None:  # its wait has ended, or it was never made
+        if call is None:  # the call has ended, or was never made
             self.counts.unexpected_answers += 1
             return
         self.counts.answered += 1
         is_completed = answer.code == EndReason.COMPLETED
         if not is_completed:
-            reason = str(answer.code.value)  # the log takes only plain strings as names
+            reason = str(answer.code.value)  # the log accepts only plain strings as keys
             self.ends[reason] = self.ends.get(reason, 0) + 1
         note: int = answer.note
         if call.kind == LOAD_ORDER:
             note = answer.copies
-        elif is_completed and note == CopyNote.LOAD_FAILED:  # what has run was loaded
+        elif is_completed and note == CopyNote.LOAD_FAILED:  # a completed attempt had a loaded copy
             note = CopyNote.NOTHING
         self._end(call, answer.code, note, answer.body, answer.report)
 
     def _end(
         self, call: NodeCall, code: EndReason, note: int = 0, body: bytes = b"", gauge: Gauge | None = None
     ) -> None:
-        """As in `Calls`; what is queued may follow on the connection."""
+        """End a call as in `Calls`; then write queued calls, which may use its connection."""
         connection = call.connection
         if connection is not None and connection.open.get(call.activation) is call:
             del connection.open[call.activation]
--- a/petrelwood/node/worker_connection.py
+++ b/petrelwood/node/worker_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a worker on the platform's wire, and what is in flight on it."""
+"""One connection to a worker with the platform's protocol, and the calls in flight on it."""
 
 import asyncio
 from typing import Any, NamedTuple
@@ -8,15 +8,15 @@
 
 
 class RunContent(NamedTuple):
-    """What an attempt tells its worker beside its id, its function and the time left."""
+    """The content of an attempt besides its id, its function and the time left."""
 
     namespace_type: str
-    idempotency_key: str  # the client's, "" for none
+    idempotency_key: str  # the key of the client, or ""
     body: bytes
 
 
 NodeCall = Call[RunContent | bytes, "WorkerConnection"]
-"""A call of a link. What an attempt is made of when it leaves; of other calls the frame."""
+"""A call of a link. Its content is a `RunContent` for an attempt, and the encoded frame for other calls."""
 
 
 class WorkerConnection:
@@ -24,13 +24,13 @@
 
     Attributes:
         stream: The connection itself.
-        up: Whether it is made.
-        open: The calls in flight on it, by the id that they have on the wire.
-        carried: The last ids that it has carried, oldest first.
-        last_read_at: When something was last read from it, or it was begun, in ns.
-        connect_timer: Gives it up if it is not made in time; None once it is made, or given up.
+        up: Whether the connection is established.
+        open: The calls in flight, by their ids on the wire.
+        carried: The ids of the last calls, oldest first.
+        last_read_at: When data was last read, initially when connecting began (ns).
+        connect_timer: Gives up connecting after a timeout; None once that has succeeded or failed.
         last_call: The call that was written last.
-        last_write_at: When that was, or when it was begun, in ns.
+        last_write_at: When it was written, initially when connecting began (ns).
     """
 
     __slots__ = (
@@ -47,7 +47,8 @@
     def __init__(self, stream: Stream, now: int) -> None:
         self.stream = stream
         self.up = False
-        # of `NodeCall`; `connection_pool.Connection` has a dict of objects, and no other dict is one
+        # values are `NodeCall`s; `connection_pool.Connection` has values of type object, and dict is
+        # invariant
         self.open: dict[str, Any] = {}
         self.carried: dict[str, bool] = {}
         self.last_read_at = now
@@ -56,20 +57,20 @@
         self.last_write_at = now
 
     def has_unsent(self, call: NodeCall) -> bool:
-        """Return whether the kernel has not taken all of a call's frame yet."""
+        """Return whether a part of the call's frame has not been taken by the kernel yet."""
         return self.last_call is call and self.stream.writing()
 
     def has_stalled(self, now: int, timeout: int) -> bool:
-        """Return whether the kernel has not taken all that was written over `timeout` ns ago."""
+        """Return whether data that was written over `timeout` ns ago has not been taken by the kernel yet."""
         return self.stream.writing() and now - self.last_write_at > timeout
 
     def is_idle(self) -> bool:
-        """Return whether it is made, and nothing is in flight on it."""
+        """Return whether the connection is established and no call is in flight on it."""
         return self.up and not self.open
 
     def has_expired(self, now: int, idle_timeout: int) -> bool:
-        """Return whether it has been idle for more than half of the worker's idle timeout (ns; 0: none).
+        """Return whether it has been idle for over half of the worker's idle timeout (ns; 0: none).
 
-        Then it is closed on this side: an attempt that is written as its worker closes it may have run.
+        This side then closes it, because an attempt that is written while the worker closes it may have run.
         """
         return self.up and not self.open and 0 < idle_timeout < 2 * (now - self.last_read_at)
--- a/petrelwood/node/worker_protocol.py
+++ b/petrelwood/node/worker_protocol.py
@@ -1,6 +1,6 @@
-"""The protocol between dispatcher and worker: JSON objects, one a line, each way. Free of I/O.
+"""The protocol between dispatcher and worker: one JSON object per line in each direction. Free of I/O.
 
-FN, KILL, TOP, SPAWN out;  HIT, NONE, SHED, FAULT, LATE, PONG, SICK in
+Commands: FN, KILL, TOP, SPAWN. Answers: HIT, NONE, SHED, FAULT, LATE, PONG, SICK.
 """
 
 import binascii
@@ -22,7 +22,7 @@
     "PONG": ports.EndReason.COMPLETED,
     "SICK": ports.EndReason.ERROR,
 }
-"""What an answer proves. A worker that says anything else does not speak the protocol."""
+"""The end reason of each type of answer; any other type is malformed."""
 
 COPY_NOTES = {
     "warm": ports.CopyNote.FOUND_WARM,
@@ -31,22 +31,22 @@
     "load_failed": ports.CopyNote.LOAD_FAILED,
 }
 
-RUN_OVERHEAD = 192  # bytes of a run command beside its body, about
+RUN_OVERHEAD = 192  # the approximate size of a run command without its body, in bytes
 
 
 class MalformedAnswerError(ProtocolError):
-    """The worker does not speak the protocol; nothing that follows on the connection can be read."""
+    """A malformed answer; the data after it on the connection can't be read."""
 
 
 class Answer(NamedTuple):
     """One answer of a worker."""
 
-    tag: str  # the id of the command that it answers
+    tag: str  # the id of the answered command
     code: ports.EndReason
     note: ports.CopyNote
     copies: int  # loaded copies, in the answer to a load order
     body: bytes
-    report: dict[str, float] | None  # under the module's field names
+    report: dict[str, float] | None  # the load report, with the decision module's field names
 
 
 def encode_run(
@@ -55,12 +55,12 @@
     """Return the command to run a function.
 
     Args:
-        tag: the id under which the worker answers.
+        tag: the id of the command, which the answer repeats.
         namespace_type: the type of the function's namespace.
-        function: its id.
-        patience: ms that the dispatcher will wait.
-        idempotency_key: the client's, "" for none.
-        body: what the client sent.
+        function: the id of the function.
+        patience: the time that the dispatcher will wait (ms).
+        idempotency_key: the key of the client, or "".
+        body: the body of the client's request.
     """
     meta = {"sort": namespace_type, "asset": function, "patience": patience}
     if idempotency_key:
@@ -70,7 +70,7 @@
 
 
 def run_size(body: bytes) -> int:
-    """Return the size of a run command in bytes, about."""
+    """Return the approximate size of a run command in bytes."""
     return RUN_OVERHEAD + (len(body) + 2) // 3 * 4
 
 
@@ -80,12 +80,12 @@
 
 
 def encode_health_check(tag: str) -> bytes:
-    """Return the command that asks for health and a load report."""
+    """Return the command that requests a health check and a load report."""
     return orjson.dumps({"type": "TOP", "req": tag}) + b"\n"
 
 
 def encode_load_order(tag: str, function: str, copies: int) -> bytes:
-    """Return the command to have at least so many copies of a function loaded."""
+    """Return the command to have at least `copies` copies of a function loaded."""
     return orjson.dumps({"type": "SPAWN", "req": tag, "meta": {"asset": function, "pods": copies}}) + b"\n"
 
 
@@ -96,15 +96,15 @@
         try:
             found[name] = float(value)
         except ValueError as error:
-            raise MalformedAnswerError("a report that is no report") from error
+            raise MalformedAnswerError("the load report is malformed") from error
     return load_report(found)
 
 
 def decode_answer(line: bytes) -> Answer:
-    """Return the answer in a line, which is given without its end.
+    """Return the answer in a line without its newline.
 
     Raises:
-        MalformedAnswerError: it is no answer.
+        MalformedAnswerError: the line is not a valid answer.
     """
     try:
         raw = orjson.loads(line)
@@ -112,7 +112,7 @@
         meta = raw.get("meta") or {}
         data = raw.get("data")
         if not isinstance(tag, str):
-            raise MalformedAnswerError("an answer without a tag")
+            raise MalformedAnswerError("the answer has no tag")
         report = meta.get("l")
         return Answer(
             tag,
@@ -124,25 +124,25 @@
         )
     # the errors of orjson and of base64 are ValueErrors
     except (KeyError, TypeError, ValueError, AttributeError, RecursionError) as error:
-        raise MalformedAnswerError(f"not an answer: {error!r}") from error
+        raise MalformedAnswerError(f"the line is not an answer: {error!r}") from error
 
 
 class AnswerReader:
-    """Splits what a worker sends into answers; `longest_line` in bytes."""
+    """Splits the data from a worker into answers; `max_line_size` in bytes."""
 
-    def __init__(self, longest_line: int) -> None:
-        self.longest_line = longest_line
-        self.rest = b""  # a line whose end has not come yet
+    def __init__(self, max_line_size: int) -> None:
+        self.max_line_size = max_line_size
+        self.partial_line = b""  # the received part of an incomplete line
 
     def feed(self, data: bytes) -> Iterator[Answer]:
-        """Yield the answers that are complete with `data`.
+        """Yield the answers that `data` completes.
 
         Raises:
-            MalformedAnswerError: a line is no answer, or too long. The answers before it are good.
+            MalformedAnswerError: a line is malformed or too long. The answers before it are valid.
         """
-        lines = (self.rest + data if self.rest else data).split(b"\n")
-        self.rest = lines.pop()
+        lines = (self.partial_line + data if self.partial_line else data).split(b"\n")
+        self.partial_line = lines.pop()
         for line in lines:
             yield decode_answer(line)
-        if len(self.rest) > self.longest_line:
-            raise MalformedAnswerError("a line without end")
+        if len(self.partial_line) > self.max_line_size:
+            raise MalformedAnswerError("the line is too long")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -360,7 +360,7 @@
                         gone.call(ask(fn=1))
                         await site.until(lambda: site.node.events.waiting)
                         gone.close(how)
-                        await site.until(lambda: not any(c.open for c in site.node.front.clients))
+                        await site.until(lambda: not any(c.open_requests for c in site.node.front.clients))
                     kept = ask(fn=1)
                     stays.call(kept)
                     await site.until(worker.runs)
@@ -595,7 +595,7 @@
             # until what it does not read has filled both buffers: a busy machine turns some away in few bytes
             for _ in range(100):
                 bad.call(ask(fn=1), b"z" * resource_limits.MAX_BODY)
-                await site.until(lambda: not there.open and there.requested)
+                await site.until(lambda: not there.open_requests and there.requested)
                 await asyncio.sleep(0.05)
                 if there.stream.writing():
                     break
--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -291,7 +291,7 @@
         async with site:
             await site.served()
             _, now = await site.looks(LOOKS)
-            self.assertLess(sum("can't be asked" in line for line in site.log), 3)
+            self.assertLess(sum("can't query the roster" in line for line in site.log), 3)
             site.write(names=f"127.0.0.1:{self.second.port}")
             site.process.send_signal(signal.SIGHUP)
             await site.until(lambda: self.second.asked, SLOW)
--- a/tests/test_restart_readiness.py
+++ b/tests/test_restart_readiness.py
@@ -41,7 +41,7 @@
 nodes, waits, inner = [], [], selectors.EpollSelector.select
 
 def select(self, timeout=None):
-    ready = nodes and nodes[0].serves()
+    ready = nodes and nodes[0].is_ready()
     if ready and nodes[1:] == []:
         nodes.append("told")
         os.write(2, json.dumps({"waits": len(waits)}).encode() + b"\\n")
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -130,7 +130,7 @@
             chatty, rests = Caller(site.address), Caller(site.address)
             rests.sock.sendall(msgpack.packb([0, 1, "health", [{}]]))
             await site.until(rests.read)
-            with mock.patch.object(site.node.front, "quiet", lambda: False):
+            with mock.patch.object(site.node.front, "is_quiescent", lambda: False):
                 ending = asyncio.ensure_future(site.node.close())
                 await site.until(lambda: rests.read() is not None and rests.ended)
                 self.assertIsNotNone(site.node.front.listener.sock)  # it still listens
--- a/tests/test_worker_connections.py
+++ b/tests/test_worker_connections.py
@@ -19,10 +19,10 @@
             chosen.answer(chosen.runs()[0])
             await site.until(client.read)
             node = site.node
-            loser, taker = node.node_links[chosen.name], node.node_links[other.name]
-            await site.until(loser.idle_connection)
+            loser, taker = node.links_by_worker[chosen.name], node.links_by_worker[other.name]
+            await site.until(loser.longest_idle_connection)
             node.resource_limits.workers = node.worker_connections
-            self.assertIsNone(taker.idle_connection())
+            self.assertIsNone(taker.longest_idle_connection())
             with mock.patch.object(node, "may_send", lambda activation, link: False):
                 client.call(ask(fn=1, ttl=3900))
                 await site.until(lambda: loser.waiting)  # beside its idle connection
