--- a/petrelwood/node/roster_protocol.py
+++ b/petrelwood/node/roster_protocol.py
@@ -142,7 +142,7 @@
         or len(labels) < MIN_TARGET_LABELS
         or record.priority not in STATE_OF_PRIORITY
     ):
-        raise UnusableAnswerError(f"a record of {target} is missing or has an unknown state")
+        raise UnusableAnswerError(f"missing record or unknown state of {target}")
     try:
         return Endpoint(
             labels[0].decode(),
--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -267,9 +267,9 @@
     def standing(self) -> StandingFields:
         """Return the fields of the regular log line, and reset the counts of call ends in the links."""
         counts = self.pending.counts
-        snapshot = self.scheduler.snapshot()
+        estimates = self.scheduler.snapshot()
         clients = len(self.front.clients)
-        return standing_fields(counts, self.intake.unanswered, snapshot, self.links_by_worker, clients)
+        return standing_fields(counts, self.intake.unanswered, estimates, self.links_by_worker, clients)
 
     def figures(self) -> dict[str, object]:
         """Return all counts, for logs and tests."""
