--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -126,7 +126,7 @@
         self._drop_unsent(activation, attempt, "the activation ended before its command was fully written")
 
     def late(self, activation: str, attempt: int) -> None:
-        """End an attempt as in `Calls`; close a connection that is unresponsive or has a partly sent frame."""
+        """End an attempt as in `Calls`; close a connection that is unresponsive or has a partly sent one."""
         self._drop_unsent(activation, attempt, "the deadline passed before its command was fully written")
         call = self.runs.get((activation, attempt))
         super().late(activation, attempt)
