--- a/tests/node_site.py
+++ b/tests/node_site.py
@@ -1,5 +1,5 @@
-"""A small platform for `petrelwood.node` on loopback: workers in JSON lines, a roster by DNS, clients; all
-scripted, all of our own."""
+"""A small platform for `petrelwood.node` on loopback, with scripted peers: workers that speak JSON lines, a
+roster that answers DNS queries, and clients."""
 
 import asyncio
 import base64
@@ -82,8 +82,10 @@
 
 
 class Worker:
-    """Answers at once what it is told to; `runs` are the ids that it has run, in order. `script(worker,
-    line)` may return bytes, None (the usual answer) or b"" (none); it may be async."""
+    """A worker that answers at once. `runs`: the ids of the activations that it ran, in order.
+
+    `script(worker, command, writer)` may replace the answer to a run: it returns a dict or bytes,
+    None for the usual answer or b"" for no answer, and may be async."""
 
     def __init__(self, name, script=None):
         self.name, self.script, self.runs, self.meta, self.kills, self.orders, self.probes = (
@@ -149,13 +151,13 @@
 
 
 def hit(said, body=None):
-    """The usual answer of a worker to a request."""
+    """Return the usual answer of a worker to a command."""
     data = said["data"] if body is None else base64.b64encode(body).decode()
     return {"type": "HIT", "req": said["req"], "meta": {"n": "warm"}, "data": data}
 
 
 class Roster(asyncio.DatagramProtocol):
-    """`rewrite(wire)`: what goes out instead, or None for nothing."""
+    """A roster that answers DNS queries. `rewrite(wire)` returns the answer to send instead, or None."""
 
     def __init__(self):
         self.serial, self.entries, self.asked, self.rewrite, self.port, self.transport = (
@@ -190,7 +192,7 @@
 
 
 def answer(asked, serial, entries):
-    """The whole list as the roster's bytes."""
+    """Return the answer of the roster to a query, with the complete list."""
     reply = dns.message.make_response(dns.message.from_wire(asked))
     reply.flags |= dns.flags.AA
     name = "_api._tcp.svc.local."
@@ -210,7 +212,9 @@
 
 
 class Client:
-    """One connection; `call` waits for its answer: ("completed", body), (word, fields) or ("lost", None)."""
+    """One client connection. `call` returns ("completed", body), (error, fields) or ("lost", None).
+
+    `unexpected`: answers to requests that were not open."""
 
     def __init__(self, address):
         self.address, self.last, self.waiting, self.unexpected, self.reader, self.writer = (
@@ -276,7 +280,7 @@
 
 
 def ask(fn=1, ttl=2000, **more):
-    """A request's fields with a new id."""
+    """Return the fields of a request, with a new id."""
     return {
         "call": f"{next(NUMBER):016x}",
         "ttl": str(ttl),
@@ -289,7 +293,7 @@
 
 
 class Site:
-    """`async with Site(workers) as site`: a dispatcher by `python -m petrelwood.node` among them."""
+    """A dispatcher process, `python -m petrelwood.node`, among scripted peers: `async with Site(workers)`."""
 
     def __init__(self, workers, sockets=256, memory=64, **settings):
         self.workers, self.roster, self.limits, self.settings = (
@@ -301,7 +305,7 @@
         self.process, self.log, self.folder = None, [], tempfile.TemporaryDirectory()
 
     async def __aenter__(self):
-        # what earlier tests have left is not looked through while the workers here should answer
+        # exclude the objects of earlier tests from collections, which would delay the workers here
         gc.collect()
         gc.freeze()
         await self.roster.open()
@@ -347,7 +351,7 @@
         path = pathlib.Path(self.folder.name) / "config.json"
         part = path.with_suffix(".part")
         part.write_text(json.dumps(told))
-        return part.replace(path)  # whole at any moment: who reads it may do so now
+        return part.replace(path)  # atomic, because the dispatcher may be reading the file
 
     def environ(self, path):
         return {
@@ -372,7 +376,7 @@
         return await Client(self.address).open()
 
     async def until(self, what, within=10):
-        """Waits for a condition; fails if it does not come."""
+        """Wait until a condition holds; fail after `within` seconds or when the dispatcher has ended."""
         end = time.monotonic() + within
         while not what():
             if time.monotonic() > end or self.process.returncode is not None:
@@ -380,14 +384,14 @@
             await asyncio.sleep(0.01)
 
     def figures(self):
-        """(bytes of memory, descriptors) of the dispatcher."""
+        """Return the memory (bytes) and the number of descriptors of the dispatcher."""
         at = pathlib.Path(f"/proc/{self.process.pid}")
         return int((at / "statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE"), len(
             list((at / "fd").iterdir())
         )
 
     async def stop(self, within=6):
-        """SIGTERM; the exit status."""
+        """Send SIGTERM and return the exit status."""
         self.process.terminate()
         return await asyncio.wait_for(self.process.wait(), within)
 
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,5 +1,5 @@
-"""What the operators' platform builds and starts by `deploy/balancer.toml`: a build that was cut short, one
-process, nothing written."""
+"""The build and run commands of `deploy/balancer.toml`: an interrupted build is repeated, and a run is a
+single process that writes no files."""
 
 import os
 import pathlib
@@ -78,13 +78,13 @@
                 ("/bin/sh", "-c", DEPLOY["run"]),
                 TMPDIR=str(temporary),
                 PYTHONDONTWRITEBYTECODE="",
-                # no byte code is at hand there: it would be written anew
+                # the folder has no byte code yet, so it would be written
                 PYTHONPYCACHEPREFIX=str(temporary),
             )
             client = await site.client()
             self.assertEqual((await client.call(body=b"x"))[0], "completed")
             at = pathlib.Path(f"/proc/{site.process.pid}")
-            self.assertIn("petrelwood.node", (at / "cmdline").read_text())  # the shell has given way to it
+            self.assertIn("petrelwood.node", (at / "cmdline").read_text())  # the shell was replaced
             self.assertEqual([(task / "children").read_text() for task in (at / "task").iterdir()], [""])
             self.assertIn("/libc.so", (at / "maps").read_text())
             self.assertEqual((stamps(), list(temporary.iterdir())), (before, []))
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -1,7 +1,7 @@
-"""Every request that was read gets its final answer, whatever becomes of its connection or of its neighbours:
-faults of its own client, too many clients, answers that nobody reads, a loop that is held up again and again.
+"""Every request that was read gets its final answer despite faults of its client, too many clients, unread
+answers or an event loop that is blocked repeatedly.
 
-Moments are forced as in `test_crossings`."""
+The test forces each race, as in `test_crossings`."""
 
 import asyncio
 import base64
@@ -23,8 +23,8 @@
 from petrelwood.node import front as node_front
 
 
-def wrongs(first, count):
-    """Requests of a class that there is not."""
+def invalid_requests(first, count):
+    """Return requests with an unknown namespace type as their method."""
     return b"".join(msgpack.packb([0, first + n, "nothing", [{}, b""]]) for n in range(count))
 
 
@@ -34,8 +34,8 @@
 
 class BadNeighboursOnTheSameConnection(unittest.IsolatedAsyncioTestCase):
     async def test_good_requests_open_when_the_faults_are_too_many(self):
-        """One is at its worker, one is held, one comes with the last fault, and one behind it.
-        Guards against a connection that is closed for its faults while requests are open."""
+        """Guards against closing a connection for its faults while requests are open: one is at its worker,
+        one is queued, one arrives with the last fault and one after it."""
         worker = ManualWorker("s-1")
         async with InProcessSite([worker]) as site:
             client = Caller(site.address)
@@ -44,7 +44,7 @@
             await site.until(worker.runs)
             client.call(ask(fn=1, facts=one_lane))
             await site.until(lambda: site.node.intake.unanswered == 2)
-            client.sock.sendall(wrongs(100, resource_limits.MAX_FAULTS) + call(3, ask(fn=1)))
+            client.sock.sendall(invalid_requests(100, resource_limits.MAX_FAULTS) + call(3, ask(fn=1)))
             looks = site.node.check_count
             await site.until(lambda: site.node.check_count > looks + 3)
             client.sock.sendall(call(4, ask(fn=1)))
@@ -55,11 +55,11 @@
             await site.until(lambda: {1, 2, 3, 4} <= set(client.read()) or client.ended)
             words = [client.answers[number][0] for number in (1, 2, 3, 4)]
             self.assertEqual(words, ["completed", "completed", "Throttled", "Throttled"])
-            await site.until(lambda: client.read() and client.ended)  # and then it is ended
+            await site.until(lambda: client.read() and client.ended)  # then the connection is closed
             self.assertEqual(client.ended, "end")
 
     async def test_good_requests_open_when_something_can_not_be_read(self):
-        """Guards against a connection that is closed at once for noise or a second request of one number."""
+        """Guards against closing a connection at once after noise or a request with an open message id."""
         noise = b"\xc1\xc1\xc1" + b"\x00" * 40_000
         for what, data in (("noise", noise), ("an open number", call(1, ask(fn=5)))):
             with self.subTest(what):
@@ -85,7 +85,7 @@
             self.assertLessEqual(site.node.check_count, looks + 1)
 
     async def test_a_request_that_stays_half_beside_good_ones(self):
-        """Guards against a connection that is closed as too slow while another request is open."""
+        """Guards against closing a connection with a partial request while another request is open."""
         worker = ManualWorker("s-1")
         with mock.patch.object(resource_limits, "REQUEST_TIMEOUT", 100_000_000):
             async with InProcessSite([worker]) as site:
@@ -101,7 +101,7 @@
                 await site.until(lambda: client.read() and client.ended)
 
     async def test_a_defect_in_reading_one_request(self):
-        """Guards against a defect in one request that costs the others on its connection."""
+        """Guards against an internal error in one request that affects the others on its connection."""
         worker = ManualWorker("s-1")
         async with InProcessSite([worker]) as site:
             client = Caller(site.address)
@@ -118,7 +118,7 @@
 
 class TooManyClients(unittest.IsolatedAsyncioTestCase):
     async def test_a_new_connection_where_all_others_have_open_requests(self):
-        """It has a request in it, and gets a refusal: the text before closed it over the request."""
+        """Guards against closing a new connection beyond the limit before its request is rejected."""
         worker = ManualWorker("s-1")
         async with InProcessSite([worker]) as site:
             site.node.resource_limits.clients = 2
@@ -142,7 +142,7 @@
                 client.close()
 
     async def test_a_newcomer_for_which_a_rejected_client_could_be_closed(self):
-        """Guards against a client beyond the limit that is admitted as another one beyond it was closed."""
+        """Guards against admitting a client beyond the limit because another one beyond it was closed."""
         worker = ManualWorker("s-1")
         async with InProcessSite([worker]) as site:
             busy = await self.fill(site, worker, 2)
@@ -154,7 +154,7 @@
                 client.close()
 
     async def test_a_rejected_client_stays_connected_while_closing_it_would_not_help(self):
-        """Guards against an idle connection that is closed though the newcomer is rejected all the same."""
+        """Guards against closing an idle connection although the new client is rejected all the same."""
         worker = ManualWorker("s-1")
         async with InProcessSite([worker]) as site:
             busy = await self.fill(site, worker, 2)
@@ -169,7 +169,7 @@
                 client.close()
 
     async def test_several_idle_clients_make_room_together(self):
-        """Guards against a client that is rejected though enough idle connections could be closed for it."""
+        """Guards against rejecting a client although enough idle connections could be closed for it."""
         worker = ManualWorker("s-1")
         async with InProcessSite([worker]) as site:
             busy = await self.fill(site, worker, 2)
@@ -192,7 +192,7 @@
                 client.close()
 
     async def fill(self, site, worker, limit):
-        """Let as many clients as the limit allows have a request open at the worker."""
+        """Open as many clients as the limit allows, each with a request at the worker; return them."""
         site.node.resource_limits.clients = limit
         busy = [Caller(site.address) for _ in range(limit)]
         for client in busy:
@@ -201,7 +201,7 @@
         return busy
 
     async def rejected(self, site, worker):
-        """Return a client that came beyond the limit, once it was rejected and its connection is at rest."""
+        """Return a client beyond the limit, once its request was rejected and its connection is idle."""
         runs = len(worker.runs())
         client = Caller(site.address)
         client.call(ask(fn=1, ttl=3900))
@@ -212,7 +212,7 @@
         return client
 
     async def all_at_rest(self, site, busy):
-        """Wait until each connection but the busy ones could be closed without loss."""
+        """Wait until every connection except the busy ones could be closed without losing data."""
         front = site.node.front
         await site.until(
             lambda: (
@@ -222,7 +222,7 @@
         )
 
     async def test_a_client_beyond_the_limit_is_admitted_once_the_limit_holds_it(self):
-        """Guards against a connection that counts itself as another one that takes its place."""
+        """Guards against counting a connection against itself when capacity becomes free for it."""
         worker = ManualWorker("s-1")
         async with InProcessSite([worker]) as site:
             leaves, stays = await self.fill(site, worker, 2)
@@ -238,7 +238,7 @@
             stays.close(), guest.close()
 
     async def test_room_is_made_only_for_who_has_come(self):
-        """Guards against a front that closes a connection for a client before one has come."""
+        """Guards against closing an idle connection before a new client has connected."""
         async with InProcessSite([]) as site:
             site.node.resource_limits.clients = 2
             clients = []
@@ -251,7 +251,8 @@
                 client.close()
 
     async def test_more_than_room_and_guests_wait_to_be_accepted(self):
-        """Guards against a newcomer that is closed, or polled for, while silent guests fill what is spare."""
+        """Guards against closing, or polling for, a new client while silent ones use the spare
+        connections."""
         worker = ManualWorker("s-1")
         async with InProcessSite([worker]) as site:
             site.node.resource_limits.clients = 1
@@ -273,7 +274,7 @@
 
 class AnswersThatNobodyReads(unittest.IsolatedAsyncioTestCase):
     async def test_a_client_that_asks_on_and_reads_nothing(self):
-        """Guards against a client with requests open that is closed as it reads its answers late."""
+        """Guards against closing a client with open requests because it reads its answers late."""
         worker = ManualWorker("s-1")
         async with InProcessSite([worker]) as site:
             client = Caller(site.address)
@@ -320,10 +321,10 @@
 
 
 class HeldUpAgainAndAgain(unittest.IsolatedAsyncioTestCase):
-    """As on a machine that is short of processor time: each turn of the loop lasts long."""
+    """Each iteration of the event loop takes long, as on a machine that lacks processor time."""
 
     def strain(self, site, seconds):
-        """Each turn of the loop lasts so long, until the result is called."""
+        """Make each iteration of the event loop last `seconds`, until the returned function is called."""
         going = True
 
         def hold():
@@ -340,7 +341,7 @@
         return stop
 
     async def test_requests_still_leave_for_their_workers(self):
-        """Guards against sends that wait for as long as something is read in each turn of the loop."""
+        """Guards against sends that wait as long as data is read in every iteration of the event loop."""
         worker = ManualWorker("s-1")
         async with InProcessSite([worker]) as site:
             client, chatty = Caller(site.address), Caller(site.address)
@@ -371,7 +372,7 @@
             client.close(), chatty.close()
 
     async def test_what_is_due_is_answered_before_anything_new_is_taken(self):
-        """Guards against an answer that waits until all requests that lay unread are read."""
+        """Guards against a due answer that waits until all unread requests were read."""
         worker = ManualWorker("s-1")
         async with InProcessSite([worker]) as site:
             waits = Caller(site.address)
@@ -403,7 +404,7 @@
                 client.close()
 
     async def test_connections_that_would_wait_too_long_are_not_accepted(self):
-        """Guards against a long listen queue while the loop is late over and over, and a short one after."""
+        """Guards against a long listen queue while the loop is repeatedly late, and a short one later."""
 
         def connected(socks):
             poll = select.poll()
@@ -430,7 +431,7 @@
             self.assertEqual(connected(connect(site)), 100)
 
     async def test_accepting_does_not_keep_answers_waiting(self):
-        """Guards against answers that wait for connections which take long to accept."""
+        """Guards against answers delayed by connections that take long to accept."""
         async with InProcessSite([]) as site:
             made, most, turn = node_front.Stream, 0, []
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The dispatcher on the platform's protocol: codecs without I/O, then `python -m petrelwood.node` among
+"""The dispatcher with the platform's protocols: codecs without I/O, and `python -m petrelwood.node` with
 scripted peers on real sockets."""
 
 import asyncio
@@ -34,7 +34,8 @@
 
 class Codecs(unittest.TestCase):
     def test_a_reader_knows_whether_a_message_is_under_way(self):
-        """Found on rude (bench): a reader that held half a message was given to the next client."""
+        """Guards against reusing a reader that holds a partial message for another client (found by rude of
+        the bench)."""
         frame = rpc.request(1, "plain", [{"call": "a"}, b"x" * 50])
         for cut in range(1, len(frame)):
             reader = rpc.Reader(50_000, PARTS)
@@ -44,7 +45,7 @@
             self.assertTrue(reader.is_between_messages())
 
     def test_what_is_too_large_ends_before_much_of_it_is_held(self):
-        """All is told from the length that is announced."""
+        """Guards against buffering a message whose announced length is over the limit."""
         head = msgpack.packb([0, 1, "plain", []])[:-1] + b"\x92\x80"
         for bad, most in (
             (b"\xc6\x7f\xff\xff\xff", 0),
@@ -230,7 +231,7 @@
             list(reader.feed(b"x" * 101))
 
     def test_log_lines_take_members_of_enums(self):
-        """Also as keys, as in the `ends` of `standing`."""
+        """Enum members are also written as keys, as in the `ends` of `standing`."""
         out = io.StringIO()
         JsonLogger(out).info("standing", ends={"s-1": {ports.EndReason.FULL: 2}}, code=ports.EndReason.ERROR)
         line = json.loads(out.getvalue())
@@ -405,8 +406,8 @@
         site.folder.cleanup()
 
     def test_each_setting_is_held_to_its_shape(self):
-        """Read without a look at its shape a text times 1000 is a long text, and an unknown word is one of
-        the known."""
+        """Guards against settings of the wrong type: a string times 1000 is a long string, and an unknown
+        word could be taken for a known one."""
 
         def decoded(change):
             raw = copy.deepcopy(SETTINGS)
@@ -584,7 +585,7 @@
                     client = await site.client()
                     fields = ask(fn=1)
                     word, _ = await client.call(fields, type_="single")
-                    self.assertEqual(word, "Broken")  # once-only: it may have run
+                    self.assertEqual(word, "Broken")  # once-only, and it may have run
                     self.assertEqual(sum(w.runs.count(fields["call"]) for w in workers), 1)
                     self.assertEqual((await client.call(fn=1))[0], "completed")
                     client.close()
@@ -705,7 +706,7 @@
             early = [asyncio.ensure_future(client.call(fn=n % 6)) for n in range(20)]
             await client.health()
             site.process.terminate()
-            await asyncio.sleep(0.2)  # the platform still sends so long after it
+            await asyncio.sleep(0.2)  # the platform sends requests for this long after SIGTERM
             fresh = await site.client()
             late = [asyncio.ensure_future(c.call(fn=n % 6)) for n in range(6) for c in (client, fresh)]
             found = [await one for one in early + late]
@@ -714,8 +715,8 @@
             self.assertEqual(await asyncio.wait_for(site.process.wait(), 6), 0)
 
     async def test_memory_and_descriptors_stay_while_clients_and_workers_come_and_go(self):
-        """Found on churn (bench): circles of activations and sends, left to the collector, grew by 0.65 KB
-        each."""
+        """Guards against reference cycles of activations and sends, which leaked 0.65 KB each until the next
+        collection (found by churn of the bench)."""
         async with Site([Worker(f"s-{n}") for n in range(3)]) as site:
 
             async def turn(count):
--- a/tests/test_restart_readiness.py
+++ b/tests/test_restart_readiness.py
@@ -1,11 +1,10 @@
-"""Restarted dispatchers are ready within ten seconds: nine in ten of them, whatever discovery does.
+"""Nine in ten restarted dispatchers are ready within ten seconds, whatever service discovery does.
 
-Ready is who answers `health` with true. A machine that others keep busy adds the time that a process stands
-in line for a core; the kernel counts it (/proc/PID/schedstat), and it is taken off. What is left is the
-processor time that the start needs and all that it waits for otherwise, on any machine: so little that a
-quarter of a core is enough for the ten seconds. Besides, each dispatcher tells how often its loop has waited
-before it was ready (never: what it needs is in its configuration), and what a longer list costs is counted in
-calls of functions."""
+A dispatcher is ready when it answers `health` with true. On a busy machine a process also waits for a core;
+the kernel counts that time (/proc/PID/schedstat), and the test subtracts it. The rest is processor time and
+other waits of the start, and must be so short on any machine that a quarter of a core suffices for the ten
+seconds. Each dispatcher also reports how often its event loop waited before it was ready (never, because its
+configuration has all it needs). The cost of a longer list is counted in function calls."""
 
 import asyncio
 import contextlib
@@ -26,15 +25,15 @@
 from petrelwood.node import configuration
 from petrelwood.node.service import Node
 
-SLOW = 120  # s until a dispatcher that is not ready is called lost
-WITHIN = 10  # s until a restarted dispatcher has to be ready
-SHARE = 0.9  # of those that are restarted
-CORE = 0.25  # of a core, which a dispatcher has at least while it starts
-TOGETHER = 5  # dispatchers that are restarted at a time
-ENDS = (signal.SIGKILL, signal.SIGTERM)  # how each ends, and is started again after the first
-LIST = 1024  # workers that a long list holds
-BUSY, BUSY_FOR = 6, 25  # loops that keep the machine busy, and s after which each ends by itself
-CALLS_A_WORKER = 20  # calls of functions at a start for each worker in the list
+SLOW = 120  # seconds until a dispatcher that is not ready, or has not ended, fails the test
+WITHIN = 10  # seconds in which a restarted dispatcher must be ready
+SHARE = 0.9  # the minimum share of dispatchers that are ready in time
+CORE = 0.25  # the minimum share of a core that a dispatcher has while it starts
+TOGETHER = 5  # the number of dispatchers that are restarted at a time
+ENDS = (signal.SIGKILL, signal.SIGTERM)  # the signal that ends each start, in order
+LIST = 1024  # the number of workers in a long list
+BUSY, BUSY_FOR = 6, 25  # the number of loops that keep the machine busy, and the seconds until each ends
+CALLS_A_WORKER = 20  # the maximum number of function calls at a start per worker in the list
 LOOP = "import sys, time\nend = time.monotonic() + float(sys.argv[1])\nwhile time.monotonic() < end: pass"
 COUNTED = """
 import json, os, runpy, selectors, sys
@@ -64,7 +63,7 @@
 
 
 class Unchanged(Roster):
-    """Says, however long the list is, that nothing has happened since; or nothing."""
+    """A roster that reports no change whatever the length of the list, or is silent."""
 
     silent = False
 
@@ -75,14 +74,14 @@
 
 
 class Start:
-    """One start of a dispatcher, on an address of its own."""
+    """One start of a dispatcher on its own address."""
 
     def __init__(self, process, address, began):
         self.process, self.address, self.began = process, address, began
         self.took, self.own, self.waits = math.inf, math.inf, None
 
     async def ready(self):
-        """Asks for health until it is answered with true; notes what it took."""
+        """Poll `health` until the answer is true, and record the time that the start took."""
         while True:
             with contextlib.suppress(OSError, TimeoutError):
                 reader, writer = await asyncio.open_connection(*self.address)
@@ -100,13 +99,13 @@
             await asyncio.sleep(0.05)
 
     def _in_line(self):
-        """Seconds that it was ready to run and had no core."""
-        with contextlib.suppress(OSError):  # a kernel that does not count it
+        """Return the seconds for which the process was runnable without a core."""
+        with contextlib.suppress(OSError):  # the kernel does not count it
             return int(pathlib.Path(f"/proc/{self.process.pid}/schedstat").read_text().split()[1]) / 1e9
         return 0
 
     async def log(self):
-        """Reads it to the end of the process."""
+        """Read the log until the process ends."""
         async for line in self.process.stderr:
             if b'"waits"' in line:
                 self.waits = json.loads(line)["waits"]
@@ -117,7 +116,7 @@
         asyncio.get_running_loop().set_debug(False)
 
     async def site(self, workers, silent):
-        """A configuration with so many workers, of which one is there."""
+        """Return a site with `workers` configured workers, one of which exists."""
         site = Site([Worker("s-1")])
         site.roster = Unchanged()
         site.roster.silent = silent
@@ -133,7 +132,7 @@
 
     @staticmethod
     def addresses():
-        """Free ones."""
+        """Return `TOGETHER` free addresses."""
         return [("127.0.0.1", free_port()) for _ in range(TOGETHER)]
 
     async def start(self, site, address):
@@ -157,7 +156,7 @@
             process.kill()
 
     async def restarts(self, workers, silent):
-        """`TOGETHER` dispatchers, each started, killed and started again; their clients stay connected."""
+        """Start `TOGETHER` dispatchers, end them, and start them again while their clients stay connected."""
         site, addresses, starts = await self.site(workers, silent), self.addresses(), []
         site.address = addresses[0]
         self.path = site.write()
@@ -169,14 +168,14 @@
             for start in batch:
                 await asyncio.wait_for(start.process.wait(), SLOW)
                 await start.reading
-            for client in clients:  # they outlive their dispatcher
+            for client in clients:  # they stay open until after their dispatcher has ended
                 client.close()
             starts += batch
         return site, starts
 
     @staticmethod
     async def all_ready(batch):
-        """Waits until they are; connections to them that stay open."""
+        """Wait until all dispatchers are ready; return open connections to them."""
         await asyncio.gather(*(start.ready() for start in batch))
         return [socket.create_connection(s.address) for s in batch if s.process.returncode is None]
 
@@ -209,7 +208,7 @@
 
 class LongLists(unittest.IsolatedAsyncioTestCase):
     async def calls(self, workers):
-        """Calls of functions from the reading of the configuration until it is ready."""
+        """Return the number of function calls from reading the configuration until it is ready."""
         site, count = Site([]), 0
         site.roster.port = 9
         site.address = ("127.0.0.1", 0)
@@ -234,7 +233,8 @@
         return count
 
     async def test_each_worker_in_the_list_costs_the_same(self):
-        """A start of twice as many workers costs twice as much at most, which holds on any machine."""
+        """Twice the workers cost at most twice as much, in function calls, so that it holds on any
+        machine."""
         few, some, many = [await self.calls(n) for n in (LIST // 4, LIST // 2, LIST)]
         self.assertLessEqual(many - some, 2.2 * (some - few))
         self.assertLessEqual((many - few) / (LIST - LIST // 4), CALLS_A_WORKER)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,8 +1,8 @@
-"""SIGTERM while workers hang, and the kill as early as the platform may send it: the longest action timeout
-(3 s at most) plus 0.7 s later. Clients go on sending on their open connections until then.
+"""SIGTERM while workers hang, followed by SIGKILL as early as the platform may send it: after the longest
+action timeout (3 s at most) plus 0.7 s. Clients keep sending on their open connections until then.
 
-On the text before (668305e) the time until the kill ran from when the loop heard of the signal; see each test
-for what it fails on."""
+The fault behind these tests (up to 668305e): the dispatcher counted the time until the kill from when its
+event loop handled the signal. Each test says what it fails on."""
 
 import asyncio
 import contextlib
@@ -20,32 +20,32 @@
 
 SECOND = 1_000_000_000
 KINDS = ("plain", "marked", "single")
-STILL = 0.7  # s in which requests still come, and after which the longest timeout begins to run
-CROSSING = 0.05  # s in which a request may cross the close of its connection
-PATIENCE = 1.9  # of a client, in action timeouts
-EVERY = 0.02  # s between a client's requests
+STILL = 0.7  # seconds after SIGTERM in which requests still arrive; then the longest timeout begins
+CROSSING = 0.05  # seconds in which a request may cross the close of its connection
+PATIENCE = 1.9  # the patience of a client, in action timeouts
+EVERY = 0.02  # seconds between the requests of a client
 
 
 def hangs(*_):
-    """A worker's script that says nothing, ever."""
+    """The script of a worker that never answers."""
     return b""
 
 
 class Sender:
-    """A client that asks again and again on an open connection, and on a new one where it was closed."""
+    """A client that sends requests continually on one connection, and on a new one after it was closed."""
 
     def __init__(self, site, timeout):
         self.site, self.timeout = site, timeout
         self.answers, self.unanswered, self.refused = [], [], 0
 
     async def run(self, client, until):
-        """`client`: its open connection. Asks until that time (monotonic), then waits for what is open."""
+        """Send requests until `until` (monotonic), then wait for open ones; `client`: an open connection."""
         number, waiting = 0, []
         while time.monotonic() < until:
             if client.task.done():
                 try:
                     client = await Client(self.site.address).open()
-                except OSError:  # nobody listens any more: what is not taken is not lost
+                except OSError:  # the listener is closed: a request that was not accepted is not lost
                     self.refused += 1
                     await asyncio.sleep(EVERY)
                     continue
@@ -66,7 +66,7 @@
 
 class TheKill(unittest.IsolatedAsyncioTestCase):
     async def _dispatcher(self, timeout):
-        """Ends one whose longest action timeout that is, in s, at the earliest time that is allowed."""
+        """Run a dispatcher with a longest action timeout of `timeout` s, and kill it as early as allowed."""
         workers = [Worker(f"s-{n}", hangs) for n in range(2)]
         site = Site(workers, **settings(classes={"deadline": int(timeout * 1_000_000)}))
         async with site:
@@ -93,8 +93,8 @@
             return status, answers, unanswered, began
 
     async def test_with_workers_that_hang_through_the_whole_of_it(self):
-        """Timeouts of 0.3, 1 and 3 s side by side. Fails on a dispatcher that cuts what is left only as it
-        is killed (no margin), and on one that reads nothing more once it takes nothing more."""
+        """Timeouts of 0.3, 1 and 3 s in parallel. Fails on a dispatcher that ends open activations only when
+        it is killed (no margin), and on one that stops reading when it stops accepting requests."""
         timeouts = (0.3, 1.0, 3.0)
         ends = await asyncio.gather(*(self._dispatcher(timeout) for timeout in timeouts))
         for timeout, (status, answers, unanswered, began) in zip(timeouts, ends, strict=True):
@@ -102,14 +102,14 @@
                 self.assertEqual(unanswered, [])
                 self.assertEqual(status, 0)  # it ended by itself before the kill
                 self.assertTrue(answers)
-                # in its time, and half a second more only earns nothing
+                # in time; an answer up to half a second late is tolerated, although it is worth nothing
                 self.assertLess(max(took for _, took, _ in answers), PATIENCE * timeout + 0.5)
                 late = {word for at, _, word in answers if at > began + STILL}
                 self.assertLessEqual(late, {"Throttled"})
 
     async def test_a_signal_that_comes_while_the_loop_is_held_up(self):
-        """The time until the kill runs from the signal, not from when the loop hears of it. The text before
-        counted from the latter."""
+        """The time until the kill runs from the signal. Guards against counting it from when the event loop
+        handles the signal."""
         made, moments = Shutdown, []
 
         def shutdown(began, longest):
@@ -124,8 +124,8 @@
         self.assertLessEqual(moments[0], signalled)
 
     async def test_who_goes_on_sending_keeps_only_itself(self):
-        """One that never stops leaves no look at which all is quiet; who rests is closed meanwhile. The text
-        before closed nobody until all were quiet."""
+        """Guards against closing no connection until all are quiescent, because a client that never stops
+        sending would keep all idle ones open."""
         async with InProcessSite([ManualWorker("s-1")]) as site:
             chatty, rests = Caller(site.address), Caller(site.address)
             rests.sock.sendall(msgpack.packb([0, 1, "health", [{}]]))
@@ -133,7 +133,7 @@
             with mock.patch.object(site.node.front, "is_quiescent", lambda: False):
                 ending = asyncio.ensure_future(site.node.close())
                 await site.until(lambda: rests.read() is not None and rests.ended)
-                self.assertIsNotNone(site.node.front.listener.sock)  # it still listens
+                self.assertIsNotNone(site.node.front.listener.sock)  # the listener is still open
                 await asyncio.wait_for(ending, 10)
             chatty.close()
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -1,5 +1,5 @@
-"""A fleet of another size: a thousand workers known at start, the longest list that DNS may carry, a release
-of hundreds within seconds."""
+"""Larger fleets: a thousand workers known at the start, the longest list that fits into a DNS answer, and a
+release that replaces hundreds of workers within seconds."""
 
 import asyncio
 import json
@@ -18,7 +18,7 @@
 
 
 class Named:
-    """One of many names for a server: a listed worker that shares its address with others."""
+    """A listed worker that shares the address of a server with others."""
 
     def __init__(self, name, server):
         self.name, self.port = name, server.port
@@ -31,7 +31,7 @@
             entries[f"s-{len(entries):08x}"] = (5050, "Ready", "east", 1_700_000_000_123)
             try:
                 wire = answer(asked, 41, entries)
-            except Exception:  # dnspython's own, at one worker too many
+            except Exception:  # raised by dnspython for one worker too many
                 break
             found = len(entries)
         self.assertGreater(found, 60)
@@ -45,7 +45,7 @@
                 roster_protocol.decode_answer(wire[:cut])
 
     def test_texts_that_share_a_string_and_names_that_point_into_others(self):
-        """As another server may write them: more strings than are asked for, in any order, no compression."""
+        """Another server may write more strings than needed, in any order and without compression."""
         asked = b"\x12\x34" + roster_protocol.encode_query()
         message = dns.message.from_wire(answer(asked, 7, {"s-1": (5050, "Ready", "east", 9)}))
         for record in message.additional:
@@ -74,7 +74,8 @@
         self.assertLessEqual(world.worst[0], 1e-6, world.worst)
 
     def test_news_of_a_thousand_workers_do_not_hold_up_the_loop(self):
-        """CPU time of this process for one list of 1,024 of which all are new, with 300 functions known."""
+        """Guards against a list of 1,024 new workers, with 300 known functions, that blocks the loop for
+        long. Measured in CPU time of this process."""
         case = ration.Case(4, workers=1024, replaced=0, rate=100, falls=1, floods=0, seconds=4, functions=150)
         world, took = ration.World(case), []
 
@@ -88,7 +89,7 @@
 
         world.at_second = (3, news)
         ration.on(world)
-        self.assertLess(max(took), 0.5)  # some 0.05 s where nothing else runs
+        self.assertLess(max(took), 0.5)  # about 0.05 s on an idle machine
 
 
 class Started(unittest.IsolatedAsyncioTestCase):
@@ -98,7 +99,7 @@
             self.assertEqual(await site.stop(), 0)
             for n in range(SERVERS, NAMES):
                 site.roster.tell(Named(f"w{n}", servers[n % SERVERS]))
-            # no answer may be so long: `known` is all there is
+            # a DNS answer can't hold that many workers, so only the configured list is available
             site.roster.datagram_received = lambda *_: None
             site.log.clear()
             began = time.monotonic()
--- a/tests/test_standing_log.py
+++ b/tests/test_standing_log.py
@@ -1,5 +1,4 @@
-"""The log line that a dispatcher of `petrelwood.node` writes of its workers every few seconds can be written,
-whatever they answered."""
+"""The `standing` log line of `petrelwood.node` can be written whatever the workers answered."""
 
 import unittest
 
