--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -30,11 +30,12 @@
 from petrelwood.node import worker as link
 from petrelwood.node.service import Node
 
-SLOW = 30  # s that anything may take on a busy machine before it is called lost
+SLOW = 30  # seconds that anything may take on a busy machine before the test fails
 
 
 def settings(**changes):
-    """SETTINGS with changes of its parts: {"permissions": {...}}; `classes`: changes of each."""
+    """Return SETTINGS with changes of its parts, as in permissions={...}; those of a list apply to each
+    member."""
     made = copy.deepcopy(SETTINGS)
     for part, values in changes.items():
         for one in made[part] if isinstance(made[part], list) else (made[part],):
@@ -43,7 +44,7 @@
 
 
 class RecordingLog:
-    """A log kept in lines."""
+    """A logger that keeps its lines in a list."""
 
     def __init__(self, lines):
         self.lines = lines
@@ -55,7 +56,7 @@
 
 
 class InProcessSite(Site):
-    """A dispatcher among scripted peers, all in this loop."""
+    """A dispatcher with scripted peers, all in the event loop of the test."""
 
     def __init__(self, workers, **changes):
         super().__init__(workers, **settings(**changes))
@@ -72,12 +73,13 @@
             await asyncio.sleep(0.005)
 
     async def turns(self, count=20):
-        """Lets the loop go on so many times: all that has come is read, and nothing waits for a clock."""
+        """Run `count` iterations of the event loop, so that all arrived data is read, without waiting for a
+        clock."""
         for _ in range(count):
             await asyncio.sleep(0)
 
     async def second(self, client, number, worker):
-        """Lets the worker answer the second activation that reaches it; what its client then has."""
+        """Answer the second activation at the worker; return the answer that its client gets."""
         await self.until(lambda: len(worker.runs()) == 2)
         worker.answer(worker.runs()[1])
         await self.until(lambda: number in client.read())
@@ -105,7 +107,7 @@
 
 @contextlib.contextmanager
 def no_descriptors():
-    """This process, and so the dispatcher in it, has used up its descriptors."""
+    """Use up the descriptors of this process, and so those of the dispatcher in it."""
     before, spare = resource.getrlimit(resource.RLIMIT_NOFILE), []
     try:
         resource.setrlimit(resource.RLIMIT_NOFILE, (max(map(int, os.listdir("/proc/self/fd"))), before[1]))
@@ -127,7 +129,7 @@
         self.unpacker, self.answers, self.ended = msgpack.Unpacker(raw=False), {}, None
 
     def call(self, fields, body=b"x", type_="plain", part=slice(None)):
-        """Writes a request, or a part of its bytes; its number."""
+        """Send a request, or a part of its bytes; return its message id."""
         if part.start is None:
             self.last += 1
         self.sock.sendall(msgpack.packb([0, self.last, type_, [fields, body]])[part])
@@ -137,7 +139,7 @@
         self.sock.sendall(msgpack.packb([2, "cancel", list(numbers)]))
 
     def close(self, how="end"):
-        """'end': its connection ends; 'reset': it is reset; 'cancel': all is taken back on an open one."""
+        """Close the connection ('end'), reset it ('reset'), or cancel all requests on it ('cancel')."""
         if how == "cancel":
             self.cancel(*range(1, self.last + 1))
             return
@@ -146,7 +148,8 @@
         self.sock.close()
 
     def read(self):
-        """Takes what is there; the answers so far: number -> (word or "completed", body or fields)."""
+        """Read received data; return all answers so far: message id -> ("completed" or error, body or
+        fields)."""
         with contextlib.suppress(BlockingIOError):
             while self.ended is None:
                 try:
@@ -166,7 +169,7 @@
 
 
 class ManualWorker:
-    """A worker on plain sockets, which does nothing by itself. `narrow`: its listen queue is full until
+    """A worker on plain sockets that does nothing by itself. `narrow`: its listen queue is full until
     `open_queue`."""
 
     def __init__(self, name, narrow=False):
@@ -174,7 +177,7 @@
         self.sock.bind(("127.0.0.1", 0))
         self.port = self.sock.getsockname()[1]
         self.sock.listen(0 if narrow else 64)
-        if narrow:  # the queue has room for one more than it was given
+        if narrow:  # the queue holds one connection more than its size
             self.fillers = [socket.create_connection(self.sock.getsockname())]
         self.sock.setblocking(False)
         self.conns = []
@@ -191,7 +194,7 @@
         self.sock.listen(64)
 
     def read(self):
-        """Accepts and reads what is there: the commands so far."""
+        """Accept connections and read received data; return (connection, command) of all commands so far."""
         with contextlib.suppress(BlockingIOError):
             while True:
                 conn, sender = self.sock.accept()
@@ -208,7 +211,7 @@
         return self.lines
 
     def runs(self):
-        """(connection, request) of each activation that has arrived whole."""
+        """Return (connection, command) of each activation that has arrived completely."""
         return [(number, said) for number, said in self.read() if said["type"] == "FN"]
 
     def orders(self):
@@ -230,10 +233,11 @@
 
 
 class ClientGone(unittest.IsolatedAsyncioTestCase):
-    """What a client has left is not sent on, wherever it waits; by rule 1 there is no send after an end."""
+    """Activations whose client has left are not sent, wherever they wait: rule 1 forbids sends after the
+    end."""
 
     async def test_while_its_send_waits_for_a_connection(self):
-        """A send that never left needs nobody's leave to be taken back: the settings allow no cancel here."""
+        """Withdrawing an unsent attempt needs no permission to cancel; these settings give none."""
         for how in ("end", "reset", "cancel"):
             with self.subTest(how):
                 worker = ManualWorker("s-1", narrow=True)
@@ -276,7 +280,7 @@
                     first.close(), stays.close()
 
     async def test_unread_while_the_loop_was_held_up(self):
-        """An answer frees the lane, and the end of who waits for it lies unread behind that answer."""
+        """An answer frees the lane while the disconnect of the client waiting for it is still unread."""
         for how in ("end", "reset", "cancel"):
             for code in ("HIT", "SHED"):
                 with self.subTest(how, code=code):
@@ -300,7 +304,7 @@
                         first.close(), stays.close()
 
     async def test_behind_other_requests_of_its_own(self):
-        """The cancel lies behind more than is read at once, and a worker's answer comes with it."""
+        """The cancel follows more data than one read takes, and a worker's answer arrives with it."""
         worker = ManualWorker("s-1")
         async with InProcessSite([worker]) as site:
             first, gone = Caller(site.address), Caller(site.address)
@@ -321,7 +325,7 @@
             first.close(), gone.sock.close()
 
     async def test_in_repeat(self):
-        """Its first send provably never ran; the client has gone when the second would go out."""
+        """The first attempt provably never ran; the client has left when the second one would be sent."""
         first, second = ManualWorker("s-1"), ManualWorker("s-2")
         async with InProcessSite([first, second]) as site:
             client = Caller(site.address)
@@ -349,8 +353,7 @@
             self.assertEqual(len(first.runs()) + len(second.runs()), 2)
 
     async def test_between_its_reading_and_its_turn(self):
-        """So much happens in one turn of the loop that the call waits for the next, and its client leaves in
-        between."""
+        """The call is deferred to the next iteration of the event loop, and its client leaves in between."""
         for how in ("end", "reset", "cancel"):
             with self.subTest(how):
                 worker = ManualWorker("s-1")
@@ -369,7 +372,7 @@
                     stays.close()
 
     async def test_while_the_rest_of_its_send_waits_for_a_worker_that_does_not_read(self):
-        """Half of it is in the worker's hands; the other half never follows."""
+        """The worker has half of the command; the other half must never follow."""
         worker, fresh = ManualWorker("s-1"), sockets.fresh
         worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
 
@@ -405,7 +408,7 @@
                 stays.close()
 
     async def test_a_second_send_that_waits_when_the_first_is_answered(self):
-        """Rule 1: the final answer is out, and the other send has not left yet."""
+        """Rule 1: the final answer was sent, and the other attempt must not leave any more."""
         slow, narrow = ManualWorker("s-1"), ManualWorker("s-2", narrow=True)
         async with InProcessSite(
             [slow, narrow], permissions={"cancelling": False, "connectTimeout": 20_000_000}
@@ -414,7 +417,7 @@
             number = client.call(fields := ask(fn=1, ttl=3900))
             await site.until(lambda: node.links.in_flight)
             (act, n), worker = next(iter(node.links.in_flight.items()))
-            # it went to the narrow one first: the other is its second
+            # if the first send went to the narrow worker, the second goes to the other one
             if worker == "s-2":
                 node.submit(node.outlet.send, act, "s-1", 0)
             else:
@@ -429,14 +432,14 @@
             narrow.open_queue()
             await site.turns()
             node.submit(node.outlet.order_load, "s-2", f"{4:016x}", 1)
-            await site.until(narrow.orders)  # the way is open now
+            await site.until(narrow.orders)  # connections to the worker are possible now
             self.assertNotIn(fields["call"], [said["req"] for _, said in narrow.runs()])
             client.close()
 
 
 class Clients(unittest.IsolatedAsyncioTestCase):
     async def test_a_request_that_comes_as_its_connection_is_closed_for_rest(self):
-        """The look at idle connections and the request come in one turn of the loop."""
+        """The check of idle connections and the request fall into the same iteration of the event loop."""
         async with InProcessSite([Worker("s-1")]) as site:
             with mock.patch.object(resource_limits, "IDLE_TIMEOUT", 200_000_000):
                 for _ in range(3):
@@ -450,7 +453,7 @@
                         (client.answers[number][0], client.answers.get(second, client.ended)),
                         ("completed", ("completed", b"x")),
                     )
-                    # at rest it ends all the same
+                    # an idle connection is still closed
                     await site.until(lambda: client.read() and client.ended)
                     self.assertEqual(client.ended, "end")
 
@@ -460,7 +463,7 @@
                 mock.patch.object(resource_limits, "FIRST_REQUEST_TIMEOUT", 200_000_000),
                 mock.patch.object(resource_limits, "REQUEST_TIMEOUT", 200_000_000),
             ):
-                for cut in (0, 40):  # all of it comes then, or what it lacked
+                for cut in (0, 40):  # the complete request arrives then, or the rest of it
                     client, fields = Caller(site.address), ask(fn=1)
                     await site.until(lambda: site.node.front.clients)
                     if cut:
@@ -484,19 +487,19 @@
             client.call(ask(fn=1))
             await site.until(client.read)
             site.node.resource_limits.clients = 1
-            more = Caller(site.address)  # the listener is told of first
+            more = Caller(site.address)  # the event loop handles the listener first
             second = client.call(ask(fn=1))
             await site.until(lambda: second in client.read() or client.ended)
             self.assertEqual(client.answers.get(second, client.ended), ("completed", b"x"))
             await site.until(lambda: more.read() or more.ended)
-            more = Caller(site.address)  # and at rest it makes room
+            more = Caller(site.address)  # an idle connection is closed for a new one
             number = more.call(ask(fn=1))
             await site.until(lambda: more.read() or more.ended)
             self.assertEqual(more.answers.get(number, more.ended), ("completed", b"x"))
             more.close()
 
     async def test_no_descriptor_is_left_and_nobody_rests(self):
-        """A listener stays readable then: a loop that comes back to it at once neither waits nor ends."""
+        """The listener stays readable, so the event loop would spin if it were not paused."""
         worker = ManualWorker("s-1")
         async with InProcessSite([worker]) as site:
             busy = Caller(site.address)
@@ -524,18 +527,18 @@
             client = Caller(site.address)
             client.call(ask(fn=1), b"one")
             await site.until(worker.runs)
-            client.cancel(1)  # in the same bytes as what follows under its number
+            client.cancel(1)  # sent together with the next request under the same message id
             client.cancel(1)
             client.last = 0
             client.call(again := ask(fn=1), b"two")
             await site.until(lambda: len(worker.runs()) == 2)
-            worker.answer(worker.runs()[0])  # it crossed the cancel
+            worker.answer(worker.runs()[0])  # this answer crossed the cancel
             await site.turns()
             self.assertEqual(client.read(), {})
             worker.answer(next(run for run in worker.runs() if run[1]["req"] == again["call"]))
             await site.until(client.read)
             self.assertEqual(client.answers, {1: ("completed", b"two")})
-            client.cancel(2)  # before its call: of no meaning
+            client.cancel(2)  # a cancel before its request has no effect
             client.last = 1
             client.call(ask(fn=1), b"three")
             await site.until(lambda: len(worker.runs()) == 3)
@@ -545,8 +548,7 @@
             client.close()
 
     async def test_a_client_that_reads_nothing_until_all_its_answers_are_there(self):
-        """As many requests as it may have open, of the largest size, from one that is stopped for a
-        moment."""
+        """A client with the maximum number of requests of the maximum size pauses reading for a moment."""
         async with InProcessSite([Worker("s-1")]) as site:
             client = Caller(site.address)
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -564,13 +566,13 @@
             for body in bodies:
                 client.last += 1
                 data = msgpack.packb([0, client.last, "plain", [ask(fn=1), body]])
-                while data:  # its bytes go out as they are read
+                while data:  # write as fast as the dispatcher reads
                     with contextlib.suppress(BlockingIOError):
                         data = data[client.sock.send(data) :]
                     await asyncio.sleep(0)
             await site.until(lambda: site.node.pending.counts["completed"] == len(bodies) + 1)
             looks = site.node.check_count
-            # nothing of it is open, and its answers have not gone out
+            # the client has no open request, but its answers have not been sent yet
             with mock.patch.object(resource_limits, "IDLE_TIMEOUT", 1):
                 await site.until(lambda: site.node.check_count > looks + 2)
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
@@ -585,14 +587,15 @@
             client.sock.close(), other.close()
 
     async def test_who_is_being_ended_and_reads_nothing_is_ended(self):
-        """Its wrongs are answered and none of the answers is read: its descriptor comes back all the same."""
+        """A client that does not read the answers to its invalid requests is closed, which frees its
+        descriptor."""
         async with InProcessSite([Worker("s-1")]) as site:
             bad = Caller(site.address)
             bad.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             await site.until(lambda: site.node.front.clients)
             there = next(iter(site.node.front.clients))
             there.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-            # until what it does not read has filled both buffers: a busy machine turns some away in few bytes
+            # repeat until unread answers fill both buffers: on a busy machine some are short rejections
             for _ in range(100):
                 bad.call(ask(fn=1), b"z" * resource_limits.MAX_BODY)
                 await site.until(lambda: not there.open_requests and there.requested)
@@ -619,7 +622,7 @@
         return site
 
     async def test_an_id_whose_send_is_still_out_is_not_another_customers(self):
-        """The answer to the one who has gone would be taken for the other's."""
+        """The answer to the customer that left would be taken for that to the other one."""
         worker = ManualWorker("s-1")
         async with self.inside([worker], **NO_CANCEL) as site:
             one, two = Caller(site.address), Caller(site.address)
@@ -639,7 +642,8 @@
             two.close()
 
     async def test_equal_functions_marks_and_messages(self):
-        """Two customers and two namespace types: each has its own lanes, time, body and answer."""
+        """Requests of two customers and several namespace types have their own lanes, patience, body and
+        answer."""
         worker, mark = ManualWorker("s-1"), "ab" * 16
         async with self.inside([worker]) as site:
             kinds = [
@@ -659,7 +663,7 @@
 
             call(1)
             await site.until(worker.runs)
-            for which in (0, 2, 3):  # the first may have one lane, and one is taken
+            for which in (0, 2, 3):  # the first of them has one lane, which is in use
                 call(which)
                 await site.until(lambda: site.node.intake.unanswered == len(sent))
             await site.until(lambda: len(worker.runs()) == 3)
@@ -687,11 +691,11 @@
 
 
 class Ends(unittest.IsolatedAsyncioTestCase):
-    """SIGTERM with activations in flight, judged by what clients and workers have seen."""
+    """SIGTERM with activations in flight, checked at the clients and workers."""
 
     async def test_requests_that_came_before_the_last_look_get_their_answer(self):
-        """In the listen queue, on an open connection, larger than one reading: all lies unread when the time
-        to take ends."""
+        """Requests in the listen queue, on an open connection and larger than one read are unread when the
+        time for accepting requests ends."""
         for waits in ("in the listen queue", "on an open connection", "larger than one reading"):
             with self.subTest(waits):
                 async with InProcessSite([Worker("s-1")]) as site:
@@ -705,14 +709,14 @@
                     number = client.call(
                         ask(fn=1), body=b"z" * (16_384 if waits == "larger than one reading" else 1)
                     )
-                    block_loop(0.75)  # what still comes is over when the loop goes on
+                    block_loop(0.75)  # the time for accepting requests is over afterwards
                     await asyncio.wait_for(ending, SLOW)
                     await site.until(lambda: client.read() is not None and client.ended)
                     self.assertIn(client.answers.get(number, (client.ended,))[0], ("completed", "Throttled"))
 
     async def test_all_that_it_took_is_answered_before_it_is_killed(self):
-        """With action timeouts of a second the platform kills 1.7 s after SIGTERM. Judged by the client's
-        clock."""
+        """With an action timeout of one second the platform kills 1.7 s after SIGTERM, by the clock of the
+        client."""
         worker = ManualWorker("s-1")
         async with InProcessSite([worker], classes={"deadline": 1_000_000}) as site:
             client = Caller(site.address)
@@ -753,7 +757,7 @@
             ending = asyncio.ensure_future(site.node.close())
             await site.turns()
             block_loop(0.8)
-            await site.until(lambda: site.node.intake.closing or ending.done())  # nothing more is taken
+            await site.until(lambda: site.node.intake.closing or ending.done())  # rejects new requests
             await asyncio.sleep(0.05)
             self.assertFalse(ending.done())
             worker.answer(worker.runs()[0])
@@ -778,8 +782,8 @@
             await asyncio.wait_for(ending, SLOW)
 
     async def test_signals_at_every_moment_of_its_life(self):
-        """Before it is ready, twice, and until its process has ended: nothing ends it but its own end, with
-        status 0."""
+        """Signals before the dispatcher is ready, twice, and until the process has ended: it must shut down
+        by itself with status 0."""
         site = Site([Worker("s-1")])
         await site.roster.open()
         await site.workers[0].open()
@@ -835,7 +839,8 @@
 
 class Links(unittest.IsolatedAsyncioTestCase):
     async def test_a_send_that_nobody_ends_gives_its_connection_and_its_link_back(self):
-        """Its activation has ended and may not be cancelled; its connection stays open and says nothing."""
+        """The activation has ended and may not be cancelled, and the connection stays open without an
+        answer."""
         silent, loud = ManualWorker("s-1"), Worker("s-2")
         async with InProcessSite([silent], **NO_CANCEL) as site:
             client = Caller(site.address)
@@ -851,7 +856,7 @@
             site.roster.tell(silent, "Gone")
             await site.until(lambda: "s-1" not in site.node.links)
             self.assertFalse(link.has_open_calls() or link.connections or site.node.links.in_flight)
-            # not allowed
+            # cancels are not allowed
             self.assertEqual([said["type"] for _, said in silent.read() if said["type"] == "KILL"], [])
             client = Caller(site.address)
             number = client.call(ask(fn=1))
@@ -863,7 +868,9 @@
         old, new = ManualWorker("s-1", narrow=True), Worker("s-1")
         async with InProcessSite([old], permissions={"connectTimeout": 20_000_000}) as site:
             client = Caller(site.address)
-            numbers = [client.call(ask(fn=fn, ttl=3900)) for fn in range(8)]  # more than connect at a time
+            numbers = [
+                client.call(ask(fn=fn, ttl=3900)) for fn in range(8)
+            ]  # more than may connect at a time
             await site.until(lambda: site.node.links and len(site.node.links["s-1"].waiting) >= 8)
             await new.open()
             site.workers.append(new)
@@ -872,7 +879,7 @@
             await site.until(lambda: len(client.read()) == 8)
             self.assertEqual({client.answers[number][0] for number in numbers}, {"completed"})
             old.open_queue()
-            # comes after all that was tried before
+            # arrives after all earlier connection attempts
             probe = socket.create_connection(("127.0.0.1", old.port))
             await site.until(
                 lambda: (
@@ -907,7 +914,8 @@
             probe.close(), client.close()
 
     async def test_a_drain_that_lay_unread_while_the_loop_was_held_up(self):
-        """Rule 3: the list that tells it and an answer that frees a lane come while the loop stands still."""
+        """Rule 3: the list with the draining worker and an answer that frees a lane arrive while the loop is
+        blocked."""
         worker = ManualWorker("s-1")
         async with InProcessSite([worker], guarantees={"drainGrace": 200_000}) as site:
             client, facts = Caller(site.address), "lanes:1;load_ms:20"
@@ -916,7 +924,7 @@
             client.call(ask(fn=1, facts=facts))
             await site.until(lambda: site.node.intake.unanswered == 2)
             told_ = []
-            # it has the question now, and answers when it is told to
+            # keep the answers, to send one later
             site.roster.rewrite = lambda wire: told_.append(wire)
             await site.until(lambda: told_)
             site.roster.tell(worker, "Terminating")
@@ -930,8 +938,8 @@
             client.close()
 
     async def test_a_loop_that_was_held_up_blames_no_worker(self):
-        """Its answer came in time and lies unread when time is looked at: neither silent nor sent again, and
-        nothing loaded elsewhere."""
+        """The answer arrived in time but is unread when the deadlines are checked: the worker must not count
+        as unresponsive, nothing is sent again, and nothing is loaded elsewhere."""
         workers = [ManualWorker("s-1"), ManualWorker("s-2")]
         async with InProcessSite(workers) as site:
             client = Caller(site.address)
@@ -972,7 +980,7 @@
                         worker.conns[run[0]][0].close()
                     block_loop(0.02)
                     await site.until(client.read)
-                    # A reset may overtake what was written before it: then it may have run.
+                    # A reset may overtake the data written before it; then the activation may have run.
                     good = {
                         "whole": {("completed", b"x")}
                         if ends == "end"
@@ -1004,7 +1012,7 @@
             client.close()
 
     async def test_a_connection_that_its_worker_may_close_for_rest_carries_nothing(self):
-        """The settings give it 400 ms; it is ours for half of that."""
+        """The worker may close connections after 400 ms; the dispatcher uses them for half of that."""
         worker = ManualWorker("s-1")
         async with InProcessSite([worker], permissions={"connIdle": 400_000}) as site:
             client = Caller(site.address)
@@ -1016,12 +1024,12 @@
             block_loop(0.45)
             number = client.call(ask(fn=1), type_="single")
             for conn, _ in worker.conns:
-                conn.close()  # its end is still unread when the next one is sent
+                conn.close()  # the close is still unread when the next attempt is sent
             self.assertEqual(await site.second(client, number, worker), ("completed", b"x"))
             client.close()
 
     async def test_a_connection_that_ends_as_a_send_is_given_to_it(self):
-        """No byte of the send has left: it is known that it never ran, and it goes on elsewhere."""
+        """No byte of the attempt has left, so it never ran, and the activation is sent again."""
         for ends in ("end", "reset"):
             with self.subTest(ends):
                 worker = ManualWorker("s-1")
@@ -1031,7 +1039,7 @@
                     await site.until(worker.runs)
                     worker.answer(worker.runs()[0])
                     await site.until(client.read)
-                    # no event is left over: what comes first is told of first
+                    # no event is pending, so events are handled in their order of arrival
                     await site.turns()
                     number = client.call(ask(fn=1), type_="single")
                     for line in range(len(worker.conns)):
@@ -1048,7 +1056,7 @@
                     client.close()
 
     async def test_no_descriptor_is_left_for_a_connection(self):
-        """Its activation was never sent: no defect, and no abort of what must not run twice."""
+        """The activation was never sent: it is rejected rather than aborted, without an internal error."""
         worker = ManualWorker("s-1")
         async with InProcessSite([worker]) as site:
             client = Caller(site.address)
@@ -1069,7 +1077,7 @@
             await second.open()
             second.serial, second.entries = site.roster.serial, dict(site.roster.entries)
             with no_descriptors():
-                site.node.roster.close()  # its descriptor is taken by another at once
+                site.node.roster.close()  # its descriptor is reused at once
                 with contextlib.suppress(OSError):
                     taken = os.dup(0)
                 site.node.reload(site.node.gateway._replace(names=("127.0.0.1", second.port)))
@@ -1079,8 +1087,8 @@
             second.transport.close()
 
     async def test_answers_that_come_late_are_still_taken(self):
-        """Each comes two seconds after its question: more questions are open by then than were once
-        remembered."""
+        """Each answer arrives two seconds after its query. Guards against forgetting queries too early: a
+        faulty version remembered fewer than are open by then."""
         old, new = Worker("s-1"), Worker("s-2")
         async with InProcessSite([old]) as site:
             await new.open()
@@ -1103,8 +1111,8 @@
             )
 
     async def test_a_silence_under_which_workers_change(self):
-        """The first answer after it is an old one, then the new one comes: what has gone gets nothing from
-        then on."""
+        """After the silence an old list arrives first, then the new one: the removed worker must get nothing
+        from then on."""
         old, new = Worker("s-1"), Worker("s-2")
         async with InProcessSite([old]) as site:
             await new.open()
@@ -1116,7 +1124,7 @@
             site.roster.tell(old, "Gone")
             number = client.call(ask(fn=1))
             await site.until(lambda: number in client.read())
-            self.assertEqual(client.answers[number][0], "completed")  # by what it knows
+            self.assertEqual(client.answers[number][0], "completed")  # with the known list
             kept.clear()
             await site.until(lambda: kept)
             newest = kept[-1]
@@ -1136,8 +1144,8 @@
             client.close()
 
     async def test_a_list_under_a_serial_that_stands_still(self):
-        """The serial is the number of the last event: where it is the same nothing has happened, whatever the
-        list says."""
+        """The serial is the number of the last event, so a different list with the same serial changes
+        nothing."""
         workers = [Worker("s-1"), Worker("s-2")]
         async with InProcessSite(workers) as site:
             good, entries = site.node.roster.counts["good"], site.roster.entries
@@ -1157,7 +1165,7 @@
             path.write_text(whole[: len(whole) // 2])
             site.process.send_signal(signal.SIGHUP)
             await site.until(lambda: any("nothing changes" in line for line in site.log))
-            path.write_text(whole)  # no second signal comes
+            path.write_text(whole)  # without a second signal
             await site.until(lambda: second.asked)
             second.transport.close()
             self.assertEqual(await site.stop(), 0)
@@ -1165,8 +1173,8 @@
 
 class NewVersions(unittest.IsolatedAsyncioTestCase):
     async def test_all_copies_of_most_functions_go_void_at_once_on_a_quiet_day(self):
-        """No list tells of it and nothing is amiss: each activation in hand misses, and is completed after
-        one load."""
+        """Copies disappear without a change of the list: each activation misses, and completes after one
+        load."""
         workers = [Worker(f"s-{n}") for n in range(4)]
         async with InProcessSite(workers) as site:
             clients, functions, sent = [Caller(site.address) for _ in range(4)], range(1, 13), {}
@@ -1187,7 +1195,7 @@
             for round_ in range(3):
                 ask_all(round_)
                 await answered()
-            for worker in workers:  # all that they hold of eight of the twelve
+            for worker in workers:  # all copies of eight of the twelve functions
                 worker.copies -= {f"{fn:016x}" for fn in functions[:8]}
             orders, runs = sum(len(w.orders) for w in workers), sum(len(w.runs) for w in workers)
             ask_all(3)
@@ -1198,7 +1206,7 @@
                 self.assertEqual(client.answers[number], ("completed", body))
             self.assertEqual(sum(len(w.runs) for w in workers) - runs, 2 * len(functions))
             loads = sum(len(w.orders) for w in workers) - orders
-            self.assertGreaterEqual(loads, 8)  # one each, and few more
+            self.assertGreaterEqual(loads, 8)  # one per function, and few more
             self.assertLessEqual(loads, 12)
             for client in clients:
                 client.close()
--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -1,9 +1,9 @@
-"""Idle clients that fill the descriptors of a dispatcher while discovery is down, on real sockets.
+"""Idle clients that use up the descriptors of a dispatcher while service discovery is down, on real sockets.
 
-The dispatcher is a process of its own under a limit of descriptors (RLIMIT_NOFILE) that several hundred idle
-connections exceed, or that is lowered to what it already holds. It counts the turns of its loop, its looks,
-its calls of `accept` and the answers of the roster that it could use, and tells them at SIGUSR1: that nothing
-spins is judged by these counts and not by a clock."""
+The dispatcher is a separate process with a descriptor limit (RLIMIT_NOFILE) that several hundred idle
+connections exceed, or that is lowered to the number it already has open. It counts the iterations of its
+event loop, its checks, its calls of `accept` and the usable answers of the roster, and prints the counts at
+SIGUSR1. The test uses these counts instead of a clock to see that nothing spins."""
 
 import asyncio
 import contextlib
@@ -21,16 +21,18 @@
 
 from petrelwood.decide.overload.resource_limits import ResourceLimits
 
-SLOW = 30  # s that anything may take on a busy machine before it is called lost
+SLOW = 30  # seconds that anything may take on a busy machine before the test fails
 DESCRIPTORS = 96  # RLIMIT_NOFILE of the dispatcher
-CLIENTS = 8  # real ones, one after another
-IDLE = 300  # idle connections that are kept up against it
-LOOKS = 40  # looks of the dispatcher (two seconds) over which its turns are counted
-# A turn for the look itself, one for a timer of the module, up to four after a look that came late, on a busy
-# machine, and as many again. A loop that spins has hundreds.
+CLIENTS = 8  # the number of active clients, one after another
+IDLE = 300  # the number of idle connections that are kept open
+LOOKS = 40  # checks of the dispatcher (two seconds) over which the loop iterations are counted
+# The maximum number of loop iterations per check: one for the check itself, one for a timer of the module, up
+# to four after a late check on a busy machine, and as many again. A spinning loop has hundreds.
 TURNS_A_LOOK = 12
-TURNS_AN_EVENT = 8  # a connection that comes, is read, answered and ended; an activation; a question
-TRIED = 80  # looks after which a reading of the configuration had once been given up (three seconds)
+# The maximum number of loop iterations per event: a connection that is accepted, read, answered and closed,
+# an activation, or a query.
+TURNS_AN_EVENT = 8
+TRIED = 80  # checks (four seconds); a faulty version gave up reading the configuration after three seconds
 COUNTED = """
 import asyncio, json, os, resource, runpy, signal, sys
 limit = int(sys.argv[1])
@@ -56,7 +58,8 @@
 
 
 class Counts(NamedTuple):
-    """Since the start of the process; `answers`: those of the roster that were good."""
+    """Counts since the start of the process; `turns`: loop iterations, `looks`: checks, `answers`: usable
+    ones."""
 
     turns: int
     looks: int
@@ -65,9 +68,9 @@
 
 
 class Limited(Site):
-    """A dispatcher that may hold `DESCRIPTORS` descriptors and is told that it may hold `sockets`.
+    """A dispatcher with a limit of `DESCRIPTORS` descriptors and a configured limit of `sockets`.
 
-    `lost` counts the clients of `served` whose connection ended with no answer."""
+    `lost` counts the clients of `served` whose connection ended without an answer."""
 
     lost = 0
 
@@ -75,7 +78,7 @@
         await super().start((sys.executable, "-c", COUNTED, str(DESCRIPTORS)))
 
     async def counts(self):
-        """What the process tells of its turns now."""
+        """Return the current counts of the process."""
         before = sum('"counts"' in line for line in self.log)
         self.process.send_signal(signal.SIGUSR1)
         await self.until(lambda: sum('"counts"' in line for line in self.log) > before, SLOW)
@@ -83,7 +86,7 @@
         return Counts(**json.loads(newest)["counts"])
 
     async def looks(self, count):
-        """Waits until the dispatcher has looked so many times more; its counts before and after."""
+        """Wait for `count` more checks of the dispatcher; return its counts before and after them."""
         before = now = await self.counts()
         while now.looks - before.looks < count:
             await asyncio.sleep(0.1)
@@ -91,7 +94,7 @@
         return before, now
 
     def leaves_none(self):
-        """From now on it gets no descriptor beyond those that it holds."""
+        """Lower the limit so that the dispatcher can't open another descriptor."""
         _, hard = resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE)
         resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (3, hard))
 
@@ -100,7 +103,8 @@
         resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (DESCRIPTORS, hard))
 
     async def served(self, fn=1):
-        """A client asks until it is served, each time on a new connection and without waiting on it first."""
+        """Send requests until one completes, each on a new connection and without waiting for its
+        acceptance."""
         body = os.urandom(8)
         async with asyncio.timeout(SLOW):
             while await self._answer(fn, body) != [1, 1, None, [body, {}]]:
@@ -121,10 +125,10 @@
 
 
 class Crowd:
-    """`IDLE` connections to the dispatcher that rest; each is opened again half a second after it was closed.
+    """`IDLE` idle connections to the dispatcher, each of which is reopened half a second after it was closed.
 
-    Each third of them says nothing, asks for health, or asks for one activation, and then keeps its
-    connection. `opened` counts all connections."""
+    A third of them send nothing, a third request health, and a third request one activation; then they stay
+    open. `opened` counts all connections."""
 
     def __init__(self, site):
         self.site, self.opened = site, 0
@@ -150,7 +154,7 @@
                         pass
                 finally:
                     writer.close()
-            if first == self._activation:  # once: it is no crowd of activations
+            if first == self._activation:  # each requests only one activation
                 first = self._health
             await asyncio.sleep(0.5)
 
@@ -162,7 +166,7 @@
 
 class WhileDiscoveryIsDown(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        asyncio.get_running_loop().set_debug(False)  # the crowd is in this loop
+        asyncio.get_running_loop().set_debug(False)  # the idle clients run in this loop
         self.old, self.new, self.second = Worker("s-1"), Worker("s-2"), Roster()
         await self.new.open()
         await self.second.open()
@@ -170,13 +174,14 @@
         self.addAsyncCleanup(self.new.close)
 
     def site(self, sockets=256):
-        """Whose roster is silent; with more descriptors told than there are, or with the true number."""
+        """Return a site whose roster is silent, with `sockets` as the configured limit of descriptors."""
         site = Limited([self.old], sockets=sockets)
         site.roster.rewrite = lambda wire: None
         return site
 
     async def crowd(self, site):
-        """Its crowd, which has filled all that clients may hold and is kept up until the test ends."""
+        """Open idle connections until they use the whole capacity for clients; keep them open until the test
+        ends."""
         crowd = Crowd(site)
         self.addAsyncCleanup(crowd.leave)
         room = ResourceLimits(DESCRIPTORS, 64)
@@ -184,25 +189,26 @@
         return crowd
 
     async def check_that_it_serves(self, site, roster, crowd):
-        """The roster is asked, workers are reached, clients are served, and nothing spins."""
+        """Check that the roster is queried, workers are reached, clients are served, and nothing spins."""
         asked, opened = roster.asked, crowd.opened
         before = await site.counts()
         for n in range(CLIENTS):
             await site.served(fn=n)
-            await asyncio.sleep(0.3)  # some of the crowd are closed for their silence, others come meanwhile
-        self.assertLessEqual(site.lost, CLIENTS // 2)  # each has its room as it comes, whoever holds the rest
+            await asyncio.sleep(0.3)  # silent connections are closed and others opened meanwhile
+        self.assertLessEqual(site.lost, CLIENTS // 2)  # a new client is served despite the idle ones
         _, now = await site.looks(LOOKS)
         looks, turns = now.looks - before.looks, now.turns - before.turns
         events = crowd.opened - opened + roster.asked - asked + CLIENTS + site.lost
         self.assertLess(turns, TURNS_A_LOOK * looks + TURNS_AN_EVENT * events)
         self.assertLess(now.accepts - before.accepts, looks + events + IDLE)
-        # a look that finds a question without an answer 80 ms old puts the next one
+        # a check sends the next query if the last one is 80 ms old and unanswered
         self.assertGreater(roster.asked - asked, looks // 4)
         clients = site.figures()[1] - len(self.old.streams)
         self.assertLessEqual(clients, DESCRIPTORS - ResourceLimits(DESCRIPTORS, 64).workers)
 
     async def check_that_it_hears(self, site, roster):
-        """Discovery comes back, and tells of another worker in the place of the one that is known."""
+        """Check that the dispatcher uses a new worker, which replaces the known one, once discovery is
+        back."""
         self.assertFalse(self.new.probes or self.new.orders or self.new.runs)
         roster.serial, roster.entries = site.roster.serial + 1, {}
         roster.tell(self.new)
@@ -228,7 +234,7 @@
             await self.check_that_it_hears(site, site.roster)
 
     async def test_moved_under_a_crowd(self):
-        """SIGHUP; the roster at its new address is silent as well at first."""
+        """The roster is moved by SIGHUP; at its new address it is silent at first too."""
         self.second.rewrite = lambda wire: None
         async with self.site() as site:
             crowd = await self.crowd(site)
@@ -244,7 +250,7 @@
             await self.check_that_it_hears(site, site.roster)
 
     async def test_the_first_answer_comes_with_no_descriptor_left(self):
-        """Nothing has to be opened to read it, a module of a library neither."""
+        """Reading the answer must open nothing, not even the file of a library module."""
         async with self.site() as site:
             site.leaves_none()
             site.roster.rewrite = None
@@ -255,7 +261,7 @@
             await self.check_that_it_hears(site, site.roster)
 
     async def test_the_first_client_comes_with_one_descriptor_left(self):
-        """That of its connection: nothing else has to be opened to serve it."""
+        """The connection needs the last descriptor; serving it must open nothing else."""
         async with self.site() as site:
             held = site.figures()[1]
             _, hard = resource.prlimit(site.process.pid, resource.RLIMIT_NOFILE)
@@ -267,12 +273,12 @@
             await site.served()
 
     async def test_moved_with_no_descriptor_left(self):
-        """SIGHUP while the configuration can't be opened, for longer than a spoilt one is read again."""
+        """SIGHUP while the configuration can't be opened, for longer than a malformed file is retried."""
         async with self.site() as site:
             site.leaves_none()
             site.write(names=f"127.0.0.1:{self.second.port}")
             site.process.send_signal(signal.SIGHUP)
-            with socket.create_connection(site.address):  # nobody can take it: the listener stays readable
+            with socket.create_connection(site.address):  # not accepted: the listener stays readable
                 before, now = await site.looks(TRIED)
             self.assertLess(now.turns - before.turns, TURNS_A_LOOK * (now.looks - before.looks))
             self.assertLess(now.accepts - before.accepts, 2 * (now.looks - before.looks))
@@ -283,8 +289,8 @@
             await self.check_that_it_hears(site, self.second)
 
     async def test_a_roster_that_cannot_be_reached_from_the_start(self):
-        """No way leads there when it starts: it serves by what it knows, and asks once SIGHUP tells a better
-        one."""
+        """The address of the roster is unreachable at the start: the dispatcher serves with the configured
+        list, and queries the roster once SIGHUP gives another address."""
         site = self.site()
         write = site.write
         site.write = lambda **changes: write(**{"names": "255.255.255.255:53", **changes})
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -1,9 +1,9 @@
-"""Kinds of faults that the operators' days name and no other test forces: after a long quiet time, at idle
+"""Faults from the operators' trial days that no other test forces: after a long quiet period, on idle
 connections, at retries, and with very little time left.
 
-The node's core, module and links on the virtual clock of `ration`. Each request gets one final answer, at
-most `GRACE_S` after its time; no worker that is gone gets anything after the grace; no activation is sent
-more often than allowed."""
+The core, the module and the links of the node run on the virtual clock of `ration`. Each request must get one
+final answer, at most `GRACE_S` after its deadline; a removed worker must get nothing after the grace period;
+and no activation may be sent more often than allowed."""
 
 import copy
 import unittest
@@ -15,15 +15,15 @@
 
 from petrelwood.node import service
 
-GRACE_S = 0.5  # a final answer may come so much later than the request's time
-ATTEMPTS = 3  # as `node_site.SETTINGS` allows
-BUSY_S, QUIET_S = 6.0, 600.0  # calls come for so long, then none
-AGAIN_S = BUSY_S + QUIET_S
-IDLE_S = 2.0  # after which the workers here no longer know a connection; the settings tell 30 s
+GRACE_S = 0.5  # the maximum delay of a final answer after the deadline of its request
+ATTEMPTS = 3  # the maximum number of sends in `node_site.SETTINGS`
+BUSY_S, QUIET_S = 6.0, 600.0  # the duration of the first calls, and of the quiet period after them
+AGAIN_S = BUSY_S + QUIET_S  # when calls begin again
+IDLE_S = 2.0  # the idle timeout of connections in these workers; the settings state 30 s
 
 
 class TimedExchange(ration.Exchange):
-    """Notes when it was answered."""
+    """Records when it was answered."""
 
     ended_at = None
 
@@ -33,7 +33,7 @@
 
 
 class World(ration.World):
-    """`worker`: the class of its workers; `quiet`: from when until when no client comes (s)."""
+    """`worker`: the class of the workers; `quiet`: the start and end of the period without calls (s)."""
 
     worker, quiet = ration.Worker, (0.0, 0.0)
 
@@ -61,7 +61,7 @@
 
 
 class Worker(ration.Worker):
-    """Counts what each activation is sent."""
+    """Counts the sends of each activation."""
 
     def line(self, stream, said):
         if said["type"] == "FN" and self.world.clock.loop.time() >= self.hung:
@@ -70,7 +70,7 @@
 
 
 class ForgetsIdle(Worker):
-    """Knows nothing of a connection that has carried nothing for a while, and says nothing on it any more."""
+    """Drops the state of a connection that was idle for `IDLE_S`, and never answers on it again."""
 
     def line(self, stream, said):
         now, last = self.world.clock.loop.time(), getattr(stream, "used", None)
@@ -81,7 +81,7 @@
 
 
 class ClosesIdle(Worker):
-    """Closes a connection that has carried nothing for a while."""
+    """Closes a connection that was idle for `IDLE_S`."""
 
     def line(self, stream, said):
         stream.used = self.world.clock.loop.time()
@@ -94,7 +94,7 @@
 
 
 class FailsRepeats(Worker):
-    """An activation that any worker has had before fails at once."""
+    """Fails an activation at once if any worker received it before."""
 
     def line(self, stream, said):
         hung = self.world.clock.loop.time() < self.hung
@@ -107,7 +107,7 @@
 
 
 class FailsAll(Worker):
-    """Whatever comes fails at once."""
+    """Fails every activation at once."""
 
     def line(self, stream, said):
         if said["type"] == "FN":
@@ -118,7 +118,7 @@
 
 
 class DropsWhatIsLate(Worker):
-    """Drops without a word what it could not answer in the time that it was told."""
+    """Silently drops activations that it could not answer within their announced patience."""
 
     def ran(self, stream, said):
         took = self.world.clock.loop.time() - self.world.arrived.pop((self.name, said["req"]))
@@ -135,7 +135,7 @@
 
 class Faults(unittest.TestCase):
     def play(self, worker, seconds=14, quiet=(0.0, 0.0), make=World, **figures):
-        """The `World` after a day that kept the rules."""
+        """Run a case and return its `World`; without `figures` the case has no faults."""
         figures = {"replaced": 0, "floods": 0, "strange": 0, "gives_up": 0, "falls": 1, **figures}
         figures = {"late": 0, "never": 0, "refused": 0, "free": 50, **figures}
         world = make(ration.Case(5, seconds=quiet[1] + seconds, **figures))
@@ -154,17 +154,17 @@
         self.assertLessEqual(max(world.sends.values()), ATTEMPTS)
 
     def served(self, world):
-        """The part that was completed, of what came last (after a quiet time: after it)."""
+        """Return the share of completed requests, after the quiet period if there is one."""
         ends = [exchange.ended for exchange, _ in world.exchanges if exchange.sent >= world.quiet[1]]
         return sum(end == "completed" for end in ends) / len(ends)
 
 
 class AfterQuiet(Faults):
-    """For ten minutes nobody calls and the list says nothing; then all comes at once."""
+    """Ten minutes without calls and list changes, then calls and a fault at once."""
 
     def test_workers_are_replaced_as_the_first_calls_come(self):
         class Replaced(World):
-            """Its list comes late, but for the first one."""
+            """A world in which all lists but the first one arrive late."""
 
             def tell(self):
                 if self.serial:
@@ -198,7 +198,8 @@
 
 
 class Restarting(World):
-    """Six in ten of its workers are replaced in steps, while its dispatcher is killed and started again."""
+    """A world in which six in ten workers are replaced in steps while the dispatcher is killed and
+    restarted."""
 
     STEPS, FROM_S, UNTIL_S = 4, 5.0, 10.0
     KILLS_S = (5.4, 7.1, 8.8)
@@ -216,16 +217,17 @@
         super().tell()
 
     def make_mortal(self):
-        """Nothing that the dispatcher has put off is done once it is dead."""
+        """Drop the pending timers of the dispatcher once it is dead."""
         clock, at = self.node.clock, self.node.clock.at
         clock.dead = False
         clock.at = lambda when, call, *args: at(when, lambda: clock.dead or call(*args))
 
     def restart(self):
-        """What it held is lost with it; what it has sent arrives. The next one knows the list alone."""
+        """Restart the dispatcher: its queue is lost, its sends still arrive, and the new one knows only the
+        list."""
         old = self.node
         old.clock.dead = True
-        old.events.running = True  # what is submitted only waits
+        old.events.running = True  # submitted calls stay queued
         old.next_check.cancel()
         for link in old.links.values():
             link.waiting.clear()
@@ -253,7 +255,7 @@
                 self.assertGreater(self.served(world), 0.5)
 
     def test_a_dispatcher_that_forgets_what_drains_is_seen(self):
-        """Its list is whole for ever: nothing that is gone is ever taken off."""
+        """The checks must fail if removed workers stay in the list forever."""
 
         class Forgetful(Restarting):
             def tell(self):
@@ -289,7 +291,7 @@
 
 
 class Broken(Faults):
-    """The judge sees what is broken on purpose."""
+    """The checks must detect deliberate violations."""
 
     def test_an_attempt_too_many(self):
         raised = copy.deepcopy(node_site.SETTINGS)
@@ -299,7 +301,7 @@
 
     def test_answers_that_come_late(self):
         class Patient(World):
-            """The dispatcher is told another time than the client's."""
+            """A world in which the dispatcher gets a longer patience than the client has."""
 
             def read(self, exchange, id_, fn, ttl):
                 super().read(exchange, id_, fn, 5 * ttl)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,8 +1,9 @@
-"""System calls of `petrelwood.node` that fail: its listener, its clients, its links to workers, its roster.
+"""Failing system calls of `petrelwood.node`: of its listener, its clients, its links to workers and its
+roster.
 
-Five things are judged wherever a call fails: nothing spins (the calls and turns of a loop that is left to
-itself are counted), no listener or link stays deaf once the fault is over, what never left is not aborted,
-the process goes on, and each activation has one answer."""
+For each failing call the tests check that nothing spins (by counting system calls and loop iterations), that
+each listener and link works again after the fault, that activations which never left are not aborted, that
+the process continues, and that each activation gets one answer."""
 
 import asyncio
 import contextlib
@@ -36,13 +37,15 @@
 
 from petrelwood.links.accept_errors import CONNECTION_ERRORS_IN_A_ROW
 
-IDLE = 12  # connections that rest
-TURNS = 300  # of a loop that never waits
-TURNS_A_LOOK = 50  # far over what a dispatcher and its roster need; a loop that spins has thousands
+IDLE = 12  # the number of idle connections
+TURNS = 300  # the number of loop iterations run without waiting
+# The maximum number of loop iterations per check, far more than a dispatcher and its roster need; a spinning
+# loop has thousands.
+TURNS_A_LOOK = 50
 
 
 class Case(unittest.IsolatedAsyncioTestCase):
-    """Dispatchers in the test's loop, in which nothing may be called a defect."""
+    """Dispatchers in the loop of the test, none of which may log an internal error."""
 
     async def asyncSetUp(self):
         self.unhandled = []
@@ -59,7 +62,7 @@
             self.assertEqual(site.node.pending.counts["defects"], 0, site.log)
 
     async def served(self, site, worker, type_="single"):
-        """One more activation, of a client on a new connection."""
+        """Complete one more activation, of a client on a new connection."""
         client = Caller(site.address)
         self.addCleanup(client.sock.close)
         fields = ask(fn=1)
@@ -70,15 +73,15 @@
         await site.until(lambda: fault.failed >= times)
 
     async def has(self, site, client, number):
-        """A client has an answer."""
+        """Wait until a client has an answer."""
         await site.until(lambda: number in client.read())
 
     async def ended(self, site, client):
-        """A client's connection has ended with no answer."""
+        """Wait until the connection of a client has ended without an answer."""
         await site.until(lambda: client.read() == {} and client.ended)
 
     async def answered(self, site, client, number, worker, call, body=b"x"):
-        """It reaches the worker, which answers it; the client has that answer."""
+        """Wait for an activation at its worker, answer it, and check the answer at the client."""
 
         def sent():
             return [run for run in worker.runs() if run[1]["req"] == call]
@@ -91,7 +94,7 @@
 
 class Listener(Case):
     async def test_accept_fails_for_a_while(self):
-        """The connection waits meanwhile; nothing spins, and it is served once the fault is over."""
+        """The connection waits during the fault, nothing spins, and it is served after the fault."""
         for error in ACCEPT_FAILS:
             with self.subTest(errno.errorcode[error]):
                 worker = ManualWorker("s-1")
@@ -110,7 +113,7 @@
                     await self.served(site, worker)
 
     async def test_accept_fails_for_a_while_with_idle_clients(self):
-        """One that rests makes room for another connection; where that does not help, the others stay."""
+        """An idle connection is closed for a new one; if that does not help, the others stay open."""
         for error in (errno.ENFILE, errno.EMFILE):
             with self.subTest(errno.errorcode[error]):
                 worker = ManualWorker("s-1")
@@ -131,7 +134,7 @@
                     await self.answered(site, waiting, number, worker, fields["call"])
 
     async def test_accept_loses_a_connection(self):
-        """Its error says nothing of the others that wait: they are taken in the same turn."""
+        """Other pending connections are accepted in the same iteration of the event loop."""
         for error in ACCEPT_LOSES:
             with self.subTest(errno.errorcode[error]):
                 worker = ManualWorker("s-1")
@@ -147,7 +150,7 @@
                     await self.answered(site, kept, number, worker, fields["call"])
 
     async def test_a_new_connection_cannot_be_set_up(self):
-        """It is served without the option, or closed; those that come after it are served."""
+        """The connection is served without the option, or closed; later connections are served."""
         for call, error in (
             ("setsockopt", errno.EINVAL),
             ("setsockopt", errno.ENOTCONN),
@@ -211,7 +214,8 @@
                         await self.served(site, worker)
 
     async def test_a_connection_breaks_as_the_first_of_two_requests_is_answered(self):
-        """Both were read together: the other one is not begun, or taken back, and that is no defect."""
+        """Both were read together: the second one is not started or is withdrawn, without an internal
+        error."""
         for error in WRITE_BREAKS:
             with self.subTest(errno.errorcode[error]):
                 worker = ManualWorker("s-1")
@@ -227,7 +231,7 @@
                     await self.served(site, worker)
 
     async def test_short_reads_and_writes(self):
-        """Byte by byte, from clients and to them, from workers and to them."""
+        """Byte by byte, in both directions, for clients and workers."""
         worker = ManualWorker("s-1")
         async with self.site(worker) as site:
             ports = local(site.address[1]), peer(worker.port)
@@ -251,7 +255,7 @@
 
 class Workers(Case):
     async def rejected(self, site, fault, type_="single"):
-        """An activation that can't leave is rejected, and not at the cost of many tries."""
+        """Check that an activation that can't be sent is rejected after few attempts."""
         client = Caller(site.address)
         self.addCleanup(client.sock.close)
         number = client.call(ask(fn=1, ttl=600), type_=type_)
@@ -291,7 +295,7 @@
                         await self.either(site, first, second)
 
     async def test_one_connection_that_is_not_made(self):
-        """The next attempt goes on, at another worker or the same."""
+        """The next attempt succeeds, at the same or another worker."""
         for error in CONNECT_FAILS:
             with self.subTest(errno.errorcode[error]):
                 first, second = ManualWorker("s-1"), ManualWorker("s-2")
@@ -301,7 +305,7 @@
                     self.assertEqual(fault.failed, 1)
 
     async def either(self, site, first, second):
-        """An activation that must not run twice is completed by one of the two."""
+        """Check that one of the two workers completes an activation that must not run twice."""
         client = Caller(site.address)
         self.addCleanup(client.sock.close)
         number = client.call(fields := ask(fn=1), type_="single")
@@ -318,7 +322,7 @@
         self.assertEqual(len(runs()), 1)
 
     async def test_a_connection_without_its_option(self):
-        """A connection that can't be told to send at once sends."""
+        """A connection on which TCP_NODELAY can't be set still works."""
         for error in (errno.EINVAL, errno.ENOBUFS, errno.ENOMEM, errno.ENOPROTOOPT, errno.ENOTCONN):
             with self.subTest(errno.errorcode[error]):
                 worker = ManualWorker("s-1")
@@ -328,7 +332,7 @@
                     self.assertTrue(0 < fault.failed < 5)
 
     async def test_a_write_of_which_no_byte_is_taken(self):
-        """It provably never ran: the activation goes on, and is not aborted."""
+        """The attempt provably never ran, so the activation continues and is not aborted."""
         for error in WRITE_BREAKS:
             with self.subTest(errno.errorcode[error]):
                 first, second = ManualWorker("s-1"), ManualWorker("s-2")
@@ -338,7 +342,7 @@
                     self.assertEqual(fault.failed, 1)
 
     async def test_a_write_that_blocks_before_its_first_byte_and_then_fails(self):
-        """As above, a turn of the loop later."""
+        """As above, one iteration of the event loop later."""
         first, second = ManualWorker("s-1"), ManualWorker("s-2")
         async with self.site(first, second) as site:
             chosen = peer(first.port, second.port)
@@ -350,7 +354,8 @@
             self.assertEqual(fault.failed, 1)
 
     async def test_a_write_of_which_some_bytes_are_taken(self):
-        """They may be all that a worker needs: what must not run twice is aborted, what may goes on."""
+        """The worker may have run the attempt, so an activation that must not run twice is aborted; others
+        continue."""
         for error in WRITE_BREAKS:
             with self.subTest(errno.errorcode[error]):
                 first, second = ManualWorker("s-1"), ManualWorker("s-2")
@@ -382,7 +387,8 @@
 
 class Lists(Case):
     async def test_a_question_that_is_not_sent(self):
-        """For a while, or for good on this socket, whose own address may have gone: it is asked anew."""
+        """The failure is temporary, or permanent for this socket, as when its local address is gone; the
+        roster is queried again in both cases."""
         for error in DATAGRAM_FAILS:
             with self.subTest(errno.errorcode[error]):
                 worker = ManualWorker("s-1")
@@ -398,7 +404,7 @@
                         self.assertLessEqual(fault.calls, 2 * (roster.counts["asked"] - before))
 
     async def test_a_refusal_of_the_question_before(self):
-        """It is read by the next question, which then has not been sent: it is sent once more."""
+        """The next send reports the refusal of the previous query and sends nothing, so it is repeated."""
         worker = ManualWorker("s-1")
         async with self.site(worker) as site:
             roster = site.node.roster
@@ -409,7 +415,7 @@
             self.assertEqual((roster.counts["asked"], fault.failed), (asked + 1, 1))
 
     async def test_an_answer_that_is_not_received(self):
-        """A socket that can be read and never is: it is given up."""
+        """A socket that stays readable but can't be read is closed."""
         for error in set(DATAGRAM_FAILS) - {errno.EAGAIN, errno.EINTR}:
             with self.subTest(errno.errorcode[error]):
                 worker = ManualWorker("s-1")
@@ -442,7 +448,7 @@
                         await self.hears(site)
 
     async def hears(self, site):
-        """The dispatcher hears a change of the list."""
+        """Wait until the dispatcher has received a change of the list."""
         added = ManualWorker("s-9")
         self.addAsyncCleanup(added.close)
         site.roster.tell(added)
@@ -450,12 +456,12 @@
 
 
 def same(sock):
-    """Chooses one socket."""
+    """Return a filter that selects one socket."""
     return lambda each, _args: each is sock
 
 
 def local_to(client):
-    """Chooses the dispatcher's end of one client's connection."""
+    """Return a filter that selects the dispatcher's end of a client connection."""
     own = client.sock.getsockname()[1]
     return peer(own)
 
--- a/tests/test_worker_connections.py
+++ b/tests/test_worker_connections.py
@@ -1,4 +1,4 @@
-"""The limit of connections to all workers together, on real sockets."""
+"""The limit of all connections to workers, on real sockets."""
 
 import unittest
 from unittest import mock
@@ -9,7 +9,8 @@
 
 class LimitOfConnections(unittest.IsolatedAsyncioTestCase):
     async def test_the_link_that_gives_up_its_connection_takes_the_descriptor_back(self):
-        """Guards against one connection too many whenever an idle one is closed for another link."""
+        """Guards against exceeding the limit when the link of a closed idle connection opens another one at
+        once."""
         first, second = ManualWorker("s-1"), ManualWorker("s-2")
         async with InProcessSite([first, second]) as site:
             client = Caller(site.address)
@@ -25,7 +26,7 @@
             self.assertIsNone(taker.longest_idle_connection())
             with mock.patch.object(node, "may_send", lambda activation, link: False):
                 client.call(ask(fn=1, ttl=3900))
-                await site.until(lambda: loser.waiting)  # beside its idle connection
+                await site.until(lambda: loser.waiting)  # although it has an idle connection
                 taker.order_load(f"{2:016x}", 1, 1)
                 self.assertLessEqual(node.worker_connections, node.resource_limits.workers)
             await site.until(lambda: other.orders() or len(chosen.runs()) == 2)
