--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -571,10 +571,10 @@
                         data = data[client.sock.send(data) :]
                     await asyncio.sleep(0)
             await site.until(lambda: site.node.pending.counts["completed"] == len(bodies) + 1)
-            looks = site.node.check_count
+            checks = site.node.check_count
             # the client has no open request, but its answers have not been sent yet
             with mock.patch.object(resource_limits, "IDLE_TIMEOUT", 1):
-                await site.until(lambda: site.node.check_count > looks + 2)
+                await site.until(lambda: site.node.check_count > checks + 2)
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
             for there in site.node.front.clients:
                 there.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
@@ -950,8 +950,8 @@
             worker.answer(worker.runs()[0])
             block_loop(1.2)
             await site.until(client.read)
-            looks = site.node.check_count
-            await site.until(lambda: site.node.check_count > looks + 4)
+            checks = site.node.check_count
+            await site.until(lambda: site.node.check_count > checks + 4)
             self.assertEqual(
                 (client.answers[number][0], len(worker.runs()), other.read()[asked:], worker.orders()),
                 ("completed", 1, [], []),
--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -25,14 +25,15 @@
 DESCRIPTORS = 96  # RLIMIT_NOFILE of the dispatcher
 CLIENTS = 8  # the number of active clients, one after another
 IDLE = 300  # the number of idle connections that are kept open
-LOOKS = 40  # checks of the dispatcher (two seconds) over which the loop iterations are counted
+COUNTED_CHECKS = 40  # checks of the dispatcher (two seconds) over which the loop iterations are counted
 # The maximum number of loop iterations per check: one for the check itself, one for a timer of the module, up
 # to four after a late check on a busy machine, and as many again. A spinning loop has hundreds.
-TURNS_A_LOOK = 12
+MAX_ITERATIONS_PER_CHECK = 12
 # The maximum number of loop iterations per event: a connection that is accepted, read, answered and closed,
 # an activation, or a query.
-TURNS_AN_EVENT = 8
-TRIED = 80  # checks (four seconds); a faulty version gave up reading the configuration after three seconds
+MAX_ITERATIONS_PER_EVENT = 8
+# Checks while the configuration can't be read (four seconds): a faulty version gave up after three seconds.
+RELOAD_CHECKS = 80
 COUNTED = """
 import asyncio, json, os, resource, runpy, signal, sys
 limit = int(sys.argv[1])
@@ -93,12 +94,12 @@
             now = await self.counts()
         return before, now
 
-    def leaves_none(self):
+    def exhaust_descriptors(self):
         """Lower the limit so that the dispatcher can't open another descriptor."""
         _, hard = resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE)
         resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (3, hard))
 
-    def leaves_some(self):
+    def restore_descriptors(self):
         _, hard = resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE)
         resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (DESCRIPTORS, hard))
 
@@ -124,7 +125,7 @@
         return None
 
 
-class Crowd:
+class IdleClients:
     """`IDLE` idle connections to the dispatcher, each of which is reopened half a second after it was closed.
 
     A third of them send nothing, a third request health, and a third request one activation; then they stay
@@ -158,7 +159,7 @@
                 first = self._health
             await asyncio.sleep(0.5)
 
-    async def leave(self):
+    async def stop(self):
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -182,8 +183,8 @@
     async def crowd(self, site):
         """Open idle connections until they use the whole capacity for clients; keep them open until the test
         ends."""
-        crowd = Crowd(site)
-        self.addAsyncCleanup(crowd.leave)
+        crowd = IdleClients(site)
+        self.addAsyncCleanup(crowd.stop)
         room = ResourceLimits(DESCRIPTORS, 64)
         await site.until(lambda: crowd.opened >= IDLE and site.figures()[1] >= room.clients, SLOW)
         return crowd
@@ -196,17 +197,17 @@
             await site.served(fn=n)
             await asyncio.sleep(0.3)  # silent connections are closed and others opened meanwhile
         self.assertLessEqual(site.lost, CLIENTS // 2)  # a new client is served despite the idle ones
-        _, now = await site.looks(LOOKS)
+        _, now = await site.looks(COUNTED_CHECKS)
         looks, turns = now.looks - before.looks, now.turns - before.turns
         events = crowd.opened - opened + roster.asked - asked + CLIENTS + site.lost
-        self.assertLess(turns, TURNS_A_LOOK * looks + TURNS_AN_EVENT * events)
+        self.assertLess(turns, MAX_ITERATIONS_PER_CHECK * looks + MAX_ITERATIONS_PER_EVENT * events)
         self.assertLess(now.accepts - before.accepts, looks + events + IDLE)
         # a check sends the next query if the last one is 80 ms old and unanswered
         self.assertGreater(roster.asked - asked, looks // 4)
         clients = site.figures()[1] - len(self.old.streams)
         self.assertLessEqual(clients, DESCRIPTORS - ResourceLimits(DESCRIPTORS, 64).workers)
 
-    async def check_that_it_hears(self, site, roster):
+    async def check_new_list_is_used(self, site, roster):
         """Check that the dispatcher uses a new worker, which replaces the known one, once discovery is
         back."""
         self.assertFalse(self.new.probes or self.new.orders or self.new.runs)
@@ -221,7 +222,7 @@
     async def test_silent_from_before_the_start(self):
         async with self.site() as site:
             await self.check_that_it_serves(site, site.roster, await self.crowd(site))
-            await self.check_that_it_hears(site, site.roster)
+            await self.check_new_list_is_used(site, site.roster)
 
     async def test_silent_later(self):
         site = self.site()
@@ -231,7 +232,7 @@
             await site.until(lambda: site.roster.asked > asked + 2, SLOW)
             site.roster.rewrite = silent
             await self.check_that_it_serves(site, site.roster, await self.crowd(site))
-            await self.check_that_it_hears(site, site.roster)
+            await self.check_new_list_is_used(site, site.roster)
 
     async def test_moved_under_a_crowd(self):
         """The roster is moved by SIGHUP; at its new address it is silent at first too."""
@@ -242,23 +243,23 @@
             site.process.send_signal(signal.SIGHUP)
             await site.until(lambda: self.second.asked, SLOW)
             await self.check_that_it_serves(site, self.second, crowd)
-            await self.check_that_it_hears(site, self.second)
+            await self.check_new_list_is_used(site, self.second)
 
     async def test_told_of_the_true_limit(self):
         async with self.site(DESCRIPTORS) as site:
             await self.check_that_it_serves(site, site.roster, await self.crowd(site))
-            await self.check_that_it_hears(site, site.roster)
+            await self.check_new_list_is_used(site, site.roster)
 
     async def test_the_first_answer_comes_with_no_descriptor_left(self):
         """Reading the answer must open nothing, not even the file of a library module."""
         async with self.site() as site:
-            site.leaves_none()
+            site.exhaust_descriptors()
             site.roster.rewrite = None
             async with asyncio.timeout(SLOW):
                 while not (await site.counts()).answers:
                     await asyncio.sleep(0.1)
-            site.leaves_some()
-            await self.check_that_it_hears(site, site.roster)
+            site.restore_descriptors()
+            await self.check_new_list_is_used(site, site.roster)
 
     async def test_the_first_client_comes_with_one_descriptor_left(self):
         """The connection needs the last descriptor; serving it must open nothing else."""
@@ -269,24 +270,24 @@
             client = await site.client()
             self.assertTrue(await client.health())
             client.close()
-            site.leaves_some()
+            site.restore_descriptors()
             await site.served()
 
     async def test_moved_with_no_descriptor_left(self):
         """SIGHUP while the configuration can't be opened, for longer than a malformed file is retried."""
         async with self.site() as site:
-            site.leaves_none()
+            site.exhaust_descriptors()
             site.write(names=f"127.0.0.1:{self.second.port}")
             site.process.send_signal(signal.SIGHUP)
             with socket.create_connection(site.address):  # not accepted: the listener stays readable
-                before, now = await site.looks(TRIED)
-            self.assertLess(now.turns - before.turns, TURNS_A_LOOK * (now.looks - before.looks))
+                before, now = await site.looks(RELOAD_CHECKS)
+            self.assertLess(now.turns - before.turns, MAX_ITERATIONS_PER_CHECK * (now.looks - before.looks))
             self.assertLess(now.accepts - before.accepts, 2 * (now.looks - before.looks))
             self.assertLess(sum("configuration" in line for line in site.log), 3)
             self.assertEqual(self.second.asked, 0)
-            site.leaves_some()
+            site.restore_descriptors()
             await site.until(lambda: self.second.asked, SLOW)
-            await self.check_that_it_hears(site, self.second)
+            await self.check_new_list_is_used(site, self.second)
 
     async def test_a_roster_that_cannot_be_reached_from_the_start(self):
         """The address of the roster is unreachable at the start: the dispatcher serves with the configured
@@ -296,12 +297,12 @@
         site.write = lambda **changes: write(**{"names": "255.255.255.255:53", **changes})
         async with site:
             await site.served()
-            _, now = await site.looks(LOOKS)
+            _, now = await site.looks(COUNTED_CHECKS)
             self.assertLess(sum("can't query the roster" in line for line in site.log), 3)
             site.write(names=f"127.0.0.1:{self.second.port}")
             site.process.send_signal(signal.SIGHUP)
             await site.until(lambda: self.second.asked, SLOW)
-            await self.check_that_it_hears(site, self.second)
+            await self.check_new_list_is_used(site, self.second)
 
 
 if __name__ == "__main__":
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -45,8 +45,8 @@
             client.call(ask(fn=1, facts=one_lane))
             await site.until(lambda: site.node.intake.unanswered == 2)
             client.sock.sendall(invalid_requests(100, resource_limits.MAX_FAULTS) + call(3, ask(fn=1)))
-            looks = site.node.check_count
-            await site.until(lambda: site.node.check_count > looks + 3)
+            checks = site.node.check_count
+            await site.until(lambda: site.node.check_count > checks + 3)
             client.sock.sendall(call(4, ask(fn=1)))
             await site.until(lambda: 4 in client.read() or client.ended)
             for number in (1, 2):
@@ -80,9 +80,9 @@
         async with InProcessSite([]) as site:
             client = Caller(site.address)
             client.sock.sendall(b"\xc1\xc1\xc1")
-            looks = site.node.check_count
+            checks = site.node.check_count
             await site.until(lambda: client.read() is not None and client.ended)
-            self.assertLessEqual(site.node.check_count, looks + 1)
+            self.assertLessEqual(site.node.check_count, checks + 1)
 
     async def test_a_request_that_stays_half_beside_good_ones(self):
         """Guards against closing a connection with a partial request while another request is open."""
@@ -93,8 +93,8 @@
                 number = client.call(ask(fn=1))
                 await site.until(worker.runs)
                 client.call(ask(fn=1), part=slice(None, 40))
-                looks = site.node.check_count
-                await site.until(lambda: site.node.check_count > looks + 5)
+                checks = site.node.check_count
+                await site.until(lambda: site.node.check_count > checks + 5)
                 worker.answer(worker.runs()[0])
                 await site.until(lambda: number in client.read() or client.ended)
                 self.assertEqual(client.answers[number][0], "completed")
@@ -422,8 +422,8 @@
 
         async with InProcessSite([]) as site:
             stop = self.strain(site, 0.15)
-            looks = site.node.check_count
-            await site.until(lambda: site.node.check_count > looks + 2 * loop_lag.LATE_CHECKS)
+            checks = site.node.check_count
+            await site.until(lambda: site.node.check_count > checks + 2 * loop_lag.LATE_CHECKS)
             self.assertLessEqual(connected(connect(site)), 4 * client_listener.SHORT_BACKLOG)
             stop()
             await site.until(lambda: not site.node.front.listener.shedding)
--- a/tests/test_restart_readiness.py
+++ b/tests/test_restart_readiness.py
@@ -26,14 +26,14 @@
 from petrelwood.node.service import Node
 
 SLOW = 120  # seconds until a dispatcher that is not ready, or has not ended, fails the test
-WITHIN = 10  # seconds in which a restarted dispatcher must be ready
-SHARE = 0.9  # the minimum share of dispatchers that are ready in time
-CORE = 0.25  # the minimum share of a core that a dispatcher has while it starts
-TOGETHER = 5  # the number of dispatchers that are restarted at a time
-ENDS = (signal.SIGKILL, signal.SIGTERM)  # the signal that ends each start, in order
-LIST = 1024  # the number of workers in a long list
+MAX_START_TIME = 10  # seconds in which a restarted dispatcher must be ready
+MIN_READY_SHARE = 0.9  # the minimum share of dispatchers that are ready in time
+MIN_CORE_SHARE = 0.25  # the minimum share of a core that a dispatcher has while it starts
+PARALLEL_STARTS = 5  # the number of dispatchers that are restarted at a time
+END_SIGNALS = (signal.SIGKILL, signal.SIGTERM)  # the signal that ends each start, in order
+LONG_LIST = 1024  # the number of workers in a long list
 BUSY, BUSY_FOR = 6, 25  # the number of loops that keep the machine busy, and the seconds until each ends
-CALLS_A_WORKER = 20  # the maximum number of function calls at a start per worker in the list
+MAX_CALLS_PER_WORKER = 20  # the maximum number of function calls at a start per worker in the list
 LOOP = "import sys, time\nend = time.monotonic() + float(sys.argv[1])\nwhile time.monotonic() < end: pass"
 COUNTED = """
 import json, os, runpy, selectors, sys
@@ -62,7 +62,7 @@
 """
 
 
-class Unchanged(Roster):
+class UnchangedRoster(Roster):
     """A roster that reports no change whatever the length of the list, or is silent."""
 
     silent = False
@@ -78,7 +78,7 @@
 
     def __init__(self, process, address, began):
         self.process, self.address, self.began = process, address, began
-        self.took, self.own, self.waits = math.inf, math.inf, None
+        self.took, self.own_time, self.waits = math.inf, math.inf, None
 
     async def ready(self):
         """Poll `health` until the answer is true, and record the time that the start took."""
@@ -87,18 +87,18 @@
                 reader, writer = await asyncio.open_connection(*self.address)
                 try:
                     writer.write(msgpack.packb([0, 1, "health", [{}]]))
-                    said = await asyncio.wait_for(reader.read(64), WITHIN)
+                    said = await asyncio.wait_for(reader.read(64), MAX_START_TIME)
                 finally:
                     writer.close()
                 if said == msgpack.packb([1, 1, None, [True, {}]]):
                     self.took = time.monotonic() - self.began
-                    self.own = self.took - self._in_line()
+                    self.own_time = self.took - self._run_queue_wait()
                     return
             if self.process.returncode is not None:
                 return
             await asyncio.sleep(0.05)
 
-    def _in_line(self):
+    def _run_queue_wait(self):
         """Return the seconds for which the process was runnable without a core."""
         with contextlib.suppress(OSError):  # the kernel does not count it
             return int(pathlib.Path(f"/proc/{self.process.pid}/schedstat").read_text().split()[1]) / 1e9
@@ -118,7 +118,7 @@
     async def site(self, workers, silent):
         """Return a site with `workers` configured workers, one of which exists."""
         site = Site([Worker("s-1")])
-        site.roster = Unchanged()
+        site.roster = UnchangedRoster()
         site.roster.silent = silent
         await site.roster.open()
         await site.workers[0].open()
@@ -132,8 +132,8 @@
 
     @staticmethod
     def addresses():
-        """Return `TOGETHER` free addresses."""
-        return [("127.0.0.1", free_port()) for _ in range(TOGETHER)]
+        """Return `PARALLEL_STARTS` free addresses."""
+        return [("127.0.0.1", free_port()) for _ in range(PARALLEL_STARTS)]
 
     async def start(self, site, address):
         began = time.monotonic()
@@ -156,11 +156,11 @@
             process.kill()
 
     async def restarts(self, workers, silent):
-        """Start `TOGETHER` dispatchers, end them, and start them again while their clients stay connected."""
+        """Start the dispatchers, end them, and start them again while their clients stay connected."""
         site, addresses, starts = await self.site(workers, silent), self.addresses(), []
         site.address = addresses[0]
         self.path = site.write()
-        for number in ENDS:
+        for number in END_SIGNALS:
             batch = [await self.start(site, address) for address in addresses]
             clients = await asyncio.wait_for(self.all_ready(batch), SLOW)
             for start in batch:
@@ -181,9 +181,9 @@
 
     async def check(self, workers, silent):
         site, starts = await self.restarts(workers, silent)
-        told = [(round(s.took, 2), round(s.own, 2)) for s in starts]
-        in_time = sum(start.own <= CORE * WITHIN for start in starts)
-        self.assertGreaterEqual(in_time, SHARE * len(starts), told)
+        told = [(round(s.took, 2), round(s.own_time, 2)) for s in starts]
+        in_time = sum(start.own_time <= MIN_CORE_SHARE * MAX_START_TIME for start in starts)
+        self.assertGreaterEqual(in_time, MIN_READY_SHARE * len(starts), told)
         self.assertEqual([start.waits for start in starts], [0] * len(starts))
         self.assertTrue(site.roster.asked)
 
@@ -191,7 +191,7 @@
         await self.check(4, silent=False)
 
     async def test_with_a_long_list_and_discovery_silent(self):
-        await self.check(LIST, silent=True)
+        await self.check(LONG_LIST, silent=True)
 
     async def test_on_a_loaded_machine_with_a_long_list_and_discovery_silent(self):
         loops = [
@@ -199,7 +199,7 @@
             for _ in range(BUSY)
         ]
         try:
-            await self.check(LIST, silent=True)
+            await self.check(LONG_LIST, silent=True)
         finally:
             for loop in loops:
                 self.end(loop)
@@ -235,9 +235,9 @@
     async def test_each_worker_in_the_list_costs_the_same(self):
         """Twice the workers cost at most twice as much, in function calls, so that it holds on any
         machine."""
-        few, some, many = [await self.calls(n) for n in (LIST // 4, LIST // 2, LIST)]
+        few, some, many = [await self.calls(n) for n in (LONG_LIST // 4, LONG_LIST // 2, LONG_LIST)]
         self.assertLessEqual(many - some, 2.2 * (some - few))
-        self.assertLessEqual((many - few) / (LIST - LIST // 4), CALLS_A_WORKER)
+        self.assertLessEqual((many - few) / (LONG_LIST - LONG_LIST // 4), MAX_CALLS_PER_WORKER)
 
 
 if __name__ == "__main__":
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -19,14 +19,14 @@
 from petrelwood.node import graceful_shutdown
 
 SECOND = 1_000_000_000
-KINDS = ("plain", "marked", "single")
-STILL = 0.7  # seconds after SIGTERM in which requests still arrive; then the longest timeout begins
+NAMESPACE_TYPES = ("plain", "marked", "single")
+ACCEPT_PERIOD = 0.7  # seconds after SIGTERM in which requests still arrive; then the longest timeout begins
 CROSSING = 0.05  # seconds in which a request may cross the close of its connection
 PATIENCE = 1.9  # the patience of a client, in action timeouts
-EVERY = 0.02  # seconds between the requests of a client
+SEND_INTERVAL = 0.02  # seconds between the requests of a client
 
 
-def hangs(*_):
+def hang(*_):
     """The script of a worker that never answers."""
     return b""
 
@@ -47,12 +47,12 @@
                     client = await Client(self.site.address).open()
                 except OSError:  # the listener is closed: a request that was not accepted is not lost
                     self.refused += 1
-                    await asyncio.sleep(EVERY)
+                    await asyncio.sleep(SEND_INTERVAL)
                     continue
             number += 1
             fields = ask(fn=1 + number % 3, ttl=int(PATIENCE * self.timeout * 1000))
-            waiting.append(asyncio.ensure_future(self._one(client, fields, KINDS[number % 3])))
-            await asyncio.sleep(EVERY)
+            waiting.append(asyncio.ensure_future(self._one(client, fields, NAMESPACE_TYPES[number % 3])))
+            await asyncio.sleep(SEND_INTERVAL)
         await asyncio.gather(*waiting)
 
     async def _one(self, client, fields, kind):
@@ -67,13 +67,13 @@
 class TheKill(unittest.IsolatedAsyncioTestCase):
     async def _dispatcher(self, timeout):
         """Run a dispatcher with a longest action timeout of `timeout` s, and kill it as early as allowed."""
-        workers = [Worker(f"s-{n}", hangs) for n in range(2)]
+        workers = [Worker(f"s-{n}", hang) for n in range(2)]
         site = Site(workers, **settings(classes={"deadline": int(timeout * 1_000_000)}))
         async with site:
             senders = [Sender(site, timeout) for _ in range(4)]
             clients = [await site.client() for _ in senders]
             began = time.monotonic() + 0.3
-            killed = began + STILL + timeout
+            killed = began + ACCEPT_PERIOD + timeout
             sending = [
                 asyncio.ensure_future(sender.run(client, killed))
                 for sender, client in zip(senders, clients, strict=True)
@@ -104,7 +104,7 @@
                 self.assertTrue(answers)
                 # in time; an answer up to half a second late is tolerated, although it is worth nothing
                 self.assertLess(max(took for _, took, _ in answers), PATIENCE * timeout + 0.5)
-                late = {word for at, _, word in answers if at > began + STILL}
+                late = {word for at, _, word in answers if at > began + ACCEPT_PERIOD}
                 self.assertLessEqual(late, {"Throttled"})
 
     async def test_a_signal_that_comes_while_the_loop_is_held_up(self):
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -14,10 +14,10 @@
 
 from petrelwood.node import roster_protocol
 
-SERVERS, NAMES, MOST = 16, 1024, 8_000
+SERVERS, NAMES, MAX_ANSWER_SIZE = 16, 1024, 8_000
 
 
-class Named:
+class SharedAddressWorker:
     """A listed worker that shares the address of a server with others."""
 
     def __init__(self, name, server):
@@ -37,7 +37,7 @@
         self.assertGreater(found, 60)
         del entries[f"s-{found:08x}"]
         wire = answer(asked, 41, entries)
-        self.assertGreater(len(wire), MOST - 200)
+        self.assertGreater(len(wire), MAX_ANSWER_SIZE - 200)
         serial, listed = roster_protocol.decode_answer(wire)
         self.assertEqual((serial, [e.worker for e in listed]), (41, list(entries)))
         for cut in range(100, len(wire), 97):
@@ -98,7 +98,7 @@
         async with Site(servers, sockets=256, memory=64) as site:
             self.assertEqual(await site.stop(), 0)
             for n in range(SERVERS, NAMES):
-                site.roster.tell(Named(f"w{n}", servers[n % SERVERS]))
+                site.roster.tell(SharedAddressWorker(f"w{n}", servers[n % SERVERS]))
             # a DNS answer can't hold that many workers, so only the configured list is available
             site.roster.datagram_received = lambda *_: None
             site.log.clear()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -38,10 +38,10 @@
 from petrelwood.links.accept_errors import CONNECTION_ERRORS_IN_A_ROW
 
 IDLE = 12  # the number of idle connections
-TURNS = 300  # the number of loop iterations run without waiting
+ITERATIONS = 300  # the number of loop iterations run without waiting
 # The maximum number of loop iterations per check, far more than a dispatcher and its roster need; a spinning
 # loop has thousands.
-TURNS_A_LOOK = 50
+MAX_ITERATIONS_PER_CHECK = 50
 
 
 class Case(unittest.IsolatedAsyncioTestCase):
@@ -99,16 +99,16 @@
             with self.subTest(errno.errorcode[error]):
                 worker = ManualWorker("s-1")
                 async with self.site(worker) as site:
-                    looks, port = site.node.check_count, site.address[1]
+                    checks, port = site.node.check_count, site.address[1]
                     with failing("accept", error, local(port), times=None) as fault:
                         waiting = Caller(site.address)
                         self.addCleanup(waiting.sock.close)
                         number = waiting.call(fields := ask(fn=1), type_="single")
                         await self.failed(site, fault)
-                        await site.turns(TURNS)
-                        pauses = 1 + site.node.check_count - looks
-                        of_one = CONNECTION_ERRORS_IN_A_ROW if error == errno.EPERM else 1
-                        self.assertLessEqual(fault.calls, of_one * (1 + pauses))
+                        await site.turns(ITERATIONS)
+                        pauses = 1 + site.node.check_count - checks
+                        accepts_per_pause = CONNECTION_ERRORS_IN_A_ROW if error == errno.EPERM else 1
+                        self.assertLessEqual(fault.calls, accepts_per_pause * (1 + pauses))
                     await self.answered(site, waiting, number, worker, fields["call"])
                     await self.served(site, worker)
 
@@ -122,14 +122,14 @@
                     for client in idle:
                         self.addCleanup(client.sock.close)
                     await site.until(lambda: len(site.node.front.clients) == IDLE)
-                    looks = site.node.check_count
+                    checks = site.node.check_count
                     with failing("accept", error, local(site.address[1]), times=None) as fault:
                         waiting = Caller(site.address)
                         self.addCleanup(waiting.sock.close)
                         await self.failed(site, fault)
-                        await site.turns(TURNS)
+                        await site.turns(ITERATIONS)
                         crowded_out = site.node.front.counts["evicted"]
-                        self.assertLessEqual(crowded_out, 1 + site.node.check_count - looks)
+                        self.assertLessEqual(crowded_out, 1 + site.node.check_count - checks)
                     number = waiting.call(fields := ask(fn=1), type_="single")
                     await self.answered(site, waiting, number, worker, fields["call"])
 
@@ -139,14 +139,16 @@
             with self.subTest(errno.errorcode[error]):
                 worker = ManualWorker("s-1")
                 async with self.site(worker) as site:
-                    looks = site.node.check_count
+                    checks = site.node.check_count
                     with losing_accepts(error, local(site.address[1])) as fault:
                         lost, kept = Caller(site.address), Caller(site.address)
                         self.addCleanup(lost.sock.close)
                         self.addCleanup(kept.sock.close)
                         number = kept.call(fields := ask(fn=1), type_="single")
                         await self.failed(site, fault)
-                        self.assertEqual((fault.failed, site.node.front.counts["connections"]), (1, 1), looks)
+                        self.assertEqual(
+                            (fault.failed, site.node.front.counts["connections"]), (1, 1), checks
+                        )
                     await self.answered(site, kept, number, worker, fields["call"])
 
     async def test_a_new_connection_cannot_be_set_up(self):
@@ -400,7 +402,7 @@
                         if error in MOMENTARY:
                             await self.failed(site, fault, 2)
                             fault.over()
-                        await self.hears(site)
+                        await self.wait_for_list_change(site)
                         self.assertLessEqual(fault.calls, 2 * (roster.counts["asked"] - before))
 
     async def test_a_refusal_of_the_question_before(self):
@@ -427,13 +429,14 @@
                         Turns() as turns,
                     ):
                         await self.failed(site, fault)
-                        looks, before = site.node.check_count, turns.count
+                        checks, before = site.node.check_count, turns.count
                         await asyncio.sleep(0.3)
                         self.assertLess(
-                            turns.count - before, TURNS_A_LOOK * (site.node.check_count - looks + 2)
+                            turns.count - before,
+                            MAX_ITERATIONS_PER_CHECK * (site.node.check_count - checks + 2),
                         )
                         fault.over()
-                        await self.hears(site)
+                        await self.wait_for_list_change(site)
 
     async def test_no_socket_to_ask_with(self):
         for error in SOCKET_FAILS:
@@ -445,9 +448,9 @@
                         await asyncio.sleep(0.2)
                         self.assertLess(fault.calls, 8)
                         fault.over()
-                        await self.hears(site)
+                        await self.wait_for_list_change(site)
 
-    async def hears(self, site):
+    async def wait_for_list_change(self, site):
         """Wait until the dispatcher has received a change of the list."""
         added = ManualWorker("s-9")
         self.addAsyncCleanup(added.close)
