--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -38,7 +38,7 @@
 import asyncio, json, os, resource, runpy, signal, sys
 limit = int(sys.argv[1])
 resource.setrlimit(resource.RLIMIT_NOFILE, (limit, resource.getrlimit(resource.RLIMIT_NOFILE)[1]))
-counts = {"turns": 0, "looks": 0, "accepts": 0, "answers": 0}
+counts = {"iterations": 0, "checks": 0, "accepts": 0, "answers": 0}
 
 def counted(owner, name, what):
     inner = getattr(owner, name)
@@ -47,9 +47,9 @@
         return inner(*args)
     setattr(owner, name, outer)
 
-counted(asyncio.base_events.BaseEventLoop, "_run_once", "turns")
+counted(asyncio.base_events.BaseEventLoop, "_run_once", "iterations")
 from petrelwood.node import client_listener, roster, service
-counted(service.Node, "_check", "looks")
+counted(service.Node, "_check", "checks")
 counted(client_listener.ClientListener, "_accept", "accepts")
 counted(roster.DnsRoster, "_usable_answer_received", "answers")
 signal.signal(signal.SIGUSR1, lambda *_: os.write(2, json.dumps({"counts": counts}).encode() + b"\\n"))
@@ -59,11 +59,10 @@
 
 
 class Counts(NamedTuple):
-    """Counts since the start of the process; `turns`: loop iterations, `looks`: checks, `answers`: usable
-    ones."""
+    """Counts since the start of the process; `iterations`: of the event loop, `answers`: usable ones."""
 
-    turns: int
-    looks: int
+    iterations: int
+    checks: int
     accepts: int
     answers: int
 
@@ -86,10 +85,10 @@
         newest = next(line for line in reversed(self.log) if '"counts"' in line)
         return Counts(**json.loads(newest)["counts"])
 
-    async def looks(self, count):
+    async def wait_for_checks(self, count):
         """Wait for `count` more checks of the dispatcher; return its counts before and after them."""
         before = now = await self.counts()
-        while now.looks - before.looks < count:
+        while now.checks - before.checks < count:
             await asyncio.sleep(0.1)
             now = await self.counts()
         return before, now
@@ -197,13 +196,13 @@
             await site.served(fn=n)
             await asyncio.sleep(0.3)  # silent connections are closed and others opened meanwhile
         self.assertLessEqual(site.lost, CLIENTS // 2)  # a new client is served despite the idle ones
-        _, now = await site.looks(COUNTED_CHECKS)
-        looks, turns = now.looks - before.looks, now.turns - before.turns
+        _, now = await site.wait_for_checks(COUNTED_CHECKS)
+        checks, iterations = now.checks - before.checks, now.iterations - before.iterations
         events = crowd.opened - opened + roster.asked - asked + CLIENTS + site.lost
-        self.assertLess(turns, MAX_ITERATIONS_PER_CHECK * looks + MAX_ITERATIONS_PER_EVENT * events)
-        self.assertLess(now.accepts - before.accepts, looks + events + IDLE)
+        self.assertLess(iterations, MAX_ITERATIONS_PER_CHECK * checks + MAX_ITERATIONS_PER_EVENT * events)
+        self.assertLess(now.accepts - before.accepts, checks + events + IDLE)
         # a check sends the next query if the last one is 80 ms old and unanswered
-        self.assertGreater(roster.asked - asked, looks // 4)
+        self.assertGreater(roster.asked - asked, checks // 4)
         clients = site.figures()[1] - len(self.old.streams)
         self.assertLessEqual(clients, DESCRIPTORS - ResourceLimits(DESCRIPTORS, 64).workers)
 
@@ -280,9 +279,11 @@
             site.write(names=f"127.0.0.1:{self.second.port}")
             site.process.send_signal(signal.SIGHUP)
             with socket.create_connection(site.address):  # not accepted: the listener stays readable
-                before, now = await site.looks(RELOAD_CHECKS)
-            self.assertLess(now.turns - before.turns, MAX_ITERATIONS_PER_CHECK * (now.looks - before.looks))
-            self.assertLess(now.accepts - before.accepts, 2 * (now.looks - before.looks))
+                before, now = await site.wait_for_checks(RELOAD_CHECKS)
+            self.assertLess(
+                now.iterations - before.iterations, MAX_ITERATIONS_PER_CHECK * (now.checks - before.checks)
+            )
+            self.assertLess(now.accepts - before.accepts, 2 * (now.checks - before.checks))
             self.assertLess(sum("configuration" in line for line in site.log), 3)
             self.assertEqual(self.second.asked, 0)
             site.restore_descriptors()
@@ -297,7 +298,7 @@
         site.write = lambda **changes: write(**{"names": "255.255.255.255:53", **changes})
         async with site:
             await site.served()
-            _, now = await site.looks(COUNTED_CHECKS)
+            _, now = await site.wait_for_checks(COUNTED_CHECKS)
             self.assertLess(sum("can't query the roster" in line for line in site.log), 3)
             site.write(names=f"127.0.0.1:{self.second.port}")
             site.process.send_signal(signal.SIGHUP)
