--- a/petrelwood/node/client_connection.py
+++ b/petrelwood/node/client_connection.py
@@ -170,8 +170,8 @@
         elif isinstance(message, rpc.Notification) and message.method == "cancel":
             for msgid in message.params:
                 exchange = self.open_requests.pop(msgid, None) if isinstance(msgid, int) else None
-                if exchange is not None and exchange.act is not None:
-                    self.front.core.detach_client(exchange.act, exchange)
+                if exchange is not None and exchange.activation_id is not None:
+                    self.front.core.detach_client(exchange.activation_id, exchange)
             self.request_ended()
         else:
             raise rpc.MalformedRpcError("the message is neither a request nor a cancel")
@@ -183,7 +183,7 @@
         if msgid in self.open_requests:  # an answer could not be matched to one of the two requests
             raise rpc.MalformedRpcError("the message id is already in use")
         if self.draining:
-            self.send_rejection(msgid, core.intake.usual)
+            self.send_rejection(msgid, core.intake.typical_duration)
         elif method in core.terms.types:
             self._handle_call(msgid, method, request.params, now)
         elif method == "health":
@@ -214,7 +214,7 @@
             return
         self.requested = True
         if not self._has_capacity():
-            self.send_rejection(msgid, core.intake.usual)
+            self.send_rejection(msgid, core.intake.typical_duration)
             return
         exchange = self.open_requests[msgid] = Exchange(self, msgid)
         self.front.connection_busy(self)
@@ -260,8 +260,8 @@
         self.unreadable = True
         for msgid, exchange in list(self.open_requests.items()):
             del self.open_requests[msgid]
-            if exchange.act is not None:
-                self.front.core.detach_client(exchange.act, exchange)
+            if exchange.activation_id is not None:
+                self.front.core.detach_client(exchange.activation_id, exchange)
             self.send_failure(msgid)
 
     def _drain(self, now: int) -> None:
@@ -343,8 +343,8 @@
         self.reader = None
         self.stream.close()
         for exchange in list(self.open_requests.values()):
-            if exchange.act is not None:
-                self.front.core.detach_client(exchange.act, exchange)
+            if exchange.activation_id is not None:
+                self.front.core.detach_client(exchange.activation_id, exchange)
         self.open_requests.clear()
 
 
--- a/petrelwood/node/client_listener.py
+++ b/petrelwood/node/client_listener.py
@@ -50,7 +50,7 @@
         Raises:
             OSError: the address can't be listened on.
         """
-        self.sock = sockets.fresh(address[0])
+        self.sock = sockets.new_socket(address[0])
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.setblocking(False)
         self.sock.bind(address)
--- a/petrelwood/node/exchange.py
+++ b/petrelwood/node/exchange.py
@@ -54,12 +54,12 @@
 class Exchange:
     """One request of a client, answered at most once; a `dispatch.activations.Exchange`."""
 
-    __slots__ = ("act", "client", "checked_at", "msgid", "reads_at_check")
+    __slots__ = ("activation_id", "client", "checked_at", "msgid", "reads_at_check")
 
     def __init__(self, client: Client, msgid: int) -> None:
         self.client = client
         self.msgid = msgid
-        self.act: str | None = None  # the id of its activation once it is admitted
+        self.activation_id: str | None = None  # the id of its activation once it is admitted
         self.checked_at = (
             0  # when an attempt was first deferred until its client is read (ns); 0: none is deferred
         )
@@ -89,7 +89,12 @@
         return True
 
     def answer(
-        self, outcome: str, body: bytes = b"", retry_after: int = 0, why: str = "", act: str | None = None
+        self,
+        outcome: str,
+        body: bytes = b"",
+        retry_after: int = 0,
+        detail: str = "",
+        activation_id: str | None = None,
     ) -> None:
         """Send the answer to the client; has no effect if it was answered or has left.
 
@@ -97,8 +102,8 @@
             outcome: the final state of the activation (`ActivationState`), or a decision of the intake.
             body: the result of a completed activation.
             retry_after: the time (ns) after which a rejected client should retry; 0: none.
-            why: not sent by this protocol.
-            act: not sent by this protocol.
+            detail: not sent by this protocol.
+            activation_id: not sent by this protocol.
         """
         if (
             not self.is_waiting()
--- a/petrelwood/node/front.py
+++ b/petrelwood/node/front.py
@@ -176,7 +176,7 @@
             if client.is_quiescent():
                 client.close()
 
-    def is_quiescent(self) -> bool:
+    def is_drained(self) -> bool:
         """Return whether all written data has been sent, and all incoming data was read.
 
         Incoming data includes requests, disconnects and connections in the listen queue.
--- a/petrelwood/node/interfaces.py
+++ b/petrelwood/node/interfaces.py
@@ -13,8 +13,8 @@
     """The stage that admits activations."""
 
     @property
-    def usual(self) -> int:
-        """The usual time from arrival to answer (ns), sent to rejected clients as the time to retry after."""
+    def typical_duration(self) -> int:
+        """The typical time from arrival to answer (ns), the retry-after time of rejected clients."""
 
 
 class Terms(Protocol):
--- a/petrelwood/node/node_activations.py
+++ b/petrelwood/node/node_activations.py
@@ -29,6 +29,6 @@
         if not cast(ClientExchange, exchange).is_waiting():  # the client left after the request was read
             return
         if self.core.is_open(request.id):
-            exchange.answer(intake.ABORT, why="an id that is open")
+            exchange.answer(intake.ABORT, detail="an id that is open")
             return
         super().admit(request, function, rule, body, exchange)
--- a/petrelwood/node/service.py
+++ b/petrelwood/node/service.py
@@ -77,8 +77,10 @@
 
     # Differences from the core of `petrelwood serve`
     def _make_stages(self) -> tuple[None, Intake, None]:
-        usual = min(each.target_latency for each in self.terms.types.values()) // USUAL_TIME_DIVISOR
-        return None, cast(Intake, CapacityIntake(self.resource_limits, usual)), None
+        typical_duration = (
+            min(each.target_latency for each in self.terms.types.values()) // USUAL_TIME_DIVISOR
+        )
+        return None, cast(Intake, CapacityIntake(self.resource_limits, typical_duration)), None
 
     def _make_activations(self) -> Activations:
         return NodeActivations(self)
@@ -184,7 +186,7 @@
         if losses <= LOSSES_LOGGED or not losses % LOSSES_PER_LOG_LINE:
             self.log.info("a connection to a worker is lost", worker=worker, why=why, out=out, losses=losses)
 
-    def mark_active(self, link: NodeLink) -> None:
+    def schedule_checks(self, link: NodeLink) -> None:
         """Note that a link has an open call."""
         self.active_links[link] = True
 
--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -17,7 +17,7 @@
 from petrelwood.links import sockets
 from petrelwood.links.calls import HEALTH_CHECK, LOAD_ORDER, QUEUED, RUN, Call, Calls
 from petrelwood.links.connection_end import reason_of_end
-from petrelwood.links.interfaces import Address, Gauge, LinkCore, LoopOwner
+from petrelwood.links.interfaces import Address, LinkCore, LoadReport, LoopOwner
 from petrelwood.node import worker_protocol
 from petrelwood.node.configuration import WorkerTerms
 from petrelwood.node.stream import Stream
@@ -36,7 +36,7 @@
 class NodeLinkCore(LinkCore, LoopOwner, Protocol):
     """The interface of the dispatcher for its links."""
 
-    def mark_active(self, link: "NodeLink", /) -> object:
+    def schedule_checks(self, link: "NodeLink", /) -> object:
         """Have `link.check` called regularly until it returns false."""
 
     def is_behind(self) -> bool:
@@ -117,7 +117,7 @@
 
     def _submit(self, call: NodeCall) -> None:
         self._enqueue(call)
-        self.core.mark_active(self)
+        self.core.schedule_checks(self)
         self.pump()
 
     def withdraw(self, activation: str, attempt: int) -> None:
@@ -125,11 +125,11 @@
         super().withdraw(activation, attempt)
         self._drop_unsent(activation, attempt, "the activation ended before its command was fully written")
 
-    def late(self, activation: str, attempt: int) -> None:
+    def time_out(self, activation: str, attempt: int) -> None:
         """End an attempt as in `Calls`; close a connection that is unresponsive or has a partly sent one."""
         self._drop_unsent(activation, attempt, "the deadline passed before its command was fully written")
         call = self.runs.get((activation, attempt))
-        super().late(activation, attempt)
+        super().time_out(activation, attempt)
         if call is not None:
             self._close_if_unresponsive(call)
 
@@ -156,7 +156,7 @@
                 call = self.waiting[0]
                 # a call behind a partly unsent frame would start whenever the worker reads again
                 ready = [connection for connection in self.connections if not connection.stream.writing()]
-                connection = connection_pool.choose(
+                connection = connection_pool.choose_connection(
                     ready, call.activation, self.terms.streams, self.core.may_open_connection()
                 )
                 if connection is not None:
@@ -172,7 +172,7 @@
                 elif (
                     not self.connections
                 ):  # no descriptor is left, and no connection could carry the call later
-                    self._end(call, send_outcome.of_crowding())
+                    self._end(call, send_outcome.of_full_queue())
                 else:
                     break
         finally:
@@ -180,7 +180,7 @@
 
     def _wants_connection(self) -> bool:
         """Return whether more calls are queued than connections are connecting, and another may connect."""
-        return self.connecting < min(len(self.waiting), connection_pool.MOST_CONNECTING)
+        return self.connecting < min(len(self.waiting), connection_pool.MAX_CONNECTING)
 
     def _encode(self, call: NodeCall) -> bytes:
         content = call.content
@@ -196,8 +196,8 @@
         frame = self._take_frame(call)
         call.bytes_before = sockets.bytes_written(connection.stream)
         call.connection = connection
-        connection.open[call.activation] = call
-        connection_pool.remember(connection, call.activation)
+        connection.in_flight[call.activation] = call
+        connection_pool.record_call_id(connection, call.activation)
         connection.last_call = call
         connection.last_write_at = self.core.now()
         self.connections.remove(connection)  # keep the last used one at the end
@@ -224,10 +224,10 @@
         buffer_size = resource_limits.FRAME * READ_BUFFER_FRAMES
         try:
             stream = Stream(
-                sockets.fresh(self.address[0]), max_buffer_size=buffer_size, read_chunk_size=READ_SIZE
+                sockets.new_socket(self.address[0]), max_buffer_size=buffer_size, read_chunk_size=READ_SIZE
             )
         except OSError:  # no descriptor is left after all; nothing was sent
-            self._end(self.waiting[0], send_outcome.of_crowding())
+            self._end(self.waiting[0], send_outcome.of_full_queue())
             return
         connection = WorkerConnection(stream, self.core.now())
         self.connections.append(connection)
@@ -279,12 +279,12 @@
             self._stop_connect_timer(connection)
             if self.waiting:  # one call ends for each connection that was not established
                 self._end(self.waiting[0], send_outcome.of_loss(QUEUED))
-        if connection.open or not connection.up:
+        if connection.in_flight or not connection.up:
             self.counts.lost += 1
-            self.core.note_loss(self.worker, why, len(connection.open))
-        for call in list(connection.open.values()):
+            self.core.note_loss(self.worker, why, len(connection.in_flight))
+        for call in list(connection.in_flight.values()):
             self._end_lost(call, connection.stream)
-        connection.open.clear()
+        connection.in_flight.clear()
         self.pump()
 
     def give_up(self, why: str) -> None:
@@ -298,17 +298,17 @@
             if not self.core.is_behind():  # otherwise this side may not have written
                 self._lost(connection, "it does not read")
         for call in self._expired_attempts(now):
-            self.late(call.activation, call.number)
+            self.time_out(call.activation, call.number)
         for call in self._overdue_calls(now, self.terms.connect_within):
             if call.kind == HEALTH_CHECK or now - call.made_at > self.terms.order_within:
-                self._end(call, send_outcome.of_time(call.stage))
+                self._end(call, send_outcome.of_timeout(call.stage))
                 self._close_if_unresponsive(call)
         return self.has_open_calls()
 
     def _close_if_unresponsive(self, call: NodeCall) -> None:
         """Close the connection of a call that timed out, if it is idle and nothing was read since."""
         connection = call.connection
-        if connection is not None and connection.last_read_at <= call.made_at and not connection.open:
+        if connection is not None and connection.last_read_at <= call.made_at and not connection.in_flight:
             self._lost(connection, "no answer in time")
 
     def close_expired(self, now: int) -> None:
@@ -329,7 +329,7 @@
 
     # Reading
     def _on_answer(self, connection: WorkerConnection, answer: worker_protocol.Answer) -> None:
-        call: NodeCall | None = connection.open.get(answer.tag)
+        call: NodeCall | None = connection.in_flight.get(answer.tag)
         if call is None:  # the call has ended, or was never made
             self.counts.unexpected_answers += 1
             return
@@ -346,12 +346,17 @@
         self._end(call, answer.code, note, answer.body, answer.report)
 
     def _end(
-        self, call: NodeCall, code: EndReason, note: int = 0, body: bytes = b"", gauge: Gauge | None = None
+        self,
+        call: NodeCall,
+        reason: EndReason,
+        note: int = 0,
+        body: bytes = b"",
+        load_report: LoadReport | None = None,
     ) -> None:
         """End a call as in `Calls`; then write queued calls, which may use its connection."""
         connection = call.connection
-        if connection is not None and connection.open.get(call.activation) is call:
-            del connection.open[call.activation]
-        super()._end(call, code, note, body, gauge)
+        if connection is not None and connection.in_flight.get(call.activation) is call:
+            del connection.in_flight[call.activation]
+        super()._end(call, reason, note, body, load_report)
         if connection is not None and self.waiting:
             self.pump()
--- a/petrelwood/node/worker_connection.py
+++ b/petrelwood/node/worker_connection.py
@@ -25,8 +25,8 @@
     Attributes:
         stream: The connection itself.
         up: Whether the connection is established.
-        open: The calls in flight, by their ids on the wire.
-        carried: The ids of the last calls, oldest first.
+        in_flight: The calls in flight, by their ids on the wire.
+        recent_call_ids: The ids of the last calls, oldest first.
         last_read_at: When data was last read, initially when connecting began (ns).
         connect_timer: Gives up connecting after a timeout; None once that has succeeded or failed.
         last_call: The call that was written last.
@@ -36,8 +36,8 @@
     __slots__ = (
         "stream",
         "up",
-        "open",
-        "carried",
+        "in_flight",
+        "recent_call_ids",
         "last_read_at",
         "connect_timer",
         "last_call",
@@ -49,8 +49,8 @@
         self.up = False
         # values are `NodeCall`s; `connection_pool.Connection` has values of type object, and dict is
         # invariant
-        self.open: dict[str, Any] = {}
-        self.carried: dict[str, bool] = {}
+        self.in_flight: dict[str, Any] = {}
+        self.recent_call_ids: dict[str, bool] = {}
         self.last_read_at = now
         self.connect_timer: asyncio.TimerHandle | None = None
         self.last_call: NodeCall | None = None
@@ -66,11 +66,11 @@
 
     def is_idle(self) -> bool:
         """Return whether the connection is established and no call is in flight on it."""
-        return self.up and not self.open
+        return self.up and not self.in_flight
 
     def has_expired(self, now: int, idle_timeout: int) -> bool:
         """Return whether it has been idle for over half of the worker's idle timeout (ns; 0: none).
 
         This side then closes it, because an attempt that is written while the worker closes it may have run.
         """
-        return self.up and not self.open and 0 < idle_timeout < 2 * (now - self.last_read_at)
+        return self.up and not self.in_flight and 0 < idle_timeout < 2 * (now - self.last_read_at)
--- a/tests/test_always_answered.py
+++ b/tests/test_always_answered.py
@@ -32,13 +32,13 @@
     def __init__(self, now, longest):
         self.taking = True
 
-    def closed(self, now):
+    def is_admission_closed(self, now):
         return not self.taking
 
-    def out_of_time(self, now):
+    def must_answer_all(self, now):
         return False
 
-    def over(self, now, owed, quiet):
+    def may_exit(self, now, owed, quiet):
         return not self.taking and not owed and quiet
 
 
@@ -52,7 +52,7 @@
         "import sys; from petrelwood.node import __main__ as node; "
         "from petrelwood.decide.cluster import shutdown; "
         "from petrelwood.decide.overload import resource_limits as limits; "
-        f"shutdown.LONGEST_TIMEOUT = limits.FIRST_REQUEST_TIMEOUT = {SLOW}_000_000_000; "
+        f"shutdown.MAX_TIMEOUT = limits.FIRST_REQUEST_TIMEOUT = {SLOW}_000_000_000; "
         f"limits.REQUEST_TIMEOUT = {SLOW}_000_000_000; sys.exit(node.main())",
     )
 
@@ -156,14 +156,14 @@
     async def test_a_roster_that_can_not_be_asked_at_the_start(self):
         """No way to its address, or no descriptor: the dispatcher serves by the list that it was given, and
         asks when it can. The text before did not start: 'can't listen on ...', status 2."""
-        fresh, fails = sockets.fresh, [True]
+        fresh, fails = sockets.new_socket, [True]
 
         def failing(host, kind=socket.SOCK_STREAM):
             if kind == socket.SOCK_DGRAM and fails[0]:
                 raise OSError(101, "Network is unreachable")
             return fresh(host, kind)
 
-        with mock.patch.object(names.sockets, "fresh", failing):
+        with mock.patch.object(names.sockets, "new_socket", failing):
             async with InProcessSite([Worker("s-1")], **LONG) as site:
                 client = Caller(site.address)
                 self.assertEqual(await word(site, client, client.call(ask(fn=1, ttl=30_000))), "completed")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -373,7 +373,7 @@
 
     async def test_while_the_rest_of_its_send_waits_for_a_worker_that_does_not_read(self):
         """The worker has half of the command; the other half must never follow."""
-        worker, fresh = ManualWorker("s-1"), sockets.fresh
+        worker, fresh = ManualWorker("s-1"), sockets.new_socket
         worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
 
         def narrow(host, kind=socket.SOCK_STREAM):
@@ -381,14 +381,14 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             return sock
 
-        with mock.patch.object(link.sockets, "fresh", narrow):
+        with mock.patch.object(link.sockets, "new_socket", narrow):
             async with InProcessSite([worker], **NO_CANCEL) as site:
                 gone = Caller(site.address)
                 gone.call(ask(fn=1), b"z" * resource_limits.MAX_BODY)
                 await site.until(
                     lambda: (
                         any(
-                            line.open and line.stream.writing()
+                            line.in_flight and line.stream.writing()
                             for line in site.node.links["s-1"].connections
                             if site.node.links.in_flight
                         )
