--- a/petrelwood/node/exchange.py
+++ b/petrelwood/node/exchange.py
@@ -60,9 +60,8 @@
         self.client = client
         self.msgid = msgid
         self.activation_id: str | None = None  # the id of its activation once it is admitted
-        self.checked_at = (
-            0  # when an attempt was first deferred until its client is read (ns); 0: none is deferred
-        )
+        # when an attempt was first deferred until its client is read (ns); 0: none is deferred
+        self.checked_at = 0
         self.reads_at_check = 0  # `emptying_reads` of the client at that time
 
     def is_waiting(self) -> bool:
@@ -105,9 +104,8 @@
             detail: not sent by this protocol.
             activation_id: not sent by this protocol.
         """
-        if (
-            not self.is_waiting()
-        ):  # it was cancelled, and its message id may be reused; or the client has left
+        # the request may be cancelled and its message id reused, or the client may have left
+        if not self.is_waiting():
             return
         client = self.client
         del client.open_requests[self.msgid]
--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -126,7 +126,7 @@
         self._drop_unsent(activation, attempt, "the activation ended before its command was fully written")
 
     def time_out(self, activation: str, attempt: int) -> None:
-        """End an attempt as in `Calls`; close a connection that is unresponsive or has a partly sent one."""
+        """End an attempt as in `Calls`; close its connection if unresponsive or the frame is partly sent."""
         self._drop_unsent(activation, attempt, "the deadline passed before its command was fully written")
         call = self.runs.get((activation, attempt))
         super().time_out(activation, attempt)
@@ -169,9 +169,7 @@
                         self._write(connection, self.waiting.popleft())
                 elif self._wants_connection() and self.core.make_room():
                     self._connect()
-                elif (
-                    not self.connections
-                ):  # no descriptor is left, and no connection could carry the call later
+                elif not self.connections:  # no descriptor is left, and no connection could carry it later
                     self._end(call, send_outcome.of_full_queue())
                 else:
                     break
@@ -312,7 +310,7 @@
             self._lost(connection, "no answer in time")
 
     def close_expired(self, now: int) -> None:
-        """Close the connections that have exceeded their idle timeout at `now` (ns)."""
+        """Close the connections that have been idle for too long at `now` (ns)."""
         for connection in [each for each in self.connections if each.has_expired(now, self.terms.idle)]:
             self._lost(connection, "idle")
 
--- a/tests/ration.py
+++ b/tests/ration.py
@@ -98,7 +98,7 @@
             bad,
         )
 
-    def waits(self):
+    def is_waiting(self):
         return self.ended is None
 
     def may_send(self, link):
