--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -175,7 +175,7 @@
 
             def publish_list(self):
                 if self.serial:
-                    self.later(1.0, super().tell)
+                    self.later(1.0, super().publish_list)
                 else:
                     super().publish_list()
 
