--- a/petrelwood/bgp/speaker.py
+++ b/petrelwood/bgp/speaker.py
@@ -55,14 +55,14 @@
                 families,
                 terms.role,
                 terms.passive,
-                terms.most,
+                terms.max_routes,
             ),
             self,
             speaker.chance.random,
         )
         self.outbox, self.inbox = (
             announcement.AnnouncedRoutes(described.asn),
-            announcement.ReceivedRoutes(described.services, terms.most),
+            announcement.ReceivedRoutes(described.services, terms.max_routes),
         )
         self.most, self.four = bgp.MOST, True
 
--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -113,7 +113,7 @@
         terms = self.gateway.history
         if terms is None:
             return
-        self.history = History(terms.folder, terms.most, terms.keep)
+        self.history = History(terms.folder, terms.max_size, terms.keep)
         self.record_execution = self.history.note
         if self.forecasts is not None:
             self.forecast_storage = ForecastStorage(
--- a/petrelwood/fronts/interfaces.py
+++ b/petrelwood/fronts/interfaces.py
@@ -166,11 +166,11 @@
         """The time for which the broker keeps a session without a connection."""
 
     @property
-    def window_least(self) -> int:
+    def min_window(self) -> int:
         """The smallest window, the maximum number of activations of one customer in flight."""
 
     @property
-    def window_most(self) -> int:
+    def max_window(self) -> int:
         """The largest window."""
 
     @property
@@ -178,7 +178,7 @@
         """The timeout of connecting, and of each step of the handshake."""
 
     @property
-    def most(self) -> int:
+    def max_packet_size(self) -> int:
         """The largest packet in bytes."""
 
     @property
@@ -186,11 +186,11 @@
         """The maximum number of queued answers of one customer."""
 
     @property
-    def comeback_first(self) -> int:
+    def initial_backoff(self) -> int:
         """The first backoff after a lost connection."""
 
     @property
-    def comeback_most(self) -> int:
+    def max_backoff(self) -> int:
         """The longest backoff."""
 
     @property
--- a/petrelwood/fronts/mqtt_connection.py
+++ b/petrelwood/fronts/mqtt_connection.py
@@ -38,7 +38,7 @@
         self.is_up = False  # whether the broker has accepted the connection
         self._client_id = client_id
         self._now = now
-        self._reader = packets.Reader(terms.most)
+        self._reader = packets.Reader(terms.max_packet_size)
         self._last_read_at = 0  # ns
         self._pinged_at = 0  # ns
 
@@ -57,7 +57,7 @@
         """
         stream = await self._connect()
         sockets.disable_delay(stream.socket)
-        self._reader = packets.Reader(self.terms.most)
+        self._reader = packets.Reader(self.terms.max_packet_size)
         self.write(self._connect_packet())
         # a broker may accept the TCP connection and never answer
         async with asyncio.timeout(self.timeout):
@@ -94,8 +94,8 @@
             password=terms.password,
             props={
                 "session_expiry": terms.session // SECOND,
-                "receive_maximum": terms.window_most,
-                "maximum_packet": terms.most,
+                "receive_maximum": terms.max_window,
+                "maximum_packet": terms.max_packet_size,
             },
         )
 
--- a/petrelwood/fronts/mqtt_session.py
+++ b/petrelwood/fronts/mqtt_session.py
@@ -41,9 +41,9 @@
         self.connection = MqttConnection(terms, client_id, core.now)
         self.answers = AnswerSender(terms, self.connection, self.counts, log, customer)
         self.decoder = MessageDecoder(core, self, customer, client_id)
-        window = DeliveryWindow(terms.window_least, terms.window_most)
+        window = DeliveryWindow(terms.min_window, terms.max_window)
         self.deliveries = Deliveries(window, self)
-        self.backoff = Backoff(terms.comeback_first, terms.comeback_most, core.chance.random, full=True)
+        self.backoff = Backoff(terms.initial_backoff, terms.max_backoff, core.chance.random, full=True)
         self.task: asyncio.Task[None] | None = None
         self.is_closed = False
         self._log = log
--- a/petrelwood/settings/mqtt.py
+++ b/petrelwood/settings/mqtt.py
@@ -22,13 +22,13 @@
     group: str  # of the shared subscription: the same at all dispatchers
     keep_alive: int  # ns
     session: int  # ns that the broker keeps a session without a connection
-    window_least: int  # activations of one customer under way at a time
-    window_most: int
+    min_window: int  # activations of one customer under way at a time
+    max_window: int
     connect_within: int  # ns
-    most: int  # bytes of one packet
+    max_packet_size: int  # bytes
     max_queued_answers: int  # that wait for the broker, for each customer
-    comeback_first: int  # ns, the first backoff before it connects again
-    comeback_most: int  # ns, the longest
+    initial_backoff: int  # ns, the first backoff before it connects again
+    max_backoff: int  # ns, the longest
     tls: Identity | None
 
 
@@ -63,7 +63,7 @@
     """Return what an `mqtt` node describes; None, and no triggers from a broker, where there is none."""
     if node is None:
         return None
-    window_least, window_most = _decode_window(node)
+    min_window, max_window = _decode_window(node)
     password = _decode_password(node)
     terms = MqttTerms(
         broker=node.value("broker", ADDRESS),
@@ -72,13 +72,13 @@
         group=node.value("group", TEXT, "petrelwood"),
         keep_alive=node.value("keep-alive", DURATION, 20 * SECOND),
         session=node.value("session", DURATION, 30 * SECOND),
-        window_least=window_least,
-        window_most=window_most,
+        min_window=min_window,
+        max_window=max_window,
         connect_within=node.value("connect-within", DURATION, 2 * SECOND),
-        most=node.value("packet", SIZE, 1_000_000),
+        max_packet_size=node.value("packet", SIZE, 1_000_000),
         max_queued_answers=node.value("answers", COUNT, 10_000),
-        comeback_first=node.value("come-back", DURATION, SECOND // 10),
-        comeback_most=node.value("come-back-most", DURATION, 10 * SECOND),
+        initial_backoff=node.value("come-back", DURATION, SECOND // 10),
+        max_backoff=node.value("come-back-most", DURATION, 10 * SECOND),
         tls=decode_identity(node),
     )
     node.reject_unknown()
--- a/petrelwood/settings/speaker.py
+++ b/petrelwood/settings/speaker.py
@@ -57,7 +57,7 @@
     passive: bool  # it connects to us
     role: int | None  # ours towards it, RFC 9234
     far: bool  # more than one hop away: no check of the TTL (RFC 5082)
-    most: int  # routes taken from it
+    max_routes: int  # accepted from it
 
 
 class Speaker(NamedTuple):
@@ -134,7 +134,7 @@
         passive=node.prop("passive", FLAG, False),
         role=None if role is None else ROLES[role],
         far=node.prop("far", FLAG, False),
-        most=node.prop("most", COUNT, 10_000),
+        max_routes=node.prop("most", COUNT, 10_000),
     )
     node.reject_unknown(1)
     return peer
--- a/petrelwood/settings/storage.py
+++ b/petrelwood/settings/storage.py
@@ -12,7 +12,7 @@
 
     folder: str
     keep: int  # days
-    most: int  # bytes on disk
+    max_size: int  # bytes on disk
 
 
 class StateTerms(NamedTuple):
@@ -36,7 +36,7 @@
     terms = HistoryTerms(
         folder=str(node.folder / node.value("folder", TEXT)),
         keep=node.value("keep", COUNT, 60),
-        most=node.value("most", SIZE, 1 << 30),
+        max_size=node.value("most", SIZE, 1 << 30),
     )
     node.reject_unknown()
     return terms
