--- a/petrelwood/settings/comparison.py
+++ b/petrelwood/settings/comparison.py
@@ -1,8 +1,9 @@
-"""Compares two versions of a gateway's settings by behaviour.
+"""Compares the behaviour of two versions of a gateway's settings.
 
-Of each change it says what it is for whom, when it takes effect, and whether it is risky. A version applies
-as a whole: at once only where each of its changes can, else all of it by an upgrade, which loses nothing
-(`docs/state.md`). Activations in flight keep the times that they came in with.
+Each reported change has a description, the time at which it takes effect, and the risk under load, if any. A
+version is applied as a whole: at once if each of its changes can be applied at once, otherwise by an upgrade,
+which loses no activations (`docs/state.md`). Activations in flight keep the timeouts that they were admitted
+with.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -16,11 +17,13 @@
 
 MILLISECOND = 1_000_000
 SECOND = 1_000_000_000
-RISKY_RATIO = 0.5  # a bound that falls under this part of what it was is risky under load
-LEAST_DURATION = 1_000_000  # a whole number of the scheduler's terms that is larger than this is a time in ns
+RISKY_RATIO = 0.5  # lowering a bound to less than this share of its old value is risky under load
+LEAST_DURATION = 1_000_000  # an integer in `ports.Terms` above this is formatted as a duration in ns
 
 LIMITS_IN_BYTES = frozenset(("header", "body", "results", "bytes"))
-LIMITS_AT_START = frozenset(("connections", "handshakes", "bytes", "ledger", "results"))
+LIMITS_AT_START = frozenset(  # fields of `Limits` that are only read when the dispatcher starts
+    ("connections", "handshakes", "bytes", "ledger", "results")
+)
 WORKER_TERMS_IN_BYTES = frozenset(("queue", "frame"))
 TERMS_COMPARED_APART = frozenset(("types", "quotas"))
 
@@ -50,18 +53,18 @@
 
 
 class Change(NamedTuple):
-    """One difference in behaviour between two versions of the settings."""
+    """A difference in behaviour between two versions of the settings."""
 
     description: str  # a sentence
     takes_effect: TakesEffect
-    risk: str = ""  # why it is risky under load; empty where it is not
+    risk: str = ""  # why the change is risky under load; empty if it is not
 
     def as_json_object(self) -> dict[str, str]:
-        """Return the form that `petrelwood config diff --json` prints."""
+        """Return the object that `petrelwood config diff --json` prints."""
         return {"what": self.description, "when": self.takes_effect.value, "risk": self.risk}
 
     def summary(self) -> str:
-        """Return the sentence, with its risk where there is one."""
+        """Return the description, followed by the risk if there is one."""
         return f"{self.description}; risky: {self.risk}" if self.risk else self.description
 
 
@@ -207,7 +210,10 @@
 
 
 def _type_takes_effect(old: Gateway, rule: FunctionRule) -> TakesEffect:
-    """Return when a function may be of the type of `rule`: the scheduler is given the types at its start."""
+    """Return when the type of `rule` takes effect.
+
+    The scheduler receives the namespace types at its start, so a new type requires an upgrade.
+    """
     return TakesEffect.AT_ONCE if rule.type in old.terms.types else TakesEffect.BY_UPGRADE
 
 
@@ -346,14 +352,14 @@
 
 
 def _comparable(value: object) -> object:
-    """Return a form that can be compared: identities as the paths that they were made of."""
+    """Return a comparable form of a value, in which TLS identities are replaced by their file paths."""
     if isinstance(value, tuple):
         return tuple(map(_comparable, value))
     return getattr(value, "paths", value)
 
 
 def changes(old: Gateway, new: Gateway) -> list[Change]:
-    """Return all changes, in the order customers, types, functions, limits, the rest."""
+    """Return all changes: customers first, then types, functions, limits and the remaining settings."""
     return [
         *_compare_customers(old, new),
         *_compare_types(old, new),
@@ -367,7 +373,7 @@
 
 
 def takes_effect(found: Iterable[Change]) -> TakesEffect | None:
-    """Return the latest time at which any of the changes takes effect; None where nothing changes."""
+    """Return the latest time at which any of the changes takes effect; None if there are no changes."""
     found_times = {change.takes_effect for change in found}
     latest_first = (TakesEffect.AT_RESTART, TakesEffect.BY_UPGRADE, TakesEffect.AT_ONCE)
     return next((when for when in latest_first if when in found_times), None)
--- a/petrelwood/settings/completion.py
+++ b/petrelwood/settings/completion.py
@@ -1,4 +1,4 @@
-"""Completion for editors: what may come at a place of a gateway's file."""
+"""Completion for editors: the words that are valid at a position in a gateway's settings file."""
 
 from os import PathLike
 from pathlib import Path
@@ -9,25 +9,25 @@
 from petrelwood.settings.kdl_scan import COMMENT_STARTS, WORD, end_of_literal
 from petrelwood.settings.schema import Block, schema
 
-WORD_LIMITS = " \t\n;{"  # a word that is being written begins after one of them
+WORD_LIMITS = " \t\n;{"  # characters before the beginning of an incomplete word
 
 
 class Completion(NamedTuple):
-    """A word that may come, and what it is or takes."""
+    """A suggested word."""
 
     word: str
-    takes: str
+    takes: str  # the kind of value that it takes; empty for a value itself
 
 
 class _Cursor(NamedTuple):
-    """Where a text ends."""
+    """The syntactic context at the end of a text."""
 
-    blocks: list[str | None]  # names of the blocks that are open there, from the outermost
-    node: str | None  # name of the node that is being written there
+    blocks: list[str | None]  # names of the open blocks, outermost first
+    node: str | None  # name of the incomplete node; None at the start of a node
 
 
 def _cursor(text: str) -> _Cursor | None:
-    """Return where a text ends, or None if that is in a string or a comment."""
+    """Return the context at the end of a text, or None if the end is inside a string or a comment."""
     blocks: list[str | None] = []
     node: str | None = None
     at_node_start = True
@@ -59,7 +59,7 @@
 
 
 def _labels(file: str | PathLike[str] | None, kind: str) -> list[str]:
-    """Return the labels that a file gives to blocks of a kind, for values that refer to them."""
+    """Return the labels of the blocks of a kind in a file, for values that refer to them."""
     if not file:
         return []
     try:
@@ -70,7 +70,7 @@
 
 
 def _block_names(block: Block, *, is_top: bool) -> list[Completion]:
-    """Return the nodes that may begin in a block."""
+    """Return the nodes that are allowed in a block."""
     found = [
         Completion(name, "block" if child.value is None else child.value.takes)
         for name, child in block.blocks.items()
@@ -89,7 +89,7 @@
 
 
 def _properties_and_value(block: Block, line: str) -> list[Completion]:
-    """Return what may come in a node; `line`: what is written of it on the last line."""
+    """Return the properties and values that a node can still take; `line` is the last line of its text."""
     found = [
         Completion(f"{name}=", item.takes) for name, item in block.props.items() if f" {name}=" not in line
     ]
@@ -110,13 +110,13 @@
 def completions(
     text: str, line: int, column: int, file: str | PathLike[str] | None = None
 ) -> list[Completion]:
-    """Return what may come at a place of a text, which need not be complete.
+    """Return the words that are valid at a position in a text, which may be incomplete.
 
     Args:
-        text: What is written.
-        line: Of the place, counted from 1.
-        column: Of the place, counted from 1.
-        file: Where labels that values refer to are looked up.
+        text: The text that is being edited.
+        line: The line of the position, counted from 1.
+        column: The column of the position, counted from 1.
+        file: The file from which the labels that values refer to are read.
     """
     rows = text.split("\n")
     if not 0 < line <= len(rows):
--- a/petrelwood/settings/customers.py
+++ b/petrelwood/settings/customers.py
@@ -1,4 +1,4 @@
-"""Customers of a gateway, their keys and their shares."""
+"""Customers of a gateway, with their keys and guaranteed shares."""
 
 import base64
 import binascii
@@ -10,29 +10,29 @@
 from petrelwood.settings.kdl import Value
 from petrelwood.settings.node import Node
 
-HMAC_SECRET_SIZES = range(24, 65)  # bytes, as Standard Webhooks allows them
+HMAC_SECRET_SIZES = range(24, 65)  # bytes; the sizes allowed by Standard Webhooks
 ED25519_KEY_SIZES = range(32, 33)  # bytes
 KEY_SCHEMES = {"whsec": ("v1", HMAC_SECRET_SIZES), "whpk": ("v1a", ED25519_KEY_SIZES)}  # by the key's prefix
-OTHERS_MAY_ACCESS = 0o077  # bits of a file's mode
+OTHERS_MAY_ACCESS = 0o077  # mode bits of a file that group or others can access
 
 
 class SigningKey(NamedTuple):
-    """A key that a customer signs webhooks with, or its public half."""
+    """The HMAC secret or the Ed25519 public key that verifies a customer's webhooks."""
 
     scheme: str  # "v1": an HMAC secret, "v1a": an Ed25519 public key
     data: bytes
 
 
 class Customer(NamedTuple):
-    """Who may call."""
+    """A customer, who may send activations."""
 
     name: str
-    share: float  # activations a second at all dispatchers together; 0: no share is guaranteed
+    share: float  # activations per second over all dispatchers; 0: no guaranteed share
     keys: tuple[SigningKey, ...]
 
 
 def _decode_key(value: Value, subject: str) -> SigningKey:
-    """Return a key in the form of Standard Webhooks: `whsec_` or `whpk_`, and base64."""
+    """Return a key in the format of Standard Webhooks: `whsec_` or `whpk_`, followed by base64."""
     prefix, _, encoded = TEXT.decode(value, subject).partition("_")
     if prefix not in KEY_SCHEMES:
         raise InvalidValueError(f"{subject} must begin with 'whsec_' or 'whpk_'")
@@ -53,8 +53,8 @@
 def _decode_key_node(node: Node) -> SigningKey:
     """Return the key of a `key` node.
 
-    It stands there, or by reference: `key env="NAME"`, or `key file="path"` of a file that nobody else may
-    read.
+    The key is given literally, or as a reference: `key env="NAME"`, or `key file="path"`, where the file must
+    not be accessible to other users.
     """
     variable = node.prop("env", TEXT, "")
     path = node.prop("file", TEXT, "")
@@ -98,7 +98,7 @@
 
 
 def decode_customers(file: Node) -> dict[str, Customer]:
-    """Return the customers of a gateway's file by name."""
+    """Return the customers in a gateway's file, by name."""
     customers = [_decode_customer(node) for node in file.labelled("customer", "customer")]
     if not customers and not file.partial:
         file.report("no 'customer' is given")
--- a/petrelwood/settings/decoders.py
+++ b/petrelwood/settings/decoders.py
@@ -1,4 +1,4 @@
-"""Decoders of the values in settings files: each checks one value and gives it its Python type."""
+"""Decoders of the values in settings files: each validates a value and converts it to its Python type."""
 
 import re
 from collections.abc import Callable
@@ -35,13 +35,13 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Decoder(Generic[T_co]):
-    """Checks and converts one value of a settings file.
+    """Validates and converts a value of a settings file.
 
     Attributes:
-        description: What it takes, for the reference and completion.
-        decode: Called with the value, and the words that name it in an error; raises `InvalidValueError`.
-        sample: A decoded value, which stands in for one that is wrong or missing.
-        words: All the words that it takes, if these are few.
+        description: The accepted values, as the reference and completion describe them.
+        decode: Called with the value and the name of the value in error messages; raises `InvalidValueError`.
+        sample: A valid decoded value, used in place of an invalid or missing one.
+        words: All accepted words, if the value is one of a few words.
     """
 
     description: str
@@ -82,7 +82,7 @@
 
 
 def _decode_measure(value: Value, subject: str, units: dict[str, int], quantity: str, example: str) -> int:
-    """Return a number with a unit in the smallest unit; `example`: a unit to name in errors."""
+    """Return a number with a unit, converted to the smallest unit; errors suggest the unit `example`."""
     if isinstance(value, (int, float)) and not isinstance(value, bool):
         raise InvalidValueError(f'{subject} is a {quantity} and needs a unit, as in "{value}{example}"')
     match = MEASURE.fullmatch(str(value))
@@ -121,10 +121,10 @@
 
 
 def one_of(*words: str) -> Decoder[str]:
-    """Return a decoder of one of the words; the first is its sample."""
+    """Return a decoder that accepts the given words; its sample is the first of them."""
 
     def decode_word(value: Value, subject: str) -> str:
-        """Return the word, if it is one of them."""
+        """Return the word if it is accepted."""
         if not isinstance(value, str) or value not in words:
             raise InvalidValueError(f"{subject} can't be {value!r}{suggestion(value, words)}")
         return value
--- a/petrelwood/settings/descriptions.py
+++ b/petrelwood/settings/descriptions.py
@@ -1,4 +1,4 @@
-"""Descriptions for the reference: one sentence for each name that a gateway's file may have.
+"""Descriptions for the reference page: one sentence for each name that is valid in a gateway's file.
 
 `schema.paths` lists the names.
 """
--- a/petrelwood/settings/document.py
+++ b/petrelwood/settings/document.py
@@ -1,4 +1,4 @@
-"""A settings file as a whole, with what it includes and its templates; nodes as text."""
+"""Settings files with their includes and templates, and the rendering of nodes as text."""
 
 import json
 from collections.abc import Iterable, Mapping
@@ -14,14 +14,15 @@
 
 
 class File(Node):
-    """A whole file with what it includes: a node without a name or place.
+    """The root node of a settings file, which contains the nodes of the file and of all included files.
 
-    `include "routes.kdl"` or `include "routes/"` (all *.kdl of a folder, by name) at the top takes what
-    stands there in its place; `template "NAME" { ... }` at the top and `use "NAME"` in a block give what the
-    block does not say itself.
+    `include "routes.kdl"` or `include "routes/"` (all *.kdl files of a folder, sorted by name) at the top
+    level is replaced by the content of the included files. `template "NAME" { ... }` at the top level defines
+    the children and properties that `use "NAME"` adds to a block; those that the block has itself take
+    precedence.
 
     Attributes:
-        files: The texts of all files that were read, by path.
+        files: The text of each file that was read, by path.
     """
 
     def __init__(
@@ -40,7 +41,7 @@
             _apply_templates(node, templates, ())
 
     def _take_templates(self) -> dict[str, Node]:
-        """Remove the templates and return them by name, the first of each."""
+        """Remove the templates from the children and return them by name, the first of any duplicates."""
         templates: dict[str, Node] = {}
         for node in self.every("template"):
             name = node.arg(TEXT, "a name")
@@ -55,13 +56,13 @@
     def _read_nodes(
         self, path: Path, given_text: str | None, chain: tuple[Path, ...], include: Node | None
     ) -> list[Node]:
-        """Return the nodes of one file, those that it includes among them.
+        """Return the nodes of a file, with each include replaced by the nodes of the included files.
 
         Args:
             path: The file.
-            given_text: Its text, if that is not read from the file.
-            chain: The files that include each other, down to the one that includes this one.
-            include: The node that includes it; None for the first file.
+            given_text: The text to parse; None: the text is read from the file.
+            chain: The chain of including files, from the root file down to the direct includer of this file.
+            include: The `include` node that names this file; None for the root file.
         """
         own_path = path if given_text is not None else path.resolve()
         if include is not None and not _may_include(include, path, own_path, chain):
@@ -88,7 +89,7 @@
 
 
 def _may_include(include: Node, path: Path, own_path: Path, chain: tuple[Path, ...]) -> bool:
-    """Return whether a file may be included there, and report why not."""
+    """Return whether a file may be included by a node, and report the reason if not."""
     if own_path in chain:
         cycle = (*chain[chain.index(own_path) :], own_path)
         include.report(f"'{path.name}' includes itself: " + " -> ".join(each.name for each in cycle))
@@ -100,7 +101,7 @@
 
 
 def _included_paths(include: Node, folder: Path) -> list[Path]:
-    """Return the files that an `include` names: one, or those of a folder."""
+    """Return the file that an `include` node names, or the files in the folder that it names."""
     name = include.arg(TEXT, "a file or a folder")
     include.reject_unknown(1)
     if not name:
@@ -115,9 +116,10 @@
 
 
 def _apply_templates(node: Node, templates: Mapping[str, Node], chain: tuple[str, ...]) -> None:
-    """Fill a node and its children from the templates that they use; what a node says itself stays.
+    """Add the content of the used templates to a node and its children.
 
-    `chain`: the templates that use each other, down to this node.
+    Children and properties that the node has itself take precedence. `chain` has the templates that use each
+    other, from the outermost down to this node.
     """
     for use in [child for child in node.children if child.name == "use"]:
         name = use.arg(TEXT, "a template")
@@ -142,7 +144,7 @@
 
 
 def render(nodes: Iterable[Node], depth: int = 0) -> str:
-    """Return nodes as KDL 2 text, without comments; `depth`: the blocks around them."""
+    """Return nodes as KDL 2 text without comments; `depth` is the number of enclosing blocks."""
     rows = []
     for node in nodes:
         parts = [node.name if WORD.fullmatch(node.name) else _render_value(node.name)]
--- a/petrelwood/settings/early_loads.py
+++ b/petrelwood/settings/early_loads.py
@@ -1,4 +1,4 @@
-"""Loads ahead of forecast use: seasons, known dates, and what a load is worth."""
+"""Settings of early loads, made ahead of forecast use: seasons, known dates, and the prices of a load."""
 
 import datetime
 from typing import NamedTuple
@@ -12,29 +12,29 @@
 
 
 class KnownDate(NamedTuple):
-    """A time at which functions whose names begin alike are used more."""
+    """A period in which the functions with a common name prefix are used more than usual."""
 
     begin: int  # wall-clock ns
     end: int  # wall-clock ns
-    factor: float  # how many times more they are used
-    prefix: str  # that their names begin with
+    factor: float  # ratio of the use in this period to the usual use
+    prefix: str  # of the functions' names
 
 
 class EarlyTerms(NamedTuple):
-    """What the forecast counts, and the prices by which it decides on loads."""
+    """The time slots of the forecast, and the prices that decide whether a copy is loaded early."""
 
-    slot: int  # ns that a forecast counts calls in
-    season: int  # ns after which use repeats: a day, in service
-    week: int  # ns; 0: weeks do not matter
+    slot: int  # ns; the forecast counts calls per slot
+    season: int  # ns, the period of use: a day in production
+    week: int  # ns; 0: use does not depend on the day of the week
     events: tuple[KnownDate, ...]
-    fetch: float  # seconds of cold wait that a fetch from the store costs
-    memory_price: float  # seconds of cold wait that a gigabyte reserved without use for a second costs
-    size: int  # bytes of a usual copy
-    memory: int  # bytes that early loads of this dispatcher may have; 0: no bound
+    fetch: float  # cost of a fetch from the store, in seconds of cold wait
+    memory_price: float  # cost of a gigabyte reserved without use for a second, in seconds of cold wait
+    size: int  # bytes of a typical copy
+    memory: int  # maximum bytes of the early loads of this dispatcher; 0: no limit
 
 
 def _decode_date(value: Value, subject: str) -> int:
-    """Return a time in ISO 8601 with its offset as wall-clock ns."""
+    """Return a time in ISO 8601 with a UTC offset as wall-clock ns."""
     try:
         time = datetime.datetime.fromisoformat(TEXT.decode(value, subject))
     except ValueError as error:
@@ -61,7 +61,7 @@
 
 
 def decode_early_loads(node: Node | None) -> EarlyTerms | None:
-    """Return what an `early` node describes; None, and no early loads, where there is none."""
+    """Return the settings in an `early` node; None, which disables early loads, if there is no such node."""
     if node is None:
         return None
     events = tuple(_decode_event(event) for event in node.every("event"))
--- a/petrelwood/settings/errors.py
+++ b/petrelwood/settings/errors.py
@@ -1,4 +1,4 @@
-"""What is wrong with a settings file, and how it is worded."""
+"""Errors in settings files, and suggestions for misspelt names."""
 
 import difflib
 from collections.abc import Iterable
@@ -6,17 +6,17 @@
 
 from petrelwood.errors import PetrelwoodError
 
-SIMILARITY = 0.6  # ratio of difflib from which a name is suggested for another
+SIMILARITY = 0.6  # minimum difflib ratio of a name that is suggested for an unknown one
 
 
 class SettingsError(PetrelwoodError):
-    """A settings file can't be used; `str()` is one line, `file:line: message`.
+    """A settings file is invalid; `str()` is one line, `file:line: message`.
 
     Attributes:
         file: The path, as the file was named.
-        line: Counted from 1; 0 where the file as a whole is meant.
-        column: Counted from 1; 0 where it is not known.
-        message: What is wrong, without the place.
+        line: Counted from 1; 0 if the error concerns the whole file.
+        column: Counted from 1; 0 if it is unknown.
+        message: The error without its position.
     """
 
     def __init__(self, file: str | PathLike[str], line: int, message: str, column: int = 0) -> None:
@@ -28,17 +28,17 @@
 
 
 class InvalidValueError(PetrelwoodError):
-    """A value is not what its decoder takes; the node that has it adds the place."""
+    """A decoder rejected a value; the node that contains the value adds the position."""
 
 
 def similar_name(word: str, names: Iterable[str]) -> str | None:
-    """Return the name that is most like a word, or None if none is near."""
+    """Return the name that is most similar to a word, or None if no name is similar enough."""
     matches = difflib.get_close_matches(word, list(names), 1, SIMILARITY)
     return matches[0] if matches else None
 
 
 def suggestion(word: object, known: Iterable[object]) -> str:
-    """Return the end of a message about an unknown word: the known word nearest to it, or all of them."""
+    """Return the end of a message about an unknown word: the most similar known word, or all of them."""
     names = [str(name) for name in known]
     similar = similar_name(str(word), names)
     if similar is not None:
--- a/petrelwood/settings/functions.py
+++ b/petrelwood/settings/functions.py
@@ -1,4 +1,4 @@
-"""Rules of functions: which namespace type a function is of, and what its copies are like."""
+"""Function rules: the namespace type of a function, and the properties of its copies."""
 
 from collections.abc import Collection
 from typing import NamedTuple
@@ -9,19 +9,19 @@
 
 
 class FunctionRule(NamedTuple):
-    """What holds for one function, or for those whose names begin alike."""
+    """The settings of one function, or of all functions with a common name prefix."""
 
-    pattern: str  # a whole name, or the beginning of names before a '*'
-    type: str  # its namespace type
-    lanes: int  # activations that a copy runs at a time
-    load_time: int  # ns; 0: not known
-    work: int = 0  # ns of the usual work; 0: not known
+    pattern: str  # a complete name, or a name prefix followed by '*'
+    type: str  # the namespace type
+    lanes: int  # maximum number of activations that a copy runs concurrently
+    load_time: int  # ns; 0: unknown
+    work: int = 0  # ns, the usual service time; 0: unknown
 
 
 def _decode_function(node: Node, namespace_types: Collection[str], *, file_is_partial: bool) -> FunctionRule:
     namespace_type = node.prop("type", TEXT)
     if namespace_type not in namespace_types:
-        # a type without a name, or one in a part that can't be read, may be meant
+        # The type may be defined by a node without a valid name, or in an included file that can't be read.
         all_are_known = bool(namespace_types) and "" not in namespace_types and not file_is_partial
         if all_are_known:
             hint = suggestion(namespace_type, sorted(namespace_types))
@@ -37,7 +37,10 @@
 
 
 def decode_functions(file: Node, namespace_types: Collection[str]) -> tuple[FunctionRule, ...]:
-    """Return the rules of a gateway's file in their order; `namespace_types`: the names that it defines."""
+    """Return the function rules of a gateway's file in file order.
+
+    `namespace_types` has the names of the namespace types that the file defines.
+    """
     return tuple(
         _decode_function(node, namespace_types, file_is_partial=file.partial)
         for node in file.labelled("function", "function")
--- a/petrelwood/settings/gateway.py
+++ b/petrelwood/settings/gateway.py
@@ -1,4 +1,4 @@
-"""The settings of a gateway: who calls, which functions there are, and the terms of the scheduler."""
+"""The settings of a gateway: its customers and functions, its limits, and the terms of the scheduler."""
 
 from pathlib import Path
 from typing import NamedTuple
@@ -32,30 +32,30 @@
 
     name: str
     listen: Address
-    roster: Address  # where the endpoint list of workers is followed
+    roster: Address  # address of the endpoint list of workers
     seed: int
-    tolerance: int  # ns a webhook's time may be off
+    tolerance: int  # ns, the maximum difference between a webhook's timestamp and the clock
     timeouts: dict[str, int]  # namespace type -> action timeout, ns
-    remember: dict[str, int]  # namespace type -> how long an id is remembered, ns
+    remember: dict[str, int]  # namespace type -> how long ids are remembered, ns
     limits: Limits
     workers: WorkerTerms
     customers: dict[str, Customer]
     functions: tuple[FunctionRule, ...]
     terms: ports.Terms
-    tls: Identity | None  # of the webhook front
+    tls: Identity | None  # of the webhook server
     worker_tls: Identity | None
     mqtt: MqttTerms | None
-    early: EarlyTerms | None  # None: nothing is loaded ahead
+    early: EarlyTerms | None  # None: there are no early loads
     history: HistoryTerms | None
-    state: StateTerms | None  # None: nothing survives
-    versions: str  # folder of versions that are rolled out over all; "": there is none
-    configuration: ConfigurationTerms | None  # None: others fill that folder
-    control: str  # path of the socket for hand-overs; "": there are none
-    health: str  # path of the socket of a speaker beside it, that gets its heartbeats; "": there is none
-    damps: bool  # whether storms are damped: on unless the file turns it off
+    state: StateTerms | None  # None: no state survives a restart
+    versions: str  # folder of the versions that are rolled out to all dispatchers; "": none
+    configuration: ConfigurationTerms | None  # None: versions are written to the folder by other means
+    control: str  # path of the socket for hand-overs; "": hand-overs are disabled
+    health: str  # path of the local speaker's socket, which receives heartbeats; "": there is no speaker
+    damps: bool  # whether retry storms are damped; true by default
 
     def as_of(self, own: "Gateway") -> "Gateway":
-        """Return these settings with what stays each dispatcher's own taken from its `own` file."""
+        """Return these settings, with those specific to one dispatcher taken from its `own` file."""
         return self._replace(
             name=own.name,
             listen=own.listen,
@@ -70,7 +70,7 @@
         )
 
     def rule(self, function: str) -> FunctionRule | None:
-        """Return a function's rule: of its own name, else of the longest beginning, else None."""
+        """Return the rule for a function's full name, else for its longest prefix, else None."""
         longest = None
         for rule in self.functions:
             if rule.pattern == function:
@@ -82,7 +82,7 @@
 
 
 class _Identity(NamedTuple):
-    """What a `gateway` node says of the dispatcher itself."""
+    """The settings of the dispatcher itself, from the `gateway` node."""
 
     name: str
     zone: str
@@ -116,7 +116,7 @@
 def _module_terms(
     identity: _Identity, namespaces: Namespaces, customers: dict[str, Customer], workers: WorkerSettings
 ) -> ports.Terms:
-    """Return the terms that the scheduler is given at its start."""
+    """Return the terms that the scheduler receives at its start."""
     return ports.Terms(
         zone=identity.zone,
         dispatchers=identity.dispatchers,
@@ -132,7 +132,7 @@
 
 
 class _Sections(NamedTuple):
-    """The sections that depend on no other; fields as in `Gateway`."""
+    """The sections that don't depend on other sections; the fields are those of `Gateway`."""
 
     limits: Limits
     mqtt: MqttTerms | None
@@ -172,7 +172,7 @@
     """Return the gateway that a file describes.
 
     Raises:
-        SettingsError: The first thing that is wrong, if the file does not collect errors.
+        SettingsError: The first error, if the file does not collect errors.
     """
     identity = _decode_gateway_node(file.child("gateway"))
     namespaces = decode_namespaces(file, identity.tolerance)
@@ -214,15 +214,15 @@
     errors: list[SettingsError] | None = None,
     values: list[ReadValue] | None = None,
 ) -> Gateway:
-    """Return the gateway that a file, or a text in its place, describes.
+    """Return the gateway that a file, or a text given instead, describes.
 
     Args:
         path: The file.
-        text: What it says, if that is not read from it.
-        errors: Collects all that is wrong in place of the first being raised.
-        values: Collects each value that is asked for.
+        text: The text to parse; None: the text is read from the file.
+        errors: Receives all errors; None: the first error is raised.
+        values: Receives each value that the decoding reads.
 
     Raises:
-        SettingsError: The first thing that is wrong, if `errors` is not given.
+        SettingsError: The first error, if `errors` is None.
     """
     return decode(File(path, text, errors, values))
--- a/petrelwood/settings/kdl.py
+++ b/petrelwood/settings/kdl.py
@@ -1,4 +1,4 @@
-"""Reads KDL 2 text: a file's text, its nodes with their positions, and the line of a syntax error."""
+"""Reading and parsing of KDL 2 files: their nodes with positions, and the line of a syntax error."""
 
 from collections.abc import Mapping, Sequence
 from pathlib import Path
@@ -10,16 +10,16 @@
 from petrelwood.settings.kdl_scan import Position, Scan, scan
 
 KDL_VERSION = 2
-MAX_DEPTH = 64  # blocks within blocks, includes within includes: guards the stack against hostile files
+MAX_DEPTH = 64  # of nested blocks, and of nested includes; keeps hostile files from overflowing the stack
 MAX_FILE_SIZE = 1 << 24  # bytes
-READ_ATTEMPTS = 5  # of a file that changes while it is read
+READ_ATTEMPTS = 5  # if the file changes while it is read
 NOT_KDL = "this is not KDL"
 
 Value = str | int | float | bool | None
 
 
 class KdlNode(Protocol):
-    """A node as ckdl has it."""
+    """A node as returned by ckdl."""
 
     name: str
     type_annotation: str | None
@@ -29,17 +29,17 @@
 
 
 class ParsedText(NamedTuple):
-    """The nodes of a text, and the position of each node, a parent before its children."""
+    """The nodes of a text, and the position of each node, with parents before their children."""
 
     nodes: Sequence[KdlNode]
     positions: list[Position]
 
 
 def read_unchanging(path: Path) -> str:
-    """Return the text of a file that did not change while it was read.
+    """Return the text of a file, which is read again if it changes while it is read.
 
     Raises:
-        SettingsError: It can't be read, is too large, is not UTF-8, or changes each time.
+        SettingsError: The file can't be read, is too large, is not UTF-8, or changed during each attempt.
     """
     try:
         for _ in range(READ_ATTEMPTS):
@@ -59,10 +59,10 @@
 
 
 def parse(path: str | Path, text: str) -> ParsedText:
-    """Return the nodes of a text; `path` is named in errors.
+    """Return the nodes of a text; `path` appears in error messages.
 
     Raises:
-        SettingsError: The text is not KDL, or its blocks go too deep.
+        SettingsError: The text is not valid KDL, or its blocks are nested too deeply.
     """
     scanned = scan(text)
     if max(scanned.depths) > MAX_DEPTH:
@@ -84,15 +84,16 @@
 
 
 def _locate_syntax_error(text: str, scanned: Scan) -> tuple[int, str]:
-    """Return the line of the error in a text that is not KDL, and what is wrong there.
+    """Return the line of the error in a text that is not KDL, and an error message.
 
-    That is the first line from which on no beginning of the text can be read, with its open blocks closed.
+    The error is in the first line from which on no prefix of the text can be parsed, even if the blocks that
+    are open at the end of the prefix are closed.
     """
     rows = text.split("\n")
     depths = scanned.depths
 
     def first_lines_are_kdl(count: int) -> bool:
-        """Return whether so many lines can be read, if the blocks that are open after them are closed."""
+        """Return whether the first `count` lines can be parsed after their open blocks are closed."""
         return _is_kdl("\n".join(rows[:count]) + "\n" + "}" * max(0, depths[count - 1]))
 
     if depths[-1] > 0:
--- a/petrelwood/settings/kdl_scan.py
+++ b/petrelwood/settings/kdl_scan.py
@@ -1,7 +1,7 @@
-"""Finds where the nodes of a KDL 2 text begin, and how deep its blocks are.
+"""Finds the positions of the nodes in a KDL 2 text, and the block depth of each line.
 
-The parser, ckdl, gives the place neither of a node nor of an error. This scan knows just enough of the
-language for that: strings, comments, blocks and the ends of nodes.
+The parser, ckdl, reports neither the position of a node nor that of an error. This scanner recognizes only
+what the positions require: strings, comments, blocks and the ends of nodes.
 """
 
 import re
@@ -13,21 +13,21 @@
 
 
 class Position(NamedTuple):
-    """Where a node begins, counted from 1."""
+    """The position of a node's beginning, counted from 1."""
 
     line: int
     column: int
 
 
 class Scan(NamedTuple):
-    """What a scan of a text finds."""
+    """The result of scanning a text."""
 
-    positions: list[Position]  # of each node in the order of the text, but of none commented out by `/-`
-    depths: list[int]  # blocks that are open at the end of each line
+    positions: list[Position]  # of the nodes in text order, without those commented out by `/-`
+    depths: list[int]  # number of blocks that are open at the end of each line
 
 
 def _end_after(text: str, ending: str, start: int) -> int:
-    """Return the index after the next `ending`, or the text's length if there is none."""
+    """Return the index after the next `ending`, or the length of the text if there is none."""
     index = text.find(ending, start)
     return len(text) if index < 0 else index + len(ending)
 
@@ -40,7 +40,7 @@
 
 
 def _end_of_string(text: str, start: int) -> int:
-    """Return the index after a quoted string; beyond the text's end if the string is not closed."""
+    """Return the index after a quoted string; it exceeds the text length if the string is not closed."""
     index = start + 1
     while index < len(text) and text[index] != '"':
         index += 2 if text[index] == "\\" else 1
@@ -63,9 +63,9 @@
 
 
 def end_of_literal(text: str, start: int) -> int:
-    """Return the index after the string or comment that begins at `start`, or `start` if none does.
+    """Return the index after the string or comment that begins at `start`, or `start` if none begins there.
 
-    It is beyond the text's end where a quoted string is not closed.
+    The index exceeds the text length if a quoted string is not closed.
     """
     raw = RAW_STRING.match(text, start)
     if raw:
@@ -83,7 +83,7 @@
 
 
 class _Scanner:
-    """One pass over a text."""
+    """A single pass over a text."""
 
     def __init__(self, text: str) -> None:
         self._text = text
@@ -91,14 +91,14 @@
         self._line = 1
         self._line_start = 0  # index
         self._at_node_start = True
-        self._omits_next = False  # `/-` stands before the node or block that comes
-        self._omitted_blocks: list[bool] = []  # for each open block whether its nodes are commented out
+        self._omits_next = False  # the next node or block is commented out by `/-`
+        self._omitted_blocks: list[bool] = []  # for each open block: whether its nodes are commented out
         self._depth = 0
         self._positions: list[Position] = []
         self._depths: list[int] = []
 
     def run(self) -> Scan:
-        """Pass over the text, once, and return what was found."""
+        """Scan the text and return the result; to be called once."""
         while self._index < len(self._text):
             self._step()
         self._depths.append(self._depth)
@@ -120,11 +120,11 @@
         if text.startswith("/-", index):
             self._omits_next = self._at_node_start
             self._advance_to(index + 2)
-        elif character == "\\":  # the line goes on in the next one
+        elif character == "\\":  # line continuation
             self._advance_to(_end_after(text, "\n", index))
         elif character in "\n;":
             self._advance_to(index + 1)
-            if not self._at_node_start:  # what `/-` comments out ends with its node
+            if not self._at_node_start:  # the end of the node ends the effect of `/-`
                 self._omits_next = False
             self._at_node_start = True
         elif character == "{":
@@ -155,7 +155,7 @@
         self._omits_next = False
 
     def _read_word(self) -> None:
-        """Pass over a name, a value or one other character; note where a node begins."""
+        """Skip a name, a value or another single character; record the position if a node begins here."""
         index = self._index
         if self._at_node_start:
             self._note_node()
@@ -176,5 +176,5 @@
 
 
 def scan(text: str) -> Scan:
-    """Return where the nodes of a text begin and how deep its blocks are."""
+    """Return the positions of the nodes in a text and the block depth of each line."""
     return _Scanner(text).run()
--- a/petrelwood/settings/layout.py
+++ b/petrelwood/settings/layout.py
@@ -1,7 +1,8 @@
-"""The one layout of a KDL file: four spaces a block, one space between words, at most one empty line.
+"""The canonical layout of a KDL file.
 
-Comments, strings and the order of things stay. A text that is laid out again stays as it is, and means the
-same as before, which is checked.
+Blocks are indented by four spaces, words are separated by one space, and there is at most one empty line in
+a row. Comments, strings and the order of nodes are kept. Formatting is idempotent. Each result is checked to
+have the same meaning as the original text.
 """
 
 import re
@@ -31,7 +32,7 @@
     BLOCK_START = auto()
     BLOCK_END = auto()
     NODE_END = auto()  # a semicolon
-    CONTINUATION = auto()  # a line goes on in the next one
+    CONTINUATION = auto()  # a backslash that continues the line in the next one
     WORD = auto()
 
 
@@ -46,7 +47,7 @@
 class _Token(NamedTuple):
     kind: _Kind
     text: str
-    end: int  # index after it
+    end: int  # index after the token
 
 
 def _literal(text: str, start: int, end: int) -> _Token:
@@ -94,18 +95,18 @@
 
 
 class _Layout:
-    """Builds the lines of a text from its tokens."""
+    """Builds the formatted lines of a text from its tokens."""
 
     def __init__(self) -> None:
         self._lines: list[str] = []
-        self._line = ""  # the one that is being built
-        self._depth = 0  # of blocks
-        self._empty_lines = 0  # before the line that is being built
-        self._has_space = False  # there was a space after the last token
-        self._is_continued = False  # the line goes on from the one before
+        self._line = ""  # the current line
+        self._depth = 0  # number of open blocks
+        self._empty_lines = 0  # before the current line
+        self._has_space = False  # a space follows the last token
+        self._is_continued = False  # the current line continues the previous one
 
     def text(self) -> str:
-        """Return what was laid out."""
+        """Return the formatted text."""
         self._end_line()
         return "\n".join(self._lines) + "\n" if self._lines else ""
 
@@ -178,10 +179,10 @@
 
 
 def format_text(text: str) -> str:
-    """Return a text in the one layout.
+    """Return a text in the canonical layout.
 
     Raises:
-        SettingsError: It is no KDL, or would mean something else.
+        SettingsError: The text is not valid KDL, or formatting would change its meaning.
     """
     nodes = parse(NAME_IN_ERRORS, text).nodes
     layout = _Layout()
@@ -194,7 +195,7 @@
 
 
 class _Meaning(NamedTuple):
-    """What a node means, to compare."""
+    """The meaning of a node, in a form that can be compared."""
 
     name: str
     type_annotation: str | None
--- a/petrelwood/settings/limits.py
+++ b/petrelwood/settings/limits.py
@@ -1,4 +1,4 @@
-"""Limits of a gateway's fronts: what is in flight, queued or waited for."""
+"""Limits of a gateway's fronts: connections, request sizes, timeouts, and unfinished activations."""
 
 from typing import NamedTuple
 
@@ -7,28 +7,30 @@
 
 
 class Limits(NamedTuple):
-    """Each field is the setting of that name under `limits`."""
+    """The settings under `limits`, with the same names."""
 
     connections: int = 2000
-    header: int = 16_000  # bytes of one request's head
-    body: int = 1_000_000  # bytes
-    head_within: int = 5 * SECOND  # ns from the connection's start, or the first byte, to the end of the head
-    body_within: int = 10 * SECOND  # ns
-    idle: int = 75 * SECOND  # ns between two requests
-    pipeline: int = 16  # requests read ahead on one connection
-    held: int = 20_000  # activations, queued or in flight, that are owed an answer
-    per_customer: float = 0.8  # the part of `held` that one customer may have
-    ledger: int = 500_000  # ids remembered
-    results: int = 64_000_000  # bytes of answers remembered for retries
-    handshakes: int = 250  # new connections that have not finished a first request
-    bytes: int = 256_000_000  # of requests that are not complete yet, over all connections
+    header: int = 16_000  # bytes of the head of a request
+    body: int = 1_000_000  # bytes of the body of a request
+    head_within: int = (
+        5 * SECOND
+    )  # ns, from the connection's start or the request's first byte to the end of the head
+    body_within: int = 10 * SECOND  # ns, from the end of the head to the end of the body
+    idle: int = 75 * SECOND  # ns, the maximum time between two requests
+    pipeline: int = 16  # maximum number of requests read ahead on a connection
+    held: int = 20_000  # maximum number of activations, queued or in flight, that have no answer yet
+    per_customer: float = 0.8  # the maximum share of `held` for one customer
+    ledger: int = 500_000  # maximum number of remembered ids
+    results: int = 64_000_000  # bytes of the answers that are remembered for retries
+    handshakes: int = 250  # maximum number of connections without a complete first request
+    bytes: int = 256_000_000  # maximum bytes of incomplete requests over all connections
 
 
 DEFAULT_LIMITS = Limits()
 
 
 def decode_limits(node: Node | None) -> Limits:
-    """Return the limits that a `limits` node sets, or the defaults where there is none."""
+    """Return the limits that a `limits` node sets, or the defaults if there is no such node."""
     if node is None:
         return DEFAULT_LIMITS
     default = DEFAULT_LIMITS
--- a/petrelwood/settings/mqtt.py
+++ b/petrelwood/settings/mqtt.py
@@ -1,4 +1,4 @@
-"""The broker that triggers come from."""
+"""Settings of the MQTT broker that delivers triggers."""
 
 from typing import NamedTuple
 
@@ -7,33 +7,33 @@
 from petrelwood.settings.node import Node
 from petrelwood.settings.tls import decode_identity
 
-DEFAULT_WINDOW = (4, 256)  # activations; least, most
-MAX_WINDOW = 65535  # activations: MQTT's Receive Maximum has 16 bits
+DEFAULT_WINDOW = (4, 256)  # activations: minimum, maximum
+MAX_WINDOW = 65535  # activations; MQTT's Receive Maximum has 16 bits
 MIN_KEEP_ALIVE = SECOND  # ns
 SPECIAL_IN_TOPICS = frozenset("+#/")
 
 
 class MqttTerms(NamedTuple):
-    """How a dispatcher connects to the broker, and how much it takes from it."""
+    """The connection of a dispatcher to the broker, and the limits of the data on it."""
 
     broker: Address
     user: str | None
     password: bytes | None
-    group: str  # of the shared subscription: the same at all dispatchers
+    group: str  # of the shared subscription; the same for all dispatchers
     keep_alive: int  # ns
-    session: int  # ns that the broker keeps a session without a connection
-    min_window: int  # activations of one customer under way at a time
-    max_window: int
-    connect_within: int  # ns
+    session: int  # ns, the time for which the broker keeps a session without a connection
+    min_window: int  # smallest window, the maximum number of activations of one customer in flight
+    max_window: int  # largest window
+    connect_within: int  # ns, the timeout of connecting
     max_packet_size: int  # bytes
-    max_queued_answers: int  # that wait for the broker, for each customer
-    initial_backoff: int  # ns, the first backoff before it connects again
-    max_backoff: int  # ns, the longest
+    max_queued_answers: int  # answers queued for the broker, per customer
+    initial_backoff: int  # ns, the first delay before reconnecting
+    max_backoff: int  # ns, the longest delay before reconnecting
     tls: Identity | None
 
 
 def _decode_window(node: Node) -> tuple[int, int]:
-    """Return the least and the most activations of one customer under way at a time."""
+    """Return the minimum and the maximum of the window of a customer's activations in flight."""
     window = node.optional_child("window")
     least, most = DEFAULT_WINDOW
     if window is not None:
@@ -60,7 +60,7 @@
 
 
 def decode_mqtt(node: Node | None) -> MqttTerms | None:
-    """Return what an `mqtt` node describes; None, and no triggers from a broker, where there is none."""
+    """Return the settings in an `mqtt` node; None, which disables triggers, if there is no such node."""
     if node is None:
         return None
     min_window, max_window = _decode_window(node)
--- a/petrelwood/settings/namespaces.py
+++ b/petrelwood/settings/namespaces.py
@@ -1,4 +1,4 @@
-"""Namespace types: what the activations of some functions have in common."""
+"""Namespace types: the latencies, effect and deduplication that the activations of functions share."""
 
 from typing import NamedTuple
 
@@ -8,20 +8,20 @@
 
 
 class NamespaceSettings(NamedTuple):
-    """A namespace type as a file has it."""
+    """A namespace type as defined in a file."""
 
     name: str
     type: ports.NamespaceType
-    timeout: int  # ns until a client gives up
-    remember: int  # ns that ids are remembered, as the file says; 0: it does not
+    timeout: int  # ns, the action timeout, after which a client gives up
+    remember: int  # ns, the time for which ids are remembered; 0: not set in the file
 
 
 class Namespaces(NamedTuple):
-    """All namespace types of a gateway; each map is by the type's name."""
+    """All namespace types of a gateway; the keys are the names of the types."""
 
     types: dict[str, ports.NamespaceType]
     timeouts: dict[str, int]  # action timeout, ns
-    remember: dict[str, int]  # ns that ids are remembered
+    remember: dict[str, int]  # how long ids are remembered, ns
 
 
 def decode_namespace_type(node: Node) -> NamespaceSettings:
@@ -42,10 +42,10 @@
 
 
 def decode_namespaces(file: Node, tolerance: int) -> Namespaces:
-    """Return the namespace types of a gateway's file.
+    """Return the namespace types in a gateway's file.
 
-    Ids are remembered for at least twice the tolerance (ns), so that no webhook is accepted after its id was
-    forgotten.
+    Ids are remembered for at least twice the tolerance (ns), so that a webhook's timestamp is no longer
+    accepted when its id is forgotten.
     """
     namespaces = Namespaces({}, {}, {})
     for node in file.labelled("namespace-type", "namespace type"):
--- a/petrelwood/settings/node.py
+++ b/petrelwood/settings/node.py
@@ -1,4 +1,4 @@
-"""A node of a settings file with its place: it hands out decoded values and reports what is wrong."""
+"""Nodes of a settings file, which return decoded values and report errors with their positions."""
 
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 
 class Required(Enum):
-    """In place of a default: the value must be given."""
+    """The type of `REQUIRED`, which in place of a default means that the value must be given."""
 
     REQUIRED = "required"
 
@@ -25,27 +25,27 @@
 
 
 class Origin(NamedTuple):
-    """Where a value stands."""
+    """The position of a value."""
 
     file: str
     line: int
 
 
 class ReadValue(NamedTuple):
-    """A value that was asked for, as `petrelwood config show` prints it."""
+    """A value that the decoding has read, as `petrelwood config show` prints it."""
 
-    key: str  # path of the node, and what of it
-    value: object  # as the file has it, or the decoded default
-    origin: Origin | None  # None: the default
+    key: str  # path of the node, followed by the name of the property if any
+    value: object  # the raw value in the file, or the decoded default
+    origin: Origin | None  # None: the value is the default
 
 
 @dataclass(frozen=True, slots=True)
 class Collector:
-    """Where the nodes of one file report to.
+    """Receives the errors and values that the nodes of a file report.
 
     Attributes:
-        errors: Collects what is wrong; None: the first error is raised.
-        values: Collects the values that are asked for; None: they are not noted.
+        errors: Receives all errors; None: the first error is raised.
+        values: Receives the values that the decoding reads; None: values are not recorded.
     """
 
     errors: list[SettingsError] | None = None
@@ -53,30 +53,30 @@
 
 
 class _Absence(NamedTuple):
-    """Something is missing, and a name that nobody knows may be meant for it."""
+    """The error for a missing item, for which a misspelt name may stand."""
 
     similar_name: str
     error: SettingsError
 
 
 class Node:
-    """A node with its place; it marks what was read, so that `reject_unknown` can name what is not known.
+    """A node of a settings file, which tracks the names that were read so that others can be rejected.
 
-    Where its collector takes errors, a wrong value is reported there and a sample of its kind stands in for
-    it, so that one problem does not make others.
+    If the collector accepts errors, an invalid value is reported and replaced by a sample of its kind, so
+    that one error does not cause others.
 
     Attributes:
         name: Its name.
-        args: Its arguments, as the file has them.
-        props: Its properties, as the file has them.
+        args: Its raw arguments.
+        props: Its raw properties.
         children: The nodes in its block.
         file: The path, as the file was named.
-        line: Counted from 1; 0 where it is not known.
-        column: Counted from 1; 0 where it is not known.
-        path: Names of the nodes from the top down to this one, which tell values apart.
-        has_errors: A sample stands in for something in it, so conclusions from its values mean nothing.
-        partial: A part of it could not be found; what it lacks may be there.
-        collector: Takes what it reports.
+        line: Counted from 1; 0 if it is unknown.
+        column: Counted from 1; 0 if it is unknown.
+        path: The names of the nodes from the top level down to this one, which identify a value.
+        has_errors: A sample replaces an invalid value in the node, so checks of its values are meaningless.
+        partial: A part of the node could not be read, and may contain what seems to be missing.
+        collector: Receives the errors and values of the node.
     """
 
     def __init__(
@@ -107,25 +107,25 @@
 
     @property
     def folder(self) -> Path:
-        """The folder of its file, from which paths in it are seen."""
+        """The folder of the file, to which paths in the file are relative."""
         return Path(self.file).parent
 
     def resolve(self, path: str) -> str:
-        """Return a path of its file as seen from the working directory; "" stays."""
+        """Return a path in the file relative to the working directory; "" is returned unchanged."""
         return str(self.folder / path) if path else ""
 
     def location(self, seen_from: "Node") -> str:
-        """Return where it stands, in the words of a message about another node."""
+        """Return the position of the node, worded for an error message about the node `seen_from`."""
         if seen_from.file == self.file:
             return f"on line {self.line}"
         return f"in {self.file}:{self.line}"
 
     def error(self, message: str) -> SettingsError:
-        """Return an error with this node's place."""
+        """Return an error with the position of this node."""
         return SettingsError(self.file, self.line, message, self.column)
 
     def report(self, message: str) -> None:
-        """Report that its values are wrong, unless that follows from an error that was reported of it.
+        """Report an error in the node's values, unless the node has errors already, which may have caused it.
 
         Raises:
             SettingsError: Errors are not collected.
@@ -137,7 +137,7 @@
             errors.append(self.error(message))
 
     def report_invalid_value(self, error: SettingsError) -> None:
-        """Report that a value of it is wrong or missing, for which a sample stands in.
+        """Report that a value of the node is invalid or missing and replaced by a sample.
 
         Raises:
             SettingsError: Errors are not collected.
@@ -150,10 +150,10 @@
         self.has_errors = True
 
     def _report_absence(self, name: str, present: Sequence[str], error: SettingsError) -> None:
-        """Report that something is missing.
+        """Report a missing item.
 
-        Where something with a similar name is present it may be meant. If `reject_unknown` then finds that
-        nobody knows that name, its message is enough.
+        If an item with a similar name is present, the name may be a misspelling, and the error is deferred.
+        If `reject_unknown` then reports the name as unknown, the deferred error is dropped.
         """
         similar = similar_name(name, present)
         if similar is not None and self.collector.errors is not None:
@@ -174,10 +174,10 @@
             self.collector.values.append(ReadValue(path, value, origin))
 
     def convert(self, decoder: Decoder[T], subject: str, value: Value) -> T:
-        """Return a value decoded; `subject` names it in an error.
+        """Return a value decoded; `subject` names the value in error messages.
 
         Raises:
-            SettingsError: The decoder does not take it.
+            SettingsError: The decoder rejected the value.
         """
         try:
             return decoder.decode(value, subject)
@@ -193,7 +193,7 @@
             return decoder.sample
 
     def arg(self, decoder: Decoder[T], what: str, default: T | Required = REQUIRED, at: int = 0) -> T:
-        """Return the argument at an index, decoded; `what` it is stands in the error if it is missing."""
+        """Return the decoded argument at an index; `what` describes it in the error if it is missing."""
         if at < len(self.args):
             return self.decode(decoder, f"'{self.name}'", self.args[at])
         if isinstance(default, Required):
@@ -202,7 +202,7 @@
         return default
 
     def prop(self, name: str, decoder: Decoder[T], default: T | Required = REQUIRED) -> T:
-        """Return a property, decoded."""
+        """Return the decoded value of a property."""
         self._known_props.add(name)
         if name in self.props:
             decoded = self.decode(decoder, f"{name}=", self.props[name])
@@ -215,12 +215,12 @@
         return default
 
     def every(self, name: str) -> "list[Node]":
-        """Return the children of a name."""
+        """Return the children with a name."""
         self._known_children.add(name)
         return [child for child in self.children if child.name == name]
 
     def labelled(self, name: str, kind: str) -> "list[Node]":
-        """Return the children of a name, the first of each label; `kind` names them in errors."""
+        """Return the children with a name, the first one for each label; `kind` describes them in errors."""
         first: dict[Value, Node] = {}
         for node in self.every(name):
             label = node.args[0] if node.args else None
@@ -230,14 +230,14 @@
         return list(first.values())
 
     def optional_child(self, name: str) -> "Node | None":
-        """Return the one child of a name, or None."""
+        """Return the only child with a name, or None."""
         nodes = self.every(name)
         if len(nodes) > 1:
             nodes[1].report(f"'{name}' is given twice; first {nodes[0].location(self)}")
         return nodes[0] if nodes else None
 
     def child(self, name: str) -> "Node":
-        """Return the one child of a name; if it is missing that is reported, and a stand-in returned."""
+        """Return the only child with a name; if it is missing, report that and return a placeholder."""
         node = self.optional_child(name)
         if node is not None:
             return node
@@ -247,7 +247,7 @@
         return MissingNode(self, name)
 
     def value(self, name: str, decoder: Decoder[T], default: T | Required = REQUIRED) -> T:
-        """Return the only argument of the one child of a name, decoded."""
+        """Return the decoded argument of the only child with a name."""
         if isinstance(default, Required):
             node = self.child(name)
         else:
@@ -263,7 +263,7 @@
         return decoded
 
     def reject_unknown(self, max_args: int = 0) -> None:
-        """Report what was given that nobody has asked for, and what is missing for sure.
+        """Report the items that were not read as unknown, and the missing items whose error was deferred.
 
         Raises:
             SettingsError: Errors are not collected.
@@ -287,7 +287,7 @@
 
 
 class MissingNode(Node):
-    """Stands in for a node that is missing; it reports nothing, since its absence is reported."""
+    """A placeholder for a missing node; it reports no errors because its absence is reported already."""
 
     def __init__(self, parent: Node, name: str) -> None:
         collector = Collector(parent.collector.errors)
@@ -300,9 +300,9 @@
 def node_from_kdl(
     raw: KdlNode, file: str, positions: Iterator[Position], path_before: str, collector: Collector
 ) -> Node:
-    """Return a node of a parsed text with its children.
+    """Return a parsed node with its children.
 
-    `positions` are those of it and its children, in the order of the text; `path_before` begins its path.
+    `positions` are those of the node and its children in text order; `path_before` is the prefix of its path.
     """
     position = next(positions, UNKNOWN_POSITION)
     has_label = bool(raw.args) and isinstance(raw.args[0], str) and bool(raw.children)
--- a/petrelwood/settings/plausibility.py
+++ b/petrelwood/settings/plausibility.py
@@ -1,4 +1,4 @@
-"""Checks of plausibility: settings that can be decoded but contradict each other, or will soon fail."""
+"""Plausibility checks, which find valid settings that contradict each other or will soon fail."""
 
 import datetime
 from collections.abc import Iterator
@@ -14,7 +14,7 @@
 
 
 def _section(file: Node, name: str, label: str | None = None) -> Node:
-    """Return the first node of a name, and label, or the file where there is none."""
+    """Return the first node with a name, and with a label if given, or the file if there is none."""
     for node in file.children:
         if node.name == name and (label is None or node.args[:1] == [label]):
             return node
@@ -69,7 +69,7 @@
     latencies = (namespace_type.target_latency for namespace_type in gateway.terms.types.values())
     shortest_latency = min(latencies, default=0)
     lanes = max((rule.lanes for rule in gateway.functions), default=0)
-    # Sends in flight at a time that do not crash a cold worker.
+    # The number of concurrent sends that do not crash a cold worker.
     sends = guarantees.crash_load_multiple * guarantees.initial_capacity_share * lanes
     if shortest_latency and lanes and sends * guarantees.slow_start_window < shortest_latency:
         yield _section(file, "workers").error(
@@ -138,12 +138,12 @@
 
 
 def warnings(file: Node, gateway: Gateway, now: datetime.datetime | None = None) -> list[SettingsError]:
-    """Return what is not plausible in a gateway's file, each with its place.
+    """Return warnings about implausible settings in a gateway's file, each with its position.
 
     Args:
         file: The file.
-        gateway: What it was decoded to.
-        now: The time by which certificates are judged; the system's if it is not given.
+        gateway: The settings decoded from the file.
+        now: The time at which certificates are checked; None: the system time.
     """
     return [
         *_check_namespace_types(file, gateway),
--- a/petrelwood/settings/reference.py
+++ b/petrelwood/settings/reference.py
@@ -1,4 +1,4 @@
-"""The reference page of a gateway's file, from the schema and the descriptions."""
+"""The reference page of a gateway's file, generated from the schema and the descriptions."""
 
 from collections.abc import Iterable, Mapping
 from pathlib import Path
@@ -32,7 +32,7 @@
 
 
 def _first_line(block: Block) -> str:
-    """Return how a block begins, with the names of its arguments."""
+    """Return the name of a block followed by the names of its arguments."""
     arguments = [f"<{argument.name}>" for _, argument in sorted(block.args.items())]
     return " ".join([block.name, *arguments])
 
@@ -60,7 +60,7 @@
     """Return the reference page.
 
     Args:
-        descriptions: One sentence for each path of the schema.
+        descriptions: A sentence for each path of the schema.
 
     Raises:
         KeyError: A path has no description.
@@ -82,7 +82,7 @@
 
 
 def write(path: str | Path) -> bool:
-    """Write the reference page, and return whether that changed the file."""
+    """Write the reference page, and return whether the file has changed."""
     path = Path(path)
     text = page()
     if path.exists() and path.read_text() == text:
--- a/petrelwood/settings/schema.py
+++ b/petrelwood/settings/schema.py
@@ -1,7 +1,8 @@
-"""The schema of a gateway's file, learned from the code that decodes it.
+"""The schema of a gateway's file, derived from the code that decodes it.
 
-The decoding is run on a node that has whatever it is asked for, and notes what that was. So there is one
-description of the file, the decoding; the reference and completion are read off it and can't differ.
+The decoding runs on a node that returns a default or sample for each name and records the name. The decoding
+is thus the only definition of the file format, from which the reference and completion are derived, so they
+can't differ from it.
 """
 
 from collections.abc import Iterator
@@ -13,11 +14,11 @@
 
 T = TypeVar("T")
 
-SHOWN_SIZE_UNITS = ("GB", "MB", "KB", "B")  # from the largest: defaults are decimal
+SHOWN_SIZE_UNITS = ("GB", "MB", "KB", "B")  # largest first; defaults are in decimal units
 
 
 class Item:
-    """A property or an argument: what it takes, and its default."""
+    """The kind and default of a property or an argument."""
 
     def __init__(self, decoder: Decoder[object], default: object) -> None:
         self.decoder = decoder
@@ -25,15 +26,15 @@
 
     @property
     def takes(self) -> str:
-        """What it takes, in words."""
+        """The description of the accepted values."""
         return self.decoder.description
 
     def quoted_words(self) -> list[str]:
-        """Return the words that it takes, as a file has them; an empty list if it takes anything else too."""
+        """Return the accepted words in file syntax; an empty list if other values are accepted."""
         return [word if word.startswith("#") else f'"{word}"' for word in self.decoder.words]
 
     def format_default(self) -> str | None:
-        """Return its default as a file would have it, or None if it must be given."""
+        """Return the default in file syntax, or None if a value is required."""
         default = self.default
         if isinstance(default, Required):
             return None
@@ -49,7 +50,7 @@
 
 
 def _format_measure(amount: int, units: dict[str, int], shown: tuple[str, ...]) -> str:
-    """Return an amount in the first of the `shown` units that divides it."""
+    """Return an amount in the first of the `shown` units that divides it without remainder."""
     if not amount:
         return '"0s"'
     unit = next(unit for unit in shown if amount % units[unit] == 0)
@@ -59,22 +60,22 @@
 class Argument(NamedTuple):
     """An argument of a block."""
 
-    name: str  # what it is
+    name: str  # describes the argument, as "a name"
     item: Item
 
 
 class Block:
-    """A node that a file may have.
+    """A node that is allowed in a file.
 
     Attributes:
         name: Its name; "" for the file as a whole.
-        path: The names from the top of the file down to it.
+        path: The names of the nodes from the top level down to it.
         args: Its arguments by index.
         props: Its properties by name.
-        blocks: The nodes that may be in it, by name.
-        value: Its argument, if it has one and nothing else; None for other blocks.
-        is_repeated: It may be given any number of times.
-        is_required: It must be given.
+        blocks: The child nodes that are allowed in it, by name.
+        value: The argument of a block that has nothing else; None for other blocks.
+        is_repeated: The block may be given any number of times.
+        is_required: The block must be given.
     """
 
     def __init__(self, name: str, parent: "Block | None" = None) -> None:
@@ -88,16 +89,16 @@
         self.is_required = False
 
     def walk(self) -> "Iterator[Block]":
-        """Yield the block and all that may be in it."""
+        """Yield the block and its descendants."""
         yield self
         for block in self.blocks.values():
             yield from block.walk()
 
 
 class SchemaNode(Node):
-    """A node that has every child, and of each value the default or sample; its block notes them.
+    """A node that has each requested child and value, the latter as default or sample, recorded in its block.
 
-    That samples contradict each other is not reported.
+    Contradictions between samples are not reported.
     """
 
     def __init__(self, block: Block) -> None:
@@ -118,19 +119,19 @@
         return decoder.sample if isinstance(default, Required) else default
 
     def child(self, name: str) -> Node:
-        """Return a child that has everything too."""
+        """Return a child of the same kind."""
         block = self._block(name)
         block.is_required = True
         return SchemaNode(block)
 
     def optional_child(self, name: str) -> Node | None:
-        """Return a child that has everything too."""
+        """Return a child of the same kind."""
         block = self._block(name)
         block.is_required = False
         return SchemaNode(block)
 
     def every(self, name: str) -> list[Node]:
-        """Return one child that has everything too."""
+        """Return one child of the same kind."""
         block = self._block(name)
         block.is_repeated = True
         return [SchemaNode(block)]
@@ -143,21 +144,21 @@
         return decoder.sample if isinstance(default, Required) else default
 
     def report(self, message: str) -> None:
-        """Do nothing: a sample is nobody's fault."""
+        """Do nothing, because samples may contradict each other."""
 
     def reject_unknown(self, max_args: int = 0) -> None:
-        """Do nothing: it has only what is asked for."""
+        """Do nothing, because the node has only the names that were read."""
 
 
 def schema() -> Block:
-    """Return the block of a whole gateway's file."""
+    """Return the root block of a gateway's file."""
     root = Block("")
     gateway.decode(SchemaNode(root))
     return root
 
 
 def paths() -> Iterator[str]:
-    """Yield the path of each block and property, as `descriptions.DESCRIPTIONS` has them."""
+    """Yield the path of each block and property, which are the keys of `descriptions.DESCRIPTIONS`."""
     for block in schema().walk():
         if block.path:
             yield block.path
--- a/petrelwood/settings/speaker.py
+++ b/petrelwood/settings/speaker.py
@@ -1,4 +1,4 @@
-"""The settings of a speaker: who it is, whose heartbeats it gets, what it announces, and to whom."""
+"""The settings of a BGP speaker: its identity, the source of heartbeats, its peers and announced routes."""
 
 import ipaddress
 from collections import Counter
@@ -41,11 +41,11 @@
 )
 DEFAULT_HOLD = 9 * SECOND
 MIN_HOLD = 3 * SECOND  # RFC 4271, 4.2
-HOLD_LIMIT = 65536 * SECOND  # it has 16 bits, in seconds
+HOLD_LIMIT = 65536 * SECOND  # the hold time has 16 bits and is in seconds
 AS_NUMBER_LIMIT = 1 << 32
 MED_LIMIT = 1 << 32
 COMMUNITY_PART_LIMIT = 1 << 16
-MAX_PREPENDED = 100  # AS numbers: longer paths are dropped by some peers
+MAX_PREPENDED = 100  # AS numbers; some peers drop longer paths
 
 
 class PeerTerms(NamedTuple):
@@ -54,10 +54,10 @@
     name: str
     address: Address
     asn: int
-    passive: bool  # it connects to us
-    role: int | None  # ours towards it, RFC 9234
-    far: bool  # more than one hop away: no check of the TTL (RFC 5082)
-    max_routes: int  # accepted from it
+    passive: bool  # the peer opens the connection
+    role: int | None  # the speaker's own role in the session, RFC 9234
+    far: bool  # more than one hop away, so the TTL is not checked (RFC 5082)
+    max_routes: int  # maximum number of routes accepted from the peer
 
 
 class Speaker(NamedTuple):
@@ -67,7 +67,7 @@
     asn: int
     id: int
     listen: Address | None
-    health: str  # path of the socket on which the dispatcher's heartbeats come
+    health: str  # path of the socket that receives the dispatcher's heartbeats
     hold: int  # s
     bounds: HealthBounds
     peers: tuple[PeerTerms, ...]
@@ -177,7 +177,7 @@
 
 
 def _decode_hold(node: Node) -> int:
-    """Return the hold time in seconds; 0: connections are not given up."""
+    """Return the hold time in seconds; 0: connections don't time out."""
     hold = node.value("hold", DURATION, DEFAULT_HOLD)
     if hold and (hold < MIN_HOLD or hold % SECOND or hold >= HOLD_LIMIT):
         node.report("'hold' must be 0, or whole seconds from 3 to 65535")
@@ -194,7 +194,7 @@
     """Return the speaker that a file describes.
 
     Raises:
-        SettingsError: The first thing that is wrong, if the file does not collect errors.
+        SettingsError: The first error, if the file does not collect errors.
     """
     node = file.child("speaker")
     bounds = _decode_bounds(node.optional_child("bounds"))
@@ -226,14 +226,14 @@
 
 
 def read(path: str | Path, text: str | None = None, errors: list[SettingsError] | None = None) -> Speaker:
-    """Return the speaker that a file, or a text in its place, describes.
+    """Return the speaker that a file, or a text given instead, describes.
 
     Args:
         path: The file.
-        text: What it says, if that is not read from it.
-        errors: Collects all that is wrong in place of the first being raised.
+        text: The text to parse; None: the text is read from the file.
+        errors: Receives all errors; None: the first error is raised.
 
     Raises:
-        SettingsError: The first thing that is wrong, if `errors` is not given.
+        SettingsError: The first error, if `errors` is None.
     """
     return decode(File(path, text, errors))
--- a/petrelwood/settings/storage.py
+++ b/petrelwood/settings/storage.py
@@ -1,4 +1,4 @@
-"""What a dispatcher stores, and where versions of its settings come from."""
+"""Settings of a dispatcher's stored data, and of the sources of its settings versions."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 
 
 class HistoryTerms(NamedTuple):
-    """How use over time is stored."""
+    """The storage of the history of use."""
 
     folder: str
     keep: int  # days
@@ -16,21 +16,21 @@
 
 
 class StateTerms(NamedTuple):
-    """How the state that survives a restart is stored."""
+    """The storage of the state that survives a restart."""
 
     folder: str
-    durability: str  # "process" or "machine": the end of which a stored record survives
+    durability: str  # "process" or "machine": records survive a crash of the process, or of the machine too
 
 
 class ConfigurationTerms(NamedTuple):
-    """How versions of the settings come from the configuration servers."""
+    """The delivery of settings versions by the configuration servers."""
 
     servers: tuple[Address, ...]
-    within: int  # ns from a version's beginning until it is in force at every dispatcher that can hear of it
+    within: int  # ns, from the start of a roll-out until the version is in force at all reachable dispatchers
 
 
 def decode_history(node: Node | None) -> HistoryTerms | None:
-    """Return what a `history` node describes; None, and no history, where there is none."""
+    """Return the settings in a `history` node; None, which disables it, if there is no such node."""
     if node is None:
         return None
     terms = HistoryTerms(
@@ -43,7 +43,7 @@
 
 
 def decode_state(node: Node | None) -> StateTerms | None:
-    """Return what a `state` node describes; None, and nothing survives, where there is none."""
+    """Return the settings in a `state` node; None, with which no state survives, if there is no such node."""
     if node is None:
         return None
     terms = StateTerms(
@@ -55,9 +55,9 @@
 
 
 def decode_configuration(node: Node | None, versions: str) -> ConfigurationTerms | None:
-    """Return what a `configuration` node describes; None where there is none.
+    """Return the settings in a `configuration` node; None if there is no such node.
 
-    `versions`: the folder that versions are written to, as the file names it.
+    `versions` is the folder that versions are written to, as named in the file.
     """
     if node is None:
         return None
--- a/petrelwood/settings/tls.py
+++ b/petrelwood/settings/tls.py
@@ -1,4 +1,4 @@
-"""The TLS identity that a node has."""
+"""TLS identities in settings files."""
 
 from petrelwood.links.errors import IdentityError
 from petrelwood.links.tls import Identity
@@ -7,7 +7,7 @@
 
 
 def decode_identity(parent: Node) -> Identity | None:
-    """Return the identity that the `tls` child of a node describes, or None if it has none."""
+    """Return the identity that the `tls` child of a node describes, or None if there is no such child."""
     node = parent.optional_child("tls")
     if node is None:
         return None
--- a/petrelwood/settings/validation.py
+++ b/petrelwood/settings/validation.py
@@ -1,4 +1,4 @@
-"""All that is wrong with a settings file, at once: errors, and warnings where there are none."""
+"""Checks of a settings file, which report all errors at once, or warnings if there are no errors."""
 
 from collections.abc import Callable, Sequence
 from pathlib import Path
@@ -11,31 +11,31 @@
 from petrelwood.settings.plausibility import warnings
 
 Decode = Callable[[File], object]
-OtherKind = tuple[str, Decode]  # a node that files of a kind have, and what decodes these files
+OtherKind = tuple[str, Decode]  # name of a node that identifies a kind of file, and the decoder of that kind
 
 
 class CheckResult(NamedTuple):
-    """What a check of a file has found."""
+    """The result of checking a file."""
 
-    errors: list[SettingsError]  # each once, in the order of files and lines
+    errors: list[SettingsError]  # without duplicates, sorted by file and line
     warnings: list[SettingsError]
-    texts: dict[str, str]  # of all files that were read, by path
+    texts: dict[str, str]  # text of each file that was read, by path
 
 
 def check(path: str | Path, text: str | None = None, others: Sequence[OtherKind] = ()) -> CheckResult:
-    """Return what is wrong with a file and all that it includes.
+    """Return the errors and warnings for a file and the files that it includes.
 
     Args:
         path: The file.
-        text: What it says, if that is not read from it.
-        others: Kinds of files that are no gateway's; a file of none of them is taken for a gateway's.
+        text: The text to parse; None: the text is read from the file.
+        others: Other kinds of files; a file of none of these kinds is decoded as a gateway's file.
     """
     errors: list[SettingsError] = []
     file = File(path, text, errors)
     decode = _decoder_for(file, others)
     try:
         decoded = decode(file)
-    except SettingsError as error:  # what can't be collected ends the decoding
+    except SettingsError as error:  # errors that can't be collected abort the decoding
         errors.append(error)
         decoded = None
     distinct = _sorted_distinct(errors, list(file.files))
@@ -53,7 +53,7 @@
 
 
 def _sorted_distinct(errors: list[SettingsError], files: list[str]) -> list[SettingsError]:
-    """Return each error once, in the order of `files`, lines and columns."""
+    """Return the errors without duplicates, sorted by the order of `files`, line and column."""
     first: dict[tuple[str, int, int, str], SettingsError] = {}
     for error in errors:
         first.setdefault((error.file, error.line, error.column, error.message), error)
--- a/petrelwood/settings/workers.py
+++ b/petrelwood/settings/workers.py
@@ -1,4 +1,4 @@
-"""What workers guarantee, how links to them behave, and what the scheduler may do with them."""
+"""Settings of workers: their guarantees, the links to them, and the operations allowed to the scheduler."""
 
 from typing import NamedTuple
 
@@ -10,29 +10,29 @@
 
 
 class WorkerTerms(NamedTuple):
-    """How links to workers behave."""
+    """The terms of links to workers."""
 
-    connect_within: int  # ns, to a connection that has greeted
-    queue: int  # bytes waiting for a worker that does not read
-    frame: int  # bytes of one message at most
-    quiet: int  # ns; a link that owes something and is silent so long is closed
-    drain_grace: int  # ns that sends go on after word that a worker drains
-    order_within: int  # ns that a load order may take
+    connect_within: int  # ns, until the connection is open and the greeting has arrived
+    queue: int  # maximum bytes queued for a worker that does not read
+    frame: int  # maximum bytes of a message
+    quiet: int  # ns; a link with outstanding responses is closed after this time without data
+    drain_grace: int  # ns, the time for which sends continue after a worker is reported to drain
+    order_within: int  # ns, the timeout of a load order
 
 
 class WorkerSettings(NamedTuple):
-    """All that a `workers` node says."""
+    """All settings in a `workers` node."""
 
     links: WorkerTerms
     guarantees: ports.Guarantees
     orders: ports.LoadOrders
     allowed: ports.Allowed
-    reports_by_probe: bool  # load is reported when a worker is asked only, not with answers
+    reports_by_probe: bool  # load is reported only in response to a probe, not with answers
     tls: Identity | None
 
 
 class _Parts(NamedTuple):
-    """The nodes in a `workers` node that have properties."""
+    """The children of a `workers` node that have properties."""
 
     cold: Node
     fall: Node
@@ -91,7 +91,7 @@
 
 
 def decode_workers(node: Node) -> WorkerSettings:
-    """Return what a `workers` node describes."""
+    """Return the settings in a `workers` node."""
     parts = _Parts(
         cold=node.child("cold"),
         fall=node.child("fall"),
