--- a/petrelwood/cli/bgp.py
+++ b/petrelwood/cli/bgp.py
@@ -1,4 +1,4 @@
-"""Commands around service addresses: the speaker, what it sees, its messages; the stand-in router."""
+"""Commands for service addresses: the BGP speaker, its status and messages, and the stand-in router."""
 
 import asyncio
 import json
@@ -13,10 +13,10 @@
     def bgp():
         """Service addresses by BGP: the speaker and its tools."""
 
-    file = click.argument("file", type=click.Path(dir_okay=False))
+    file_argument = click.argument("file", type=click.Path(dir_okay=False))
 
     @command(bgp, "speak")
-    @file
+    @file_argument
     @click.option(
         "--status",
         type=click.Path(dir_okay=False),
@@ -33,34 +33,34 @@
         from petrelwood.cli.logs import open_log
         from petrelwood.settings import speaker
 
-        described = speaker.read(file)
-        sys.exit(run.run(described, open_log(log, level, speaker=described.name), status))
+        settings = speaker.read(file)
+        sys.exit(run.run(settings, open_log(log, level, speaker=settings.name), status))
 
-    def figures(status):
+    def read_status(status):
         try:
             return json.loads(pathlib.Path(status).read_text())
-        except (OSError, ValueError) as fault:
-            raise click.ClickException(f"{status} can't be read: {fault}") from None
+        except (OSError, ValueError) as error:
+            raise click.ClickException(f"{status} can't be read: {error}") from None
 
     @command(bgp, "peers")
     @click.argument("status", type=click.Path(exists=True, dir_okay=False))
     def peers(status):
         """Sessions of a speaker, from its STATUS file."""
-        found = figures(status)
+        fields = read_status(status)
         click.echo(
-            f"level {found['level']}"
-            + (f": {found['why']}" if found["why"] else "")
-            + f"; gone {found['flaps']} times"
+            f"level {fields['level']}"
+            + (f": {fields['why']}" if fields["why"] else "")
+            + f"; gone {fields['flaps']} times"
         )
-        for name, one in found["peers"].items():
+        for name, peer in fields["peers"].items():
             click.echo(
-                f"{name:16s} {one['state']:13s} told {one['told']}, "
-                f"routes {one['routes']}, up {one['up']}, down {one['down']}, notes {one['notes']}"
-                + (f"; {one['why']}" if one["why"] else "")
+                f"{name:16s} {peer['state']:13s} told {peer['told']}, "
+                f"routes {peer['routes']}, up {peer['up']}, down {peer['down']}, notes {peer['notes']}"
+                + (f"; {peer['why']}" if peer["why"] else "")
             )
 
     @command(bgp, "routes")
-    @file
+    @file_argument
     @click.option("--level", type=click.Choice(["full", "less"]), default="full", show_default=True)
     def routes(file, level):
         """What FILE's speaker announces at a level, as attributes."""
@@ -68,9 +68,9 @@
         from petrelwood.settings import speaker
         from petrelwood.wire import bgp as wire
 
-        described = speaker.read(file)
-        for service in described.services:
-            _show(wire, service.prefix, announcement.attributes(service, level, described.asn))
+        settings = speaker.read(file)
+        for service in settings.services:
+            print_route(wire, service.prefix, announcement.attributes(service, level, settings.asn))
 
     @command(bgp, "decode")
     @click.argument("data", type=click.File("rb"), default="-")
@@ -92,22 +92,22 @@
                 if kind == wire.OPEN:
                     click.echo(f"  {wire.read_open(body)}")
                 elif kind == wire.NOTIFICATION:
-                    told = wire.read_notification(body)
-                    click.echo(f"  {told.code}/{told.sub} {told.text()}")
+                    notification = wire.read_notification(body)
+                    click.echo(f"  {notification.code}/{notification.sub} {notification.text()}")
                 elif kind == wire.UPDATE:
                     update = wire.read_update(body, not two)
                     for prefix in update.withdrawn:
                         click.echo(f"  withdrawn {wire.shown(prefix)}")
                     for prefix in update.announced:
-                        _show(wire, prefix, update.attrs)
+                        print_route(wire, prefix, update.attrs)
                     for note in update.notes:
                         click.echo(f"  note: {note}")
-        except wire.Wrong as fault:
-            raise click.ClickException(f"NOTIFICATION {fault.code}/{fault.sub}: {fault}") from None
+        except wire.Wrong as error:
+            raise click.ClickException(f"NOTIFICATION {error.code}/{error.sub}: {error}") from None
         if reader.data:
             raise click.ClickException(f"{len(reader.data)} octets are left: a message is cut short")
 
-    def _show(wire, prefix, attrs):
+    def print_route(wire, prefix, attrs):
         import ipaddress
 
         path = " ".join(
--- a/petrelwood/cli/configs.py
+++ b/petrelwood/cli/configs.py
@@ -1,4 +1,4 @@
-"""Commands on settings: check, lay out, compare, explain."""
+"""Commands on settings files: check, format, compare and explain them, and roll out versions."""
 
 import difflib
 import json
@@ -8,13 +8,15 @@
 
 import click
 
-SECRET = ("key", "password")
-HIDDEN = re.compile(r'(whsec_|whpk_|password ")[^"\n]*')
+SECRET_NAMES = ("key", "password")
+SECRET_VALUE = re.compile(r'(whsec_|whpk_|password ")[^"\n]*')
 
 
-def _described(path, values=None):
-    """A gateway that is right, or one error for each thing that is wrong with it. `values`: as `gateway.read`
-    has it."""
+def _valid_settings(path, values=None):
+    """Return the gateway that a file describes, or raise an exception that lists all its errors.
+
+    `values` receives the values as in `gateway.read`.
+    """
     from petrelwood.settings import gateway, validation
 
     errors, _, _ = validation.check(path)
@@ -23,16 +25,16 @@
     return gateway.read(path, values=values)
 
 
-def _marked(fault, texts):
-    """The line that a fault names, with its column marked."""
-    rows = texts.get(fault.file, "").split("\n")
-    if not 0 < fault.line <= len(rows):
+def _source_lines(error, texts):
+    """Return the source line of an error and a line that marks its column."""
+    rows = texts.get(error.file, "").split("\n")
+    if not 0 < error.line <= len(rows):
         return []
-    row = rows[fault.line - 1]
-    begin = max(0, fault.column - 1) if fault.column else len(row) - len(row.lstrip())
-    if any(word in row for word in SECRET):  # what may be a secret is not shown
-        row = row[: begin + 3] + "..."
-    return [f"    {fault.line:5d} | {row[:110]}", f"          | {' ' * min(begin, 100)}^"]
+    row = rows[error.line - 1]
+    start = max(0, error.column - 1) if error.column else len(row) - len(row.lstrip())
+    if any(word in row for word in SECRET_NAMES):  # the line may contain a secret
+        row = row[: start + 3] + "..."
+    return [f"    {error.line:5d} | {row[:110]}", f"          | {' ' * min(start, 100)}^"]
 
 
 def add(cli, command):
@@ -40,10 +42,10 @@
     def config():
         """A gateway's settings: check, lay out, compare, explain."""
 
-    file = click.argument("file", type=click.Path(dir_okay=False))
+    file_argument = click.argument("file", type=click.Path(dir_okay=False))
 
     @command(config, "check")
-    @file
+    @file_argument
     @click.option("--json", "as_json", is_flag=True, help="a JSON object for each problem")
     @click.option("--lint", is_flag=True, help="file:line:column: error: what, as editors read it")
     @click.option("--strict", is_flag=True, help="warnings fail too")
@@ -57,29 +59,31 @@
         errors, warnings, texts = validation.check(
             file,
             others=(
-                ("experiment", lambda found: experiment.described(found, pathlib.Path(file))),
+                ("experiment", lambda node: experiment.described(node, pathlib.Path(file))),
                 ("day", script.described),
             ),
         )
-        for sort, faults in (("error", errors), ("warning", warnings)):
-            for fault in faults:
+        for severity, problems in (("error", errors), ("warning", warnings)):
+            for error in problems:
                 if as_json:
                     click.echo(
                         json.dumps(
                             {
-                                "sort": sort,
-                                "file": fault.file,
-                                "line": fault.line,
-                                "column": fault.column,
-                                "what": fault.message,
+                                "sort": severity,
+                                "file": error.file,
+                                "line": error.line,
+                                "column": error.column,
+                                "what": error.message,
                             }
                         )
                     )
                 elif lint:
-                    click.echo(f"{fault.file}:{fault.line}:{max(1, fault.column)}: {sort}: {fault.message}")
+                    click.echo(
+                        f"{error.file}:{error.line}:{max(1, error.column)}: {severity}: {error.message}"
+                    )
                 else:
-                    click.echo(f"{sort}: {fault}")
-                    for row in _marked(fault, texts):
+                    click.echo(f"{severity}: {error}")
+                    for row in _source_lines(error, texts):
                         click.echo(row)
         if not as_json and not lint:
             click.echo(f"{len(errors)} errors, {len(warnings)} warnings in {len(texts)} files")
@@ -101,19 +105,19 @@
             path = pathlib.Path(name)
             text = kdl.read_unchanging(path)
             try:
-                found = layout.format_text(text)
-            except SettingsError as fault:
-                raise SettingsError(path, fault.line, fault.message) from None
-            if found == text:
+                formatted = layout.format_text(text)
+            except SettingsError as error:
+                raise SettingsError(path, error.line, error.message) from None
+            if formatted == text:
                 continue
             changed += 1
             if only:
                 rows = difflib.unified_diff(
-                    text.splitlines(True), found.splitlines(True), name, f"{name}, laid out"
+                    text.splitlines(True), formatted.splitlines(True), name, f"{name}, laid out"
                 )
-                click.echo(HIDDEN.sub(r"\1...", "".join(rows)), nl=False)
+                click.echo(SECRET_VALUE.sub(r"\1...", "".join(rows)), nl=False)
                 continue
-            put(path, found.encode("utf-8"), path.stat().st_mode & 0o777)
+            put(path, formatted.encode("utf-8"), path.stat().st_mode & 0o777)
             click.echo(f"{name}: laid out")
         sys.exit(1 if only and changed else 0)
 
@@ -129,24 +133,25 @@
         """What behaves otherwise under NEW than under OLD, when it acts, and what is risky under load."""
         from petrelwood.settings import comparison
 
-        found = comparison.changes(_described(old), _described(new))
-        for one in found:
+        changes = comparison.changes(_valid_settings(old), _valid_settings(new))
+        for change in changes:
             if as_json:
-                click.echo(json.dumps(one.as_json_object()))
+                click.echo(json.dumps(change.as_json_object()))
             else:
                 click.echo(
-                    f"- {one.description} ({one.takes_effect})" + (f"; risky: {one.risk}" if one.risk else "")
+                    f"- {change.description} ({change.takes_effect})"
+                    + (f"; risky: {change.risk}" if change.risk else "")
                 )
         if not as_json:
             click.echo(
-                f"{len(found)} changes; the version as a whole acts {comparison.takes_effect(found)}"
-                if found
+                f"{len(changes)} changes; the version as a whole acts {comparison.takes_effect(changes)}"
+                if changes
                 else "nothing behaves otherwise"
             )
         if name:
-            _estimated(old, new, name, seeds, as_json)
+            print_estimate(old, new, name, seeds, as_json)
 
-    def _estimated(old, new, name, seeds, as_json):
+    def print_estimate(old, new, name, seeds, as_json):
         from petrelwood.lab import estimate
 
         rows, broken, carried = estimate.estimate(old, new, name, range(1, seeds + 1))
@@ -160,11 +165,11 @@
             f"{', '.join(carried['new'])}"
         )
         for row in rows:
-            sure = "" if seeds < 3 else "  (within noise)" if row.low <= 0 <= row.high else ""
+            note = "" if seeds < 3 else "  (within noise)" if row.low <= 0 <= row.high else ""
             click.echo(
                 f"  {row.figure:16s} {row.old:10.4g} -> {row.new:10.4g}   difference "
                 f"{row.new - row.old:+.4g} "
-                f"[{row.low:+.4g}, {row.high:+.4g}]{sure}"
+                f"[{row.low:+.4g}, {row.high:+.4g}]{note}"
             )
         for side, lines in broken.items():
             for line in lines[:3]:
@@ -177,19 +182,19 @@
     )
     def reference(to, only):
         """The reference of a gateway's file, made from what the decoding asks for."""
-        from petrelwood.settings import reference as made
+        from petrelwood.settings import reference as reference_page
 
         if only and to:
-            same = pathlib.Path(to).exists() and pathlib.Path(to).read_text() == made.page()
-            click.echo("it is up to date" if same else f"{to} is not what the program says")
-            sys.exit(0 if same else 1)
+            is_current = pathlib.Path(to).exists() and pathlib.Path(to).read_text() == reference_page.page()
+            click.echo("it is up to date" if is_current else f"{to} is not what the program says")
+            sys.exit(0 if is_current else 1)
         if to:
-            click.echo(f"{to}: " + ("written" if made.write(to) else "as it was"))
+            click.echo(f"{to}: " + ("written" if reference_page.write(to) else "as it was"))
         else:
-            click.echo(made.page())
+            click.echo(reference_page.page())
 
     @command(config, "complete")
-    @file
+    @file_argument
     @click.argument("line", type=click.IntRange(1))
     @click.argument("column", type=click.IntRange(1))
     def complete(file, line, column):
@@ -201,7 +206,7 @@
             click.echo(f"{word}\t{what}")
 
     @command(config, "roll")
-    @file
+    @file_argument
     @click.argument("folder", type=click.Path(file_okay=False))
     def roll(file, folder):
         """Announces FILE as the next version in FOLDER, which all dispatchers with `versions` read: stage by
@@ -211,7 +216,7 @@
         from petrelwood.settings import kdl
         from petrelwood.store import versions
 
-        _described(file)
+        _valid_settings(file)
         number = versions.announce(folder, kdl.read_unchanging(pathlib.Path(file)), time.time_ns())
         click.echo(f"version {number} is announced in {folder}")
 
@@ -227,42 +232,42 @@
         versions.call_off(folder, number, "called off by hand")
         click.echo(f"version {number} is called off")
 
-    def values(path):
-        reads, seen = [], set()
-        _described(path, reads)
-        for key, value, place in reads:
-            if key.split(" > ")[-1].split(" ")[0] in SECRET and place:
+    def read_values(path):
+        all_values, seen = [], set()
+        _valid_settings(path, all_values)
+        for key, value, origin in all_values:
+            if key.split(" > ")[-1].split(" ")[0] in SECRET_NAMES and origin:
                 value = "(secret)"
-            if (key, place) not in seen:
-                seen.add((key, place))
-                yield key, value, place
+            if (key, origin) not in seen:
+                seen.add((key, origin))
+                yield key, value, origin
 
     @command(config, "show")
-    @file
+    @file_argument
     @click.option("--origins", is_flag=True, help="where each value stands, or that it is the default")
     @click.option("--resolved", is_flag=True, help="defaults too")
     def show(file, origins, resolved):
         """Each value of FILE and what it includes; secrets are not shown."""
-        for key, value, place in values(file):
-            if place or resolved:
+        for key, value, origin in read_values(file):
+            if origin or resolved:
                 click.echo(
                     f"{key} = {value!r}"
-                    + (f"    // {f'{place[0]}:{place[1]}' if place else 'default'}" if origins else "")
+                    + (f"    // {f'{origin[0]}:{origin[1]}' if origin else 'default'}" if origins else "")
                 )
 
     @command(config, "explain")
-    @file
+    @file_argument
     @click.argument("key")
     def explain(file, key):
         """The values whose names have KEY in them, and where each comes from."""
-        found = [(k, v, p) for k, v, p in values(file) if key in k]
-        for name, value, place in found:
+        matching = [(k, v, o) for k, v, o in read_values(file) if key in k]
+        for name, value, origin in matching:
             click.echo(
                 f"{name} = {value!r}: "
-                + (f"set in {place[0]}:{place[1]}" if place else "the default; no file sets it")
+                + (f"set in {origin[0]}:{origin[1]}" if origin else "the default; no file sets it")
             )
-        if not found:
-            near = difflib.get_close_matches(key, [k.split(" > ")[-1] for k, _, _ in values(file)], 1)
+        if not matching:
+            similar = difflib.get_close_matches(key, [k.split(" > ")[-1] for k, _, _ in read_values(file)], 1)
             raise click.ClickException(
-                f"nothing is called '{key}'" + (f"; did you mean '{near[0]}'?" if near else "")
+                f"nothing is called '{key}'" + (f"; did you mean '{similar[0]}'?" if similar else "")
             )
--- a/petrelwood/cli/configuration.py
+++ b/petrelwood/cli/configuration.py
@@ -1,5 +1,4 @@
-"""`petrelwood configuration`: the servers that versions of the settings come from, and what is told to
-them."""
+"""`petrelwood configuration`: runs a configuration server, publishes and revokes settings versions."""
 
 import asyncio
 import functools
@@ -13,11 +12,11 @@
 
 from petrelwood.settings.errors import SettingsError
 
-APPEND_WITHIN = 5.0  # seconds for one server's answer; over `log_proposal.QUORUM_TIMEOUT`
+APPEND_TIMEOUT = 5.0  # seconds per server; must exceed `log_proposal.QUORUM_TIMEOUT`
 
 
 def add(cli, command, address):
-    """Adds the group to `cli`; `address` is the type of HOST:PORT options."""
+    """Add the `configuration` group to `cli`; `address` is the type of HOST:PORT options."""
 
     @cli.group("configuration")
     def configuration():
@@ -41,43 +40,53 @@
         from petrelwood.control import service
         from petrelwood.control.errors import LogStorageError
 
-        found = {}
-        for one in peers:
-            peer, _, where = one.partition("=")
-            if not peer or peer == name or peer in found:
-                raise click.BadParameter(f"'{one}' names no other server once", param_hint="--peer")
-            found[peer] = address.convert(where, None, None)
-        if len(found) % 2:
+        peer_addresses = {}
+        for text in peers:
+            peer, _, address_text = text.partition("=")
+            if not peer or peer == name or peer in peer_addresses:
+                raise click.BadParameter(
+                    f"'{text}' must name another server, and only once", param_hint="--peer"
+                )
+            peer_addresses[peer] = address.convert(address_text, None, None)
+        if len(peer_addresses) % 2:
             raise click.BadParameter(
-                "an odd number of servers, this one among them, has a quorum that an even number adds "
-                "nothing to",
+                "the number of servers, including this one, must be odd: with an even number the quorum "
+                "tolerates no more failures than with one server less",
                 param_hint="--peer",
             )
         try:
             asyncio.run(
                 service.serve(
-                    name, listen, found, folder, new_log_after, open_log("json", level, server=name), _ready
+                    name,
+                    listen,
+                    peer_addresses,
+                    folder,
+                    new_log_after,
+                    open_log("json", level, server=name),
+                    _print_ready,
                 )
             )
-        except LogStorageError as fault:
-            _end(str(fault))
-        except OSError as fault:
-            _end(f"can't listen on {listen[0]}:{listen[1]}: {fault.strerror}")
+        except LogStorageError as error:
+            _exit_with_error(str(error))
+        except OSError as error:
+            _exit_with_error(f"can't listen on {listen[0]}:{listen[1]}: {error.strerror}")
 
-    def told(function):
-        """A command that tells the servers something."""
+    def append_options(function):
+        """Add the options of a command that appends a record to the servers' log."""
 
         @click.option("--server", "servers", type=address, multiple=True, required=True, help="any of them")
-        @click.option("--id", "id_", default="", help="told again under its id, a record is not told twice")
+        @click.option(
+            "--id", "id_", default="", help="the record's id; a repeat with the same id adds no second record"
+        )
         @functools.wraps(function)
-        def made(**words):
-            return function(**words)
+        def wrapper(**options):
+            return function(**options)
 
-        return made
+        return wrapper
 
     @command(configuration, "publish")
     @click.argument("file", type=click.Path(dir_okay=False))
-    @told
+    @append_options
     def publish(file, servers, id_):
         """Publishes FILE as the next version for all dispatchers."""
         from petrelwood.decide.cluster.log_records import MAX_TEXT_SIZE, Record, RecordKind, compress_text
@@ -89,48 +98,48 @@
             raise SettingsError(file, 0, f"a version has {MAX_TEXT_SIZE} bytes at most")
         record_id = id_ or secrets.token_hex(8)
         record = Record(record_id, RecordKind.VERSION, 0, time.time_ns(), compress_text(text))
-        click.echo(f"version {_appended(servers, record)} is published")
+        click.echo(f"version {_append_record(servers, record)} is published")
 
     @command(configuration, "revoke")
     @click.argument("number", type=click.IntRange(1))
-    @told
+    @append_options
     def revoke(number, servers, id_):
         """Calls version NUMBER off: who has it goes back, nobody else takes it."""
         from petrelwood.decide.cluster.log_records import Record, RecordKind
 
         record_id = id_ or f"off-{number}"
         record = Record(record_id, RecordKind.REVOCATION, number, time.time_ns(), b"called off by hand")
-        _appended(servers, record)
+        _append_record(servers, record)
         click.echo(f"version {number} is called off")
 
 
-def _ready(address):
+def _print_ready(address):
     print(json.dumps({"ready": f"{address[0]}:{address[1]}"}), flush=True)
 
 
-def _end(why):
-    print(f"petrelwood: {why}", file=sys.stderr)
+def _exit_with_error(message):
+    print(f"petrelwood: {message}", file=sys.stderr)
     sys.exit(2)
 
 
-def _appended(servers, record):
-    """The slot of a record, from the first server that has it decided."""
-    return asyncio.run(_append(servers, record))
+def _append_record(servers, record):
+    """Append a record and return its slot, from the first server at which it is decided."""
+    return asyncio.run(_append_to_any(servers, record))
 
 
-async def _append(servers, record):
+async def _append_to_any(servers, record):
     from petrelwood.control import messages
     from petrelwood.links.rpc_client import RpcClient, RpcError
 
-    faults = []
+    errors = []
     params = [messages.encode_record(record)]
     for address in servers:
         client = RpcClient(address, messages.MAX_MESSAGE_SIZE)
         try:
-            (slot,) = await client.call("append", params, APPEND_WITHIN)
+            (slot,) = await client.call("append", params, APPEND_TIMEOUT)
             return slot
-        except RpcError as fault:
-            faults.append(f"{address[0]}:{address[1]}: {fault}")
+        except RpcError as error:
+            errors.append(f"{address[0]}:{address[1]}: {error}")
         finally:
             client.close()
-    raise click.ClickException(f"not decided as '{record.id}': {'; '.join(faults)}")
+    raise click.ClickException(f"not decided as '{record.id}': {'; '.join(errors)}")
--- a/petrelwood/cli/emulated.py
+++ b/petrelwood/cli/emulated.py
@@ -1,4 +1,4 @@
-"""Commands on the emulator: one day, its difference from the sockets, experiments."""
+"""Commands on the emulator: play a day, compare it with a run over sockets, run experiments."""
 
 import asyncio
 import json
@@ -10,7 +10,7 @@
 import click
 
 
-def tables(console, row, title):
+def print_figures(console, row, title):
     from rich.table import Table
 
     table = Table(title=title)
@@ -22,7 +22,7 @@
 
 
 def add(cli, find, command):
-    """Adds the sub-commands to a group; `find` reads a day by name."""
+    """Add the subcommands to `cli`; `find` reads a day by name."""
     from petrelwood.emulate import policies
 
     @command(cli, "emulate")
@@ -47,21 +47,27 @@
         from petrelwood.emulate import result as results
         from petrelwood.emulate.platform import Platform
 
-        day, begun = find(script), time.monotonic()
+        day, started = find(script), time.monotonic()
         platform = Platform(day, seed, policies.named()[policy])
         if account:
             platform.keep_account(account)
         platform.run()
-        took, row, wrong = time.monotonic() - begun, results.row(platform), results.conserved(platform)
+        elapsed, row, problems = (
+            time.monotonic() - started,
+            results.row(platform),
+            results.conserved(platform),
+        )
         from rich.console import Console
 
         console = Console(highlight=False, width=None if sys.stdout.isatty() else 118)
-        tables(console, row, f"day '{day.name}' in the emulator, seed {seed}, {policy} (simulated servers)")
-        console.print(f"{platform.events} events in {took:.1f} s")
-        for line in wrong[:5]:
+        print_figures(
+            console, row, f"day '{day.name}' in the emulator, seed {seed}, {policy} (simulated servers)"
+        )
+        console.print(f"{platform.events} events in {elapsed:.1f} s")
+        for line in problems[:5]:
             console.print(f"[red]does not add up: {line}[/]")
-        code = show.verdict(platform.case(), day, seed, result)
-        sys.exit(code or bool(wrong))
+        code = show.print_verdict(platform.case(), day, seed, result)
+        sys.exit(code or bool(problems))
 
     @command(cli, "compare")
     @click.argument("script")
@@ -80,18 +86,18 @@
             run = lab.Run(day, seed, folder)
             try:
                 asyncio.run(run.play())
-            except lab.DayFailed as fault:
-                raise click.ClickException(str(fault)) from None
-            found = difference.between(day, seed, run.case())
+            except lab.DayFailed as error:
+                raise click.ClickException(str(error)) from None
+            differences = difference.between(day, seed, run.case())
         table = Table(title=f"day '{day.name}', seed {seed}: over sockets and emulated")
         for heading in ("figure", "sockets", "emulated", "difference"):
             table.add_column(heading, justify="left" if heading == "figure" else "right")
-        for name, (real, emulated) in found.items():
+        for name, (real, emulated) in differences.items():
             table.add_row(name, f"{real:.3f}", f"{emulated:.3f}", f"{emulated - real:+.3f}")
         Console(highlight=False, width=None if sys.stdout.isatty() else 118).print(table)
         if result:
             pathlib.Path(result).write_text(
-                json.dumps({"day": day.name, "seed": seed, "figures": found}, indent=1)
+                json.dumps({"day": day.name, "seed": seed, "figures": differences}, indent=1)
             )
 
     @cli.group("experiment")
@@ -106,8 +112,10 @@
         """Runs the experiment in FILE, or what is left of it."""
         from petrelwood.lab import experiment as lab
 
-        described = lab.read(file)
-        done, failed = lab.run(described, pathlib.Path(out), jobs, lambda text: click.echo(text, err=True))
+        experiment_settings = lab.read(file)
+        done, failed = lab.run(
+            experiment_settings, pathlib.Path(out), jobs, lambda text: click.echo(text, err=True)
+        )
         click.echo(f"{done} runs stand in {out}, {failed} of them failed")
         sys.exit(1 if failed else 0)
 
@@ -123,8 +131,8 @@
         try:
             for line in lab.table_lines(pathlib.Path(out), figure, factor):
                 click.echo(line)
-        except KeyError as fault:
-            raise click.ClickException(f"there is no figure or factor {fault}") from None
+        except KeyError as error:
+            raise click.ClickException(f"there is no figure or factor {error}") from None
 
     @command(experiment, "report")
     @click.argument("out", type=click.Path(exists=True, file_okay=False))
@@ -160,10 +168,10 @@
 
         try:
             lab.chart(pathlib.Path(out), to, kind, figure, policy, seed, factor)
-        except KeyError as fault:
-            raise click.ClickException(f"there is no figure {fault}") from None
-        except ValueError as fault:  # a kind of file that can't be drawn
-            raise click.ClickException(str(fault)) from None
+        except KeyError as error:
+            raise click.ClickException(f"there is no figure {error}") from None
+        except ValueError as error:  # a file format that charts can't be written in
+            raise click.ClickException(str(error)) from None
         click.echo(f"written: {to}")
 
     @command(experiment, "search")
--- a/petrelwood/cli/kept.py
+++ b/petrelwood/cli/kept.py
@@ -1,4 +1,4 @@
-"""Commands on the state that a dispatcher keeps."""
+"""Commands on the stored state of a dispatcher."""
 
 import collections
 import datetime
@@ -9,8 +9,8 @@
 import click
 
 
-def _shown(at):
-    return datetime.datetime.fromtimestamp(at / 1e9, datetime.UTC).strftime("%Y-%m-%d %H:%M:%S.%f")[:-3]
+def _format_time(time_ns):
+    return datetime.datetime.fromtimestamp(time_ns / 1e9, datetime.UTC).strftime("%Y-%m-%d %H:%M:%S.%f")[:-3]
 
 
 def add(cli, command):
@@ -18,7 +18,7 @@
     def state():
         """What a dispatcher keeps over its restarts: ids, their outcomes, orders."""
 
-    folder = click.argument("folder", type=click.Path(exists=True, file_okay=False))
+    folder_argument = click.argument("folder", type=click.Path(exists=True, file_okay=False))
 
     def read(path):
         from petrelwood.store import state_segments as store
@@ -26,28 +26,28 @@
 
         try:
             return store.scan(path)
-        except StateUnreadableError as fault:
-            raise click.ClickException(str(fault)) from None
+        except StateUnreadableError as error:
+            raise click.ClickException(str(error)) from None
 
     @command(state, "ls")
-    @folder
+    @folder_argument
     def ls(folder):
         """The segments: epoch, time, records by kind, bytes."""
         from petrelwood.store import state_segments as store
         from petrelwood.store.state_codec import STORED_NAMES
 
         for epoch, number, path in store.segments(folder):
-            records, whole, why = read(path)
+            records, intact_size, damage = read(path)
             kinds = collections.Counter(type(record) for record in records)
-            begun = _shown(records[0].time) if records else "-"
+            first_time = _format_time(records[0].time) if records else "-"
             click.echo(
-                f"epoch {epoch:<4d} {number:<4d} {begun}  {path.stat().st_size:>10} bytes  "
+                f"epoch {epoch:<4d} {number:<4d} {first_time}  {path.stat().st_size:>10} bytes  "
                 + ", ".join(f"{kinds[kind]} {name}" for kind, name in STORED_NAMES.items() if kinds[kind])
-                + (f"; {why}" if why else "")
+                + (f"; {damage}" if damage else "")
             )
 
     @command(state, "show")
-    @folder
+    @folder_argument
     @click.option("--id", "id_", help="only this id")
     @click.option("--customer", help="only this customer's")
     @click.option("--open", "only_open", is_flag=True, help="only ids without an outcome")
@@ -62,19 +62,19 @@
 
         try:
             records, _ = store.read(folder)
-        except StateUnreadableError as fault:
-            raise click.ClickException(str(fault)) from None
-        found = recovery.replay(records, max((r.time for r in records), default=0), "", True)
-        some = [
+        except StateUnreadableError as error:
+            raise click.ClickException(str(error)) from None
+        replayed = recovery.replay(records, max((r.time for r in records), default=0), "", True)
+        matching = [
             k
-            for k in found.activations.values()
+            for k in replayed.activations.values()
             if (id_ is None or k.key[1] == id_)
             and customer in (None, k.key[0])
             and (not only_open or k.outcome == ledger.ActivationState.RUNNING)
         ]
-        some.sort(key=lambda k: k.last_at)
-        for known in some[-rows:]:
-            word = (
+        matching.sort(key=lambda k: k.last_at)
+        for known in matching[-rows:]:
+            outcome = (
                 "may have run, no outcome kept"
                 if known.outcome == ledger.ActivationState.RUNNING
                 else known.outcome
@@ -94,45 +94,47 @@
                 )
             else:
                 click.echo(
-                    f"{_shown(known.last_at)}  {known.key[0]}/{known.key[1]}  {known.type_name}  {word}"
+                    f"{_format_time(known.last_at)}  {known.key[0]}/{known.key[1]}  {known.type_name}  {outcome}"
                 )
         if not as_json:
             for record in records:
                 if isinstance(record, OutageEnded):
-                    since = _shown(record.failed_at)
-                    click.echo(f"{_shown(record.time)}  recovered, had failed since {since}: {record.cause}")
+                    since = _format_time(record.failed_at)
+                    click.echo(
+                        f"{_format_time(record.time)}  recovered, had failed since {since}: {record.cause}"
+                    )
             click.echo(
-                f"{len(some)} ids, {len(found.order_times)} load orders; the last life "
-                + ("ended in order" if found.ended_cleanly else "was cut short")
+                f"{len(matching)} ids, {len(replayed.order_times)} load orders; the last life "
+                + ("ended in order" if replayed.ended_cleanly else "was cut short")
             )
 
     @command(state, "verify")
-    @folder
+    @folder_argument
     def verify(folder):
         """Reads everything: exit 0 if all is whole, else 1 and what is not."""
         from petrelwood.store import state_segments as store
         from petrelwood.store.errors import StateUnreadableError
 
-        wrong = []
+        problems = []
         for _, _, path in store.segments(folder):
             try:
-                _, whole, why = store.scan(path)
-            except StateUnreadableError as fault:
-                wrong.append(str(fault))
+                _, intact_size, damage = store.scan(path)
+            except StateUnreadableError as error:
+                problems.append(str(error))
                 continue
-            if why:
-                wrong.append(f"{path}: {why}, {path.stat().st_size - whole} bytes after it")
-        for line in wrong:
+            if damage:
+                problems.append(f"{path}: {damage}, {path.stat().st_size - intact_size} bytes after it")
+        for line in problems:
             click.echo(line)
         click.echo(
             "all is whole"
-            if not wrong
-            else f"{len(wrong)} segments are not whole; a start drops what follows, or see `repair`"
+            if not problems
+            else f"{len(problems)} segments are not whole; a start drops what follows, or see `repair`"
         )
-        sys.exit(1 if wrong else 0)
+        sys.exit(1 if problems else 0)
 
     @command(state, "repair")
-    @folder
+    @folder_argument
     def repair(folder):
         """Cuts segments where they end being whole, and puts aside what can't be read. No dispatcher may be
         running on it."""
@@ -143,20 +145,20 @@
         click.echo("done")
 
     @command(state, "compact")
-    @folder
+    @folder_argument
     @click.option("--keep", default=1200.0, show_default=True, help="seconds that ids are remembered for")
     def compact(folder, keep):
         """Removes segments of which nothing is remembered any more. No dispatcher may be running on it."""
         from petrelwood.store import state_segments as store
 
-        there = store.segments(folder)
-        lasts = {path: max((r.time for r in read(path)[0]), default=0) for _, _, path in there}
-        newest, removed = max(lasts.values(), default=0), 0
-        for _, _, path in there[:-1]:
-            if lasts[path] < newest - keep * 1e9:
+        segments = store.segments(folder)
+        last_times = {path: max((r.time for r in read(path)[0]), default=0) for _, _, path in segments}
+        newest, removed = max(last_times.values(), default=0), 0
+        for _, _, path in segments[:-1]:
+            if last_times[path] < newest - keep * 1e9:
                 pathlib.Path(path).unlink()
                 removed += 1
-        click.echo(f"{removed} of {len(there)} segments removed")
+        click.echo(f"{removed} of {len(segments)} segments removed")
 
     @command(state, "search")
     @click.option(
@@ -180,10 +182,10 @@
         failed = False
         for effect in walk.KINDS:
             for durability in ("process", "machine"):
-                seen, found, whole = walk.search(effect, durability, asks, kills, most=most)
-                failed = failed or found is not None
+                seen, violation, is_complete = walk.search(effect, durability, asks, kills, most=most)
+                failed = failed or violation is not None
                 click.echo(
-                    f"{effect:13s} {durability:8s} {seen:>8d} states{'' if whole else ', not all'}: "
-                    + (f"{found.what}: {' -> '.join(found.steps)}" if found else "all holds")
+                    f"{effect:13s} {durability:8s} {seen:>8d} states{'' if is_complete else ', not all'}: "
+                    + (f"{violation.what}: {' -> '.join(violation.steps)}" if violation else "all holds")
                 )
         sys.exit(1 if failed else 0)
--- a/petrelwood/cli/main.py
+++ b/petrelwood/cli/main.py
@@ -1,4 +1,4 @@
-"""`petrelwood`: one command with sub-commands. Exit 2 with one clear line where what was given is wrong."""
+"""The `petrelwood` command and its subcommands; invalid input exits with status 2 and a one-line error."""
 
 import asyncio
 import base64
@@ -56,7 +56,7 @@
 
 
 def command(group, name):
-    """A sub-command whose help ends with an example."""
+    """Return a decorator for a subcommand; its help ends with the example for `name`, if any."""
     return group.command(name, epilog=f"Example: {EXAMPLES[name]}" if name in EXAMPLES else None)
 
 
@@ -66,10 +66,10 @@
     """A gateway that runs calls on workers which load functions or models on demand, and its tools."""
 
 
-def _dispatcher(name):
-    """A command that runs a dispatcher: its file, and where its log goes."""
+def _dispatcher_command(name):
+    """Return a decorator for a subcommand that runs a dispatcher, with its settings file and log options."""
 
-    def made(function):
+    def decorate(function):
         for option in (
             click.option(
                 "--level",
@@ -83,10 +83,10 @@
             function = option(function)
         return command(cli, name)(function)
 
-    return made
+    return decorate
 
 
-def _run(described, file, log, level, follows, handed=None):
+def _run(settings, file, log, level, follows, previous_rollout=None):
     from petrelwood.cli.logs import open_log
     from petrelwood.dispatch import rollout, serve
     from petrelwood.settings import gateway
@@ -109,20 +109,20 @@
             rollout_state,
         ]
 
-    own = described
-    if handed and handed[0]:
-        described = rollout.read_version(read_settings, own, own.versions, handed[0])
+    own = settings
+    if previous_rollout and previous_rollout[0]:
+        settings = rollout.read_version(read_settings, own, own.versions, previous_rollout[0])
     options = serve.ServeOptions(
         follows=follows,
         read_settings=read_settings,
         upgrade_command=upgrade_command,
         own=own,
-        rollout_state=handed,
+        rollout_state=previous_rollout,
     )
-    sys.exit(serve.run(described, open_log(log, level, dispatcher=described.name), options))
+    sys.exit(serve.run(settings, open_log(log, level, dispatcher=settings.name), options))
 
 
-@_dispatcher("serve")
+@_dispatcher_command("serve")
 def serve(file, log, level):
     """Runs one dispatcher with the settings in FILE (KDL) until SIGTERM."""
     from petrelwood.settings import gateway
@@ -130,7 +130,7 @@
     _run(gateway.read(file), file, log, level, False)
 
 
-@_dispatcher("upgrade")
+@_dispatcher_command("upgrade")
 @click.option(
     "--rolled", default="", hidden=True, help="how far the roll-out of versions is, from the process before"
 )
@@ -139,21 +139,21 @@
     from petrelwood.decide.cluster.rollout import Rollout
     from petrelwood.settings import gateway
 
-    described = gateway.read(file)
-    if not described.control:
+    settings = gateway.read(file)
+    if not settings.control:
         raise click.ClickException(f"{file}: an upgrade needs a 'control' socket")
     try:
-        handed = json.loads(rolled) if rolled else None
-        if handed:
-            Rollout.from_state(described.name, handed)
+        previous_rollout = json.loads(rolled) if rolled else None
+        if previous_rollout:
+            Rollout.from_state(settings.name, previous_rollout)
     except ValueError:
         raise click.BadParameter(
             "it is not what a process before has handed over", param_hint="--rolled"
         ) from None
-    _run(described, file, log, level, True, handed)
+    _run(settings, file, log, level, True, previous_rollout)
 
 
-def _standin(function):
+def _standin_options(function):
     for option in (
         click.option("--seed", type=int, default=1, show_default=True),
         click.option(
@@ -172,14 +172,14 @@
     return script.read(script.find(name))
 
 
-def _folder(path):
+def _create_folder(path):
     if path:
         pathlib.Path(path).mkdir(parents=True, exist_ok=True)
     return path
 
 
 @command(cli, "worker")
-@_standin
+@_standin_options
 @click.option("--name", required=True)
 @click.option("--store", type=Address(), required=True)
 @click.option("--booted", type=int, default=0, help="wall-clock start, ns; 0: long ago, and warm")
@@ -187,28 +187,28 @@
     """A stand-in worker as DAY describes it. The day's first second comes on standard input."""
     from petrelwood.standins import worker as standin
 
-    asyncio.run(standin.serve(_day(day), name, listen, store, _folder(records), booted, seed))
+    asyncio.run(standin.serve(_day(day), name, listen, store, _create_folder(records), booted, seed))
 
 
 @command(cli, "store")
-@_standin
+@_standin_options
 def store(day, listen, records, seed):
     """A stand-in store of models."""
     from petrelwood.standins import store as standin
 
-    asyncio.run(standin.serve(_day(day), listen, _folder(records)))
+    asyncio.run(standin.serve(_day(day), listen, _create_folder(records)))
 
 
 @command(cli, "roster")
-@_standin
+@_standin_options
 def roster(day, listen, records, seed):
     """A stand-in roster; news of workers comes on standard input, a JSON object a line."""
     from petrelwood.standins import roster as standin
 
-    asyncio.run(standin.serve(_day(day), listen, _folder(records)))
+    asyncio.run(standin.serve(_day(day), listen, _create_folder(records)))
 
 
-def _clients(function):
+def _client_options(function):
     for option in (
         click.option("--records", type=click.Path(file_okay=False), default=""),
         click.option(
@@ -224,32 +224,32 @@
 
 
 @command(cli, "broker")
-@_standin
+@_standin_options
 def broker(day, listen, records, seed):
     """A stand-in MQTT 5 broker. A customer's password is its name; the gateways' user is 'gateway'."""
     from petrelwood.standins import broker as standin
 
-    described = _day(day)
-    users = {c.name: c.name.encode() for c in described.clients}
-    asyncio.run(standin.serve(described, listen, _folder(records), {**users, "gateway": b"gateway"}))
+    day_script = _day(day)
+    users = {c.name: c.name.encode() for c in day_script.clients}
+    asyncio.run(standin.serve(day_script, listen, _create_folder(records), {**users, "gateway": b"gateway"}))
 
 
 @command(cli, "devices")
-@_clients
+@_client_options
 def devices(day, plan, records):
     """Stand-in devices: publish the MQTT traffic of DAY."""
     from petrelwood.standins import devices as standin
 
-    told = json.loads(pathlib.Path(plan).read_text())
-    described = _day(day)
+    plan_data = json.loads(pathlib.Path(plan).read_text())
+    day_script = _day(day)
     asyncio.run(
         standin.serve(
-            described,
-            tuple(told["broker"]),
-            *_kinds_of(described),
-            _folder(records),
-            told["start"],
-            told["seed"],
+            day_script,
+            tuple(plan_data["broker"]),
+            *_timeouts_and_repeatable_types(day_script),
+            _create_folder(records),
+            plan_data["start"],
+            plan_data["seed"],
             tell=lambda c: print(json.dumps(c), flush=True),
         )
     )
@@ -275,18 +275,18 @@
                 address, customer, (password or customer).encode(), type_, function, body.read(), qos, wait
             )
         )
-    except (OSError, ValueError) as fault:
-        raise click.ClickException(str(fault)) from None
+    except (OSError, ValueError) as error:
+        raise click.ClickException(str(error)) from None
     click.echo(f"{status}: {payload.decode('utf-8', 'replace')}" if status else f"no answer in {wait} s")
     sys.exit({"completed": 0, None: 3}.get(status, 1))
 
 
-def _kinds_of(described):
-    """(action timeouts in seconds, which namespace types are repeatable)"""
+def _timeouts_and_repeatable_types(day_script):
+    """Return the action timeouts in seconds by namespace type, and the set of repeatable namespace types."""
     from petrelwood.settings import namespaces
 
     timeouts, repeatable = {}, set()
-    for node in described.terms.every("namespace-type"):
+    for node in day_script.terms.every("namespace-type"):
         name, type_, timeout, _ = namespaces.decode_namespace_type(node)
         timeouts[name] = timeout / 1e9
         if type_.effect == "repeatable":
@@ -295,26 +295,26 @@
 
 
 @command(cli, "portal")
-@_clients
+@_client_options
 def portal(day, plan, records):
     """A stand-in portal: signs and sends the webhooks of DAY."""
     from petrelwood.standins import portal as standin
 
-    told, described = json.loads(pathlib.Path(plan).read_text()), _day(day)
-    timeouts, repeatable = _kinds_of(described)
-    keys = {c: [(s, bytes.fromhex(k)) for s, k in pairs] for c, pairs in told["keys"].items()}
+    plan_data, day_script = json.loads(pathlib.Path(plan).read_text()), _day(day)
+    timeouts, repeatable = _timeouts_and_repeatable_types(day_script)
+    keys = {c: [(s, bytes.fromhex(k)) for s, k in pairs] for c, pairs in plan_data["keys"].items()}
     asyncio.run(
         standin.serve(
-            described,
-            {n: tuple(a) for n, a in told["dispatchers"].items()},
+            day_script,
+            {n: tuple(a) for n, a in plan_data["dispatchers"].items()},
             keys,
             timeouts,
             repeatable,
-            _folder(records),
-            told["start"],
-            told["seed"],
+            _create_folder(records),
+            plan_data["start"],
+            plan_data["seed"],
             tell=lambda c: print(json.dumps(c), flush=True),
-            steer=told.get("steer"),
+            steer=plan_data.get("steer"),
         )
     )
 
@@ -359,9 +359,11 @@
     """Whether a signature of BODY holds under one of the keys: exit 0 or 1."""
     from petrelwood.fronts import signing
 
-    held = signing.Verifier([_signing_key(k) for k in key]).is_valid(signature, id_, timestamp, body.read())
-    click.echo("it holds" if held else "no signature holds")
-    sys.exit(0 if held else 1)
+    is_valid = signing.Verifier([_signing_key(k) for k in key]).is_valid(
+        signature, id_, timestamp, body.read()
+    )
+    click.echo("it holds" if is_valid else "no signature holds")
+    sys.exit(0 if is_valid else 1)
 
 
 @command(cli, "day")
@@ -381,30 +383,30 @@
     from petrelwood.cli import show
     from petrelwood.lab import day as lab
 
-    described = _day(name)
+    day_script = _day(name)
     with tempfile.TemporaryDirectory(prefix="petrelwood-") as own:
         where = pathlib.Path(folder or own)
         if folder and where.exists() and any(where.iterdir()):
             raise click.BadParameter(f"{folder} is not empty", param_hint="--folder")
         where.mkdir(parents=True, exist_ok=True)
-        with show.progress(described, quiet) as tell:
-            run = lab.Run(described, seed, where, tell)
+        with show.progress(day_script, quiet) as tell:
+            run = lab.Run(day_script, seed, where, tell)
             try:
-                asyncio.run(_watched(run, watch) if watch else run.play())
-            except lab.DayFailed as fault:
-                raise click.ClickException(str(fault)) from None
-        failed = show.verdict(run.case(), described, seed, result)
-        sys.exit(failed | (show.growth(watch, described.dispatchers) if watch else 0))
+                asyncio.run(_play_watched(run, watch) if watch else run.play())
+            except lab.DayFailed as error:
+                raise click.ClickException(str(error)) from None
+        failed = show.print_verdict(run.case(), day_script, seed, result)
+        sys.exit(failed | (show.print_growth(watch, day_script.dispatchers) if watch else 0))
 
 
-async def _watched(run, path):
+async def _play_watched(run, path):
     from petrelwood.lab import soak
 
-    looks = asyncio.ensure_future(soak.watch(run, path))
+    watcher = asyncio.ensure_future(soak.watch(run, path))
     try:
         return await run.play()
     finally:
-        looks.cancel()
+        watcher.cancel()
 
 
 @command(cli, "audit")
@@ -416,8 +418,8 @@
     from petrelwood.cli import show
     from petrelwood.lab import day as lab
 
-    described = _day(name)
-    sys.exit(show.verdict(lab.case_of(folder, described), described, None, result))
+    day_script = _day(name)
+    sys.exit(show.print_verdict(lab.case_of(folder, day_script), day_script, None, result))
 
 
 @command(cli, "completion")
@@ -429,8 +431,8 @@
     click.echo(get_completion_class(shell)(cli, {}, "petrelwood", "_PETRELWOOD_COMPLETE").source())
 
 
-def _later_commands():
-    """What needs heavier libraries only when it is used."""
+def _add_command_groups():
+    """Add the command groups of the other modules, which import heavy libraries only when they run."""
     from petrelwood.cli import bgp, configs, configuration, emulated, kept, past
 
     emulated.add(cli, _day, command)
@@ -441,14 +443,14 @@
     bgp.add(cli, command, Address())
 
 
-_later_commands()
+_add_command_groups()
 
 
 def main():
     try:
         cli(prog_name="petrelwood", standalone_mode=True)
-    except (SettingsError, StorageError) as fault:
-        click.echo(f"petrelwood: {fault}", err=True)
+    except (SettingsError, StorageError) as error:
+        click.echo(f"petrelwood: {error}", err=True)
         return 2
     except KeyboardInterrupt:
         return 130
--- a/petrelwood/cli/past.py
+++ b/petrelwood/cli/past.py
@@ -1,4 +1,4 @@
-"""Commands on the history of use and on forecasts from it."""
+"""Commands on the history of use and on the forecasts made from it."""
 
 import datetime
 import json
@@ -8,29 +8,29 @@
 import click
 
 
-class When(click.ParamType):
+class TimeParam(click.ParamType):
     name = "TIME"
 
     def convert(self, value, param, ctx):
         if isinstance(value, int):
             return value
         try:
-            found = datetime.datetime.fromisoformat(value)
+            time = datetime.datetime.fromisoformat(value)
         except ValueError:
             self.fail(f"'{value}' is no time like 2026-12-01T08:00", param, ctx)
-        if found.tzinfo is None:
-            found = found.replace(tzinfo=datetime.UTC)
-        return int(found.timestamp()) * 10**9
+        if time.tzinfo is None:
+            time = time.replace(tzinfo=datetime.UTC)
+        return int(time.timestamp()) * 10**9
 
 
-def _shown(at):
-    return datetime.datetime.fromtimestamp(at / 1e9, datetime.UTC).strftime("%Y-%m-%d %H:%M:%S")
+def _format_time(time_ns):
+    return datetime.datetime.fromtimestamp(time_ns / 1e9, datetime.UTC).strftime("%Y-%m-%d %H:%M:%S")
 
 
-def _between(function):
+def _time_range_options(function):
     for option in (
-        click.option("--until", type=When(), default=1 << 62),
-        click.option("--since", type=When(), default=0, help="UTC unless an offset is given"),
+        click.option("--until", type=TimeParam(), default=1 << 62),
+        click.option("--since", type=TimeParam(), default=0, help="UTC unless an offset is given"),
         click.argument("folder", type=click.Path(exists=True, file_okay=False)),
     ):
         function = option(function)
@@ -57,7 +57,7 @@
             click.echo(f"tail        {'':>9}       {path.stat().st_size:>10} bytes  {path.name}")
 
     @command(history, "show")
-    @_between
+    @_time_range_options
     @click.option("--function", default="")
     @click.option("--rows", type=click.IntRange(1), default=20, show_default=True)
     def show(folder, since, until, function, rows):
@@ -71,14 +71,14 @@
             table = table.filter(pyarrow.compute.equal(table["function"], function))
         for row in table.slice(max(0, len(table) - rows)).to_pylist():
             click.echo(
-                f"{_shown(row['at'])}  {row['function']:24s} {row['customer']:12s} {row['hall']:8s} "
+                f"{_format_time(row['at'])}  {row['function']:24s} {row['customer']:12s} {row['hall']:8s} "
                 f"{('warm', 'warm', 'began a load', 'waited for a load')[row['how']]:18s} "
                 f"waited {row['waited_us'] / 1000:8.1f} ms  took {row['took_us'] / 1000:8.1f} ms"
             )
         click.echo(f"{len(table)} rows")
 
     @command(history, "export")
-    @_between
+    @_time_range_options
     @click.option("--to", type=click.Path(dir_okay=False), required=True, help="one Parquet file")
     def export(folder, since, until, to):
         """All rows of a time as one file."""
@@ -103,14 +103,14 @@
 
         try:
             table = pyarrow.parquet.read_table(file)
-        except (OSError, pyarrow.ArrowException) as fault:
-            raise click.ClickException(f"{file}: {str(fault).splitlines()[0]}") from None
+        except (OSError, pyarrow.ArrowException) as error:
+            raise click.ClickException(f"{file}: {str(error).splitlines()[0]}") from None
         wanted = [name for name, _ in store.COLUMNS]
         if sorted(table.column_names) != sorted(wanted):
             raise click.ClickException(f"{file} has other columns: {', '.join(table.column_names)}")
-        made = History(folder)
+        history_store = History(folder)
         for row in table.select(wanted).to_pylist():
-            made.note(
+            history_store.note(
                 row["at"],
                 row["function"],
                 row["customer"],
@@ -120,10 +120,10 @@
                 row["took_us"] * 1000,
                 row["load_us"] * 1000,
             )
-        made.close()
-        if made.stopped:
-            raise click.ClickException(made.stopped)
-        click.echo(f"{made.noted} rows taken")
+        history_store.close()
+        if history_store.stopped:
+            raise click.ClickException(history_store.stopped)
+        click.echo(f"{history_store.noted} rows taken")
 
     @command(history, "compact")
     @click.argument("folder", type=click.Path(exists=True, file_okay=False))
@@ -131,9 +131,9 @@
         """One file a day. No dispatcher may be writing to the folder."""
         from petrelwood.store.history import History
 
-        made = History(folder)
-        before, after = made.compact()
-        made.close()
+        history_store = History(folder)
+        before, after = history_store.compact()
+        history_store.close()
         click.echo(f"{before} files became {after}")
 
     @command(history, "verify")
@@ -142,18 +142,18 @@
         """Reads everything: exit 0 if all is whole, else 1 and what is wrong."""
         from petrelwood.store import history_files as store
 
-        wrong = store.verify(folder)
-        for line in wrong:
+        problems = store.verify(folder)
+        for line in problems:
             click.echo(line)
-        click.echo("all is whole" if not wrong else f"{len(wrong)} things are wrong")
-        sys.exit(1 if wrong else 0)
+        click.echo("all is whole" if not problems else f"{len(problems)} things are wrong")
+        sys.exit(1 if problems else 0)
 
     @cli.group("forecast")
     def forecast():
         """Forecasts from a history: how good they would have been, and what one function is expected to
         do."""
 
-    def options(function):
+    def forecast_options(function):
         for option in (
             click.option("--season", default=86_400.0, show_default=True, help="seconds; a day"),
             click.option("--slot", default=600.0, show_default=True, help="seconds"),
@@ -182,27 +182,27 @@
             click.echo(line)
 
     @command(forecast, "backtest")
-    @options
+    @forecast_options
     @click.option("--json", "result", type=click.Path(dir_okay=False))
     def backtest(folder, slot, season, result):
         """Scores each method on the last third of the history, forecast slot by slot from what came
         before."""
         from petrelwood.lab import past
 
-        found = past.backtest(folder, int(slot * 1e9), int(season * 1e9))
-        if not found:
+        backtest_result = past.backtest(folder, int(slot * 1e9), int(season * 1e9))
+        if not backtest_result:
             raise click.ClickException("the history is too short: it needs three slots at least")
-        for name, value in found["scores"].items():
+        for name, value in backtest_result["scores"].items():
             click.echo(f"{name:10s} mean score {value:.4f}")
         click.echo(
-            f"{found['functions']} functions, {found['slots']} slots scored; believed: "
-            + ", ".join(f"{k} {v}" for k, v in sorted(found["believed"].items()))
+            f"{backtest_result['functions']} functions, {backtest_result['slots']} slots scored; believed: "
+            + ", ".join(f"{k} {v}" for k, v in sorted(backtest_result["believed"].items()))
         )
         if result:
-            pathlib.Path(result).write_text(json.dumps(found, indent=1))
+            pathlib.Path(result).write_text(json.dumps(backtest_result, indent=1))
 
     @command(forecast, "explain")
-    @options
+    @forecast_options
     @click.argument("function")
     @click.option(
         "--chart", type=click.Path(dir_okay=False), help="also draw its use and forecast with a band (PNG)"
--- a/petrelwood/cli/show.py
+++ b/petrelwood/cli/show.py
@@ -1,4 +1,4 @@
-"""What a person sees of a day: live progress, and the tables at its end."""
+"""Console output of a played day: live progress, and the tables of results."""
 
 import contextlib
 import json
@@ -13,20 +13,20 @@
 
 @contextlib.contextmanager
 def progress(day, quiet):
-    """A call that takes what the day tells: counts, or a trouble's words."""
-    console, begun = Console(stderr=True, highlight=False), time.monotonic()
+    """Yield a function that prints an update of the day: its counts, or the text of a trouble."""
+    console, started = Console(stderr=True, highlight=False), time.monotonic()
     state = {}
 
-    def tell(what):
+    def print_update(update):
         if quiet:
             return
-        if isinstance(what, str):
-            console.print(f"[dim]{time.monotonic() - begun:5.1f} s[/]  [yellow]{what}[/]")
-        elif what["at"] - state.get("mqtt open" in what, -9) >= 2:
-            state["mqtt open" in what] = what["at"]
-            counts = "  ".join(f"{k} {v}" for k, v in sorted(what.items()) if k != "at")
+        if isinstance(update, str):
+            console.print(f"[dim]{time.monotonic() - started:5.1f} s[/]  [yellow]{update}[/]")
+        elif update["at"] - state.get("mqtt open" in update, -9) >= 2:
+            state["mqtt open" in update] = update["at"]
+            counts = "  ".join(f"{k} {v}" for k, v in sorted(update.items()) if k != "at")
             console.print(
-                f"[dim]{time.monotonic() - begun:5.1f} s[/]  day {max(0, what['at']):4.1f} of "
+                f"[dim]{time.monotonic() - started:5.1f} s[/]  day {max(0, update['at']):4.1f} of "
                 f"{day.length / 1e9:.0f} s  {counts}"
             )
 
@@ -36,12 +36,12 @@
             f"{len(day.halls)} halls, {day.rate:g} activations a second, {len(day.troubles)} troubles "
             "(all servers but the dispatchers are stand-ins)"
         )
-    yield tell
+    yield print_update
 
 
-def verdict(case, day, seed, result):
-    """Prints both tables; 0 if every rule held and something was seen to be completed."""
-    console, findings, ends = (
+def print_verdict(case, day, seed, result):
+    """Print both tables; return 0 if every rule held and at least one activation was completed, else 1."""
+    console, findings, outcomes = (
         Console(highlight=False, width=None if sys.stdout.isatty() else 118),
         rules.judge(case),
         rules.outcomes(case),
@@ -51,36 +51,36 @@
     )
     for heading in ("rule", "looked at", "broken", "first"):
         table.add_column(heading, overflow="fold")
-    for found in findings:
+    for finding in findings:
         table.add_row(
-            f"{found.rule} {rules.NAMES[found.rule]}",
-            str(found.looked),
-            f"[red]{len(found.broken)}[/]" if found.broken else "[green]0[/]",
-            found.broken[0] if found.broken else "",
+            f"{finding.rule} {rules.NAMES[finding.rule]}",
+            str(finding.looked),
+            f"[red]{len(finding.broken)}[/]" if finding.broken else "[green]0[/]",
+            finding.broken[0] if finding.broken else "",
         )
     console.print(table)
     columns = ["completed", "rejected", "aborted", "left", "broken", "conflict", "unsigned", "unanswered"]
     table = Table(title="How the tries of activations ended")
     for heading in ("namespace type", *columns, "sends each"):
         table.add_column(heading, justify="right" if heading != "namespace type" else "left")
-    for name, counts in ends.items():
+    for name, counts in outcomes.items():
         table.add_row(
             name,
             *(str(counts.get(c, 0)) for c in columns),
             f"{counts.get('sends', 0) / max(1, counts.get('sent', 0)):.3f}",
         )
     console.print(table)
-    completed = sum(counts.get("completed", 0) for counts in ends.values())
-    held = completed > 0 and not any(f.broken for f in findings)
-    console.print("[green]every rule held[/]" if held else "[red]NOT every rule held[/]")
+    completed = sum(counts.get("completed", 0) for counts in outcomes.values())
+    passed = completed > 0 and not any(f.broken for f in findings)
+    console.print("[green]every rule held[/]" if passed else "[red]NOT every rule held[/]")
     if result:
         with open(result, "w", encoding="utf-8") as file:
             json.dump(
                 {
                     "day": day.name,
                     "seed": seed,
-                    "held": held,
-                    "ends": ends,
+                    "held": passed,
+                    "ends": outcomes,
                     "rules": {
                         f.rule: {"looked": f.looked, "broken": len(f.broken), "first": f.broken[:10]}
                         for f in findings
@@ -89,32 +89,32 @@
                 file,
                 indent=1,
             )
-    return 0 if held else 1
+    return 0 if passed else 1
 
 
-def growth(path, names):
-    """Prints what the watched processes held; 0 if none of those judged has grown."""
+def print_growth(path, names):
+    """Print the resource use of the watched processes; return 0 if none of the judged ones grew, else 1."""
     from petrelwood.lab import soak
 
-    console, found = (
+    console, trends = (
         Console(highlight=False, width=None if sys.stdout.isatty() else 118),
         soak.judge(path, names),
     )
     table = Table(title="What dispatchers held, without each one's first quarter")
     for heading in ("process", "what", "looks", "median", "most", "growth over the time", "95%"):
         table.add_column(heading, justify="left" if heading in ("process", "what") else "right")
-    for one in found:
-        shown = (lambda v: f"{v / 1e6:.1f} MB") if one.figure == "memory" else (lambda v: f"{v:g}")
+    for trend in trends:
+        format_value = (lambda v: f"{v / 1e6:.1f} MB") if trend.figure == "memory" else (lambda v: f"{v:g}")
         table.add_row(
-            one.name,
-            one.figure,
-            str(one.looks),
-            shown(one.middle),
-            shown(one.most),
-            f"[{'red' if one.grows else 'green'}]{one.growth:+.1%}[/]",
-            f"{one.band[0]:+.1%} to {one.band[1]:+.1%}",
+            trend.name,
+            trend.figure,
+            str(trend.looks),
+            format_value(trend.middle),
+            format_value(trend.most),
+            f"[{'red' if trend.grows else 'green'}]{trend.growth:+.1%}[/]",
+            f"{trend.band[0]:+.1%} to {trend.band[1]:+.1%}",
         )
     console.print(table)
-    if not found:
+    if not trends:
         console.print("[red]too few looks to say anything[/]")
-    return 0 if found and not any(one.grows for one in found) else 1
+    return 0 if trends and not any(trend.grows for trend in trends) else 1
