--- a/petrelwood/cli/configs.py
+++ b/petrelwood/cli/configs.py
@@ -133,8 +133,8 @@
         """What behaves otherwise under NEW than under OLD, when it acts, and what is risky under load."""
         from petrelwood.settings import comparison
 
-        changes = comparison.changes(_valid_settings(old), _valid_settings(new))
-        for change in changes:
+        all_changes = comparison.changes(_valid_settings(old), _valid_settings(new))
+        for change in all_changes:
             if as_json:
                 click.echo(json.dumps(change.as_json_object()))
             else:
@@ -144,8 +144,8 @@
                 )
         if not as_json:
             click.echo(
-                f"{len(changes)} changes; the version as a whole acts {comparison.takes_effect(changes)}"
-                if changes
+                f"{len(all_changes)} changes; the version as a whole acts {comparison.takes_effect(all_changes)}"
+                if all_changes
                 else "nothing behaves otherwise"
             )
         if name:
--- a/petrelwood/cli/kept.py
+++ b/petrelwood/cli/kept.py
@@ -74,7 +74,7 @@
         ]
         matching.sort(key=lambda k: k.last_at)
         for known in matching[-rows:]:
-            outcome = (
+            outcome_text = (
                 "may have run, no outcome kept"
                 if known.outcome == ledger.ActivationState.RUNNING
                 else known.outcome
@@ -94,7 +94,8 @@
                 )
             else:
                 click.echo(
-                    f"{_format_time(known.last_at)}  {known.key[0]}/{known.key[1]}  {known.type_name}  {outcome}"
+                    f"{_format_time(known.last_at)}  {known.key[0]}/{known.key[1]}  {known.type_name}  "
+                    f"{outcome_text}"
                 )
         if not as_json:
             for record in records:
@@ -151,14 +152,14 @@
         """Removes segments of which nothing is remembered any more. No dispatcher may be running on it."""
         from petrelwood.store import state_segments as store
 
-        segments = store.segments(folder)
-        last_times = {path: max((r.time for r in read(path)[0]), default=0) for _, _, path in segments}
+        segment_files = store.segments(folder)
+        last_times = {path: max((r.time for r in read(path)[0]), default=0) for _, _, path in segment_files}
         newest, removed = max(last_times.values(), default=0), 0
-        for _, _, path in segments[:-1]:
+        for _, _, path in segment_files[:-1]:
             if last_times[path] < newest - keep * 1e9:
                 pathlib.Path(path).unlink()
                 removed += 1
-        click.echo(f"{removed} of {len(segments)} segments removed")
+        click.echo(f"{removed} of {len(segment_files)} segments removed")
 
     @command(state, "search")
     @click.option(
--- a/petrelwood/cli/main.py
+++ b/petrelwood/cli/main.py
@@ -359,11 +359,9 @@
     """Whether a signature of BODY holds under one of the keys: exit 0 or 1."""
     from petrelwood.fronts import signing
 
-    is_valid = signing.Verifier([_signing_key(k) for k in key]).is_valid(
-        signature, id_, timestamp, body.read()
-    )
-    click.echo("it holds" if is_valid else "no signature holds")
-    sys.exit(0 if is_valid else 1)
+    holds = signing.Verifier([_signing_key(k) for k in key]).is_valid(signature, id_, timestamp, body.read())
+    click.echo("it holds" if holds else "no signature holds")
+    sys.exit(0 if holds else 1)
 
 
 @command(cli, "day")
--- a/petrelwood/cli/show.py
+++ b/petrelwood/cli/show.py
@@ -41,7 +41,7 @@
 
 def print_verdict(case, day, seed, result):
     """Print both tables; return 0 if every rule held and at least one activation was completed, else 1."""
-    console, findings, outcomes = (
+    console, findings, outcome_counts = (
         Console(highlight=False, width=None if sys.stdout.isatty() else 118),
         rules.judge(case),
         rules.outcomes(case),
@@ -63,14 +63,14 @@
     table = Table(title="How the tries of activations ended")
     for heading in ("namespace type", *columns, "sends each"):
         table.add_column(heading, justify="right" if heading != "namespace type" else "left")
-    for name, counts in outcomes.items():
+    for name, counts in outcome_counts.items():
         table.add_row(
             name,
             *(str(counts.get(c, 0)) for c in columns),
             f"{counts.get('sends', 0) / max(1, counts.get('sent', 0)):.3f}",
         )
     console.print(table)
-    completed = sum(counts.get("completed", 0) for counts in outcomes.values())
+    completed = sum(counts.get("completed", 0) for counts in outcome_counts.values())
     passed = completed > 0 and not any(f.broken for f in findings)
     console.print("[green]every rule held[/]" if passed else "[red]NOT every rule held[/]")
     if result:
@@ -80,7 +80,7 @@
                     "day": day.name,
                     "seed": seed,
                     "held": passed,
-                    "ends": outcomes,
+                    "ends": outcome_counts,
                     "rules": {
                         f.rule: {"looked": f.looked, "broken": len(f.broken), "first": f.broken[:10]}
                         for f in findings
