--- a/petrelwood/cli/configs.py
+++ b/petrelwood/cli/configs.py
@@ -133,8 +133,8 @@
         """What behaves otherwise under NEW than under OLD, when it acts, and what is risky under load."""
         from petrelwood.settings import comparison
 
-        all_changes = comparison.changes(_valid_settings(old), _valid_settings(new))
-        for change in all_changes:
+        differences = comparison.changes(_valid_settings(old), _valid_settings(new))
+        for change in differences:
             if as_json:
                 click.echo(json.dumps(change.as_json_object()))
             else:
@@ -144,8 +144,8 @@
                 )
         if not as_json:
             click.echo(
-                f"{len(all_changes)} changes; the version as a whole acts {comparison.takes_effect(all_changes)}"
-                if all_changes
+                f"{len(differences)} changes; the version as a whole acts {comparison.takes_effect(differences)}"
+                if differences
                 else "nothing behaves otherwise"
             )
         if name:
