--- a/petrelwood/cli/configs.py
+++ b/petrelwood/cli/configs.py
@@ -144,7 +144,8 @@
                 )
         if not as_json:
             click.echo(
-                f"{len(differences)} changes; the version as a whole acts {comparison.takes_effect(differences)}"
+                f"{len(differences)} changes; the version as a whole acts "
+                f"{comparison.takes_effect(differences)}"
                 if differences
                 else "nothing behaves otherwise"
             )
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,5 +1,5 @@
-"""A wall clock that is stepped, forward or back, by seconds or an hour, while the monotonic clock runs on:
-spans of real time stay what they are."""
+"""The wall clock is stepped forward or back, by seconds or an hour, while the monotonic clock runs on;
+measured time spans must not change."""
 
 import asyncio
 import itertools
@@ -54,7 +54,7 @@
 S, MS = 1_000_000_000, 1_000_000
 HOUR, WALL = 3600 * S, 1_700_000_000 * S
 STEPS = (HOUR, -HOUR, 5 * S, -5 * S)
-LATE = 1000 * S  # on the monotonic clock, when the moment of a test begins
+LATE = 1000 * S  # monotonic time at which the tests start
 TOLERANCE, REMEMBERED, WINDOW = 300 * S, 600 * S, 20 * S
 TYPES = {
     "again": ports.NamespaceType(S, ports.Effect.REPEATABLE, "all", 0),
@@ -70,7 +70,7 @@
 
 
 def age(listed, now):
-    """What is believed of the age of the one worker that is listed; None: it is warm."""
+    """Return the assumed age of the only listed worker; None: it is warm."""
     (one,) = listed
     return now - one.booted if one.booted else None
 
@@ -103,7 +103,8 @@
             readings, monotonic, wall = itertools.count(), time.monotonic_ns, time.time_ns
 
             def late(clock, *which):
-                """The process stands still for 10 s before these readings of the two clocks, in turn."""
+                """Return `clock` with 10 s added at the readings in `which`, as if the process had been
+                suspended before them; the readings of both clocks are counted together."""
                 return lambda: clock() + (10 * S if next(readings) in which else 0)
 
             with (
@@ -117,8 +118,10 @@
 
 
 class WorkerAges(unittest.TestCase):
-    """Rule 4: a worker that is cold is not believed warm. `now` is our monotonic clock, the platform's is
-    `WALL + now`, and ours is that and its step."""
+    """Rule 4: a cold worker is never treated as warm.
+
+    `now` is the dispatcher's monotonic clock, `WALL + now` the wall clock of the platform, and that plus the
+    step the wall clock of the dispatcher."""
 
     def membership(self):
         return Membership(5 * S, 100 * MS, lambda: 0.5)
@@ -155,7 +158,7 @@
         self.assertEqual(age(listed, now), 0)
 
     def test_an_old_worker_on_the_first_list_is_as_old_as_told(self):
-        for old in (3 * S, 20 * S, 10 * HOUR):  # also older than this machine's monotonic clock
+        for old in (3 * S, 20 * S, 10 * HOUR):  # the last one is older than the machine's monotonic clock
             m = self.membership()
             listed, _ = m.apply_list("e-1", [entry("one", WALL + LATE - old)], LATE, WALL + LATE)
             self.assertEqual(age(listed, LATE), old)
@@ -196,11 +199,13 @@
 
 
 class PlatformList(unittest.TestCase):
-    """The list by DNS, whose answers may come long after they were asked for."""
+    """The endpoint list by DNS, whose answers may arrive long after their queries."""
 
     def ages(self, asked, comes, started, step):
-        """What is believed of a worker that `started` (s), first named by the answer to a question of `asked`
-        that comes at `comes`; answers before came each second."""
+        """Return the assumed ages of a worker that started at `started` (s).
+
+        The worker is first named in the answer that arrives at `comes` to the query of `asked`; earlier
+        answers arrived every second."""
         now, m = [0], Membership(5 * S, 100 * MS, lambda: 0.5)
         stepped = types.SimpleNamespace(wall=lambda: WALL + now[0] + step)
         core = types.SimpleNamespace(now=lambda: now[0], clock=stepped, endpoints_changed=mock.Mock())
@@ -224,7 +229,7 @@
         return [now[0] - one.booted for one in listed if one.worker == "w2"]
 
     def test_an_answer_that_comes_late_brings_a_worker_that_is_as_old_as_told(self):
-        for step in (0, *STEPS):  # the clock was so from the start
+        for step in (0, *STEPS):  # the clock was off from the start
             expected = [4 * S] if step == 0 else [0] if step < 0 else [6 * S]
             self.assertEqual(self.ages(1010, 1015, 1011, step), expected, step)
 
@@ -235,11 +240,12 @@
 
 
 class RollOuts(unittest.IsolatedAsyncioTestCase):
-    """A step neither skips a stage of a roll-out nor holds one."""
+    """A step neither skips nor delays a stage of a roll-out."""
 
     async def roll(self, step, step_at, length, rollout, announced):
-        """Plays the loop of a dispatcher that serves, on a clock that is stepped at `step_at`; [(second, what
-        it takes)]."""
+        """Run the roll-out loop of a dispatcher on a clock that is stepped at `step_at`.
+
+        Returns the seconds at which it applied versions."""
         taken, clock = [], clocks.VirtualClock()
         unstepped = UnsteppedWallClock()
         wall = mock.Mock(wall=lambda: clock.wall() + (step if clock.now() >= step_at else 0), now=clock.now)
@@ -283,7 +289,7 @@
             first = Rollout("d1", 0)
             told = [Announcement(2, WALL - len(STAGES) * DWELL, False)]
             self.assertEqual(first.decide(WALL, told), ("take", 2))
-            second = Rollout.from_state("d1", first.to_state(step))  # begins from the stepped clock
+            second = Rollout.from_state("d1", first.to_state(step))  # starts on the stepped clock
             second.decide(WALL + step + 2 * DWELL - S, told)
             self.assertIsNotNone(second.applied_at)
             second.decide(WALL + step + 2 * DWELL, told)
@@ -299,7 +305,7 @@
 
 
 class Ids(unittest.TestCase):
-    """Rule 2: how long an id is remembered is a span of our own clock."""
+    """Rule 2: the time for which an id is remembered is measured by the dispatcher's own clock."""
 
     def ledger(self):
         return ids.Ledger(10_000, 10_000, TOLERANCE, TYPES, REMEMBER)
@@ -323,7 +329,7 @@
             now = LATE + HOUR
             ledger.prune(now)
             self.assertEqual(ledger.entries, {})
-            # the clock is back at the time of the first request: its timestamp is within the tolerance
+            # The clock is back at the time of the first request, whose timestamp is within the tolerance.
             self.assertEqual(ledger.admit(now, WALL, KEY, WALL, type_)[0], verdict)
             self.assertEqual(ledger.admit(now, WALL, ("x", "m2"), WALL + 1, type_)[0], ids.LedgerVerdict.RUN)
 
@@ -349,7 +355,7 @@
 
 
 class Restarts(unittest.TestCase):
-    """What an earlier process wrote, read by one that begins after a step."""
+    """State that a process wrote is read by the next process, which starts after a step."""
 
     GUARANTEES = ports.Guarantees(S, 8 * S, 0.25, 2.5, S)
     ORDERS = ports.LoadOrders(True, True, 8 * S, 6, 0.4, 5 * S)
@@ -360,14 +366,14 @@
         self.folder, self.now = pathlib.Path(folder.name), LATE
 
     def log(self, step, machine="b1", marked=True):
-        """The log of a process that begins now, on a wall clock stepped by `step`."""
+        """Return the log of a process that starts now, on a wall clock stepped by `step`."""
         self.epoch = WALL + step
         mark = recovery.boot_mark(machine, self.epoch) if marked else machine
         wall, keep = self.now + self.epoch, REMEMBERED + 2 * TOLERANCE
         return StateLog(self.folder, wall, mark, keep, now=lambda: self.now)
 
     def first_life(self):
-        """Writes one id of each type that may have run, and four orders a second apart."""
+        """Write one id of each type that may have run, and four load orders one second apart."""
         log = self.log(0)
         for type_ in TYPES:
             log.add(ActivationAdmitted(self.now + WALL, "x", type_, self.now + WALL, type_))
@@ -377,7 +383,9 @@
         log.flush()
 
     def second_life(self, after, step, **how):
-        """(what it found, its ledger, its recovery) of a process that begins `after` the end of the first."""
+        """Start a process `after` the end of the first.
+
+        Returns the state that it found, its ledger and its limits after the restart."""
         self.now += after
         log = self.log(step, **how)
         wall = self.now + self.epoch
@@ -470,7 +478,7 @@
                     self.assertEqual(m.correct_clock(WALL, now), [])
                     listed, _ = m.apply_list("e-1", told, now, WALL + now + step)
                     self.assertEqual([age([one], now) for one in listed], [S, None])
-                self.assertEqual(m.correct_clock(WALL + HOUR, now), [])  # that one was ahead
+                self.assertEqual(m.correct_clock(WALL + HOUR, now), [])  # this clock was ahead
 
     def test_a_dispatcher_that_finds_the_lesser_clock_after_its_list_tells_the_module_of_younger_workers(
         self,
@@ -490,7 +498,7 @@
 
 
 class Names(unittest.TestCase):
-    """What is named after the wall clock is named anew though that goes back to the same time."""
+    """Names derived from the wall clock stay unique when the clock goes back to the same time."""
 
     def test_activations_of_two_processes(self):
         prefixes, day = set(), stepped_day()
@@ -510,7 +518,7 @@
 
 class Messages(test_mqtt.MqttCase):
     async def test_a_message_that_is_sent_again_after_a_step_back_is_answered_like_before(self):
-        """To a session that has seen nothing before it, as after a restart, while the id is known."""
+        """The session has no state, as after a restart, but the id is known."""
         await self.begin(rig.Worker("w1"))
         self.client.ask("once-1", b"a", 1)
         self.assertEqual(await self.answered(b"a"), ["completed"])
@@ -526,7 +534,7 @@
 
 class Forecasts(unittest.TestCase):
     def test_a_step_ends_no_slot(self):
-        """As the core asks them: on the clock without steps."""
+        """The forecasts run on the unstepped clock, as the core runs them."""
         for step in STEPS:
             forecast, unstepped = (
                 Forecast(Calendar(10 * S, 86_400 * S, 7 * 86_400 * S, ()), str),
@@ -552,7 +560,7 @@
 
 
 def stepped_day(step=0, share="one", moment="under load"):
-    """A day of four dispatchers, each with a region of its own, whose wall clocks are stepped at 2 s."""
+    """Return a day of four dispatchers, each in its own region, whose wall clocks are stepped at 2 s."""
     path = pathlib.Path(__file__).parent / "days" / "stepped.kdl"
     day = script.read(path)
     some = day.dispatchers[: {"one": 1, "half": 2, "all": 4}[share]]
@@ -578,23 +586,23 @@
 
 
 class Days(unittest.TestCase):
-    """A day of the emulator's own under its five rules, with dispatchers whose clocks are stepped."""
+    """A day in the emulator, checked against the five rules, with dispatchers whose clocks are stepped."""
 
     MOMENTS = ("under load", "before a worker starts", "before a restart", "after a worker started")
     SHARES = ("one", "half", "all")
 
     @classmethod
     def setUpClass(cls):
-        cls.unstepped = {}  # how requests end without a step, by share and moment
+        cls.unstepped = {}  # outcomes of the requests without a step, by share and moment
 
     def play(self, step, share, moment, platform=Platform):
-        """(what breaks a rule, how the requests ended)."""
+        """Play a day and return the violations of rules and the outcomes of the requests."""
         day = platform(stepped_day(step, share, moment), 1).run()
         broken = [line for found in rules.judge(day.case()) for line in found.broken]
         return broken, [wish.ended for wish in day.clients.wishes]
 
     def without(self, share, moment):
-        """How the requests end on the same day without a step; it is played once."""
+        """Return the outcomes of the requests on the same day without a step, which is played once."""
         if (share, moment) not in self.unstepped:
             broken, ended = self.play(0, share, moment)
             self.assertEqual(broken, [])
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,5 +1,5 @@
-"""The configuration language: every problem once and no more, one layout, what a change means; files that are
-read by people."""
+"""The configuration language: each error is reported exactly once, files have one canonical layout, and
+changes are described by their effect. The expected texts are stored in files."""
 
 import os
 import pathlib
@@ -17,7 +17,7 @@
 from petrelwood.settings import comparison, gateway, kdl, layout, validation
 from petrelwood.settings.errors import SettingsError
 
-# What is replaced in a file that is right, by what; or whole files, by name.
+# Text in the valid file, and the invalid text that replaces it.
 BROKEN = (
     ('gateway "d"', 'gatway "d"'),
     ('gateway "d"', "gateway"),
@@ -129,9 +129,9 @@
             )
             lines.append(f"{shown[:100]}")
             self.assertTrue(errors, new)
-            for fault in errors:
-                lines.append(f"    {fault}".replace(str(self.folder) + "/", "").replace(KEY, "KEY"))
-            with self.assertRaises(SettingsError):  # what is checked as wrong is not served
+            for error in errors:
+                lines.append(f"    {error}".replace(str(self.folder) + "/", "").replace(KEY, "KEY"))
+            with self.assertRaises(SettingsError):  # a file with errors can't be served either
                 gateway.read(self.path)
         compare(self, "broken_settings", lines)
 
@@ -180,7 +180,7 @@
             errors, warnings, _ = self.check(GOOD.replace(old, new, 1))
             self.assertEqual(errors, [], new)
             lines.append((new.replace("\n", "; ").replace(KEY, "KEY") or f"without {old}")[:100])
-            lines += [f"    {fault}".replace(str(self.folder) + "/", "") for fault in warnings] or [
+            lines += [f"    {warning}".replace(str(self.folder) + "/", "") for warning in warnings] or [
                 "    (nothing)"
             ]
         compare(self, "config_sense", lines)
@@ -199,20 +199,20 @@
         self.path.write_text(
             'include "routes"\ntemplate "quick" { target-latency "300ms"; action-timeout "9s" }\n' + text
         )
-        made = gateway.read(self.path)
-        self.assertEqual([r.pattern for r in made.functions], ["a", "b", "f-*"])
+        settings = gateway.read(self.path)
+        self.assertEqual([r.pattern for r in settings.functions], ["a", "b", "f-*"])
         self.assertEqual(
-            (made.terms.types["t"].target_latency, made.timeouts["t"]), (300_000_000, 2_500_000_000)
+            (settings.terms.types["t"].target_latency, settings.timeouts["t"]), (300_000_000, 2_500_000_000)
         )
-        self.assertEqual(made.customers["x"].keys, gateway.read("g", GOOD).customers["x"].keys)
+        self.assertEqual(settings.customers["x"].keys, gateway.read("g", GOOD).customers["x"].keys)
 
     def test_ten_thousand_routes_in_a_second_or_two(self):
         text = GOOD + "".join(f'function "route-{i}" type="t" lanes={i % 8 + 1}\n' for i in range(10_000))
-        begun = time.process_time()
+        started = time.process_time()
         errors, _, _ = self.check(text)
         self.assertEqual(errors, [])
-        # 0.8 s on an idle machine: docs/configuration.md
-        self.assertLess(time.process_time() - begun, 8)
+        # It takes 0.8 s on an idle machine, see docs/configuration.md.
+        self.assertLess(time.process_time() - started, 8)
 
     def test_a_text_too_deep_to_parse(self):
         for text in ("a {" * 100_000, "a {\n" * 70 + "}\n" * 70):
@@ -221,24 +221,24 @@
 
     def test_a_file_that_changes_while_it_is_read(self):
         self.path.write_text(GOOD)
-        real = pathlib.Path.read_bytes
-        turns = []
+        read_bytes = pathlib.Path.read_bytes
+        reads = []
 
         def changing(path):
-            turns.append(path)
-            data = real(path)
-            if len(turns) < 3:
-                path.write_text(GOOD + f"// {len(turns)}\n")
+            reads.append(path)
+            data = read_bytes(path)
+            if len(reads) < 3:
+                path.write_text(GOOD + f"// {len(reads)}\n")
             return data
 
         pathlib.Path.read_bytes = changing
         try:
             self.assertTrue(kdl.read_unchanging(self.path).endswith("// 2\n"))
         finally:
-            pathlib.Path.read_bytes = real
+            pathlib.Path.read_bytes = read_bytes
 
     def test_no_text_is_accepted_that_serve_refuses_and_none_makes_a_traceback(self):
-        chance, tried = random.Random(11), 0
+        chance, valid_count = random.Random(11), 0
         words = [
             "{",
             "}",
@@ -280,13 +280,13 @@
                 self.assertTrue(errors, text)
             else:
                 self.assertEqual(errors, [], text)
-                tried += 1
+                valid_count += 1
             try:
-                found = layout.format_text(text)
-                self.assertEqual(layout.format_text(found), found, text)
+                formatted = layout.format_text(text)
+                self.assertEqual(layout.format_text(formatted), formatted, text)
             except SettingsError:
                 pass
-        self.assertGreater(tried, 100)
+        self.assertGreater(valid_count, 100)
 
 
 class Layout(unittest.TestCase):
@@ -310,15 +310,19 @@
         )
         self.assertGreater(len(paths), 8)
         for path in paths:
-            found = layout.format_text(path.read_text())
-            self.assertEqual(layout.format_text(found), found, path)
+            formatted = layout.format_text(path.read_text())
+            self.assertEqual(layout.format_text(formatted), formatted, path)
             self.assertEqual(
                 [
                     line.split("//")[1].strip()
                     for line in path.read_text().splitlines()
                     if line.strip().startswith("//")
                 ],
-                [line.split("//")[1].strip() for line in found.splitlines() if line.strip().startswith("//")],
+                [
+                    line.split("//")[1].strip()
+                    for line in formatted.splitlines()
+                    if line.strip().startswith("//")
+                ],
             )
 
 
--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -1,9 +1,9 @@
-"""Idle clients that fill the descriptors of a dispatcher while discovery is down, on real sockets.
+"""Idle clients exhaust the file descriptors of a dispatcher while discovery is down, on real sockets.
 
-The dispatcher is a process of its own under a limit of descriptors (RLIMIT_NOFILE) that several hundred idle
-connections exceed, or that is lowered to what it already holds. It counts the turns of its loop, its looks,
-its calls of `accept` and the answers of the roster that it could use, and tells them at SIGUSR1: that nothing
-spins is judged by these counts and not by a clock."""
+The dispatcher is a separate process whose descriptor limit (RLIMIT_NOFILE) is exceeded by several hundred
+idle connections, or is lowered to the number of descriptors in use. It counts the iterations of its event
+loop (`turns`), its periodic checks (`looks`), its calls of `accept` and the usable answers of the roster, and
+prints the counts at SIGUSR1. The tests detect a busy loop by these counts and not by a clock."""
 
 import asyncio
 import contextlib
@@ -21,16 +21,19 @@
 
 from petrelwood.decide.overload.resource_limits import ResourceLimits
 
-SLOW = 30  # s that anything may take on a busy machine before it is called lost
+SLOW = 30  # s; the timeout of each step on a busy machine
 DESCRIPTORS = 96  # RLIMIT_NOFILE of the dispatcher
-CLIENTS = 8  # real ones, one after another
-IDLE = 300  # idle connections that are kept up against it
-LOOKS = 40  # looks of the dispatcher (two seconds) over which its turns are counted
-# A turn for the look itself, one for a timer of the module, up to four after a look that came late, on a busy
-# machine, and as many again. A loop that spins has hundreds.
+CLIENTS = 8  # clients that are served one after another
+IDLE = 300  # idle connections that are kept open
+LOOKS = 40  # periodic checks (two seconds) over which the iterations of the event loop are counted
+# Maximum event loop iterations per periodic check: one for the check itself, one for a timer of the
+# scheduler, up to four after a check that is late on a busy machine, doubled as a margin. A busy loop has
+# hundreds.
 TURNS_A_LOOK = 12
-TURNS_AN_EVENT = 8  # a connection that comes, is read, answered and ended; an activation; a question
-TRIED = 80  # looks after which a reading of the configuration had once been given up (three seconds)
+# Maximum event loop iterations per event: a connection that is accepted, read, answered and closed; an
+# activation; a roster query.
+TURNS_AN_EVENT = 8
+TRIED = 80  # periodic checks (three seconds); an earlier version gave up its reload by then
 COUNTED = """
 import asyncio, json, os, resource, runpy, signal, sys
 limit = int(sys.argv[1])
@@ -56,7 +59,7 @@
 
 
 class Counts(NamedTuple):
-    """Since the start of the process; `answers`: those of the roster that were good."""
+    """Counts since the start of the process; `answers` are the usable answers of the roster."""
 
     turns: int
     looks: int
@@ -65,9 +68,9 @@
 
 
 class Limited(Site):
-    """A dispatcher that may hold `DESCRIPTORS` descriptors and is told that it may hold `sockets`.
+    """A dispatcher limited to `DESCRIPTORS` descriptors, whose configuration says that it has `sockets`.
 
-    `lost` counts the clients of `served` whose connection ended with no answer."""
+    `lost` counts the clients of `served` whose connection was closed without an answer."""
 
     lost = 0
 
@@ -75,7 +78,7 @@
         await super().start((sys.executable, "-c", COUNTED, str(DESCRIPTORS)))
 
     async def counts(self):
-        """What the process tells of its turns now."""
+        """Return the current counts of the process."""
         before = sum('"counts"' in line for line in self.log)
         self.process.send_signal(signal.SIGUSR1)
         await self.until(lambda: sum('"counts"' in line for line in self.log) > before, SLOW)
@@ -83,7 +86,7 @@
         return Counts(**json.loads(newest)["counts"])
 
     async def looks(self, count):
-        """Waits until the dispatcher has looked so many times more; its counts before and after."""
+        """Wait for `count` more periodic checks, and return the counts before and after them."""
         before = now = await self.counts()
         while now.looks - before.looks < count:
             await asyncio.sleep(0.1)
@@ -91,7 +94,7 @@
         return before, now
 
     def leaves_none(self):
-        """From now on it gets no descriptor beyond those that it holds."""
+        """Lower the descriptor limit so that the process can open no more descriptors."""
         _, hard = resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE)
         resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (3, hard))
 
@@ -100,7 +103,7 @@
         resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (DESCRIPTORS, hard))
 
     async def served(self, fn=1):
-        """A client asks until it is served, each time on a new connection and without waiting on it first."""
+        """Send a request until it is answered, each time on a new connection and without waiting first."""
         body = os.urandom(8)
         async with asyncio.timeout(SLOW):
             while await self._answer(fn, body) != [1, 1, None, [body, {}]]:
@@ -121,10 +124,10 @@
 
 
 class Crowd:
-    """`IDLE` connections to the dispatcher that rest; each is opened again half a second after it was closed.
+    """`IDLE` idle connections to the dispatcher; each is reopened half a second after it is closed.
 
-    Each third of them says nothing, asks for health, or asks for one activation, and then keeps its
-    connection. `opened` counts all connections."""
+    A third of them send nothing, a third a health request, and a third one activation; then they stay idle.
+    `opened` counts all connections."""
 
     def __init__(self, site):
         self.site, self.opened = site, 0
@@ -150,7 +153,7 @@
                         pass
                 finally:
                     writer.close()
-            if first == self._activation:  # once: it is no crowd of activations
+            if first == self._activation:  # one activation only, so that the load stays low
                 first = self._health
             await asyncio.sleep(0.5)
 
@@ -162,7 +165,7 @@
 
 class WhileDiscoveryIsDown(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        asyncio.get_running_loop().set_debug(False)  # the crowd is in this loop
+        asyncio.get_running_loop().set_debug(False)  # the crowd runs in this loop
         self.old, self.new, self.second = Worker("s-1"), Worker("s-2"), Roster()
         await self.new.open()
         await self.second.open()
@@ -170,13 +173,13 @@
         self.addAsyncCleanup(self.new.close)
 
     def site(self, sockets=256):
-        """Whose roster is silent; with more descriptors told than there are, or with the true number."""
+        """Return a dispatcher with a silent roster; by default `sockets` exceeds the real limit."""
         site = Limited([self.old], sockets=sockets)
         site.roster.rewrite = lambda wire: None
         return site
 
     async def crowd(self, site):
-        """Its crowd, which has filled all that clients may hold and is kept up until the test ends."""
+        """Return a crowd that has used up the clients' descriptors; it stays until the test ends."""
         crowd = Crowd(site)
         self.addAsyncCleanup(crowd.leave)
         room = ResourceLimits(DESCRIPTORS, 64)
@@ -184,25 +187,25 @@
         return crowd
 
     async def check_that_it_serves(self, site, roster, crowd):
-        """The roster is asked, workers are reached, clients are served, and nothing spins."""
+        """Check that the roster is queried, clients are served by workers, and no loop is busy."""
         asked, opened = roster.asked, crowd.opened
         before = await site.counts()
         for n in range(CLIENTS):
             await site.served(fn=n)
-            await asyncio.sleep(0.3)  # some of the crowd are closed for their silence, others come meanwhile
-        self.assertLessEqual(site.lost, CLIENTS // 2)  # each has its room as it comes, whoever holds the rest
+            await asyncio.sleep(0.3)  # meanwhile some idle connections are closed and others are opened
+        self.assertLessEqual(site.lost, CLIENTS // 2)  # there is room for each client, whoever holds the rest
         _, now = await site.looks(LOOKS)
         looks, turns = now.looks - before.looks, now.turns - before.turns
         events = crowd.opened - opened + roster.asked - asked + CLIENTS + site.lost
         self.assertLess(turns, TURNS_A_LOOK * looks + TURNS_AN_EVENT * events)
         self.assertLess(now.accepts - before.accepts, looks + events + IDLE)
-        # a look that finds a question without an answer 80 ms old puts the next one
+        # A periodic check sends the next query if the last one is unanswered after 80 ms.
         self.assertGreater(roster.asked - asked, looks // 4)
         clients = site.figures()[1] - len(self.old.streams)
         self.assertLessEqual(clients, DESCRIPTORS - ResourceLimits(DESCRIPTORS, 64).workers)
 
     async def check_that_it_hears(self, site, roster):
-        """Discovery comes back, and tells of another worker in the place of the one that is known."""
+        """Check that the dispatcher uses a new worker when discovery recovers and replaces the known one."""
         self.assertFalse(self.new.probes or self.new.orders or self.new.runs)
         roster.serial, roster.entries = site.roster.serial + 1, {}
         roster.tell(self.new)
@@ -228,7 +231,7 @@
             await self.check_that_it_hears(site, site.roster)
 
     async def test_moved_under_a_crowd(self):
-        """SIGHUP; the roster at its new address is silent as well at first."""
+        """After SIGHUP the roster has a new address, and is silent there too at first."""
         self.second.rewrite = lambda wire: None
         async with self.site() as site:
             crowd = await self.crowd(site)
@@ -244,7 +247,7 @@
             await self.check_that_it_hears(site, site.roster)
 
     async def test_the_first_answer_comes_with_no_descriptor_left(self):
-        """Nothing has to be opened to read it, a module of a library neither."""
+        """Reading the answer opens no descriptor, not even to import a library module."""
         async with self.site() as site:
             site.leaves_none()
             site.roster.rewrite = None
@@ -255,7 +258,7 @@
             await self.check_that_it_hears(site, site.roster)
 
     async def test_the_first_client_comes_with_one_descriptor_left(self):
-        """That of its connection: nothing else has to be opened to serve it."""
+        """The connection uses the descriptor; serving it opens no other."""
         async with self.site() as site:
             held = site.figures()[1]
             _, hard = resource.prlimit(site.process.pid, resource.RLIMIT_NOFILE)
@@ -267,12 +270,14 @@
             await site.served()
 
     async def test_moved_with_no_descriptor_left(self):
-        """SIGHUP while the configuration can't be opened, for longer than a spoilt one is read again."""
+        """After SIGHUP the configuration can't be opened, for longer than an invalid one is reread."""
         async with self.site() as site:
             site.leaves_none()
             site.write(names=f"127.0.0.1:{self.second.port}")
             site.process.send_signal(signal.SIGHUP)
-            with socket.create_connection(site.address):  # nobody can take it: the listener stays readable
+            with socket.create_connection(
+                site.address
+            ):  # it can't be accepted, so the listener stays readable
                 before, now = await site.looks(TRIED)
             self.assertLess(now.turns - before.turns, TURNS_A_LOOK * (now.looks - before.looks))
             self.assertLess(now.accepts - before.accepts, 2 * (now.looks - before.looks))
@@ -283,8 +288,8 @@
             await self.check_that_it_hears(site, self.second)
 
     async def test_a_roster_that_cannot_be_reached_from_the_start(self):
-        """No way leads there when it starts: it serves by what it knows, and asks once SIGHUP tells a better
-        one."""
+        """The roster is unreachable at the start: the dispatcher serves with the workers that it knows, and
+        queries the roster once SIGHUP brings a reachable address."""
         site = self.site()
         write = site.write
         site.write = lambda **changes: write(**{"names": "255.255.255.255:53", **changes})
--- a/tests/test_reference.py
+++ b/tests/test_reference.py
@@ -1,5 +1,5 @@
-"""What is read off the decoding: reference, completion; checks of days and experiments; the estimate of a
-change."""
+"""The reference and completion derived from the decoding; checks of days and experiments; the estimate of the
+effect of a change."""
 
 import pathlib
 import tempfile
@@ -99,7 +99,7 @@
                     path.write_text(text.replace(old, new, 1))
                     errors, _, _ = validation.check(path, others=OTHERS)
                     lines.append(f"{old} -> {new}")
-                    lines += [f"    {fault}".replace(folder + "/", "") for fault in errors] or [
+                    lines += [f"    {error}".replace(folder + "/", "") for error in errors] or [
                         "    (nothing)"
                     ]
                     self.assertTrue(errors)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Files that are wrong: each gives one clear message that points to the right line."""
+"""Invalid settings files: each gives one error message with the right line."""
 
 import pathlib
 import subprocess
@@ -35,7 +35,7 @@
     on-miss "load"
 }}
 '''
-BROKEN = (  # what is replaced, by what, the line, words of the message
+BROKEN = (  # original text, replacement, line of the error, part of the message
     ('listen "127.0.0.1:8080"', 'lisen "127.0.0.1:8080"', 1, "needs a 'listen'"),
     ('zone "n"', 'zoen "n"', 4, "did you mean 'zone'"),
     ('"127.0.0.1:8080"', '"8080"', 2, "address like"),
@@ -75,19 +75,21 @@
         return gateway.read(self.path)
 
     def test_a_good_file(self):
-        made = self.read(GOOD)
+        settings = self.read(GOOD)
         self.assertEqual(
-            (made.listen, made.timeouts["t"], made.terms.quotas),
+            (settings.listen, settings.timeouts["t"], settings.terms.quotas),
             (("127.0.0.1", 8080), 2_500_000_000, {"x": 10.0}),
         )
-        self.assertEqual(made.terms.types["t"], ports.NamespaceType(1_000_000_000, "repeatable", "all", 0))
-        self.assertEqual((made.rule("f-7").lanes, made.rule("g-7")), (2, None))
+        self.assertEqual(
+            settings.terms.types["t"], ports.NamespaceType(1_000_000_000, "repeatable", "all", 0)
+        )
+        self.assertEqual((settings.rule("f-7").lanes, settings.rule("g-7")), (2, None))
 
     def test_the_longest_beginning_of_a_name_decides_and_a_whole_name_before_it(self):
         more = 'function "f-hot-*" type="t" lanes=3\nfunction "f-hot-1" type="t" lanes=4\n'
-        made = self.read(GOOD + more)
+        settings = self.read(GOOD + more)
         self.assertEqual(
-            [made.rule(n).lanes for n in ("f-1", "f-hot-2", "f-hot-1", "f-hot-11")], [2, 3, 4, 3]
+            [settings.rule(n).lanes for n in ("f-1", "f-hot-2", "f-hot-1", "f-hot-11")], [2, 3, 4, 3]
         )
 
     def test_each_broken_file_gives_one_message_at_its_line(self):
@@ -96,10 +98,10 @@
                 self.assertIn(old, GOOD)
                 with self.assertRaises(SettingsError) as caught:
                     self.read(GOOD.replace(old, new, 1))
-                said = str(caught.exception)
-                self.assertIn(words, said)
-                self.assertEqual(caught.exception.line, line, said)
-                self.assertEqual(said.count("\n"), 0)
+                message = str(caught.exception)
+                self.assertIn(words, message)
+                self.assertEqual(caught.exception.line, line, message)
+                self.assertEqual(message.count("\n"), 0)
 
     def test_places_survive_comments_strings_and_slashdash(self):
         text = (
@@ -118,7 +120,7 @@
         self.assertEqual(found, [("one", 3), ("four", 5), ("five", 5), ("six", 6), ("nine", 11)])
 
     def test_places_survive_a_node_without_a_block_that_is_commented_out(self):
-        """Guards against errors that are reported at line 0."""
+        """Guards against errors that are reported at line 0 after a commented-out node without a block."""
         self.path.write_text(
             "/- one 1\ntwo 2\n/- three; four\n/- five { six }\nseven\n/-\neight\nnine /- 9\n"
         )
@@ -126,7 +128,7 @@
         self.assertEqual(found, [("two", 2), ("four", 3), ("seven", 5), ("nine", 8)])
 
     def test_a_password_file_that_is_no_text_is_reported_at_its_line(self):
-        """Guards against a traceback in place of a message."""
+        """Guards against a traceback instead of an error message if the file is not UTF-8."""
         (self.path.parent / "password").write_bytes(b"\xff\xfe")
         mqtt = '\nmqtt { broker "127.0.0.1:1883"; user "u"; password-file "password" }\n'
         with self.assertRaises(SettingsError) as caught:
--- a/tests/test_settings_nodes.py
+++ b/tests/test_settings_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes of settings files: places, what is reported and what is not, decoders, the values that are noted."""
+"""Nodes of settings files: positions, reported errors, decoders, and recorded values."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 def read(text, errors=None, values=None):
-    """The file that a text gives."""
+    """Return the file node of a text."""
     return document.File("g.kdl", text, errors, values)
 
 
