--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -69,7 +69,7 @@
     return Endpoint(worker, ("127.0.0.1", 1), "north", 0, booted, state)
 
 
-def age(listed, now):
+def assumed_age(listed, now):
     """Return the assumed age of the only listed worker; None: it is warm."""
     (one,) = listed
     return now - one.booted if one.booted else None
@@ -132,7 +132,7 @@
             m.apply_list("e-1", [entry("old")], LATE, WALL + LATE)
             now = LATE + 60 * S
             listed, _ = m.apply_change("e-2", [entry("new", WALL + now - 200 * MS)], now, WALL + now + step)
-            self.assertEqual(age(listed, now), 200 * MS, step)
+            self.assertEqual(assumed_age(listed, now), 200 * MS, step)
 
     def test_one_that_restarts_after_a_step_is_as_old_as_it_is(self):
         for step in STEPS:
@@ -140,7 +140,7 @@
             m.apply_list("e-1", [entry("one", WALL)], LATE, WALL + LATE)
             now = LATE + 60 * S
             listed, _ = m.apply_list("e-9", [entry("one", WALL + now - 200 * MS)], now, WALL + now + step)
-            self.assertEqual(age(listed, now), 200 * MS, step)
+            self.assertEqual(assumed_age(listed, now), 200 * MS, step)
 
     def test_where_our_clock_was_ahead_from_the_start_a_new_worker_is_no_older_than_the_last_list(self):
         for step in (HOUR, 5 * S):
@@ -149,19 +149,19 @@
             m.on_complete(LATE + 59 * S)
             now = LATE + 60 * S
             listed, _ = m.apply_change("e-2", [entry("new", WALL + now - 200 * MS)], now, WALL + now + step)
-            self.assertLessEqual(age(listed, now), S, step)
+            self.assertLessEqual(assumed_age(listed, now), S, step)
 
     def test_where_our_clock_was_behind_from_the_start_a_new_worker_is_cold(self):
         m, now = self.membership(), LATE + 60 * S
         m.apply_list("e-1", [entry("old")], LATE, WALL + LATE - HOUR)
         listed, _ = m.apply_change("e-2", [entry("new", WALL + now - 200 * MS)], now, WALL + now - HOUR)
-        self.assertEqual(age(listed, now), 0)
+        self.assertEqual(assumed_age(listed, now), 0)
 
     def test_an_old_worker_on_the_first_list_is_as_old_as_told(self):
         for old in (3 * S, 20 * S, 10 * HOUR):  # the last one is older than the machine's monotonic clock
             m = self.membership()
             listed, _ = m.apply_list("e-1", [entry("one", WALL + LATE - old)], LATE, WALL + LATE)
-            self.assertEqual(age(listed, LATE), old)
+            self.assertEqual(assumed_age(listed, LATE), old)
 
     def test_one_that_starts_while_the_list_is_silent_is_as_old_as_told(self):
         m = self.membership()
@@ -171,7 +171,7 @@
         m.is_newly_lost(now - S)
         m.on_contact(now)
         listed, _ = m.apply_list("e-4", [entry("new", WALL + now - 200 * S)], now, WALL + now + HOUR)
-        self.assertEqual(age(listed, now), 200 * S)
+        self.assertEqual(assumed_age(listed, now), 200 * S)
 
     def test_news_that_comes_late_is_believed(self):
         m = self.membership()
@@ -179,7 +179,7 @@
         m.on_complete(LATE + 60 * S)
         now = LATE + 60 * S + 250 * MS
         listed, _ = m.apply_change("e-2", [entry("new", WALL + now - MAX_EVENT_DELAY)], now, WALL + now)
-        self.assertEqual(age(listed, now), MAX_EVENT_DELAY)
+        self.assertEqual(assumed_age(listed, now), MAX_EVENT_DELAY)
 
     def test_one_that_leaves_the_list_and_comes_back_is_as_old_as_it_was(self):
         for back in ("e-3", "f-1"):
@@ -189,7 +189,7 @@
             now = LATE + 2 * S
             tells = m.apply_change if back == "e-3" else m.apply_list
             listed, _ = tells(back, [entry("one", booted)], now, WALL + now + HOUR)
-            self.assertEqual(age(listed, now), 32 * S)
+            self.assertEqual(assumed_age(listed, now), 32 * S)
 
     def test_what_is_remembered_of_those_that_left_is_bounded(self):
         m = self.membership()
@@ -201,7 +201,7 @@
 class PlatformList(unittest.TestCase):
     """The endpoint list by DNS, whose answers may arrive long after their queries."""
 
-    def ages(self, asked, comes, started, step):
+    def assumed_ages(self, asked, comes, started, step):
         """Return the assumed ages of a worker that started at `started` (s).
 
         The worker is first named in the answer that arrives at `comes` to the query of `asked`; earlier
@@ -213,29 +213,29 @@
         link = roster.DnsRoster(("127.0.0.1", 1), m, asking, core, mock.Mock())
         old = {"w1": (5050, "Ready", "east", 0)}
 
-        def comes_back(id_, serial, entries):
+        def deliver_answer(id_, serial, entries):
             question = id_.to_bytes(2, "big") + link.query_without_id
             link.handle_datagram(node_site.answer(question, serial, entries))
 
         for second in range(LATE // S, asked):
             now[0] = second * S
-            comes_back(asking.begin_query(now[0]), 1, old)
+            deliver_answer(asking.begin_query(now[0]), 1, old)
         now[0] = asked * S
         id_ = asking.begin_query(now[0])
         now[0] = int(comes * S)
         told = (WALL + int(started * S)) // MS
-        comes_back(id_, 2, {**old, "w2": (5051, "Ready", "east", told)})
+        deliver_answer(id_, 2, {**old, "w2": (5051, "Ready", "east", told)})
         listed = core.endpoints_changed.call_args.args[0]
         return [now[0] - one.booted for one in listed if one.worker == "w2"]
 
     def test_an_answer_that_comes_late_brings_a_worker_that_is_as_old_as_told(self):
         for step in (0, *STEPS):  # the clock was off from the start
             expected = [4 * S] if step == 0 else [0] if step < 0 else [6 * S]
-            self.assertEqual(self.ages(1010, 1015, 1011, step), expected, step)
+            self.assertEqual(self.assumed_ages(1010, 1015, 1011, step), expected, step)
 
     def test_an_answer_that_comes_at_once_brings_a_worker_no_older_than_the_one_before(self):
         for step in (HOUR, 5 * S):
-            (found,) = self.ages(1010, 1010.05, 1009.9, step)
+            (found,) = self.assumed_ages(1010, 1010.05, 1009.9, step)
             self.assertLessEqual(found, 1050 * MS)
 
 
@@ -372,7 +372,7 @@
         wall, keep = self.now + self.epoch, REMEMBERED + 2 * TOLERANCE
         return StateLog(self.folder, wall, mark, keep, now=lambda: self.now)
 
-    def first_life(self):
+    def run_first_process(self):
         """Write one id of each type that may have run, and four load orders one second apart."""
         log = self.log(0)
         for type_ in TYPES:
@@ -382,7 +382,7 @@
             log.add(LoadOrdered(self.now + WALL, "w1", "f", 1))
         log.flush()
 
-    def second_life(self, after, step, **how):
+    def start_second_process(self, after, step, **how):
         """Start a process `after` the end of the first.
 
         Returns the state that it found, its ledger and its limits after the restart."""
@@ -407,8 +407,8 @@
             ):
                 with self.subTest(step=step, after=after):
                     self.setUp()
-                    self.first_life()
-                    found, ledger, back = self.second_life(after, step)
+                    self.run_first_process()
+                    found, ledger, back = self.start_second_process(after, step)
                     self.assertFalse(found.clock_went_back)
                     self.assertEqual((back.recent_orders, back.cold_workers_from - self.now), (orders, waits))
                     self.assertEqual(self.verdict(ledger, "all"), window)
@@ -419,38 +419,38 @@
         for step in STEPS:
             for after, remembered in ((REMEMBERED - 4 * S, True), (REMEMBERED - 2 * S, False)):
                 self.setUp()
-                self.first_life()
-                _, ledger, _ = self.second_life(after, step)
+                self.run_first_process()
+                _, ledger, _ = self.start_second_process(after, step)
                 self.assertEqual(("x", ONCE) in ledger.entries, remembered, (step, after))
                 self.assertEqual(ledger.newest_forgotten, 0 if remembered else LATE + WALL)
 
     def test_segments_that_are_found_are_kept_for_their_time(self):
         for step, machine in itertools.product(STEPS, ("b1", "b2")):
             self.setUp()
-            self.first_life()
+            self.run_first_process()
             self.now += S
             second = self.log(step, machine)
             self.now += S
             second.begin_next_segment(self.now + self.epoch)
-            _, ledger, _ = self.second_life(S, step, machine=machine)
+            _, ledger, _ = self.start_second_process(S, step, machine=machine)
             self.assertIn(("x", ONCE), ledger.entries, (step, machine))
 
     def test_after_a_new_start_of_the_machine_nothing_is_older_than_that(self):
         for step in (0, *STEPS):
             self.setUp()
-            self.first_life()
-            _, ledger, back = self.second_life(S, step, machine="b2")
+            self.run_first_process()
+            _, ledger, back = self.start_second_process(S, step, machine="b2")
             self.assertEqual((back.recent_orders, back.cold_workers_from - self.now), (4, S), step)
             self.assertEqual(self.verdict(ledger, "all"), ids.LedgerVerdict.MAY_HAVE_RUN)
             self.assertEqual(self.verdict(ledger, ONCE), ids.LedgerVerdict.MAY_HAVE_RUN)
             self.assertGreaterEqual(ledger.entries["x", ONCE].remembered_until, self.now + REMEMBERED)
 
     def test_a_life_before_a_new_start_of_the_machine_is_older_than_the_one_after_it(self):
-        self.first_life()
+        self.run_first_process()
         self.now += S
         self.log(HOUR, machine="b2")
         began = self.now
-        found, ledger, back = self.second_life(9 * S, -HOUR, machine="b2")
+        found, ledger, back = self.start_second_process(9 * S, -HOUR, machine="b2")
         self.assertEqual((back.recent_orders, back.cold_workers_from), (0, self.now))
         self.assertEqual(ledger.entries["x", ONCE].remembered_until, began + REMEMBERED)
         self.assertFalse(found.same_boot)
@@ -461,7 +461,7 @@
         log.add(ActivationAdmitted(WALL + self.now, "x", ONCE, WALL + self.now, ONCE))
         log.flush()
         for after, remembered in ((REMEMBERED - S, True), (2 * S, False)):
-            found, ledger, _ = self.second_life(after, 0)
+            found, ledger, _ = self.start_second_process(after, 0)
             self.assertEqual(("x", ONCE) in ledger.entries, remembered)
             self.assertTrue(found.same_boot and found.complete_since)
 
@@ -477,7 +477,7 @@
                 else:
                     self.assertEqual(m.correct_clock(WALL, now), [])
                     listed, _ = m.apply_list("e-1", told, now, WALL + now + step)
-                    self.assertEqual([age([one], now) for one in listed], [S, None])
+                    self.assertEqual([assumed_age([one], now) for one in listed], [S, None])
                 self.assertEqual(m.correct_clock(WALL + HOUR, now), [])  # this clock was ahead
 
     def test_a_dispatcher_that_finds_the_lesser_clock_after_its_list_tells_the_module_of_younger_workers(
@@ -601,7 +601,7 @@
         broken = [line for found in rules.judge(day.case()) for line in found.broken]
         return broken, [wish.ended for wish in day.clients.wishes]
 
-    def without(self, share, moment):
+    def unstepped_outcomes(self, share, moment):
         """Return the outcomes of the requests on the same day without a step, which is played once."""
         if (share, moment) not in self.unstepped:
             broken, ended = self.play(0, share, moment)
@@ -616,4 +616,6 @@
                 broken, ended = self.play(step, share, moment)
                 self.assertEqual(broken, [])
                 done = ended.count("completed")
-                self.assertGreaterEqual(done, 0.99 * self.without(share, moment).count("completed"))
+                self.assertGreaterEqual(
+                    done, 0.99 * self.unstepped_outcomes(share, moment).count("completed")
+                )
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -221,12 +221,12 @@
 
     def test_a_file_that_changes_while_it_is_read(self):
         self.path.write_text(GOOD)
-        read_bytes = pathlib.Path.read_bytes
+        original_read_bytes = pathlib.Path.read_bytes
         reads = []
 
         def changing(path):
             reads.append(path)
-            data = read_bytes(path)
+            data = original_read_bytes(path)
             if len(reads) < 3:
                 path.write_text(GOOD + f"// {len(reads)}\n")
             return data
@@ -235,7 +235,7 @@
         try:
             self.assertTrue(kdl.read_unchanging(self.path).endswith("// 2\n"))
         finally:
-            pathlib.Path.read_bytes = read_bytes
+            pathlib.Path.read_bytes = original_read_bytes
 
     def test_no_text_is_accepted_that_serve_refuses_and_none_makes_a_traceback(self):
         chance, valid_count = random.Random(11), 0
--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -21,7 +21,7 @@
 
 from petrelwood.decide.overload.resource_limits import ResourceLimits
 
-SLOW = 30  # s; the timeout of each step on a busy machine
+TIMEOUT = 30  # s; the timeout of each step on a busy machine
 DESCRIPTORS = 96  # RLIMIT_NOFILE of the dispatcher
 CLIENTS = 8  # clients that are served one after another
 IDLE = 300  # idle connections that are kept open
@@ -29,12 +29,13 @@
 # Maximum event loop iterations per periodic check: one for the check itself, one for a timer of the
 # scheduler, up to four after a check that is late on a busy machine, doubled as a margin. A busy loop has
 # hundreds.
-TURNS_A_LOOK = 12
+MAX_TURNS_PER_LOOK = 12
 # Maximum event loop iterations per event: a connection that is accepted, read, answered and closed; an
 # activation; a roster query.
-TURNS_AN_EVENT = 8
-TRIED = 80  # periodic checks (three seconds); an earlier version gave up its reload by then
-COUNTED = """
+MAX_TURNS_PER_EVENT = 8
+# Periodic checks (three seconds) after which an earlier version had given up rereading the configuration.
+RELOAD_LOOKS = 80
+COUNTING_SCRIPT = """
 import asyncio, json, os, resource, runpy, signal, sys
 limit = int(sys.argv[1])
 resource.setrlimit(resource.RLIMIT_NOFILE, (limit, resource.getrlimit(resource.RLIMIT_NOFILE)[1]))
@@ -67,21 +68,21 @@
     answers: int
 
 
-class Limited(Site):
+class LimitedSite(Site):
     """A dispatcher limited to `DESCRIPTORS` descriptors, whose configuration says that it has `sockets`.
 
-    `lost` counts the clients of `served` whose connection was closed without an answer."""
+    `lost` counts the clients of `request_until_served` whose connection was closed without an answer."""
 
     lost = 0
 
     async def start(self):
-        await super().start((sys.executable, "-c", COUNTED, str(DESCRIPTORS)))
+        await super().start((sys.executable, "-c", COUNTING_SCRIPT, str(DESCRIPTORS)))
 
     async def counts(self):
         """Return the current counts of the process."""
         before = sum('"counts"' in line for line in self.log)
         self.process.send_signal(signal.SIGUSR1)
-        await self.until(lambda: sum('"counts"' in line for line in self.log) > before, SLOW)
+        await self.until(lambda: sum('"counts"' in line for line in self.log) > before, TIMEOUT)
         newest = next(line for line in reversed(self.log) if '"counts"' in line)
         return Counts(**json.loads(newest)["counts"])
 
@@ -93,19 +94,19 @@
             now = await self.counts()
         return before, now
 
-    def leaves_none(self):
+    def exhaust_descriptors(self):
         """Lower the descriptor limit so that the process can open no more descriptors."""
         _, hard = resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE)
         resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (3, hard))
 
-    def leaves_some(self):
+    def restore_descriptors(self):
         _, hard = resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE)
         resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (DESCRIPTORS, hard))
 
-    async def served(self, fn=1):
+    async def request_until_served(self, fn=1):
         """Send a request until it is answered, each time on a new connection and without waiting first."""
         body = os.urandom(8)
-        async with asyncio.timeout(SLOW):
+        async with asyncio.timeout(TIMEOUT):
             while await self._answer(fn, body) != [1, 1, None, [body, {}]]:
                 await asyncio.sleep(0.1)
 
@@ -131,8 +132,11 @@
 
     def __init__(self, site):
         self.site, self.opened = site, 0
-        firsts = (lambda: b"", self._health, self._activation)
-        self.tasks = [asyncio.ensure_future(self._keep(firsts[n % len(firsts)])) for n in range(IDLE)]
+        first_messages = (lambda: b"", self._health, self._activation)
+        self.tasks = [
+            asyncio.ensure_future(self._keep(first_messages[number % len(first_messages)]))
+            for number in range(IDLE)
+        ]
 
     @staticmethod
     def _health():
@@ -142,19 +146,19 @@
     def _activation():
         return msgpack.packb([0, 1, "plain", [ask(fn=1), b"x"]])
 
-    async def _keep(self, first):
+    async def _keep(self, first_message):
         while True:
             with contextlib.suppress(OSError):
                 reader, writer = await asyncio.open_connection(*self.site.address)
                 self.opened += 1
                 try:
-                    writer.write(first())
+                    writer.write(first_message())
                     while await reader.read(4096):
                         pass
                 finally:
                     writer.close()
-            if first == self._activation:  # one activation only, so that the load stays low
-                first = self._health
+            if first_message == self._activation:  # one activation only, so that the load stays low
+                first_message = self._health
             await asyncio.sleep(0.5)
 
     async def leave(self):
@@ -174,7 +178,7 @@
 
     def site(self, sockets=256):
         """Return a dispatcher with a silent roster; by default `sockets` exceeds the real limit."""
-        site = Limited([self.old], sockets=sockets)
+        site = LimitedSite([self.old], sockets=sockets)
         site.roster.rewrite = lambda wire: None
         return site
 
@@ -183,52 +187,52 @@
         crowd = Crowd(site)
         self.addAsyncCleanup(crowd.leave)
         room = ResourceLimits(DESCRIPTORS, 64)
-        await site.until(lambda: crowd.opened >= IDLE and site.figures()[1] >= room.clients, SLOW)
+        await site.until(lambda: crowd.opened >= IDLE and site.figures()[1] >= room.clients, TIMEOUT)
         return crowd
 
-    async def check_that_it_serves(self, site, roster, crowd):
+    async def check_serving(self, site, roster, crowd):
         """Check that the roster is queried, clients are served by workers, and no loop is busy."""
         asked, opened = roster.asked, crowd.opened
         before = await site.counts()
-        for n in range(CLIENTS):
-            await site.served(fn=n)
+        for number in range(CLIENTS):
+            await site.request_until_served(fn=number)
             await asyncio.sleep(0.3)  # meanwhile some idle connections are closed and others are opened
         self.assertLessEqual(site.lost, CLIENTS // 2)  # there is room for each client, whoever holds the rest
         _, now = await site.looks(LOOKS)
         looks, turns = now.looks - before.looks, now.turns - before.turns
         events = crowd.opened - opened + roster.asked - asked + CLIENTS + site.lost
-        self.assertLess(turns, TURNS_A_LOOK * looks + TURNS_AN_EVENT * events)
+        self.assertLess(turns, MAX_TURNS_PER_LOOK * looks + MAX_TURNS_PER_EVENT * events)
         self.assertLess(now.accepts - before.accepts, looks + events + IDLE)
         # A periodic check sends the next query if the last one is unanswered after 80 ms.
         self.assertGreater(roster.asked - asked, looks // 4)
         clients = site.figures()[1] - len(self.old.streams)
         self.assertLessEqual(clients, DESCRIPTORS - ResourceLimits(DESCRIPTORS, 64).workers)
 
-    async def check_that_it_hears(self, site, roster):
+    async def check_discovery_recovers(self, site, roster):
         """Check that the dispatcher uses a new worker when discovery recovers and replaces the known one."""
         self.assertFalse(self.new.probes or self.new.orders or self.new.runs)
         roster.serial, roster.entries = site.roster.serial + 1, {}
         roster.tell(self.new)
         roster.rewrite = None
-        async with asyncio.timeout(SLOW):
+        async with asyncio.timeout(TIMEOUT):
             while not self.new.runs:
-                await site.served()
+                await site.request_until_served()
         self.assertEqual([line for line in site.log if "Traceback" in line or "defect" in line], [])
 
     async def test_silent_from_before_the_start(self):
         async with self.site() as site:
-            await self.check_that_it_serves(site, site.roster, await self.crowd(site))
-            await self.check_that_it_hears(site, site.roster)
+            await self.check_serving(site, site.roster, await self.crowd(site))
+            await self.check_discovery_recovers(site, site.roster)
 
     async def test_silent_later(self):
         site = self.site()
         silent, site.roster.rewrite = site.roster.rewrite, None
         async with site:
             asked = site.roster.asked
-            await site.until(lambda: site.roster.asked > asked + 2, SLOW)
+            await site.until(lambda: site.roster.asked > asked + 2, TIMEOUT)
             site.roster.rewrite = silent
-            await self.check_that_it_serves(site, site.roster, await self.crowd(site))
-            await self.check_that_it_hears(site, site.roster)
+            await self.check_serving(site, site.roster, await self.crowd(site))
+            await self.check_discovery_recovers(site, site.roster)
 
     async def test_moved_under_a_crowd(self):
         """After SIGHUP the roster has a new address, and is silent there too at first."""
@@ -237,25 +241,25 @@
             crowd = await self.crowd(site)
             site.write(names=f"127.0.0.1:{self.second.port}")
             site.process.send_signal(signal.SIGHUP)
-            await site.until(lambda: self.second.asked, SLOW)
-            await self.check_that_it_serves(site, self.second, crowd)
-            await self.check_that_it_hears(site, self.second)
+            await site.until(lambda: self.second.asked, TIMEOUT)
+            await self.check_serving(site, self.second, crowd)
+            await self.check_discovery_recovers(site, self.second)
 
     async def test_told_of_the_true_limit(self):
         async with self.site(DESCRIPTORS) as site:
-            await self.check_that_it_serves(site, site.roster, await self.crowd(site))
-            await self.check_that_it_hears(site, site.roster)
+            await self.check_serving(site, site.roster, await self.crowd(site))
+            await self.check_discovery_recovers(site, site.roster)
 
     async def test_the_first_answer_comes_with_no_descriptor_left(self):
         """Reading the answer opens no descriptor, not even to import a library module."""
         async with self.site() as site:
-            site.leaves_none()
+            site.exhaust_descriptors()
             site.roster.rewrite = None
-            async with asyncio.timeout(SLOW):
+            async with asyncio.timeout(TIMEOUT):
                 while not (await site.counts()).answers:
                     await asyncio.sleep(0.1)
-            site.leaves_some()
-            await self.check_that_it_hears(site, site.roster)
+            site.restore_descriptors()
+            await self.check_discovery_recovers(site, site.roster)
 
     async def test_the_first_client_comes_with_one_descriptor_left(self):
         """The connection uses the descriptor; serving it opens no other."""
@@ -266,26 +270,26 @@
             client = await site.client()
             self.assertTrue(await client.health())
             client.close()
-            site.leaves_some()
-            await site.served()
+            site.restore_descriptors()
+            await site.request_until_served()
 
     async def test_moved_with_no_descriptor_left(self):
         """After SIGHUP the configuration can't be opened, for longer than an invalid one is reread."""
         async with self.site() as site:
-            site.leaves_none()
+            site.exhaust_descriptors()
             site.write(names=f"127.0.0.1:{self.second.port}")
             site.process.send_signal(signal.SIGHUP)
             with socket.create_connection(
                 site.address
             ):  # it can't be accepted, so the listener stays readable
-                before, now = await site.looks(TRIED)
-            self.assertLess(now.turns - before.turns, TURNS_A_LOOK * (now.looks - before.looks))
+                before, now = await site.looks(RELOAD_LOOKS)
+            self.assertLess(now.turns - before.turns, MAX_TURNS_PER_LOOK * (now.looks - before.looks))
             self.assertLess(now.accepts - before.accepts, 2 * (now.looks - before.looks))
             self.assertLess(sum("configuration" in line for line in site.log), 3)
             self.assertEqual(self.second.asked, 0)
-            site.leaves_some()
-            await site.until(lambda: self.second.asked, SLOW)
-            await self.check_that_it_hears(site, self.second)
+            site.restore_descriptors()
+            await site.until(lambda: self.second.asked, TIMEOUT)
+            await self.check_discovery_recovers(site, self.second)
 
     async def test_a_roster_that_cannot_be_reached_from_the_start(self):
         """The roster is unreachable at the start: the dispatcher serves with the workers that it knows, and
@@ -294,13 +298,13 @@
         write = site.write
         site.write = lambda **changes: write(**{"names": "255.255.255.255:53", **changes})
         async with site:
-            await site.served()
+            await site.request_until_served()
             _, now = await site.looks(LOOKS)
             self.assertLess(sum("can't be asked" in line for line in site.log), 3)
             site.write(names=f"127.0.0.1:{self.second.port}")
             site.process.send_signal(signal.SIGHUP)
-            await site.until(lambda: self.second.asked, SLOW)
-            await self.check_that_it_hears(site, self.second)
+            await site.until(lambda: self.second.asked, TIMEOUT)
+            await self.check_discovery_recovers(site, self.second)
 
 
 if __name__ == "__main__":
