--- a/petrelwood/settings/gateway.py
+++ b/petrelwood/settings/gateway.py
@@ -42,7 +42,7 @@
     customers: dict[str, Customer]
     functions: tuple[FunctionRule, ...]
     terms: ports.Terms
-    tls: Identity | None  # of the webhook server
+    tls: Identity | None  # of the webhook front
     worker_tls: Identity | None
     mqtt: MqttTerms | None
     early: EarlyTerms | None  # None: there are no early loads
