--- a/petrelwood/links/calls.py
+++ b/petrelwood/links/calls.py
@@ -86,14 +86,13 @@
 class Calls(Generic[ContentT, ConnectionT]):
     """The open calls of one link.
 
-    A subclass moves a call through its stages: `_enqueue` queues it, `_take_frame` removes it from the queue
-    to write it, `_end` reports its end. A subclass implements `_encode`, and `_send_cancel` if its protocol
-    can cancel a call.
+    A subclass moves a call through its stages: `_enqueue` queues it, `_take_frame` encodes it and marks it as
+    written, `_end` reports its end. A subclass implements `_encode`, and `_send_cancel` if its protocol can
+    cancel a call.
     """
 
-    MIN_TIME_LEFT = (
-        1  # ns; an attempt with less remaining time is not sent. It is the unit of that time in a frame.
-    )
+    # An attempt with less remaining time is not sent. In ns; the unit of that time in a frame.
+    MIN_TIME_LEFT = 1
 
     def __init__(self, worker: str, address: Address | None, core: LinkCore) -> None:
         self.worker = worker
@@ -102,9 +101,8 @@
         self.waiting: deque[Call[ContentT, ConnectionT]] = deque()  # queued calls that are not written yet
         self.waiting_bytes = 0
         self.in_flight: dict[object, Call[ContentT, ConnectionT]] = {}  # written calls by tag
-        self.runs: dict[
-            tuple[str, int], Call[ContentT, ConnectionT]
-        ] = {}  # queued and in-flight attempts, by activation and number
+        # queued and in-flight attempts, by activation and number
+        self.runs: dict[tuple[str, int], Call[ContentT, ConnectionT]] = {}
         self.counts = LinkCounts()
 
     # Interface for the dispatcher
@@ -243,9 +241,7 @@
     ) -> None:
         """Report the end of a call to the core, as an event after the one being handled."""
         core = self.core
-        if (
-            call.kind == LOAD_ORDER and call.stage == QUEUED
-        ):  # never sent: it no longer counts against the rate limit
+        if call.kind == LOAD_ORDER and call.stage == QUEUED:  # not sent: not counted by the rate limit
             core.order_not_sent(call.made_at)
         call.stage = ANSWERED
         if call.kind == RUN:
