--- a/petrelwood/decide/bgp/neighbor.py
+++ b/petrelwood/decide/bgp/neighbor.py
@@ -150,7 +150,7 @@
         self.connecting = False
         for connection in list(self.connections.values()):
             data = bgp.shutdown_text(text) if text else b""
-            self._end(now, connection, bgp.Wrong(bgp.CEASE, subcode, text or "stopped on this side", data))
+            self._end(now, connection, bgp.Wrong(bgp.CEASE, subcode, text or "stopped here", data))
 
     def connection_made(self, now: int, key: Opener) -> bool:
         """Handle an opened connection; return whether it is used, otherwise the owner must close it."""
@@ -192,7 +192,7 @@
             self._end(
                 now,
                 connection,
-                bgp.Wrong(bgp.HEADER_ERROR, BAD_MESSAGE_LENGTH, "a message is too short"),
+                bgp.Wrong(bgp.HEADER_ERROR, BAD_MESSAGE_LENGTH, "a message that is cut short"),
             )
 
     def route_limit_exceeded(self, now: int) -> None:
@@ -208,7 +208,7 @@
         """Perform the actions that are due: expire hold times, send KEEPALIVEs, connect."""
         for connection in list(self.connections.values()):
             if connection.hold_expires and now >= connection.hold_expires:
-                fault = bgp.Wrong(bgp.HOLD_EXPIRED, 0, "nothing was received for the hold time")
+                fault = bgp.Wrong(bgp.HOLD_EXPIRED, 0, "nothing was heard for the hold time")
                 self._end(now, connection, fault)
             elif connection.keepalive_due and now >= connection.keepalive_due:
                 self._send_keepalive(now, connection)
@@ -242,15 +242,15 @@
     def _message(self, now: int, connection: Connection, kind: int, body: bytes) -> None:
         if kind == bgp.NOTIFICATION:
             found = bgp.read_notification(body)
-            why = f"the peer closed the session: {found.code}/{found.sub} {found.text()}".strip()
+            why = f"the peer ended it: {found.code}/{found.sub} {found.text()}".strip()
             self._close(now, connection, why)
         elif connection.state is State.OPEN_SENT:
             if kind != bgp.OPEN:
-                raise bgp.Wrong(bgp.FSM_ERROR, 1, f"a {bgp.NAMES[kind]} came before the OPEN")
+                raise bgp.Wrong(bgp.FSM_ERROR, 1, f"a {bgp.NAMES[kind]} before the OPEN")
             self._on_open(now, connection, bgp.read_open(body))
         elif connection.state is State.OPEN_CONFIRM:
             if kind != bgp.KEEPALIVE:
-                raise bgp.Wrong(bgp.FSM_ERROR, 2, f"a {bgp.NAMES[kind]} came before the first KEEPALIVE")
+                raise bgp.Wrong(bgp.FSM_ERROR, 2, f"a {bgp.NAMES[kind]} before the first KEEPALIVE")
             self._establish(now, connection)
         else:
             self._session_message(now, connection, kind, body)
@@ -269,7 +269,7 @@
                 afi, _, _ = struct.unpack("!HBB", body)
                 self.owner.resend_routes(afi)
         elif kind == bgp.OPEN:
-            raise bgp.Wrong(bgp.FSM_ERROR, 3, "an OPEN was received in an established session")
+            raise bgp.Wrong(bgp.FSM_ERROR, 3, "an OPEN in an established session")
 
     def _on_open(self, now: int, connection: Connection, found: bgp.Open) -> None:
         self._check_open(found)
@@ -287,13 +287,11 @@
         """Raise `bgp.Wrong` if the peer's OPEN does not match the terms."""
         terms = self.terms
         if terms.peer_asn and found.asn != terms.peer_asn:
-            raise bgp.Wrong(
-                bgp.OPEN_ERROR, 2, f"the peer has AS {found.asn}, but {terms.peer_asn} was expected"
-            )
+            raise bgp.Wrong(bgp.OPEN_ERROR, 2, f"AS {found.asn}, and {terms.peer_asn} was expected")
         if found.id == terms.id and found.asn == terms.asn:
-            raise bgp.Wrong(bgp.OPEN_ERROR, 3, "the peer has this speaker's own identifier")
+            raise bgp.Wrong(bgp.OPEN_ERROR, 3, "the peer has our own identifier")
         if terms.role is not None and found.role is not None and (terms.role, found.role) not in bgp.AGREE:
-            raise bgp.Wrong(bgp.OPEN_ERROR, 11, f"roles {terms.role} and {found.role} are incompatible")
+            raise bgp.Wrong(bgp.OPEN_ERROR, 11, f"roles {terms.role} and {found.role} do not go together")
 
     def _loses_collision(self, now: int, connection: Connection, found: bgp.Open) -> bool:
         """End one of two connections, if there are two; return whether it is this one.
--- a/petrelwood/decide/bgp/service_health.py
+++ b/petrelwood/decide/bgp/service_health.py
@@ -24,7 +24,7 @@
 MAX_DOUBLINGS = 6  # upper bound for doublings of the settling time
 SHUTTING_DOWN = "it drains"
 ANSWERS_LATE = "answers do not come in time"
-NO_HEARTBEAT = "no heartbeat was received yet"
+NO_HEARTBEAT = "nothing was heard of it yet"
 
 
 class ServiceLevel(StrEnum):
@@ -68,11 +68,11 @@
     if report.closing:
         return Fault(SHUTTING_DOWN)
     if report.stalled > bounds.stall:
-        return Fault("its event loop is stalled")
+        return Fault("its loop stands still")
     if report.list_age > bounds.list_age:
-        return Fault("its endpoint list is stale")
+        return Fault("its list of workers is old")
     if not report.is_durable:
-        return Fault("its state can't be made durable")
+        return Fault("it can't keep what must be kept")
     if not report.usable_workers:
         return Fault("no worker is usable", is_shared=True)
     answers = report.completed + report.failed
@@ -120,7 +120,7 @@
             self.well_since = None
         elif not self._has_settled(now):
             level = ServiceLevel.REDUCED if self.level is ServiceLevel.REDUCED else ServiceLevel.NONE
-            reason = "it has not been healthy for long enough"
+            reason = "it was not well for long enough"
         if level is ServiceLevel.NONE and self.level is not ServiceLevel.NONE:
             self.withdrawals += 1
             if fault is None or (fault.reason != SHUTTING_DOWN and not fault.is_shared):
@@ -142,7 +142,7 @@
         if self.report is None:
             return Fault(NO_HEARTBEAT)
         if now - self.last_heartbeat > self.bounds.silence:
-            return Fault("its heartbeats have stopped")
+            return Fault("it says nothing")
         fault = find_fault(self.report, self.bounds, self._was_late)
         self._was_late = fault is not None and fault.reason == ANSWERS_LATE
         return fault
--- a/petrelwood/links/announced_lengths.py
+++ b/petrelwood/links/announced_lengths.py
@@ -83,12 +83,12 @@
         """Return the number of bytes that follow a code and its length field."""
         code = head[0]
         if code in EXTENSIONS:
-            raise MalformedRpcError("a MessagePack extension type is not allowed")
+            raise MalformedRpcError("an extension type")
         if FIRST_SHORT_TEXT <= code <= LAST_SHORT_TEXT:
             return code & SHORT_LENGTH_MASK
         if code not in LENGTH_SIZES:
             return FOLLOWING_BYTES.get(code, 0)
         size = int.from_bytes(head[1:], "big")
         if size > (self.limits.body if code < FIRST_CODE_AFTER_BIN else self.limits.text):
-            raise MalformedRpcError(f"a value of {size} bytes exceeds the limit")
+            raise MalformedRpcError(f"it announces {size} bytes")
         return size
--- a/petrelwood/links/tls.py
+++ b/petrelwood/links/tls.py
@@ -52,15 +52,15 @@
             IdentityError: The files are unusable at `now`.
         """
         if self.mutual and not self.trusts:
-            raise IdentityError("mutual TLS requires trusted authorities")
+            raise IdentityError("mutual TLS needs to know whom to trust")
         if not self.cert:
             return None
         found = self._read_certificate()
         if now >= found.not_valid_after_utc:
-            raise IdentityError(f"{self.cert} expired on {found.not_valid_after_utc:%Y-%m-%d %H:%M} UTC")
+            raise IdentityError(f"{self.cert} ran out on {found.not_valid_after_utc:%Y-%m-%d %H:%M} UTC")
         if now < found.not_valid_before_utc:
             raise IdentityError(
-                f"{self.cert} is not valid before {found.not_valid_before_utc:%Y-%m-%d %H:%M} UTC"
+                f"{self.cert} holds only from {found.not_valid_before_utc:%Y-%m-%d %H:%M} UTC on"
             )
         self._load(ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER))
         return found.not_valid_after_utc - now
@@ -71,7 +71,7 @@
         except OSError as error:
             raise IdentityError(f"{self.cert} can't be read: {error.strerror}") from error
         except ValueError as error:
-            raise IdentityError(f"{self.cert} is not a certificate in PEM") from error
+            raise IdentityError(f"{self.cert} is no certificate in PEM") from error
 
     def _load(self, context: ssl.SSLContext) -> None:
         try:
@@ -82,7 +82,7 @@
         except OSError as error:  # includes ssl.SSLError
             reason = getattr(error, "reason", None) or error.strerror or str(error)
             raise IdentityError(
-                f"{self.cert} and {self.key or 'its key'} do not match, or {self.trusts or 'trust'} "
+                f"{self.cert} and {self.key or 'its key'} do not go together, or {self.trusts or 'trust'} "
                 f"can't be read: {reason}"
             ) from error
         self._loaded = self._modification_times()
