--- a/petrelwood/cli/configs.py
+++ b/petrelwood/cli/configs.py
@@ -224,7 +224,7 @@
 
         if number not in {a.number for a in versions.announced(folder)}:
             raise click.ClickException(f"{folder} has no version {number}")
-        versions.call_off(folder, number, "called off by hand")
+        versions.revoke(folder, number, "called off by hand")
         click.echo(f"version {number} is called off")
 
     def values(path):
--- a/petrelwood/dispatch/activations.py
+++ b/petrelwood/dispatch/activations.py
@@ -59,7 +59,7 @@
         """The activations without a final answer."""
 
     @property
-    def known_ids(self) -> Ledger:
+    def required_ledger(self) -> Ledger:
         """The ledger, of a dispatcher that has one."""
 
     @property
@@ -142,7 +142,7 @@
     def _reject_for_outage(self, now: int, key: Key, state: DurableState, exchange: Exchange) -> None:
         """Reject an activation that must not run twice while its id can't be made durable."""
         core = self.core
-        core.known_ids.end(key, CLIENT_LEFT)
+        core.required_ledger.end(key, CLIENT_LEFT)
         retry_after = self.intake.retry_after(now, *key, state.reject(now))
         exchange.answer(intake_stage.REJECT, retry_after=retry_after, detail="its id can't be kept now")
 
@@ -188,29 +188,29 @@
         retry_after = self.intake.retry_after(self.now(), customer, id_, least_wait)
         self.finish(act.id, REJECTED, retry_after=retry_after)
 
-    def detach_client(self, act_id: str, exchange: Exchange) -> None:
+    def detach_client(self, activation_id: str, exchange: Exchange) -> None:
         """End an activation whose client disconnected, unless others wait for it or it must continue."""
-        if self.pending.client_departed(act_id, exchange):
-            act = self.pending.end(self.now(), act_id, CLIENT_LEFT)
+        if self.pending.client_departed(activation_id, exchange):
+            act = self.pending.end(self.now(), activation_id, CLIENT_LEFT)
             if act is None:
                 return
             self._record_end(act, CLIENT_LEFT, None)
             if act.in_flight:
                 self.core.links.withdraw(act.id, act.in_flight)
-            self.core.scheduler.client_departed(self.now(), act_id)
+            self.core.scheduler.client_departed(self.now(), activation_id)
 
     def finish(
         self,
-        act_id: str,
+        activation_id: str,
         outcome: ActivationState,
         body: bytes | None = None,
         retry_after: int = 0,
         why: str = "",
     ) -> None:
         """Give an activation its final answer."""
-        act = self.pending.end(self.now(), act_id, outcome, body)
+        act = self.pending.end(self.now(), activation_id, outcome, body)
         if act is None:
-            self.core.log.error("second final answer suppressed", act=act_id, outcome=outcome)
+            self.core.log.error("second final answer suppressed", act=activation_id, outcome=outcome)
             return
         self._record_end(act, outcome, body)
         if act.in_flight:
@@ -259,31 +259,31 @@
                 exchange.answer(ABORTED, detail="the first try still runs", activation_id=act.id)
         self._set_deadline_timer()
 
-    def time_out(self, act_id: str) -> None:
+    def time_out(self, activation_id: str) -> None:
         """Let the attempts of an activation time out, of which the module makes a final answer.
 
         If it does not, there is one all the same.
         """
-        act = self.pending.activations.get(act_id)
+        act = self.pending.activations.get(activation_id)
         if act is not None:
-            self.core.links.time_out(act_id, act.in_flight)
-            self.core.submit(self._abort_overdue, act_id)
+            self.core.links.time_out(activation_id, act.in_flight)
+            self.core.submit(self._abort_overdue, activation_id)
 
-    def _abort_overdue(self, act_id: str) -> None:
-        act = self.pending.activations.get(act_id)
+    def _abort_overdue(self, activation_id: str) -> None:
+        act = self.pending.activations.get(activation_id)
         if act is not None:
             self.pending.counts["overdue"] += 1
-            self.core.log.error("overdue", act=act_id, sends=act.attempts)
-            self.finish(act_id, ABORTED, why="out of time")
-            self.core.scheduler.client_departed(self.now(), act_id)
+            self.core.log.error("overdue", act=activation_id, sends=act.attempts)
+            self.finish(activation_id, ABORTED, why="out of time")
+            self.core.scheduler.client_departed(self.now(), activation_id)
 
-    def abort_defective(self, act_id: str) -> None:
+    def abort_defective(self, activation_id: str) -> None:
         """Abort an activation that a defect of this program has touched."""
         core = self.core
-        if act_id not in self.pending.activations:
+        if activation_id not in self.pending.activations:
             return
-        self.finish(act_id, ABORTED, why="a defect in the dispatcher")
+        self.finish(activation_id, ABORTED, why="a defect in the dispatcher")
         try:
-            core.scheduler.client_departed(self.now(), act_id)
+            core.scheduler.client_departed(self.now(), activation_id)
         except Exception as fault:
-            core.log.error("defect", where="left", fault=repr(fault), act=act_id)
+            core.log.error("defect", where="left", fault=repr(fault), act=activation_id)
--- a/petrelwood/dispatch/configuration.py
+++ b/petrelwood/dispatch/configuration.py
@@ -32,7 +32,7 @@
 
 APPEND_TIMEOUT = 5.0  # seconds; over `QUORUM_TIMEOUT`
 APPEND_RETRY_INTERVAL = 1.0  # seconds between two rounds of attempts to report a call-off
-MOST_UNSENT_CALL_OFFS = 64
+MAX_UNSENT_REVOCATIONS = 64
 
 
 class ConfigurationFollower:
@@ -57,7 +57,7 @@
         }
         rollout_time = dwell_for(terms.within) * (len(STAGES) - 1)
         self.watch = VersionWatch(name, addresses, versions.position(folder), rollout_time, chance)
-        self.unsent_call_offs: dict[int, str] = {}  # version -> reason
+        self.unsent_revocations: dict[int, str] = {}  # version -> reason
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
@@ -90,7 +90,7 @@
             for event in self.watch.on_answer(server, extract, self.clock.now(), self.clock.steady_wall()):
                 self._store(event)
             if self.watch.position != position:
-                versions.note_position(self.folder, self.watch.position)
+                versions.store_position(self.folder, self.watch.position)
         except OSError as fault:
             self.watch.position = position
             self.log.error("storing a version failed; it will be read again", why=str(fault))
@@ -102,7 +102,7 @@
             OSError: The folder does not take it.
         """
         if isinstance(event, Revocation):
-            versions.call_off(self.folder, event.number, event.reason)
+            versions.revoke(self.folder, event.number, event.reason)
         else:
             try:
                 text = decompress_text(event.body)
@@ -112,17 +112,17 @@
             versions.receive(self.folder, event.number, text, event.rollout_start)
         self.log.info("version received", number=event.number, off=isinstance(event, Revocation))
 
-    def call_off(self, number: int, why: str) -> None:
+    def report_revocation(self, number: int, why: str) -> None:
         """Report to the servers that this dispatcher has found a version bad.
 
         It is retried until one of them has it decided.
         """
-        if number in self.unsent_call_offs or len(self.unsent_call_offs) >= MOST_UNSENT_CALL_OFFS:
+        if number in self.unsent_revocations or len(self.unsent_revocations) >= MAX_UNSENT_REVOCATIONS:
             return
-        self.unsent_call_offs[number] = why
-        self._start(self._report_call_off(number, f"{self.name}: {why}"))
+        self.unsent_revocations[number] = why
+        self._start(self._report_revocation(number, f"{self.name}: {why}"))
 
-    async def _report_call_off(self, number: int, why: str) -> None:
+    async def _report_revocation(self, number: int, why: str) -> None:
         record = Record(
             f"off-{number}-{self.name}"[: messages.MAX_ID_SIZE],
             RecordKind.REVOCATION,
@@ -131,7 +131,7 @@
             why.encode(),
         )
         params = [messages.encode_record(record)]
-        while number in self.unsent_call_offs:
+        while number in self.unsent_revocations:
             for server in self.watch.servers:
                 try:
                     await self.clients[server].call("append", params, APPEND_TIMEOUT)
@@ -143,7 +143,7 @@
                         why=str(fault),
                     )
                     continue
-                del self.unsent_call_offs[number]
+                del self.unsent_revocations[number]
                 return
             await asyncio.sleep(APPEND_RETRY_INTERVAL)
 
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -143,12 +143,12 @@
             fault=repr(fault),
             aborted=len(touched),
         )
-        for act_id in sorted(touched):
-            self.activations.abort_defective(act_id)
+        for activation_id in sorted(touched):
+            self.activations.abort_defective(activation_id)
 
     # The durable state.
     @property
-    def known_ids(self) -> Ledger:
+    def required_ledger(self) -> Ledger:
         """The ledger, of a dispatcher that has one."""
         if self.ledger is None:
             raise TypeError("this dispatcher knows nothing of earlier activations")
@@ -164,8 +164,8 @@
         `predecessor_runs`: the one before still finishes what it has in flight.
         """
         if self.durable_state is None:
-            self.durable_state = DurableState(self, self.activations, self.known_ids, log)
-            self.events.after_turn = self.durable_state.flush
+            self.durable_state = DurableState(self, self.activations, self.required_ledger, log)
+            self.events.after_run = self.durable_state.flush
         self.durable_state.adopt(log, predecessor_runs)
 
     def sync_state(self, done: Callable[[bool], object]) -> None:
@@ -212,12 +212,12 @@
     ) -> None:
         """Learn how an activation ended that the predecessor had in flight."""
         key = (customer, id_)
-        if self.known_ids.end_elsewhere(key, outcome, sent, body) and self.durable_state is not None:
+        if self.required_ledger.end_elsewhere(key, outcome, sent, body) and self.durable_state is not None:
             self.durable_state.record_ended(key, outcome, sent, body)
 
     def predecessor_ended(self) -> None:
         """Learn that the predecessor has ended: the outcomes that it did not send stay unknown."""
-        self.known_ids.abandon_elsewhere()
+        self.required_ledger.abandon_elsewhere()
 
     # Storms, forecasts and settings.
     def _check_storms(self) -> None:
@@ -288,14 +288,14 @@
         """Admit the request of an authenticated client, or answer it at once."""
         self.submit(self.activations.admit, request, function, rule, body, exchange)
 
-    def detach_client(self, act_id: str, exchange: Exchange) -> None:
+    def detach_client(self, activation_id: str, exchange: Exchange) -> None:
         """Detach the client of an exchange, which has disconnected."""
-        self.submit(self.activations.detach_client, act_id, exchange)
+        self.submit(self.activations.detach_client, activation_id, exchange)
 
     # From the links.
     def send_ended(
         self,
-        act_id: str,
+        activation_id: str,
         attempt: int,
         worker: str,
         reason: ports.EndReason,
@@ -306,18 +306,18 @@
     ) -> None:
         """Handle the end of an attempt; `report`: the worker's load report, if it sent one."""
         now = self.now()
-        self.links.in_flight.pop((act_id, attempt), None)
-        act = self.pending.activations.get(act_id)
-        is_unanswered = self.pending.end_attempt(act_id, attempt)
+        self.links.in_flight.pop((activation_id, attempt), None)
+        act = self.pending.activations.get(activation_id)
+        is_unanswered = self.pending.end_attempt(activation_id, attempt)
         if is_unanswered and reason == ports.EndReason.COMPLETED:
-            self.activations.finish(act_id, COMPLETED, body)
+            self.activations.finish(activation_id, COMPLETED, body)
         if reason == ports.EndReason.COMPLETED and self.intake.damps:
             self.intake.storms.record_attempt(now, note not in (0, ports.CopyNote.FOUND_WARM))
         if act is not None and (self.forecasts is not None or self.record_execution is not None):
             self._learn(now, act, worker, reason, note, now - sent_at)
-        self.events.touched.add(act_id)
-        has_ended = act_id not in self.pending.activations
-        end = ports.AttemptEnd(act_id, attempt, worker, reason, note, has_ended, now - sent_at, report)
+        self.events.touched.add(activation_id)
+        has_ended = activation_id not in self.pending.activations
+        end = ports.AttemptEnd(activation_id, attempt, worker, reason, note, has_ended, now - sent_at, report)
         self.scheduler.attempt_ended(now, end)
 
     def _learn(
--- a/petrelwood/dispatch/durable_state.py
+++ b/petrelwood/dispatch/durable_state.py
@@ -167,9 +167,9 @@
             self._sync()
 
     def _begin_recorded(self, waiting: list[str], durable: bool) -> None:
-        for act_id in waiting:
-            act = self.unsynced.pop(act_id, None)
-            if act is None or act_id not in self.core.pending.activations:
+        for activation_id in waiting:
+            act = self.unsynced.pop(activation_id, None)
+            if act is None or activation_id not in self.core.pending.activations:
                 continue
             if durable:
                 self.activations.begin(act)
--- a/petrelwood/dispatch/event_queue.py
+++ b/petrelwood/dispatch/event_queue.py
@@ -9,7 +9,7 @@
 
 from petrelwood.dispatch.interfaces import Clock
 
-MOST_CALLS_IN_A_TURN = 10_000  # that follow from each other, before the clock is let go on
+MAX_CALLS_PER_RUN = 10_000  # that follow from each other, before the clock is let go on
 
 Call = Callable[..., object]
 Arguments = tuple[object, ...]
@@ -20,15 +20,15 @@
     """Calls that wait for their turn.
 
     Whoever adds one to `waiting` calls `run` unless it is `running`. `on_defect(name, error, arguments)` is
-    called for each call that raised, `after_turn()` when nothing is left to do for now.
+    called for each call that raised, `after_run()` when nothing is left to do for now.
     """
 
-    __slots__ = ("after_turn", "clock", "on_defect", "running", "touched", "waiting")
+    __slots__ = ("after_run", "clock", "on_defect", "running", "touched", "waiting")
 
     def __init__(self, clock: Clock, on_defect: DefectHandler) -> None:
         self.clock = clock
         self.on_defect = on_defect
-        self.after_turn: Callable[[], object] | None = None
+        self.after_run: Callable[[], object] | None = None
         self.waiting: deque[tuple[Call, Arguments]] = deque()
         self.running = False
         self.touched: set[str] = set()  # ids of the activations that the present call has to do with
@@ -38,7 +38,7 @@
         self.running = True
         waiting = self.waiting
         try:
-            for _ in range(MOST_CALLS_IN_A_TURN):
+            for _ in range(MAX_CALLS_PER_RUN):
                 if not waiting:
                     break
                 call, arguments = waiting.popleft()
@@ -50,7 +50,7 @@
         finally:
             self.running = False
             self.touched.clear()  # a defect outside of the queue is none of theirs
-            if self.after_turn is not None:
-                self.after_turn()
+            if self.after_run is not None:
+                self.after_run()
         if waiting:
             self.clock.at(self.clock.now(), self.run)
--- a/petrelwood/dispatch/outlet.py
+++ b/petrelwood/dispatch/outlet.py
@@ -71,7 +71,7 @@
 
     def send_ended(
         self,
-        act_id: str,
+        activation_id: str,
         attempt: int,
         worker: str,
         reason: ports.EndReason,
--- a/petrelwood/dispatch/rollout.py
+++ b/petrelwood/dispatch/rollout.py
@@ -77,7 +77,7 @@
 class VersionRollout:
     """Applies the versions of one folder.
 
-    `on_call_off(number, why)` reports a version that this dispatcher called off.
+    `on_revocation(number, why)` reports a version that this dispatcher revoked.
     """
 
     def __init__(
@@ -88,7 +88,7 @@
         log: Logger,
         updater: SettingsUpdater,
         upgrader: Upgrader,
-        on_call_off: Callable[[int, str], object],
+        on_revocation: Callable[[int, str], object],
     ) -> None:
         self.rollout = rollout
         self.source = source
@@ -96,8 +96,8 @@
         self.log = log
         self.updater = updater
         self.upgrader = upgrader
-        self.on_call_off = on_call_off
-        self.unwritten_call_offs: dict[int, str] = {}  # that the folder did not take yet
+        self.on_revocation = on_revocation
+        self.unwritten_revocations: dict[int, str] = {}  # that the folder did not take yet
 
     async def run(self, answers_counted: tuple[int, int]) -> None:
         """Follow the folder until it is cancelled.
@@ -114,7 +114,7 @@
             for _ in range(failed_now - failed):
                 self.rollout.record_answer(False)
             completed, failed = completed_now, failed_now
-            await self._write_call_offs()
+            await self._write_revocations()
             if self.upgrader.handing_over:
                 # the successor goes on with this
                 continue
@@ -125,12 +125,12 @@
     async def _carry_out(self, step: RolloutStep) -> None:
         is_rollback = step.action is RolloutAction.ROLL_BACK
         number = step.version
-        called_off = self.rollout.faulty_version
+        faulty_version = self.rollout.faulty_version
         event = "rolling back to a version" if is_rollback else "applying a version"
-        self.log.info(event, number=number, calls_off=called_off)
+        self.log.info(event, number=number, calls_off=faulty_version)
         # at once: the other dispatchers must not wait for what is done here
-        if called_off is not None:
-            await self._call_off(called_off, DID_WORSE)
+        if faulty_version is not None:
+            await self._revoke(faulty_version, DID_WORSE)
         reason = NOT_APPLICABLE
         try:
             new = await self._read(number, is_rollback)
@@ -145,7 +145,7 @@
             reason = f"it is wrong: {fault}"
         if result is UpdateResult.NOT_APPLIED and not is_rollback:
             self.rollout.on_apply_failed()
-            await self._call_off(number, reason)
+            await self._revoke(number, reason)
 
     async def _read(self, number: int, is_rollback: bool) -> Gateway:
         """Return the settings of a version; that of a rollback is read until the folder gives it.
@@ -176,20 +176,20 @@
                 result = self.updater.update(new, self.upgrader.available)
         return result
 
-    async def _call_off(self, number: int, why: str) -> None:
+    async def _revoke(self, number: int, why: str) -> None:
         """Revoke a version in the folder, and by the configuration servers for all other dispatchers."""
-        self.on_call_off(number, why)
-        self.unwritten_call_offs[number] = f"{self.updater.gateway.name}: {why}"
-        await self._write_call_offs()
+        self.on_revocation(number, why)
+        self.unwritten_revocations[number] = f"{self.updater.gateway.name}: {why}"
+        await self._write_revocations()
 
-    async def _write_call_offs(self) -> None:
+    async def _write_revocations(self) -> None:
         """Put revocations into the folder; those that it does not take are attempted again later."""
-        for number, reason in list(self.unwritten_call_offs.items()):
+        for number, reason in list(self.unwritten_revocations.items()):
             try:
                 await self.core.loop.run_in_executor(
-                    None, versions.call_off, self.source.folder, number, reason
+                    None, versions.revoke, self.source.folder, number, reason
                 )
             except OSError as fault:
                 self.log.error("call-off not stored; it is attempted again", number=number, why=str(fault))
                 continue
-            del self.unwritten_call_offs[number]
+            del self.unwritten_revocations[number]
--- a/petrelwood/dispatch/serve.py
+++ b/petrelwood/dispatch/serve.py
@@ -193,14 +193,14 @@
             self.log,
             self.updater,
             Upgrader(self.core.loop, self.log, self.options.upgrade_command, self.predecessor),
-            self._report_call_off,
+            self._report_revocation,
         )
         # what a successor has answered so far counts for the version that it was started with
         self._start(rollout.run((0, 0) if self.follows else self.core.answered))
 
-    def _report_call_off(self, number: int, why: str) -> None:
+    def _report_revocation(self, number: int, why: str) -> None:
         if self.follower is not None:
-            self.follower.call_off(number, why)
+            self.follower.report_revocation(number, why)
 
     def _follow_configuration(self) -> None:
         """Keep the folder of versions as the configuration servers have it."""
--- a/petrelwood/fronts/interfaces.py
+++ b/petrelwood/fronts/interfaces.py
@@ -241,7 +241,7 @@
         """The terms of the scheduler."""
 
     @property
-    def known_ids(self) -> Ledger:
+    def required_ledger(self) -> Ledger:
         """The ledger of the ids of earlier activations."""
 
     def submit(self, call: Callable[..., object], *args: object) -> None:
--- a/petrelwood/fronts/mqtt_decoding.py
+++ b/petrelwood/fronts/mqtt_decoding.py
@@ -96,7 +96,9 @@
             self._messages,
         )
         core = self._core
-        newer = core.known_ids.next_timestamp((self._customer, id_), rule.type, core.clock.steady_wall())
+        newer = core.required_ledger.next_timestamp(
+            (self._customer, id_), rule.type, core.clock.steady_wall()
+        )
         self.last_timestamp = max(self.last_timestamp + 1, newer)
         return ActivationRequest(self._customer, id_, self.last_timestamp, rule.type, now, patience(packet))
 
--- a/petrelwood/store/versions.py
+++ b/petrelwood/store/versions.py
@@ -20,10 +20,10 @@
 from petrelwood.store.snapshot import put
 
 POSITION = "position"
-MOST_VERSIONS = 16  # that stay in a folder that the configuration servers fill
+MAX_VERSIONS = 16  # that stay in a folder that the configuration servers fill
 SETTINGS = ".kdl"  # the endings of a version's files
 BEGINNING = ".json"
-CALL_OFF = ".off"
+REVOCATION = ".off"
 
 Folder = str | os.PathLike[str]
 
@@ -36,8 +36,8 @@
         try:
             if path_of(folder, number).exists():
                 rollout_start = int(json.loads((folder / f"{number}{BEGINNING}").read_text())["begun"])
-                called_off = (folder / f"{number}{CALL_OFF}").exists()
-                found.append(Announcement(number, rollout_start, called_off))
+                revoked = (folder / f"{number}{REVOCATION}").exists()
+                found.append(Announcement(number, rollout_start, revoked))
         except (OSError, ValueError, KeyError, TypeError, OverflowError):
             continue
     return found
@@ -78,8 +78,8 @@
     files = files or Files()
     folder.mkdir(parents=True, exist_ok=True)
     _write(folder, number, text, rollout_start, files)
-    for old in _numbers(folder, BEGINNING)[:-MOST_VERSIONS]:
-        for ending in (BEGINNING, CALL_OFF, SETTINGS):
+    for old in _numbers(folder, BEGINNING)[:-MAX_VERSIONS]:
+        for ending in (BEGINNING, REVOCATION, SETTINGS):
             _remove(folder / f"{old}{ending}", files)
 
 
@@ -103,7 +103,7 @@
         return 0
 
 
-def note_position(folder: Folder, slot: int, files: Files | None = None) -> None:
+def store_position(folder: Folder, slot: int, files: Files | None = None) -> None:
     """Store the slot up to which the log has been read, once all of it is in the folder.
 
     Raises:
@@ -114,7 +114,7 @@
     put(folder / POSITION, str(slot).encode(), files=files)
 
 
-def call_off(folder: Folder, number: int, why: str, files: Files | None = None) -> None:
+def revoke(folder: Folder, number: int, why: str, files: Files | None = None) -> None:
     """Call a version off for all dispatchers that read the folder.
 
     The file is made durable: the position that follows may survive a crash, and then the revocation would not
@@ -123,7 +123,7 @@
     Raises:
         OSError: the file could not be written.
     """
-    put(pathlib.Path(folder) / f"{number}{CALL_OFF}", why.encode("utf-8"), durable=True, files=files)
+    put(pathlib.Path(folder) / f"{number}{REVOCATION}", why.encode("utf-8"), durable=True, files=files)
 
 
 def path_of(folder: Folder, number: int) -> pathlib.Path:
--- a/tests/test_configuration_servers.py
+++ b/tests/test_configuration_servers.py
@@ -178,11 +178,11 @@
         one, other = self.follow(self.folder / "one"), self.follow(self.folder / "other")
         await self.group.append("c2", version(1))
         await self.until(lambda: one.watch.position == other.watch.position == 1)
-        one.call_off(1, "it did worse")
+        one.report_revocation(1, "it did worse")
         await self.until(lambda: other.watch.position == 2)
         self.assertTrue(versions.announced(self.folder / "other")[0].revoked)
         self.assertEqual((self.folder / "other" / "1.off").read_text(), "d1: it did worse")
-        await self.until(lambda: not one.unsent_call_offs)
+        await self.until(lambda: not one.unsent_revocations)
         with self.assertRaisesRegex(RpcError, "no version 9"):
             await self.group.append("c1", Record("x", RecordKind.REVOCATION, 9, 0, b"?"))
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -356,7 +356,7 @@
                 worker = ManualWorker("s-1")
                 async with InProcessSite([worker]) as site:
                     gone, stays = Caller(site.address), Caller(site.address)
-                    with mock.patch.object(event_queue, "MOST_CALLS_IN_A_TURN", 0):
+                    with mock.patch.object(event_queue, "MAX_CALLS_PER_RUN", 0):
                         gone.call(ask(fn=1))
                         await site.until(lambda: site.node.events.waiting)
                         gone.close(how)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -407,7 +407,7 @@
         # its stages are over
         self.assertEqual(versions.announce(folder, new, time.time_ns() - 600 * S), 1)
         await until(200)
-        versions.call_off(folder, 1, "by hand")
+        versions.revoke(folder, 1, "by hand")
         await until(404)
         versions.announce(folder, "this is { no", time.time_ns() - 600 * S)
         ends_at = time.monotonic() + 20
@@ -445,7 +445,7 @@
         self.roster.tell(second.entry())
         self.roster.entries[0] = self.worker.entry("draining")
         self.roster.tell(self.worker.entry("draining"))
-        versions.call_off(folder, 1, "by hand")
+        versions.revoke(folder, 1, "by hand")
         await asyncio.sleep(1)  # four times the grace
         had = len(self.worker.runs)
         await until(2, "version needs an upgrade")
--- a/tests/test_store_recovery.py
+++ b/tests/test_store_recovery.py
@@ -53,8 +53,8 @@
         """One round of a follower: two versions, a call-off, the position."""
         versions.receive(folder, 1, "one", WALL, files)
         versions.receive(folder, 2, "two", WALL + 1, files)
-        versions.call_off(folder, 2, "bad", files)
-        versions.note_position(folder, 3, files)
+        versions.revoke(folder, 2, "bad", files)
+        versions.store_position(folder, 3, files)
 
     def test_each_call_fails_once_and_what_is_announced_is_whole(self):
         count = FaultyFiles()
@@ -83,7 +83,7 @@
         """On the text before it was not: after a fall of the machine the position could stand without it."""
         files = FaultyFiles()
         (self.folder / "v").mkdir()
-        versions.call_off(self.folder / "v", 1, "bad", files)
+        versions.revoke(self.folder / "v", 1, "bad", files)
         self.assertEqual(files.calls, ["open", "write", "sync", "close", "replace", "sync_folder"])
 
     def test_a_folder_that_cannot_be_listed_has_no_versions_for_now(self):
@@ -210,20 +210,20 @@
                 raise SettingsError("7.kdl", 1, "it is wrong")
             return text
 
-        call_off = versions.call_off
+        revoke = versions.revoke
         failing = [True]
 
         def sometimes(*args):
             if failing[0]:
                 raise OSError(errno.ENOSPC, "No space left on device")
-            call_off(*args)
+            revoke(*args)
 
         def later(look):
             if look == 4:
                 versions.announce(self.folder, "good", WALL)
             failing[0] = look < 6
 
-        with patch.object(versions, "call_off", sometimes):
+        with patch.object(versions, "revoke", sometimes):
             applied, called_off, log = self.play(8, read=read, during=later)
         self.assertEqual((applied, called_off), (["good"], [1]))
         self.assertGreaterEqual(len(log.said("call-off not stored")), 3)
--- a/tests/test_version_watch.py
+++ b/tests/test_version_watch.py
@@ -134,12 +134,12 @@
     def test_versions_and_the_position_outlive_the_process_and_are_bounded(self):
         with tempfile.TemporaryDirectory() as folder:
             self.assertEqual(versions.position(folder), 0)
-            for number in range(1, 3 * versions.MOST_VERSIONS):
+            for number in range(1, 3 * versions.MAX_VERSIONS):
                 versions.receive(folder, number, f"text {number}", WALL + number)
-            versions.note_position(folder, 200)
+            versions.store_position(folder, 200)
             known = versions.announced(folder)
-            self.assertEqual(len(known), versions.MOST_VERSIONS)
-            self.assertEqual(max(a.number for a in known), 3 * versions.MOST_VERSIONS - 1)
+            self.assertEqual(len(known), versions.MAX_VERSIONS)
+            self.assertEqual(max(a.number for a in known), 3 * versions.MAX_VERSIONS - 1)
             self.assertEqual(versions.position(folder), 200)
             (path := versions.path_of(folder, 0).with_name(versions.POSITION)).write_text("no number")
             self.assertEqual(versions.position(path.parent), 0)
@@ -193,7 +193,7 @@
             follower._apply("127.0.0.1:1", answer)
             self.assertEqual((follower.watch.position, versions.position(folder)), (2, 2))
             self.assertEqual([a.number for a in versions.announced(folder)], [2])
-            self.assertEqual(follower.unsent_call_offs, {})
+            self.assertEqual(follower.unsent_revocations, {})
 
 
 class Stages(unittest.TestCase):
