--- a/petrelwood/control/appending.py
+++ b/petrelwood/control/appending.py
@@ -1,4 +1,4 @@
-"""Appending to the log: proposing records to all servers, one after the other."""
+"""Appending to the log: proposes records to all servers, one record at a time."""
 
 import asyncio
 import secrets
@@ -14,16 +14,16 @@
 from petrelwood.decide.cluster.log_proposal import Proposal, Proposer
 from petrelwood.decide.cluster.log_records import Message, Record, RecordKind, Reply
 
-CHECK_INTERVAL = 0.01  # seconds between two looks at a record that is being decided
-MAX_WAITING = 32  # records that wait for their turn; further ones are rejected at once
-IDENTITY_NAME_SIZE = 24  # bytes of a server's name that its proposer's identity begins with
-IDENTITY_RANDOM_SIZE = 8  # random bytes in it
+CHECK_INTERVAL = 0.01  # seconds between two checks of the current proposal
+MAX_WAITING = 32  # queued records; further ones are rejected at once
+IDENTITY_NAME_SIZE = 24  # bytes of the server's name at the start of its proposer's identity
+IDENTITY_RANDOM_SIZE = 8  # random bytes in the identity
 
 
 def new_identity(name: str) -> str:
-    """Return a proposer's identity that no other process ever has.
+    """Return a proposer's identity that is unique to this process.
 
-    It does not use the wall clock, which may be stepped back to the time of an earlier start.
+    It is not derived from the wall clock, which may be stepped back to the time of an earlier start.
     """
     beginning = name.encode()[:IDENTITY_NAME_SIZE].decode(errors="ignore")
     return f"{beginning}.{secrets.token_hex(IDENTITY_RANDOM_SIZE)}"
@@ -46,15 +46,15 @@
         self._peers = peers
         self._random_fraction = random_fraction
         self._log = logger
-        self._turn = asyncio.Lock()
+        self._proposing = asyncio.Lock()
         self._waiting = 0
         self._proposal: Proposal | None = None
         self._tasks = BackgroundTasks()
 
     async def append(self, record: Record) -> int:
-        """Return the slot of a record once it is decided.
+        """Append a record, and return its slot once it is decided.
 
-        If this is cancelled, the record may be decided all the same.
+        If this is cancelled, the record may still be decided.
 
         Raises:
             DiskFailedError: this server's disk has failed.
@@ -67,13 +67,13 @@
             raise QueueFullError("too many records wait")
         self._waiting += 1
         try:
-            async with self._turn:
+            async with self._proposing:
                 return await self._decide(record)
         finally:
             self._waiting -= 1
 
     async def fill_slot(self) -> None:
-        """Append a record without effect: the slot that it fills is decided, and so are all before it.
+        """Append a no-operation record, so that its slot and all slots before it are decided.
 
         Raises:
             DiskFailedError, QueueFullError, NoQuorumError: as `append` does.
@@ -107,8 +107,8 @@
     async def _exchange(self, server: str, message: Message) -> None:
         """Send a message to one server, this one included, and pass its reply to the current proposal.
 
-        A late reply goes to a later proposal, which tells by the ballot that it is not its own. A proposal
-        does not depend on this server's disk, only this server's vote does.
+        A late reply is passed to a later proposal, which ignores it because of its ballot. If this server's
+        disk fails, only its own vote is lost; the proposal continues.
         """
         try:
             reply = await self._reply(server, message)
@@ -125,5 +125,5 @@
         return await self._peers.send(server, message)
 
     def close(self) -> None:
-        """Cancel all messages that are on their way."""
+        """Cancel all messages in flight."""
         self._tasks.cancel()
--- a/petrelwood/control/catching_up.py
+++ b/petrelwood/control/catching_up.py
@@ -1,4 +1,4 @@
-"""Catching up with the other servers, and rejoining them after the loss of the disk."""
+"""Catching up with the other servers, and rejoining them after a loss of the disk."""
 
 import asyncio
 import time
@@ -45,9 +45,10 @@
                 self._log.debug("catching up failed", error=str(error))
 
     async def _round(self) -> None:
-        """Rejoin if that is due, read from one peer, and fill a slot if the replica needs one.
+        """Rejoin if needed, read from one peer, and fill a slot if the replica lacks slots.
 
-        Any of `FAILURES` may be raised.
+        Raises:
+            PeerError, NoQuorumError, QueueFullError, DiskFailedError: a step failed; see `FAILURES`.
         """
         if self._replica.votes_from is None:
             await self._rejoin()
@@ -58,6 +59,7 @@
             await self._appender.fill_slot()
 
     async def _rejoin(self) -> None:
+        """Ask all peers up to which slot they may have voted, and resume voting if the answers allow it."""
         voted_in = {}
         for peer in self._peers:
             try:
--- a/petrelwood/control/connection.py
+++ b/petrelwood/control/connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection to a configuration server: MessagePack-RPC calls, answered as each one ends."""
+"""A caller's connection to a configuration server: MessagePack-RPC calls, answered as each completes."""
 
 import asyncio
 import contextlib
@@ -13,8 +13,8 @@
 from petrelwood.errors import PetrelwoodError, ProtocolError
 from petrelwood.links import rpc, sockets
 
-READ_SIZE = 65_536  # bytes taken from a connection at a time
-IDLE_TIMEOUT = 300.0  # seconds without a call after which a connection is closed
+READ_SIZE = 65_536  # bytes per read, at most
+IDLE_TIMEOUT = 300.0  # seconds without incoming data after which a connection is closed
 Handler = Callable[[str, list[Any]], Awaitable[list[Any]]]
 
 
@@ -40,7 +40,7 @@
         """Answer calls until the connection ends.
 
         Raises:
-            OSError: the connection was lost, or nothing came for `IDLE_TIMEOUT`.
+            OSError: the connection was lost, or no data arrived for `IDLE_TIMEOUT`.
             ProtocolError: the caller does not speak MessagePack-RPC.
         """
         sockets.disable_delay(self._stream.socket)
@@ -64,7 +64,7 @@
                 response = rpc.response(message_id, None, await self._handler(method, params))
             except PetrelwoodError as error:
                 response = rpc.response(message_id, str(error), None)
-            # a caller that is gone, or reads nothing, needs no answer
+            # a caller that has disconnected or does not read gets no answer
             with contextlib.suppress(StreamClosedError, StreamBufferFullError):
                 await self._stream.write(response)
         finally:
--- a/petrelwood/control/errors.py
+++ b/petrelwood/control/errors.py
@@ -10,7 +10,7 @@
 
 
 class MalformedMessageError(ProtocolError):
-    """Parameters or a result can't be decoded, or a method is not known."""
+    """Parameters or a result can't be decoded, or a method is unknown."""
 
 
 class LogStorageError(StorageError):
@@ -18,7 +18,7 @@
 
 
 class PeerError(TransportError):
-    """Another server gave no usable answer; whether it did what it was asked is not known."""
+    """Another server gave no usable answer; whether it executed the call is unknown."""
 
 
 class NoQuorumError(UnavailableError):
@@ -26,8 +26,8 @@
 
 
 class QueueFullError(UnavailableError):
-    """Too many records wait to be decided."""
+    """Too many records are queued to be decided."""
 
 
 class UnknownVersionError(PetrelwoodError):
-    """A record names a version that the log does not hold."""
+    """A record refers to a version that is not in the log."""
--- a/petrelwood/control/log_storage.py
+++ b/petrelwood/control/log_storage.py
@@ -10,8 +10,8 @@
 from petrelwood.store.errors import SnapshotError
 from petrelwood.store.files import Files
 
-KIND = "config-log"  # of the file
-VERSION = 1
+KIND = "config-log"  # the kind in the snapshot's header
+VERSION = 1  # the snapshot's format version
 FILE = "log.snapshot"
 
 
@@ -49,7 +49,7 @@
     def _read(self) -> Replica | None:
         self.path.parent.mkdir(parents=True, exist_ok=True)
         try:
-            self.path.stat()  # a disk that fails must not pass for one without a log
+            self.path.stat()  # raises if the disk fails, which must not be mistaken for a missing log
         except FileNotFoundError:
             return None
         found = snapshot.read(self.path, KIND, VERSION)
@@ -64,7 +64,8 @@
         try:
             snapshot.write(self.path, KIND, VERSION, value, self._files)
         except OSError:
-            # never written to again, as a failed fsync proves nothing; it may also be what fills the disk
+            # The temporary file is never reused, because after a failed fsync its contents are uncertain. It
+            # is removed, because it may be the file that fills the disk.
             with contextlib.suppress(OSError):
                 self._files.remove(str(self.path.with_name(self.path.name + ".part")))
             raise
--- a/petrelwood/control/peers.py
+++ b/petrelwood/control/peers.py
@@ -9,11 +9,11 @@
 from petrelwood.links.rpc_client import RpcClient, RpcError
 
 Address = tuple[str, int]
-CALL_TIMEOUT = 1.0  # seconds for an answer
+CALL_TIMEOUT = 1.0  # seconds until a call without an answer fails
 
 
 class Peers:
-    """The connections to the other servers, by name; each is made when it is first needed."""
+    """The connections to the other servers, by name; each is opened on first use."""
 
     def __init__(self, addresses: Mapping[str, Address]) -> None:
         self._clients = {
@@ -40,7 +40,7 @@
             raise PeerError(f"{peer} answered {method} with {error}") from error
 
     async def read_after(self, peer: str, slot: int) -> Extract:
-        """Return the decided records that a peer knows after a slot.
+        """Return the decided records after a slot, as far as a peer knows them.
 
         Raises:
             PeerError: there was no answer in time, or a malformed one.
--- a/petrelwood/control/server.py
+++ b/petrelwood/control/server.py
@@ -1,9 +1,9 @@
 """One configuration server: its replica of the log on disk, its peers, and its callers.
 
-The decisions are made in `decide.cluster.replicated_log`. A reply leaves only once what it depends on is on
-the disk; a server whose disk fails does not vote until a write has succeeded
+The decisions are made in `decide.cluster.replicated_log`. A reply is sent only once the state it depends on
+is on the disk; a server whose disk fails does not vote until a write has succeeded
 (`decide.cluster.durable_replica`). A server that finds no log in its folder, and was not started to begin a
-new one, has lost its disk: it learns from the others and votes again when `Replica.rejoin` allows it
+new one, has lost its disk: it catches up with the others and votes again when `Replica.rejoin` allows it
 (`control.catching_up`).
 """
 
@@ -30,11 +30,11 @@
 from petrelwood.links.accept_errors import AcceptError, classify
 from petrelwood.links.listener import Listener
 
-DISK_CHECK_INTERVAL = 0.05  # seconds between two looks whether a failed disk is to be written to again
+DISK_CHECK_INTERVAL = 0.05  # seconds between two checks whether a failed write is due to be retried
 
 
 class ConfigurationServer(Listener):
-    """A configuration server, which is a `Listener` for its callers.
+    """A configuration server; as a `Listener` it accepts the connections of its callers.
 
     `peers`: addresses of the other servers by name. `save(value)`: see `DurableReplica`.
 
@@ -76,7 +76,7 @@
         for connection in list(self._connections):
             connection.close()
 
-    # The disk.
+    # Disk
     def disk_failed(self, error: OSError, retry_in: int) -> None:
         """Log that a write failed; see `DiskObserver`."""
         reason = error.strerror or str(error)
@@ -84,7 +84,9 @@
 
     def disk_recovered(self, outage: int) -> None:
         """Log that a write succeeded again; see `DiskObserver`."""
-        votes_from = self.replica.votes_from  # None: it lost its disk, too, and has not rejoined yet
+        votes_from = (
+            self.replica.votes_from
+        )  # None: the disk was also lost, and the server has not rejoined yet
         self._log.info("log written again", outage_ms=outage // MS, votes_from=votes_from)
 
     async def _watch_disk(self) -> None:
@@ -92,7 +94,7 @@
             await asyncio.sleep(DISK_CHECK_INTERVAL)
             self.durable.retry(time.monotonic_ns())
 
-    # Connections.
+    # Connections
     def accept_failed(self, error: OSError, pause: int) -> None:
         """Log that accepting is paused for `pause` ns; close an idle connection if descriptors ran out."""
         self._log.warning("accept failed", error=error.strerror, pause_ms=pause // MS)
--- a/petrelwood/control/service.py
+++ b/petrelwood/control/service.py
@@ -26,15 +26,15 @@
 ) -> None:
     """Serve until SIGTERM or SIGINT.
 
-    `ready(address)` is called once it listens. `new_log_after`: see `LogStorage.open`.
+    `ready(address)` is called once the server listens. `new_log_after`: see `LogStorage.open`.
 
     Raises:
         LogStorageError: the log can't be read, used or created.
         OSError: the address can't be listened on.
     """
-    ends = asyncio.Event()
+    shutdown = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, ends.set)
+        asyncio.get_running_loop().add_signal_handler(number, shutdown.set)
     storage = LogStorage(folder)
     replica = storage.open(new_log_after)
     try:
@@ -46,6 +46,6 @@
     server.start_background()
     ready(sockets[0].getsockname()[:2])
     logger.info("listening", votes_from=replica.votes_from, chosen=replica.chosen, servers=len(peers) + 1)
-    await ends.wait()
+    await shutdown.wait()
     server.close()
     logger.info("closed", chosen=replica.chosen)
--- a/petrelwood/control/tasks.py
+++ b/petrelwood/control/tasks.py
@@ -1,11 +1,11 @@
-"""Tasks that run in the background and are cancelled with their owner."""
+"""Background tasks that are cancelled together with their owner."""
 
 import asyncio
 from collections.abc import Coroutine
 
 
 class BackgroundTasks:
-    """Tasks of the running loop, referenced until they end or `cancel` is called."""
+    """Tasks of the running event loop; each is referenced until it ends, so it is not garbage-collected."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
--- a/petrelwood/dispatch/activations.py
+++ b/petrelwood/dispatch/activations.py
@@ -2,7 +2,8 @@
 
     front -> intake (capacity, retry or replay, deadline) -> pending activations -> module -> link -> worker
 
-and back. An activation ends once: with an answer, or because its client left and it need not go on.
+and back. An activation ends once: with a final answer, or because its client disconnected and its type does
+not require it to continue.
 """
 
 from typing import Protocol
@@ -21,7 +22,7 @@
 from petrelwood.dispatch.state_recovery import LONGEST_BODY
 from petrelwood.dispatch.worker_links import WorkerLinks
 
-# Looked up once: a member of an enum takes longer to find than a name of the module.
+# Module-level aliases, because looking up an enum member is slower than looking up a module global.
 ABORTED = ActivationState.ABORTED
 CLIENT_LEFT = ActivationState.CLIENT_LEFT
 COMPLETED = ActivationState.COMPLETED
@@ -32,9 +33,9 @@
 
 
 class Exchange(Protocol):
-    """One request of a client, at a front."""
+    """One client request at a front."""
 
-    activation_id: str | None  # the id of the activation that it waits for
+    activation_id: str | None  # the activation whose answer it waits for
 
     def answer(
         self,
@@ -44,15 +45,15 @@
         detail: str = "",
         activation_id: str | None = None,
     ) -> object:
-        """Give the client its final answer. `retry_after`: ns, 0 where it is not told."""
+        """Give the client its final answer. `retry_after`: ns, 0 for no retry hint."""
 
 
 class ActivationsCore(CoreRuntime, Protocol):
-    """What the activations need of the core. Parts that may be None are set and unset while it runs."""
+    """The parts of the core that `Activations` uses; those that may be None can change at runtime."""
 
     @property
     def intake(self) -> Intake:
-        """The admission: capacity, quotas, retries by id."""
+        """The admission stage: capacity, quotas, and deduplication of retries by id."""
 
     @property
     def pending(self) -> PendingActivations:
@@ -60,11 +61,11 @@
 
     @property
     def required_ledger(self) -> Ledger:
-        """The ledger, of a dispatcher that has one."""
+        """The ledger; raises `TypeError` if this dispatcher has none."""
 
     @property
     def events(self) -> EventQueue:
-        """The queue, which has to know which activations the present call touches."""
+        """The event queue, which records the activations that the current call touches."""
 
     @property
     def scheduler(self) -> DecisionModule:
@@ -76,23 +77,23 @@
 
     @property
     def recent_answers(self) -> RecentAnswers:
-        """How many of the last answers were good."""
+        """The outcomes of the answers of the last ten seconds."""
 
     @property
     def handover(self) -> HandoverHooks:
-        """What a hand-over wants to know of answers and ends."""
+        """The callbacks of a hand-over for answers and ended activations."""
 
     @property
     def durable_state(self) -> DurableState | None:
-        """The record of activations, where one is made."""
+        """The durable record of activations, or None if none is kept."""
 
     @property
     def forecasts(self) -> LoadForecasts | None:
-        """The forecasts of load, where they are made."""
+        """The load forecasts, or None if they are disabled."""
 
 
 class Activations:
-    """The activations of one dispatcher."""
+    """Admits the activations of one dispatcher and gives each its final answer."""
 
     def __init__(self, core: ActivationsCore) -> None:
         self.core = core
@@ -124,14 +125,14 @@
             if state is not None and not state.can_admit(request.type):
                 self._reject_for_outage(now, key, state, exchange)
             else:
-                self._take(now, key, request, verdict, function, rule, body, exchange)
+                self._begin_or_wait(now, key, request, verdict, function, rule, body, exchange)
         elif verdict.outcome == intake_stage.JOIN:
             self._join(now, key, verdict, exchange)
         else:
             exchange.answer(verdict.outcome, verdict.body, verdict.retry_after, verdict.reason)
 
     def _join(self, now: int, key: Key, verdict: Verdict, exchange: Exchange) -> None:
-        """Have a retry wait for the answer of the attempt that is in flight."""
+        """Let a retried request wait for the answer of the activation that is already in flight."""
         act = self.pending.by_key.get(key)
         if act is not None and self.pending.join(key, verdict.due, exchange):
             exchange.activation_id = act.id
@@ -140,13 +141,13 @@
         exchange.answer(intake_stage.ABORT, detail="an earlier try may have run and must not run again")
 
     def _reject_for_outage(self, now: int, key: Key, state: DurableState, exchange: Exchange) -> None:
-        """Reject an activation that must not run twice while its id can't be made durable."""
+        """Reject an activation that must not run twice, because its id can't be stored durably now."""
         core = self.core
         core.required_ledger.end(key, CLIENT_LEFT)
         retry_after = self.intake.retry_after(now, *key, state.reject(now))
         exchange.answer(intake_stage.REJECT, retry_after=retry_after, detail="its id can't be kept now")
 
-    def _take(
+    def _begin_or_wait(
         self,
         now: int,
         key: Key,
@@ -157,6 +158,7 @@
         body: bytes,
         exchange: Exchange,
     ) -> None:
+        """Begin a new activation, now or once its durable record allows it."""
         core = self.core
         act = self.pending.admit(request, verdict.due, function, rule, body, exchange)
         exchange.activation_id = act.id
@@ -168,7 +170,7 @@
             self.begin(act)
 
     def begin(self, act: PendingActivation) -> None:
-        """Hand an activation to the module."""
+        """Hand an activation to the decision module."""
         self.core.events.touched.add(act.id)
         arrival = ports.Arrival(
             activation_id=act.id,
@@ -183,13 +185,16 @@
         self.core.scheduler.activation_arrived(self.now(), arrival)
 
     def reject(self, act: PendingActivation, least_wait: int = 0) -> None:
-        """Reject an activation that the module has not heard of; it may come back after `least_wait` ns."""
+        """Reject an activation that the decision module has not received.
+
+        The client may retry after `least_wait` ns.
+        """
         customer, id_ = act.key
         retry_after = self.intake.retry_after(self.now(), customer, id_, least_wait)
         self.finish(act.id, REJECTED, retry_after=retry_after)
 
     def detach_client(self, activation_id: str, exchange: Exchange) -> None:
-        """End an activation whose client disconnected, unless others wait for it or it must continue."""
+        """End an activation whose client disconnected, unless other clients wait or it must continue."""
         if self.pending.client_departed(activation_id, exchange):
             act = self.pending.end(self.now(), activation_id, CLIENT_LEFT)
             if act is None:
@@ -205,9 +210,9 @@
         outcome: ActivationState,
         body: bytes | None = None,
         retry_after: int = 0,
-        why: str = "",
+        detail: str = "",
     ) -> None:
-        """Give an activation its final answer."""
+        """End an activation, and give its final answer to all clients that wait for it."""
         act = self.pending.end(self.now(), activation_id, outcome, body)
         if act is None:
             self.core.log.error("second final answer suppressed", act=activation_id, outcome=outcome)
@@ -216,7 +221,7 @@
         if act.in_flight:
             self.core.links.withdraw(act.id, act.in_flight)
         for exchange, _ in act.waiters:
-            exchange.answer(outcome, body or b"", retry_after, why, act.id)
+            exchange.answer(outcome, body or b"", retry_after, detail, act.id)
 
     def _record_end(self, act: PendingActivation, outcome: ActivationState, body: bytes | None) -> None:
         core = self.core
@@ -245,7 +250,7 @@
         self.deadline_timer = self.core.clock.at(due, self._answer_overdue)
 
     def answer_due(self, now: int) -> None:
-        """Answer what is overdue without waiting for the timer."""
+        """Answer overdue activations now if the timer is due, instead of waiting for it to fire."""
         if self.deadline_timer is not None and self.next_deadline <= now:
             self.deadline_timer.cancel()
             self._answer_overdue()
@@ -260,9 +265,9 @@
         self._set_deadline_timer()
 
     def time_out(self, activation_id: str) -> None:
-        """Let the attempts of an activation time out, of which the module makes a final answer.
+        """Time out the attempts of an activation, so that the decision module gives the final answer.
 
-        If it does not, there is one all the same.
+        If the module does not, `_abort_overdue` does.
         """
         act = self.pending.activations.get(activation_id)
         if act is not None:
@@ -270,19 +275,20 @@
             self.core.submit(self._abort_overdue, activation_id)
 
     def _abort_overdue(self, activation_id: str) -> None:
+        """Abort an overdue activation that the decision module has not answered."""
         act = self.pending.activations.get(activation_id)
         if act is not None:
             self.pending.counts["overdue"] += 1
             self.core.log.error("overdue", act=activation_id, sends=act.attempts)
-            self.finish(activation_id, ABORTED, why="out of time")
+            self.finish(activation_id, ABORTED, detail="out of time")
             self.core.scheduler.client_departed(self.now(), activation_id)
 
     def abort_defective(self, activation_id: str) -> None:
-        """Abort an activation that a defect of this program has touched."""
+        """Abort an activation after a bug raised an unexpected exception in a call that touched it."""
         core = self.core
         if activation_id not in self.pending.activations:
             return
-        self.finish(activation_id, ABORTED, why="a defect in the dispatcher")
+        self.finish(activation_id, ABORTED, detail="a defect in the dispatcher")
         try:
             core.scheduler.client_departed(self.now(), activation_id)
         except Exception as fault:
--- a/petrelwood/dispatch/configuration.py
+++ b/petrelwood/dispatch/configuration.py
@@ -1,8 +1,7 @@
-"""Follows the configuration servers: stores the versions they have decided, and reports call-offs to them.
+"""Follows the configuration servers: stores the versions that they decided, and reports revocations to them.
 
-Which servers are polled, and what follows from an answer, is decided in `decide.cluster.version_watch`. The
-folder of versions outlives the servers: a dispatcher that restarts while none of them answers still has the
-versions that it had.
+`decide.cluster.version_watch` decides which servers are polled and how an answer is handled. The versions are
+stored in a folder, so a dispatcher that restarts while no server answers keeps the versions it had.
 """
 
 import asyncio
@@ -30,13 +29,13 @@
 from petrelwood.settings.storage import ConfigurationTerms
 from petrelwood.store import versions
 
-APPEND_TIMEOUT = 5.0  # seconds; over `QUORUM_TIMEOUT`
-APPEND_RETRY_INTERVAL = 1.0  # seconds between two rounds of attempts to report a call-off
+APPEND_TIMEOUT = 5.0  # seconds; longer than `QUORUM_TIMEOUT`, after which a server gives up
+APPEND_RETRY_INTERVAL = 1.0  # seconds between two rounds of attempts to report a revocation
 MAX_UNSENT_REVOCATIONS = 64
 
 
 class ConfigurationFollower:
-    """Keeps one dispatcher's folder of versions up to date with the configuration servers."""
+    """Keeps the versions folder of one dispatcher up to date with the configuration servers."""
 
     def __init__(
         self,
@@ -61,7 +60,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Poll the servers, round after round, until it is cancelled; then close the connections."""
+        """Poll the servers periodically until cancelled; then close the connections."""
         try:
             while True:
                 for server in self.watch.servers_to_poll(self.clock.now()):
@@ -84,7 +83,10 @@
         self._apply(server, extract)
 
     def _apply(self, server: str, extract: Extract) -> None:
-        """Store an answer. The position is stored last: what a kill cuts off is read again."""
+        """Store an answer.
+
+        The position is stored last, so that records lost to a kill before that are read again.
+        """
         position = self.watch.position
         try:
             for event in self.watch.on_answer(server, extract, self.clock.now(), self.clock.steady_wall()):
@@ -96,10 +98,10 @@
             self.log.error("storing a version failed; it will be read again", why=str(fault))
 
     def _store(self, event: Version | Revocation) -> None:
-        """Put one decided record into the folder.
+        """Store one decided record in the folder.
 
         Raises:
-            OSError: The folder does not take it.
+            OSError: The record could not be written.
         """
         if isinstance(event, Revocation):
             versions.revoke(self.folder, event.number, event.reason)
@@ -113,9 +115,9 @@
         self.log.info("version received", number=event.number, off=isinstance(event, Revocation))
 
     def report_revocation(self, number: int, why: str) -> None:
-        """Report to the servers that this dispatcher has found a version bad.
+        """Report to the servers that this dispatcher has revoked a version.
 
-        It is retried until one of them has it decided.
+        The report is retried until a server has appended it to the log.
         """
         if number in self.unsent_revocations or len(self.unsent_revocations) >= MAX_UNSENT_REVOCATIONS:
             return
@@ -137,7 +139,7 @@
                     await self.clients[server].call("append", params, APPEND_TIMEOUT)
                 except RpcError as fault:
                     self.log.warning(
-                        "reporting a call-off failed; will be retried",
+                        "reporting a revocation failed; will be retried",
                         number=number,
                         server=server,
                         why=str(fault),
--- a/petrelwood/dispatch/core.py
+++ b/petrelwood/dispatch/core.py
@@ -1,9 +1,9 @@
-"""The core of a dispatcher: it tells the decision module what happens, and carries out what that decides.
+"""The core of a dispatcher: passes events to the decision module, and carries out its decisions.
 
-Free of I/O: the clock and the links are handed in, so that the emulator drives this very code. Each part has
-a module of its own: activations from admission to answer, the module's outlet, links to workers, the durable
-state, load forecasts, and the queue through which all of it passes one call after the other. A defect ends
-the activations that it touched with an abort, never the others.
+The core does no I/O itself: the clock and the links are passed in, so the emulator can run the same code.
+Each part has a module of its own: activations from admission to answer, the module's outlet, the links to
+workers, the durable state, load forecasts, and the event queue that serializes all calls. A call that raises
+an unexpected exception (a "defect") aborts the activations that it touched, and no others.
 """
 
 import traceback
@@ -32,14 +32,14 @@
 from petrelwood.dispatch.worker_links import Address, WorkerLink, WorkerLinks
 from petrelwood.ports import EndpointEntry
 
-if TYPE_CHECKING:  # the platform's dispatcher needs no settings in KDL and no log
+if TYPE_CHECKING:  # the platform's dispatcher uses neither KDL settings nor a state log
     from petrelwood.settings.functions import FunctionRule
     from petrelwood.settings.gateway import Gateway
     from petrelwood.store.state_log import StateLog
 
 STORM_CHECK_INTERVAL = 500_000_000  # ns
-RECONNECTS_AT_ONCE = 32.0  # over all links
-MOST_CACHED_RULES = 100_000
+RECONNECT_BURST = 32.0  # reconnection attempts over all links that need no waiting
+MAX_CACHED_RULES = 100_000
 
 MakeLink = Callable[[str, Address | None, "Core"], WorkerLink]
 """Makes the link to a worker at an address."""
@@ -48,8 +48,7 @@
 class Core:
     """One dispatcher.
 
-    `chance` is its one source of random numbers. `state` is the log that it goes on from, if there is one
-    already.
+    `chance`: its only source of random numbers. `state`: the state log to continue, if one is open already.
     """
 
     learns_in_slices = False  # whether forecasts are learnt a few functions at a time
@@ -72,7 +71,7 @@
         self.clock = clock
         self.now = clock.now
         self.chance = chance
-        self.record_epoch = clock.steady_wall() - clock.now()  # what `record_time` is ahead of `now`
+        self.record_epoch = clock.steady_wall() - clock.now()  # ns by which `record_time` is ahead of `now`
         self.ledger, self.intake, id_prefix = self._make_stages()
         self.pending = PendingActivations(self.intake, self.ledger, id_prefix)
         self._make_connections(link)
@@ -80,7 +79,7 @@
         self.rules: dict[str, FunctionRule | None] = {}
         self.recent_answers = RecentAnswers()
         self.handover = HandoverHooks()
-        # `note` of `store.history.History`, where a history is kept
+        # `note` of `store.history.History` if a history is kept, else None
         self.record_execution: Callable[..., object] | None = None
         self.durable_state: DurableState | None = None
         self.forecasts: LoadForecasts | None = None
@@ -96,17 +95,17 @@
         return Activations(self)
 
     def _make_connections(self, link: MakeLink) -> None:
-        """Make the membership, the links and the budget for connecting again."""
+        """Create the membership, the links and the reconnection budget."""
         gateway = self.gateway
         connect_timeout = gateway.workers.connect_within
         self.membership = Membership(self.terms.orders.min_idle_time, connect_timeout, self.chance.random)
         self.links = WorkerLinks(lambda worker, address: link(worker, address, self))
         self.reconnects: Budget | None = None
         if gateway.damps:
-            self.reconnects = Budget(1.0, RECONNECTS_AT_ONCE, connect_timeout)
+            self.reconnects = Budget(1.0, RECONNECT_BURST, connect_timeout)
 
     def _make_stages(self) -> tuple[Ledger | None, Intake, str | None]:
-        """Return what an activation passes before the module: ledger, intake, and the prefix of its id."""
+        """Return the ledger, the intake, and the prefix of activation ids."""
         gateway = self.gateway
         wall = self.clock.wall()
         ledger = Ledger(
@@ -118,20 +117,20 @@
             wall,
         )
         intake = Intake(self.limits, gateway.timeouts, self.terms, ledger, self.chance.random, gateway.damps)
-        # Two processes may begin at the same wall-clock time, as that clock may be stepped back, but not at
-        # the same monotonic time on one start of the machine.
+        # Ids must differ between processes. Two processes may start at the same wall-clock time, because the
+        # wall clock can be stepped back, but within one boot not at the same monotonic time as well.
         return ledger, intake, f"{self.name}-{wall // 1000:x}-{self.now() // 1000:x}-"
 
-    # One call after the other.
+    # The event queue
     def submit(self, call: Call, *args: Any) -> None:
-        """Make a call at once, or after the one that is being made."""
+        """Make a call at once, or after the calls that are already queued if one is in progress."""
         events = self.events
         events.waiting.append((call, args))
         if not events.running:
             events.run()
 
     def defect(self, where: str, fault: Exception, args: Arguments = ()) -> None:
-        """Log a failed call, and abort the activations that it has touched."""
+        """Log a call that raised an unexpected exception, and abort the activations that it touched."""
         acts = self.pending.activations
         touched = self.events.touched | {arg for arg in args if isinstance(arg, str) and arg in acts}
         place = traceback.extract_tb(fault.__traceback__)[-1]
@@ -146,22 +145,22 @@
         for activation_id in sorted(touched):
             self.activations.abort_defective(activation_id)
 
-    # The durable state.
+    # Durable state
     @property
     def required_ledger(self) -> Ledger:
-        """The ledger, of a dispatcher that has one."""
+        """The ledger; raises `TypeError` if this dispatcher has none."""
         if self.ledger is None:
             raise TypeError("this dispatcher knows nothing of earlier activations")
         return self.ledger
 
     def record_time(self) -> int:
-        """Return the wall-clock time (ns) that records carry: without steps since this process began."""
+        """Return the wall-clock time (ns) for records, without the steps since this process started."""
         return self.now() + self.record_epoch
 
     def adopt(self, log: "StateLog", predecessor_runs: bool = False) -> None:
-        """Go on from what earlier incarnations have left in a log.
+        """Restore the state that earlier incarnations recorded in a log, and continue the log.
 
-        `predecessor_runs`: the one before still finishes what it has in flight.
+        `predecessor_runs`: the previous process still finishes its activations in flight.
         """
         if self.durable_state is None:
             self.durable_state = DurableState(self, self.activations, self.required_ledger, log)
@@ -169,30 +168,30 @@
         self.durable_state.adopt(log, predecessor_runs)
 
     def sync_state(self, done: Callable[[bool], object]) -> None:
-        """Sync the log of state, then call `done(durable)`; a dispatcher on a loop does it in a thread."""
+        """Sync the state log, then call `done(durable)`; `Dispatcher` overrides this to sync in a thread."""
         if self.durable_state is not None:
             done(self.durable_state.log.sync_task()())
 
     def clock_offset_found(self, min_clock_offset: int) -> None:
-        """Learn that an earlier process saw another clock offset: workers may be younger than thought."""
+        """Correct the ages of workers: an earlier process saw a clock offset by which they may be younger."""
         younger = self.membership.correct_clock(min_clock_offset, self.now())
         if younger:
             self.submit(self._endpoints_changed, younger, [], False)
 
-    # A hand-over: see `decide.cluster.handover`.
+    # Hand-over; see `decide.cluster.handover`
     def recent_completion(self) -> CompletionRate:
-        """Return how the activations ended that were answered in the last ten seconds."""
+        """Return the completion rate of the activations answered in the last ten seconds."""
         return self.recent_answers.rate(self.now())
 
     @property
     def answered(self) -> tuple[int, int]:
-        """How many activations have completed, and how many have not, since the start."""
+        """How many activations completed, and how many were aborted or rejected, since the start."""
         counts = self.pending.counts
         failed = counts[ActivationState.ABORTED] + counts[ActivationState.REJECTED]
         return counts[ActivationState.COMPLETED], failed
 
     def stop_admitting(self, on_end: ActivationEndHandler) -> None:
-        """Admit no request and order no load from now on, and call `on_end` for each activation that ends."""
+        """Admit no further request and order no further load; call `on_end` for each activation that ends."""
         self.intake.closing = True
         self.handover.retired = True
         self.handover.on_activation_end = on_end
@@ -200,7 +199,7 @@
             self.durable_state.log.flush()
 
     def resume_admitting(self) -> None:
-        """Admit again, as the successor has failed; what it admitted is read from its log."""
+        """Admit again after the successor failed; the activations it admitted are read from its log."""
         if self.durable_state is not None:
             self.durable_state.take_over_again()
         self.intake.closing = False
@@ -210,18 +209,18 @@
     def note_predecessor_outcome(
         self, customer: str, id_: str, outcome: ActivationState, sent: bool, body: bytes | None
     ) -> None:
-        """Learn how an activation ended that the predecessor had in flight."""
+        """Record how an activation ended that the predecessor had in flight."""
         key = (customer, id_)
         if self.required_ledger.end_elsewhere(key, outcome, sent, body) and self.durable_state is not None:
             self.durable_state.record_ended(key, outcome, sent, body)
 
     def predecessor_ended(self) -> None:
-        """Learn that the predecessor has ended: the outcomes that it did not send stay unknown."""
+        """Handle the end of the predecessor: outcomes that it did not send stay unknown."""
         self.required_ledger.abandon_elsewhere()
 
-    # Storms, forecasts and settings.
+    # Storms, forecasts and settings
     def _check_storms(self) -> None:
-        """Look for storms that begin or end, and tell the fronts; also check the durable state."""
+        """Detect storms that began or ended and notify the fronts; also check the durable state."""
         for name, on, value in self.intake.update(self.now()):
             report = self.log.warning if on else self.log.info
             event = "storm started" if on else "storm ended"
@@ -232,7 +231,7 @@
         self.clock.at(self.now() + STORM_CHECK_INTERVAL, self._check_storms)
 
     def storm_changed(self, name: str, on: bool) -> None:
-        """React to a symptom of a storm that has begun or ended; a dispatcher with fronts overrides this."""
+        """Handle the begin or end of a storm symptom; `Dispatcher` overrides this to notify its fronts."""
 
     def _begin_forecasts(self) -> None:
         terms = self.gateway.early
@@ -256,14 +255,14 @@
 
     def _plan_loads(self) -> None:
         if self.intake.storms.has(SymptomName.COLD) or self.intake.concurrency_limit.is_reduced:
-            return  # guesses wait until what is asked for can be served
+            return  # speculative loads wait while the actual requests can't all be served
         if self.forecasts is not None:
             self.forecasts.plan_slot()
 
     def apply(self, gateway: "Gateway") -> None:
-        """Put new settings in force that can act at once: customers' keys, functions, limits.
+        """Apply new settings that take effect at once: customers' keys, functions, limits.
 
-        What is in flight keeps its deadline, and its customer until it has its answer.
+        Activations in flight keep their deadline, and their customer until they are answered.
         """
         self.gateway = gateway
         self.rules = {}
@@ -272,16 +271,16 @@
         self.intake.concurrency_limit.set_most(gateway.limits.held)
 
     def rule(self, function: str) -> "FunctionRule | None":
-        """Return the rule of a function, looked up once; None where it may not be called."""
+        """Return the cached rule of a function, or None if it may not be called."""
         try:
             return self.rules[function]
         except KeyError:
             rule: FunctionRule | None = self.gateway.rule(function)
-            if len(self.rules) < MOST_CACHED_RULES:
+            if len(self.rules) < MAX_CACHED_RULES:
                 self.rules[function] = rule
             return rule
 
-    # From the fronts.
+    # Calls from the fronts
     def admit(
         self, request: ActivationRequest, function: str, rule: Rule, body: bytes, exchange: Exchange
     ) -> None:
@@ -292,7 +291,7 @@
         """Detach the client of an exchange, which has disconnected."""
         self.submit(self.activations.detach_client, activation_id, exchange)
 
-    # From the links.
+    # Calls from the links
     def send_ended(
         self,
         activation_id: str,
@@ -343,20 +342,20 @@
             )
 
     def transmit(self, link: WorkerLink, act: PendingActivation, attempt: int, remaining: int) -> None:
-        """Hand an attempt to a link; `remaining`: ns until its deadline."""
+        """Send an attempt over a link; `remaining`: ns until its deadline."""
         mark = f"{act.key[0]}/{act.key[1]}"
         link.run(act.id, attempt, act.function, mark, remaining, act.lanes, act.body or b"")
 
     def may_send_order(self, given_at: int) -> bool:
-        """Return whether a load order that was given at `given_at` may leave now."""
+        """Return whether a load order that was issued at `given_at` may be sent now."""
         return self.scheduler.may_load_order_leave(self.now(), given_at)
 
     def order_not_sent(self, given_at: int) -> None:
-        """Learn that a load order that was given at `given_at` will never leave."""
+        """Withdraw a load order that was issued at `given_at` and will never be sent."""
         self.scheduler.load_order_withdrawn(self.now(), given_at)
 
     def load_order_ended(self, worker: str, function: str, reason: ports.EndReason, copies: int) -> None:
-        """Learn how a load order has ended; the worker has `copies` of the function now."""
+        """Handle the end of a load order; `copies`: the copies of the function that the worker has now."""
         if self.forecasts is not None:
             self.forecasts.order_ended(self.now(), function, worker, reason == ports.EndReason.COMPLETED)
         self.scheduler.load_order_ended(self.now(), worker, function, reason, copies)
@@ -364,16 +363,19 @@
     def health_check_ended(
         self, worker: str, reason: ports.EndReason, report: dict[str, float] | None
     ) -> None:
-        """Learn how a health check has ended; `report`: the worker's load report, if it sent one."""
+        """Handle the end of a health check; `report`: the worker's load report, if it sent one."""
         self.scheduler.health_check_ended(self.now(), worker, reason, report)
 
     def timer_fired(self, mark: str) -> None:
-        """Tell the module that a timer of its own has fired."""
+        """Pass a timer of the decision module to it."""
         self.scheduler.timer_fired(self.now(), mark)
 
-    # From the endpoint list.
+    # Calls from the endpoint list
     def endpoints_changed(self, entries: list[EndpointEntry], draining: list[str], is_whole: bool) -> None:
-        """Learn of a change of the endpoint list, or of the whole; `draining`: they drain or are gone."""
+        """Handle a change of the endpoint list, or the whole list.
+
+        `draining`: the workers that drain or are gone.
+        """
         self.submit(self._endpoints_changed, entries, draining, is_whole)
 
     def _endpoints_changed(self, entries: list[EndpointEntry], draining: list[str], is_whole: bool) -> None:
@@ -383,7 +385,7 @@
         self.links.release_unused(self.membership.members)
 
     def endpoint_list_lost(self) -> None:
-        """Learn that no changes of the endpoint list come any more; the last list stays in use."""
+        """Handle the loss of the endpoint list: no further changes come, the last list stays in use."""
         self.submit(self._endpoint_list_lost)
 
     def _endpoint_list_lost(self) -> None:
--- a/petrelwood/dispatch/dispatcher.py
+++ b/petrelwood/dispatch/dispatcher.py
@@ -1,4 +1,4 @@
-"""The running dispatcher: the core on an event loop, with its links, roster, fronts and folders."""
+"""A dispatcher on an asyncio event loop: the core with its links, roster, fronts and storage folders."""
 
 import asyncio
 import gc
@@ -21,16 +21,16 @@
 from petrelwood.store.history import History
 from petrelwood.store.state_log import StateLog
 
-CHECK_INTERVAL = 0.05  # seconds between checks of links and lines that are not at rest
+CHECK_INTERVAL = 0.05  # seconds between checks of the fronts and of the links that are not idle
 DRAIN_CHECK_INTERVAL = CHECK_INTERVAL / 5  # seconds
-LEARNT_PER_CHECK = 20  # functions whose forecasts are learnt: about a twentieth of a core
-RENEWAL_INTERVAL = 5_000_000_000  # ns between looks at certificates
-ROSTER_TIMEOUTS = 4  # connect timeouts until a roster that does not answer is given up
+FUNCTIONS_LEARNT_PER_CHECK = 20  # functions whose forecasts are updated per check: about 5 % of a CPU core
+RENEWAL_INTERVAL = 5_000_000_000  # ns between checks for changed certificates
+ROSTER_TIMEOUTS = 4  # the timeout for an answer of the roster, in connect timeouts
 BOOT_ID = pathlib.Path("/proc/sys/kernel/random/boot_id")
 
 
 def machine_boot_id() -> str:
-    """Return what names this start of the machine; empty where the system does not tell."""
+    """Return the identifier of the current boot of the machine; empty if the system does not provide one."""
     try:
         return BOOT_ID.read_text().strip()
     except OSError:
@@ -38,9 +38,9 @@
 
 
 class Dispatcher(Core):
-    """One dispatcher on the running loop.
+    """One dispatcher on the running event loop.
 
-    `follows`: another process still has the folders; `open_state` and `open_history` are called later.
+    `follows`: another process still uses the folders, so `open_state` and `open_history` are called later.
     """
 
     learns_in_slices = True
@@ -49,7 +49,7 @@
         self, gateway: Gateway, log: Logger, scheduler: MakeModule = Scheduler, follows: bool = False
     ) -> None:
         self.loop = asyncio.get_running_loop()
-        self.busy: dict[WorkerLink, bool] = {}  # links that are not at rest
+        self.busy: dict[WorkerLink, bool] = {}  # links that are not idle
         self.fronts: list[Any] = []
         self.checks: asyncio.TimerHandle | None = None
         super().__init__(gateway, LoopClock(), Random(gateway.seed), self._make_link, log, scheduler)
@@ -72,9 +72,9 @@
             worker, address, self.gateway.workers, self.chance.random, self, self.log, self.gateway.worker_tls
         )
 
-    # Folders.
+    # Storage folders
     def sync_state(self, done: Callable[[bool], object]) -> None:
-        """Sync the log of state in a thread, then call `done(durable)`; the loop goes on meanwhile."""
+        """Sync the state log in a thread without blocking the loop, then call `done(durable)`."""
         if self.durable_state is None:
             return
 
@@ -86,30 +86,31 @@
         self.loop.run_in_executor(None, sync).add_done_callback(_report)
 
     def open_state(self, predecessor_runs: bool = False) -> None:
-        """Go on from the log of state.
+        """Open the state log, and restore the state of earlier incarnations from it.
 
-        `predecessor_runs`: the process before still finishes what it has in flight.
+        `predecessor_runs`: the previous process still finishes its activations in flight.
 
         Raises:
-            StateUnreadableError: The folder does not give it.
+            StateUnreadableError: The state log can't be read from its folder.
         """
         terms = self.gateway.state
         if terms is None:
             return
-        longest = max(self.gateway.remember.values()) + 2 * self.gateway.tolerance
+        retention = max(self.gateway.remember.values()) + 2 * self.gateway.tolerance
         mark = recovery.boot_mark(machine_boot_id(), self.record_epoch)
-        # hundreds of thousands of records are made, and all of them stay
+        # Garbage collection would only cost time here: hundreds of thousands of records are created, and
+        # all of them are kept.
         gc.disable()
         try:
             log = StateLog(
-                terms.folder, self.record_time(), mark, longest, terms.durability, now=self.clock.now
+                terms.folder, self.record_time(), mark, retention, terms.durability, now=self.clock.now
             )
             self.adopt(log, predecessor_runs)
         finally:
             gc.enable()
 
     def open_history(self) -> None:
-        """Open the history of executions, and the storage of forecasts beside it."""
+        """Open the history of executions, and the forecast storage in the same folder."""
         terms = self.gateway.history
         if terms is None:
             return
@@ -120,9 +121,9 @@
                 terms.folder, self.forecasts, self.clock, self.loop, self.log
             )
 
-    # While it runs.
+    # Periodic work
     def open(self) -> None:
-        """Follow the endpoint list, and check the links and fronts a few times a second."""
+        """Begin to follow the endpoint list and to check the links and fronts periodically."""
         self.roster.open()
         self.checks = self.loop.call_later(CHECK_INTERVAL, self._check)
 
@@ -134,7 +135,7 @@
                 self.busy.pop(link, None)
         for front in self.fronts:
             front.check(now)
-        has_learnt = self.forecasts is None or not self.forecasts.learn(LEARNT_PER_CHECK)
+        has_learnt = self.forecasts is None or not self.forecasts.learn(FUNCTIONS_LEARNT_PER_CHECK)
         if has_learnt and self.forecast_storage is not None:
             self.forecast_storage.step(now)
         if now >= self.renew_at:
@@ -146,7 +147,7 @@
             self.endpoint_list_lost()
 
     def _renew(self) -> None:
-        """Read certificates that have changed, and write the history and the account of early loads."""
+        """Reload certificates that have changed, and flush the history and the early-load log."""
         for identity in self.identities:
             identity.renew(self.log)
         if self.forecast_storage is not None:
@@ -156,7 +157,7 @@
             self._report_history(self.history)
 
     def _report_history(self, history: History) -> None:
-        """Log when the history stops, and when it goes on again."""
+        """Log when the history stops, and when it has recovered."""
         if history.stopped and not self.history_has_stopped:
             self.log.warning("history stopped; dispatching goes on", why=history.stopped)
         elif self.history_has_stopped and not history.stopped:
@@ -164,28 +165,29 @@
         self.history_has_stopped = bool(history.stopped)
 
     async def sleep_until(self, when: int) -> None:
-        """Wait for a time of the monotonic clock."""
+        """Sleep until a time of the monotonic clock (ns)."""
         await asyncio.sleep(max(0, when - self.now()) / 1e9)
 
     def storm_changed(self, name: str, on: bool) -> None:
-        """Tell the fronts of a symptom that has begun or ended."""
+        """Notify the fronts that a storm symptom has begun or ended."""
         for front in self.fronts:
             front.storm_changed(name, on)
 
     def schedule_checks(self, link: WorkerLink) -> None:
-        """Have a link checked a few times a second, until it says that it is at rest."""
+        """Check a link periodically until its `check` returns that it is idle."""
         self.busy[link] = True
 
     def endpoints_changed(self, entries: list[EndpointEntry], draining: list[str], is_whole: bool) -> None:
-        """Learn of a change of the endpoint list, or of the whole list."""
+        """Handle a change of the endpoint list, or the whole list."""
         super().endpoints_changed(entries, draining, is_whole)
         self.endpoints_known.set()
 
-    # The end.
+    # Shutdown and departed clients
     def still_wanted(self, activation_id: str) -> bool:
-        """Return whether an attempt of an activation may leave.
+        """Return whether an attempt of an activation may still be sent.
 
-        Its client may have hung up while the loop was held up. What outlives its client goes on.
+        The client may have disconnected while the loop was blocked, so this checks its connection first. An
+        activation that outlives its client is still sent.
         """
         pending = self.pending.activations.get(activation_id)
         if pending is None:
@@ -195,11 +197,11 @@
         return activation_id in self.pending.activations
 
     async def close(self) -> None:
-        """Shut down gracefully: admit nothing new, and answer all that is queued or in flight."""
+        """Shut down gracefully: admit no request, and answer all activations that are queued or in flight."""
         self.intake.closing = True
         for front in self.fronts:
             front.drain()
-        # clients that go on sending are not waited for longer than the longest request may take
+        # Clients that keep sending must not delay the shutdown beyond the longest action timeout.
         latest = self.now() + max(self.gateway.timeouts.values())
         while self.pending.activations or not all(front.is_drained() for front in self.fronts):
             if not self.pending.activations and self.now() >= latest:
--- a/petrelwood/dispatch/durable_state.py
+++ b/petrelwood/dispatch/durable_state.py
@@ -1,8 +1,8 @@
 """The durable record of one dispatcher's activations and load orders.
 
-What must not run twice is recorded before its first send goes out, a load order before it leaves. A restart
-reads what the incarnations before have recorded. What follows from a record is decided in
-`decide.delivery.recovery`, and the recovery of a log whose disk failed is in `state_recovery`.
+An activation that must not run twice is recorded before its first send, and a load order before it is sent.
+After a restart the dispatcher reads the records of earlier incarnations; `decide.delivery.recovery` decides
+what follows from them. `state_recovery` recovers a log whose disk failed.
 """
 
 from typing import TYPE_CHECKING, Protocol
@@ -16,22 +16,22 @@
 from petrelwood.dispatch.interfaces import DecisionModule
 from petrelwood.dispatch.state_recovery import RecoveryCore, RecoverySettings, StateRecovery
 
-if TYPE_CHECKING:  # the platform's dispatcher needs no log
+if TYPE_CHECKING:  # the platform's dispatcher uses no state log
     from petrelwood.store.state_log import StateLog
 
-SURVIVES_MACHINE = "machine"  # the durability of a log whose records are synced before they count
+SURVIVES_MACHINE = "machine"  # the durability of a log that syncs its records before they count as written
 
 
 class DurableStateSettings(RecoverySettings, Protocol):
-    """The settings in force that a restart follows; see `settings.gateway.Gateway`."""
+    """The settings in force that apply to a restart; see `settings.gateway.Gateway`."""
 
     @property
     def damps(self) -> bool:
-        """Whether storms are damped."""
+        """Whether the damping of storms is enabled."""
 
 
 class DurableStateCore(RecoveryCore, Protocol):
-    """What the durable state needs of the core."""
+    """The parts of the core that `DurableState` uses."""
 
     @property
     def gateway(self) -> DurableStateSettings:
@@ -39,7 +39,7 @@
 
     @property
     def intake(self) -> Intake:
-        """The admission, which may have to start slowly."""
+        """The admission stage, which may have to start slowly."""
 
     @property
     def membership(self) -> Membership:
@@ -54,21 +54,21 @@
         """The decision module."""
 
     def clock_offset_found(self, min_clock_offset: int, /) -> object:
-        """Learn that an earlier process has seen the wall clock this many ns ahead of the monotonic one."""
+        """Handle the least offset (ns) of wall to monotonic clock that earlier processes recorded."""
 
 
 class RecordedActivations(Protocol):
-    """What becomes of an activation whose record is durable, or can't be; see `dispatch.activations`."""
+    """Begins or rejects activations once their record is durable or failed; see `dispatch.activations`."""
 
     def begin(self, act: PendingActivation, /) -> object:
         """Hand an activation to the decision module."""
 
     def reject(self, act: PendingActivation, least_wait: int, /) -> object:
-        """Reject an activation that has not begun; it may come back after `least_wait` ns."""
+        """Reject an activation that has not begun; its client may retry after `least_wait` ns."""
 
 
 class DurableState:
-    """What one dispatcher records in `log`, and what it read there at its start."""
+    """Records the activations and load orders of one dispatcher in `log`, and restores them at its start."""
 
     def __init__(
         self, core: DurableStateCore, activations: RecordedActivations, ledger: Ledger, log: "StateLog"
@@ -78,14 +78,14 @@
         self.ledger = ledger
         self.log = log
         self.state_recovery = StateRecovery(core, self)
-        self.restart: recovery.RestartLimits | None = None  # what still follows from the incarnations before
-        self.unsynced: dict[str, PendingActivation] = {}  # by id; they begin once their record is synced
+        self.restart: recovery.RestartLimits | None = None  # limits that follow from earlier incarnations
+        self.unsynced: dict[str, PendingActivation] = {}  # by id; each begins once its record is synced
         self.syncing = False
 
     def adopt(self, log: "StateLog", predecessor_runs: bool = False) -> None:
-        """Go on from what earlier incarnations have left in a log.
+        """Restore the state that earlier incarnations recorded in a log, and continue the log.
 
-        `predecessor_runs`: the one before still finishes what it has in flight.
+        `predecessor_runs`: the previous process still finishes its activations in flight.
         """
         core = self.core
         now = core.now()
@@ -112,7 +112,7 @@
             )
 
     def is_warm_enough(self, worker: str, now: int) -> bool:
-        """Return whether a worker may be sent anything so soon after the restart: cold ones have to wait."""
+        """Return whether a worker may be sent anything; cold workers have to wait after a restart."""
         restart = self.restart
         if restart is None or now >= restart.cold_workers_from:
             return True
@@ -120,20 +120,20 @@
         is_cold = bool(booted) and now - booted < self.core.terms.guarantees.warm_up_time
         return bool(restart.may_send(now, is_cold))
 
-    # The admission of activations.
+    # Admission
     def can_admit(self, type_: str) -> bool:
-        """Return whether this type may be admitted: in an outage not if it must not run twice."""
+        """Return whether this type may be admitted; in an outage, types that must not run twice may not."""
         effect = self.core.terms.types[type_].effect
         return bool(recovery.may_admit(effect, self.log.stopped is None))
 
     def reject(self, now: int) -> int:
-        """Count an activation that is rejected for the outage; return the ns until that may be over."""
+        """Count an activation rejected because of an outage; return the ns until the next attempt."""
         return self.state_recovery.rejected_for(now)
 
     def record_admitted(self, act: PendingActivation) -> bool:
         """Record a new activation; return whether it may begin at once.
 
-        What must not run twice waits until its record is durable, and is rejected where it can't be.
+        An activation that must not run twice waits until its record is durable; it is rejected if that fails.
         """
         core = self.core
         customer, id_ = act.key
@@ -151,7 +151,7 @@
         return False
 
     def _sync(self) -> None:
-        """Sync the log, unless a sync is under way: what comes meanwhile is the next one's."""
+        """Sync the log unless a sync is in progress; records added meanwhile are left to the next sync."""
         if self.syncing or not self.unsynced:
             return
         self.syncing = True
@@ -176,15 +176,15 @@
             else:
                 self.activations.reject(act, self.reject(self.core.now()))
 
-    # What ends, and what is ordered.
+    # Records of ends and load orders
     def record_ended(
         self, key: tuple[str, str], outcome: ActivationState, sent: bool, body: bytes | None
     ) -> None:
-        """Record how an activation ended. `body`: the answer, where it is short enough to be cached."""
+        """Record how an activation ended. `body`: the answer, or None if it is too long to be cached."""
         self.log.add(ActivationEnded(self.core.record_time(), *key, outcome, sent, body))
 
     def record_order(self, worker: str, function: str, copies: int) -> bool:
-        """Record a load order; return whether it is durable, and may go out."""
+        """Record a load order; return whether it is durable and may be sent."""
         core = self.core
         self.log.add(LoadOrdered(core.record_time(), worker, function, copies))
         if not self.log.flush():
@@ -193,15 +193,15 @@
         return True
 
     def flush(self) -> None:
-        """Write what was recorded in a turn of the dispatcher."""
+        """Write the records that were added during one run of the event queue."""
         self.log.flush()
 
     def check(self) -> None:
-        """Begin segments, and recover the log after its disk failed; called a few times a second."""
+        """Begin a new segment when due, and recover the log after a disk failure; called periodically."""
         self.log.check(self.core.record_time())
         self.state_recovery.check()
 
     def take_over_again(self) -> None:
-        """Read what the failed successor recorded, and record here again."""
+        """Read the records of the failed successor, and resume recording in this process."""
         self.log.take_over_again(self.core.record_time())
         self.adopt(self.log)
--- a/petrelwood/dispatch/errors.py
+++ b/petrelwood/dispatch/errors.py
@@ -4,11 +4,11 @@
 
 
 class HandoverError(PetrelwoodError):
-    """A hand-over between two processes can't go on."""
+    """A hand-over between two processes failed."""
 
 
 class PeerLostError(HandoverError):
-    """The other process is gone, or its connection is broken."""
+    """The other process has ended, or the connection to it is broken."""
 
 
 class PeerTimeoutError(HandoverError):
@@ -16,8 +16,8 @@
 
 
 class MalformedMessageError(HandoverError):
-    """The other process sent what is no message of the protocol."""
+    """The other process sent data that is not a valid message of the protocol."""
 
 
 class HandoverRejectedError(HandoverError):
-    """The other process does not hand over to this one, or takes its hand-over back."""
+    """The other process refused the hand-over, or gave it back."""
--- a/petrelwood/dispatch/event_queue.py
+++ b/petrelwood/dispatch/event_queue.py
@@ -1,7 +1,7 @@
-"""Runs what happens to a dispatcher one call after the other.
+"""Serializes the calls that handle the events of a dispatcher.
 
-What is submitted during a call runs after it, in order: the decision module is never entered twice. A call
-that fails does not stop those behind it.
+Calls that are submitted during a call run after it, in order, so the decision module is never re-entered. A
+call that raises does not prevent the calls queued behind it.
 """
 
 from collections import deque
@@ -9,7 +9,9 @@
 
 from petrelwood.dispatch.interfaces import Clock
 
-MAX_CALLS_PER_RUN = 10_000  # that follow from each other, before the clock is let go on
+MAX_CALLS_PER_RUN = (
+    10_000  # further calls run in the next iteration of the event loop, so timers are not starved
+)
 
 Call = Callable[..., object]
 Arguments = tuple[object, ...]
@@ -17,10 +19,11 @@
 
 
 class EventQueue:
-    """Calls that wait for their turn.
+    """A FIFO queue of calls.
 
-    Whoever adds one to `waiting` calls `run` unless it is `running`. `on_defect(name, error, arguments)` is
-    called for each call that raised, `after_run()` when nothing is left to do for now.
+    After adding a call to `waiting`, the caller must call `run` unless the queue is `running`.
+    `on_defect(name, error, arguments)` is called for each call that raised, `after_run()` at the end of each
+    run.
     """
 
     __slots__ = ("after_run", "clock", "on_defect", "running", "touched", "waiting")
@@ -31,10 +34,10 @@
         self.after_run: Callable[[], object] | None = None
         self.waiting: deque[tuple[Call, Arguments]] = deque()
         self.running = False
-        self.touched: set[str] = set()  # ids of the activations that the present call has to do with
+        self.touched: set[str] = set()  # ids of the activations that the current call handles
 
     def run(self) -> None:
-        """Make the calls that wait, and those that follow from them."""
+        """Run the queued calls, and the calls that these submit, up to `MAX_CALLS_PER_RUN`."""
         self.running = True
         waiting = self.waiting
         try:
@@ -49,7 +52,7 @@
                     self.on_defect(getattr(call, "__name__", "call"), fault, arguments)
         finally:
             self.running = False
-            self.touched.clear()  # a defect outside of the queue is none of theirs
+            self.touched.clear()  # an exception raised outside of the queue must not abort them
             if self.after_run is not None:
                 self.after_run()
         if waiting:
--- a/petrelwood/dispatch/forecast_storage.py
+++ b/petrelwood/dispatch/forecast_storage.py
@@ -1,4 +1,4 @@
-"""Keeps forecasts over a restart, and the account of early loads that people read."""
+"""Stores the forecasts, so that they survive a restart, and the log of early loads for operators."""
 
 import asyncio
 import threading
@@ -15,11 +15,11 @@
 SNAPSHOT_KIND = "forecast"
 SNAPSHOT_VERSION = 1
 SLOTS_PER_SNAPSHOT = 20
-FUNCTIONS_PER_STEP = 20  # put into a snapshot at a time, so that the loop goes on
+FUNCTIONS_PER_STEP = 20  # added to a snapshot per step, so that the event loop is not blocked
 
 
 class ForecastStorage:
-    """Reads the forecasts of one dispatcher from a folder, and saves them there now and then."""
+    """Reads the forecasts of one dispatcher from a folder, and saves them there periodically."""
 
     def __init__(
         self,
@@ -37,10 +37,10 @@
         self.account = EarlyLoadLog(folder)
         self.file = self.account.path.with_name(SNAPSHOT_FILE)
         self.next_snapshot = clock.now() + SLOTS_PER_SNAPSHOT * forecasts.slot
-        self.unsaved: Iterator[object] | None = None  # what is not in the snapshot yet that is being made
+        self.unsaved: Iterator[object] | None = None  # the parts that the snapshot in progress lacks
         self.parts: list[object] = []
-        self._writing = threading.Lock()  # one writer of the file at a time
-        self._is_closed = False  # the file has what was known at the end
+        self._writing = threading.Lock()  # allows one writer of the file at a time
+        self._is_closed = False  # the final snapshot has been written
         self.early.account.on_end = self._record_end
         self._load()
 
@@ -72,7 +72,7 @@
         )
 
     def step(self, now: int) -> None:
-        """Go on with a snapshot when one is due: a few functions at a time, then the file in a thread."""
+        """Continue a snapshot when one is due: collect a few functions a step, then write it in a thread."""
         if self.unsaved is None:
             if now < self.next_snapshot:
                 return
@@ -89,7 +89,7 @@
             self.parts.append(part)
 
     def _write_unless_closed(self, parts: list[object]) -> None:
-        """Write a snapshot, in a thread; what is older than that of the end is not written any more."""
+        """Write a snapshot, in a thread, unless the final snapshot has been written already."""
         with self._writing:
             if not self._is_closed:
                 self._write(parts)
@@ -101,11 +101,11 @@
             self.log.warning("saving the forecast snapshot failed", why=f"{self.file}: {fault}")
 
     def flush(self) -> None:
-        """Write the account of the early loads that have ended."""
+        """Write the log of the early loads that have ended."""
         self.account.flush()
 
     def close(self) -> None:
-        """Close the account, and save the forecasts as they are."""
+        """Close the early-load log, and save the final snapshot of the forecasts."""
         self.account.close()
         with self._writing:
             self._is_closed = True
--- a/petrelwood/dispatch/handover/channel.py
+++ b/petrelwood/dispatch/handover/channel.py
@@ -1,4 +1,4 @@
-"""One connection of a hand-over, over a Unix socket: messages behind a 4-byte length, and descriptors."""
+"""A connection of a hand-over over a Unix socket: length-prefixed messages, and file descriptors."""
 
 import asyncio
 import os
@@ -10,10 +10,10 @@
 from petrelwood.dispatch.handover import messages
 from petrelwood.dispatch.handover.messages import Message
 
-LENGTH = struct.Struct("<I")
-LONGEST_MESSAGE = 1 << 20  # bytes
-READ_SIZE = 65_536  # bytes taken from the socket at a time
-MOST_DESCRIPTORS = 16  # in one read
+LENGTH = struct.Struct("<I")  # the prefix of each message: the size of its body
+MAX_MESSAGE_SIZE = 1 << 20  # bytes
+READ_SIZE = 65_536  # bytes per read of the socket, at most
+MAX_DESCRIPTORS = 16  # file descriptors per read, at most
 
 
 def _resolve(future: asyncio.Future[None]) -> None:
@@ -22,7 +22,7 @@
 
 
 class Channel:
-    """Sends and receives messages. `descriptors` are those that came with them, until somebody takes them."""
+    """Sends and receives messages. `descriptors`: the file descriptors received and not yet taken."""
 
     def __init__(self, sock: socket.socket, loop: asyncio.AbstractEventLoop) -> None:
         sock.setblocking(False)
@@ -31,11 +31,11 @@
         self.buffer = bytearray()
         self.descriptors: list[int] = []
         self.closed = False
-        # many tasks send at a time: one message after the other, in the order of their calls
+        # many tasks send concurrently; messages must stay whole and in the order of the calls
         self.sending = asyncio.Lock()
 
     async def send(self, message: Message, descriptors: Sequence[int] = ()) -> None:
-        """Send a message, and descriptors with it.
+        """Send a message, with file descriptors attached.
 
         Raises:
             PeerLostError: The connection is broken.
@@ -43,7 +43,7 @@
         body = messages.encode(message)
         data = LENGTH.pack(len(body)) + body
         try:
-            # descriptors ride on the first bytes; a message with some fits the socket's buffer
+            # Descriptors are attached to the first bytes; a message with some fits the socket's buffer.
             if descriptors:
                 socket.send_fds(self.sock, [data], list(descriptors))
             else:
@@ -56,20 +56,20 @@
         """Return the next message.
 
         Raises:
-            PeerLostError: The connection is broken or has ended.
-            MalformedMessageError: What came is no message of the protocol.
+            PeerLostError: The connection is broken or was closed.
+            MalformedMessageError: The received data is not a valid message of the protocol.
         """
         while (body := self._next_body()) is None:
             await self._read()
         return messages.decode(body)
 
     def _next_body(self) -> bytes | None:
-        """Take the next message off the buffer; return None where it is not complete."""
+        """Remove the next message from the buffer and return it, or return None if it is incomplete."""
         if len(self.buffer) < LENGTH.size:
             return None
         size = LENGTH.unpack_from(self.buffer)[0]
-        if size > LONGEST_MESSAGE:
-            raise MalformedMessageError("a message's length can't be")
+        if size > MAX_MESSAGE_SIZE:
+            raise MalformedMessageError("a message exceeds the maximum size")
         end = LENGTH.size + size
         if len(self.buffer) < end:
             return None
@@ -89,7 +89,7 @@
     async def _read(self) -> None:
         while True:
             try:
-                data, descriptors, _, _ = socket.recv_fds(self.sock, READ_SIZE, MOST_DESCRIPTORS)
+                data, descriptors, _, _ = socket.recv_fds(self.sock, READ_SIZE, MAX_DESCRIPTORS)
                 break
             except BlockingIOError:
                 await self._wait_readable()
@@ -97,7 +97,7 @@
                 raise PeerLostError(str(fault)) from fault
         self.descriptors += descriptors
         if not data:
-            raise PeerLostError("it closed the connection")
+            raise PeerLostError("the peer closed the connection")
         self.buffer += data
 
     def take_descriptors(self) -> list[int]:
@@ -107,10 +107,10 @@
         return taken
 
     def close(self) -> None:
-        """Close the connection, and the descriptors that nobody took."""
+        """Close the connection, and the file descriptors that were not taken."""
         if not self.closed:
             self.closed = True
-            # before its descriptor may be another's
+            # first, because the socket's descriptor may be reused once it is closed
             self.loop.remove_reader(self.sock.fileno())
             for descriptor in self.take_descriptors():
                 os.close(descriptor)
--- a/petrelwood/dispatch/handover/hooks.py
+++ b/petrelwood/dispatch/handover/hooks.py
@@ -1,4 +1,4 @@
-"""What a hand-over changes in the core of a dispatcher while it is under way."""
+"""The hooks through which a hand-over in progress changes the behaviour of a dispatcher's core."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,14 +6,16 @@
 from petrelwood.decide.delivery.ledger import ActivationState
 
 ActivationEndHandler = Callable[[str, str, ActivationState, bool, bytes | None], object]
-"""Called with the customer, the id, the outcome, whether it was sent, and the answer if it is cached."""
+"""Called with the customer, the id, the outcome, whether it was ever sent, and the answer if cached."""
 
 
 @dataclass(slots=True)
 class HandoverHooks:
     """Set by the predecessor's and the successor's side, and read by the core."""
 
-    retired: bool = False  # another process owns what is new
-    may_be_superseded: Callable[[int], bool] | None = None  # whether one may own it by now (ns)
+    retired: bool = False  # another process owns new activations
+    may_be_superseded: Callable[[int], bool] | None = (
+        None  # whether another process may own them at a time (ns)
+    )
     on_activation_end: ActivationEndHandler | None = None
     on_answer: Callable[[bool], object] | None = None  # called with whether the activation completed
--- a/petrelwood/dispatch/handover/messages.py
+++ b/petrelwood/dispatch/handover/messages.py
@@ -1,13 +1,12 @@
-"""The messages of a hand-over, and their wire form: a msgpack list of a kind and its fields.
+"""The messages of a hand-over, and their wire format: a msgpack list of a kind and its fields.
 
     successor -> predecessor                            predecessor -> successor
     ["hello", {name, pid, protocol, reads}]             ["no", reason], or ["offer", watch] with descriptors
     ["ready"]                                           ["go", completed share, answers]
-    ["owns"], ["alive"] now and then, then              ["end", customer, id, outcome, sent, body], ...
+    ["owns"], ["alive"] periodically, then              ["end", customer, id, outcome, sent, body], ...
     ["proven"] or ["back", reason]                      ["drained"], or ["taken"]: it serves again
 
-A process of another version may send kinds or further fields that this one does not know: these are passed
-over.
+A process of another version may send unknown kinds or further fields; these are ignored.
 """
 
 from collections.abc import Callable
@@ -23,33 +22,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """A successor asks to take over, and says what it is."""
+    """A successor asks to take over, and identifies itself."""
 
     request: TakeoverRequest
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """The predecessor does not hand over to this successor."""
+    """The predecessor refuses to hand over to this successor."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """The predecessor's listeners ride on it. `watch`: ns for which the successor has to prove itself."""
+    """Carries the predecessor's listeners as file descriptors. `watch`: the successor's probation in ns."""
 
     watch: int
 
 
 @dataclass(frozen=True, slots=True)
 class Ready:
-    """The successor can serve."""
+    """The successor is ready to serve."""
 
 
 @dataclass(frozen=True, slots=True)
 class Go:
-    """From now on new activations are the successor's. How the predecessor did lately, to compare with."""
+    """The successor owns new activations from now on. Carries the predecessor's recent completion rate."""
 
     completed_share: float
     answers: int
@@ -57,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Owns:
-    """The successor accepts."""
+    """The successor confirms that it owns new activations."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,12 +66,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Proven:
-    """The successor does as well as the predecessor did."""
+    """The successor has proven itself: it performs as well as the predecessor did."""
 
 
 @dataclass(frozen=True, slots=True)
 class GiveBack:
-    """The successor has not proven itself: the predecessor is to serve again."""
+    """The successor has failed its probation: the predecessor has to serve again."""
 
     reason: str
 
@@ -90,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Drained:
-    """The predecessor has nothing in flight any more."""
+    """The predecessor has no activation in flight any more."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """A message of a kind that this version does not know."""
+    """A message of an unknown kind."""
 
     kind: str
 
@@ -147,7 +146,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return the wire form of a message, without its length."""
+    """Return the wire format of a message, without the length prefix."""
     if isinstance(message, Hello):
         return _pack([HELLO, message.request.as_message()])
     return _pack([KIND_OF[type(message)], *astuple(message)])
@@ -159,17 +158,17 @@
 
 
 def decode(data: bytes) -> Message:
-    """Return the message of a wire form.
+    """Return the message that was encoded as `data`.
 
     Raises:
-        MalformedMessageError: It is no message of the protocol.
+        MalformedMessageError: The data is not a valid message of the protocol.
     """
     try:
         fields = msgpack.unpackb(data, raw=False)
     except ValueError as fault:
-        raise MalformedMessageError("a message can't be read") from fault
+        raise MalformedMessageError("a message is not valid msgpack") from fault
     if not isinstance(fields, list) or not fields or not isinstance(fields[0], str):
-        raise MalformedMessageError("a message of another kind")
+        raise MalformedMessageError("a message is not a list that begins with its kind")
     kind, *values = fields
     if kind == HELLO:
         return _hello(values)
@@ -178,7 +177,7 @@
     expected = FIELDS.get(kind, ())
     values = values[: len(expected)]
     if len(values) < len(expected) or not all(map(isinstance, values, expected)):
-        raise MalformedMessageError(f"'{kind}' without its fields")
+        raise MalformedMessageError(f"a message '{kind}' has missing or invalid fields")
     if kind == ENDED:
         return _activation_ended(*values)
     return KINDS[kind](*values)
@@ -188,7 +187,7 @@
     try:
         return ActivationEnded(customer, id_, ActivationState(outcome), sent, body)
     except ValueError as fault:
-        raise MalformedMessageError(f"an activation can't end as '{outcome}'") from fault
+        raise MalformedMessageError(f"unknown outcome of an activation: '{outcome}'") from fault
 
 
 def _hello(values: list[Any]) -> Hello | Unknown:
@@ -198,7 +197,7 @@
     try:
         oldest, newest = request.state_formats
     except (TypeError, ValueError) as fault:
-        raise MalformedMessageError("a greeting without the formats that can be read") from fault
+        raise MalformedMessageError("a greeting lacks the range of readable state formats") from fault
     if not isinstance(oldest, int) or not isinstance(newest, int):
-        raise MalformedMessageError("formats that can be read must be numbers")
+        raise MalformedMessageError("readable state formats must be numbers")
     return Hello(request._replace(state_formats=(oldest, newest)))
--- a/petrelwood/dispatch/handover/predecessor.py
+++ b/petrelwood/dispatch/handover/predecessor.py
@@ -1,8 +1,8 @@
-"""The side of a hand-over in the process that serves.
+"""The predecessor's side of a hand-over: the process that serves now.
 
-It waits on the control socket for a successor, hands its listeners over, and finishes what it has in flight.
-Until the successor has proven itself it stands by, and serves again where that one fails. What is decided is
-in `decide.cluster.handover`.
+It waits on the control socket for a successor, hands its listeners over, and finishes its activations in
+flight. Until the successor has proven itself it stands by, and resumes serving if the successor fails. The
+decisions are made in `decide.cluster.handover`.
 """
 
 import asyncio
@@ -41,32 +41,32 @@
 from petrelwood.store.state_segments import PLAIN_FORMAT
 
 CHECK_INTERVAL = 0.05  # seconds
-GREETING_TIMEOUT = 5.0  # seconds
-DISMISSAL_TIMEOUT = 5.0  # seconds
+GREETING_TIMEOUT = 5.0  # seconds for the greeting of a successor
+DISMISSAL_TIMEOUT = 5.0  # seconds to tell a superseded successor so
 
 
 class DrainedFront(Protocol):
-    """A front whose connections are waited for."""
+    """A front whose connections must drain before this process ends."""
 
     def is_drained(self) -> bool:
-        """Return whether no connection is in use any more."""
+        """Return whether no connection is in use."""
 
 
 class ListenerOwner(Protocol):
-    """The front whose listeners the successor gets; see `fronts.webhook.Webhooks`."""
+    """The front whose listeners are handed over; see `fronts.webhook.Webhooks`."""
 
     def descriptors(self) -> list[int]:
-        """Return the file descriptors of its listeners."""
+        """Return the file descriptors of the listeners."""
 
     def pause(self) -> object:
-        """Accept no connections until `resume` is called."""
+        """Stop accepting connections until `resume` is called."""
 
     def resume(self) -> object:
         """Accept connections again."""
 
 
 class PredecessorCore(Protocol):
-    """What the predecessor's side needs of the core."""
+    """The parts of the core that the predecessor's side uses."""
 
     @property
     def name(self) -> str:
@@ -86,26 +86,26 @@
 
     @property
     def durable_state(self) -> DurableState | None:
-        """The record of activations, where one is made."""
+        """The durable record of activations, or None if none is kept."""
 
     def now(self) -> int:
         """Return the monotonic time in ns."""
 
     def recent_completion(self) -> CompletionRate:
-        """Return how the activations ended that were answered in the last ten seconds."""
+        """Return the completion rate of the activations answered in the last ten seconds."""
 
     def stop_admitting(self, on_end: ActivationEndHandler, /) -> object:
-        """Admit nothing new; `on_end` is called for each activation that ends."""
+        """Stop admitting requests; `on_end` is called for each activation that ends."""
 
     def resume_admitting(self) -> object:
-        """Admit again."""
+        """Admit requests again."""
 
 
 class PredecessorProcess:
     """Serves the control socket at `path`.
 
-    `on_handover` and `on_resume` are called beside the pause and the resumption of the webhooks,
-    `on_finished` when this process may end.
+    `on_handover` and `on_resume` are called when the webhook front is paused and resumed, `on_finished` when
+    this process may end.
     """
 
     def __init__(
@@ -131,7 +131,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def open(self) -> None:
-        """Listen at the path: a successor binds it anew, so the newest process is always found there."""
+        """Listen at the path; a successor rebinds it, so the newest process is always reachable there."""
         self.server = UnixSocket(self.path, socket.SOCK_STREAM)
         self._start(self._accept())
         self._start(self._watch())
@@ -153,7 +153,8 @@
         while True:
             try:
                 sock, _ = await self.core.loop.sock_accept(self.server.sock)
-            except OSError as error:  # no descriptor, or its connection has gone: the next upgrade is heard
+            except OSError as error:
+                # No descriptor is free, or the connection is gone: keep listening for the next upgrade.
                 self.log.warning("accept failed", error=str(error))
                 await asyncio.sleep(CHECK_INTERVAL)
                 continue
@@ -186,7 +187,7 @@
 
     async def _serve(self, channel: Channel) -> None:
         try:
-            # not `wait_for`, which loses a cancellation that comes as the message does
+            # not `wait_for`, which loses a cancellation that arrives together with the message
             async with asyncio.timeout(GREETING_TIMEOUT):
                 hello = await channel.receive()
             reason = self._reason_to_reject(hello)
@@ -204,14 +205,14 @@
         except (TimeoutError, HandoverError) as fault:
             channel.close()
             if channel is self.channel:
-                self._successor_lost(str(fault) or "it said nothing")
+                self._successor_lost(str(fault) or "it sent no greeting in time")
 
     def _reason_to_reject(self, hello: Message) -> str | None:
         if not isinstance(hello, Hello):
-            return "it did not greet"
+            return "the first message was no greeting"
         is_busy = self.machine.is_busy()
         state = self.core.durable_state
-        # what the successor must read: the newest format that stands in the folder
+        # the newest format in the folder, which the successor must be able to read
         state_format = PLAIN_FORMAT if state is None else state.log.format
         return handover.rejection_reason(hello.request, self.core.name, state_format, is_busy)
 
@@ -231,7 +232,7 @@
             case Proven():
                 self._carry_out(self.machine.on_proven())
             case GiveBack(reason):
-                raise HandoverRejectedError(f"it gives back: {reason}")
+                raise HandoverRejectedError(f"the successor gave back: {reason}")
 
     def _successor_lost(self, reason: str) -> None:
         channel = self.channel
@@ -241,7 +242,7 @@
             self._carry_out(self.machine.on_successor_lost(reason))
 
     def _hand_over(self) -> None:
-        """Stop admitting: all that was admitted is in the log of state then."""
+        """Stop admitting; afterwards the state log contains every admitted activation."""
         self.core.stop_admitting(self._activation_ended)
         self.webhooks.pause()
         self.on_handover()
@@ -269,7 +270,7 @@
         self.core.resume_admitting()
         self.webhooks.resume()
         self.on_resume()
-        # a successor that only stood still must hear that it is superseded
+        # a successor that was only stalled must be told that it is superseded
         if self.channel is not None:
             channel = self.channel
             self.channel = None
--- a/petrelwood/dispatch/handover/successor.py
+++ b/petrelwood/dispatch/handover/successor.py
@@ -1,7 +1,8 @@
-"""The side of a hand-over in the process that replaces a running one.
+"""The successor's side of a hand-over: the process that replaces the serving one.
 
-It gets the listeners, serves on them, hears how what the predecessor has in flight ends, and gives back where
-it does worse than the predecessor did. What is decided is in `decide.cluster.handover`.
+It receives the listeners and serves on them, is notified of the outcomes of the predecessor's activations in
+flight, and gives back if it performs worse than the predecessor did. The decisions are made in
+`decide.cluster.handover`.
 """
 
 import asyncio
@@ -37,21 +38,20 @@
 
 CHECK_INTERVAL = 0.05  # seconds
 CHECKS_PER_HEARTBEAT = 5
-OFFER_TIMEOUT = 10.0  # seconds
+OFFER_TIMEOUT = 10.0  # seconds for the predecessor's answer to the greeting
 SECOND = 1_000_000_000  # ns
-# ns without a check, after which this process asks itself whether it was superseded meanwhile
-STALL = 1_000_000_000
-CATCH_UP = 4 * CHECK_INTERVAL  # seconds in which is heard what came during a stall
+STALL = 1_000_000_000  # ns without a check after which this process may have been superseded
+CATCH_UP = 4 * CHECK_INTERVAL  # seconds to process the messages that arrived during a stall
 
 NowFunction = Callable[[], int]
 
 
 class SuccessorCore(Protocol):
-    """What the successor's side needs of the core."""
+    """The parts of the core that the successor's side uses."""
 
     @property
     def handover(self) -> HandoverHooks:
-        """Whom the core asks whether this process may be superseded."""
+        """The hooks, by which the core asks whether this process may be superseded."""
 
     def now(self) -> int:
         """Return the monotonic time in ns."""
@@ -59,10 +59,10 @@
     def note_predecessor_outcome(
         self, customer: str, id_: str, outcome: ActivationState, sent: bool, body: bytes | None, /
     ) -> object:
-        """Learn how an activation ended that the predecessor had in flight."""
+        """Record how an activation ended that the predecessor had in flight."""
 
     def predecessor_ended(self) -> object:
-        """Learn that the predecessor has ended: the outcomes that it did not send are not known."""
+        """Handle the end of the predecessor: outcomes that it did not send stay unknown."""
 
 
 class SuccessorProcess:
@@ -78,30 +78,30 @@
 
     @property
     def channel(self) -> Channel:
-        """The connection to the predecessor, once `request` has made it."""
+        """The connection to the predecessor, which `request` makes."""
         if self.connection is None:
             raise PeerLostError("there is no connection to the old process")
         return self.connection
 
     async def request(self, now: int) -> None:
-        """Greet the predecessor and take its listeners.
+        """Greet the predecessor and receive its listeners.
 
         Raises:
-            HandoverError: The predecessor does not hand over, or is gone.
+            HandoverError: The predecessor refused to hand over, or is gone.
         """
         self.connection = Channel(self._connect(), self.loop)
         formats = (OLDEST_FORMAT, NEWEST_FORMAT)
         request = TakeoverRequest(self.name, handover.PROTOCOL_VERSION, formats, os.getpid())
         await self.channel.send(Hello(request))
         try:
-            # not `wait_for`, which loses a cancellation that comes as the message does
+            # not `wait_for`, which loses a cancellation that arrives together with the message
             async with asyncio.timeout(OFFER_TIMEOUT):
                 offer = await self.channel.receive()
         except TimeoutError as fault:
             raise PeerTimeoutError("the old process does not answer") from fault
         if not isinstance(offer, Offer):
             reason = offer.reason if isinstance(offer, Rejection) else offer
-            raise HandoverRejectedError(f"the old process says no: {reason}")
+            raise HandoverRejectedError(f"the old process refused to hand over: {reason}")
         self.machine = handover.Successor(now, offer.watch)
         self.listeners = [socket.socket(fileno=fd) for fd in self.channel.take_descriptors()]
         if not self.listeners:
@@ -113,14 +113,16 @@
             sock.connect(str(self.path))
         except OSError as fault:
             sock.close()
-            raise PeerLostError(f"nobody serves at {self.path}: {fault.strerror}") from fault
+            raise PeerLostError(
+                f"can't connect to the old process at {self.path}: {fault.strerror}"
+            ) from fault
         return sock
 
     async def take_over(self, now: NowFunction) -> None:
-        """Say that this process can serve, and wait until the predecessor gives way.
+        """Report that this process is ready, and wait until the predecessor lets it take over.
 
         Raises:
-            HandoverError: The predecessor does not give way, or is gone.
+            HandoverError: The predecessor did not give way, or is gone.
         """
         self.machine.on_ready_to_serve(now())
         await self.channel.send(Ready())
@@ -136,9 +138,9 @@
             raise HandoverRejectedError("the old process did not give way")
 
     async def follow(self, core: SuccessorCore, log: Logger, on_failure: Callable[[], object]) -> None:
-        """Serve beside the predecessor until that one is gone.
+        """Serve beside the predecessor until it has ended.
 
-        Where this process fails before that, it calls `on_failure()` and returns.
+        If this process fails before that, `on_failure()` is called.
         """
         self.on_failure = on_failure
         self.last_check = core.now()
@@ -153,10 +155,11 @@
             await asyncio.wait([outcomes], timeout=None if self.machine.phase == SuccessorPhase.PROVEN else 0)
 
     async def _watch_itself(self, core: SuccessorCore, log: Logger, outcomes: asyncio.Task[None]) -> None:
+        """Send heartbeats, and check whether this process has proven itself or failed."""
         checks = 0
         while not outcomes.done():
             await asyncio.sleep(CHECK_INTERVAL)
-            # this process stood still: what came meanwhile is heard first
+            # After a stall, the messages that arrived meanwhile are processed before the check.
             if core.now() - self.last_check > STALL:
                 await asyncio.sleep(CATCH_UP)
             self.last_check = core.now()
@@ -175,7 +178,7 @@
                 return
 
     def _may_be_superseded(self, now: int) -> bool:
-        """Return whether the predecessor may serve again: it does, or this process was stalled too long."""
+        """Return whether the predecessor may have resumed: it has, or this process stalled for too long."""
         stalled = now - self.last_check > STALL
         phase = self.machine.phase
         return phase == SuccessorPhase.FAILED or phase == SuccessorPhase.OWNING and stalled
@@ -186,7 +189,7 @@
                 match await self.channel.receive():
                     case TakenBack():
                         self.machine.fail("the old process serves again")
-                        log.error("upgrade taken back by the old process")
+                        log.error("upgrade cancelled by the old process")
                         self.on_failure()
                         return
                     case ActivationEnded(customer, id_, outcome, sent, body):
@@ -207,6 +210,6 @@
         self.close()
 
     def close(self) -> None:
-        """End the connection, if there is one."""
+        """Close the connection, if there is one."""
         if self.connection is not None:
             self.connection.close()
--- a/petrelwood/dispatch/health.py
+++ b/petrelwood/dispatch/health.py
@@ -1,7 +1,7 @@
 """Heartbeats of this dispatcher to the BGP speaker beside it.
 
-They are sent from the dispatcher's own event loop, so that a dispatcher that hangs falls silent. While
-another process owns new activations (`retired`, during a hand-over), this one sends nothing: the owner does.
+They are sent from the dispatcher's own event loop, so a dispatcher that hangs sends none. While another
+process owns new activations (`retired`, during a hand-over), that process sends the heartbeats instead.
 """
 
 import asyncio
@@ -19,11 +19,11 @@
 SECOND = 1_000_000_000
 HEARTBEAT_INTERVAL = int(EVERY * SECOND)  # ns
 STALL_BUCKET = SECOND // 2  # ns
-STALL_BUCKETS = 5  # a stall is reported for two seconds at least
+STALL_BUCKETS = 5  # so a stall is reported for at least two seconds
 
 
 class HealthCore(Protocol):
-    """What a report of health needs of the core."""
+    """The parts of the core that a health report uses."""
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
@@ -31,7 +31,7 @@
 
     @property
     def intake(self) -> Intake:
-        """The admission, which is closed during a graceful shutdown."""
+        """The admission stage, which is closed during a graceful shutdown."""
 
     @property
     def membership(self) -> Membership:
@@ -39,15 +39,15 @@
 
     @property
     def recent_answers(self) -> RecentAnswers:
-        """How many of the last answers were good."""
+        """The outcomes of the answers of the last ten seconds."""
 
     @property
     def durable_state(self) -> DurableState | None:
-        """The record of activations, where one is made."""
+        """The durable record of activations, or None if none is kept."""
 
     @property
     def handover(self) -> HandoverHooks:
-        """Whether another process owns what is new."""
+        """The hand-over state: whether another process owns new activations."""
 
     def now(self) -> int:
         """Return the monotonic time in ns."""
@@ -99,12 +99,12 @@
             await asyncio.sleep(EVERY)
 
     def send_now(self) -> None:
-        """Send a heartbeat out of turn, as at the beginning of a graceful shutdown."""
+        """Send a heartbeat immediately, as at the beginning of a graceful shutdown."""
         if not self.core.handover.retired:
             self.sender.send(self.report())
 
     def close(self) -> None:
-        """End the heartbeats."""
+        """Stop sending heartbeats."""
         if self.task is not None:
             self.task.cancel()
         self.sender.close()
--- a/petrelwood/dispatch/interfaces.py
+++ b/petrelwood/dispatch/interfaces.py
@@ -123,7 +123,7 @@
 
 
 class CoreRuntime(Protocol):
-    """What every part of a dispatcher needs of its core: time, a log, and the event queue."""
+    """The parts of the core that every other part uses: time, a log, and the event queue."""
 
     @property
     def clock(self) -> Clock:
--- a/petrelwood/dispatch/load_forecasts.py
+++ b/petrelwood/dispatch/load_forecasts.py
@@ -1,4 +1,4 @@
-"""Loads functions ahead of the calls that are forecast, and learns the forecasts from those that came."""
+"""Loads functions ahead of forecast calls, and updates the forecasts from the calls that arrived."""
 
 from random import Random
 from typing import TYPE_CHECKING
@@ -12,13 +12,13 @@
 if TYPE_CHECKING:
     from petrelwood.settings.early_loads import EarlyTerms
 
-UNLIMITED_ORDERS = 1e9  # of one slot, where load orders have no ration
+UNLIMITED_ORDERS = 1e9  # load orders per slot if they are not rationed
 
 
 class LoadForecasts:
     """The forecasts of one dispatcher.
 
-    `sliced`: whether they are learnt a few functions at a time, by `learn`.
+    `sliced`: whether they are updated incrementally by `learn`, a few functions per call.
     """
 
     def __init__(
@@ -52,21 +52,21 @@
         self.early.plan_slot(self.clock.now(), self.clock.steady_wall(), self.orders_per_slot)
 
     def activation_admitted(self, now: int, function: str, rule: Rule, type_: str) -> None:
-        """Learn that a call has come."""
+        """Record the arrival of a call."""
         self.early.call_arrived(self.clock.steady_wall(), function, rule.lanes, rule.load_time, type_)
 
     def send_completed(self, now: int, function: str, worker: str, warm: bool, duration: int) -> None:
-        """Learn that an attempt has completed after `duration` ns; `warm`: it found a copy."""
+        """Record an attempt that completed after `duration` ns; `warm`: whether it found a loaded copy."""
         self.early.call_completed(now, function, worker, warm, duration, 0 if warm else duration)
 
     def copy_missing(self, now: int, function: str, worker: str) -> None:
-        """Learn that an attempt was not run, as the worker had no copy of the function."""
+        """Record that an attempt was not run because the worker had no copy of the function."""
         self.early.copy_missing(now, function, worker)
 
     def order_ended(self, now: int, function: str, worker: str, completed: bool) -> None:
-        """Learn how a load order has ended."""
+        """Record the end of a load order."""
         self.early.load_ended(now, function, worker, completed)
 
     def learn(self, functions: int) -> bool:
-        """Learn the forecasts of so many functions; return whether some are left."""
+        """Update the forecasts of at most `functions` functions; return whether some are left."""
         return self.early.forecast.learn(functions)
--- a/petrelwood/dispatch/outlet.py
+++ b/petrelwood/dispatch/outlet.py
@@ -1,7 +1,7 @@
 """Carries out what the decision module decides; see `petrelwood.ports.Outlet`.
 
-It guards the rules once more, whatever the module says: nothing is sent after the final answer, to a worker
-that drains, or to a cold one too soon after a restart.
+It enforces these rules independently of the module: nothing is sent after the final answer, to a worker that
+drains, or to a cold worker too soon after a restart.
 """
 
 from dataclasses import dataclass
@@ -20,17 +20,17 @@
 from petrelwood.dispatch.interfaces import CoreRuntime, Rule
 from petrelwood.dispatch.worker_links import WorkerLink, WorkerLinks
 
-RETRIES_PER_SEND = 0.5
-LEAST_SAVED_RETRIES = 16.0
-HELD_PER_SAVED_RETRY = 64  # activations that a dispatcher may hold, for one more retry that is saved
+RETRIES_PER_SEND = 0.5  # retries that each first attempt adds to the budget
+MIN_SAVED_RETRIES = 16.0  # lower bound of the budget's capacity
+HELD_PER_SAVED_RETRY = 64  # the capacity is the maximum of held activations divided by this
 
 
 class OutletCore(CoreRuntime, Protocol):
-    """What the outlet needs of the core."""
+    """The parts of the core that `ModuleOutlet` uses."""
 
     @property
     def activations(self) -> Activations:
-        """The activations, which get their final answers."""
+        """The activations, for their final answers."""
 
     @property
     def pending(self) -> PendingActivations:
@@ -38,11 +38,11 @@
 
     @property
     def events(self) -> EventQueue:
-        """The queue, which has to know which activations the present call touches."""
+        """The event queue, which records the activations that the current call touches."""
 
     @property
     def intake(self) -> Intake:
-        """The admission, which says when a rejected client may come back."""
+        """The admission stage, which tells when a rejected client may retry."""
 
     @property
     def links(self) -> WorkerLinks:
@@ -54,20 +54,20 @@
 
     @property
     def handover(self) -> HandoverHooks:
-        """Whether another process owns what is new."""
+        """The hand-over state: whether another process owns new activations."""
 
     @property
     def durable_state(self) -> DurableState | None:
-        """The record of load orders, where one is made."""
+        """The durable record of load orders, or None if none is kept."""
 
     def rule(self, function: str, /) -> Rule | None:
-        """Return what is known of a function, or None where it may not be called."""
+        """Return the rule of a function, or None if it may not be called."""
 
     def transmit(self, link: WorkerLink, act: PendingActivation, attempt: int, remaining: int, /) -> object:
-        """Hand an attempt to a link; `remaining`: ns until its deadline."""
+        """Send an attempt over a link; `remaining`: ns until its deadline."""
 
     def order_not_sent(self, given_at: int, /) -> object:
-        """Note that a load order that was given at `given_at` will never leave."""
+        """Withdraw a load order that was issued at `given_at` and will never be sent."""
 
     def send_ended(
         self,
@@ -92,18 +92,18 @@
         """Handle the end of a health check."""
 
     def timer_fired(self, mark: str, /) -> object:
-        """Handle a timer of the module."""
+        """Handle a timer of the decision module."""
 
 
-def retry_budget(most_held: int) -> Budget:
-    """Return the retry budget of a dispatcher that has at most so many activations, queued or in flight."""
-    saved_retries = max(LEAST_SAVED_RETRIES, most_held / HELD_PER_SAVED_RETRY)
+def retry_budget(max_held: int) -> Budget:
+    """Return the retry budget of a dispatcher with at most `max_held` activations queued or in flight."""
+    saved_retries = max(MIN_SAVED_RETRIES, max_held / HELD_PER_SAVED_RETRY)
     return Budget(RETRIES_PER_SEND, saved_retries)
 
 
 @dataclass(slots=True)
 class OutletCounts:
-    """What was carried out, for logs and tests."""
+    """Counts of the decisions that were carried out or refused, for logs and tests."""
 
     sends: int = 0
     orders: int = 0
@@ -113,7 +113,7 @@
 
 
 class ModuleOutlet:
-    """The outlet of one dispatcher's module. `retries`: what retries are charged to; None: they are free."""
+    """The outlet of one dispatcher's module. `retries`: the budget for retries; None: they are unlimited."""
 
     def __init__(self, core: OutletCore, retries: Budget | None) -> None:
         self.core = core
@@ -124,7 +124,7 @@
         self.retries = retries
 
     def send(self, act: str, worker: str, limit: int) -> None:
-        """Send an activation to a worker; `limit` is not used, as links pass the deadline."""
+        """Send an activation to a worker; `limit` is not used, because links send the deadline."""
         core = self.core
         core.events.touched.add(act)
         activation = self.pending.activations.get(act)
@@ -146,7 +146,7 @@
         if self.retries is not None:
             if not attempt:
                 self.retries.earn()
-            # more retries than first attempts: what fails is not helped by more
+            # A used-up budget means widespread failures, which more retries would not cure.
             elif not self.retries.spend():
                 self.counts.over_budget += 1
                 self._not_sent(act, attempt, worker, now)
@@ -160,7 +160,7 @@
         core.submit(core.send_ended, act, attempt, worker, ports.EndReason.NOT_SENT, 0, b"", now, None)
 
     def reject(self, act: str, retry_after: int) -> None:
-        """Reject an activation; `retry_after` (ns): 0 where the client is not told when to come back."""
+        """Reject an activation; `retry_after` (ns): 0 if the client gets no retry hint."""
         core = self.core
         core.events.touched.add(act)
         activation = self.pending.activations.get(act)
@@ -176,11 +176,11 @@
         self.core.activations.finish(act, ActivationState.ABORTED)
 
     def cancel(self, act: str, n: int) -> None:
-        """Ask the worker to end the attempt `n` of an activation."""
+        """Ask the worker to cancel the attempt `n` of an activation."""
         self.links.cancel(act, n)
 
     def order_load(self, worker: str, fn: str, copies: int) -> None:
-        """Order a worker to have so many copies of a function."""
+        """Order a worker to have `copies` copies of a function."""
         core = self.core
         link = self.links.get(worker)
         rule = core.rule(fn)
@@ -188,7 +188,7 @@
             self.counts.refused_by_guard += 1
             self._order_not_sent(worker, fn)
             return
-        # it counts against the ration of the next incarnation, so it is durable before it goes out
+        # The order counts against the ration of the next incarnation, so it is made durable first.
         if core.durable_state is not None and not core.durable_state.record_order(worker, fn, copies):
             self._order_not_sent(worker, fn)
             return
@@ -216,4 +216,4 @@
         core.clock.at(self.now() + wait, core.submit, core.timer_fired, mark)
 
     def request_endpoint_list(self) -> None:
-        """Do nothing: this dispatcher gets its endpoint list pushed, and never polls."""
+        """Do nothing: the endpoint list is pushed to this dispatcher, which never polls."""
--- a/petrelwood/dispatch/recent_answers.py
+++ b/petrelwood/dispatch/recent_answers.py
@@ -1,14 +1,14 @@
-"""How the activations ended that were answered lately."""
+"""The outcomes of recently answered activations."""
 
 from petrelwood.decide.cluster.completion import NO_ANSWERS, CompletionRate
 from petrelwood.decide.overload.sliding_window import SlidingWindowCounter
 
 BUCKET = 1_000_000_000  # ns
-BUCKETS = 11  # ten seconds, and the one that fills
+BUCKETS = 11  # ten seconds, and the bucket that is being filled
 
 
 class RecentAnswers:
-    """Counts of the last ten seconds. What a client has left is not counted."""
+    """Counts of the last ten seconds. Activations whose client disconnected are not counted."""
 
     __slots__ = ("completed", "failed")
 
@@ -22,7 +22,7 @@
         counter.add(now)
 
     def rate(self, now: int) -> CompletionRate:
-        """Return the share that completed; all, where there was no answer."""
+        """Return the share of answers that completed; `NO_ANSWERS` if there were none."""
         completed: int = self.completed.sum(now)
         answers = completed + self.failed.sum(now)
         return CompletionRate(completed / answers, answers) if answers else NO_ANSWERS
--- a/petrelwood/dispatch/rollout.py
+++ b/petrelwood/dispatch/rollout.py
@@ -1,7 +1,7 @@
-"""Rolls out the versions of settings that are announced in a folder.
+"""Rolls out the settings versions that are announced in a folder.
 
-When this dispatcher takes a version, and when it goes back, is decided in `decide.cluster.rollout`. A version
-that does worse, or can't be applied, is called off for all dispatchers.
+`decide.cluster.rollout` decides when this dispatcher applies a version and when it rolls back. A version that
+performs worse, or can't be applied, is revoked for all dispatchers.
 """
 
 import asyncio
@@ -20,26 +20,26 @@
 from petrelwood.store import versions
 from petrelwood.store.errors import VersionUnreadableError
 
-POLL_INTERVAL = 1.0  # seconds between two looks at the folder
-ROLLBACK_RETRY_INTERVAL = 5.0  # seconds between two attempts to go back by an upgrade
+POLL_INTERVAL = 1.0  # seconds between two reads of the folder
+ROLLBACK_RETRY_INTERVAL = 5.0  # seconds between two attempts to roll back by an upgrade
 DID_WORSE = "it did worse"
 NOT_APPLICABLE = "it can not act without a restart, or its upgrade failed"
 
 
 @dataclass(frozen=True, slots=True)
 class VersionSource:
-    """Where the versions of one dispatcher come from."""
+    """The folder from which one dispatcher reads versions, and its own settings."""
 
     folder: str
-    own: Gateway  # what its own file says, which counts where no version does
+    own: Gateway  # the settings of its own file, in force while no version is
     read_settings: ReadSettings
 
     def read(self, number: int) -> Gateway:
         """Return the settings of a version; 0 for the dispatcher's own.
 
         Raises:
-            SettingsError: What the version says is wrong.
-            VersionUnreadableError: The folder does not give it.
+            SettingsError: The version's settings are invalid.
+            VersionUnreadableError: The version can't be read from the folder.
         """
         if not number:
             return self.own
@@ -47,11 +47,11 @@
 
 
 def read_version(read_settings: ReadSettings, own: Gateway, folder: str, number: int) -> Gateway:
-    """Return the settings of a version for the dispatcher whose own file says `own`.
+    """Return the settings of a version for the dispatcher whose own file has the settings `own`.
 
     Raises:
-        SettingsError: What the version says is wrong.
-        VersionUnreadableError: The folder does not give it.
+        SettingsError: The version's settings are invalid.
+        VersionUnreadableError: The version can't be read from the folder.
     """
     text = read_unchanging(versions.require_readable(folder, number))
     settings: Gateway = read_settings(text).as_of(own)
@@ -59,7 +59,7 @@
 
 
 class RolloutCore(Protocol):
-    """What the roll-out needs of the core."""
+    """The parts of the core that the roll-out uses."""
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
@@ -71,7 +71,7 @@
 
     @property
     def answered(self) -> tuple[int, int]:
-        """How many activations have completed, and how many have not, since the start."""
+        """How many activations completed, and how many were aborted or rejected, since the start."""
 
 
 class VersionRollout:
@@ -97,12 +97,12 @@
         self.updater = updater
         self.upgrader = upgrader
         self.on_revocation = on_revocation
-        self.unwritten_revocations: dict[int, str] = {}  # that the folder did not take yet
+        self.unwritten_revocations: dict[int, str] = {}  # number -> reason; not written to the folder yet
 
     async def run(self, answers_counted: tuple[int, int]) -> None:
-        """Follow the folder until it is cancelled.
+        """Follow the folder until cancelled.
 
-        `answers_counted`: those that say nothing of a version, as `RolloutCore.answered`.
+        `answers_counted`: the value of `RolloutCore.answered` from which on answers count for the roll-out.
         """
         completed, failed = answers_counted
         while True:
@@ -116,7 +116,7 @@
             completed, failed = completed_now, failed_now
             await self._write_revocations()
             if self.upgrader.handing_over:
-                # the successor goes on with this
+                # the successor continues the roll-out
                 continue
             step = self.rollout.decide(self.core.clock.steady_wall(), announced)
             if step is not None:
@@ -125,18 +125,18 @@
     async def _carry_out(self, step: RolloutStep) -> None:
         is_rollback = step.action is RolloutAction.ROLL_BACK
         number = step.version
-        faulty_version = self.rollout.faulty_version
+        revoked_version = self.rollout.faulty_version
         event = "rolling back to a version" if is_rollback else "applying a version"
-        self.log.info(event, number=number, calls_off=faulty_version)
-        # at once: the other dispatchers must not wait for what is done here
-        if faulty_version is not None:
-            await self._revoke(faulty_version, DID_WORSE)
+        self.log.info(event, number=number, calls_off=revoked_version)
+        # The revocation comes first: the other dispatchers must not wait until this one has rolled back.
+        if revoked_version is not None:
+            await self._revoke(revoked_version, DID_WORSE)
         reason = NOT_APPLICABLE
         try:
             new = await self._read(number, is_rollback)
             result = await self._apply(new, is_rollback)
         except VersionUnreadableError as fault:
-            self.log.error("version can't be read; it is attempted again", why=str(fault))
+            self.log.error("version can't be read; will be retried", why=str(fault))
             self.rollout.on_apply_postponed()
             return
         except SettingsError as fault:
@@ -148,11 +148,11 @@
             await self._revoke(number, reason)
 
     async def _read(self, number: int, is_rollback: bool) -> Gateway:
-        """Return the settings of a version; that of a rollback is read until the folder gives it.
+        """Return the settings of a version; for a rollback, reading is retried until it succeeds.
 
         Raises:
-            SettingsError: What the version says is wrong.
-            VersionUnreadableError: The folder does not give it, and it is no rollback.
+            SettingsError: The version's settings are invalid.
+            VersionUnreadableError: The version can't be read, and this is no rollback.
         """
         while True:
             try:
@@ -160,11 +160,11 @@
             except VersionUnreadableError as fault:
                 if not is_rollback:
                     raise
-                self.log.error("version to go back to can't be read; it is attempted again", why=str(fault))
+                self.log.error("version to roll back to can't be read; will be retried", why=str(fault))
                 await asyncio.sleep(POLL_INTERVAL)
 
     async def _apply(self, new: Gateway, is_rollback: bool) -> UpdateResult:
-        """Apply settings, by an upgrade where needed; a rollback is attempted until it succeeds."""
+        """Apply settings, by an upgrade if needed; a rollback is retried until it succeeds."""
         result = self.updater.update(new, self.upgrader.available)
         while result is UpdateResult.NEEDS_UPGRADE:
             clock = self.core.clock
@@ -177,19 +177,19 @@
         return result
 
     async def _revoke(self, number: int, why: str) -> None:
-        """Revoke a version in the folder, and by the configuration servers for all other dispatchers."""
+        """Revoke a version in the folder, and through the configuration servers for all other dispatchers."""
         self.on_revocation(number, why)
         self.unwritten_revocations[number] = f"{self.updater.gateway.name}: {why}"
         await self._write_revocations()
 
     async def _write_revocations(self) -> None:
-        """Put revocations into the folder; those that it does not take are attempted again later."""
+        """Write revocations to the folder; those that fail are retried later."""
         for number, reason in list(self.unwritten_revocations.items()):
             try:
                 await self.core.loop.run_in_executor(
                     None, versions.revoke, self.source.folder, number, reason
                 )
             except OSError as fault:
-                self.log.error("call-off not stored; it is attempted again", number=number, why=str(fault))
+                self.log.error("storing a revocation failed; will be retried", number=number, why=str(fault))
                 continue
             del self.unwritten_revocations[number]
--- a/petrelwood/dispatch/serve.py
+++ b/petrelwood/dispatch/serve.py
@@ -1,6 +1,6 @@
-"""Runs one dispatcher until SIGTERM: admits nothing new, answers all it has in flight, exits 0.
+"""Runs one dispatcher until SIGTERM, then shuts it down gracefully: answers all activations, exits with 0.
 
-It may also take over from a dispatcher that runs, without a gap in service.
+The process may also take over from a running dispatcher, without a gap in service.
 """
 
 import asyncio
@@ -36,18 +36,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ServeOptions:
-    """How a process is to run a dispatcher, beside its settings."""
+    """How a process runs a dispatcher, apart from its settings."""
 
     scheduler: type[Scheduler] = Scheduler
-    follows: bool = False  # it takes over from the process at the control socket
-    read_settings: ReadSettings | None = None  # None: the settings can't change while it runs
-    upgrade_command: UpgradeCommand | None = None  # None: it can't start an upgrade by itself
-    own: Gateway | None = None  # what its own file says, where it runs a version
-    rollout_state: Sequence[Any] | None = None  # of the process before, by `Rollout.to_state`
+    follows: bool = False  # take over from the process at the control socket
+    read_settings: ReadSettings | None = None  # None: the settings can't change at runtime
+    upgrade_command: UpgradeCommand | None = None  # None: the process can't start an upgrade itself
+    own: Gateway | None = None  # the settings of its own file, if it runs a version
+    rollout_state: Sequence[Any] | None = None  # of the previous process, from `Rollout.to_state`
 
 
 class DispatcherProcess:
-    """The life of one process that serves."""
+    """One process that runs a dispatcher, from its start to its end."""
 
     def __init__(self, gateway: Gateway, log: Logger, options: ServeOptions) -> None:
         self.options = options
@@ -84,7 +84,7 @@
         self.tasks.append(self.core.loop.create_task(work))
 
     async def run(self) -> None:
-        """Serve until the end of the process; `failed` then tells why, if it has failed."""
+        """Serve until the process is to end; then `failed` is the reason if it failed, else None."""
         stalls = StallDetector(self.core.loop, self.gateway.terms.tick, self.log)
         self._handle_signals()
         try:
@@ -94,7 +94,7 @@
             if self.successor is not None:
                 self.successor.close()
         self.core.intake.closing = True
-        if self.health is not None:  # before anything else: traffic has to go elsewhere
+        if self.health is not None:  # first of all, so that traffic is rerouted
             self.health.send_now()
         self.log.info(
             "graceful shutdown started", in_flight=len(self.core.pending.activations), why=self.failed
@@ -125,7 +125,7 @@
         stalls.open()
         self.core.open()
         await self._endpoints_or_shutdown()
-        if not self.shutdown.is_set():  # without a list of workers nothing can be served
+        if not self.shutdown.is_set():  # without an endpoint list no activation can be served
             await self._listen()
             await self.shutdown.wait()
 
@@ -164,9 +164,9 @@
         print(json.dumps({"ready": f"{host}:{port}"}), flush=True)
 
     def _open_exclusive(self) -> None:
-        """Open what only one process at a time may have.
+        """Open the resources that only one process at a time may use.
 
-        Sessions at the broker, the folder of versions, the control socket.
+        These are the sessions at the MQTT broker, the versions folder and the control socket.
         """
         self.open_triggers()
         if self.gateway.control:
@@ -195,7 +195,7 @@
             Upgrader(self.core.loop, self.log, self.options.upgrade_command, self.predecessor),
             self._report_revocation,
         )
-        # what a successor has answered so far counts for the version that it was started with
+        # The answers that a successor gave so far count for the version that it was started with.
         self._start(rollout.run((0, 0) if self.follows else self.core.answered))
 
     def _report_revocation(self, number: int, why: str) -> None:
@@ -203,7 +203,7 @@
             self.follower.report_revocation(number, why)
 
     def _follow_configuration(self) -> None:
-        """Keep the folder of versions as the configuration servers have it."""
+        """Keep the versions folder up to date with the configuration servers."""
         if self.own.configuration is None:
             return
         self.follower = ConfigurationFollower(
@@ -217,7 +217,7 @@
         self._start(self.follower.run())
 
     def open_triggers(self) -> None:
-        """Open the MQTT front, anew after a hand-over that failed."""
+        """Open the MQTT front, or reopen it after a failed hand-over."""
         if self.triggers is not None:
             self.triggers.close_idle()
             self.core.fronts.remove(self.triggers)
@@ -227,12 +227,12 @@
             self.triggers.open()
 
     def close_triggers(self) -> None:
-        """End the sessions at the broker; answers still go out."""
+        """End the sessions at the MQTT broker; pending answers are still sent."""
         if self.triggers is not None:
             self.triggers.stop()
 
     async def _follow(self, successor: SuccessorProcess) -> None:
-        """Serve beside the predecessor until that one has ended; then open what only one process may have."""
+        """Serve beside the predecessor until it has ended; then open the exclusive resources."""
         await successor.follow(self.core, self.log, lambda: self._give_back(successor))
         if self.failed is None:
             self.core.handover.on_answer = None
@@ -260,9 +260,9 @@
 
 
 def _ignore_signals(loop: asyncio.AbstractEventLoop) -> None:
-    """Ignore further signals: the loop would leave them to their default action once it is closed.
+    """Ignore further signals, which would have their default action once the loop is closed.
 
-    To block them is not enough, as the libraries' threads would take them.
+    Blocking them is not enough, because the threads of libraries would receive them.
     """
     for number in HANDLED_SIGNALS:
         loop.remove_signal_handler(number)
@@ -272,7 +272,7 @@
 def run(gateway: Gateway, log: Logger, options: ServeOptions | None = None) -> int:
     """Serve until the end of the process; return the exit code.
 
-    It is 1 where the listener or the state can't be opened, or the hand-over failed.
+    The exit code is 1 if the listener or the state can't be opened, or the hand-over failed.
     """
     try:
         failed = asyncio.run(_serve(gateway, log, options or ServeOptions()))
--- a/petrelwood/dispatch/settings_update.py
+++ b/petrelwood/dispatch/settings_update.py
@@ -1,4 +1,4 @@
-"""Applies new settings to a running dispatcher: as a whole or not at all."""
+"""Applies new settings to a running dispatcher, atomically."""
 
 import enum
 from typing import Protocol
@@ -10,10 +10,10 @@
 
 
 class ReadSettings(Protocol):
-    """Reads the settings anew, from the dispatcher's file or from `text`.
+    """Reads the settings again, from the dispatcher's file or from `text`.
 
     Raises:
-        SettingsError: What they say is wrong.
+        SettingsError: The settings are invalid.
     """
 
     def __call__(self, text: str | None = None) -> Gateway:
@@ -21,7 +21,7 @@
 
 
 class UpdateResult(enum.Enum):
-    """What became of new settings."""
+    """The result of an update of the settings."""
 
     APPLIED = enum.auto()  # or there was nothing to change
     NOT_APPLIED = enum.auto()
@@ -29,14 +29,14 @@
 
 
 class SettingsUser(Protocol):
-    """A part of the dispatcher that takes new settings while it runs: the core and the webhooks."""
+    """A part of the dispatcher that accepts new settings at runtime: the core or the webhook front."""
 
     def apply(self, gateway: Gateway, /) -> object:
-        """Take new settings."""
+        """Apply new settings."""
 
 
 class SettingsUpdater:
-    """Holds the settings in force. Each update that is applied has a version of its own, for the log."""
+    """Holds the settings in force. Each update that is applied increments `version`, for the log."""
 
     def __init__(self, gateway: Gateway, core: SettingsUser, front: SettingsUser, log: Logger) -> None:
         self.gateway = gateway
@@ -46,9 +46,9 @@
         self.version = 1
 
     def update(self, new: Gateway, can_upgrade: bool = False) -> UpdateResult:
-        """Apply settings if all of their changes can act at once.
+        """Apply settings if all of their changes can take effect at once.
 
-        `can_upgrade`: whether an upgrade may follow where they can't.
+        `can_upgrade`: whether `NEEDS_UPGRADE` may be returned if they can't.
         """
         changes = comparison.changes(self.gateway, new)
         when = comparison.takes_effect(changes)
--- a/petrelwood/dispatch/stall.py
+++ b/petrelwood/dispatch/stall.py
@@ -1,4 +1,4 @@
-"""Detects that the event loop stands still, and logs the code that blocked it."""
+"""Detects a blocked event loop, and logs the code that blocked it."""
 
 import asyncio
 import sys
@@ -8,25 +8,25 @@
 
 from petrelwood.dispatch.interfaces import Logger
 
-LEAST_INTERVAL = 20_000_000  # ns between two heartbeats of the loop
-MISSED_HEARTBEATS = 4  # after so many intervals without a heartbeat the loop is stalled
-STACK_DEPTH = 6  # frames that are logged of a stalled loop
-MOST_LINES = 100
+MIN_INTERVAL = 20_000_000  # ns between two heartbeats of the loop, at least
+MISSED_HEARTBEATS = 4  # intervals without a heartbeat after which the loop counts as stalled
+STACK_DEPTH = 6  # frames of the blocking code that are logged
+MAX_LINES = 100  # log lines of one process
 
 
 class StallDetector:
-    """A timer on the loop shows that it runs; a thread of its own checks that.
+    """Records heartbeats by a timer on the loop, and checks them in a thread of its own.
 
     Each stall is logged once it is over, with the stack that the loop's thread had when it was detected.
     """
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, tick: int, log: Logger, most_lines: int = MOST_LINES
+        self, loop: asyncio.AbstractEventLoop, tick: int, log: Logger, max_lines: int = MAX_LINES
     ) -> None:
         self.loop = loop
         self.log = log
-        self.interval = max(tick, LEAST_INTERVAL) / 1e9  # seconds
-        self.remaining_lines = most_lines
+        self.interval = max(tick, MIN_INTERVAL) / 1e9  # seconds
+        self.remaining_lines = max_lines
         self.last_heartbeat = time.monotonic()
         self.loop_thread = threading.get_ident()
         self.stalls = 0
@@ -58,7 +58,7 @@
                 self.stack = _stack_of(self.loop_thread)
 
     def close(self) -> None:
-        """End the thread and the timer, each at its next turn."""
+        """Stop the thread and the timer, each when it next wakes up."""
         self.closed = True
 
 
--- a/petrelwood/dispatch/state_recovery.py
+++ b/petrelwood/dispatch/state_recovery.py
@@ -1,9 +1,8 @@
-"""Begins the state log anew after its disk failed, a slice at a time, so that the loop is never blocked.
+"""Rewrites the state log after its disk failed, in slices, so that the event loop is never blocked.
 
-What is decided (when, and what is written) is in `decide.delivery.state_rewrite`; what a segment is, in
-`store.state_segments`. While this goes on, records of what ends or begins meanwhile are added to the new
-segment like any others: an entry of the ledger is written as it stands when its turn comes, so the two never
-disagree.
+`decide.delivery.state_rewrite` decides when this happens and what is written; `store.state_segments` defines
+the segments. Activations that begin or end during the rewrite are recorded in the new segment as usual. Each
+ledger entry is written in its state at that time, so it never contradicts these records.
 """
 
 from collections.abc import Callable, Iterator
@@ -22,17 +21,17 @@
 )
 from petrelwood.dispatch.interfaces import CoreRuntime
 
-if TYPE_CHECKING:  # the platform's dispatcher needs no log
+if TYPE_CHECKING:  # the platform's dispatcher uses no state log
     from petrelwood.store.state_log import StateLog
 
-SLICE = 250  # ids that are written before the loop goes on
-PAUSE = 4 * MILLISECOND  # between two slices
-STALLED_AFTER = 5_000 * MILLISECOND  # without progress, an attempt counts as failed
-LONGEST_BODY = 4096  # bytes of an answer that is kept for a retry after a restart
+SLICE = 250  # ids that are written before the event loop regains control
+PAUSE = 4 * MILLISECOND  # ns between two slices
+STALLED_AFTER = 5_000 * MILLISECOND  # ns without progress after which an attempt counts as failed
+LONGEST_BODY = 4096  # bytes; the longest answer that is stored for a retry after a restart
 
 
 class RecoverySettings(Protocol):
-    """The settings in force that a new log follows; see `settings.gateway.Gateway`."""
+    """The settings in force that determine a rewritten log; see `settings.gateway.Gateway`."""
 
     @property
     def remember(self) -> dict[str, int]:
@@ -40,11 +39,11 @@
 
     @property
     def tolerance(self) -> int:
-        """By how many ns the time of a request may be off."""
+        """The accepted deviation of a request's timestamp, in ns."""
 
 
 class RecoveryCore(CoreRuntime, Protocol):
-    """What the recovery needs of the core."""
+    """The parts of the core that the recovery uses."""
 
     @property
     def chance(self) -> Random:
@@ -59,39 +58,41 @@
         """The terms of the decision module."""
 
     def record_time(self) -> int:
-        """Return the wall-clock time, in ns, that records carry."""
+        """Return the wall-clock time for records, in ns."""
 
     def sync_state(self, done: Callable[[bool], object], /) -> object:
-        """Sync the log of state, then call `done(durable)`."""
+        """Sync the state log, then call `done(durable)`."""
 
 
 class RecoveredState(Protocol):
-    """The state whose log is recovered; see `dispatch.durable_state.DurableState`."""
+    """The owner of the log that is recovered; see `dispatch.durable_state.DurableState`."""
 
     log: "StateLog"
 
     @property
     def ledger(self) -> Ledger:
-        """The ids that are known, which a new log has to hold."""
+        """The ledger, all of whose ids a rewritten log has to hold."""
 
     def adopt(self, log: "StateLog", /) -> object:
-        """Go on from what another process has left in the log."""
+        """Restore the state that another process recorded in the log."""
 
 
 class StateRecovery:
-    """The recovery of the log of one dispatcher's durable state."""
+    """Recovers the state log of one dispatcher after disk failures."""
 
     def __init__(self, core: RecoveryCore, state: RecoveredState) -> None:
         self.core = core
         self.state = state
         self.schedule = RecoverySchedule(core.chance.random)
         self.recent_orders = RecentOrders(core.terms.orders.period)
-        self.unwritten: Iterator[tuple[str, str]] | None = None  # ids that wait for their slice
-        self.progressed_at = 0  # ns, when the present attempt began or wrote a slice
-        self.rejected = 0  # activations that were rejected in this outage
+        self.unwritten: Iterator[tuple[str, str]] | None = (
+            None  # keys that no slice has written yet; None: no rewrite
+        )
+        self.progressed_at = 0  # ns; when the current attempt began or last wrote a slice
+        self.rejected = 0  # activations rejected in the current outage
 
     def check(self) -> None:
-        """Notice a failure, and begin the log anew when that is due; called a few times a second."""
+        """Detect a failure of the log, and start to rewrite it when that is due; called periodically."""
         log = self.state.log
         now = self.core.now()
         if log.stopped is None or (self.unwritten is not None and not log.failed and not self._stalled(now)):
@@ -102,11 +103,11 @@
             self._attempt(now)
 
     def _stalled(self, now: int) -> bool:
-        """Return whether the present attempt goes no further: a defect of ours has ended it."""
+        """Return whether the current attempt makes no progress, because a bug in this program ended it."""
         return not self.state.log.syncing and now - self.progressed_at > STALLED_AFTER
 
     def rejected_for(self, now: int) -> int:
-        """Count an activation that is rejected for the outage; return the ns until that may be over."""
+        """Count an activation rejected because of the outage; return the ns until the next attempt."""
         self.rejected += 1
         if not self.schedule.in_outage:
             self.check()
@@ -136,7 +137,7 @@
         core = self.core
         reopened = self.state.log.reopen(core.record_time())
         if self.state.log.found:
-            # another process had taken over, and what it wrote could not be read until now
+            # Another process had taken over, and its records could not be read until now.
             self.state.adopt(self.state.log)
         if not reopened:
             self._failed(now)
@@ -180,7 +181,7 @@
 
     def _synced(self, durable: bool) -> None:
         if not durable or self.unwritten is None or self.state.log.failed:
-            return  # `check` sees to it
+            return  # `check` handles the failure
         self.unwritten = None
         self.state.log.resume()
         attempts = self.schedule.attempts
--- a/petrelwood/dispatch/upgrade.py
+++ b/petrelwood/dispatch/upgrade.py
@@ -1,4 +1,4 @@
-"""Starts a process that takes over from this one, for a version that can't act without an upgrade."""
+"""Starts a process that takes over from this one, for a version whose changes need a new process."""
 
 import asyncio
 import subprocess
@@ -17,7 +17,7 @@
 class Upgrader:
     """Starts successors of this process, one at a time.
 
-    `command`: None where no process can be started; `predecessor`: None without a control socket.
+    `command`: None if no process can be started; `predecessor`: None without a control socket.
     """
 
     def __init__(
@@ -39,13 +39,13 @@
 
     @property
     def handing_over(self) -> bool:
-        """Whether a hand-over is under way, whoever started it."""
+        """Whether a hand-over is in progress, whoever started it."""
         return self.predecessor is not None and self.predecessor.machine.is_busy()
 
     async def run(self, rollout_state: str) -> None:
-        """Start a successor, and return when it has failed: where it succeeds, this process ends.
+        """Start a successor, and return once it has failed; if it succeeds, this process ends.
 
-        The successor outlives this process, so no asyncio transport may own it.
+        The successor outlives this process, so it must not be owned by an asyncio transport.
         """
         if self.command is None:
             return
@@ -59,6 +59,6 @@
             return
         while (code := child.poll()) is None:
             await asyncio.sleep(EXIT_CHECK_INTERVAL)
-        while self.handing_over:  # it is gone, and this process has not resumed yet
+        while self.handing_over:  # the successor has ended, and this process has not resumed yet
             await asyncio.sleep(HANDOVER_CHECK_INTERVAL)
         self.log.error("upgrade to a version failed", code=code)
--- a/petrelwood/store/append_log.py
+++ b/petrelwood/store/append_log.py
@@ -1,11 +1,11 @@
-"""An append-only log that opens again after a kill at any byte.
+"""An append-only log that can be reopened after a kill at any byte.
 
 A file begins with a mark and its format. Each record is its length, a CRC-32 over length and payload, and the
 payload. Reading ends at the first record that is incomplete or whose checksum is wrong: the file is truncated
-there when it is opened, and the number of dropped bytes is known. Records are written in groups: `flush`
+there when it is opened, and the number of dropped bytes is reported. Records are written in groups: `flush`
 hands the buffered records to the operating system, `sync` makes them durable. A file whose write or fsync
-failed is of no more use, as nobody can tell how much of it is on the disk: the log raises `LogWriteError`
-once and takes no further record.
+failed is not used any further, because it is unknown how much of it is on the disk: the log raises
+`LogWriteError` once and accepts no further record.
 """
 
 import contextlib
@@ -21,16 +21,16 @@
 MARK = b"ptw-log\x01"
 HEADER = struct.Struct("<II")  # length of the payload, CRC-32
 LENGTH = struct.Struct("<I")
-LONGEST_RECORD = 1 << 24
-LONGEST_LOG = 1 << 30
+LONGEST_RECORD = 1 << 24  # bytes of payload
+LONGEST_LOG = 1 << 30  # bytes
 
 
 class Scan(NamedTuple):
-    """The records that the bytes of a log hold, and where the valid part ends."""
+    """The records in the bytes of a log, and the end of the valid part."""
 
     payloads: list[bytes]
-    valid_size: int  # bytes up to the end of the last whole record
-    damage: str | None  # why it ends there, where bytes follow
+    valid_size: int  # bytes up to the end of the last complete record
+    damage: str | None  # why the valid part ends there; None if no bytes follow
 
 
 def frame(payload: bytes) -> bytes:
@@ -80,13 +80,12 @@
 class AppendLog:
     """An append-only log in one open file.
 
-    Attributes `payloads`: the records found when it was opened; `dropped_size`: how many bytes were truncated
-    then, and `damage` why; `failed`: why it takes no further record, or None. `longest` is the size bound in
-    bytes.
+    `payloads`: the records found when it was opened; `dropped_size`: how many bytes were truncated then, and
+    `damage`: why; `failed`: why no further record is accepted, or None; `longest`: the maximum size in bytes.
 
     Raises:
         LogFormatError: the file is no log of this format.
-        LogWriteError: the file could not be created, truncated or begun.
+        LogWriteError: the file could not be created, truncated or started.
         OSError: the file could not be read.
     """
 
@@ -98,8 +97,8 @@
         self.longest = longest
         self.failed: str | None = None
         self.handle: int | None = None
-        self._waiting: list[bytes] = []
-        self._waiting_size = 0
+        self._unflushed: list[bytes] = []
+        self._unflushed_size = 0
         data = self.path.read_bytes() if self.path.exists() else b""
         found = scan(data)
         self.payloads = found.payloads
@@ -127,10 +126,10 @@
     def append(self, payload: bytes) -> bool:
         """Buffer a record for the next `flush`; return False if the log is full or has failed."""
         size = len(payload) + HEADER.size
-        if self.failed or self.size + self._waiting_size + size > self.longest:
+        if self.failed or self.size + self._unflushed_size + size > self.longest:
             return False
-        self._waiting.append(frame(payload))
-        self._waiting_size += size
+        self._unflushed.append(frame(payload))
+        self._unflushed_size += size
         return True
 
     def flush(self) -> None:
@@ -139,11 +138,11 @@
         Raises:
             LogWriteError: the write failed.
         """
-        if self.failed or self.handle is None or not self._waiting:
+        if self.failed or self.handle is None or not self._unflushed:
             return
-        data = b"".join(self._waiting)
-        self._waiting = []
-        self._waiting_size = 0
+        data = b"".join(self._unflushed)
+        self._unflushed = []
+        self._unflushed_size = 0
         try:
             self.files.write_all(self.handle, data)
         except OSError as error:
@@ -168,7 +167,7 @@
         """Make all appended records durable, and close the file.
 
         Raises:
-            LogWriteError: the write or the fsync failed; the file is closed all the same.
+            LogWriteError: the write or the fsync failed; the file is closed nevertheless.
         """
         try:
             self.sync()
@@ -176,7 +175,7 @@
             self.abandon()
 
     def abandon(self) -> None:
-        """Close the file as it is, without a flush or sync; errors of closing it are ignored."""
+        """Close the file without a flush or sync; errors of closing it are ignored."""
         if self.handle is None:
             return
         handle = self.handle
--- a/petrelwood/store/early_load_log.py
+++ b/petrelwood/store/early_load_log.py
@@ -1,9 +1,9 @@
 """A log of how early loads ended, from which `petrelwood forecast account` makes its tables.
 
-A full or failing disk stops the log, never the early loads. When the file reaches its size bound a new one is
-begun, and the full one is renamed to `early-old.log`. After a fault a new file is begun in the same way, with
-backoff, as nobody can tell how much of the failed one is on the disk. Early loads that end meanwhile are not
-recorded.
+A full or failing disk stops the log, never the early loads. When the file reaches its maximum size, it is
+renamed to `early-old.log` and a new file is started. After a fault a new file is started in the same way,
+with backoff, because it is unknown how much of the failed one is on the disk. Early loads that end meanwhile
+are not recorded.
 """
 
 import contextlib
@@ -21,10 +21,10 @@
 from petrelwood.store.errors import LogFormatError, LogWriteError
 from petrelwood.store.files import Files
 
-SECOND = 1_000_000_000
-FIRST_DELAY = 5 * SECOND  # after a fault until it begins anew; doubled up to the longest
+SECOND = 1_000_000_000  # ns
+FIRST_DELAY = 5 * SECOND  # from a fault to the first retry; doubled after each up to `LONGEST_DELAY`
 LONGEST_DELAY = 300 * SECOND
-LARGEST_FILE = 32 << 20
+LARGEST_FILE = 32 << 20  # bytes
 FILE = "early.log"
 OLD_FILE = "early-old.log"
 
@@ -38,16 +38,16 @@
     function: str
     hall: str
     worker: str
-    end: str  # of `decide.forecasting.account.LoadEnd`
-    seconds: float  # what it saved less its costs
-    memory: float  # the gigabyte-seconds for which it stood
+    end: str  # a value of `decide.forecasting.account.LoadEnd`
+    seconds: float  # the time it saved less its costs
+    memory: float  # the gigabyte-seconds that its copy occupied
 
 
 class EarlyLoadLog:
     """The log in one folder.
 
-    `stopped`: why nothing is recorded now, or None. `largest`: the size bound of one file, bytes. `now`: the
-    monotonic clock, ns.
+    `stopped`: why nothing is recorded now, or None. `largest`: the maximum size of one file, bytes. `now`:
+    the monotonic clock, ns.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         self.backoff.failed(self.now())
 
     def _begin_anew(self) -> AppendLog:
-        """Begin a new file, after renaming the present one to `OLD_FILE`, and return its log."""
+        """Rename the current file to `OLD_FILE`, start a new file, and return its log."""
         if self.log is not None:
             self.log.abandon()
         with contextlib.suppress(FileNotFoundError):
@@ -97,7 +97,7 @@
             self._stop(error)
 
     def flush(self) -> None:
-        """Hand the recorded ends to the operating system; after a fault and its backoff, begin a new file."""
+        """Hand the recorded ends to the operating system; after a fault and its backoff, start a new file."""
         try:
             if self.stopped is None and self.log is not None:
                 self.log.flush()
@@ -119,7 +119,7 @@
 
 
 def read(folder: str | os.PathLike[str]) -> list[EarlyLoadEnd]:
-    """Return all recorded ends, the oldest first.
+    """Return all recorded ends, oldest first.
 
     Raises:
         LogFormatError: a file is no log of this format.
--- a/petrelwood/store/errors.py
+++ b/petrelwood/store/errors.py
@@ -4,7 +4,7 @@
 
 
 class LogWriteError(StorageError):
-    """An append-only log could not be written or made durable; it takes no further record."""
+    """An append-only log could not be written or made durable; it accepts no further record."""
 
 
 class LogFormatError(StorageError):
@@ -12,7 +12,7 @@
 
 
 class RecordError(StorageError):
-    """A stored record is complete but can't be decoded by this build."""
+    """A stored record is intact but can't be decoded by this build."""
 
 
 class StateUnreadableError(StorageError):
@@ -24,4 +24,4 @@
 
 
 class VersionUnreadableError(StorageError):
-    """The settings of a version could not be read from the folder; the version itself may be good."""
+    """The settings of a version could not be read from the folder; the version itself may be valid."""
--- a/petrelwood/store/files.py
+++ b/petrelwood/store/files.py
@@ -1,10 +1,10 @@
-"""The file operations of the stores, in one class, so that tests can make each of them fail."""
+"""The file operations of the stores, in a class that tests replace to make operations fail."""
 
 import errno
 import os
 
-PRIVATE = 0o600  # what only this user may read
-SHARED = 0o666  # what others may read as well, as far as the process's mask allows
+PRIVATE = 0o600  # the mode of files that only this user may access
+SHARED = 0o666  # the mode of files that others may access too, as far as the umask allows
 
 
 class Files:
@@ -23,7 +23,7 @@
         return os.write(handle, data)
 
     def write_all(self, handle: int, data: bytes) -> None:
-        """Write all of the data, in as many calls as it takes."""
+        """Write all of the data, in as many calls as needed."""
         view = memoryview(data)
         while view:
             written = self.write(handle, view)
--- a/petrelwood/store/history.py
+++ b/petrelwood/store/history.py
@@ -1,13 +1,13 @@
 """The history of executions: which function ran when, cold or warm, and how long it waited.
 
 Rows are buffered in memory and written in groups to a tail, an append-only log. When the tail has enough rows
-they are written to Parquet files, one a day, and a new tail is begun. So a kill at any byte loses no more
-than the rows since the last flush. `store.history_files` has the layout of the folder.
+they are written to Parquet files, one a day, and a new tail is begun. So a kill at any byte loses at
+most the rows since the last flush. `store.history_files` defines the layout of the folder.
 
-A full or failing disk stops the history, never the dispatching: `stopped` tells why. The failed tail is given
-up, as nobody can tell how much of it is on the disk; its rows stay in memory, and new rows beside them, up to
-as many again. After a backoff they are written to Parquet files under that tail's number, and a new tail is
-begun.
+A full or failing disk stops the history, never the dispatching; `stopped` is the reason. The failed tail is
+abandoned, because it is unknown how much of it is on the disk. Its rows stay in memory, and new rows are
+added to them, up to twice the rows of a tail in total. After a backoff they are written to Parquet files
+under that tail's number, and a new tail is started.
 """
 
 import os
@@ -23,14 +23,14 @@
 from petrelwood.store.history_files import Row, Sealed, day_of, tail_path
 
 SECOND = 1_000_000_000
-FIRST_DELAY = 5 * SECOND  # after a fault until the history is attempted again; doubled up to the longest
+FIRST_DELAY = 5 * SECOND  # from a fault to the first retry; doubled after each up to `LONGEST_DELAY`
 LONGEST_DELAY = 300 * SECOND
-ROWS_OF_A_TAIL = 50_000
-ROWS_OF_A_GROUP = 256  # noted before they are written
-MOST_NAMES = 60_000  # of a tail, whose numbers have two bytes
-MOST_BYTES = 1 << 30
-MOST_DAYS = 60
-LONGEST_US = 0xFFFFFFFF  # the longest time that a row keeps: 71 minutes
+ROWS_PER_TAIL = 50_000
+ROWS_PER_GROUP = 256  # rows that are buffered before they are written
+MAX_NAMES = 60_000  # names in a tail, where their numbers have two bytes
+MAX_BYTES = 1 << 30
+MAX_DAYS = 60
+LONGEST_US = 0xFFFFFFFF  # the longest time in µs that a row can hold: 71 minutes
 MICROSECOND = 1000  # ns
 
 
@@ -38,18 +38,18 @@
     """The history in one folder, bounded to `most_bytes` bytes and `most_days` days.
 
     `stopped`: why nothing is written now, or None; `noted`: how many rows were recorded; `lost`: how many
-    rows were dropped because the disk had failed for too long; `group`: rows in a write; `roll`: rows in a
+    rows were dropped because the disk had failed for too long; `group`: rows per write; `roll`: rows per
     tail; `now`: the monotonic clock, ns.
     """
 
     def __init__(
         self,
         folder: str | os.PathLike[str],
-        most_bytes: int = MOST_BYTES,
-        most_days: int = MOST_DAYS,
+        most_bytes: int = MAX_BYTES,
+        most_days: int = MAX_DAYS,
         files: Files | None = None,
-        group: int = ROWS_OF_A_GROUP,
-        roll: int = ROWS_OF_A_TAIL,
+        group: int = ROWS_PER_GROUP,
+        roll: int = ROWS_PER_TAIL,
         now: Callable[[], int] = monotonic_ns,
     ) -> None:
         self.folder = pathlib.Path(folder)
@@ -63,12 +63,12 @@
         self.stopped: str | None = None
         self.noted = 0
         self.lost = 0
-        self.log: AppendLog | None = None  # the tail; None until it was opened for the first time
-        self.number = 0  # the tail's
-        self.rows: list[Row] = []  # all of the tail
-        self._numbers: dict[str, int] = {}  # of the tail's names
-        self._unflushed = 0  # rows, the last ones
-        self._unremoved: list[pathlib.Path] = []  # tails of which nothing is needed any more
+        self.log: AppendLog | None = None  # the tail; None until it was first opened
+        self.number = 0  # the number of the tail
+        self.rows: list[Row] = []  # all rows of the tail
+        self._numbers: dict[str, int] = {}  # the numbers of the names in the tail
+        self._unflushed = 0  # how many of the last rows are not written yet
+        self._unremoved: list[pathlib.Path] = []  # obsolete tails that are still to be removed
         try:
             self._open()
         except (LogWriteError, LogFormatError, OSError) as error:
@@ -78,9 +78,9 @@
         self.stopped = str(error)
         self.backoff.failed(self.now())
 
-    # Opening.
+    # Opening
     def _open(self) -> None:
-        """Open the tail, after finishing the conversion of older tails that a kill has interrupted."""
+        """Open the tail, after finishing the conversion of older tails that a kill interrupted."""
         self.folder.mkdir(parents=True, exist_ok=True)
         for part in self.folder.glob("**/*.part"):
             part.unlink()
@@ -102,7 +102,7 @@
         self._write_days([row for row in rows if Sealed(number, day_of(row.at)) not in sealed], number)
         self.files.remove(str(path))
 
-    # Noting.
+    # Recording
     def note(
         self,
         at: int,
@@ -142,7 +142,7 @@
     def flush(self, sync: bool = False) -> None:
         """Write the buffered rows to the tail; convert the tail to Parquet files when it has enough rows.
 
-        After a fault the history is begun anew when the backoff is over. With `sync` the rows are durable on
+        After a fault the history is resumed once the backoff is over. With `sync` the rows are durable on
         return.
         """
         if self.stopped is not None:
@@ -155,7 +155,7 @@
             self._write_rows(self.log)
             if sync:
                 self.log.sync()
-            if len(self.rows) >= self.roll or len(self._numbers) > MOST_NAMES:
+            if len(self.rows) >= self.roll or len(self._numbers) > MAX_NAMES:
                 self.seal()
         except (LogWriteError, LogFormatError, OSError) as error:
             self._stop(error)
@@ -165,7 +165,7 @@
             return
         rows = self.rows[-self._unflushed :]
         if not log.append(history_files.encode_rows(rows, self._number_of)):
-            raise LogWriteError(f"{log.path}: it is full")
+            raise LogWriteError(f"{log.path}: the file has reached its maximum size")
         log.flush()
         self._unflushed = 0
 
@@ -178,7 +178,7 @@
                 self.log.append(history_files.encode_name(number, name))
         return number
 
-    # From tails to files of columns.
+    # Conversion of tails to Parquet files
     def seal(self) -> None:
         """Convert the tail's rows to Parquet files, one a day, and begin a new tail."""
         if self.log is not None:
@@ -190,13 +190,13 @@
             history_files.write_day(
                 self.folder, [row for row in self.rows if day_of(row.at) == day], self.number, self.files
             )
-            # a file of this day and number is enough for a start to pass over the tail's rows of it
+            # A restart skips the tail's rows of this day, because a file of this day and number exists.
             self.rows = [row for row in self.rows if day_of(row.at) != day]
         self._numbers = {}
         self._unflushed = 0
         self.number += 1
         path = tail_path(self.folder, self.number)
-        self._unremoved.append(path)  # unless it can be begun
+        self._unremoved.append(path)  # in case it can't be opened
         self.log = AppendLog(path, self.files)
         self._unremoved.remove(path)
         old.abandon()
@@ -209,7 +209,7 @@
             history_files.write_day(self.folder, some, number, self.files)
 
     def _remove_old(self) -> None:
-        """Remove tails that are no longer needed and days over the bounds; what fails is tried again."""
+        """Remove obsolete tails and days beyond the limits; failed removals are retried later."""
         try:
             while self._unremoved:
                 if self._unremoved[-1].exists():
@@ -220,7 +220,7 @@
             return
 
     def _recover(self) -> None:
-        """Once the backoff after a fault is over, convert the rows in memory and begin a new tail."""
+        """Once the backoff after a fault is over, convert the rows in memory and start a new tail."""
         if not self.backoff.may_retry(self.now()):
             return
         try:
--- a/petrelwood/store/history_files.py
+++ b/petrelwood/store/history_files.py
@@ -35,7 +35,7 @@
 STORED_NUMBER = struct.Struct("<H")
 NAME = b"n"
 ROWS = b"r"
-END_OF_TIME = 1 << 62
+END_OF_TIME = 1 << 62  # ns
 
 Folder = str | os.PathLike[str]
 
@@ -76,7 +76,7 @@
 
 
 def sealed(folder: Folder) -> set[Sealed]:
-    """Return which days of which tails are in Parquet files; merged files carry their highest tail number."""
+    """Return which days of which tails are in Parquet files; a merged file has the highest number merged."""
     paths = pathlib.Path(folder).glob("day=*/rows-*-*.parquet")
     return {Sealed(_number(path), path.parent.name.removeprefix("day=")) for path in paths}
 
@@ -130,7 +130,7 @@
     """Write the rows of one day as a Parquet file: to a temporary file, then renamed.
 
     Raises:
-        OSError: the file could not be written; the target is not there then.
+        OSError: the file could not be written; then the target does not exist.
     """
     in_order = sorted(rows)
     first = in_order[0].at
@@ -145,7 +145,7 @@
 
 
 def retain(folder: pathlib.Path, most_days: int, most_bytes: int) -> None:
-    """Remove the oldest days until both bounds hold; the newest day always stays."""
+    """Remove the oldest days until both limits are met; the newest day always stays."""
     days = sorted(folder.glob("day=*"))
     sizes = {day: sum(path.stat().st_size for path in day.iterdir()) for day in days}
     while len(days) > 1 and (len(days) > most_days or sum(sizes[day] for day in days) > most_bytes):
--- a/petrelwood/store/snapshot.py
+++ b/petrelwood/store/snapshot.py
@@ -1,9 +1,9 @@
-"""One value in one file, written atomically: a kill at any byte leaves the old value or the new one.
+"""One value in one file, written atomically: after a kill at any byte the file holds the old or new value.
 
 The file is a mark, a kind, a version, a length, a CRC-32 over all of these, and the value in msgpack. It is
 written to a temporary file, made durable, and renamed over the old one; then the folder is made durable, so
-that the rename is not lost either. A file that can't be read raises an error with the reason and stays where
-it is for inspection.
+that the rename is not lost either. A file that can't be read raises an error with the reason and is left in
+place for inspection.
 """
 
 import os
@@ -62,7 +62,7 @@
     """Write a snapshot, replacing the one that exists.
 
     Raises:
-        OSError: a call failed. Either the old value or the new one is there, complete; after a crash of the
+        OSError: a call failed. The file holds either the old or the new value, complete; after a crash of the
             machine it may be either.
     """
     files = files or Files()
@@ -84,8 +84,8 @@
     """Write bytes to a file atomically: to a temporary file, then renamed over the old one.
 
     The bytes survive the process, and with `durable` also a crash of the machine. `write` adds a checksum for
-    data that must be verified when it is read. `mode`: the permissions of the file, None for those of the
-    umask.
+    data that must be verified when it is read. `mode`: the permissions of the file; None for those that the
+    umask gives.
 
     Raises:
         OSError: a call failed; the temporary file is removed if that is possible.
--- a/petrelwood/store/state_codec.py
+++ b/petrelwood/store/state_codec.py
@@ -1,4 +1,4 @@
-"""The stored form of the records of the state log: msgpack arrays that begin with the name of their kind.
+"""The stored format of state log records: msgpack arrays that begin with the name of their kind.
 
 ["life", time, boot, epoch, format]                 ["order", time, worker, function, copies]
 ["take", time, customer, id, timestamp, type]       ["close", time]
@@ -32,13 +32,13 @@
 
 
 def encode(record: Record) -> bytes:
-    """Return the stored form of a record."""
+    """Return a record in its stored format."""
     encoded: bytes = msgpack.packb((STORED_NAMES[type(record)], *record), use_bin_type=True)
     return encoded
 
 
 def decode(payload: bytes) -> Record:
-    """Return the record of a stored form.
+    """Return the record that is stored as `payload`.
 
     Raises:
         RecordError: the payload is no record, or one of a kind or length that this build does not know.
@@ -48,7 +48,7 @@
     except (ValueError, msgpack.UnpackException) as error:
         raise RecordError(f"a record can't be read: {error}") from error
     if not isinstance(fields, list) or not fields or not isinstance(fields[0], str):
-        raise RecordError("a record of another form")
+        raise RecordError("a record is not a list that begins with its kind")
     kind = _KINDS.get(fields[0])
     if kind is None:
         raise RecordError(f"a record of the kind {fields[0]!r}, which this build does not know")
--- a/petrelwood/store/state_log.py
+++ b/petrelwood/store/state_log.py
@@ -1,15 +1,15 @@
-"""The state that survives a dispatcher: which activations it took, how they ended, and its load orders.
+"""The state that survives a dispatcher: the activations it admitted, how they ended, and its load orders.
 
 Records are never rewritten while the disk works: they expire with their segment, which is removed once all of
 its records are older than the retention. So a start reads no more than the records of about one retention.
-The age of a segment is measured by the monotonic clock: one that this incarnation wrote counts from when it
-was sealed, one that it found from the least age that is certain at the start. So no step of the wall clock
-removes anything early.
+The age of a segment is measured by the monotonic clock: for a segment that this incarnation wrote, since it
+was sealed; for a segment that it found, starting with the least age that is certain at the start. So no step
+of the wall clock removes a segment early.
 
 Durability says when a record counts as written: "process" once the operating system has it (it survives a
 kill of the process), "machine" once the disk has it. A failing disk stops the log, and its owner decides what
-it may still do (`decide.delivery.recovery`). A file whose write or fsync failed is never trusted again:
-`reopen` begins a new segment, the owner adds all that is still remembered to it
+it may still admit (`decide.delivery.recovery`). A file whose write or fsync failed is never trusted again:
+`reopen` begins a new segment, the owner adds all records that are still needed to it
 (`decide.delivery.state_rewrite`), and `resume` ends the outage. The segments that this incarnation had
 written before are then superseded and removed. A kill between `reopen` and `resume` leaves the old segments,
 and an incomplete copy of the same records in the new one.
@@ -37,20 +37,20 @@
 )
 
 LARGEST_SEGMENT = 1 << 28  # bytes
-SEGMENTS_IN_RETENTION = 4  # how many are begun while a record is retained
-MACHINE = "machine"  # the durability that outlives the machine
+SEGMENTS_PER_RETENTION = 4  # segments that are begun within one retention
+MACHINE = "machine"  # the durability that survives a crash of the machine
 
 
 class StateLog:
     """The log that one incarnation of a dispatcher writes.
 
-    `retention`: ns after which a record is of no use; `boot`: the mark of the machine's start (see
+    `retention`: ns after which a record is not needed any more; `boot`: the mark of the machine's boot (see
     `recovery.boot_mark`); `now`: the monotonic clock, by which segments age. The `time` of a method is the
     wall-clock time of the record, ns.
 
-    `found`: the records of other incarnations. `stopped` is None while the log takes what must be recorded,
-    else the reason why it does not: a failure sets it, and it stays set until the segment that `reopen` began
-    holds all that is remembered and `resume` was called.
+    `found`: the records of other incarnations. `stopped`: None while the log accepts what must be recorded,
+    else the reason why it does not. A failure sets it, and it stays set until the segment that `reopen` began
+    holds all records that are still needed and `resume` was called.
 
     Raises:
         StateUnreadableError: the folder or a segment in it can't be read.
@@ -75,25 +75,25 @@
         self.now = now
         self.found: list[Record] = []
         self.stopped: str | None = None
-        self.failed = False  # the present segment, which takes no further record
+        self.failed = False  # whether the current segment has failed and accepts no further record
         self.rewriting = False  # between `reopen` and `resume`
         self.log: AppendLog | None = None
         self.epoch = 0
         self.number = 0
         self._segment_start = 0
-        self._own: set[pathlib.Path] = set()  # the segments that this incarnation wrote
-        self._attempt: set[pathlib.Path] = set()  # those of them that were begun since the last `reopen`
-        self._superseded: set[pathlib.Path] = set()  # those of them of which nothing is needed any more
-        self._successor_unread = False  # another incarnation took over, and its log could not be read yet
+        self._own: set[pathlib.Path] = set()  # the segments written by this incarnation
+        self._attempt: set[pathlib.Path] = set()  # own segments begun since the last `reopen`
+        self._superseded: set[pathlib.Path] = set()  # own segments that are not needed any more
+        self._successor_unread = False  # a successor took over, and its segments could not be read yet
         self._formats: dict[pathlib.Path, int] = {}
-        self._sealed_at: dict[pathlib.Path, int] = {}  # when a segment that is complete had its last record
+        self._sealed_at: dict[pathlib.Path, int] = {}  # monotonic ns, by sealed segment
         self._lock = threading.Lock()
-        self._syncing: list[AppendLog] = []  # that a thread makes durable now
-        self._to_close: list[AppendLog] = []  # those of them that are closed after it
+        self._syncing: list[AppendLog] = []  # segments that a thread is syncing
+        self._to_close: list[AppendLog] = []  # segments to close once they are synced
         self._read_folder(time)
         self._begin_segment(time)
 
-    # What is found.
+    # Reading
     def _read_folder(self, time: int) -> None:
         try:
             self.folder.mkdir(parents=True, exist_ok=True)
@@ -105,7 +105,7 @@
         self.epoch += 1
 
     def _read_segment(self, path: pathlib.Path, time: int) -> None:
-        """Read a segment of another incarnation, and take the least age that is certain as its age."""
+        """Read a segment of another incarnation; its age counts as the least that is certain."""
         found = scan(path)
         self.found += found.records
         self._sealed_at[path] = self.now() - min_age(found.records, time, self.boot)
@@ -121,9 +121,9 @@
         """Return whether a thread is making a segment durable now."""
         return bool(self._syncing)
 
-    # Writing.
+    # Writing
     def add(self, record: Record) -> bool:
-        """Buffer a record, which is written by the next `flush`; return whether it was accepted."""
+        """Buffer a record for the next `flush`; return whether it was accepted."""
         if self.failed or self.log is None:
             return False
         payload = encode(record)
@@ -136,7 +136,7 @@
         return True
 
     def flush(self) -> bool:
-        """Hand the buffered records to the system; return whether all that must be recorded is there."""
+        """Hand the buffered records to the operating system; return whether it has all records needed."""
         if not self.failed and self.log is not None:
             try:
                 self.log.flush()
@@ -145,13 +145,13 @@
         return self.stopped is None
 
     def sync(self) -> bool:
-        """Make the flushed records durable; return whether all that must be recorded is on the disk."""
+        """Make the flushed records durable; return whether the disk has all records needed."""
         return self.sync_task()() and self.stopped is None
 
     def sync_task(self) -> Callable[[], bool]:
-        """Return a function for another thread, which makes durable what is flushed now.
+        """Return a function for another thread that makes the records flushed by now durable.
 
-        The function returns True if that succeeded and the log has not failed meanwhile.
+        It returns True if that succeeded and the log has not failed meanwhile.
         """
         log = self.log
         if self.failed or log is None:
@@ -177,7 +177,7 @@
         return not self.failed
 
     def close(self, time: int) -> None:
-        """Close the log as the process ends in order."""
+        """Close the log at an orderly end of the process."""
         if self.stopped is None:
             self.add(IncarnationEnded(time))
             self._seal()
@@ -189,12 +189,12 @@
         if self.stopped is None or self.rewriting:
             self.stopped = reason
 
-    # Segments.
+    # Segments
     def check(self, time: int) -> None:
-        """Begin the next segment when the present one is old enough; to be called periodically."""
+        """Begin the next segment when the current one is old enough; to be called periodically."""
         if (
             self.stopped is None
-            and self.now() - self._segment_start >= self.retention // SEGMENTS_IN_RETENTION
+            and self.now() - self._segment_start >= self.retention // SEGMENTS_PER_RETENTION
         ):
             self.begin_next_segment(time)
 
@@ -224,7 +224,7 @@
             self._fail(str(error))
 
     def _seal(self) -> bool:
-        """Make the present segment durable and close it to further records; return whether that succeeded."""
+        """Make the current segment durable and close it; return whether that succeeded."""
         if self.failed or self.log is None:
             return False
         self._sealed_at[self.log.path] = self.now()
@@ -237,9 +237,9 @@
         return True
 
     def _close(self, log: AppendLog) -> None:
-        """Close a segment's file; one that a thread is syncing is closed after that.
+        """Close a segment's file, or if a thread is syncing it, have it closed after that.
 
-        Its descriptor could otherwise be reused, and the thread would sync another file.
+        Otherwise its descriptor could be reused, and the thread would sync another file.
         """
         with self._lock:
             if log in self._syncing:
@@ -248,14 +248,14 @@
         log.abandon()
 
     def _remove_old(self) -> None:
-        """Remove segments that are superseded or too old; what fails is tried again with the next segment."""
+        """Remove superseded and expired segments; failed removals are retried with the next segment."""
         for path, sealed_at in list(self._sealed_at.items()):
             if path in self._superseded or sealed_at < self.now() - self.retention:
                 self._remove(path)
 
     def _remove(self, path: pathlib.Path) -> None:
         try:
-            with contextlib.suppress(FileNotFoundError):  # it never came to be
+            with contextlib.suppress(FileNotFoundError):  # it was never created
                 self.files.remove(str(path))
         except OSError:
             return
@@ -264,12 +264,12 @@
         self._own.discard(path)
         self._superseded.discard(path)
 
-    # After another incarnation had taken over.
+    # Resuming after a failed successor
     def take_over_again(self, time: int) -> None:
         """Resume as the writing incarnation after a successor; `found` becomes the successor's records.
 
-        If they can't be read the log stops, and `reopen` reads them first: until then it is not known what
-        the successor took.
+        If they can't be read the log stops, and `reopen` reads them first: until then it is unknown which
+        activations the successor admitted.
         """
         self._successor_unread = True
         if self._read_successor(time) and self._seal():
@@ -290,11 +290,11 @@
         self.number = 0
         return True
 
-    # After a failure.
+    # Recovery after a failure
     def reopen(self, time: int) -> bool:
-        """Give up the failed segment, and begin one to which all that is remembered must be added again.
+        """Abandon the failed segment, and begin one to which all records still needed must be added.
 
-        Returns False if that failed, or while a thread still syncs the failed segment.
+        Return False if that failed, or while a thread is still syncing the failed segment.
         """
         if self._syncing:
             return False
@@ -302,7 +302,7 @@
             self.log.abandon()
             self._sealed_at[self.log.path] = self.now()
         if self.rewriting:
-            # what an attempt wrote is in memory, and in the older segments as well
+            # the records of the failed attempt are also in memory and in the older segments
             self._superseded |= self._attempt
         for path in list(self._superseded):
             self._remove(path)
@@ -315,9 +315,9 @@
         return not self.failed
 
     def resume(self) -> None:
-        """End the outage: all that is remembered is in the new segment and durable.
+        """End the outage: all records still needed are in the new segment and durable.
 
-        The segments that it supersedes are removed.
+        The own segments that it supersedes are removed.
         """
         self.rewriting = False
         self.stopped = None
--- a/petrelwood/store/state_segments.py
+++ b/petrelwood/store/state_segments.py
@@ -1,10 +1,10 @@
-"""The segments of the state log: files of records that follow each other.
+"""The segments of the state log: a sequence of files of records.
 
     folder/state-EPOCH-NUMBER.log
 
-Each is a `store.append_log` with records in the form of `store.state_codec`. The first record of a segment is
-`IncarnationStarted`, with the segment's format. Only segments begun after an outage have `OUTAGE_FORMAT`:
-builds that do not know outage records can still read all others.
+Each is a `store.append_log` with records in the format of `store.state_codec`. The first record of a segment
+is `IncarnationStarted`, with the segment's format. Only segments begun after an outage have `OUTAGE_FORMAT`:
+older builds, which do not know outage records, can still read all other segments.
 """
 
 import os
@@ -33,11 +33,11 @@
 
 
 class SegmentScan(NamedTuple):
-    """The records of a segment, and where its valid part ends."""
+    """The records of a segment, and the end of its valid part."""
 
     records: list[Record]
-    valid_size: int  # bytes up to the end of the last whole record
-    damage: str | None  # why it ends there, where bytes follow
+    valid_size: int  # bytes up to the end of the last complete record
+    damage: str | None  # why the valid part ends there; None if no bytes follow
 
     @property
     def format(self) -> int:
@@ -55,7 +55,7 @@
 
 
 def segment_path(folder: pathlib.Path, epoch: int, number: int) -> pathlib.Path:
-    """Return where a segment stands."""
+    """Return the path of a segment."""
     return folder / f"state-{epoch:06d}-{number:08d}.log"
 
 
@@ -110,7 +110,7 @@
 def repair(folder: Folder) -> list[Damage]:
     """Truncate each segment after its last complete record, and rename files that are no segments.
 
-    No dispatcher may be writing. Returns what was truncated or renamed, with its new path.
+    No dispatcher may be writing. Returns the truncated and the renamed files, these with their new path.
     """
     repaired = []
     for segment in segments(folder):
@@ -118,9 +118,9 @@
         try:
             found = append_log.scan(data)
         except LogFormatError as error:
-            aside = segment.path.with_suffix(".unreadable")
-            segment.path.rename(aside)
-            repaired.append(Damage(aside, len(data), str(error)))
+            renamed = segment.path.with_suffix(".unreadable")
+            segment.path.rename(renamed)
+            repaired.append(Damage(renamed, len(data), str(error)))
             continue
         if found.damage:
             os.truncate(segment.path, found.valid_size)
--- a/petrelwood/store/versions.py
+++ b/petrelwood/store/versions.py
@@ -1,12 +1,12 @@
-"""Versions of settings that are announced to all dispatchers, in a folder that all of them read.
+"""Settings versions that are announced to all dispatchers, in a folder that all of them read.
 
     folder/7.kdl     the settings, complete
-    folder/7.json    {"begun": wall-clock ns}: written last, so a version is seen only once it is complete
-    folder/7.off     present once the version was called off; its text says who did so and why
-    folder/position  how far the log of the configuration servers has been read, where versions come from them
+    folder/7.json    {"begun": wall-clock ns}: written last, so only complete versions are found
+    folder/7.off     present once the version was revoked; its text says by whom and why
+    folder/position  up to which slot the log of the configuration servers has been read, if they are used
 
-Files are written atomically. Numbers only grow. Files of versions are made durable before the position that
-covers them: after a crash of the machine nothing that counts as read is missing.
+Files are written atomically. Version numbers only grow. The files of versions are made durable before the
+position that covers them, so after a crash of the machine no version that counts as read is missing.
 """
 
 import contextlib
@@ -20,16 +20,16 @@
 from petrelwood.store.snapshot import put
 
 POSITION = "position"
-MAX_VERSIONS = 16  # that stay in a folder that the configuration servers fill
-SETTINGS = ".kdl"  # the endings of a version's files
-BEGINNING = ".json"
-REVOCATION = ".off"
+MAX_VERSIONS = 16  # versions kept in a folder that is filled from the configuration servers
+SETTINGS = ".kdl"  # the suffix of a version's settings
+BEGINNING = ".json"  # the suffix of its announcement
+REVOCATION = ".off"  # the suffix of its revocation
 
 Folder = str | os.PathLike[str]
 
 
 def announced(folder: Folder) -> list[Announcement]:
-    """Return all announced versions; one that can't be read is left out, and may be found by a later call."""
+    """Return all announced versions that can be read; a later call may find further ones."""
     folder = pathlib.Path(folder)
     found = []
     for number in _numbers(folder, BEGINNING):
@@ -68,8 +68,8 @@
 def receive(folder: Folder, number: int, text: str, rollout_start: int, files: Files | None = None) -> None:
     """Announce a version under its number from the configuration servers; remove the oldest versions.
 
-    The files are made durable: if a crash left half of a version, this dispatcher would call it off for
-    everyone as one that can't be read. `rollout_start`: when its roll-out begins, wall-clock ns.
+    The files are made durable: if a crash left half of a version, this dispatcher would revoke it for all
+    dispatchers as invalid. `rollout_start`: when its roll-out begins, wall-clock ns.
 
     Raises:
         OSError: the version could not be written; it is not announced, and may be received again.
@@ -96,7 +96,7 @@
 
 
 def position(folder: Folder) -> int:
-    """Return the slot up to which the log has been read; 0 if that is not known, and all is read again."""
+    """Return the slot up to which the log has been read; 0 if unknown, so that all is read again."""
     try:
         return int((pathlib.Path(folder) / POSITION).read_text())
     except (OSError, ValueError):
@@ -115,10 +115,10 @@
 
 
 def revoke(folder: Folder, number: int, why: str, files: Files | None = None) -> None:
-    """Call a version off for all dispatchers that read the folder.
+    """Revoke a version for all dispatchers that read the folder.
 
-    The file is made durable: the position that follows may survive a crash, and then the revocation would not
-    be read again.
+    The file is made durable: the position stored after it may survive a crash, and then the revocation would
+    not be read again.
 
     Raises:
         OSError: the file could not be written.
@@ -134,7 +134,7 @@
 def require_readable(folder: Folder, number: int) -> pathlib.Path:
     """Return the path of a version's settings after reading the file once.
 
-    A version is called off for what it says, never for a fault of one folder: hence an error of its own.
+    A version is revoked for its content, never for an I/O error of one folder: hence the separate error.
 
     Raises:
         VersionUnreadableError: the file could not be read.
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Hand-over: the two machines by their traces, then real processes that follow each other under load, die,
+"""Hand-over: traces of the two state machines, then real processes that replace each other under load, die,
 hang and are refused."""
 
 import asyncio
@@ -119,7 +119,7 @@
         ]
         tasks = [asyncio.ensure_future(ours.send(message)) for message in told]
         await asyncio.sleep(0)
-        self.assertFalse(all(task.done() for task in tasks))  # more than the socket holds
+        self.assertFalse(all(task.done() for task in tasks))  # more than the socket buffer holds
         for message in told:
             self.assertEqual(await asyncio.wait_for(theirs.receive(), 30), message)
         await asyncio.gather(*tasks)
@@ -159,7 +159,7 @@
 
 
 class DispatcherCase(unittest.IsolatedAsyncioTestCase):
-    """A real dispatcher process on loopback, with a worker and a roster on this test's loop."""
+    """Runs real dispatcher processes on loopback, with a worker and a roster on the test's event loop."""
 
     async def asyncSetUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -220,8 +220,10 @@
 
 class Processes(DispatcherCase):
     async def one(self, type_, ends):
-        """One request until it has a final outcome: what refuses or breaks before a byte went out is tried
-        again."""
+        """Send one request until it has a final outcome, which is counted in `ends`.
+
+        A rejected request, and one whose connection broke before the request was sent, is retried.
+        """
         self.number += 1
         id_ = f"{type_}-{self.number}"
         for attempt in range(40):
@@ -235,7 +237,7 @@
                     return
                 await asyncio.sleep(0.02)
                 continue
-            except TimeoutError:  # it went to one that stands still
+            except TimeoutError:  # it was accepted by a stopped process
                 ends["left"] += 1
                 return
             if reply.status == 503:
@@ -265,7 +267,7 @@
             new = await self.start("upgrade")
             self.assertEqual(await asyncio.wait_for(old.wait(), 30), 0, self.said())
             old = new
-            async with asyncio.timeout(10):  # until it can be followed itself
+            async with asyncio.timeout(10):  # until the next upgrade can connect
                 while not await self.reachable():
                     await asyncio.sleep(0.05)
         stop.set()
@@ -277,7 +279,7 @@
         self.assertFalse((self.folder / "d.sock").exists())
 
     async def end_what_serves(self):
-        """The process behind the control socket, which another has started."""
+        """Kill the process that listens on the control socket, which another process has started."""
         with socket.socket(socket.AF_UNIX) as sock:
             try:
                 sock.connect(str(self.folder / "d.sock"))
@@ -300,13 +302,13 @@
         load = asyncio.ensure_future(self.load(stop, ends))
         for how in (signal.SIGKILL, signal.SIGSTOP):
             new = await self.start("upgrade")
-            await asyncio.sleep(0.5)  # some are on its hands
+            await asyncio.sleep(0.5)  # it has requests in flight
             new.send_signal(how)
             ends_at = time.monotonic() + 40
             while self.said().count("serves again") < (1 if how == signal.SIGKILL else 2):
                 self.assertLess(time.monotonic(), ends_at, self.said())
                 await asyncio.sleep(0.1)
-            # it wakes, hears that it is over, finishes what it has, and ends
+            # it resumes, learns that it is superseded, finishes its activations in flight, and ends
             if how == signal.SIGSTOP:
                 new.send_signal(signal.SIGCONT)
                 self.assertEqual(await asyncio.wait_for(new.wait(), 20), 1, self.said())
@@ -325,7 +327,10 @@
         old = await self.start()
         other = self.folder / "other.kdl"
         other.write_text(self.path.read_text().replace('gateway "d"', 'gateway "e"'))
-        for path, words in ((other, "it is for gateway 'd'"), (self.folder / "lone.kdl", "nobody serves at")):
+        for path, words in (
+            (other, "it is for gateway 'd'"),
+            (self.folder / "lone.kdl", "can't connect to the old process at"),
+        ):
             if not path.exists():
                 path.write_text(self.path.read_text().replace("d.sock", "none.sock"))
             process = await self.start("upgrade", path, ready=False)
@@ -337,7 +342,7 @@
         hung.sock.setblocking(False)
         await hung.send(messages.Hello(handover.TakeoverRequest("d", 1, (1, 1), None)))
         self.assertIsInstance(await asyncio.wait_for(hung.receive(), 30), messages.Offer)
-        # two at once: the second is told so
+        # of two concurrent upgrades the second is refused
         second = await self.start("upgrade", ready=False)
         self.assertEqual(await asyncio.wait_for(second.wait(), 20), 1)
         self.assertIn("an upgrade is under way", self.said())
@@ -404,7 +409,7 @@
 
         await until(404)
         new = self.path.read_text() + 'function "new-*" type="again" lanes=4\n'
-        # its stages are over
+        # all stages of the roll-out are over
         self.assertEqual(versions.announce(folder, new, time.time_ns() - 600 * S), 1)
         await until(200)
         versions.revoke(folder, 1, "by hand")
@@ -438,7 +443,7 @@
         await until(1, "version needs an upgrade")
         await until(1, '"event": "the upgrade has proven itself"')
         self.assertEqual(await asyncio.wait_for(old.wait(), 30), 0)
-        # The process that follows knows what it runs, and goes back as it came, while a worker drains.
+        # The successor knows which version it runs, and rolls back by an upgrade, while a worker drains.
         second = Worker("w2", self.worker.on_run)
         self.addCleanup(second.stop)
         self.roster.entries.append(second.entry())
@@ -456,11 +461,11 @@
                 'action-timeout "2s"', 'action-timeout "1s"'
             ),
             time.time_ns() - 600 * S,
-        )  # what is each dispatcher's own stays it
+        )  # each dispatcher keeps its own settings
         await until(3, '"event": "the upgrade has proven itself"')
         stop.set()
         await load
-        self.assertEqual(len(self.worker.runs), had)  # the drain holds over both hand-overs
+        self.assertEqual(len(self.worker.runs), had)  # the worker stays drained over both hand-overs
         self.assertGreater(len(second.runs), 0)
         self.assertEqual(self.twice(), [], self.said())
         self.assertEqual(set(ends) - {200, 504, "came back"}, set(), ends)
@@ -479,7 +484,7 @@
         await load
         known = [run[3].split("/", 1)[1] for run in self.worker.runs if run[3].startswith("x/once")]
         statuses = collections.Counter()
-        # each asked again, signed anew: given again, or unknown, never run
+        # retries with a new signature get the cached answer or an abort, and never run again
         for id_ in known[::7]:
             reply = await self.caller.call(self.message("once-1", id_=id_, stamp=int(time.time()) + 100), 30)
             statuses[reply.status] += 1
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -1,4 +1,4 @@
-"""Messages of a hand-over: their bytes as builds before wrote them, and what is passed over or no message."""
+"""Messages of a hand-over: their bytes as earlier builds wrote them, and ignored or malformed messages."""
 
 import asyncio
 import socket
@@ -11,7 +11,7 @@
 from petrelwood.dispatch.handover import messages
 from petrelwood.dispatch.handover.channel import Channel
 
-# As the text of commit 668305e sent them, length first: other builds take over from us, and we from them.
+# As commit 668305e sent them, with the length prefix: processes of different builds hand over to each other.
 WIRE = {
     messages.Hello(
         TakeoverRequest("d", 1, (1, 2), 7)
--- a/tests/test_serve_departure.py
+++ b/tests/test_serve_departure.py
@@ -1,7 +1,8 @@
-"""A webhook client that has hung up has gone: no send of a repeatable activation leaves for its worker,
-though the end lies unread behind what lets the send go. What outlives its client leaves all the same.
+"""No repeatable activation is sent to a worker after its webhook client has disconnected, even if the
+end of the connection is still unread behind the event that triggers the send. An activation that outlives its
+client is sent nevertheless.
 
-The first test failed on the text before (f060754), where the link did not look."""
+The first test failed on commit f060754, where the link did not check the client's connection."""
 
 import asyncio
 import socket
@@ -15,8 +16,10 @@
 
 class HungUp(Case):
     async def _sent(self, how, function):
-        """Whether a worker is sent what a client asks who hangs up while the loop stands still, after its
-        request was read and before the link hands it over."""
+        """Return whether a worker is sent an activation whose client disconnects while the loop is blocked.
+
+        The client disconnects after its request was read and before the link sends it.
+        """
         await self.begin(worker := Worker("w1"))
         self.assertEqual((await self.post())[0], 200)  # a connection is up
         client = Client(self.address)
