--- a/tests/test_serve_shutdown.py
+++ b/tests/test_serve_shutdown.py
@@ -1,8 +1,8 @@
-"""The graceful shutdown of `serve` answers each request that the machine had accepted: in the listen queue,
-on an open connection, behind another one, while a worker hangs.
+"""The graceful shutdown of `serve` answers each request that the kernel had accepted: in the listen queue,
+on an open connection, behind another request, while a worker hangs.
 
-Each test failed on the text before (668305e), which stopped listening at once and looked at no connection
-before it closed it, or names the broken dispatcher that it fails on."""
+Each test failed on commit 668305e, which stopped listening at once and closed connections without reading
+them, or its docstring names the broken dispatcher on which it fails."""
 
 import asyncio
 import os
@@ -25,7 +25,7 @@
 
 
 class Client:
-    """A plain connection: what it sends is with the machine at once."""
+    """A plain socket: the data it sends is in the kernel's buffers at once."""
 
     def __init__(self, address):
         self.sock = socket.create_connection(address)
@@ -36,7 +36,7 @@
         self.sock.send(message)
 
     def read(self):
-        """Takes what is there; the statuses of the answers so far."""
+        """Read the available data; return the statuses of the answers so far."""
         try:
             while self.ended is None:
                 data = self.sock.recv(65536)
@@ -61,7 +61,7 @@
         await self.until(lambda: all(client.read() is not None and client.ended for client in clients))
 
     async def test_requests_that_the_machine_has_accepted(self):
-        """In the listen queue, and unread on an open connection, as the last of what is owed is answered."""
+        """Requests are in the listen queue, and unread on an open connection, as the last one is answered."""
         await self.begin(Worker("w1", later(0.2)))
         (opened,) = self.clients(1)
         opened.send(self.message())
@@ -74,7 +74,7 @@
         (queued,) = self.clients(1)
         queued.send(self.message())
         opened.send(self.message())
-        time.sleep(0.3)  # the worker's answer comes meanwhile, too
+        time.sleep(0.3)  # the worker's answer arrives meanwhile, too
         await asyncio.wait_for(ending, 30)
         await self._all_end(opened, busy, queued)
         self.assertEqual(opened.read()[0], 200)
@@ -84,7 +84,7 @@
         self.assertEqual(len(opened.read()), 2)
 
     async def test_requests_behind_one_that_is_out(self):
-        """All on one connection: each has its answer, the last one tells that it ends."""
+        """All on one connection: each is answered, and the last answer announces the close."""
         await self.begin(Worker("w1", later(0.3)))
         (client,) = self.clients(1)
         client.send(self.message())
@@ -100,16 +100,16 @@
         self.assertEqual(client.data.count(b"Connection: close"), 1)
 
     async def test_the_listeners_of_a_successor_are_not_kept_open(self):
-        """Guards against connections that the machine accepts for a process that reads none of them."""
+        """Guards against connections that the kernel accepts for a process that reads none of them."""
         await self.begin(Worker("w1", later(0.3)))
         (busy,) = self.clients(1)
         busy.send(self.message())
         await self.until(lambda: self.core.pending.activations)
         successors = [socket.socket(fileno=os.dup(each)) for each in self.front.descriptors()]
-        self.front.pause()  # as at a hand-over
+        self.front.pause()  # as in a hand-over
         ending = asyncio.ensure_future(self.core.close())
         await asyncio.sleep(0)
-        for sock in successors:  # the successor ends, too
+        for sock in successors:  # the successor also ends
             sock.close()
         with self.assertRaises(ConnectionRefusedError):
             self.clients(1)
@@ -118,8 +118,10 @@
         self.assertEqual(busy.read(), [200])
 
     async def test_a_worker_that_hangs_while_clients_go_on_sending(self):
-        """It ends by itself within the longest action timeout and 0.7 s: the earliest kill. Fails where what
-        is pending is waited for without a deadline."""
+        """The shutdown ends within the longest action timeout and 0.7 s, the earliest time of a kill.
+
+        Fails if the shutdown waits for pending activations without a deadline.
+        """
         await self.begin(Worker("w1", never))
         (out,) = self.clients(1)
         out.send(self.message("once-1"))
@@ -137,7 +139,7 @@
             await asyncio.sleep(0.02)
         await asyncio.wait_for(ending, 30)
         self.assertLess(time.monotonic() - began, 2.7)
-        await self._all_end(out, *senders[:-1])  # the last may cross the end
+        await self._all_end(out, *senders[:-1])  # the last request may arrive as the process ends
         self.assertEqual(out.read(), [504])
         self.assertEqual({tuple(client.read()) for client in senders[:-1]}, {(503,)})
         self.assertGreater(len(senders), 20)
@@ -145,7 +147,7 @@
 
 class LastSignals(unittest.IsolatedAsyncioTestCase):
     async def test_one_more_signal_as_the_process_ends(self):
-        """Guards against an end by the default action of a signal that comes after the loop was closed."""
+        """Guards against a signal after the loop was closed that kills the process by its default action."""
         for last in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             with self.subTest(last):
                 roster = Roster()
@@ -158,7 +160,7 @@
                     self.assertEqual(await self._exit_code(path, last), 0)
 
     async def _exit_code(self, path, last):
-        """Of a dispatcher that gets SIGTERM, and the signal `last` as its interpreter ends."""
+        """Return the exit code of a dispatcher that gets SIGTERM, and `last` as its interpreter exits."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-c",
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The tail and the history: a kill at every byte, a disk that fails at every call, bits that flip."""
+"""The append-only log, the history and snapshots: kills at every byte, failing disk calls, flipped bits."""
 
 import errno
 import pathlib
@@ -15,7 +15,7 @@
 
 
 class Faulty(files.Files):
-    """Fails at the n-th call that could, in a drawn way."""
+    """Fails the n-th call that can fail, in the way that `how` names."""
 
     def __init__(self, at, how):
         self.left, self.how, self.calls = at, how, 0
@@ -104,7 +104,7 @@
         with self.assertRaises(LogWriteError):
             log.sync()
         self.assertFalse(log.append(b"2"))
-        log.sync()  # tried no more, and raises no more
+        log.sync()  # neither retried nor raised again
 
 
 class Histories(Case):
@@ -132,7 +132,7 @@
         self.assertEqual((before > after, after, self.ids()), (True, 2, list(range(3000))))
 
     def test_a_kill_at_every_write_loses_only_what_was_not_flushed_and_doubles_nothing(self):
-        """The files as they stand after each call that changes them, opened by a new life that goes on."""
+        """Opens a copy of the files after each call that changes them, and continues the history there."""
         shots = []
 
         class Shots(files.Files):
@@ -219,7 +219,7 @@
 
 
 class FaultyParts(files.Files):
-    """Fails at the n-th call; `short`: writes one byte at a time instead."""
+    """Fails the n-th call; `short`: writes one byte per call instead."""
 
     def __init__(self, at, short=False):
         self.left, self.short, self.calls = at, short, 0
@@ -260,7 +260,7 @@
             except OSError:
                 pass
             kept.append(snapshot.read(path, "test", 2)[1] == self.NEW)
-        self.assertEqual(kept, [False, False, False, True, True])  # the rename decides
+        self.assertEqual(kept, [False, False, False, True, True])  # new from the rename on
         snapshot.write(path, "test", 1, self.OLD, FaultyParts(0, short=True))
         self.assertEqual(snapshot.read(path, "test", 1), (1, self.OLD))
 
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -1,5 +1,5 @@
-"""Folders that fail for a while: each call of the stores fails once, for a while or for good, and what was
-taken on is still owed."""
+"""Folders that fail: each call of the stores fails once, temporarily or permanently, and no activation that
+was admitted is lost or could run twice."""
 
 import errno
 import os
@@ -73,8 +73,8 @@
 
 
 class FaultyFiles(files.Files):
-    """Files of which some calls fail. `fails(name)` returns an errno, or None where the call may go on;
-    `torn`: a write that fails has written a part."""
+    """Files of which some calls fail. `fails(name)` returns an errno, or None if the call succeeds; `torn`:
+    a failing write has written a part."""
 
     def __init__(self, fails=lambda name: None, torn=False):
         self.fails, self.torn, self.calls = fails, torn, []
@@ -128,7 +128,7 @@
 
 
 class Log:
-    """A log that keeps what it is told."""
+    """A logger that records its lines."""
 
     def __init__(self):
         self.lines = []
@@ -143,7 +143,7 @@
 
 
 class Exchange:
-    """What a front waits with."""
+    """A client exchange that records its answer."""
 
     activation_id = None
     verdict = None
@@ -155,7 +155,7 @@
 
 
 class Recorded:
-    """A decision module that only notes what begins."""
+    """A decision module that only records when activations begin."""
 
     def __init__(self, start, terms, seed, out):
         self.began = {}
@@ -171,7 +171,7 @@
 
 
 class Gateway(unittest.TestCase):
-    """One dispatcher on a virtual clock, whose state log is on a folder that fails as a test says."""
+    """One dispatcher on a virtual clock, whose state log is in a folder with injected faults."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -221,7 +221,7 @@
         self.clock.run(self.clock.now() + int(seconds * SECOND))
 
     def until(self, what):
-        """Goes on step by step until it is so."""
+        """Run the clock timer by timer until `what()` is true."""
         for _ in range(10_000):
             if what():
                 return
@@ -229,12 +229,12 @@
         self.fail("it did not come to pass")
 
     def after_a_kill(self, folder=None, boot="b1"):
-        """What the next incarnation makes of the folder as it stands."""
+        """Return what the next incarnation recovers from the folder now."""
         records, _ = state_segments.read(folder or self.folder / "state")
         return recovery.replay(records, self.clock.wall(), boot, self.state.durability == "machine")
 
     def assert_owed(self, found, taken=None):
-        """No id that may have run could run again."""
+        """Assert that no id that may have run could run again."""
         for id_ in self.taken if taken is None else taken:
             known = found.activations.get(("x", id_))
             self.assertIsNotNone(known, id_)
@@ -244,7 +244,10 @@
 
 class Outages(Gateway):
     def play(self, name, code, lasts, durability, torn=False):
-        """Takes work before, in and after a fault of one kind of call; True if the log was recovered."""
+        """Admit activations before, during and after a fault of one kind of call.
+
+        Return True if the log was recovered.
+        """
         with (
             tempfile.TemporaryDirectory() as folder,
             self.subTest(call=name, code=code, lasts=lasts, durability=durability, torn=torn),
@@ -276,7 +279,7 @@
                     self.assertIn(exchange.verdict, (stage.REJECT, ActivationState.REJECTED))
                     self.assertGreater(exchange.retry_after, 0)
                     rejected += 1
-                # what may run twice goes on, whatever the disk does
+                # repeatable activations are served whatever the disk does
                 repeatable = self.ask("again")
                 self.assertIn(repeatable.activation_id, self.core.scheduler.began)
                 self.complete(repeatable.activation_id)
@@ -316,7 +319,7 @@
                     for durability in ("process", "machine"):
                         if self.play(name, code, lasts, durability, torn=lasts != 0):
                             outages.add(name)
-        # a failed close or remove says nothing of what was written
+        # a failed close or remove does not affect the written records
         self.assertEqual(outages, {"open", "write", "sync", "sync_folder"})
 
     def test_a_log_that_fails_at_the_start_is_recovered(self):
@@ -330,7 +333,7 @@
         self.assert_owed(self.after_a_kill())
 
     def test_an_attempt_that_a_defect_ends_counts_as_failed(self):
-        """Guards against an outage without end, in which what must not run twice stays rejected."""
+        """Guards against an endless outage, in which activations that must not run twice stay rejected."""
         for broken in ("entry_records", "forgotten_record"):
             with self.subTest(broken):
                 failing = [True]
@@ -357,7 +360,7 @@
         attempts = [fields["retry_in"] for fields in self.log.said("state log is not recovered")]
         self.assertLess(len(attempts), 140)
         self.assertGreaterEqual(attempts[-1], 5)
-        # a segment that was given up does not stay
+        # abandoned segments are removed
         self.assertLessEqual(len(state_segments.segments(self.folder / "state")), 2)
         for pause, least in ((10, 5.0), (61, 0.1)):
             failing[0] = False
@@ -410,7 +413,7 @@
                 self.assertEqual(self.ask().verdict, stage.REJECT)
                 self.assertIn(self.ask("again").activation_id, self.core.scheduler.began)
         self.assertGreater(asked, 5)
-        # two records an id, and what was asked between
+        # two records per id, and those of the requests in between
         self.assertLessEqual(max(added), 2 * state_recovery.SLICE + 10)
         self.assert_owed(self.after_a_kill())
 
@@ -420,11 +423,11 @@
         acts = [self.ask().activation_id for _ in range(1000)]
         failing[0] = True
         self.ask()
-        self.complete(acts.pop())  # in the outage itself
+        self.complete(acts.pop())  # during the outage
         self.wait(0.6)
         failing[0] = False
         self.until(lambda: self.state.rewriting)
-        # the first written and the last not yet, in turn
+        # alternately an id that is already rewritten and one that is not yet
         while self.state.stopped is not None:
             self.complete(acts.pop(0))
             self.complete(acts.pop())
@@ -462,7 +465,7 @@
         failing[0] = False
         self.wait(2)
         self.assertIsNone(self.state.stopped)
-        # the first segment is gone, the order is not, and it is as old as it was
+        # the first segment is removed, the load order is kept with its original time
         orders = [
             record
             for record in state_segments.read(self.folder / "state")[0]
@@ -474,7 +477,7 @@
         self.assertEqual(len(sent), 2)
 
     def test_a_segment_under_an_fsync_is_not_closed(self):
-        """The descriptor could be another file's before the thread has called fsync."""
+        """Guards against an fsync of another file that reused the descriptor before the thread called it."""
         self.start()
         self.ask()
         failed_log = self.state.log
@@ -523,10 +526,13 @@
 
 
 class Kills(Gateway):
-    """A kill at each byte that the recovery writes, and after each file that it removes."""
+    """A kill after each byte that the recovery writes, and after each file that it removes."""
 
     def outage(self, files):
-        """A dispatcher with open, completed and aborted work, whose log fails, and is recovered."""
+        """Run a dispatcher whose log fails and is recovered.
+
+        It has pending, completed and aborted activations.
+        """
         self.start(files)
         acts = [self.ask("all" if number % 3 else "once").activation_id for number in range(12)]
         for act in acts[:4]:
@@ -539,7 +545,7 @@
         return {path.name: path.read_bytes() for path in folder.iterdir()}
 
     def test_a_kill_at_each_byte_of_the_recovery(self):
-        shots = []  # (files, the segment that is written, its bytes so far, what is written)
+        shots = []  # (files, the segment that is written, its bytes so far, the bytes to write)
         case = self
 
         class Shots(FaultyFiles):
@@ -586,7 +592,7 @@
                 found = self.after_a_kill(where)
                 for id_, outcome in states.items():
                     known = found.activations[("x", id_)].outcome
-                    # what it knows is true; what it does not know counts as may have run
+                    # known outcomes are true; unknown activations count as possibly run
                     self.assertIn(known, (outcome, ActivationState.RUNNING))
                 kills += 1
         self.assertGreater(kills, 1000)
@@ -612,7 +618,7 @@
 
 
 class Rewritten(Gateway):
-    """What the next incarnation makes of a rewritten log, beside what this one knows."""
+    """Compares what the next incarnation recovers from a rewritten log with what this one knows."""
 
     def test_the_next_ledger_is_no_more_forgetful_and_repeats_no_longer(self):
         failing = [False]
@@ -637,7 +643,7 @@
         self.wait(5)
         self.assertIsNone(self.state.stopped)
         before = self.core.ledger.entries
-        # the recovered segment alone: what this life wrote before is gone
+        # only the rewritten segment: those this incarnation wrote before are removed
         self.assertEqual(len(state_segments.segments(self.folder / "state")), 1)
         self.start(clock=self.clock)
         after = self.core.ledger.entries
@@ -654,12 +660,12 @@
             self.assertTrue(again.may_have_run or not entry.may_have_run, key)
 
     def test_the_next_ledger_knows_what_was_forgotten(self):
-        """A replay of it, let in again by a wall clock that was stepped back, is no new activation."""
+        """A replay of a forgotten id is not admitted, even if the wall clock was stepped back."""
         failing = [False]
         self.start(FaultyFiles(lambda name: errno.EIO if failing[0] and name == "write" else None))
         self.complete(self.ask().activation_id)
         self.wait(1300)
-        self.ask()  # a ledger forgets as it is asked
+        self.ask()  # the ledger forgets ids on a request
         self.assertNotIn(("x", "m1"), self.core.ledger.entries)
         failing[0] = True
         self.ask()
@@ -744,8 +750,8 @@
 
 
 class Days(unittest.TestCase):
-    """Emulated days on which folders fail and dispatchers are killed, before clients that insist; the logs
-    are files. The five rules are judged."""
+    """Emulated days on which folders fail and dispatchers are killed, with clients that retry and logs in
+    files. The five rules are checked."""
 
     def play(self, seed):
         day = script.read(script.find(str(pathlib.Path(__file__).parent / "days" / "small.kdl")))
@@ -771,7 +777,7 @@
         logs = []
 
         class OnFiles(Platform):
-            """Its dispatchers keep their state in folders that fail."""
+            """A platform whose dispatchers keep their state in failing folders."""
 
             def make_core(self, described, clock, chance, disk):
                 core = super().make_core(described, clock, chance, None)
@@ -815,7 +821,7 @@
 
 
 class OnTheLoop(rig.Case):
-    """A whole dispatcher on sockets, whose fsync runs in a thread."""
+    """A complete dispatcher on sockets, whose fsync runs in a thread."""
 
     async def play(self, durability, call):
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/test_store_recovery.py
+++ b/tests/test_store_recovery.py
@@ -1,4 +1,4 @@
-"""Versions, snapshots, the history and the account of early loads on folders that fail and recover."""
+"""Versions, snapshots, the history and the early-load log in folders that fail and recover."""
 
 import asyncio
 import errno
@@ -38,7 +38,7 @@
 
 
 def nth(number, code, last=0):
-    """Fails the `number`-th call of all, or each from there to the `last`."""
+    """Return a `fails` function that fails the `number`-th call, or all calls from there to the `last`."""
     calls = [0]
 
     def fails(name):
@@ -50,7 +50,7 @@
 
 class Versions(Case):
     def receive(self, files, folder):
-        """One round of a follower: two versions, a call-off, the position."""
+        """Store what a follower receives in one round: two versions, a revocation, the position."""
         versions.receive(folder, 1, "one", WALL, files)
         versions.receive(folder, 2, "two", WALL + 1, files)
         versions.revoke(folder, 2, "bad", files)
@@ -71,7 +71,7 @@
                     )
                 if versions.position(folder):
                     self.assertEqual([one.revoked for one in versions.announced(folder)], [False, True])
-                # nothing half written stays, and the next round has all
+                # no temporary file is left, and the next round stores everything
                 self.assertEqual([path.name for path in folder.glob(".*")], [])
                 self.receive(FaultyFiles(), folder)
                 self.assertEqual(versions.position(folder), 3)
@@ -80,7 +80,7 @@
                 )
 
     def test_a_call_off_is_durable_before_the_position(self):
-        """On the text before it was not: after a fall of the machine the position could stand without it."""
+        """Guards against a machine crash that keeps the position but loses the revocation before it."""
         files = FaultyFiles()
         (self.folder / "v").mkdir()
         versions.revoke(self.folder / "v", 1, "bad", files)
@@ -111,10 +111,10 @@
 
 
 class RolledOut(Case):
-    """The roll-out of versions in a folder that fails for a while."""
+    """The roll-out of versions from a folder that fails temporarily."""
 
     def play(self, seconds, update=lambda new: UpdateResult.APPLIED, read=lambda text: text, during=None):
-        """Runs a `VersionRollout` for so many looks; what it applied, and what it called off."""
+        """Run a `VersionRollout` for `seconds` polls; return what it applied and revoked, and its log."""
         applied, called_off, log = [], [], Log()
         looks = [0]
 
@@ -180,7 +180,7 @@
         with patch.object(pathlib.Path, "read_bytes", sometimes):
             applied, called_off, log = self.play(5)
             self.assertEqual((applied, called_off), ([], []))
-            self.assertGreaterEqual(len(log.said("version can't be read; it is attempted again")), 4)
+            self.assertGreaterEqual(len(log.said("version can't be read; will be retried")), 4)
             self.assertEqual([one.revoked for one in versions.announced(self.folder)], [False])
             failing[0] = False
             self.assertEqual(self.play(5)[:2], (["one"], []))
@@ -226,7 +226,7 @@
         with patch.object(versions, "revoke", sometimes):
             applied, called_off, log = self.play(8, read=read, during=later)
         self.assertEqual((applied, called_off), (["good"], [1]))
-        self.assertGreaterEqual(len(log.said("call-off not stored")), 3)
+        self.assertGreaterEqual(len(log.said("storing a revocation failed")), 3)
         self.assertEqual([one.revoked for one in versions.announced(self.folder)], [True, False])
 
 
@@ -235,7 +235,7 @@
         return [(at - WALL) // MINUTE for at in history_files.read(folder)["at"].to_pylist()]
 
     def play(self, fails, folder, rows=250, **more):
-        """Notes a row each minute over two days, looking each so often, as the dispatcher does."""
+        """Record a row per minute over two days, flushing periodically as the dispatcher does."""
         files = FaultyFiles(fails, torn=True)
         made = history.History(folder, group=8, roll=60, files=files, now=self.now, **more)
         for number in range(1300, 1300 + rows):
@@ -259,7 +259,7 @@
             made.close()
             self.assertEqual(self.ids(folder), list(range(1300, 1550)), number)
             self.assertEqual(history_files.verify(folder), [], number)
-            # another life goes on with it
+            # another incarnation continues the history
             again = history.History(folder, group=8, roll=60)
             again.note(WALL + 1550 * MINUTE, "f", "x", "n", 0, 1, 2, 3)
             again.close()
--- a/tests/test_system_calls_of_serve.py
+++ b/tests/test_system_calls_of_serve.py
@@ -1,5 +1,5 @@
-"""System calls of `petrelwood serve`, the speaker and the configuration servers that fail: fronts, links and
-listeners. What is judged is as in tests/test_system_calls.py."""
+"""Failing system calls of `petrelwood serve`, the speaker and the configuration servers: fronts, links and
+listeners. The checks are those of tests/test_system_calls.py."""
 
 import asyncio
 import contextlib
@@ -42,12 +42,12 @@
 
 OPTION_FAILS = (errno.EINVAL, errno.ENOBUFS, errno.ENOMEM, errno.ENOPROTOOPT, errno.ENOTCONN)
 RUN = b"\xa3run"  # in the bytes of a send to a worker
-TURNS_A_SECOND = 1000  # far over what is needed; a loop that spins has tens of thousands
-PATIENT = 30  # seconds; far over what a busy machine needs
+TURNS_A_SECOND = 1000  # far more than needed; a busy loop has tens of thousands
+PATIENT = 30  # seconds; far longer than a busy machine needs
 
 
 class Quietly:
-    """No error of the dispatcher's own text may be left to the loop, or to Tornado's log."""
+    """Checks that no exception of petrelwood's code reaches the event loop's handler or Tornado's log."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
@@ -79,12 +79,12 @@
         return [run for worker in self.workers for run in worker.runs if run[0] == act]
 
     async def gone(self, most=0):
-        """Connections have ended, and count no more among those of their address."""
+        """Wait until the connections have ended and are no longer counted for their address."""
         await self.until(lambda: len(self.front.connections) <= most)
         self.assertEqual(self.front.admission.open, len(self.front.connections))
 
     async def completed(self, function="once-1"):
-        """One more request, on a new connection, runs once and is answered."""
+        """Check that one more request, on a new connection, runs once and is answered."""
         self.caller.close()
         self.caller = rig.Caller(self.address)
         status, reply = await self.post(function)
@@ -92,7 +92,7 @@
         self.assertEqual(len(self.runs_of(reply.headers[b"activation-id"].decode())), 1)
 
     async def recovers(self, function="once-1"):
-        """As `completed`, once links may try again."""
+        """Do the same as `completed`, once links may reconnect."""
         ends = time.monotonic() + PATIENT
         while True:
             status, reply = await self.post(function)
@@ -115,7 +115,7 @@
                 self.assertEqual(fault.failed, 3)
 
     async def test_a_new_connection_cannot_be_told_to_send_at_once(self):
-        """It is served without, and counts among the connections of its address only while it lives."""
+        """The connection is served without the option, and counted for its address only while it is open."""
         await self.begin(rig.Worker("w1"))
         for error in OPTION_FAILS:
             with self.subTest(errno.errorcode[error]):
@@ -164,7 +164,7 @@
 
 class Workers(Served):
     async def rejected(self, fault):
-        """What can't leave is rejected, with when to come back, and not at the cost of many calls."""
+        """Activations that can't be sent are rejected with a retry hint, without many system calls."""
         status, reply = await self.post("once-1")
         self.assertEqual((status, self.runs()), (503, 0), reply.body)
         self.assertIn(b"retry-after", reply.headers)
@@ -208,7 +208,7 @@
         self.assertTrue(0 < fault.failed < 5)
 
     async def test_a_write_of_which_no_byte_is_taken(self):
-        """It provably never ran: it goes on to the other worker, and is not aborted."""
+        """An activation that provably never ran is sent to the other worker, and is not aborted."""
         for error in WRITE_BREAKS:
             with self.subTest(errno.errorcode[error]):
                 await self.begin(rig.Worker("w1"), rig.Worker("w2"))
@@ -218,7 +218,7 @@
                 await rig.Case.asyncTearDown(self)
 
     async def test_a_write_of_which_some_bytes_are_taken(self):
-        """They may be all that its worker needs: what must not run twice is aborted."""
+        """The worker may run it from the bytes sent: an activation that must not run twice is aborted."""
         for error in WRITE_BREAKS:
             with self.subTest(errno.errorcode[error]):
                 await self.begin(rig.Worker("w1"), rig.Worker("w2"))
@@ -242,12 +242,12 @@
 
 class Lists(Served):
     async def hears(self, added):
-        """The dispatcher hears of one more worker."""
+        """Check that the dispatcher receives one more worker."""
         self.roster.tell(added.entry())
         await self.until(lambda: added.name in self.core.membership.members)
 
     async def follows_again(self, call, errors):
-        """A break of the stream, and errors of a call while it is made again; then the list is followed."""
+        """The stream breaks, and a call fails during the reconnection; then the list is followed again."""
         for error in errors:
             with self.subTest(errno.errorcode[error]):
                 await self.begin(rig.Worker("w1"))
@@ -283,7 +283,7 @@
 
 
 class Echo(TCPServer):
-    """A server of calls that answers each with its parameters."""
+    """An RPC server that answers each call with its parameters."""
 
     def __init__(self):
         super().__init__()
@@ -302,7 +302,7 @@
 
 
 class Calls(Quietly, rig.unittest.IsolatedAsyncioTestCase):
-    """Configuration servers among each other, and who asks them."""
+    """Calls between configuration servers, and calls of their clients."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
@@ -340,7 +340,7 @@
                 await self.fails_and_works(failing("recv_into", error, at))
 
     async def test_a_connection_without_its_option(self):
-        """At either end."""
+        """The fault occurs at either end of the connection."""
         for chosen in (peer(self.server.port), local(self.server.port)):
             for error in OPTION_FAILS:
                 with self.subTest(errno.errorcode[error]):
@@ -357,7 +357,7 @@
 
 class Upgrades(Quietly, rig.unittest.IsolatedAsyncioTestCase):
     async def test_accept_fails_for_a_while(self):
-        """The control socket hears of the next upgrade once the fault is over; nothing spins."""
+        """The control socket accepts the next upgrade once the fault is over, without a busy loop."""
         core = mock.Mock(
             loop=asyncio.get_running_loop(), now=time.monotonic_ns, pending=mock.Mock(activations={})
         )
@@ -371,7 +371,7 @@
                     with failing("accept", error, same(process.server.sock), times=3) as fault:
                         _, writer = await asyncio.open_unix_connection(path)
                         async with asyncio.timeout(PATIENT):
-                            while not len(process.tasks) > 2:  # beside those that listen and watch
+                            while not len(process.tasks) > 2:  # besides the two permanent tasks
                                 await asyncio.sleep(0.005)
                     self.assertEqual(fault.failed, 3)
                     self.assertLess(turns.count, TURNS_A_SECOND)
@@ -387,7 +387,7 @@
         self.assertEqual(await self.answered(correlation), ["completed"])
 
     async def test_the_connection_breaks_and_is_made_again(self):
-        """Seen as any error, with each of the first tries to make it again failing as well."""
+        """Handled like any connection error; each of the first reconnection attempts fails as well."""
         await self.begin(rig.Worker("w1"))
         (session,) = self.cores[0].fronts[-1].sessions
         at = peer(self.port)
@@ -426,7 +426,7 @@
             side.stream.write(test_speaker.bgp.KEEPALIVE_MESSAGE)
 
     async def test_no_socket_for_a_connection(self):
-        """The next attempt is made after the backoff, as after any other failure."""
+        """The next attempt follows after the backoff, as after any other failure."""
         with contextlib.ExitStack() as faults:
             failures = [faults.enter_context(no_sockets(error)) for error in SOCKET_FAILS]
             speakers = [self.speaker(self.router(), number=n) for n in range(1, 1 + len(SOCKET_FAILS))]
@@ -446,7 +446,7 @@
                 await self.established(one)
 
     async def test_a_session_breaks(self):
-        """Its peer is down at once, not after the hold time of 90 s, and up again after the backoff."""
+        """The peer is down at once, not after the hold time of 90 s, and up again after the backoff."""
         breaks = [("recv_into", error) for error in READ_BREAKS]
         breaks += [("send", error) for error in WRITE_BREAKS]
         sides = []
@@ -476,7 +476,7 @@
                 self.assertTrue(fault.failed)
 
     async def test_heartbeats_that_are_not_received(self):
-        """A socket that can be read and fails: nothing spins, and the next are heard once it is over."""
+        """Failing reads of a readable socket cause no busy loop; later messages are received."""
         router = self.router()
         one = self.speaker(router)
         self.beats(one)
@@ -496,7 +496,7 @@
 
 
 def same(sock):
-    """Chooses one socket."""
+    """Return a predicate that selects one socket."""
     return lambda each, _args: each is sock
 
 
