--- a/petrelwood/dispatch/handover/predecessor.py
+++ b/petrelwood/dispatch/handover/predecessor.py
@@ -209,7 +209,7 @@
 
     def _reason_to_reject(self, hello: Message) -> str | None:
         if not isinstance(hello, Hello):
-            return "the first message was no greeting"
+            return "it did not greet"
         is_busy = self.machine.is_busy()
         state = self.core.durable_state
         # the newest format in the folder, which the successor must be able to read
