--- a/petrelwood/control/peers.py
+++ b/petrelwood/control/peers.py
@@ -49,7 +49,7 @@
         try:
             return messages.decode_extract(result)
         except MalformedMessageError as error:
-            raise PeerError(f"{peer} answered catch-up with what is no extract: {error}") from error
+            raise PeerError(f"{peer} answered catch-up with a malformed extract: {error}") from error
 
     async def voted_in(self, peer: str) -> int | None:
         """Return the highest slot that a peer may have voted in, or None if it does not know.
@@ -61,7 +61,7 @@
         try:
             return messages.decode_voted_in(result)
         except MalformedMessageError as error:
-            raise PeerError(f"{peer} answered voted-in with what is no slot: {error}") from error
+            raise PeerError(f"{peer} answered voted-in with a malformed slot: {error}") from error
 
     async def _call(self, peer: str, method: str, params: list[Any]) -> object:
         try:
--- a/petrelwood/dispatch/__init__.py
+++ b/petrelwood/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""The running dispatcher: one module, one loop; it carries out what is decided elsewhere."""
+"""The running dispatcher: one decision module on one event loop, whose decisions it carries out."""
--- a/petrelwood/dispatch/serve.py
+++ b/petrelwood/dispatch/serve.py
@@ -133,11 +133,11 @@
         events = (self.core.endpoints_known, self.shutdown)
         waiting = [asyncio.ensure_future(event.wait()) for event in events]
         await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
-        for one in waiting:
-            one.cancel()
+        for task in waiting:
+            task.cancel()
 
     async def _reload(self) -> None:
-        """Read the settings anew (SIGHUP), and apply them between two turns of the loop."""
+        """Read the settings again after a SIGHUP, and apply them in one iteration of the event loop."""
         if self.options.read_settings is None:
             return
         try:
--- a/petrelwood/store/__init__.py
+++ b/petrelwood/store/__init__.py
@@ -1,1 +1,1 @@
-"""Storage that survives crashes: an append-only tail with checksums, and the history of use in columns."""
+"""Crash-safe storage: append-only logs with checksums, snapshots, and the history in Parquet files."""
--- a/petrelwood/store/state_log.py
+++ b/petrelwood/store/state_log.py
@@ -1,7 +1,7 @@
 """The state that survives a dispatcher: the activations it admitted, how they ended, and its load orders.
 
 Records are never rewritten while the disk works: they expire with their segment, which is removed once all of
-its records are older than the retention. So a start reads no more than the records of about one retention.
+its records are older than the retention. So a start reads the records of about one retention at most.
 The age of a segment is measured by the monotonic clock: for a segment that this incarnation wrote, since it
 was sealed; for a segment that it found, starting with the least age that is certain at the start. So no step
 of the wall clock removes a segment early.
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -32,7 +32,7 @@
 
 class Machines(unittest.TestCase):
     def test_each_way_that_it_can_go(self):
-        stories = {
+        sequences = {
             "all is well": "asked ready owns proven drained",
             "drained first": "asked ready owns drained proven",
             "not ready in time": "asked +16 ready",
@@ -48,7 +48,7 @@
             "a second upgrade after a failed one": "asked lost asked ready owns proven drained",
         }
         lines = []
-        for name, steps in stories.items():
+        for name, steps in sequences.items():
             predecessor, now, said = handover.Predecessor(), 0, []
             for step in steps.split():
                 if step.startswith("+"):
@@ -113,14 +113,14 @@
     async def test_messages_of_many_tasks_stay_whole_and_in_their_order(self):
         loop, pair = asyncio.get_running_loop(), socket.socketpair(socket.AF_UNIX)
         ours, theirs = (Channel(sock, loop) for sock in pair)
-        told = [
+        sent_messages = [
             messages.ActivationEnded("x", f"m{i}", "completed", True, bytes([i % 256]) * 4000)
             for i in range(400)
         ]
-        tasks = [asyncio.ensure_future(ours.send(message)) for message in told]
+        tasks = [asyncio.ensure_future(ours.send(message)) for message in sent_messages]
         await asyncio.sleep(0)
         self.assertFalse(all(task.done() for task in tasks))  # more than the socket buffer holds
-        for message in told:
+        for message in sent_messages:
             self.assertEqual(await asyncio.wait_for(theirs.receive(), 30), message)
         await asyncio.gather(*tasks)
         ours.close()
@@ -219,7 +219,7 @@
 
 
 class Processes(DispatcherCase):
-    async def one(self, type_, ends):
+    async def send_until_final(self, type_, ends):
         """Send one request until it has a final outcome, which is counted in `ends`.
 
         A rejected request, and one whose connection broke before the request was sent, is retried.
@@ -251,12 +251,14 @@
     async def load(self, stop, ends, every=0.01):
         tasks = []
         while not stop.is_set():
-            tasks.append(asyncio.ensure_future(self.one(("again", "once")[len(tasks) % 2], ends)))
+            tasks.append(
+                asyncio.ensure_future(self.send_until_final(("again", "once")[len(tasks) % 2], ends))
+            )
             await asyncio.sleep(every)
         await asyncio.gather(*tasks)
         return len(tasks)
 
-    def twice(self):
+    def marks_run_twice(self):
         marks = collections.Counter(run[3] for run in self.worker.runs if run[3].startswith("x/once"))
         return [mark for mark, count in marks.items() if count > 1]
 
@@ -273,12 +275,12 @@
         stop.set()
         count = await load
         self.assertEqual(ends[200], count, (ends, self.said()))
-        self.assertEqual(self.twice(), [])
+        self.assertEqual(self.marks_run_twice(), [])
         old.send_signal(signal.SIGTERM)
         self.assertEqual(await asyncio.wait_for(old.wait(), 20), 0)
         self.assertFalse((self.folder / "d.sock").exists())
 
-    async def end_what_serves(self):
+    async def kill_serving_process(self):
         """Kill the process that listens on the control socket, which another process has started."""
         with socket.socket(socket.AF_UNIX) as sock:
             try:
@@ -320,7 +322,7 @@
         count = await load
         self.assertEqual(sum(ends[e] for e in (200, 504, "broken", "gave up", "left")), count, ends)
         self.assertEqual(ends["gave up"], 0, (ends, self.said()))
-        self.assertEqual(self.twice(), [])
+        self.assertEqual(self.marks_run_twice(), [])
         self.assertGreater(ends[200], 0.5 * count)
 
     async def test_what_is_refused_leaves_the_old_one_as_it_was(self):
@@ -426,7 +428,7 @@
         folder = self.folder / "versions"
         self.path.write_text(self.path.read_text() + 'versions "versions"\n')
         old, ends, stop = await self.start(), collections.Counter(), asyncio.Event()
-        self.addAsyncCleanup(self.end_what_serves)
+        self.addAsyncCleanup(self.kill_serving_process)
         load = asyncio.ensure_future(self.load(stop, ends))
 
         async def until(count, words):
@@ -467,7 +469,7 @@
         await load
         self.assertEqual(len(self.worker.runs), had)  # the worker stays drained over both hand-overs
         self.assertGreater(len(second.runs), 0)
-        self.assertEqual(self.twice(), [], self.said())
+        self.assertEqual(self.marks_run_twice(), [], self.said())
         self.assertEqual(set(ends) - {200, 504, "came back"}, set(), ends)
         self.assertGreater(ends[200], 50)
 
@@ -488,7 +490,7 @@
         for id_ in known[::7]:
             reply = await self.caller.call(self.message("once-1", id_=id_, stamp=int(time.time()) + 100), 30)
             statuses[reply.status] += 1
-        self.assertEqual(self.twice(), [], self.said())
+        self.assertEqual(self.marks_run_twice(), [], self.said())
         self.assertEqual(set(statuses) - {200, 504, 503}, set(), statuses)
         self.assertGreater(statuses[200], 0)
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -20,13 +20,13 @@
     def __init__(self, at, how):
         self.left, self.how, self.calls = at, how, 0
 
-    def _turn(self):
+    def _count_call(self):
         self.calls += 1
         self.left -= 1
         return self.left == 0
 
     def write(self, handle, data):
-        if self._turn():
+        if self._count_call():
             if self.how == "short":
                 return super().write(handle, data[: max(1, len(data) // 2)])
             if self.how == "torn":
@@ -35,12 +35,12 @@
         return super().write(handle, data)
 
     def sync(self, handle):
-        if self._turn() and self.how != "short":
+        if self._count_call() and self.how != "short":
             raise OSError(errno.EIO, "Input/output error")
         super().sync(handle)
 
     def replace(self, source, target):
-        if self._turn() and self.how != "short":
+        if self._count_call() and self.how != "short":
             raise OSError(errno.EIO, "Input/output error")
         super().replace(source, target)
 
@@ -224,26 +224,26 @@
     def __init__(self, at, short=False):
         self.left, self.short, self.calls = at, short, 0
 
-    def _turn(self):
+    def _count_call(self):
         self.calls += 1
         self.left -= 1
         if self.left == 0:
             raise OSError(errno.EIO, "Input/output error")
 
     def write(self, handle, data):
-        self._turn()
+        self._count_call()
         return super().write(handle, data[:1] if self.short else data)
 
     def sync(self, handle):
-        self._turn()
+        self._count_call()
         super().sync(handle)
 
     def replace(self, source, target):
-        self._turn()
+        self._count_call()
         super().replace(source, target)
 
     def sync_folder(self, path):
-        self._turn()
+        self._count_call()
         super().sync_folder(path)
 
 
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -194,7 +194,7 @@
             **more,
         )
         self.core.adopt(self.state)
-        self.taken = {}  # what must not run twice and has begun: id -> activation
+        self.taken = {}  # id -> activation id, of those that must not run twice and have begun
         self.number = 0
         return self.core
 
@@ -233,7 +233,7 @@
         records, _ = state_segments.read(folder or self.folder / "state")
         return recovery.replay(records, self.clock.wall(), boot, self.state.durability == "machine")
 
-    def assert_owed(self, found, taken=None):
+    def assert_none_could_rerun(self, found, taken=None):
         """Assert that no id that may have run could run again."""
         for id_ in self.taken if taken is None else taken:
             known = found.activations.get(("x", id_))
@@ -284,7 +284,7 @@
                 self.assertIn(repeatable.activation_id, self.core.scheduler.began)
                 self.complete(repeatable.activation_id)
                 self.assertEqual(repeatable.verdict, ActivationState.COMPLETED)
-                self.assert_owed(self.after_a_kill(folder))
+                self.assert_none_could_rerun(self.after_a_kill(folder))
                 self.wait(0.5)
             self.wait(30)
             stopped = self.state.stopped
@@ -295,7 +295,7 @@
                 self.complete(after.activation_id)
                 self.assertEqual(after.verdict, ActivationState.COMPLETED)
             found = self.after_a_kill(folder)
-            self.assert_owed(found)
+            self.assert_none_could_rerun(found)
             for id_, act in self.taken.items():
                 entry = self.core.ledger.entries["x", id_]
                 if stopped is None and entry.state != ActivationState.RUNNING:
@@ -330,7 +330,7 @@
         self.wait(30)
         self.assertIsNone(self.state.stopped)
         self.assertIn(self.ask().activation_id, self.core.scheduler.began)
-        self.assert_owed(self.after_a_kill())
+        self.assert_none_could_rerun(self.after_a_kill())
 
     def test_an_attempt_that_a_defect_ends_counts_as_failed(self):
         """Guards against an endless outage, in which activations that must not run twice stay rejected."""
@@ -415,7 +415,7 @@
         self.assertGreater(asked, 5)
         # two records per id, and those of the requests in between
         self.assertLessEqual(max(added), 2 * state_recovery.SLICE + 10)
-        self.assert_owed(self.after_a_kill())
+        self.assert_none_could_rerun(self.after_a_kill())
 
     def test_what_ends_while_the_log_is_rewritten_is_in_it(self):
         failing = [False]
--- a/tests/test_store_recovery.py
+++ b/tests/test_store_recovery.py
@@ -116,7 +116,7 @@
     def play(self, seconds, update=lambda new: UpdateResult.APPLIED, read=lambda text: text, during=None):
         """Run a `VersionRollout` for `seconds` polls; return what it applied and revoked, and its log."""
         applied, called_off, log = [], [], Log()
-        looks = [0]
+        polls = [0]
 
         async def main():
             loop = asyncio.get_running_loop()
@@ -124,7 +124,7 @@
             class Core:
                 answered = (0, 0)
                 clock = SimpleNamespace(
-                    steady_wall=lambda: WALL + 1000 * SECOND + looks[0] * SECOND, wall=lambda: WALL
+                    steady_wall=lambda: WALL + 1000 * SECOND + polls[0] * SECOND, wall=lambda: WALL
                 )
 
             Core.loop = loop
@@ -136,11 +136,11 @@
                 return result
 
             async def sleep(seconds_):
-                looks[0] += 1
-                if looks[0] > seconds:
+                polls[0] += 1
+                if polls[0] > seconds:
                     raise asyncio.CancelledError
                 if during is not None:
-                    during(looks[0])
+                    during(polls[0])
 
             updater = SimpleNamespace(update=apply, gateway=SimpleNamespace(name="d"))
             upgrader = SimpleNamespace(available=False, handing_over=False)
