--- a/petrelwood/control/peers.py
+++ b/petrelwood/control/peers.py
@@ -9,11 +9,11 @@
 from petrelwood.links.rpc_client import RpcClient, RpcError
 
 Address = tuple[str, int]
-CALL_TIMEOUT = 1.0  # seconds for an answer
+CALL_TIMEOUT = 1.0  # seconds until a call without an answer fails
 
 
 class Peers:
-    """The connections to the other servers, by name; each is made when it is first needed."""
+    """The connections to the other servers, by name; each is opened on first use."""
 
     def __init__(self, addresses: Mapping[str, Address]) -> None:
         self._clients = {
@@ -40,7 +40,7 @@
             raise PeerError(f"{peer} answered {method} with {error}") from error
 
     async def read_after(self, peer: str, slot: int) -> Extract:
-        """Return the decided records that a peer knows after a slot.
+        """Return the decided records after a slot, as far as a peer knows them.
 
         Raises:
             PeerError: there was no answer in time, or a malformed one.
@@ -49,7 +49,7 @@
         try:
             return messages.decode_extract(result)
         except MalformedMessageError as error:
-            raise PeerError(f"{peer} answered catch-up with what is no extract: {error}") from error
+            raise PeerError(f"{peer} answered catch-up with a malformed extract: {error}") from error
 
     async def voted_in(self, peer: str) -> int | None:
         """Return the highest slot that a peer may have voted in, or None if it does not know.
@@ -61,7 +61,7 @@
         try:
             return messages.decode_voted_in(result)
         except MalformedMessageError as error:
-            raise PeerError(f"{peer} answered voted-in with what is no slot: {error}") from error
+            raise PeerError(f"{peer} answered voted-in with a malformed slot: {error}") from error
 
     async def _call(self, peer: str, method: str, params: list[Any]) -> object:
         try:
