--- a/tests/test_mqtt_parts.py
+++ b/tests/test_mqtt_parts.py
@@ -11,7 +11,7 @@
 from petrelwood.links import packets
 
 SECOND = 1_000_000_000
-TERMS = types.SimpleNamespace(most=1000, keep_alive=20 * SECOND, max_queued_answers=2, connect_within=SECOND)
+TERMS = types.SimpleNamespace(max_packet_size=1000, keep_alive=20 * SECOND, max_queued_answers=2, connect_within=SECOND)
 ANSWER = Answer(b"{}", [("status", "completed")])
 
 
