--- a/benchmarks/bgp.py
+++ b/benchmarks/bgp.py
@@ -29,7 +29,7 @@
 from petrelwood.standins.router import Router
 from petrelwood.wire import bgp
 
-PREFIX = bgp.prefix("192.0.2.1/32")
+PREFIX = bgp.parse_prefix("192.0.2.1/32")
 FINE = HealthReport(False, 0, 9, 100, 0, 0, True)
 CLI = [sys.executable, "-m", "petrelwood.cli"]
 GATEWAY = """gateway "d" {{ listen "127.0.0.1:0"; roster "127.0.0.1:{port}"; seed 1 }}
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -40,7 +40,7 @@
     CONFIGURATION_IN_FORCE_WITHIN,
     DISPATCHERS,
 )
-from petrelwood.bgp.heartbeats import EVERY
+from petrelwood.bgp.heartbeats import HEARTBEAT_SECONDS
 from petrelwood.decide.cluster import membership
 from petrelwood.decide.cluster.link_state import LinkPhase
 from petrelwood.decide.cluster.rollout import DWELL, STAGES, Announcement, Rollout, dwell_for
@@ -417,7 +417,7 @@
         points.append([(size, 1e3 * cost(made[size].report)) for size in sizes])
     said = len(msgpack.packb([1, *made[4_000].report()]))
     return [
-        f"| Health: bytes of one message to the speaker beside it, 1 / {EVERY:g} a second | {said} bytes |",
+        f"| Health: bytes of one message to the speaker beside it, 1 / {HEARTBEAT_SECONDS:g} a second | {said} bytes |",
         Figure("Health: the facts of one message", "workers", "ms", points),
     ]
 
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -17,7 +17,7 @@
 from petrelwood.links import rpc, sse
 from petrelwood.links.errors import EndpointListError
 from petrelwood.links.roster import RosterLink
-from petrelwood.standins.roster import BEAT, ChangeLog
+from petrelwood.standins.roster import COMMENT_INTERVAL, ChangeLog
 
 SECOND = 1_000_000_000
 CHECK_EVERY = SECOND // 4  # between looks at links that owe something and at the roster's silence
@@ -184,7 +184,7 @@
         self.list_log = ChangeLog("e")
         super().__init__(site.day(described), seed, self.module, keep=False)
         self.clock.at(CHECK_EVERY, self._check_all)
-        self.clock.at(round(BEAT * SECOND), self._heartbeat)
+        self.clock.at(round(COMMENT_INTERVAL * SECOND), self._heartbeat)
 
     def _virtual_now(self):
         return self.clock.time
@@ -238,7 +238,7 @@
         for name, stream in self.streams.items():
             if stream.open and stream.alive() and not self.closed and name not in self.stale:
                 self.traffic.count(flows.LIST_TO_DISPATCHERS, name, HEARTBEAT)
-        self.after(round(BEAT * SECOND), self._heartbeat)
+        self.after(round(COMMENT_INTERVAL * SECOND), self._heartbeat)
 
     def _check_all(self):
         now = self.clock.now()
--- a/petrelwood/bgp/heartbeats.py
+++ b/petrelwood/bgp/heartbeats.py
@@ -10,7 +10,7 @@
 from petrelwood.decide.bgp.service_health import HealthReport
 from petrelwood.links.unix_socket import UnixSocket
 
-EVERY = 0.05  # seconds between heartbeats
+HEARTBEAT_SECONDS = 0.05  # seconds between heartbeats
 
 
 class HeartbeatSender:
@@ -58,7 +58,7 @@
                 return
             except OSError:  # the socket stays readable: the loop would come back at once
                 self.loop.remove_reader(self.sock.fileno())
-                self.resumption = self.loop.call_later(EVERY, self._listen)
+                self.resumption = self.loop.call_later(HEARTBEAT_SECONDS, self._listen)
                 return
             try:
                 version, *facts = msgpack.unpackb(data)
--- a/petrelwood/bgp/speaker.py
+++ b/petrelwood/bgp/speaker.py
@@ -24,7 +24,7 @@
 IP_MINTTL, IPV6_MINHOPCOUNT = 21, 73
 
 
-def guard(sock, far):
+def enable_ttl_security(sock, far):
     """RFC 5082: we send with the highest TTL, and a neighbour on the link must have done so too."""
     if far:
         return
@@ -64,7 +64,7 @@
             announcement.AnnouncedRoutes(described.asn),
             announcement.ReceivedRoutes(described.services, terms.most),
         )
-        self.most, self.four = bgp.MOST, True
+        self.most, self.four = bgp.MAX_SIZE, True
 
     # What the neighbour asks for.
     def connect(self):
@@ -75,7 +75,7 @@
         stream = None
         try:
             sock = sockets.new_socket(host)
-            guard(sock, self.terms.far)
+            enable_ttl_security(sock, self.terms.far)
             stream = IOStream(sock)
             # not `wait_for`, which loses a cancellation that comes as the connection is made
             async with asyncio.timeout(CONNECT):
@@ -84,7 +84,7 @@
             if stream is not None:
                 stream.close()
             self.neighbor.connect_failed(self.speaker.now())
-            self.speaker.wake()
+            self.speaker.reschedule()
             return
         await self.serve(stream, neighbor.Opener.US)
 
@@ -97,17 +97,17 @@
         if not self.neighbor.connection_made(self.speaker.now(), key):
             self.close(key)
             return
-        self.speaker.wake()
+        self.speaker.reschedule()
         try:
             while self.streams.get(key) is stream:
                 data = await stream.read_bytes(65_536, partial=True)
                 self.neighbor.data_received(self.speaker.now(), key, data)
-                self.speaker.wake()
+                self.speaker.reschedule()
         except OSError:  # errors of the socket come as they are, or as a closed stream
             pass
         if self.streams.get(key) is stream:
             self.neighbor.connection_lost(self.speaker.now(), key)
-            self.speaker.wake()
+            self.speaker.reschedule()
 
     def write(self, key, data):
         stream = self.streams.get(key)
@@ -136,12 +136,12 @@
 
     def session_established(self, found):
         held = self.neighbor.established
-        self.four, self.most = found.four, bgp.EXTENDED if found.extended else bgp.MOST
+        self.four, self.most = found.four, bgp.MAX_EXTENDED_SIZE if found.extended else bgp.MAX_SIZE
         ours = {(s.prefix[0], bgp.UNICAST) for s in self.speaker.described.services}
         self.inbox.reset()
         self.outbox.reset([f for f in found.families if f in ours])
         self.speaker.log.info("peer up", peer=self.terms.name, asn=found.asn, hold=held.hold, four=found.four)
-        self.tell()
+        self.send_route_changes()
         # RFC 4724: all is told, whether or not it asked for restarts
         for afi in self.outbox.families:
             self.write(
@@ -153,7 +153,7 @@
         self.inbox.reset()
         self.outbox.reset()
         self.speaker.log.warning("peer down", peer=self.terms.name, why=why)
-        self.speaker.look()
+        self.speaker.update_level()
 
     def update_received(self, update):
         for note in update.notes:
@@ -161,13 +161,13 @@
         if not self.inbox.apply(update):
             self.neighbor.route_limit_exceeded(self.speaker.now())
         else:
-            self.speaker.look()
+            self.speaker.update_level()
 
     def resend_routes(self, afi):
         self.outbox.forget_family(afi)
-        self.tell()
+        self.send_route_changes()
 
-    def tell(self):
+    def send_route_changes(self):
         """Brings the peer up to date."""
         held = self.neighbor.established
         if held is None:
@@ -200,19 +200,19 @@
             self.server = _Listener(self)
             listening = bind_sockets(described.listen[1], described.listen[0], family=socket.AF_UNSPEC)
             for sock in listening:
-                guard(sock, all(p.terms.far for p in self.peers))
+                enable_ttl_security(sock, all(p.terms.far for p in self.peers))
             self.server.add_sockets(listening)
             found = listening[0].getsockname()[:2]
         for peer in self.peers:
             peer.neighbor.start(self.now())
-        self.wake()
+        self.reschedule()
         return found
 
     def _heartbeat(self, facts):
         self.serving.heartbeat(self.now(), facts)
-        self.look()
+        self.update_level()
 
-    def look(self):
+    def update_level(self):
         """Judges anew; peers hear at once what has changed, and before anything else what takes traffic
         away."""
         before = self.serving.level
@@ -222,12 +222,12 @@
         )
         if self.serving.level != before:
             for peer in self.peers:
-                peer.tell()
+                peer.send_route_changes()
         if changed:
             self.log.info("serves", level=self.serving.level, why=self.serving.reason, before=before)
-        self.wake()
+        self.reschedule()
 
-    def wake(self):
+    def reschedule(self):
         """Sets the one timer to what is due first."""
         if self.timer is not None:
             self.timer.cancel()
@@ -243,7 +243,7 @@
         now = self.now()
         for peer in self.peers:
             peer.neighbor.check_timers(now)
-        self.look()
+        self.update_level()
 
     def figures(self):
         return {
--- a/petrelwood/cli/bgp.py
+++ b/petrelwood/cli/bgp.py
@@ -85,10 +85,10 @@
         except (UnicodeDecodeError, ValueError):
             pass
         reader = wire.Reader()
-        reader.most = wire.EXTENDED
+        reader.max_size = wire.MAX_EXTENDED_SIZE
         try:
             for kind, body in reader.feed(raw):
-                click.echo(f"{wire.NAMES[kind]} {wire.HEAD + len(body)} octets")
+                click.echo(f"{wire.NAMES[kind]} {wire.HEADER_SIZE + len(body)} octets")
                 if kind == wire.OPEN:
                     click.echo(f"  {wire.read_open(body)}")
                 elif kind == wire.NOTIFICATION:
@@ -97,12 +97,12 @@
                 elif kind == wire.UPDATE:
                     update = wire.read_update(body, not two)
                     for prefix in update.withdrawn:
-                        click.echo(f"  withdrawn {wire.shown(prefix)}")
+                        click.echo(f"  withdrawn {wire.format_prefix(prefix)}")
                     for prefix in update.announced:
                         _show(wire, prefix, update.attrs)
                     for note in update.notes:
                         click.echo(f"  note: {note}")
-        except wire.Wrong as fault:
+        except wire.BgpError as fault:
             raise click.ClickException(f"NOTIFICATION {fault.code}/{fault.sub}: {fault}") from None
         if reader.data:
             raise click.ClickException(f"{len(reader.data)} octets are left: a message is cut short")
@@ -115,7 +115,7 @@
             for kind, asns in attrs.path
         )
         click.echo(
-            f"  {wire.shown(prefix)} next hop {ipaddress.ip_address(attrs.next_hop)}, path {path or 'empty'}"
+            f"  {wire.format_prefix(prefix)} next hop {ipaddress.ip_address(attrs.next_hop)}, path {path or 'empty'}"
             + (f", MED {attrs.med}" if attrs.med is not None else "")
             + (
                 f", communities {' '.join(f'{c >> 16}:{c & 0xFFFF}' for c in attrs.communities)}"
--- a/petrelwood/decide/bgp/neighbor.py
+++ b/petrelwood/decide/bgp/neighbor.py
@@ -150,7 +150,7 @@
         self.connecting = False
         for connection in list(self.connections.values()):
             data = bgp.shutdown_text(text) if text else b""
-            self._end(now, connection, bgp.Wrong(bgp.CEASE, subcode, text or "stopped here", data))
+            self._end(now, connection, bgp.BgpError(bgp.CEASE, subcode, text or "stopped here", data))
 
     def connection_made(self, now: int, key: Opener) -> bool:
         """Handle an opened connection, and return whether it is wanted; else its owner closes it."""
@@ -186,13 +186,13 @@
                 self._message(now, connection, kind, body)
                 if self.connections.get(key) is not connection:
                     return
-        except bgp.Wrong as fault:
+        except bgp.BgpError as fault:
             self._end(now, connection, fault)
         except struct.error:  # shorter than its kind has to be, in a way that no rule names
             self._end(
                 now,
                 connection,
-                bgp.Wrong(bgp.HEADER_ERROR, BAD_MESSAGE_LENGTH, "a message that is cut short"),
+                bgp.BgpError(bgp.HEADER_ERROR, BAD_MESSAGE_LENGTH, "a message that is cut short"),
             )
 
     def route_limit_exceeded(self, now: int) -> None:
@@ -200,7 +200,7 @@
         connection = self.established
         if connection is not None:
             self._end(
-                now, connection, bgp.Wrong(bgp.CEASE, bgp.PREFIXES, f"over {self.terms.max_routes} routes")
+                now, connection, bgp.BgpError(bgp.CEASE, bgp.PREFIXES, f"over {self.terms.max_routes} routes")
             )
 
     # Timers.
@@ -208,7 +208,7 @@
         """Do what is due: expire hold times, send KEEPALIVEs, connect."""
         for connection in list(self.connections.values()):
             if connection.hold_expires and now >= connection.hold_expires:
-                fault = bgp.Wrong(bgp.HOLD_EXPIRED, 0, "nothing was heard for the hold time")
+                fault = bgp.BgpError(bgp.HOLD_EXPIRED, 0, "nothing was heard for the hold time")
                 self._end(now, connection, fault)
             elif connection.keepalive_due and now >= connection.keepalive_due:
                 self._send_keepalive(now, connection)
@@ -246,11 +246,11 @@
             self._close(now, connection, why)
         elif connection.state is State.OPEN_SENT:
             if kind != bgp.OPEN:
-                raise bgp.Wrong(bgp.FSM_ERROR, 1, f"a {bgp.NAMES[kind]} before the OPEN")
+                raise bgp.BgpError(bgp.FSM_ERROR, 1, f"a {bgp.NAMES[kind]} before the OPEN")
             self._on_open(now, connection, bgp.read_open(body))
         elif connection.state is State.OPEN_CONFIRM:
             if kind != bgp.KEEPALIVE:
-                raise bgp.Wrong(bgp.FSM_ERROR, 2, f"a {bgp.NAMES[kind]} before the first KEEPALIVE")
+                raise bgp.BgpError(bgp.FSM_ERROR, 2, f"a {bgp.NAMES[kind]} before the first KEEPALIVE")
             self._establish(now, connection)
         else:
             self._session_message(now, connection, kind, body)
@@ -269,7 +269,7 @@
                 afi, _, _ = struct.unpack("!HBB", body)
                 self.owner.resend_routes(afi)
         elif kind == bgp.OPEN:
-            raise bgp.Wrong(bgp.FSM_ERROR, 3, "an OPEN in an established session")
+            raise bgp.BgpError(bgp.FSM_ERROR, 3, "an OPEN in an established session")
 
     def _on_open(self, now: int, connection: Connection, found: bgp.Open) -> None:
         self._check_open(found)
@@ -278,20 +278,20 @@
         if self._loses_collision(now, connection, found):
             return
         if found.extended:
-            connection.reader.most = bgp.EXTENDED
+            connection.reader.max_size = bgp.MAX_EXTENDED_SIZE
         connection.state = State.OPEN_CONFIRM
         connection.hold_expires = now + (connection.hold * SECOND or OPEN_TIMEOUT)
         self._send_keepalive(now, connection)
 
     def _check_open(self, found: bgp.Open) -> None:
-        """Raise `bgp.Wrong` where the peer does not fit our terms."""
+        """Raise `bgp.BgpError` where the peer does not fit our terms."""
         terms = self.terms
         if terms.peer_asn and found.asn != terms.peer_asn:
-            raise bgp.Wrong(bgp.OPEN_ERROR, 2, f"AS {found.asn}, and {terms.peer_asn} was expected")
+            raise bgp.BgpError(bgp.OPEN_ERROR, 2, f"AS {found.asn}, and {terms.peer_asn} was expected")
         if found.id == terms.id and found.asn == terms.asn:
-            raise bgp.Wrong(bgp.OPEN_ERROR, 3, "the peer has our own identifier")
+            raise bgp.BgpError(bgp.OPEN_ERROR, 3, "the peer has our own identifier")
         if terms.role is not None and found.role is not None and (terms.role, found.role) not in bgp.AGREE:
-            raise bgp.Wrong(bgp.OPEN_ERROR, 11, f"roles {terms.role} and {found.role} do not go together")
+            raise bgp.BgpError(bgp.OPEN_ERROR, 11, f"roles {terms.role} and {found.role} do not go together")
 
     def _loses_collision(self, now: int, connection: Connection, found: bgp.Open) -> bool:
         """End one of two connections; returns whether it is this one.
@@ -323,10 +323,10 @@
 
     # Ends.
     def _end_duplicate(self, now: int, connection: Connection) -> None:
-        fault = bgp.Wrong(bgp.CEASE, bgp.COLLISION, "another connection is kept")
+        fault = bgp.BgpError(bgp.CEASE, bgp.COLLISION, "another connection is kept")
         self._end(now, connection, fault, is_failure=False)
 
-    def _end(self, now: int, connection: Connection, fault: bgp.Wrong, is_failure: bool = True) -> None:
+    def _end(self, now: int, connection: Connection, fault: bgp.BgpError, is_failure: bool = True) -> None:
         """End a connection with a NOTIFICATION."""
         self.owner.write(connection.key, bgp.notification(fault.code, fault.sub, fault.data))
         self._close(now, connection, str(fault), is_failure)
--- a/petrelwood/dispatch/health.py
+++ b/petrelwood/dispatch/health.py
@@ -7,7 +7,7 @@
 import asyncio
 from typing import Protocol
 
-from petrelwood.bgp.heartbeats import EVERY, HeartbeatSender
+from petrelwood.bgp.heartbeats import HEARTBEAT_SECONDS, HeartbeatSender
 from petrelwood.decide.bgp.service_health import HealthReport
 from petrelwood.decide.cluster.membership import Membership
 from petrelwood.decide.overload.intake import Intake
@@ -17,7 +17,7 @@
 from petrelwood.dispatch.recent_answers import RecentAnswers
 
 SECOND = 1_000_000_000
-HEARTBEAT_INTERVAL = int(EVERY * SECOND)  # ns
+HEARTBEAT_INTERVAL = int(HEARTBEAT_SECONDS * SECOND)  # ns
 STALL_BUCKET = SECOND // 2  # ns
 STALL_BUCKETS = 5  # a stall is reported for two seconds at least
 
@@ -96,7 +96,7 @@
     async def _send_heartbeats(self) -> None:
         while True:
             self.send_now()
-            await asyncio.sleep(EVERY)
+            await asyncio.sleep(HEARTBEAT_SECONDS)
 
     def send_now(self) -> None:
         """Send a heartbeat out of turn, as at the beginning of a graceful shutdown."""
--- a/petrelwood/settings/speaker.py
+++ b/petrelwood/settings/speaker.py
@@ -94,7 +94,7 @@
 def _decode_prefix(value: Value, subject: str) -> Prefix:
     text = TEXT.decode(value, subject)
     try:
-        prefix: Prefix = bgp.prefix(text)
+        prefix: Prefix = bgp.parse_prefix(text)
     except ValueError as error:
         message = f'{subject} must be an address or a network like "192.0.2.1/32", not {value!r}'
         raise InvalidValueError(message) from error
@@ -202,7 +202,7 @@
     peers = tuple(_decode_peer(peer) for peer in node.every("peer"))
     services = tuple(_decode_service(service) for service in node.every("serve"))
     _report_duplicates(node, "peer", [peer.name for peer in peers])
-    _report_duplicates(node, "serve", [bgp.shown(service.prefix) for service in services])
+    _report_duplicates(node, "serve", [bgp.format_prefix(service.prefix) for service in services])
     if not (peers and services or file.partial):
         node.report("a speaker needs a 'peer' and a 'serve'")
     listen = node.value("listen", ADDRESS, None)
--- a/petrelwood/standins/caller.py
+++ b/petrelwood/standins/caller.py
@@ -24,7 +24,7 @@
         self.whole = True
 
 
-class Broken(Exception):
+class ConnectionLostError(Exception):
     """The connection ended before the whole answer; `sent` tells whether any byte of the request went out."""
 
     def __init__(self, sent):
@@ -46,7 +46,7 @@
         try:
             await stream.connect(self.address)
         except (StreamClosedError, OSError):
-            raise Broken(False) from None
+            raise ConnectionLostError(False) from None
         stream.set_nodelay(True)
         return stream
 
@@ -63,7 +63,7 @@
             raise
         except (StreamClosedError, OSError):
             stream.close()
-            raise Broken(True) from None
+            raise ConnectionLostError(True) from None
         if reply.headers.get(b"connection", b"").lower() == b"close" or len(self.idle) >= self.most_idle:
             stream.close()
         else:
--- a/petrelwood/standins/portal.py
+++ b/petrelwood/standins/portal.py
@@ -16,7 +16,7 @@
 
 from petrelwood.fronts.signing import sign
 from petrelwood.standins import host
-from petrelwood.standins.caller import Broken, Caller, request
+from petrelwood.standins.caller import Caller, ConnectionLostError, request
 from petrelwood.standins.records import Records
 
 REPLAY_KEPT = 400
@@ -174,7 +174,7 @@
             if len(self.old) < REPLAY_KEPT:
                 self.old.append((dispatcher, message, common["key"], stamp))
             return "left", 0
-        except Broken as fault:
+        except ConnectionLostError as fault:
             self.records.put("broken", sent=fault.sent, **common)
             return ("broken" if fault.sent else "refused"), 0
         self.records.put(
@@ -210,7 +210,7 @@
                     took=time.monotonic_ns() - begun,
                 )
                 self.count(f"replay {reply.status}")
-            except (TimeoutError, Broken):
+            except (TimeoutError, ConnectionLostError):
                 self.count("replay lost")
 
     async def dawdle(self, until):
--- a/petrelwood/standins/roster.py
+++ b/petrelwood/standins/roster.py
@@ -16,7 +16,7 @@
 from petrelwood.standins import host
 from petrelwood.standins.records import Records
 
-KEPT, BEAT = 256, 1.0  # changes kept for those that resume; seconds between comments
+KEPT, COMMENT_INTERVAL = 256, 1.0  # changes kept for those that resume; seconds between comments
 
 
 class ChangeLog:
@@ -86,7 +86,7 @@
             self.streams[stream] = agent
             while not stream.closed():
                 await stream.write(b": alive\n\n")
-                await asyncio.sleep(BEAT)
+                await asyncio.sleep(COMMENT_INTERVAL)
         except (StreamClosedError, asyncio.IncompleteReadError):
             pass
         finally:
--- a/petrelwood/standins/router.py
+++ b/petrelwood/standins/router.py
@@ -87,12 +87,12 @@
             self.neighbor.route_limit_exceeded(self.router.now())
             return
         for prefix in update.withdrawn:
-            self.router.saw("withdrawn", self, prefix=bgp.shown(prefix))
+            self.router.saw("withdrawn", self, prefix=bgp.format_prefix(prefix))
         for prefix in update.announced:
             self.router.saw(
                 "announced",
                 self,
-                prefix=bgp.shown(prefix),
+                prefix=bgp.format_prefix(prefix),
                 med=update.attrs.med,
                 less=bgp.GRACEFUL_SHUTDOWN in update.attrs.communities,
                 next_hop=update.attrs.next_hop.hex(),
@@ -168,7 +168,10 @@
     def changed(self, side, prefixes):
         for prefix in prefixes:
             self.saw(
-                "best", side, prefix=bgp.shown(prefix), peers=[peer for peer, _ in self.table.best(prefix)]
+                "best",
+                side,
+                prefix=bgp.format_prefix(prefix),
+                peers=[peer for peer, _ in self.table.best(prefix)],
             )
             for one in list(self.sides.values()):
                 self.tell(one, [prefix])
@@ -204,7 +207,7 @@
             if id_ in (None, side.id):
                 side.stream.close()
 
-    def mutes(self, on, id_=None):
+    def set_mute(self, on, id_=None):
         """Holds sessions, reads and says nothing."""
         for side in list(self.sides.values()):
             if id_ in (None, side.id):
@@ -232,7 +235,10 @@
     def line(self, prefix):
         return (
             json.dumps(
-                {"prefix": bgp.shown(prefix), "peers": [peer for peer, _ in self.router.table.best(prefix)]}
+                {
+                    "prefix": bgp.format_prefix(prefix),
+                    "peers": [peer for peer, _ in self.router.table.best(prefix)],
+                }
             ).encode()
             + b"\n"
         )
@@ -260,7 +266,7 @@
 
     def tell(at, what, peer, facts):
         if what == "best" and watching is not None:
-            watching.tell(bgp.prefix(facts["prefix"]))
+            watching.tell(bgp.parse_prefix(facts["prefix"]))
         if kept is not None:
             kept.put("route", saw=what, peer=peer, **facts)
         else:
@@ -300,7 +306,7 @@
         if what == "raw":
             router.raw(bytes.fromhex(order["data"]), peer)
         elif what in ("mute", "speak"):
-            router.mutes(what == "mute", peer)
+            router.set_mute(what == "mute", peer)
         elif what == "reset":
             router.reset(peer)
         else:
--- a/petrelwood/wire/bgp.py
+++ b/petrelwood/wire/bgp.py
@@ -3,7 +3,7 @@
 9003 (shutdown text), 9234 (roles), and 7606: an update whose attributes are wrong takes its routes back in
 place of ending the session.
 
-A prefix is (afi, network bytes, length). What can't be gone on from raises `Wrong`, which is a NOTIFICATION.
+A prefix is (afi, network bytes, length). What can't be gone on from raises `BgpError`, which is a NOTIFICATION.
 """
 
 import ipaddress
@@ -18,8 +18,8 @@
     KEEPALIVE: "KEEPALIVE",
     REFRESH: "ROUTE-REFRESH",
 }
-MARKER, HEAD, MOST, EXTENDED = b"\xff" * 16, 19, 4096, 65535
-LEAST = {OPEN: 29, UPDATE: 23, NOTIFICATION: 21, KEEPALIVE: 19, REFRESH: 23}
+MARKER, HEADER_SIZE, MAX_SIZE, MAX_EXTENDED_SIZE = b"\xff" * 16, 19, 4096, 65535
+MIN_SIZES = {OPEN: 29, UPDATE: 23, NOTIFICATION: 21, KEEPALIVE: 19, REFRESH: 23}
 HEADER_ERROR, OPEN_ERROR, UPDATE_ERROR, HOLD_EXPIRED, FSM_ERROR, CEASE = 1, 2, 3, 4, 5, 6
 PREFIXES, SHUTDOWN, RESET, REJECTED, COLLISION, RESOURCES, HARD = 1, 2, 4, 5, 7, 8, 9  # of CEASE
 MP, REFRESHES, EXTENDS, ROLE, RESTARTS, FOUR = 1, 2, 6, 9, 64, 65  # capabilities
@@ -47,7 +47,7 @@
 AGREE = {(PROVIDER, CUSTOMER), (CUSTOMER, PROVIDER), (RS, RS_CLIENT), (RS_CLIENT, RS), (PEER, PEER)}
 
 
-class Wrong(Exception):
+class BgpError(Exception):
     """What a peer sent ends the session: `code`, `sub` and `data` of the NOTIFICATION that says so."""
 
     def __init__(self, code, sub, what, data=b""):
@@ -102,20 +102,20 @@
         return ""
 
 
-def prefix(text):
+def parse_prefix(text):
     """A prefix as people write it. Raises `ValueError`."""
     net = ipaddress.ip_network(text)
     return IPV4 if net.version == 4 else IPV6, net.network_address.packed, net.prefixlen
 
 
-def shown(found):
+def format_prefix(found):
     return f"{ipaddress.ip_address(found[1])}/{found[2]}"
 
 
-def message(kind, body=b"", most=MOST):
-    size = HEAD + len(body)
-    if size > most:
-        raise ValueError(f"a {NAMES[kind]} of {size} octets, where {most} are allowed")
+def message(kind, body=b"", max_size=MAX_SIZE):
+    size = HEADER_SIZE + len(body)
+    if size > max_size:
+        raise ValueError(f"a {NAMES[kind]} of {size} octets, where {max_size} are allowed")
     return MARKER + struct.pack("!HB", size, kind) + body
 
 
@@ -136,7 +136,7 @@
 
 
 def notification(code, sub=0, data=b""):
-    return message(NOTIFICATION, bytes((code, sub)) + data[: MOST - HEAD - 2])
+    return message(NOTIFICATION, bytes((code, sub)) + data[: MAX_SIZE - HEADER_SIZE - 2])
 
 
 def shutdown_text(text):
@@ -156,22 +156,22 @@
     """Bytes in, (kind, body) out; `most`: octets of a message, more once both sides can."""
 
     def __init__(self):
-        self.data, self.most = bytearray(), MOST
+        self.data, self.max_size = bytearray(), MAX_SIZE
 
     def feed(self, data):
         self.data += data
-        while len(self.data) >= HEAD:
+        while len(self.data) >= HEADER_SIZE:
             if self.data[:16] != MARKER:
-                raise Wrong(HEADER_ERROR, 1, "the marker is not all ones")
+                raise BgpError(HEADER_ERROR, 1, "the marker is not all ones")
             size, kind = struct.unpack_from("!HB", self.data, 16)
-            most = MOST if kind in (OPEN, KEEPALIVE) else self.most
-            if kind not in LEAST:
-                raise Wrong(HEADER_ERROR, 3, f"no message is of kind {kind}", bytes((kind,)))
-            if not LEAST[kind] <= size <= most or kind == KEEPALIVE and size != HEAD:
-                raise Wrong(HEADER_ERROR, 2, f"a {NAMES[kind]} of {size} octets", struct.pack("!H", size))
+            max_size = MAX_SIZE if kind in (OPEN, KEEPALIVE) else self.max_size
+            if kind not in MIN_SIZES:
+                raise BgpError(HEADER_ERROR, 3, f"no message is of kind {kind}", bytes((kind,)))
+            if not MIN_SIZES[kind] <= size <= max_size or kind == KEEPALIVE and size != HEADER_SIZE:
+                raise BgpError(HEADER_ERROR, 2, f"a {NAMES[kind]} of {size} octets", struct.pack("!H", size))
             if len(self.data) < size:
                 return
-            body = bytes(self.data[HEAD:size])
+            body = bytes(self.data[HEADER_SIZE:size])
             del self.data[:size]
             yield kind, body
 
@@ -179,37 +179,37 @@
 def read_open(body):
     version, asn, hold, id_, size = struct.unpack_from("!BHHIB", body)
     if version != 4:
-        raise Wrong(OPEN_ERROR, 1, f"version {version}", struct.pack("!H", 4))
+        raise BgpError(OPEN_ERROR, 1, f"version {version}", struct.pack("!H", 4))
     options = body[10:]
     if size == 255 and options[:1] == b"\xff" and len(options) >= 3:  # RFC 9072
         size, options, wide = struct.unpack_from("!H", options, 1)[0], options[3:], True
     else:
         wide = False
     if size != len(options):
-        raise Wrong(OPEN_ERROR, 0, "the options' length is off")
+        raise BgpError(OPEN_ERROR, 0, "the options' length is off")
     caps, head = {}, 3 if wide else 2
     while options:
         if len(options) < head:
-            raise Wrong(OPEN_ERROR, 0, "an option is cut short")
+            raise BgpError(OPEN_ERROR, 0, "an option is cut short")
         kind, length = options[0], struct.unpack_from("!H", options, 1)[0] if wide else options[1]
         value, options = options[head : head + length], options[head + length :]
         if len(value) != length:
-            raise Wrong(OPEN_ERROR, 0, "an option is cut short")
+            raise BgpError(OPEN_ERROR, 0, "an option is cut short")
         if kind != 2:
-            raise Wrong(OPEN_ERROR, 4, f"option {kind}", bytes((kind,)))
+            raise BgpError(OPEN_ERROR, 4, f"option {kind}", bytes((kind,)))
         while value:
             if len(value) < 2 or len(value) < 2 + value[1]:
-                raise Wrong(OPEN_ERROR, 0, "a capability is cut short")
+                raise BgpError(OPEN_ERROR, 0, "a capability is cut short")
             caps.setdefault(value[0], []).append(value[2 : 2 + value[1]])
             value = value[2 + value[1] :]
     four = next((struct.unpack("!I", v)[0] for v in caps.get(FOUR, ()) if len(v) == 4), None)
     asn = asn if four is None else four
     if not asn or asn == AS_TRANS and four is not None:
-        raise Wrong(OPEN_ERROR, 2, f"AS number {asn}")
+        raise BgpError(OPEN_ERROR, 2, f"AS number {asn}")
     if hold in (1, 2):
-        raise Wrong(OPEN_ERROR, 6, f"a hold time of {hold} s")
+        raise BgpError(OPEN_ERROR, 6, f"a hold time of {hold} s")
     if not id_:
-        raise Wrong(OPEN_ERROR, 3, "an identifier of 0")
+        raise BgpError(OPEN_ERROR, 3, "an identifier of 0")
     families = tuple(
         sorted(
             {
@@ -220,7 +220,7 @@
     )
     roles = {v[0] for v in caps.get(ROLE, ()) if len(v) == 1}
     if len(roles) > 1:
-        raise Wrong(OPEN_ERROR, 11, "two roles at once")
+        raise BgpError(OPEN_ERROR, 11, "two roles at once")
     restart = next((struct.unpack_from("!H", v)[0] for v in caps.get(RESTARTS, ()) if len(v) >= 2), None)
     return Open(
         asn,
@@ -245,7 +245,7 @@
         length, at = data[at], at + 1
         octets = (length + 7) // 8
         if length > BITS[afi] or at + octets > len(data):
-            raise Wrong(UPDATE_ERROR, 10, f"{what}: a prefix that can't be")
+            raise BgpError(UPDATE_ERROR, 10, f"{what}: a prefix that can't be")
         raw = bytearray(data[at : at + octets])
         if length % 8:
             raw[-1] &= 0xFF << 8 - length % 8 & 0xFF  # bits beyond the length mean nothing
@@ -290,18 +290,18 @@
 def _reach(value):
     """(prefixes, next hop) of MP_REACH_NLRI, or None for a family that is not ours."""
     if len(value) < 5:
-        raise Wrong(UPDATE_ERROR, 9, "MP_REACH_NLRI is cut short")
+        raise BgpError(UPDATE_ERROR, 9, "MP_REACH_NLRI is cut short")
     afi, safi, size = struct.unpack_from("!HBB", value)
     if (afi, safi) not in ((IPV4, UNICAST), (IPV6, UNICAST)):
         return None
     if size not in ((4,) if afi == IPV4 else (16, 32)) or len(value) < 5 + size:
-        raise Wrong(UPDATE_ERROR, 9, "a next hop of MP_REACH_NLRI that can't be")
+        raise BgpError(UPDATE_ERROR, 9, "a next hop of MP_REACH_NLRI that can't be")
     return _prefixes(value[5 + size :], afi, "MP_REACH_NLRI"), value[4 : 4 + min(size, 16)]
 
 
 def _unreach(value):
     if len(value) < 3:
-        raise Wrong(UPDATE_ERROR, 9, "MP_UNREACH_NLRI is cut short")
+        raise BgpError(UPDATE_ERROR, 9, "MP_UNREACH_NLRI is cut short")
     afi, safi = struct.unpack_from("!HB", value)
     return _prefixes(value[3:], afi, "MP_UNREACH_NLRI") if safi == UNICAST and afi in BITS else ()
 
@@ -348,12 +348,12 @@
     """An `Update`. `four`: whether AS numbers have four octets on this session."""
     size = struct.unpack_from("!H", body)[0]
     if len(body) < 4 + size:
-        raise Wrong(UPDATE_ERROR, 1, "the withdrawn routes' length is off")
+        raise BgpError(UPDATE_ERROR, 1, "the withdrawn routes' length is off")
     withdrawn = _prefixes(body[2 : 2 + size], IPV4, "withdrawn")
     length = struct.unpack_from("!H", body, 2 + size)[0]
     begin = 4 + size
     if len(body) < begin + length:
-        raise Wrong(UPDATE_ERROR, 1, "the attributes' length is off")
+        raise BgpError(UPDATE_ERROR, 1, "the attributes' length is off")
     data, plain = body[begin : begin + length], _prefixes(body[begin + length :], IPV4, "announced")
     made, seen, notes, bad, at = {}, set(), [], False, 0
     while at < len(data):
@@ -368,18 +368,18 @@
         value, at = data[at : at + size], at + size
         if len(value) != size:
             if kind in (REACH, UNREACH):
-                raise Wrong(UPDATE_ERROR, 5, "a multiprotocol attribute is cut short")
+                raise BgpError(UPDATE_ERROR, 5, "a multiprotocol attribute is cut short")
             bad = True
             notes.append(f"attribute {kind} is cut short")
             break
         if kind in seen:
             if kind in (REACH, UNREACH):
-                raise Wrong(UPDATE_ERROR, 1, f"attribute {kind} comes twice")
+                raise BgpError(UPDATE_ERROR, 1, f"attribute {kind} comes twice")
             notes.append(f"attribute {kind} comes twice")
             continue
         seen.add(kind)
         if kind not in WELL_KNOWN and not flags & 0x80:
-            raise Wrong(
+            raise BgpError(
                 UPDATE_ERROR,
                 2,
                 f"well-known attribute {kind} is not known",
@@ -466,28 +466,28 @@
         yield piece
 
 
-def updates(announced, attrs, withdrawn, four, most=MOST):
+def updates(announced, attrs, withdrawn, four, max_size=MAX_SIZE):
     """The messages for prefixes that share their attributes, and for those taken back; as few as fit `most`
     octets each."""
-    out, room = [], most - HEAD - 4
+    out, room = [], max_size - HEADER_SIZE - 4
     old, new = ([p for p in withdrawn if p[0] == afi] for afi in (IPV4, IPV6))
     for piece in _packed(old, room):
-        out.append(message(UPDATE, struct.pack("!H", len(piece)) + piece + b"\0\0", most))
+        out.append(message(UPDATE, struct.pack("!H", len(piece)) + piece + b"\0\0", max_size))
     for piece in _packed(new, room - 7):
         value = _attribute(0x80, UNREACH, struct.pack("!HB", IPV6, UNICAST) + piece)
-        out.append(message(UPDATE, b"\0\0" + struct.pack("!H", len(value)) + value, most))
+        out.append(message(UPDATE, b"\0\0" + struct.pack("!H", len(value)) + value, max_size))
     if attrs is not None:
         common = _attributes(attrs, four)
         old, new = ([p for p in announced if p[0] == afi] for afi in (IPV4, IPV6))
         for piece in _packed(old, room - len(common)):
-            out.append(message(UPDATE, b"\0\0" + struct.pack("!H", len(common)) + common + piece, most))
+            out.append(message(UPDATE, b"\0\0" + struct.pack("!H", len(common)) + common + piece, max_size))
         for piece in _packed(new, room - len(common) - 9 - len(attrs.next_hop)):
             value = common + _attribute(
                 0x80,
                 REACH,
                 struct.pack("!HBB", IPV6, UNICAST, len(attrs.next_hop)) + attrs.next_hop + b"\0" + piece,
             )
-            out.append(message(UPDATE, b"\0\0" + struct.pack("!H", len(value)) + value, most))
+            out.append(message(UPDATE, b"\0\0" + struct.pack("!H", len(value)) + value, max_size))
     return out
 
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -17,7 +17,7 @@
 from petrelwood.fronts.webhook import Webhooks
 from petrelwood.links import rpc, sse
 from petrelwood.settings import gateway
-from petrelwood.standins.caller import Broken, Caller, request
+from petrelwood.standins.caller import Caller, ConnectionLostError, request
 
 SECRET = bytes(range(32))
 KEY = "whsec_" + base64.b64encode(SECRET).decode()
@@ -238,4 +238,4 @@
         return sum(len(w.runs) for w in self.workers)
 
 
-__all__ = ["Broken", "Case", "IOStream", "Worker", "answer", "later", "never", "says"]
+__all__ = ["Case", "ConnectionLostError", "IOStream", "Worker", "answer", "later", "never", "says"]
--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -15,16 +15,16 @@
 
 S = 10**9
 FAMILIES = ((bgp.IPV4, bgp.UNICAST), (bgp.IPV6, bgp.UNICAST))
-PREFIX = bgp.prefix("192.0.2.1/32")
+PREFIX = bgp.parse_prefix("192.0.2.1/32")
 
 
 def attrs(path=(65001,), hop="7f000001", med=None, communities=()):
     return bgp.Attrs(0, ((bgp.SEQUENCE, tuple(path)),), bytes.fromhex(hop), med, tuple(communities))
 
 
-def read(data, four=True, most=bgp.MOST):
+def read(data, four=True, most=bgp.MAX_SIZE):
     reader, found = bgp.Reader(), []
-    reader.most = most
+    reader.max_size = most
     for kind, body in reader.feed(data):
         found.append(
             bgp.read_update(body, four)
@@ -66,7 +66,7 @@
         st.booleans(),
     )
     def test_what_is_written_is_read(self, new, old, four, path, med, communities, extended):
-        most = bgp.EXTENDED if extended else bgp.MOST
+        most = bgp.MAX_EXTENDED_SIZE if extended else bgp.MAX_SIZE
         for afi, hop in ((bgp.IPV4, "7f000001"), (bgp.IPV6, "00" * 15 + "01")):
             given_ = bgp.Attrs(
                 2, ((bgp.SEQUENCE, tuple(path)),) if path else (), bytes.fromhex(hop), med, tuple(communities)
@@ -93,12 +93,12 @@
         with self.assertRaises(ValueError):
             bgp.message(bgp.UPDATE, body + b"\0")
         over = bgp.MARKER + struct.pack("!HB", 4097, bgp.UPDATE) + body + b"\0"
-        with self.assertRaises(bgp.Wrong) as caught:
+        with self.assertRaises(bgp.BgpError) as caught:
             read(over)
         self.assertEqual((caught.exception.code, caught.exception.sub), (1, 2))
-        self.assertEqual(len(read(over, most=bgp.EXTENDED)), 1)  # RFC 8654
-        with self.assertRaises(bgp.Wrong):  # never an OPEN
-            read(bgp.MARKER + struct.pack("!HB", 4097, bgp.OPEN) + bytes(5000), most=bgp.EXTENDED)
+        self.assertEqual(len(read(over, most=bgp.MAX_EXTENDED_SIZE)), 1)  # RFC 8654
+        with self.assertRaises(bgp.BgpError):  # never an OPEN
+            read(bgp.MARKER + struct.pack("!HB", 4097, bgp.OPEN) + bytes(5000), most=bgp.MAX_EXTENDED_SIZE)
 
     def test_whatever_comes_is_a_message_or_a_fault_with_a_name(self):
         chance, faults = random.Random(5), {}
@@ -106,13 +106,16 @@
             bgp.open_message(4_200_000_000, 9, 7, FAMILIES, bgp.CUSTOMER),
             bgp.notification(6, 2, bgp.shutdown_text("drained")),
             *bgp.updates(
-                [PREFIX, bgp.prefix("10.0.0.0/8")],
+                [PREFIX, bgp.parse_prefix("10.0.0.0/8")],
                 attrs((65001, 70000), communities=(1, 2), med=5),
                 [PREFIX],
                 True,
             ),
             *bgp.updates(
-                [bgp.prefix("2001:db8::/32")], attrs(hop="00" * 16), [bgp.prefix("2001:db8::1/128")], True
+                [bgp.parse_prefix("2001:db8::/32")],
+                attrs(hop="00" * 16),
+                [bgp.parse_prefix("2001:db8::1/128")],
+                True,
             ),
         ]
         for _ in range(20_000):
@@ -136,7 +139,7 @@
             try:
                 read(bytes(data), chance.random() < 0.8)
                 faults["none"] = faults.get("none", 0) + 1
-            except bgp.Wrong as fault:
+            except bgp.BgpError as fault:
                 faults[fault.code, fault.sub] = faults.get((fault.code, fault.sub), 0) + 1
         self.assertGreater(len(faults), 8, faults)
 
@@ -188,7 +191,7 @@
                     f"{name}: announced {len(found.announced)}, withdrawn {len(found.withdrawn)}"
                     + "".join(f"; {n}" for n in found.notes)
                 )
-            except bgp.Wrong as fault:
+            except bgp.BgpError as fault:
                 lines.append(f"{name}: NOTIFICATION {fault.code}/{fault.sub} {fault}")
         compare(self, "bgp_faults", lines)
 
--- a/tests/test_configuration_servers.py
+++ b/tests/test_configuration_servers.py
@@ -21,7 +21,7 @@
 from petrelwood.dispatch.configuration import ConfigurationFollower
 from petrelwood.links.rpc_client import RpcClient, RpcError
 from petrelwood.settings.storage import ConfigurationTerms
-from petrelwood.standins.caller import Broken
+from petrelwood.standins.caller import ConnectionLostError
 from petrelwood.store import snapshot, versions
 
 SECOND = 10**9
@@ -296,7 +296,7 @@
                 message = self.message(function, stamp=int(time.time()) + self.stamp)
                 if (await self.caller.call(message, 30)).status == status:
                     return
-            except Broken:  # the process that it was connected to was killed
+            except ConnectionLostError:  # the process that it was connected to was killed
                 pass
             await asyncio.sleep(0.1)
         self.fail(self.said())
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -24,7 +24,7 @@
 from petrelwood.dispatch.handover import messages
 from petrelwood.dispatch.handover.channel import Channel
 from petrelwood.dispatch.handover.successor import SuccessorProcess
-from petrelwood.standins.caller import Broken, Caller
+from petrelwood.standins.caller import Caller, ConnectionLostError
 from petrelwood.store import versions
 
 S = 10**9
@@ -229,7 +229,7 @@
                 reply = await self.caller.call(
                     self.message(f"{type_}-1", id_=id_, stamp=int(time.time()) + attempt), 30
                 )
-            except Broken as fault:
+            except ConnectionLostError as fault:
                 if fault.sent and type_ == "once":
                     ends["broken"] += 1
                     return
--- a/tests/test_speaker.py
+++ b/tests/test_speaker.py
@@ -87,7 +87,7 @@
 
     @staticmethod
     def has(router, text=FOUR):
-        return [peer for peer, _ in router.table.best(bgp.prefix(text))]
+        return [peer for peer, _ in router.table.best(bgp.parse_prefix(text))]
 
 
 class Announced(Case):
@@ -96,20 +96,20 @@
         one = self.speaker(router)
         box = self.beats(one)
         await self.until(lambda: self.has(router) and self.has(router, SIX))
-        found = router.table.best(bgp.prefix(FOUR))[0][1]
+        found = router.table.best(bgp.parse_prefix(FOUR))[0][1]
         self.assertEqual(
             (found.path, found.communities, found.next_hop),
             (((2, (65001,)),), (65000 << 16 | 100,), b"\x7f\0\2\1"),
         )
         box["facts"] = FINE._replace(usable_workers=0)  # it may be everyone's: it gives way, and stays
         await self.until(
-            lambda: bgp.GRACEFUL_SHUTDOWN in router.table.best(bgp.prefix(FOUR))[0][1].communities
+            lambda: bgp.GRACEFUL_SHUTDOWN in router.table.best(bgp.parse_prefix(FOUR))[0][1].communities
         )
         await asyncio.sleep(0.3)
         self.assertTrue(self.has(router))
         box["facts"] = FINE
         await self.until(
-            lambda: bgp.GRACEFUL_SHUTDOWN not in router.table.best(bgp.prefix(FOUR))[0][1].communities
+            lambda: bgp.GRACEFUL_SHUTDOWN not in router.table.best(bgp.parse_prefix(FOUR))[0][1].communities
         )
         box["facts"] = FINE._replace(closing=True)
         await self.until(lambda: not self.has(router) and not self.has(router, SIX))
@@ -157,10 +157,10 @@
         one = self.speaker(router, hold="3s")
         self.beats(one)
         await self.until(lambda: self.has(router))
-        router.mutes(True)
+        router.set_mute(True)
         await self.until(lambda: one.peers[0].neighbor.counts["down"] == 1)
         self.assertIn("hold time", str(one.log.said("peer down")))
-        router.mutes(False)
+        router.set_mute(False)
         await self.until(lambda: one.peers[0].neighbor.counts["up"] == 2)
         await self.until(lambda: self.has(router))
 
--- a/tests/test_system_calls_of_serve.py
+++ b/tests/test_system_calls_of_serve.py
@@ -129,7 +129,7 @@
         for error in READ_BREAKS:
             with self.subTest(errno.errorcode[error]):
                 with failing("recv_into", error, local(self.address[1]), times=None) as fault:
-                    with self.assertRaises(rig.Broken):
+                    with self.assertRaises(rig.ConnectionLostError):
                         await self.post("once-1")
                     self.assertEqual(fault.failed, 1)
                 await self.gone()
@@ -140,7 +140,7 @@
         for error in WRITE_BREAKS:
             with self.subTest(errno.errorcode[error]):
                 with broken_write(error, local(self.address[1]), begins=b"HTTP/1.1 200") as fault:
-                    with self.assertRaises(rig.Broken):
+                    with self.assertRaises(rig.ConnectionLostError):
                         await self.post("once-1")
                 self.assertEqual(fault.failed, 1)
                 await self.gone()
@@ -489,7 +489,7 @@
                 await self.until(lambda: fault.failed)
                 before = fault.failed
                 await asyncio.sleep(0.3)
-                self.assertLess(fault.failed - before, 2 * 0.3 / heartbeats.EVERY)
+                self.assertLess(fault.failed - before, 2 * 0.3 / heartbeats.HEARTBEAT_SECONDS)
                 await self.until(lambda: not self.has(router))
                 fault.over()
                 await self.until(lambda: self.has(router))
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -22,7 +22,7 @@
 from petrelwood.links.tls import Identity
 from petrelwood.settings import gateway
 from petrelwood.settings.errors import SettingsError
-from petrelwood.standins.caller import Broken, Caller
+from petrelwood.standins.caller import Caller, ConnectionLostError
 
 
 class Place:
@@ -117,14 +117,14 @@
             if who:
                 context.load_cert_chain(place.file(f"{who}.pem"), place.file(f"{who}.key"))
             self.caller = caller(self.address, context)
-            with self.assertRaises(Broken):
+            with self.assertRaises(ConnectionLostError):
                 await self.post(within=5)
         self.assertEqual((self.runs(), self.front.counts["handshakes refused"]), (1, 3))
 
     async def test_a_plain_client_is_refused_and_the_front_goes_on(self):
         place = Place(self)
         await self.begin_tls(place)
-        with self.assertRaises(Broken):
+        with self.assertRaises(ConnectionLostError):
             await self.post(within=3)
         self.caller = caller(self.address, place.identity("good").client())
         self.assertEqual((await self.post())[0], 200)
