--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -417,7 +417,8 @@
         points.append([(size, 1e3 * cost(made[size].report)) for size in sizes])
     said = len(msgpack.packb([1, *made[4_000].report()]))
     return [
-        f"| Health: bytes of one message to the speaker beside it, 1 / {HEARTBEAT_SECONDS:g} a second | {said} bytes |",
+        f"| Health: bytes of one message to the speaker beside it, 1 / {HEARTBEAT_SECONDS:g} a second "
+        f"| {said} bytes |",
         Figure("Health: the facts of one message", "workers", "ms", points),
     ]
 
--- a/petrelwood/bgp/__init__.py
+++ b/petrelwood/bgp/__init__.py
@@ -1,1 +1,1 @@
-"""The speaker: announces service addresses to routers over BGP-4, as the dispatcher beside it can serve."""
+"""The speaker: announces service addresses to routers over BGP-4 while the local dispatcher can serve."""
--- a/petrelwood/bgp/heartbeats.py
+++ b/petrelwood/bgp/heartbeats.py
@@ -1,7 +1,8 @@
-"""Heartbeats: what a dispatcher says of itself to the speaker beside it, over a datagram socket.
+"""Heartbeats: health reports of a dispatcher to the speaker on the same machine, over a datagram socket.
 
-They are sent from the dispatcher's own loop, so that one that hangs falls silent; a speaker that is away
-costs it nothing."""
+The dispatcher sends them from its own event loop, so that a hung dispatcher sends none. Sending never blocks:
+an absent or slow speaker doesn't delay the dispatcher.
+"""
 
 import socket
 
@@ -14,33 +15,38 @@
 
 
 class HeartbeatSender:
-    """In the dispatcher. `path`: the speaker's socket."""
+    """Sends the dispatcher's health reports. `path`: the speaker's socket."""
 
     def __init__(self, path):
         self.path, self.sock, self.lost = path, None, 0
 
     def send(self, facts):
+        """Send one health report; count it in `lost` if the speaker doesn't take it."""
         try:
             if self.sock is None:
                 self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
                 self.sock.setblocking(False)
                 self.sock.connect(self.path)
             self.sock.send(msgpack.packb([1, *facts]))
-        except OSError:  # away, or slow: the next one says the same or more
+        except OSError:  # the speaker is absent or slow; the next heartbeat replaces this one
             self.lost += 1
             self.close()
 
     def close(self):
+        """Close the socket; the next `send` opens another."""
         if self.sock is not None:
             self.sock.close()
             self.sock = None
 
 
 class HeartbeatReceiver:
-    """In the speaker: `heard(HealthReport)` for each heartbeat."""
+    """Receives heartbeats in the speaker and calls `on_report(HealthReport)` for each.
 
-    def __init__(self, path, loop, heard):
-        self.loop, self.heard, self.wrong = loop, heard, 0
+    `wrong` counts the datagrams that can't be decoded.
+    """
+
+    def __init__(self, path, loop, on_report):
+        self.loop, self.on_report, self.wrong = loop, on_report, 0
         self.bound = UnixSocket(path, socket.SOCK_DGRAM)
         self.sock = self.bound.sock
         self.resumption = None
@@ -56,7 +62,7 @@
                 data = self.sock.recv(4096)
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError:  # the socket stays readable: the loop would come back at once
+            except OSError:  # pause reading: the socket stays readable, so the loop would call at once again
                 self.loop.remove_reader(self.sock.fileno())
                 self.resumption = self.loop.call_later(HEARTBEAT_SECONDS, self._listen)
                 return
@@ -71,9 +77,10 @@
             except (ValueError, TypeError, msgpack.UnpackException):
                 self.wrong += 1
                 continue
-            self.heard(HealthReport(*facts))
+            self.on_report(HealthReport(*facts))
 
     def close(self):
+        """Stop reading and close the socket."""
         self.loop.remove_reader(self.sock.fileno())
         if self.resumption is not None:
             self.resumption.cancel()
--- a/petrelwood/cli/bgp.py
+++ b/petrelwood/cli/bgp.py
@@ -115,7 +115,8 @@
             for kind, asns in attrs.path
         )
         click.echo(
-            f"  {wire.format_prefix(prefix)} next hop {ipaddress.ip_address(attrs.next_hop)}, path {path or 'empty'}"
+            f"  {wire.format_prefix(prefix)} next hop {ipaddress.ip_address(attrs.next_hop)}, "
+            f"path {path or 'empty'}"
             + (f", MED {attrs.med}" if attrs.med is not None else "")
             + (
                 f", communities {' '.join(f'{c >> 16}:{c & 0xFFFF}' for c in attrs.communities)}"
--- a/petrelwood/wire/__init__.py
+++ b/petrelwood/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages of published protocols as bytes: no I/O, and nothing of the rest of the program."""
+"""Encodes and decodes messages of published protocols; no I/O, and independent of the rest of the program."""
--- a/petrelwood/wire/bgp.py
+++ b/petrelwood/wire/bgp.py
@@ -1,9 +1,11 @@
-"""BGP-4 messages, free of I/O: RFC 4271, 4760 (IPv6), 5492 (capabilities), 6793 (four-octet AS numbers), 1997
-(communities), 2918 (route refresh), 4724 and 8538 (graceful restart, read only), 8654 (extended messages),
-9003 (shutdown text), 9234 (roles), and 7606: an update whose attributes are wrong takes its routes back in
-place of ending the session.
+"""Encodes and decodes BGP-4 messages, without I/O.
 
-A prefix is (afi, network bytes, length). What can't be gone on from raises `BgpError`, which is a NOTIFICATION.
+RFC 4271, 4760 (IPv6), 5492 (capabilities), 6793 (four-octet AS numbers), 1997 (communities), 2918 (route
+refresh), 4724 and 8538 (graceful restart, read only), 8654 (extended messages), 9003 (shutdown text), 9234
+(roles), and 7606: an update with malformed attributes withdraws its routes instead of ending the session.
+
+A prefix is (afi, network bytes, length). An error that must end the session raises `BgpError`, which holds
+the fields of the NOTIFICATION to send.
 """
 
 import ipaddress
@@ -18,11 +20,15 @@
     KEEPALIVE: "KEEPALIVE",
     REFRESH: "ROUTE-REFRESH",
 }
-MARKER, HEADER_SIZE, MAX_SIZE, MAX_EXTENDED_SIZE = b"\xff" * 16, 19, 4096, 65535
+MARKER, HEADER_SIZE, MAX_SIZE, MAX_EXTENDED_SIZE = b"\xff" * 16, 19, 4096, 65535  # octets of a whole message
 MIN_SIZES = {OPEN: 29, UPDATE: 23, NOTIFICATION: 21, KEEPALIVE: 19, REFRESH: 23}
+# error codes of a NOTIFICATION
 HEADER_ERROR, OPEN_ERROR, UPDATE_ERROR, HOLD_EXPIRED, FSM_ERROR, CEASE = 1, 2, 3, 4, 5, 6
-PREFIXES, SHUTDOWN, RESET, REJECTED, COLLISION, RESOURCES, HARD = 1, 2, 4, 5, 7, 8, 9  # of CEASE
-MP, REFRESHES, EXTENDS, ROLE, RESTARTS, FOUR = 1, 2, 6, 9, 64, 65  # capabilities
+# subcodes of CEASE
+PREFIXES, SHUTDOWN, RESET, REJECTED, COLLISION, RESOURCES, HARD = 1, 2, 4, 5, 7, 8, 9
+# capability codes: multiprotocol, route refresh, extended messages, role, graceful restart, four-octet AS
+MP, REFRESHES, EXTENDS, ROLE, RESTARTS, FOUR = 1, 2, 6, 9, 64, 65
+# path attribute types
 (
     ORIGIN,
     AS_PATH,
@@ -40,55 +46,64 @@
 ) = (1, 2, 3, 4, 5, 6, 7, 8, 14, 15, 17, 18, 35)
 WELL_KNOWN = {ORIGIN, AS_PATH, NEXT_HOP, LOCAL_PREF, ATOMIC}
 IPV4, IPV6, UNICAST, AS_TRANS = 1, 2, 1, 23456
-BITS = {IPV4: 32, IPV6: 128}
-SEQUENCE, SET = 2, 1
+BITS = {IPV4: 32, IPV6: 128}  # bits of an address
+SEQUENCE, SET = 2, 1  # types of a path segment
 GRACEFUL_SHUTDOWN = 0xFFFF0000  # RFC 8326
 PROVIDER, RS, RS_CLIENT, CUSTOMER, PEER = range(5)  # roles, RFC 9234
+# pairs of local and remote role that are compatible
 AGREE = {(PROVIDER, CUSTOMER), (CUSTOMER, PROVIDER), (RS, RS_CLIENT), (RS_CLIENT, RS), (PEER, PEER)}
 
 
 class BgpError(Exception):
-    """What a peer sent ends the session: `code`, `sub` and `data` of the NOTIFICATION that says so."""
+    """An error that ends the session: `code`, `sub` (subcode) and `data` of the NOTIFICATION to send."""
 
-    def __init__(self, code, sub, what, data=b""):
-        super().__init__(what)
+    def __init__(self, code, sub, text, data=b""):
+        super().__init__(text)
         self.code, self.sub, self.data = code, sub, data
 
 
 class Open(NamedTuple):
-    asn: int  # four octets where the peer can
-    hold: int  # s
+    """A decoded OPEN."""
+
+    asn: int  # the four-octet number if the peer sent one
+    hold: int  # hold time in seconds
     id: int
-    families: tuple  # (afi, safi)
-    four: bool
-    extended: bool
-    refresh: bool
+    families: tuple  # ((afi, safi), ...)
+    four: bool  # whether the peer supports four-octet AS numbers
+    extended: bool  # whether it supports messages of over 4096 octets
+    refresh: bool  # whether it supports ROUTE-REFRESH
     role: object  # or None
     restart: object  # (flags, seconds) of graceful restart, or None
 
 
 class Attrs(NamedTuple):
+    """The path attributes that announced prefixes share."""
+
     origin: int
     path: tuple  # ((SEQUENCE or SET, (AS number, ...)), ...)
-    next_hop: bytes  # 4 or 16
+    next_hop: bytes  # 4 or 16 octets
     med: int | None
     communities: tuple
 
 
 class Update(NamedTuple):
-    withdrawn: tuple
-    announced: tuple
-    attrs: Attrs | None  # None where nothing is announced
-    notes: tuple  # what was wrong and passed over
+    """A decoded UPDATE."""
+
+    withdrawn: tuple  # prefixes
+    announced: tuple  # prefixes
+    attrs: Attrs | None  # None if nothing is announced
+    notes: tuple  # descriptions of errors that don't end the session
 
 
 class Notification(NamedTuple):
+    """A decoded NOTIFICATION."""
+
     code: int
     sub: int
     data: bytes
 
     def text(self):
-        """A shutdown's text, where there is one: as the peer wrote it, made harmless to print."""
+        """Return the peer's shutdown text with unprintable characters replaced, or "" if it sent none."""
         if (
             self.code == CEASE
             and self.sub in (SHUTDOWN, RESET)
@@ -103,16 +118,18 @@
 
 
 def parse_prefix(text):
-    """A prefix as people write it. Raises `ValueError`."""
+    """Return the prefix of a text such as "192.0.2.0/24"; raise `ValueError` if it is none."""
     net = ipaddress.ip_network(text)
     return IPV4 if net.version == 4 else IPV6, net.network_address.packed, net.prefixlen
 
 
-def format_prefix(found):
-    return f"{ipaddress.ip_address(found[1])}/{found[2]}"
+def format_prefix(prefix):
+    """Return a prefix as text, such as "192.0.2.0/24"."""
+    return f"{ipaddress.ip_address(prefix[1])}/{prefix[2]}"
 
 
 def message(kind, body=b"", max_size=MAX_SIZE):
+    """Return a whole message; raise `ValueError` if it exceeds `max_size` octets."""
     size = HEADER_SIZE + len(body)
     if size > max_size:
         raise ValueError(f"a {NAMES[kind]} of {size} octets, where {max_size} are allowed")
@@ -124,6 +141,7 @@
 
 
 def open_message(asn, hold, id_, families, role=None, extended=True):
+    """Return an OPEN."""
     caps = b"".join(_capability(MP, struct.pack("!HBB", afi, 0, safi)) for afi, safi in families)
     caps += _capability(REFRESHES) + _capability(FOUR, struct.pack("!I", asn))
     caps += (_capability(EXTENDS) if extended else b"") + (
@@ -136,16 +154,18 @@
 
 
 def notification(code, sub=0, data=b""):
+    """Return a NOTIFICATION; data that doesn't fit is cut."""
     return message(NOTIFICATION, bytes((code, sub)) + data[: MAX_SIZE - HEADER_SIZE - 2])
 
 
 def shutdown_text(text):
+    """Return the data of a shutdown NOTIFICATION, its text cut to 255 octets (RFC 9003)."""
     raw = text.encode()[:255]
     while True:
         try:
             raw.decode()
             return bytes((len(raw),)) + raw
-        except UnicodeDecodeError:  # cut inside a character
+        except UnicodeDecodeError:  # the cut falls inside a character
             raw = raw[:-1]
 
 
@@ -153,12 +173,17 @@
 
 
 class Reader:
-    """Bytes in, (kind, body) out; `most`: octets of a message, more once both sides can."""
+    """Splits a byte stream into messages.
+
+    `max_size`: the largest message accepted, in octets; its owner raises it to `MAX_EXTENDED_SIZE` once both
+    sides support extended messages.
+    """
 
     def __init__(self):
         self.data, self.max_size = bytearray(), MAX_SIZE
 
     def feed(self, data):
+        """Add data, and yield (kind, body) of each complete message; raise `BgpError` for a bad header."""
         self.data += data
         while len(self.data) >= HEADER_SIZE:
             if self.data[:16] != MARKER:
@@ -177,6 +202,7 @@
 
 
 def read_open(body):
+    """Return the `Open` of a message body; raise `BgpError` if it is malformed."""
     version, asn, hold, id_, size = struct.unpack_from("!BHHIB", body)
     if version != 4:
         raise BgpError(OPEN_ERROR, 1, f"version {version}", struct.pack("!H", 4))
@@ -236,6 +262,7 @@
 
 
 def read_notification(body):
+    """Return the `Notification` of a message body."""
     return Notification(body[0], body[1], body[2:])
 
 
@@ -248,7 +275,9 @@
             raise BgpError(UPDATE_ERROR, 10, f"{what}: a prefix that can't be")
         raw = bytearray(data[at : at + octets])
         if length % 8:
-            raw[-1] &= 0xFF << 8 - length % 8 & 0xFF  # bits beyond the length mean nothing
+            raw[-1] &= (
+                0xFF << 8 - length % 8 & 0xFF
+            )  # clears the bits beyond the length, which have no meaning
         found.append((afi, bytes(raw) + bytes(BITS[afi] // 8 - octets), length))
         at += octets
     return tuple(found)
@@ -269,26 +298,31 @@
 
 
 def path_length(path):
+    """Return the length of an AS path: a set counts as one AS, a confederation segment as none."""
     return sum(len(asns) if kind == SEQUENCE else kind == SET for kind, asns in path)
 
 
-def _merged(path, wide):
-    """RFC 6793: what a peer of two octets has put before the path of four."""
-    more = path_length(path) - path_length(wide)
-    if more < 0:
+def _merge_paths(path, as4_path):
+    """Return the path to use where a peer with two-octet AS numbers sent AS_PATH and AS4_PATH (RFC 6793).
+
+    It is AS4_PATH preceded by the AS numbers that AS_PATH has in excess of it: those that speakers without
+    four-octet numbers have prepended. AS_PATH alone counts if it is the shorter one.
+    """
+    excess = path_length(path) - path_length(as4_path)
+    if excess < 0:
         return path
     front = []
     for kind, asns in path:
-        if more <= 0:
+        if excess <= 0:
             break
-        taken = asns[:more] if kind == SEQUENCE else asns
+        taken = asns[:excess] if kind == SEQUENCE else asns
         front.append((kind, taken))
-        more -= len(taken) if kind == SEQUENCE else 1
-    return (*front, *wide)
+        excess -= len(taken) if kind == SEQUENCE else 1
+    return (*front, *as4_path)
 
 
 def _reach(value):
-    """(prefixes, next hop) of MP_REACH_NLRI, or None for a family that is not ours."""
+    """Return (prefixes, next hop) of MP_REACH_NLRI, or None for an unsupported address family."""
     if len(value) < 5:
         raise BgpError(UPDATE_ERROR, 9, "MP_REACH_NLRI is cut short")
     afi, safi, size = struct.unpack_from("!HBB", value)
@@ -306,9 +340,12 @@
     return _prefixes(value[3:], afi, "MP_UNREACH_NLRI") if safi == UNICAST and afi in BITS else ()
 
 
-def _check(kind, flags, value, four, made):
-    """Takes one attribute into `made`; what is wrong with it in the sense of RFC 7606: 'withdraw', 'discard'
-    or None."""
+def _check(kind, flags, value, four, values):
+    """Check one attribute and store its value in `made` if it is well-formed.
+
+    Return None, or else how RFC 7606 treats the error: 'withdraw' the update's routes, or 'discard' the
+    attribute.
+    """
     sizes = {
         ORIGIN: 1,
         NEXT_HOP: 4,
@@ -340,12 +377,15 @@
             value = _path(value, four or kind == AS4_PATH)
         except ValueError:
             return "withdraw" if kind == AS_PATH else "discard"
-    made[kind] = value
+    values[kind] = value
     return None
 
 
 def read_update(body, four):
-    """An `Update`. `four`: whether AS numbers have four octets on this session."""
+    """Return the `Update` of a message body; raise `BgpError` if the session must end.
+
+    `four`: whether AS numbers have four octets on this session.
+    """
     size = struct.unpack_from("!H", body)[0]
     if len(body) < 4 + size:
         raise BgpError(UPDATE_ERROR, 1, "the withdrawn routes' length is off")
@@ -355,11 +395,11 @@
     if len(body) < begin + length:
         raise BgpError(UPDATE_ERROR, 1, "the attributes' length is off")
     data, plain = body[begin : begin + length], _prefixes(body[begin + length :], IPV4, "announced")
-    made, seen, notes, bad, at = {}, set(), [], False, 0
+    values, seen, notes, malformed, at = {}, set(), [], False, 0
     while at < len(data):
         wide = data[at] & 0x10
         if at + (4 if wide else 3) > len(data):
-            bad = True
+            malformed = True
             notes.append("attributes cut short")
             break
         flags, kind = data[at], data[at + 1]
@@ -369,7 +409,7 @@
         if len(value) != size:
             if kind in (REACH, UNREACH):
                 raise BgpError(UPDATE_ERROR, 5, "a multiprotocol attribute is cut short")
-            bad = True
+            malformed = True
             notes.append(f"attribute {kind} is cut short")
             break
         if kind in seen:
@@ -386,31 +426,33 @@
                 bytes((flags, kind, min(size, 255))) + value[:255],
             )
         if kind not in (*WELL_KNOWN, MED, AGGREGATOR, COMMUNITIES, REACH, UNREACH, AS4_PATH, AS4_AGG, OTC):
-            continue  # optional, and not ours: nothing is passed on anyway
-        how = _check(kind, flags, value, four, made)
-        if how:
-            bad = bad or how == "withdraw"
-            notes.append(f"attribute {kind} is wrong: {how}")
-    reached = _reach(made[REACH]) if REACH in made else None
-    withdrawn += _unreach(made[UNREACH]) if UNREACH in made else ()
+            continue  # an unknown optional attribute; the speaker propagates no routes, so it is dropped
+        treatment = _check(kind, flags, value, four, values)
+        if treatment:
+            malformed = malformed or treatment == "withdraw"
+            notes.append(f"attribute {kind} is wrong: {treatment}")
+    reached = _reach(values[REACH]) if REACH in values else None
+    withdrawn += _unreach(values[UNREACH]) if UNREACH in values else ()
     announced = plain + (reached[0] if reached else ())
     if not announced:
         return Update(withdrawn, (), None, tuple(notes))
-    if {ORIGIN, AS_PATH} - made.keys() or plain and NEXT_HOP not in made:
-        bad = True
+    if {ORIGIN, AS_PATH} - values.keys() or plain and NEXT_HOP not in values:
+        malformed = True
         notes.append("a mandatory attribute is missing")
-    if bad:
+    if malformed:
         return Update(withdrawn + announced, (), None, tuple(notes))
-    path = made[AS_PATH] if four or AS4_PATH not in made else _merged(made[AS_PATH], made[AS4_PATH])
-    communities = made.get(COMMUNITIES, b"")
+    path = (
+        values[AS_PATH] if four or AS4_PATH not in values else _merge_paths(values[AS_PATH], values[AS4_PATH])
+    )
+    communities = values.get(COMMUNITIES, b"")
     return Update(
         withdrawn,
         announced,
         Attrs(
-            made[ORIGIN][0],
+            values[ORIGIN][0],
             path,
-            reached[1] if reached and not plain else made[NEXT_HOP],
-            struct.unpack("!I", made[MED])[0] if MED in made else None,
+            reached[1] if reached and not plain else values[NEXT_HOP],
+            struct.unpack("!I", values[MED])[0] if MED in values else None,
             struct.unpack(f"!{len(communities) // 4}I", communities),
         ),
         tuple(notes),
@@ -425,8 +467,8 @@
     )
 
 
-def _octets(found):
-    return bytes((found[2],)) + found[1][: (found[2] + 7) // 8]
+def _octets(prefix):
+    return bytes((prefix[2],)) + prefix[1][: (prefix[2] + 7) // 8]
 
 
 def _attributes(attrs, four):
@@ -452,10 +494,10 @@
 
 
 def _packed(prefixes, room):
-    """Octets of prefixes, in pieces of at most `room`."""
+    """Yield the encoded prefixes in pieces of at most `room` octets."""
     piece = b""
-    for one in prefixes:
-        octets = _octets(one)
+    for prefix in prefixes:
+        octets = _octets(prefix)
         if len(piece) + len(octets) > room:
             if not piece:
                 raise ValueError("the attributes leave no room for a prefix")
@@ -467,8 +509,10 @@
 
 
 def updates(announced, attrs, withdrawn, four, max_size=MAX_SIZE):
-    """The messages for prefixes that share their attributes, and for those taken back; as few as fit `most`
-    octets each."""
+    """Return the UPDATEs that withdraw prefixes, then announce others that share the attributes `attrs`.
+
+    They are as few as possible with at most `max_size` octets each.
+    """
     out, room = [], max_size - HEADER_SIZE - 4
     old, new = ([p for p in withdrawn if p[0] == afi] for afi in (IPV4, IPV6))
     for piece in _packed(old, room):
