--- a/petrelwood/audit/__init__.py
+++ b/petrelwood/audit/__init__.py
@@ -1,1 +1,1 @@
-"""Judges a run by the five rules, from what the stand-ins saw on their sockets alone."""
+"""Checks a run against the five rules, only from what the stand-ins recorded on their sockets."""
--- a/petrelwood/lab/difference.py
+++ b/petrelwood/lab/difference.py
@@ -18,7 +18,7 @@
         found[f"{name}, share of tries"] = total[name] / tries
     found["tries"] = float(tries)
     found["sends an activation"] = total["sends"] / max(1, total["sent"])
-    took = sorted(a["took"] for a in case.by["answer"] if a["status"] == 200)
+    took = sorted(a["took"] for a in case.by_type["answer"] if a["status"] == 200)
     for part in (50, 90, 99):
         found[f"p{part} of completed, s"] = (
             took[min(len(took) - 1, len(took) * part // 100)] / 1e9 if took else 0.0
@@ -26,8 +26,8 @@
     for stage, times in stages.histograms(case.records).items():
         for part in (50, 99) if times.get_total_count() else ():
             found[f"{stage}, p{part}, s"] = times.get_value_at_percentile(part) / 1000
-    found["load orders"] = float(sum(1 for h in case.by["hold"] if h["count"]))
-    words = [r["word"] for r in case.by["ran"]]
+    found["load orders"] = float(sum(1 for h in case.by_type["hold"] if h["count"]))
+    words = [r["word"] for r in case.by_type["ran"]]
     found["found full, share of sends"] = words.count("full") / max(1, len(words))
     found["rules broken"] = float(sum(len(f.broken) for f in rules.judge(case)))
     return found
--- a/petrelwood/wire/bgp.py
+++ b/petrelwood/wire/bgp.py
@@ -341,7 +341,7 @@
 
 
 def _check(kind, flags, value, four, values):
-    """Check one attribute and store its value in `made` if it is well-formed.
+    """Check one attribute and store its value in `values` if it is well-formed.
 
     Return None, or else how RFC 7606 treats the error: 'withdraw' the update's routes, or 'discard' the
     attribute.
