--- a/petrelwood/audit/rules.py
+++ b/petrelwood/audit/rules.py
@@ -2,8 +2,8 @@
 
 Records (one JSON line each): the portal's `ask`, `answer`, `left`, `broken`, `replayed`; a worker's `up`,
 `run` (a send arrived), `ran` (how it ended there), `hold` (a load order), `counts`; the roster's `told` (news
-of workers sent to a dispatcher); the devices' `mask` and `manswer` (an activation by MQTT and its answer); the
-broker's `published` and `delivered`; the operator's `killed`. Times are from one monotonic clock, in ns.
+of workers sent to a dispatcher); the devices' `mask` and `manswer` (an activation by MQTT and its answer);
+the broker's `published` and `delivered`; the operator's `killed`. Times are from one monotonic clock, in ns.
 """
 
 import bisect
@@ -52,8 +52,8 @@
 class Case:
     """The records of a run, indexed for the rules.
 
-    `terms`: a `ports.Terms`; `works`: namespace type -> mean work in ns; `away`: periods (begin, end) in which
-    the broker was down on purpose.
+    `terms`: a `ports.Terms`; `works`: namespace type -> mean work in ns; `away`: periods (begin, end) in
+    which the broker was down on purpose.
     """
 
     def __init__(self, records, terms, drain_grace, build, works, away=()):
@@ -229,7 +229,10 @@
 
 
 def drains(case):
-    """Check rule 3: no send or load order to a worker after the dispatcher was told that it isn't usable."""
+    """Check rule 3: no send or load order to a worker that the dispatcher was told is draining or gone.
+
+    Both are tolerated for the drain grace after the news.
+    """
     found = Finding(3)
     states, told = {}, collections.defaultdict(list)  # told: (dispatcher, worker) -> [(at, usable)]
     for record in case.by_type["told"]:
@@ -266,7 +269,7 @@
     over breaks it too.
     """
     found = Finding(4)
-    guarantees, build = case.terms.guarantees, case.build
+    bounds, build = case.terms.guarantees, case.build
     for up in case.by_type["up"]:
         if not up["booted"]:
             continue
@@ -277,30 +280,30 @@
                     told_at.setdefault(record["to"], record["at"])
         window, total_work = collections.deque(), 0
         for run in case.by_type["run"]:
-            if run["who"] != up["who"] or not up["at"] <= run["at"] <= up["at"] + guarantees.warm_up_time:
+            if run["who"] != up["who"] or not up["at"] <= run["at"] <= up["at"] + bounds.warm_up_time:
                 continue
             found.looked += 1
             work = case.works[run["type"]]
             window.append((run["at"], work, run["at"] >= told_at.get(run["by"], run["at"] + 1)))
             total_work += work
-            while run["at"] - window[0][0] > guarantees.slow_start_window:
+            while run["at"] - window[0][0] > bounds.slow_start_window:
                 total_work -= window.popleft()[1]
             capacity_share = (
-                guarantees.initial_capacity_share
-                + (1 - guarantees.initial_capacity_share) * (run["at"] - up["at"]) / guarantees.warm_up_time
+                bounds.initial_capacity_share
+                + (1 - bounds.initial_capacity_share) * (run["at"] - up["at"]) / bounds.warm_up_time
             )
             max_work = (
-                guarantees.crash_load_multiple
+                bounds.crash_load_multiple
                 * build.cores
                 * build.speed
                 * capacity_share
-                * guarantees.slow_start_window
+                * bounds.slow_start_window
                 * 1.25
             )
             if total_work > max_work and sum(w for _, w, known in window if known) * 3 >= 2 * total_work:
                 found.breaks(
                     f"{up['who']} was sent {total_work / 1e9:.2f} s of work in "
-                    f"{guarantees.slow_start_window / 1e9:.1f} s, "
+                    f"{bounds.slow_start_window / 1e9:.1f} s, "
                     f"{(run['at'] - up['at']) / 1e9:.2f} s after its start; it bears {max_work / 1e9:.2f}"
                 )
                 window.clear()
