--- a/petrelwood/standins/__init__.py
+++ b/petrelwood/standins/__init__.py
@@ -1,1 +1,4 @@
-"""Stand-ins for what others run: workers, store, roster, portal. Each is a process with a seed."""
+"""Stand-ins for the services around the gateway, such as workers, store, roster and portal.
+
+Each runs as a process of its own; those that draw at random take a seed.
+"""
--- a/petrelwood/standins/broker.py
+++ b/petrelwood/standins/broker.py
@@ -1,4 +1,4 @@
-"""A stand-in MQTT broker: the model of `emulate.broker` behind sockets, with misbehaviour by script."""
+"""A stand-in MQTT broker: the simulated one of `emulate.broker` behind sockets, with scripted misbehaviour."""
 
 import asyncio
 
@@ -14,6 +14,8 @@
 
 
 class BrokerServer(TCPServer):
+    """Serves the simulated broker; `users` maps users to passwords, or is None where anyone may connect."""
+
     def __init__(self, users, saw=lambda what, **facts: None, ssl_options=None):
         super().__init__(ssl_options=ssl_options)
         self.users, self.model = users, Broker(LoopClock(), self.may, saw)
@@ -21,18 +23,22 @@
 
     @staticmethod
     def may(user, topic, publishes):
-        """Gateways may all; a customer publishes its activations, and listens to its answers."""
+        """Return whether a user may publish to a topic or subscribe to it.
+
+        Gateways may use all topics; customers publish their activations and subscribe to their answers.
+        """
         if user is None or user.startswith("gateway"):
             return True
         return topic.startswith(f"act/{user}/") if publishes else topic.startswith(f"reply/{user}/")
 
     async def handle_stream(self, stream, address):
+        """Serve one connection until it ends."""
         if self.closed:
             stream.close()
             return
         if self.silent:
             await asyncio.sleep(3600)
-        reader, session, life, clean, alive = mqtt.Reader(), None, 0, False, None
+        reader, session, life, clean, idle_limit = mqtt.Reader(), None, 0, False, None
         self.streams[stream] = None
 
         def send(packet):
@@ -46,23 +52,23 @@
         try:
             stream.set_nodelay(True)
             while not clean:
-                data = await asyncio.wait_for(stream.read_bytes(65536, partial=True), alive or 5)
+                data = await asyncio.wait_for(stream.read_bytes(65536, partial=True), idle_limit or 5)
                 for packet in reader.feed(data):
                     if session is None:
                         if packet.type != mqtt.CONNECT:
-                            raise mqtt.MqttError(mqtt.PROTOCOL, "it did not connect first")
+                            raise mqtt.MqttError(mqtt.PROTOCOL, "the first packet is not a CONNECT")
                         if self.users is not None and self.users.get(packet.user) != packet.password:
                             send(mqtt.Packet(mqtt.CONNACK, code=mqtt.BAD_PASSWORD, present=0, props={}))
                             return
                         session = self.streams[stream] = self.model.connect(packet, send, close)
-                        life, alive = session.life, packet.keep_alive * 1.5 or 3600
+                        life, idle_limit = session.life, packet.keep_alive * 1.5 or 3600
                     elif packet.type == mqtt.DISCONNECT:
                         clean = packet.code != 4
                         break
                     else:
                         self.model.packet(session, packet)
-        except mqtt.MqttError as fault:
-            close(fault.code)
+        except mqtt.MqttError as error:
+            close(error.code)
         except TimeoutError:
             close(mqtt.KEEP_ALIVE)
         except (StreamClosedError, OSError):
@@ -73,29 +79,34 @@
             if session is not None:
                 self.model.gone(session, life, clean)
 
-    # Misbehaviour.
+    # Misbehaviour
     def drop_all(self, trouble=None):
+        """Close all connections."""
         for stream in list(self.streams):
             stream.close()
 
     def lose(self, trouble):
+        """Close all connections and refuse new ones."""
         self.closed = True
         self.drop_all()
 
     def back(self, trouble):
+        """Accept connections again."""
         self.closed = False
 
     def forget(self, trouble=None):
-        """A crash: all sessions are lost with what they held."""
+        """Simulate a crash: all sessions are lost with their messages."""
         self.model.sessions.clear()
         self.drop_all()
 
     def silence(self, on):
+        """Close all connections, and leave new ones without an answer as long as `on`."""
         self.silent = on
         if on:
             self.drop_all()
 
     def troubles(self):
+        """Return the handlers for `host.schedule_troubles`."""
         return {
             "broker-drop": (self.drop_all, None),
             "broker-lost": (self.lose, self.back),
@@ -105,13 +116,16 @@
 
 
 async def serve(day, listen, folder, users):
+    """Run the broker until a signal."""
     records = Records(folder, "broker")
     server = BrokerServer(users, records.put)
     server.add_sockets(sockets := bind_sockets(listen[1], listen[0]))
-    hearing = asyncio.ensure_future(
-        host.listen_to_operator(lambda said: host.play(day, said["start"], server.troubles()))
+    operator = asyncio.ensure_future(
+        host.listen_to_operator(
+            lambda message: host.schedule_troubles(day, message["start"], server.troubles())
+        )
     )
-    host.ready(sockets[0].getsockname()[:2])
-    await host.until_told()
-    hearing.cancel()
+    host.announce_ready(sockets[0].getsockname()[:2])
+    await host.wait_for_signal()
+    operator.cancel()
     records.close()
--- a/petrelwood/standins/caller.py
+++ b/petrelwood/standins/caller.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 client on IOStream that keeps its connections, for the portal and for measurements."""
+"""An HTTP/1.1 client on IOStream with a pool of connections, for the portal and for measurements."""
 
 import asyncio
 
@@ -9,23 +9,26 @@
 
 
 class Reply:
-    """One response; also what httptools calls back."""
+    """One response, filled in by the callbacks of the httptools parser."""
 
     def __init__(self):
-        self.status, self.headers, self.body, self.whole, self.parser = 0, {}, b"", False, None
+        self.status, self.headers, self.body, self.complete, self.parser = 0, {}, b"", False, None
 
     def on_header(self, name, value):
+        """Store a header, its name in lower case."""
         self.headers[name.lower()] = value
 
     def on_body(self, data):
+        """Append to the body."""
         self.body += data
 
     def on_message_complete(self):
-        self.whole = True
+        """Mark the response as complete."""
+        self.complete = True
 
 
 class ConnectionLostError(Exception):
-    """The connection ended before the whole answer; `sent` tells whether any byte of the request went out."""
+    """The connection ended before the answer was complete; `sent`: bytes of the request may have gone out."""
 
     def __init__(self, sent):
         super().__init__("connection lost")
@@ -39,10 +42,11 @@
         self.address, self.idle, self.most_idle, self.source = address, [], most_idle, source
 
     async def connect(self):
-        made = sockets.new_socket(self.address[0])
-        if self.source:  # an address of this machine that it comes from
-            made.bind((self.source, 0))
-        stream = IOStream(made)
+        """Return a new connection as a stream."""
+        sock = sockets.new_socket(self.address[0])
+        if self.source:  # a local address to connect from
+            sock.bind((self.source, 0))
+        stream = IOStream(sock)
         try:
             await stream.connect(self.address)
         except (StreamClosedError, OSError):
@@ -50,15 +54,17 @@
         stream.set_nodelay(True)
         return stream
 
-    async def call(self, request, within):
-        """Sends the bytes and reads one answer within so many seconds (asyncio.TimeoutError beyond: hung
-        up)."""
+    async def call(self, request, timeout):
+        """Send the bytes of a request, and return its reply.
+
+        After `timeout` seconds the connection is closed and `TimeoutError` raised.
+        """
         while self.idle and self.idle[-1].closed():
             self.idle.pop()
         stream = self.idle.pop() if self.idle else await self.connect()
         try:
-            reply = await asyncio.wait_for(self.exchange(stream, request), within)
-        except TimeoutError:  # an OSError too, so it comes first
+            reply = await asyncio.wait_for(self.exchange(stream, request), timeout)
+        except TimeoutError:  # before OSError, of which it is a subclass
             stream.close()
             raise
         except (StreamClosedError, OSError):
@@ -72,20 +78,23 @@
 
     @staticmethod
     async def exchange(stream, request):
+        """Send a request on a connection, and return its reply."""
         await stream.write(request)
         reply = Reply()
         parser = httptools.HttpResponseParser(reply)
-        while not reply.whole:
+        while not reply.complete:
             parser.feed_data(await stream.read_bytes(65536, partial=True))
         reply.status = parser.get_status_code()
         return reply
 
     def close(self):
+        """Close the idle connections."""
         for stream in self.idle:
             stream.close()
 
 
 def request(path, headers, body):
+    """Return the bytes of a POST request."""
     head = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
     return (
         f"POST {path} HTTP/1.1\r\nHost: gateway\r\nContent-Length: {len(body)}\r\n{head}\r\n".encode() + body
--- a/petrelwood/standins/devices.py
+++ b/petrelwood/standins/devices.py
@@ -123,10 +123,15 @@
             seed,
         )
         self.arrivals, self.choice = (
-            host.stream(seed, "mqtt-arrivals"),
-            Choice(day, host.stream(seed, "mqtt-picks")),
+            host.random_stream(seed, "mqtt-arrivals"),
+            Choice(day, host.random_stream(seed, "mqtt-picks")),
+        )
+        self.manners, self.last, self.waiting, self.counts = (
+            host.random_stream(seed, "mqtt-manners"),
+            0,
+            {},
+            {},
         )
-        self.manners, self.last, self.waiting, self.counts = host.stream(seed, "mqtt-manners"), 0, {}, {}
         self.of = {
             c.name: [
                 Device(address, f"{c.name}-{i}", c.name, c.name.encode(), self.hear) for i in range(c.devices)
--- a/petrelwood/standins/portal.py
+++ b/petrelwood/standins/portal.py
@@ -68,8 +68,8 @@
     def __init__(self, day, dispatchers, keys, records, seed, clock_off):
         self.day, self.keys, self.records, self.clock_off = day, keys, records, clock_off
         self.callers = {name: Caller(address) for name, address in dispatchers.items()}
-        self.arrivals, self.picks = host.stream(seed, "arrivals"), host.stream(seed, "picks")
-        self.manners, self.last, self.open, self.seed = host.stream(seed, "manners"), 0, 0, seed
+        self.arrivals, self.picks = host.random_stream(seed, "arrivals"), host.random_stream(seed, "picks")
+        self.manners, self.last, self.open, self.seed = host.random_stream(seed, "manners"), 0, 0, seed
         self.rates = {c.name: day.rate * c.part for c in day.clients}
         self.more, self.forged, self.replayed, self.slow = {}, 0.0, 0.0, 0
         self.old, self.counts, self.tasks = [], {}, set()
@@ -270,7 +270,7 @@
                 follows.result()
             await asyncio.sleep(0.05)
     await asyncio.sleep(max(0, start - time.monotonic_ns()) / 1e9)
-    host.play(day, start, portal.troubles(start))
+    host.schedule_troubles(day, start, portal.troubles(start))
     until = start + day.length
     clients = [asyncio.ensure_future(portal.client(c, until)) for c in day.clients if c.by == "webhook"]
     while time.monotonic_ns() < until + day.settle and (portal.open or not all(c.done() for c in clients)):
--- a/petrelwood/standins/roster.py
+++ b/petrelwood/standins/roster.py
@@ -1,7 +1,8 @@
-"""A stand-in roster: pushes who is usable, draining or gone by server-sent events, late by script.
+"""A stand-in roster: pushes the state of workers (usable, draining or gone) by server-sent events.
 
-News of workers comes on standard input, a JSON object a line: an entry as
-`decide.cluster.membership.decode_endpoint` reads it."""
+A script may delay the events. Changes of workers arrive on standard input, one JSON object per line: an entry
+as `decide.cluster.membership.decode_endpoint` reads it.
+"""
 
 import asyncio
 import time
@@ -16,19 +17,23 @@
 from petrelwood.standins import host
 from petrelwood.standins.records import Records
 
-KEPT, COMMENT_INTERVAL = 256, 1.0  # changes kept for those that resume; seconds between comments
+KEPT_CHANGES = 256  # for readers that resume
+COMMENT_INTERVAL = 1.0  # seconds between the comments that keep a connection alive
 
 
 class ChangeLog:
-    """The list of workers and its last changes, from which each reader is told what it lacks. Entries are as
-    `decide.cluster.membership.decode_endpoint` reads them; a reader names what it has as `EPOCH-NUMBER`."""
+    """The list of workers and its last changes, from which a reader gets what it lacks.
 
-    def __init__(self, epoch, kept=KEPT):
+    Entries are as `decide.cluster.membership.decode_endpoint` reads them. A reader that resumes names the last
+    change it has as `EPOCH-NUMBER`.
+    """
+
+    def __init__(self, epoch, kept=KEPT_CHANGES):
         self.epoch, self.number, self.entries = epoch, 0, {}
         self.changes = deque(maxlen=kept)  # (number, entry)
 
     def take(self, entry):
-        """One entry has changed; the number of the change."""
+        """Apply a changed entry, and return the number of the change."""
         self.number += 1
         self.entries[entry["worker"]] = entry
         if entry["state"] == "gone":
@@ -37,7 +42,10 @@
         return self.number
 
     def after(self, resume):
-        """[(kind, entries, number)]: what a reader that has heard up to `resume` is told first."""
+        """Return [(kind, entries, number)], the first events for a reader whose last event is `resume`.
+
+        They are the changes that it missed, or the whole list if those are no longer kept.
+        """
         epoch, _, number = resume.rpartition("-")
         if epoch == self.epoch and number.isdigit():
             missed = [("change", [entry], n) for n, entry in self.changes if n > int(number)]
@@ -46,23 +54,26 @@
         return [("list", list(self.entries.values()), self.number)]
 
     def event(self, kind, entries, number):
-        """The bytes that tell it."""
+        """Return the bytes of an event."""
         return sse.event(kind, orjson.dumps(entries).decode(), f"{self.epoch}-{number}")
 
 
 class Roster(TCPServer):
+    """Serves the list of workers to dispatchers; `streams` maps their connections to their user agents."""
+
     def __init__(self, day, records):
         super().__init__()
         self.log, self.streams = ChangeLog(f"{time.time_ns():x}"), {}
         self.late, self.closed, self.records = day.roster_late, False, records
 
     async def handle_stream(self, stream, address):
+        """Serve events on one connection until it ends."""
         try:
             head = (await stream.read_until(b"\r\n\r\n", max_bytes=16_000)).decode("latin-1")
             if self.closed:
                 stream.close()
                 return
-            after = next(
+            resume = next(
                 (
                     line.split(":", 1)[1].strip()
                     for line in head.split("\r\n")
@@ -81,7 +92,7 @@
                 ),
                 "?",
             )
-            for kind, entries, number in self.log.after(after):
+            for kind, entries, number in self.log.after(resume):
                 await self.push(stream, agent, kind, entries, number)
             self.streams[stream] = agent
             while not stream.closed():
@@ -94,29 +105,34 @@
             stream.close()
 
     def push(self, stream, to, kind, entries, number):
+        """Record an event and send it."""
         self.records.put(
             "told", to=to, entries=[(e["worker"], e["state"], e["booted"]) for e in entries], kind=kind
         )
         return stream.write(self.log.event(kind, entries, number))
 
     def news(self, entry):
+        """Apply a change after the delay that the script has set."""
         asyncio.get_running_loop().call_later(self.late / 1e9, self.change, entry)
 
     def change(self, entry):
+        """Apply a change at once, and push it to all readers."""
         number = self.log.take(entry)
         for stream, to in list(self.streams.items()):
-            # one that was just lost hears nothing, and must not count as told
+            # a reader whose connection was just lost gets nothing, so no `told` may be recorded for it
             if not stream.closed():
                 self.push(stream, to, "change", [entry], number).add_done_callback(
                     lambda done: done.exception()
                 )
 
     def lose(self, trouble):
+        """Close all connections and refuse new ones."""
         self.closed = True
         for stream in list(self.streams):
             stream.close()
 
     def troubles(self):
+        """Return the handlers for `host.schedule_troubles`."""
         return {
             "roster-late": (
                 lambda t: setattr(self, "late", self.late + t.what["by"]),
@@ -127,20 +143,21 @@
 
 
 async def serve(day, listen, folder):
+    """Run the roster until a signal."""
     records = Records(folder, "roster")
     roster = Roster(day, records)
 
-    def hear(said):
-        if "start" in said:  # the day begins
-            host.play(day, said["start"], roster.troubles())
-        elif said.pop("now", False):
-            roster.change(said)
+    def on_message(message):
+        if "start" in message:  # the day begins
+            host.schedule_troubles(day, message["start"], roster.troubles())
+        elif message.pop("now", False):
+            roster.change(message)
         else:
-            roster.news(said)
+            roster.news(message)
 
-    hearing = asyncio.ensure_future(host.listen_to_operator(hear))
+    operator = asyncio.ensure_future(host.listen_to_operator(on_message))
     roster.add_sockets(sockets := bind_sockets(listen[1], listen[0]))
-    host.ready(sockets[0].getsockname()[:2])
-    await host.until_told()
-    hearing.cancel()
+    host.announce_ready(sockets[0].getsockname()[:2])
+    await host.wait_for_signal()
+    operator.cancel()
     records.close()
--- a/petrelwood/standins/store.py
+++ b/petrelwood/standins/store.py
@@ -1,4 +1,4 @@
-"""A stand-in store of models: the model of `emulate.store` behind MessagePack-RPC (`fetch [bytes]`)."""
+"""A stand-in store of models: the simulated one of `emulate.store` behind MessagePack-RPC."""
 
 import asyncio
 
@@ -14,11 +14,14 @@
 
 
 class StoreServer(TCPServer):
+    """Answers each `fetch [bytes]` when the simulated store has delivered."""
+
     def __init__(self, day):
         super().__init__()
         self.store = Store(LoopClock(), **day.store)
 
     async def handle_stream(self, stream, address):
+        """Read requests until the connection ends."""
         reader = rpc.Reader(1_000_000)
         try:
             while True:
@@ -29,6 +32,7 @@
 
     @staticmethod
     def reply(stream, msgid, ok):
+        """Answer a request, unless its connection is closed."""
         if not stream.closed():
             stream.write(rpc.response(msgid, None, "ok" if ok else "refused")).add_done_callback(
                 lambda done: done.exception()
@@ -36,17 +40,18 @@
 
 
 async def serve(day, listen, folder):
+    """Run the store until a signal."""
     server, records = StoreServer(day), Records(folder, "store")
     server.add_sockets(sockets := bind_sockets(listen[1], listen[0]))
-    hearing = asyncio.ensure_future(
+    operator = asyncio.ensure_future(
         host.listen_to_operator(
-            lambda said: host.play(
-                day, said["start"], {"store-stop": (lambda t: server.store.stop(t.span), None)}
+            lambda message: host.schedule_troubles(
+                day, message["start"], {"store-stop": (lambda t: server.store.stop(t.span), None)}
             )
         )
     )
-    host.ready(sockets[0].getsockname()[:2])
-    await host.until_told()
-    hearing.cancel()
+    host.announce_ready(sockets[0].getsockname()[:2])
+    await host.wait_for_signal()
+    operator.cancel()
     records.put("counts", **server.store.counts)
     records.close()
--- a/petrelwood/standins/worker.py
+++ b/petrelwood/standins/worker.py
@@ -59,7 +59,7 @@
         super().__init__()
         self.day, self.name, self.records, self.booted = day, name, records, booted
         self.store = StoreLink(store)
-        chance = host.stream(seed, name)
+        chance = host.random_stream(seed, name)
         self.machine = Machine(
             LoopClock(), day.build, self.store.fetch, chance, time.monotonic_ns() if booted else 0
         )
@@ -182,13 +182,13 @@
     asyncio.ensure_future(worker.store.follow())
     mine = day._replace(troubles=tuple(t for t in day.troubles if name in day.hit(t, seed)))
     hearing = asyncio.ensure_future(
-        host.listen_to_operator(lambda said: host.play(mine, said["start"], worker.troubles()))
+        host.listen_to_operator(lambda said: host.schedule_troubles(mine, said["start"], worker.troubles()))
     )
     if not booted:
         worker.machine.stand(day.kind(fn).model(fn) for fn in day.standing(seed)[name])
     records.put("up", booted=booted, pid=os.getpid())
-    host.ready(sockets[0].getsockname()[:2])
-    await host.until_told()
+    host.announce_ready(sockets[0].getsockname()[:2])
+    await host.wait_for_signal()
     hearing.cancel()
     records.put("counts", fallen=worker.machine.fallen, **worker.machine.counts)
     records.close()
