--- a/petrelwood/standins/broker.py
+++ b/petrelwood/standins/broker.py
@@ -1,4 +1,4 @@
-"""A stand-in MQTT broker: the simulated one of `emulate.broker` behind sockets, with scripted misbehaviour."""
+"""A stand-in MQTT broker: the simulated one of `emulate.broker` behind sockets, and scripted troubles."""
 
 import asyncio
 
--- a/petrelwood/standins/devices.py
+++ b/petrelwood/standins/devices.py
@@ -1,8 +1,8 @@
 """Stand-in devices: customers' MQTT sessions that publish activations and wait for their answers.
 
-What must not run twice is published with QoS 2, the rest with QoS 1. Each message has a Response Topic,
-Correlation Data and its patience as Message Expiry Interval. What is asked and each answer that comes is
-recorded."""
+Repeatable activations are published with QoS 1, all others with QoS 2. Each message has a Response Topic,
+Correlation Data and its patience as Message Expiry Interval. Each message and each answer is recorded.
+"""
 
 import asyncio
 import socket
@@ -18,14 +18,25 @@
 
 
 class Device:
-    """One session; it comes back by itself and sends again what the broker has not acknowledged."""
+    """One session. It reconnects by itself, and sends again what the broker has not acknowledged.
 
-    def __init__(self, address, name, user, password, hear):
-        self.address, self.name, self.user, self.password, self.hear = address, name, user, password, hear
+    `on_answer(packet)` is called for each message received; `unacked` holds the unacknowledged packets by id,
+    None once only the PUBCOMP is missing.
+    """
+
+    def __init__(self, address, name, user, password, on_answer):
+        self.address, self.name, self.user, self.password, self.on_answer = (
+            address,
+            name,
+            user,
+            password,
+            on_answer,
+        )
         self.reply, self.stream, self.up, self.unacked, self.last = f"reply/{user}/{name}", None, False, {}, 0
         self.ready = asyncio.Event()
 
-    async def keep(self, chance=None):
+    async def keep(self, random=None):
+        """Keep the session connected until cancelled. `random()` varies the pause before a reconnection."""
         while True:
             try:
                 await self._follow()
@@ -33,7 +44,7 @@
                 pass
             self.up = False
             self.stream.close()
-            await asyncio.sleep(0.05 + 0.4 * (chance() if chance else 0.5))
+            await asyncio.sleep(0.05 + 0.4 * (random() if random else 0.5))
 
     async def _follow(self):
         self.stream, reader = IOStream(socket.socket()), mqtt.Reader()
@@ -60,6 +71,7 @@
                 self._packet(packet)
 
     def send(self, packet):
+        """Send a packet, unless the connection is closed."""
         if not self.stream.closed():
             self.stream.write(mqtt.encode(packet)).add_done_callback(lambda done: done.exception())
 
@@ -83,7 +95,7 @@
         elif p.type == mqtt.SUBACK:
             self.ready.set()
         elif p.type == mqtt.PUBLISH:
-            self.hear(p)
+            self.on_answer(p)
             if p.qos:
                 self.send(mqtt.Packet(mqtt.PUBACK if p.qos == 1 else mqtt.PUBREC, p.id))
         elif p.type == mqtt.PUBREL:
@@ -96,6 +108,7 @@
             self.unacked.pop(p.id, None)
 
     def ask(self, type_, function, body, correlation, qos, expiry):
+        """Publish an activation, now or once connected; one of QoS 0 is lost without a connection."""
         self.last = self.last % 60_000 + 1
         packet = mqtt.Packet(
             mqtt.PUBLISH,
@@ -114,6 +127,8 @@
 
 
 class Devices:
+    """All devices of a day, and the messages that they publish."""
+
     def __init__(self, day, address, timeouts, repeatable, records, seed):
         self.day, self.timeouts, self.repeatable, self.records, self.seed = (
             day,
@@ -122,6 +137,7 @@
             records,
             seed,
         )
+        # `manners`: the random generator for behaviour; `waiting`: correlation -> when patience ends
         self.arrivals, self.choice = (
             host.random_stream(seed, "mqtt-arrivals"),
             Choice(day, host.random_stream(seed, "mqtt-picks")),
@@ -132,32 +148,38 @@
             {},
             {},
         )
-        self.of = {
+        self.by_customer = {
             c.name: [
-                Device(address, f"{c.name}-{i}", c.name, c.name.encode(), self.hear) for i in range(c.devices)
+                Device(address, f"{c.name}-{i}", c.name, c.name.encode(), self.on_answer)
+                for i in range(c.devices)
             ]
             for c in day.clients
             if c.by == "mqtt"
         }
 
-    def hear(self, packet):
-        correlation, status = (
+    def on_answer(self, packet):
+        """Record and count an answer."""
+        correlation, user_properties = (
             packet.props.get("correlation_data", b"").hex(),
             dict(packet.props.get("user", ())),
         )
         self.records.put(
-            "manswer", key=correlation, status=status.get("status"), act=status.get("activation")
+            "manswer",
+            key=correlation,
+            status=user_properties.get("status"),
+            act=user_properties.get("activation"),
         )
         self.waiting.pop(correlation, None)
-        self.counts[status.get("status")] = self.counts.get(status.get("status"), 0) + 1
+        self.counts[user_properties.get("status")] = self.counts.get(user_properties.get("status"), 0) + 1
 
     async def client(self, client, until):
+        """Publish one customer's activations at random intervals, through random devices of it."""
         due = time.monotonic_ns()
         while due < until:
             due += int(self.arrivals.expovariate(self.day.rate * client.part) * 1e9)
             await asyncio.sleep(max(0, due - time.monotonic_ns()) / 1e9)
             kind, function, work = self.choice.draw(client)
-            device = self.manners.choice(self.of[client.name])
+            device = self.manners.choice(self.by_customer[client.name])
             self.last += 1
             correlation = f"{self.seed}-{self.last}".encode()
             qos = 1 if kind.type in self.repeatable else 2
@@ -178,12 +200,15 @@
 
 
 async def serve(day, address, timeouts, repeatable, folder, start, seed, tell=None):
-    """Plays the day's messages from `start` on; returns when all is answered, or nothing more can come."""
+    """Publish the day's messages from `start` on; return when all are answered or have expired.
+
+    It waits for `day.settle` after the day at most. `tell` is called with the progress twice a second.
+    """
     records = Records(folder, "devices")
     devices = Devices(day, address, timeouts, repeatable, records, seed)
     keeping = [
         asyncio.ensure_future(d.keep(devices.manners.random))
-        for several in devices.of.values()
+        for several in devices.by_customer.values()
         for d in several
     ]
     await asyncio.sleep(max(0, start - time.monotonic_ns()) / 1e9)
@@ -209,15 +234,20 @@
 
 
 async def publish_one(address, customer, password, type_, function, body, qos, wait):
-    """(status, payload) of one activation's answer; (None, b"") if none comes in time."""
+    """Publish one activation, and return (status, payload) of its answer; (None, b"") if none comes in time.
+
+    Raises:
+        OSError: the broker doesn't answer.
+        ValueError: the broker refuses the connection.
+    """
     answer = asyncio.get_running_loop().create_future()
 
-    def hear(packet):
+    def on_answer(packet):
         if not answer.done():
             answer.set_result((dict(packet.props.get("user", ())).get("status"), packet.payload))
 
     name = f"publish-{time.time_ns():x}"
-    device = Device(address, name, customer, password, hear)
+    device = Device(address, name, customer, password, on_answer)
     keeping = asyncio.ensure_future(device.keep())
     ready = asyncio.ensure_future(device.ready.wait())
     try:
--- a/petrelwood/standins/portal.py
+++ b/petrelwood/standins/portal.py
@@ -1,8 +1,9 @@
-"""A stand-in portal: many customers' clients that sign webhooks, retry, replay, forge, dawdle and hang up.
+"""A stand-in portal: many customers' clients that send signed webhooks.
 
-It records each try and its answer as seen on its sockets. Once-only activations are asked for again only
-after a rejection or where no byte went out, deduplicated ones too; repeatable ones also after a broken
-connection."""
+The clients also retry, replay old requests, forge signatures, send slowly and hang up. Each try and its
+answer is recorded as seen on the sockets. A once-only or deduplicated activation is tried again only after a
+rejection, or if no byte of the request went out; a repeatable one also after a broken connection.
+"""
 
 import asyncio
 import base64
@@ -19,50 +20,61 @@
 from petrelwood.standins.caller import Caller, ConnectionLostError, request
 from petrelwood.standins.records import Records
 
-REPLAY_KEPT = 400
+MAX_REPLAYABLE = 400  # requests kept to be replayed
 
 
 class Choice:
-    """Which function a customer calls, and how much work it is."""
+    """Draws which function a customer calls, and how much work the call is.
 
-    def __init__(self, day, chance):
-        self.chance, self.kinds, self.cuts = chance, {}, {}
+    The functions of a kind are called with Zipf-distributed frequency; `cuts` holds its cumulative
+    distribution.
+    """
+
+    def __init__(self, day, rng):
+        self.rng, self.kinds, self.cuts = rng, {}, {}
         for kind in day.kinds:
             sums = list(itertools.accumulate((i + 1) ** -kind.zipf for i in range(kind.count)))
             self.cuts[kind.prefix] = [s / sums[-1] for s in sums]
         for client in day.clients:
-            may = [k for k in day.kinds if not k.customers or client.name in k.customers]
-            self.kinds[client.name] = (may, [k.part for k in may])
+            allowed = [k for k in day.kinds if not k.customers or client.name in k.customers]
+            self.kinds[client.name] = (allowed, [k.part for k in allowed])
 
     def draw(self, client):
-        kind = self.chance.choices(*self.kinds[client.name])[0]
-        number = bisect.bisect(self.cuts[kind.prefix], self.chance.random())
-        work = int(kind.work * math.exp(self.chance.gauss(-0.08, 0.4)))
+        """Return (kind, function, work in ns) of a customer's next call."""
+        kind = self.rng.choices(*self.kinds[client.name])[0]
+        number = bisect.bisect(self.cuts[kind.prefix], self.rng.random())
+        work = int(kind.work * math.exp(self.rng.gauss(-0.08, 0.4)))
         return kind, f"{kind.prefix}{min(number, kind.count - 1)}", work
 
 
 class Steering:
-    """Follows a stand-in router's table for one prefix: a flow goes where the router would send it."""
+    """Follows a stand-in router's table for one prefix, and sends each flow where the router would.
+
+    `names`: the router's identifier of a neighbor, as text -> the name of the dispatcher behind it.
+    """
 
     def __init__(self, watch, prefix, names):
         self.watch, self.prefix, self.names, self.peers, self.changes = watch, prefix, names, [], 0
 
     async def follow(self):
+        """Update `peers` from the router's watch connection until that ends."""
         reader, _ = await asyncio.open_connection(*self.watch)
         while line := await reader.readline():
-            told = orjson.loads(line)
-            if told["prefix"] == self.prefix:
-                self.peers, self.changes = told["peers"], self.changes + 1
+            entry = orjson.loads(line)
+            if entry["prefix"] == self.prefix:
+                self.peers, self.changes = entry["peers"], self.changes + 1
 
     def pick(self, flow):
-        """The name of a dispatcher, or None where nobody announces the address."""
+        """Return the name of the dispatcher that a flow goes to, or None if nobody announces the address."""
         if not self.peers:
             return None
-        mark = int.from_bytes(hashlib.blake2b(flow.encode(), digest_size=4).digest(), "big")
-        return self.names[str(self.peers[mark % len(self.peers)])]
+        flow_hash = int.from_bytes(hashlib.blake2b(flow.encode(), digest_size=4).digest(), "big")
+        return self.names[str(self.peers[flow_hash % len(self.peers)])]
 
 
 class Portal:
+    """The clients of all customers, and the troubles that they cause."""
+
     steering = None
 
     def __init__(self, day, dispatchers, keys, records, seed, clock_off):
@@ -70,21 +82,26 @@
         self.callers = {name: Caller(address) for name, address in dispatchers.items()}
         self.arrivals, self.picks = host.random_stream(seed, "arrivals"), host.random_stream(seed, "picks")
         self.manners, self.last, self.open, self.seed = host.random_stream(seed, "manners"), 0, 0, seed
+        # `manners`: the random generator for the clients' behaviour; `more`: factors on the rate of a
+        # customer, or of all under ""; `forged`: share of the activations with an invalid signature;
+        # `replayed`: rate of replays relative to the day's rate; `old`: requests to replay
         self.rates = {c.name: day.rate * c.part for c in day.clients}
         self.more, self.forged, self.replayed, self.slow = {}, 0.0, 0.0, 0
         self.old, self.counts, self.tasks = [], {}, set()
         self.choice = Choice(day, self.picks)
 
-    def count(self, what):
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def count(self, outcome):
+        """Count an outcome."""
+        self.counts[outcome] = self.counts.get(outcome, 0) + 1
 
-    def spawn(self, work):
-        task = asyncio.ensure_future(work)
+    def spawn(self, coroutine):
+        """Run a coroutine as a task, and keep a reference to it until it ends."""
+        task = asyncio.ensure_future(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def client(self, client, until):
-        """Arrivals of one customer, drawn ahead of all answers."""
+        """Start one customer's activations at random intervals, which don't depend on the answers."""
         due = time.monotonic_ns()
         while due < until:
             rate = self.rates[client.name] * self.more.get(client.name, 1.0) * self.more.get("", 1.0)
@@ -93,7 +110,10 @@
             self.spawn(self.activation(client))
 
     def message(self, client, function, id_, body, patience, wrong=False):
-        """The bytes of a signed request, and the time that it carries."""
+        """Return the bytes of a signed request and its timestamp; `wrong`: with an invalid signature.
+
+        The timestamp of a further try is larger than that of the one before.
+        """
         stamp = time.time() + self.clock_off
         stamp = max(int(stamp), self.stamps.get(id_, 0) + 1)
         self.stamps[id_] = stamp
@@ -112,7 +132,7 @@
     stamps = {}
 
     async def activation(self, client):
-        """One activation with its client's retries, to whatever end."""
+        """Send one activation with its client's retries, and count how it ended."""
         kind, function, work = self.choice.draw(client)
         self.last += 1
         self.open += 1
@@ -139,15 +159,14 @@
         self.stamps.pop(id_, None)
 
     async def steered(self, flow):
-        """Where the router sends a flow; while it has nowhere, its client's connection waits in vain and is
-        tried again."""
+        """Return the dispatcher that the router sends a flow to; wait while the router has no route."""
         while (name := self.steering.pick(flow)) is None:
             self.count("no route")
             await asyncio.sleep(0.1)
         return name
 
     async def once(self, client, kind, function, id_, body, dispatcher, n, wrong):
-        """(how this try ended, seconds after which it may come back)"""
+        """Send one try; return (how it ended, seconds to wait before another)."""
         message, stamp = self.message(client, function, id_, body, client.patience, wrong)
         timeout = self.timeouts[kind.type]
         patience = min(client.patience, timeout) if client.patience else timeout
@@ -171,12 +190,12 @@
             reply = await self.callers[dispatcher].call(message, leaves or patience * 1.25)
         except TimeoutError:
             self.records.put("left", early=leaves is not None, **common)
-            if len(self.old) < REPLAY_KEPT:
+            if len(self.old) < MAX_REPLAYABLE:
                 self.old.append((dispatcher, message, common["key"], stamp))
             return "left", 0
-        except ConnectionLostError as fault:
-            self.records.put("broken", sent=fault.sent, **common)
-            return ("broken" if fault.sent else "refused"), 0
+        except ConnectionLostError as error:
+            self.records.put("broken", sent=error.sent, **common)
+            return ("broken" if error.sent else "refused"), 0
         self.records.put(
             "answer",
             status=reply.status,
@@ -184,7 +203,7 @@
             took=time.monotonic_ns() - begun,
             **common,
         )
-        if len(self.old) < REPLAY_KEPT and not wrong:
+        if len(self.old) < MAX_REPLAYABLE and not wrong:
             self.old.append((dispatcher, message, common["key"], stamp))
         if reply.status in (429, 503):
             return "rejected", int(reply.headers.get(b"retry-after", b"0"))
@@ -193,6 +212,7 @@
         ), 0
 
     async def replays(self, until):
+        """Replay random earlier requests until a time."""
         while time.monotonic_ns() < until:
             await asyncio.sleep(self.manners.expovariate(max(0.01, self.day.rate * self.replayed)))
             if not self.old:
@@ -214,7 +234,7 @@
                 self.count("replay lost")
 
     async def dawdle(self, until):
-        """One connection that sends a byte now and then; the gateway should end it."""
+        """Send a request one byte at a time over one connection, which the gateway should close."""
         caller = self.callers[self.manners.choice(list(self.callers))]
         try:
             stream = await caller.connect()
@@ -229,7 +249,9 @@
             self.count("dawdler closed")
 
     def troubles(self, start):
-        def many(t):
+        """Return the handlers for `host.schedule_troubles`."""
+
+        def slow_senders(t):
             for _ in range(t.what["count"]):
                 self.spawn(self.dawdle(start + t.at + t.span))
 
@@ -237,7 +259,7 @@
             self.replayed = t.what["part"]
             self.spawn(self.replays(start + t.at + t.span))
 
-        def times(name):
+        def multiply_rate(name):
             return (
                 lambda t: self.more.__setitem__(name(t), t.what["times"]),
                 lambda t: self.more.pop(name(t), None),
@@ -249,16 +271,20 @@
                 lambda t: setattr(self, "forged", 0.0),
             ),
             "replays": (replays, None),
-            "slow-senders": (many, None),
-            "overuse": times(lambda t: t.what["customer"]),
-            "burst": times(lambda t: ""),
+            "slow-senders": (slow_senders, None),
+            "overuse": multiply_rate(lambda t: t.what["customer"]),
+            "burst": multiply_rate(lambda t: ""),
         }
 
 
 async def serve(
     day, dispatchers, keys, timeouts, repeatable, folder, start, seed, clock_off=0.0, tell=None, steer=None
 ):
-    """Plays the day's traffic from `start` on; returns when all is answered."""
+    """Send the day's requests from `start` on; return the counts of outcomes when all are answered.
+
+    It waits for `day.settle` after the day at most. `tell` is called with the progress twice a second. With
+    `steer`, each try follows a stand-in router's table.
+    """
     records = Records(folder, "portal")
     portal = Portal(day, dispatchers, keys, records, seed, clock_off)
     portal.timeouts, portal.repeatable, portal.ends = timeouts, repeatable, start + day.length + day.settle
--- a/petrelwood/standins/roster.py
+++ b/petrelwood/standins/roster.py
@@ -17,15 +17,15 @@
 from petrelwood.standins import host
 from petrelwood.standins.records import Records
 
-KEPT_CHANGES = 256  # for readers that resume
-COMMENT_INTERVAL = 1.0  # seconds between the comments that keep a connection alive
+# the changes kept for readers that resume; the seconds between comments that keep a connection alive
+KEPT_CHANGES, COMMENT_INTERVAL = 256, 1.0
 
 
 class ChangeLog:
     """The list of workers and its last changes, from which a reader gets what it lacks.
 
-    Entries are as `decide.cluster.membership.decode_endpoint` reads them. A reader that resumes names the last
-    change it has as `EPOCH-NUMBER`.
+    Entries are as `decide.cluster.membership.decode_endpoint` reads them. A reader that resumes names the
+    last change it has as `EPOCH-NUMBER`.
     """
 
     def __init__(self, epoch, kept=KEPT_CHANGES):
--- a/petrelwood/standins/worker.py
+++ b/petrelwood/standins/worker.py
@@ -1,4 +1,4 @@
-"""A stand-in worker: the model of `emulate.machine` behind MessagePack-RPC, with misbehaviour by script."""
+"""A stand-in worker: the simulated one of `emulate.machine` behind MessagePack-RPC, and scripted troubles."""
 
 import asyncio
 import hashlib
@@ -18,22 +18,23 @@
 from petrelwood.standins import host
 from petrelwood.standins.records import Records
 
-MOST = 8_000_000
-LINGER = struct.pack("ii", 1, 0)  # closing then resets
+MAX_MESSAGE_SIZE = 8_000_000  # bytes
+LINGER = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0: closing resets the connection
 
 
 class StoreLink:
-    """Fetches from the store's process; without it every fetch fails."""
+    """A connection to the store's process, which fetches models; without it every fetch fails."""
 
     def __init__(self, address):
         self.address, self.stream, self.waits, self.last = address, None, {}, 0
 
     async def follow(self):
+        """Connect to the store, and again whenever the connection ends."""
         while True:
             try:
                 self.stream = IOStream(socket.socket())
                 await self.stream.connect(self.address)
-                reader = rpc.Reader(MOST)
+                reader = rpc.Reader(MAX_MESSAGE_SIZE)
                 while True:
                     for message in reader.feed(await self.stream.read_bytes(65536, partial=True)):
                         done = self.waits.pop(message[1], None)
@@ -46,6 +47,7 @@
                 await asyncio.sleep(0.1)
 
     def fetch(self, size, done):
+        """Fetch a model of `size` bytes, and call `done` with whether it succeeded."""
         self.last += 1
         if self.stream is None or self.stream.closed():
             done(False)
@@ -55,23 +57,26 @@
 
 
 class Worker(TCPServer):
+    """Serves dispatchers: `lines` maps their connections to their names and jobs."""
+
     def __init__(self, day, name, store, records, booted, seed):
         super().__init__()
         self.day, self.name, self.records, self.booted = day, name, records, booted
         self.store = StoreLink(store)
-        chance = host.random_stream(seed, name)
+        rng = host.random_stream(seed, name)
         self.machine = Machine(
-            LoopClock(), day.build, self.store.fetch, chance, time.monotonic_ns() if booted else 0
+            LoopClock(), day.build, self.store.fetch, rng, time.monotonic_ns() if booted else 0
         )
         self.lines, self.mute, self.silent, self.seed = {}, False, False, seed
         self.garbage = False
 
     async def handle_stream(self, stream, address):
+        """Serve one connection until it ends; its jobs are then cancelled."""
         stream.set_nodelay(True)
-        if self.silent:  # accepted, and nothing more
+        if self.silent:  # the connection is accepted, and nothing is sent on it
             await asyncio.sleep(3600)
         self.lines[stream] = {"who": "?", "jobs": {}}
-        reader = rpc.Reader(MOST)
+        reader = rpc.Reader(MAX_MESSAGE_SIZE)
         self.write(stream, rpc.notification("hello", [self.name, self.booted]))
         try:
             while True:
@@ -85,10 +90,12 @@
                 self.machine.cancel(job, self.day.stops_work)
 
     def write(self, stream, data):
+        """Send data, unless the worker is muted or the connection closed."""
         if not stream.closed() and not self.mute:
             stream.write(data).add_done_callback(lambda done: done.exception())
 
     def message(self, stream, message):
+        """Handle a message; a request by the method `on_` and its name."""
         line = self.lines[stream]
         if message[0] == rpc.REQUEST:
             getattr(self, "on_" + message[2])(stream, line, message[1], message[3])
@@ -100,9 +107,11 @@
                 self.machine.cancel(job, self.day.stops_work)
 
     def on_probe(self, stream, line, msgid, params):
+        """Answer with the worker's gauge."""
         self.write(stream, rpc.response(msgid, None, self.machine.gauge()))
 
     def on_hold(self, stream, line, msgid, params):
+        """Carry out a load order, and answer with the number of copies."""
         fn, _, count = params
         self.records.put("hold", by=line["who"], fn=fn, count=count)
         kind = self.day.kind(fn)
@@ -113,6 +122,7 @@
         self.machine.hold(kind.model(fn), count, done)
 
     def on_run(self, stream, line, msgid, params):
+        """Run an activation, and answer with its result or its error."""
         act, n, fn, mark, left, _, body = params
         kind = self.day.kind(fn)
         self.records.put("run", by=line["who"], act=act, n=n, fn=fn, mark=mark, type=kind.type)
@@ -146,24 +156,29 @@
         if job is not None and job.where != "over":
             line["jobs"][act, n] = job
 
-    # Misbehaviour.
+    # Misbehaviour
     def reset(self, trouble=None):
+        """Reset all connections."""
         for stream in list(self.lines):
             stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER)
             stream.close()
 
     def begin_silence(self, trouble):
+        """Reset all connections, and leave new ones without an answer."""
         self.silent = True
         self.reset()
 
     def end_silence(self, trouble):
+        """Serve new connections again."""
         self.silent = False
 
     def hang(self, on):
+        """Stop or resume all work and all answers."""
         self.mute = on
         self.machine.hang(on)
 
     def troubles(self):
+        """Return the handlers for `host.schedule_troubles`."""
         return {
             "release": (lambda t: self.machine.release(self.day.released(t.what["part"], self.seed)), None),
             "hang": (lambda t: self.hang(True), lambda t: self.hang(False)),
@@ -176,19 +191,22 @@
 
 
 async def serve(day, name, listen, store, folder, booted, seed):
+    """Run the worker until a signal. If `booted` is 0, it starts with the day's standing copies loaded."""
     records = Records(folder, name)
     worker = Worker(day, name, store, records, booted, seed)
     worker.add_sockets(sockets := bind_sockets(listen[1], listen[0]))
     asyncio.ensure_future(worker.store.follow())
     mine = day._replace(troubles=tuple(t for t in day.troubles if name in day.hit(t, seed)))
-    hearing = asyncio.ensure_future(
-        host.listen_to_operator(lambda said: host.schedule_troubles(mine, said["start"], worker.troubles()))
+    operator = asyncio.ensure_future(
+        host.listen_to_operator(
+            lambda message: host.schedule_troubles(mine, message["start"], worker.troubles())
+        )
     )
     if not booted:
         worker.machine.stand(day.kind(fn).model(fn) for fn in day.standing(seed)[name])
     records.put("up", booted=booted, pid=os.getpid())
     host.announce_ready(sockets[0].getsockname()[:2])
     await host.wait_for_signal()
-    hearing.cancel()
+    operator.cancel()
     records.put("counts", fallen=worker.machine.fallen, **worker.machine.counts)
     records.close()
