--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -1,5 +1,4 @@
-"""The audit is proved: a sound dispatcher passes a short day, and one that breaks a rule is caught by that
-rule."""
+"""The audit: a correct dispatcher passes a short day, and one that breaks a rule is caught by that rule."""
 
 import asyncio
 import pathlib
@@ -18,14 +17,14 @@
 HERE = pathlib.Path(__file__).parent
 
 
-HOW = ("nothing", "forgets", "chases", "repeats", "ignores drains", "floods", "orders")
+FLAWS = ("nothing", "forgets", "chases", "repeats", "ignores drains", "floods", "orders")  # of `broken.py`
 
 
 SEEDS = range(1, 5)
 
 
 def has_run_twice(case):
-    """Whether a once-only activation was sent on after it may have run, by the workers' own records."""
+    """Return whether a once-only activation was sent again after it may have run, by the workers' records."""
     once_only = {name for name, type_ in case.terms.types.items() if type_.effect == ports.Effect.ONCE_ONLY}
     for runs in case.runs.values():
         earlier = sorted(runs, key=lambda run: run["at"])[:-1]
@@ -35,26 +34,26 @@
 
 
 async def play_all():
-    """A short day with each kind of dispatcher, a few at a time: {how: (findings by rule, ends)}.
+    """Play a short day with each flaw, three days at a time; return {flaw: (findings by rule, outcomes)}.
 
-    Whether a connection is lost under a once-only send is chance, and on a busy machine none may be: the day
-    of the dispatcher that repeats those is played until one was, a few times at most.
+    The day of the dispatcher that "repeats" is played with several seeds, until a once-only activation was
+    sent again: that takes a connection that is lost during a once-only send, which a single day may lack.
     """
-    described, room, played = script.read(HERE / "days" / "small.kdl"), asyncio.Semaphore(3), {}
+    described, slots, played = script.read(HERE / "days" / "small.kdl"), asyncio.Semaphore(3), {}
 
-    async def play(how):
+    async def play(flaw):
         for seed in SEEDS:
             with tempfile.TemporaryDirectory() as folder:
-                async with room:
-                    spoilt = [sys.executable, str(HERE / "broken.py"), how]
-                    run = lab.Run(described, seed, folder, dispatcher=spoilt)
+                async with slots:
+                    command = [sys.executable, str(HERE / "broken.py"), flaw]
+                    run = lab.Run(described, seed, folder, dispatcher=command)
                     await run.play()
                 case = run.case()
-                played[how] = {f.rule: f for f in rules.judge(case)}, rules.outcomes(case)
-            if how != "repeats" or has_run_twice(case):
+                played[flaw] = {f.rule: f for f in rules.judge(case)}, rules.outcomes(case)
+            if flaw != "repeats" or has_run_twice(case):
                 return
 
-    await asyncio.gather(*map(play, HOW))
+    await asyncio.gather(*map(play, FLAWS))
     return played
 
 
@@ -63,10 +62,12 @@
     def setUpClass(cls):
         cls.played = asyncio.run(play_all())
 
-    def caught(self, how, rule):
-        found, _ = self.played[how]
+    def caught(self, flaw, rule):
+        """Check that the dispatcher with a flaw breaks a rule, and return its findings."""
+        found, _ = self.played[flaw]
         self.assertTrue(
-            found[rule].broken, f"a dispatcher that {how} was not caught; looked at {found[rule].looked}"
+            found[rule].broken,
+            f"the rule did not catch a dispatcher that {flaw}; it looked at {found[rule].looked} cases",
         )
         return found
 
@@ -97,18 +98,20 @@
 
 class Told(unittest.IsolatedAsyncioTestCase):
     async def test_news_after_the_roster_was_lost_does_not_count_as_told(self):
-        """Found by the soak: a worker's end, told into a connection that had just been dropped, stood as if
-        the dispatcher knew it."""
-        kept = []
+        """The roster must not record a `told` for a connection that it has just closed.
+
+        In a soak, the news of a worker's end was recorded as if the dispatcher had received it.
+        """
+        kinds = []
 
         class Records:
             def put(self, what, **facts):
-                kept.append(facts["kind"])
+                kinds.append(facts["kind"])
 
         described = script.read(HERE / "days" / "small.kdl")
-        made = Roster(described, Records())
+        roster = Roster(described, Records())
         sock, port = bind_unused_port()
-        made.add_sockets([sock])
+        roster.add_sockets([sock])
         entry = {
             "worker": "w1",
             "address": "127.0.0.1:1",
@@ -117,18 +120,18 @@
             "state": "usable",
             "booted": 0,
         }
-        made.change(entry)
+        roster.change(entry)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"GET /workers HTTP/1.1\r\nUser-Agent: d1\r\n\r\n")
         await asyncio.wait_for(reader.readuntil(b"event: list"), 30)
-        while not made.streams:
+        while not roster.streams:
             await asyncio.sleep(0.005)
-        made.change(entry)
-        self.assertEqual(kept, ["list", "change"])
-        made.lose(None)
-        made.change({**entry, "state": "gone"})
-        self.assertEqual(kept, ["list", "change"])
-        made.stop()
+        roster.change(entry)
+        self.assertEqual(kinds, ["list", "change"])
+        roster.lose(None)
+        roster.change({**entry, "state": "gone"})
+        self.assertEqual(kinds, ["list", "change"])
+        roster.stop()
         writer.close()
 
 
--- a/tests/test_speaker.py
+++ b/tests/test_speaker.py
@@ -1,4 +1,4 @@
-"""The speaker on real sockets: what the router saw, when things go wrong."""
+"""The speaker on real sockets, against the stand-in router: announcements, withdrawals and faults."""
 
 import asyncio
 import os
@@ -42,10 +42,10 @@
         for task, box in self.beating:
             task.cancel()
             box["sender"].close()
-        for one in self.speakers:
-            await one.close()
-        for one in self.routers:
-            one.close()
+        for one_speaker in self.speakers:
+            await one_speaker.close()
+        for router in self.routers:
+            router.close()
         await asyncio.sleep(0.02)
 
     def router(self, **more):
@@ -67,7 +67,7 @@
         return made
 
     def beats(self, one, facts=FINE):
-        """Begins to beat for a speaker; what it says can be changed."""
+        """Start sending heartbeats to a speaker; the report under "facts" may be replaced, None pauses."""
         box = {"facts": facts, "sender": HeartbeatSender(one.path)}
 
         async def beat():
@@ -79,14 +79,16 @@
         self.beating.append((asyncio.ensure_future(beat()), box))
         return box
 
-    async def until(self, what, within=30):
-        ends = time.monotonic() + within
-        while not what():
-            self.assertLess(time.monotonic(), ends, "it did not come to pass")
+    async def until(self, condition, within=30):
+        """Wait until a condition holds; fail after `within` seconds."""
+        deadline = time.monotonic() + within
+        while not condition():
+            self.assertLess(time.monotonic(), deadline, f"the condition did not hold within {within} s")
             await asyncio.sleep(0.005)
 
     @staticmethod
     def has(router, text=FOUR):
+        """Return the neighbors that a router has as best for a prefix."""
         return [peer for peer, _ in router.table.best(bgp.parse_prefix(text))]
 
 
@@ -101,7 +103,8 @@
             (found.path, found.communities, found.next_hop),
             (((2, (65001,)),), (65000 << 16 | 100,), b"\x7f\0\2\1"),
         )
-        box["facts"] = FINE._replace(usable_workers=0)  # it may be everyone's: it gives way, and stays
+        # without usable workers, perhaps at all dispatchers, the routes stay, with a lower preference
+        box["facts"] = FINE._replace(usable_workers=0)
         await self.until(
             lambda: bgp.GRACEFUL_SHUTDOWN in router.table.best(bgp.parse_prefix(FOUR))[0][1].communities
         )
@@ -114,7 +117,7 @@
         box["facts"] = FINE._replace(closing=True)
         await self.until(lambda: not self.has(router) and not self.has(router, SIX))
         self.assertTrue(router.sides)  # the session stays
-        box["facts"] = None  # silence is as good as a drain
+        box["facts"] = None  # without heartbeats the routes are withdrawn, as in a drain
         await asyncio.sleep(0.1)
         box["facts"] = FINE
         await self.until(lambda: self.has(router))
@@ -136,14 +139,16 @@
         self.assertFalse(self.has(router))
 
     async def test_two_routers_that_disagree_and_two_speakers_that_are_ill(self):
-        """One sees another that is well and goes; when all are ill nobody goes; whatever the routers
-        prefer."""
+        """An unhealthy speaker withdraws while another is healthy; if all are unhealthy, all keep announcing.
+
+        This doesn't depend on which routes the routers prefer.
+        """
         left, right = self.router(id_=1), self.router(id_=2)
         speakers = [self.speaker(left, right, number=n) for n in (1, 2)]
         boxes = [self.beats(one) for one in speakers]
         await self.until(lambda: all(len(self.has(r)) == 2 for r in (left, right)))
         boxes[0]["facts"] = FINE._replace(usable_workers=0)
-        await self.until(lambda: speakers[0].serving.level == "none")  # the other is well
+        await self.until(lambda: speakers[0].serving.level == "none")  # the other is healthy
         boxes[1]["facts"] = FINE._replace(usable_workers=0)
         await self.until(lambda: [s.serving.level for s in speakers] == ["less", "less"])
         await asyncio.sleep(0.5)
@@ -209,7 +214,7 @@
         await self.until(lambda: one.peers[0].neighbor.counts["down"] == 1)
         self.assertIn("over 500 routes", str(one.log.said("peer down")))
         self.assertEqual(len(one.peers[0].inbox.routes), 0)
-        await self.until(lambda: self.has(router))  # it comes back, later each time
+        await self.until(lambda: self.has(router))  # the speaker reconnects, with a longer delay each time
 
     async def test_beats_that_are_none(self):
         router = self.router()
@@ -259,7 +264,7 @@
 
 
 class Beside(Case):
-    """A dispatcher process with its speaker: a drain, and a process that hangs without ending."""
+    """A dispatcher process with its speaker: the router notices a drain, and a process that hangs."""
 
     async def test_a_drain_and_a_hang_are_seen_by_the_router(self):
         router, roster = self.router(), rig.Roster()
@@ -289,7 +294,7 @@
         process = await start()
         try:
             await self.until(lambda: self.has(router))
-            process.send_signal(signal.SIGSTOP)  # it hangs, and its sockets stay open
+            process.send_signal(signal.SIGSTOP)  # hangs the process while its sockets stay open
             await self.until(lambda: not self.has(router))
             self.assertEqual(one.serving.reason, "it says nothing")
             process.send_signal(signal.SIGCONT)
@@ -299,7 +304,7 @@
             self.assertEqual(await asyncio.wait_for(process.wait(), 30), 0)
             self.assertIn("it drains", [m["why"] for m in one.log.said("serves")])
             process = await start()
-            await self.until(lambda: self.has(router))  # the session was never given up
+            await self.until(lambda: self.has(router))  # the session has lasted throughout
             self.assertEqual(
                 one.peers[0].neighbor.counts, {**one.peers[0].neighbor.counts, "up": 1, "down": 0}
             )
