--- a/petrelwood/audit/rules.py
+++ b/petrelwood/audit/rules.py
@@ -142,8 +142,8 @@
 def _one_answer_by_mqtt(case, found):
     """Check rule 1 for MQTT: each message delivered to a dispatcher has one answer in time.
 
-    No answer is required if the dispatcher that held the message was killed, or if the broker was down when
-    the message expired; two are never allowed. Answers are counted as dispatchers published them, because
+    No answer is required if the dispatcher that held the message was killed, or if the broker was down in the
+    message's lifetime; two are never allowed. Answers are counted as dispatchers published them, because
     the broker may deliver one of QoS 1 twice, marked DUP, when the device's own connection breaks.
     """
     published = collections.Counter(
