--- a/tests/test_configuration_servers.py
+++ b/tests/test_configuration_servers.py
@@ -21,7 +21,7 @@
 from petrelwood.dispatch.configuration import ConfigurationFollower
 from petrelwood.links.rpc_client import RpcClient, RpcError
 from petrelwood.settings.storage import ConfigurationTerms
-from petrelwood.standins.caller import Broken
+from petrelwood.standins.caller import ConnectionLostError
 from petrelwood.store import snapshot, versions
 
 SECOND = 10**9
@@ -298,7 +298,7 @@
                 message = self.message(function, stamp=int(time.time()) + self.stamp)
                 if (await self.caller.call(message, 30)).status == status:
                     return
-            except Broken:  # the connected process was killed
+            except ConnectionLostError:  # the connected process was killed
                 pass
             await asyncio.sleep(0.1)
         self.fail(self.said())
