--- a/petrelwood/decide/bgp/announcement.py
+++ b/petrelwood/decide/bgp/announcement.py
@@ -23,7 +23,7 @@
     communities: tuple[int, ...]
     med: int | None
     reduced_med: int  # the MED at level REDUCED
-    reduced_prepend: int  # how often the own AS number is prepended in addition at level REDUCED
+    reduced_prepend: int  # additional copies of the own AS number in the path at level REDUCED
 
 
 class RouteChanges(NamedTuple):
@@ -129,7 +129,7 @@
             self.ignored += 1
 
     def has_other(self, prefix: Prefix) -> bool:
-        """Return whether another dispatcher announces this own address, and not as REDUCED."""
+        """Return whether another dispatcher announces this service address, and not as REDUCED."""
         found = self.routes.get(prefix)
         return found is not None and found.next_hop != self.next_hops[prefix] and not is_reduced(found)
 
--- a/petrelwood/decide/bgp/neighbor.py
+++ b/petrelwood/decide/bgp/neighbor.py
@@ -17,7 +17,7 @@
 from petrelwood.wire import bgp
 
 SECOND = 1_000_000_000
-OPEN_TIMEOUT = 240 * SECOND  # for the peer's OPEN
+OPEN_TIMEOUT = 240 * SECOND  # for the peer's OPEN; for the first KEEPALIVE if the hold time is 0
 STABLE_HOLD_TIMES = 3  # hold times that a session must last before the backoff is reset
 KEEPALIVES_PER_HOLD = 3  # KEEPALIVEs sent per hold time
 KEEPALIVE_JITTER = 0.25  # share of the interval by which it is shortened at random, against synchronization
@@ -58,8 +58,8 @@
     role: int | None = None  # RFC 9234
     passive: bool = False  # whether this side never connects
     max_routes: int = MAX_ROUTES  # routes accepted from the peer
-    first_backoff: int = SECOND
-    max_backoff: int = MAX_BACKOFF
+    first_backoff: int = SECOND  # ns
+    max_backoff: int = MAX_BACKOFF  # ns
 
 
 class SessionOwner(Protocol):
@@ -74,8 +74,8 @@
     def close(self, key: Opener, /) -> object:
         """Close a connection."""
 
-    def session_established(self, found: bgp.Open, /) -> object:
-        """Handle an established session; `found` is the peer's OPEN."""
+    def session_established(self, peer_open: bgp.Open, /) -> object:
+        """Handle an established session; `peer_open` is the peer's OPEN."""
 
     def session_ended(self, why: str, /) -> object:
         """Handle the end of the established session."""
@@ -126,8 +126,8 @@
     def state(self) -> State:
         """The state of the most advanced connection."""
         states = [connection.state for connection in self.connections.values()]
-        none = State.CONNECT if self.running and self.connecting else State.IDLE
-        return max(states, key=STATES.index, default=none)
+        without_connection = State.CONNECT if self.running and self.connecting else State.IDLE
+        return max(states, key=STATES.index, default=without_connection)
 
     @property
     def established(self) -> Connection | None:
@@ -183,7 +183,7 @@
             return
         try:
             for kind, body in connection.reader.feed(data):
-                self._message(now, connection, kind, body)
+                self._handle_message(now, connection, kind, body)
                 if self.connections.get(key) is not connection:
                     return
         except bgp.Wrong as fault:
@@ -239,10 +239,10 @@
             connection.keepalive_due = now + int(interval * (1 - KEEPALIVE_JITTER * self.random_fraction()))
 
     # Messages
-    def _message(self, now: int, connection: Connection, kind: int, body: bytes) -> None:
+    def _handle_message(self, now: int, connection: Connection, kind: int, body: bytes) -> None:
         if kind == bgp.NOTIFICATION:
-            found = bgp.read_notification(body)
-            why = f"the peer closed the session: {found.code}/{found.sub} {found.text()}".strip()
+            note = bgp.read_notification(body)
+            why = f"the peer closed the session: {note.code}/{note.sub} {note.text()}".strip()
             self._close(now, connection, why)
         elif connection.state is State.OPEN_SENT:
             if kind != bgp.OPEN:
@@ -253,14 +253,14 @@
                 raise bgp.Wrong(bgp.FSM_ERROR, 2, f"a {bgp.NAMES[kind]} came before the first KEEPALIVE")
             self._establish(now, connection)
         else:
-            self._session_message(now, connection, kind, body)
+            self._handle_session_message(now, connection, kind, body)
 
-    def _session_message(self, now: int, connection: Connection, kind: int, body: bytes) -> None:
+    def _handle_session_message(self, now: int, connection: Connection, kind: int, body: bytes) -> None:
         if connection.hold:
             connection.hold_expires = now + connection.hold * SECOND
         if kind == bgp.UPDATE:
-            has_four_octets = connection.open is not None and connection.open.four
-            update = bgp.read_update(body, has_four_octets)
+            has_four_octet_asns = connection.open is not None and connection.open.four
+            update = bgp.read_update(body, has_four_octet_asns)
             self.counts["updates"] += 1
             self.counts["notes"] += len(update.notes)
             self.owner.update_received(update)
@@ -271,31 +271,35 @@
         elif kind == bgp.OPEN:
             raise bgp.Wrong(bgp.FSM_ERROR, 3, "an OPEN was received in an established session")
 
-    def _on_open(self, now: int, connection: Connection, found: bgp.Open) -> None:
-        self._check_open(found)
-        connection.open = found
-        connection.hold = min(self.terms.hold, found.hold)
-        if self._loses_collision(now, connection, found):
+    def _on_open(self, now: int, connection: Connection, peer_open: bgp.Open) -> None:
+        self._check_open(peer_open)
+        connection.open = peer_open
+        connection.hold = min(self.terms.hold, peer_open.hold)
+        if self._loses_collision(now, connection, peer_open):
             return
-        if found.extended:
+        if peer_open.extended:
             connection.reader.most = bgp.EXTENDED
         connection.state = State.OPEN_CONFIRM
         connection.hold_expires = now + (connection.hold * SECOND or OPEN_TIMEOUT)
         self._send_keepalive(now, connection)
 
-    def _check_open(self, found: bgp.Open) -> None:
+    def _check_open(self, peer_open: bgp.Open) -> None:
         """Raise `bgp.Wrong` if the peer's OPEN does not match the terms."""
         terms = self.terms
-        if terms.peer_asn and found.asn != terms.peer_asn:
+        if terms.peer_asn and peer_open.asn != terms.peer_asn:
             raise bgp.Wrong(
-                bgp.OPEN_ERROR, 2, f"the peer has AS {found.asn}, but {terms.peer_asn} was expected"
+                bgp.OPEN_ERROR, 2, f"the peer has AS {peer_open.asn}, but {terms.peer_asn} was expected"
             )
-        if found.id == terms.id and found.asn == terms.asn:
+        if peer_open.id == terms.id and peer_open.asn == terms.asn:
             raise bgp.Wrong(bgp.OPEN_ERROR, 3, "the peer has this speaker's own identifier")
-        if terms.role is not None and found.role is not None and (terms.role, found.role) not in bgp.AGREE:
-            raise bgp.Wrong(bgp.OPEN_ERROR, 11, f"roles {terms.role} and {found.role} are incompatible")
-
-    def _loses_collision(self, now: int, connection: Connection, found: bgp.Open) -> bool:
+        if (
+            terms.role is not None
+            and peer_open.role is not None
+            and (terms.role, peer_open.role) not in bgp.AGREE
+        ):
+            raise bgp.Wrong(bgp.OPEN_ERROR, 11, f"roles {terms.role} and {peer_open.role} are incompatible")
+
+    def _loses_collision(self, now: int, connection: Connection, peer_open: bgp.Open) -> bool:
         """End one of two connections, if there are two; return whether it is this one.
 
         The connection opened by the side with the higher identifier is kept (RFC 4271, 6.8; RFC 6286 for
@@ -306,7 +310,7 @@
         if other is None:
             return False
         self.counts["collisions"] += 1
-        is_higher = (self.terms.id, self.terms.asn) > (found.id, found.asn)
+        is_higher = (self.terms.id, self.terms.asn) > (peer_open.id, peer_open.asn)
         winner = Opener.US if is_higher else Opener.PEER
         loses = other.state is State.ESTABLISHED or other.key is winner
         self._end_duplicate(now, connection if loses else other)
--- a/petrelwood/decide/delivery/ledger.py
+++ b/petrelwood/decide/delivery/ledger.py
@@ -75,7 +75,7 @@
     state: ActivationState = _RUNNING
     result: bytes | None = None
     activation_id: str | None = None  # of the running attempt
-    attempts: int = 1
+    attempts: int = 1  # accepted requests with the id, the first one included
     may_have_run: bool = False
     retry_until: int = 0  # by when a retry that may run again must be answered; 0 if there is no bound
 
@@ -119,7 +119,7 @@
         return max(self.complete_since, self.newest_forgotten + 1)
 
     def next_timestamp(self, key: Key, type_name: str, wall: int) -> int:
-        """Return an acceptable timestamp for a request of a sender that signs none."""
+        """Return an acceptable timestamp for a request that has no signed timestamp."""
         entry = self.entries.get(key)
         return max(wall, self.earliest_timestamp(type_name) if entry is None else entry.timestamp + 1)
 
@@ -209,8 +209,8 @@
             key: the customer and the id.
             outcome: how the activation ended.
             result: the answer's body, if the activation completed.
-            sent: whether an attempt was sent and may have run. A rejection of an activation that must not run
-                twice proves that it did not run.
+            sent: whether an attempt was sent and may have run. A rejection counts as proof that it did not
+                run, unless repeats of the activation are dropped across all workers.
         """
         entry = self.entries.get(key)
         if entry is None or entry.state != _RUNNING:
@@ -263,7 +263,7 @@
         return True
 
     def abandon_elsewhere(self) -> None:
-        """Abort the activations of another process that has ended without an outcome; they may have run."""
+        """Mark the activations of an ended process that have no outcome as aborted; they may have run."""
         for entry in self.entries.values():
             if entry.state == _RUNNING_ELSEWHERE:
                 entry.state = ActivationState.ABORTED
--- a/petrelwood/decide/forecasting/forecast.py
+++ b/petrelwood/decide/forecasting/forecast.py
@@ -17,7 +17,7 @@
 PRIOR_CALLS = 0.5
 MIN_KIND_MEAN = 1e-6  # lower bound for the mean of a kind, calls per slot
 MAX_ENDED_SLOTS = 3  # ended slots that may be queued for learning
-MAX_EMPTY_SLOTS = 8  # slots of a gap up to which they are learnt as slots without calls
+MAX_EMPTY_SLOTS = 8  # in a gap, fewer than this many slots are learnt as slots without calls
 MAX_GAP_DAYS = 2  # nothing is learnt from a longer gap
 MAX_FUNCTIONS = 20_000
 IDLE_CALL_RATE = 1e-3  # calls per slot below which a function is forgotten if there are too many
@@ -53,8 +53,8 @@
     """The forecasts of one dispatcher, for up to `max_functions` functions.
 
     `kind_of(function)` returns the kind of a function. With `incremental` set, the caller learns ended slots
-    a few functions at a time, by calling `learn`. Times are wall-clock ns. The open slot ends when the clock
-    steps back, and after a gap.
+    a few functions at a time, by calling `learn`. Times are wall-clock ns. The open slot is discarded when
+    the clock steps back, and after a gap of over `MAX_GAP_DAYS`.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         self.discarded_slots = 0
 
     def record_call(self, at: int, function: str) -> int:
-        """Count a call; return how many slots have ended since the last call."""
+        """Count a call; return how many slots have ended since the previous call or `advance`."""
         ended = self.advance(at)
         self.counts[function] = self.counts.get(function, 0) + 1
         return ended
@@ -167,13 +167,13 @@
             when = at + number * self.calendar.slot
             keys = self.calendar.keys(when)
             mean, spread, slots_seen = series.predict(keys) if series else NOTHING_KNOWN
-            borrowed, kind_spread, _ = kind.predict(keys) if kind is not None else NOTHING_KNOWN
+            kind_mean, kind_spread, _ = kind.predict(keys) if kind is not None else NOTHING_KNOWN
             if mean is None:
                 mean, spread = 0.0, kind_spread
                 slots_seen = 0
             calls = PRIOR_CALLS + mean * slots_seen
-            if borrowed is not None:
-                mean = calls / (PRIOR_CALLS / max(borrowed, MIN_KIND_MEAN) + slots_seen)
+            if kind_mean is not None:
+                mean = calls / (PRIOR_CALLS / max(kind_mean, MIN_KIND_MEAN) + slots_seen)
             total += mean * self.calendar.factor(when, function)
             worst_spread = max(worst_spread, spread)
             fewest_calls = min(fewest_calls, calls)
--- a/petrelwood/decide/overload/storm.py
+++ b/petrelwood/decide/overload/storm.py
@@ -23,10 +23,10 @@
 MIN_EVENTS = 20  # events in a window below which shares are not significant
 ONSET_UPDATES = 2  # consecutive updates over the upper threshold after which a symptom is switched on
 CALM = 2 * SECOND  # ns under the lower threshold after which a symptom is switched off
-MAX_CALM = 16 * CALM
+MAX_CALM = 16 * CALM  # limit of the calm period, which doubles with each relapse
 RELAPSE_FACTOR = 4  # a symptom that returns within this many times its calm period was not over
 BASELINE_SMOOTHING = 1 / 60  # weight of one second in the running mean of the baseline rate
-MAX_QUIET_SECONDS = 60  # seconds without a request that the running mean includes at a time
+MAX_QUIET_SECONDS = 60  # limit of the seconds without a request that one update includes
 BUCKET = SECOND // 4  # ns
 BUCKETS = 9  # two seconds and the current bucket
 FINE_BUCKET = 50_000_000  # ns; synchrony is measured in buckets of this size
@@ -44,7 +44,7 @@
 
 
 class Thresholds(NamedTuple):
-    """The values from which on a symptom is switched on, and down to which it is switched off."""
+    """A symptom is switched on at or above `upper`, and switched off at or below `lower`."""
 
     upper: float
     lower: float
@@ -84,9 +84,9 @@
     def update(self, now: int, value: float) -> bool:
         """Record the next value; return whether the symptom was switched on or off."""
         self.value = value
-        return self._may_end(now) if self.is_on else self._may_begin(now)
+        return self._update_while_on(now) if self.is_on else self._update_while_off(now)
 
-    def _may_begin(self, now: int) -> bool:
+    def _update_while_off(self, now: int) -> bool:
         self.updates_over = self.updates_over + 1 if self.value >= self.thresholds.upper else 0
         if self.updates_over < ONSET_UPDATES:
             return False
@@ -98,7 +98,7 @@
         self.updates_over = 0
         return True
 
-    def _may_end(self, now: int) -> bool:
+    def _update_while_on(self, now: int) -> bool:
         if self.value > self.thresholds.lower:
             self.under_since = None
             return False
@@ -191,7 +191,10 @@
         }
 
     def _end_second(self, passed: int) -> None:
-        """Update the baseline rate with a second that began `passed` seconds ago, unless a storm is on."""
+        """Update the baseline rate with the second that began `passed` seconds ago, unless a storm is on.
+
+        The seconds after it had no requests.
+        """
         count = self.second_requests
         self.second_requests = 0
         if self.baseline_rate is None:
--- a/petrelwood/decide/scheduling/admission.py
+++ b/petrelwood/decide/scheduling/admission.py
@@ -35,7 +35,7 @@
     def take(self, now: int, span: int) -> bool:
         """Take a token and return True, or return False if there is none.
 
-        The bucket holds at most one token and those of `span` ns.
+        The bucket holds at most one token plus the tokens that are added in `span` ns.
         """
         tokens = min(self.tokens + (now - self.updated_at) * self.rate, 1 + self.rate * span)
         has_token = tokens >= 1
--- a/petrelwood/decide/scheduling/attempts.py
+++ b/petrelwood/decide/scheduling/attempts.py
@@ -1,4 +1,4 @@
-"""Handles the end of an attempt, or an overdue one, by a retry, a hedged request or the final answer."""
+"""Handles attempts that end or are overdue: with a retry, a hedged request or the final answer."""
 
 from petrelwood.decide.scheduling.actions import Actions, forget_attempts
 from petrelwood.decide.scheduling.fleet import Fleet
--- a/petrelwood/decide/scheduling/fleet.py
+++ b/petrelwood/decide/scheduling/fleet.py
@@ -5,7 +5,8 @@
 from petrelwood.decide.scheduling.records import Worker
 from petrelwood.ports import EndpointEntry
 
-# Multiplicative hashing that spreads the bits of a 32-bit hash, after an exclusive or with another hash.
+# Multiplicative hashing: the XOR of two 32-bit hashes, or of a hash and the salt, is multiplied to spread its
+# bits, and cut to 32 bits.
 HASH_MULTIPLIER = 0x9E3779B1
 HASH_MASK = 0xFFFFFFFF
 
--- a/petrelwood/decide/scheduling/outlier_detection.py
+++ b/petrelwood/decide/scheduling/outlier_detection.py
@@ -78,7 +78,8 @@
     def accepts(self, worker: Worker, now: int) -> bool:
         """Return whether the worker may be sent an attempt or a load: usable, healthy and within its limits.
 
-        It may draw the budget of a cold worker at random, so the order of its calls matters to a seeded run.
+        It may draw the slow start budget of a worker at random, so the order of its calls matters to a seeded
+        run.
         """
         return (
             worker.is_usable
--- a/petrelwood/decide/scheduling/records.py
+++ b/petrelwood/decide/scheduling/records.py
@@ -146,7 +146,8 @@
         queue: queued activations, oldest first.
         low_priority_queue: queued activations that are late or over their customer's quota.
         queued: number of activations in both queues that are still queued.
-        expiries: a heap of (time in ns, activation): when to check whether to give up a queued activation.
+        expiries: a heap of (time in ns, activation): the times at which the scheduler checks whether to give
+            up an activation that is still queued.
         copies: its copies by worker id.
         service_time: its usual response time on a loaded copy, ns; 0: not known yet.
         placement_paused_until: no copy is added before this time, ns.
@@ -255,7 +256,7 @@
         is_cold: the copy was not loaded when it was sent.
         ahead: this dispatcher's attempts that were in flight at the worker when it was sent.
         is_in_flight: it has not ended.
-        may_have_run: it is not proved that it did not run.
+        may_have_run: nothing has proved that it did not run.
     """
 
     activation: Activation
--- a/petrelwood/node/roster.py
+++ b/petrelwood/node/roster.py
@@ -152,7 +152,7 @@
                 return
             except OSError as error:  # reports the refusal of an earlier query
                 self.receive_failures += 1
-                # a query is refused once; more failures would make the event loop spin
+                # each query is refused at most once; a lasting error would make the event loop spin
                 if self.receive_failures > MAX_RECEIVE_FAILURES:
                     self._reopen_later(error)
                     return
--- a/petrelwood/node/worker.py
+++ b/petrelwood/node/worker.py
@@ -46,9 +46,9 @@
         """
 
     def may_send(self, activation: str, link: "NodeLink", /) -> bool:
-        """Return whether an attempt may leave now; if not, the core calls `link.pump` later.
+        """Return whether an attempt may be sent now; if not, the core calls `link.pump` later.
 
-        It may not while a cancel or disconnect of its client may be unread.
+        It may not be sent while a cancellation or disconnect of its client may be unread.
         """
 
     def may_open_connection(self) -> bool:
@@ -150,11 +150,11 @@
         if self.pumping or self.core.is_behind():
             return
         self.pumping = True
-        deferred = 0  # the number of attempts that may not leave yet, at the end of the queue
+        deferred = 0  # the number of attempts that may not be sent yet, at the end of the queue
         try:
             while len(self.waiting) > deferred:
                 call = self.waiting[0]
-                # a call behind a partly unsent frame would start whenever the worker reads again
+                # a call behind a partly unsent frame could start at any later time, when the worker reads
                 ready = [connection for connection in self.connections if not connection.stream.writing()]
                 connection = connection_pool.choose_connection(
                     ready, call.activation, self.terms.streams, self.core.may_open_connection()
