--- a/petrelwood/decide/forecasting/forecast.py
+++ b/petrelwood/decide/forecasting/forecast.py
@@ -52,9 +52,9 @@
 class Forecast:
     """The forecasts of one dispatcher, for up to `max_functions` functions.
 
-    `kind_of(function)` returns the kind of a function. With `incremental` set, the caller learns ended slots
-    a few functions at a time, by calling `learn`. Times are wall-clock ns. The open slot is discarded when
-    the clock steps back, and after a gap of over `MAX_GAP_DAYS`.
+    `kind_of(function)` returns the kind of a function, such as its namespace type. With `incremental` set,
+    the caller learns ended slots a few functions at a time, by calling `learn`. Times are wall-clock ns. The
+    open slot is discarded when the clock steps back, and after a gap of over `MAX_GAP_DAYS`.
     """
 
     def __init__(
