--- a/benchmarks/scale/events.py
+++ b/benchmarks/scale/events.py
@@ -34,13 +34,13 @@
 
 
 def _workers_of(fleet, zone):
-    return [name for name, node in fleet.nodes.items() if node.hall == zone]
+    return [name for name, node in fleet.nodes.items() if node.zone == zone]
 
 
 def _racks(fleet, racks):
     """Names of the workers of so many racks, which stand side by side in one zone."""
     part = racks * size.ASSUMED_WORKERS_A_RACK / size.LARGE_WORKERS.workers
-    return _workers_of(fleet, fleet.day.halls[1])[: max(1, round(part * len(fleet.nodes)))]
+    return _workers_of(fleet, fleet.day.zones[1])[: max(1, round(part * len(fleet.nodes)))]
 
 
 def _lose_racks(fleet, racks):
@@ -65,9 +65,9 @@
 
 
 def _zone(fleet):
-    zone = fleet.day.halls[1]
+    zone = fleet.day.zones[1]
     workers = _workers_of(fleet, zone)
-    dispatchers = [name for name, where in fleet.halls.items() if where == zone]
+    dispatchers = [name for name, where in fleet.zones.items() if where == zone]
     fleet.at(BEGINS, fleet.lose_workers, workers, ENDS - BEGINS)
     fleet.at(BEGINS, fleet.lose_dispatchers, dispatchers, ENDS - BEGINS)
 
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -36,15 +36,15 @@
 
     __slots__ = ("number",)
 
-    def __init__(self, platform, node, core, hall, terms, chance):
-        super().__init__(platform, node, core, hall, terms, chance)
+    def __init__(self, platform, node, core, zone, terms, chance):
+        super().__init__(platform, node, core, zone, terms, chance)
         self.number = 0
 
-    def _hand(self, call):
+    def _write(self, call):
         self.number += 1
         if call.kind == "run":
             mark, left, _ = call.args
-            parameters = [call.act, call.n, call.fn, mark, left, LANES, BODY]
+            parameters = [call.activation_id, call.n, call.fn, mark, left, LANES, BODY]
             flow = flows.CALLS_TO_WORKERS
         elif call.kind == "hold":
             parameters, flow = [call.fn, LANES, call.n], flows.ORDERS_TO_WORKERS
@@ -52,13 +52,15 @@
             parameters, flow = [], flows.PROBES
         self._count(flow, rpc.request(self.number, call.kind, parameters))
         self.platform.busy_links[self] = True
-        super()._hand(call)
+        super()._write(call)
 
-    def _answered(self, call, word, note, body, gauge, life):
+    def _answered(self, call, word, note, body, gauge, incarnation):
         if call.kind == "run":
             good = word == "ok"
             result = (
-                [call.act, call.n, note, ANSWER, gauge] if good else [word, call.act, call.n, note, gauge]
+                [call.activation_id, call.n, note, ANSWER, gauge]
+                if good
+                else [word, call.activation_id, call.n, note, gauge]
             )
             flow = flows.CALLS_BACK
         elif call.kind == "hold":
@@ -66,19 +68,19 @@
         else:
             result, flow = gauge, flows.PROBES
         self._count(flow, rpc.response(self.number, None, result))
-        super()._answered(call, word, note, body, gauge, life)
+        super()._answered(call, word, note, body, gauge, incarnation)
 
     def _connected(self, attempt):
         waits = self.state.phase
         super()._connected(attempt)
-        if waits != self.state.phase and self.life == self.node.life:
+        if waits != self.state.phase and self.incarnation == self.node.incarnation:
             self._count(flows.GREETINGS, rpc.notification("hello", [self.core.name]))
             self._count(flows.GREETINGS, rpc.notification("hello", [self.worker, self.node.booted]))
 
-    def _tell_worker(self, call):
+    def _send_cancel(self, call):
         if call.stage == "handed":
-            self._count(flows.CALLS_TO_WORKERS, rpc.notification("cancel", [call.act, call.n]))
-        super()._tell_worker(call)
+            self._count(flows.CALLS_TO_WORKERS, rpc.notification("cancel", [call.activation_id, call.n]))
+        super()._send_cancel(call)
 
     def _count(self, flow, data):
         self.platform.traffic.count(flow, self.core.name, len(data))
@@ -200,16 +202,16 @@
 
     def make_link(self, worker, core, terms, chance):
         """A counted link."""
-        return HollowLink(self, self.nodes[worker], core, self.halls[core.name], terms, chance.random)
+        return HollowLink(self, self.nodes[worker], core, self.zones[core.name], terms, chance.random)
 
-    def way(self, a, b):
+    def path_delay(self, a, b):
         """Delay between two zones, ns: longer from region to region."""
         if region(a) == region(b):
-            return super().way(a, b)
-        return int(size.ASSUMED_REGION_DELAY * 1e9 * (0.9 + 0.2 * self.ways.uniform()))
+            return super().path_delay(a, b)
+        return int(size.ASSUMED_REGION_DELAY * 1e9 * (0.9 + 0.2 * self.path_delays.uniform()))
 
     # The roster.
-    def _list(self, name, entries):
+    def _send_list(self, name, entries):
         """A dispatcher starts: it knows nothing and asks."""
         if not self.list_log.entries:
             for entry in entries:
@@ -218,10 +220,10 @@
         stream = self.streams[name] = RosterStream(self, self.cores[name])
         stream.connect()
 
-    def _refresh(self, name, life):
+    def _refresh(self, name, incarnation):
         """A stream that is open hears everything; one that is not comes by itself."""
 
-    def _told(self, entry):
+    def _change_roster(self, entry):
         number = self.list_log.take(_raw(entry))
         if self.closed:
             return
@@ -232,7 +234,7 @@
 
     def delay_to_roster(self, name):
         """The roster stands in the first region."""
-        return self.way(self.halls[name], self.day.halls[0])
+        return self.path_delay(self.zones[name], self.day.zones[0])
 
     def _heartbeat(self):
         for name, stream in self.streams.items():
@@ -282,11 +284,11 @@
 
     def part_regions(self):
         """Nothing passes between the regions; the roster is in the first one."""
-        for name, zone in self.halls.items():
-            for other in self.day.halls:
+        for name, zone in self.zones.items():
+            for other in self.day.zones:
                 if region(zone) != region(other):
                     self.cuts.add((name, other))
-        self.close_roster([name for name, zone in self.halls.items() if region(zone)])
+        self.close_roster([name for name, zone in self.zones.items() if region(zone)])
 
     def join_regions(self):
         """They reach each other again."""
--- a/benchmarks/scale/parts.py
+++ b/benchmarks/scale/parts.py
@@ -23,7 +23,7 @@
 from petrelwood.decide.scheduling.records import Function
 from petrelwood.decide.scheduling.scheduler import Scheduler
 from petrelwood.dispatch.core import Core
-from petrelwood.emulate.platform import Silent
+from petrelwood.emulate.platform import CountingLog
 from petrelwood.links import sse
 from petrelwood.links.worker import WorkerLink
 from petrelwood.node import roster, roster_protocol
@@ -143,7 +143,7 @@
     """A dispatcher without links to anywhere, on a virtual clock."""
     described = gateway()
     described = described._replace(limits=described.limits._replace(**limits), early=None)
-    return Core(described, VirtualClock(), Random(1), link, Silent())
+    return Core(described, VirtualClock(), Random(1), link, CountingLog())
 
 
 def hear_list(dispatcher, told):
--- a/benchmarks/scale/real.py
+++ b/benchmarks/scale/real.py
@@ -25,7 +25,7 @@
 from petrelwood.clocks import VirtualClock
 from petrelwood.dispatch.core import Core
 from petrelwood.emulate import script
-from petrelwood.emulate.platform import KEY, Silent
+from petrelwood.emulate.platform import KEY, CountingLog
 from petrelwood.links import rpc, sse
 from petrelwood.links.roster import RosterLink
 from petrelwood.standins.roster import ChangeLog, Roster
@@ -350,7 +350,7 @@
 def _hollow_calls(described, run):
     fleet = HollowFleet(described, run + 1)
     fleet.run()
-    wishes, runs = len(fleet.clients.wishes), fleet.traffic.flows[flows.CALLS_TO_WORKERS]
+    wishes, runs = len(fleet.clients.requests), fleet.traffic.flows[flows.CALLS_TO_WORKERS]
     idle = HollowFleet(described._replace(calls_a_second=0.001), run + 1)
     idle.run()
     return {
@@ -365,8 +365,11 @@
 
 def _hollow_lists(amount):
     described = site.gateway(1)
-    dispatcher = Core(described, VirtualClock(), Random(1), parts.idle_link, Silent())
-    reader, log = RosterLink(("roster", 0), dispatcher.membership, 1, dispatcher, Silent()), ChangeLog(EPOCH)
+    dispatcher = Core(described, VirtualClock(), Random(1), parts.idle_link, CountingLog())
+    reader, log = (
+        RosterLink(("roster", 0), dispatcher.membership, 1, dispatcher, CountingLog()),
+        ChangeLog(EPOCH),
+    )
     reader.events = sse.EventReader()
     added = more_entries(amount.listed)
     for one in added + called_entries(amount.site.workers):
--- a/benchmarks/scale/rows.py
+++ b/benchmarks/scale/rows.py
@@ -139,7 +139,7 @@
     """What a played fleet comes to. `memory`: bytes of it before a call; `first_news`: ns that the first
     lists took."""
     traffic, processor = fleet.traffic, fleet.processor
-    wishes = len(fleet.clients.wishes) or 1
+    wishes = len(fleet.clients.requests) or 1
     in_time = sum(second["in time"] for second in fleet.time_course)
     lived, each = fleet.dispatcher_seconds(), site.dispatchers
     control = traffic.flows[flows.LIST_TO_DISPATCHERS]
@@ -162,7 +162,7 @@
         "bytes of a call": traffic.bytes(flows.CALL_FLOWS) / wishes,
         "new connections of a dispatcher": greetings / 2 / lived,
         "load orders of a call": traffic.flows[flows.ORDERS_TO_WORKERS].messages / wishes,
-        "calls that met no copy": fleet.colds / wishes,
+        "calls that met no copy": fleet.cold_starts / wishes,
         "calls completed in time": in_time / wishes,
         "memory of a dispatcher with all it reaches": memory / each / 1e3,
     }
--- a/petrelwood/cli/show.py
+++ b/petrelwood/cli/show.py
@@ -33,7 +33,7 @@
     if not quiet:
         console.print(
             f"day '{day.name}': {len(day.dispatchers)} dispatchers, {len(day.workers)} workers in "
-            f"{len(day.halls)} halls, {day.rate:g} activations a second, {len(day.troubles)} troubles "
+            f"{len(day.zones)} halls, {day.rate:g} activations a second, {len(day.troubles)} troubles "
             "(all servers but the dispatchers are stand-ins)"
         )
     yield tell
--- a/petrelwood/emulate/broker.py
+++ b/petrelwood/emulate/broker.py
@@ -11,7 +11,7 @@
 from petrelwood.links import packets as mqtt
 
 SECOND = 1_000_000_000
-QUEUED = 10_000  # messages that wait for one session
+MAX_QUEUED = 10_000  # messages that wait for one session
 
 
 class Message:
@@ -49,7 +49,14 @@
     is told what passes."""
 
     def __init__(self, clock, may, saw=lambda what, **facts: None, chance=None):
-        self.clock, self.may, self.saw, self.sessions, self.turns, self.number = clock, may, saw, {}, {}, 0
+        self.clock, self.may, self.saw, self.sessions, self.next_member, self.number = (
+            clock,
+            may,
+            saw,
+            {},
+            {},
+            0,
+        )
 
     # Connections.
     def connect(self, packet, send, close):
@@ -57,7 +64,7 @@
         session = self.sessions.get(packet.client)
         if session is not None and session.send is not None:
             session.close(mqtt.TAKEN_OVER)
-            self._off(session)
+            self._disconnect(session)
         present = session is not None and not packet.clean
         if session is not None and packet.clean:
             self.end(session)
@@ -74,22 +81,22 @@
                 send(mqtt.Packet(mqtt.PUBREL, id_))
             else:
                 self._deliver(session, id_, message, 1)
-        self._flow(session)
+        self._send_queued(session)
         return session
 
-    def _off(self, session):
+    def _disconnect(self, session):
         session.send = None
 
     def gone(self, session, life, clean):
         """The connection ended; `clean`: by a DISCONNECT."""
         if session.life != life or session.send is None:
             return
-        self._off(session)
+        self._disconnect(session)
         self.saw("disconnected", client=session.client, clean=clean)
         if session.will is not None and not clean:
             self.publish(session, session.will)
         session.will = None
-        self._share_out(session)
+        self._reassign_in_flight(session)
         if not session.expiry:
             self.end(session)
         else:
@@ -109,7 +116,7 @@
             self._route_shared(message, session)
         session.queue.clear()
 
-    def _share_out(self, session):
+    def _reassign_in_flight(self, session):
         """A member of a group is lost: its QoS 1 messages go to another where there is one."""
         for id_, (message, _) in list(session.out.items()):
             if message.qos == 1 and self._route_shared(message, session, dup=True):
@@ -119,14 +126,14 @@
     def subscribe(self, session, packet):
         codes = []
         for name, options in packet.subscriptions:
-            share, bare = _split(name)
+            share, bare = _split_filter(name)
             if not self.may(session.user, bare, False):
                 codes.append(mqtt.NOT_AUTHORIZED)
                 continue
             session.filters[name] = options & 3
             codes.append(options & 3)
         session.send(mqtt.Packet(mqtt.SUBACK, packet.id, props={}, codes=codes))
-        for name in [n for n in session.filters if _split(n)[0]]:
+        for name in [n for n in session.filters if _split_filter(n)[0]]:
             self._wake_group(name)
 
     def unsubscribe(self, session, packet):
@@ -183,7 +190,7 @@
             return
         del session.out[packet.id]
         self.saw("acknowledged", client=session.client, message=message.number, code=packet.code)
-        self._flow(session)
+        self._send_queued(session)
 
     # To the clients.
     def route(self, packet, session):
@@ -214,7 +221,7 @@
         taken, groups = False, set()
         for other in list(self.sessions.values()):
             for name, qos in other.filters.items():
-                share, bare = _split(name)
+                share, bare = _split_filter(name)
                 if not mqtt.matches(bare, packet.topic):
                     continue
                 if share:
@@ -229,14 +236,14 @@
     def _members(self, name):
         return [s for s in self.sessions.values() if name in s.filters]
 
-    def _to_group(self, name, message, but, dup=False):
+    def _to_group(self, name, message, excluded, dup=False):
         """To the member of a group that is connected and has the most room, in turn among equals."""
-        members = [s for s in self._members(name) if s is not but]
+        members = [s for s in self._members(name) if s is not excluded]
         live = [s for s in members if s.send is not None] or members
         if not live:
             return False
-        turn = self.turns[name] = self.turns.get(name, 0) + 1
-        best = min(range(len(live)), key=lambda i: (len(live[i].queue), (i - turn) % len(live)))
+        start = self.next_member[name] = self.next_member.get(name, 0) + 1
+        best = min(range(len(live)), key=lambda i: (len(live[i].queue), (i - start) % len(live)))
         made = Message(
             message.topic,
             message.payload,
@@ -248,9 +255,9 @@
         self._queue(live[best], made, made.qos)
         return True
 
-    def _route_shared(self, message, but, dup=False):
+    def _route_shared(self, message, excluded, dup=False):
         name = message.props.get("_shared")
-        return name is not None and self._to_group(name, message, but, dup)
+        return name is not None and self._to_group(name, message, excluded, dup)
 
     def _wake_group(self, name):
         """A new member: it takes what waits for members that are away."""
@@ -266,11 +273,11 @@
             message = Message(
                 message.topic, message.payload, qos, message.props, message.ends, message.number
             )
-        if len(session.queue) < QUEUED and (qos or session.send is not None):
+        if len(session.queue) < MAX_QUEUED and (qos or session.send is not None):
             session.queue.append(message)
-            self._flow(session)
+            self._send_queued(session)
 
-    def _flow(self, session):
+    def _send_queued(self, session):
         """Sends what waits, as far as the client's Receive Maximum goes. What has expired is dropped."""
         while session.queue and session.send is not None:
             message = session.queue[0]
@@ -306,7 +313,7 @@
         )
 
 
-def _split(name):
+def _split_filter(name):
     """(share name or '', bare filter)"""
     if not name.startswith("$share/"):
         return "", name
--- a/petrelwood/emulate/foresight.py
+++ b/petrelwood/emulate/foresight.py
@@ -11,7 +11,7 @@
 CERTAIN = 1.0  # the spread of a forecast that can't be wrong beyond chance
 
 
-class Foresight:
+class PerfectForecast:
     """What will be called, by function and slot of the wall clock."""
 
     def __init__(self, day, seed, policy, make):
@@ -22,20 +22,20 @@
             {},
         )
         origin = first.clock.wall() - first.clock.now()
-        for wish in first.clients.wishes:
-            self.calls[wish.fn][(origin + wish.begun) // self.slot] += 1
-            self.types[wish.fn] = wish.kind.type
+        for request in first.clients.requests:
+            self.calls[request.fn][(origin + request.begun) // self.slot] += 1
+            self.types[request.fn] = request.kind.type
 
-    def ahead(self, wall, function):
+    def forecast_next_slot(self, wall, function):
         """(mean, spread) of the calls of all dispatchers together in the slot after this one."""
         return float(self.calls[function][wall // self.slot + 1]), CERTAIN
 
-    def teach(self, core):
+    def install_in(self, core):
         """A dispatcher's early loads ask here, and know every function that will be called."""
         if core.forecasts is None:
             return
         early = core.forecasts.early
-        early.expected_calls = self.ahead
+        early.expected_calls = self.forecast_next_slot
         for function, kind in self.types.items():
             rule = core.rule(function)
             early.models[function] = ModelEstimate(rule.lanes, rule.load_time, kind)
--- a/petrelwood/emulate/link.py
+++ b/petrelwood/emulate/link.py
@@ -9,15 +9,15 @@
 from petrelwood.decide.cluster.link_state import CONNECT, DOWN, REJECT, UP, LinkPhase, LinkState
 from petrelwood.decide.delivery import send_outcome
 
-HOP = 100_000  # ns that a connection takes beyond the way: the handshakes
+HANDSHAKE_DELAY = 100_000  # ns that a connection takes beyond the way: the handshakes
 
 
 class Node:
     """One worker: its machine, which is made anew at each start, and the links that reach it."""
 
-    def __init__(self, platform, name, hall, cell):
-        self.platform, self.name, self.hall, self.cell = platform, name, hall, cell
-        self.machine, self.booted, self.life, self.silent, self.muted, self.lying = (
+    def __init__(self, platform, name, zone, cell):
+        self.platform, self.name, self.zone, self.cell = platform, name, zone, cell
+        self.machine, self.booted, self.incarnation, self.silent, self.muted, self.lying = (
             None,
             0,
             0,
@@ -29,7 +29,7 @@
 
     def start(self, booted):
         self.machine, self.booted = self.platform.make_machine(booted), booted
-        self.life += 1
+        self.incarnation += 1
 
     def stop(self):
         """Killed outright: whoever is connected sees it one way's time later."""
@@ -39,9 +39,9 @@
     def break_all(self):
         links, self.links = self.links, []
         for link in links:
-            self.platform.after(link.way(), link.broken, self.life)
+            self.platform.after(link.path_delay(), link.broken, self.incarnation)
             if self.machine is not None:
-                link.leave(self.machine)
+                link.drop_jobs(self.machine)
 
     def gauge(self):
         gauge = self.machine.gauge()
@@ -49,10 +49,17 @@
 
 
 class Call:
-    __slots__ = ("kind", "act", "n", "fn", "at", "stage", "args", "job", "over")
-
-    def __init__(self, kind, act, n, fn, at, args):
-        self.kind, self.act, self.n, self.fn, self.at, self.args = kind, act, n, fn, at, args
+    __slots__ = ("kind", "activation_id", "n", "fn", "at", "stage", "args", "job", "over")
+
+    def __init__(self, kind, activation_id, n, fn, at, args):
+        self.kind, self.activation_id, self.n, self.fn, self.at, self.args = (
+            kind,
+            activation_id,
+            n,
+            fn,
+            at,
+            args,
+        )
         self.stage, self.job, self.over = send_outcome.SendStage.QUEUED, None, False
 
 
@@ -63,13 +70,13 @@
         "platform",
         "node",
         "core",
-        "hall",
+        "zone",
         "terms",
         "state",
         "waiting",
         "out",
         "runs",
-        "life",
+        "incarnation",
         "dead",
         "attempt",
         "address",
@@ -77,15 +84,22 @@
         "counts",
     )
 
-    def __init__(self, platform, node, core, hall, terms, chance):
-        self.platform, self.node, self.core, self.hall, self.terms = platform, node, core, hall, terms
+    def __init__(self, platform, node, core, zone, terms, chance):
+        self.platform, self.node, self.core, self.zone, self.terms = platform, node, core, zone, terms
         self.state = LinkState(node.name, terms, chance, core.reconnects)
         self.worker, self.address = node.name, (node.name, 0)
-        self.waiting, self.out, self.runs, self.life, self.dead, self.attempt = deque(), {}, {}, 0, False, 0
+        self.waiting, self.out, self.runs, self.incarnation, self.dead, self.attempt = (
+            deque(),
+            {},
+            {},
+            0,
+            False,
+            0,
+        )
         self.counts = {}
 
-    def way(self):
-        return self.platform.way(self.hall, self.node.hall)
+    def path_delay(self):
+        return self.platform.path_delay(self.zone, self.node.zone)
 
     # What the core asks.
     def run(self, act, n, fn, mark, left, lanes, body):
@@ -102,13 +116,13 @@
     def cancel(self, act, n):
         call = self.runs.get((act, n))
         if call is not None:
-            self._tell_worker(call)
+            self._send_cancel(call)
             self._end(call, send_outcome.of_cancel(call.stage))
 
     def time_out(self, act, n):
         call = self.runs.get((act, n))
         if call is not None:
-            self._tell_worker(call)
+            self._send_cancel(call)
             self._end(call, send_outcome.of_timeout(call.stage))
 
     def withdraw(self, act, n):
@@ -131,20 +145,20 @@
         now = self.core.now()
         decision = self.state.on_call(now)
         if decision is REJECT:
-            self._tell(call, send_outcome.of_loss(send_outcome.SendStage.QUEUED))
+            self._report(call, send_outcome.of_loss(send_outcome.SendStage.QUEUED))
             return
         if self.state.phase is UP:
-            self._hand(call)
+            self._write(call)
             return
         self.waiting.append(call)
         if decision is CONNECT:
             self.state.on_connecting(now)
             self.attempt += 1
-            self.platform.after(self.terms.connect_within, self._too_long, self.attempt)
-            if not self.platform.is_cut(self.core.name, self.node.hall):
-                self.platform.after(3 * self.way() + HOP, self._connected, self.attempt)
+            self.platform.after(self.terms.connect_within, self._connect_timed_out, self.attempt)
+            if not self.platform.is_cut(self.core.name, self.node.zone):
+                self.platform.after(3 * self.path_delay() + HANDSHAKE_DELAY, self._connected, self.attempt)
 
-    def _too_long(self, attempt):
+    def _connect_timed_out(self, attempt):
         if attempt == self.attempt and self.state.phase in (
             LinkPhase.CONNECTING,
             LinkPhase.GREETING,
@@ -161,7 +175,7 @@
             return  # accepted, and nothing more: it never greets
         self.state.on_connected()
         self.state.on_greeting(self.core.now(), self.node.name, self.node.booted)
-        self.life = self.node.life
+        self.incarnation = self.node.incarnation
         self.node.links.append(self)
         while self.waiting:
             call = self.waiting[0]
@@ -170,40 +184,47 @@
             elif call.kind == "run" and call.args[1] <= self.core.now():
                 self._end(call, send_outcome.of_timeout(call.stage))
             else:
-                self._hand(self.waiting.popleft())
+                self._write(self.waiting.popleft())
 
-    def _hand(self, call):
+    def _write(self, call):
         call.stage = send_outcome.SendStage.WRITTEN
         if call.kind == "run":  # the time that is left is told as it leaves
             mark, until, body = call.args
             call.args = (mark, until - self.core.now(), body)
         self.out[id(call)] = call
-        if not self.platform.is_cut(self.core.name, self.node.hall):
-            self.platform.after(self.way(), self._arrives, call, self.life)
+        if not self.platform.is_cut(self.core.name, self.node.zone):
+            self.platform.after(self.path_delay(), self._arrive, call, self.incarnation)
 
     # At the worker.
-    def _arrives(self, call, life):
+    def _arrive(self, call, incarnation):
         node = self.node
-        if self.dead or node.machine is None or node.life != life or life != self.life:
+        if (
+            self.dead
+            or node.machine is None
+            or node.incarnation != incarnation
+            or incarnation != self.incarnation
+        ):
             return
         if call.kind == "probe":
-            self._back(call, "completed", 0, b"")
+            self._answer(call, "completed", 0, b"")
         elif call.kind == "hold":
             self.platform.saw("hold", who=node.name, by=self.core.name, fn=call.fn, count=call.n)
             node.machine.hold(
-                self.platform.model(call.fn), call.n, lambda word, copies: self._back(call, word, copies, b"")
+                self.platform.model(call.fn),
+                call.n,
+                lambda word, copies: self._answer(call, word, copies, b""),
             )
         else:
-            self._runs(call)
+            self._run_at_worker(call)
 
-    def _runs(self, call):
+    def _run_at_worker(self, call):
         node, (mark, left, body) = self.node, call.args
         kind = self.platform.kind(call.fn)
         self.platform.saw(
             "run",
             who=node.name,
             by=self.core.name,
-            act=call.act,
+            act=call.activation_id,
             n=call.n,
             fn=call.fn,
             mark=mark,
@@ -216,33 +237,35 @@
                 "ran",
                 who=node.name,
                 by=self.core.name,
-                act=call.act,
+                act=call.activation_id,
                 n=call.n,
                 word=word,
                 mark=mark,
                 muted=node.muted,
                 waited=job.begun - job.came if job else 0,
             )
-            self._back(call, word, note, b"ok")
+            self._answer(call, word, note, b"ok")
 
         job = node.machine.run(self.platform.model(call.fn), body, self.platform.clock.now() + left, done)
         if job is not None and job.where != "over":
             call.job = job
 
-    def _back(self, call, word, note, body):
+    def _answer(self, call, word, note, body):
         if self.node.muted or self.node.machine is None:
             return
         # it answers another activation: that ends the connection
         if self.node.wrong and call.kind == "run":
-            self.platform.after(self.way(), self._lost)
+            self.platform.after(self.path_delay(), self._lost)
             return
         if call.kind == "run" and word == "ok" and note in (2, 3):
-            self.platform.colds += 1
+            self.platform.cold_starts += 1
         gauge = self.node.gauge()
-        self.platform.after(self.way(), self._answered, call, word, note, body, gauge, self.life)
+        self.platform.after(
+            self.path_delay(), self._answered, call, word, note, body, gauge, self.incarnation
+        )
 
-    def _answered(self, call, word, note, body, gauge, life):
-        if self.dead or life != self.life or call.over:
+    def _answered(self, call, word, note, body, gauge, incarnation):
+        if self.dead or incarnation != self.incarnation or call.over:
             return
         self.state.on_bytes(self.core.now())
         self._end(
@@ -253,22 +276,22 @@
             gauge,
         )
 
-    def _tell_worker(self, call):
+    def _send_cancel(self, call):
         if call.stage == send_outcome.SendStage.WRITTEN and not self.platform.is_cut(
-            self.core.name, self.node.hall
+            self.core.name, self.node.zone
         ):
-            self.platform.after(self.way(), self._cancels, call)
+            self.platform.after(self.path_delay(), self._cancel_at_worker, call)
 
-    def _cancels(self, call):
+    def _cancel_at_worker(self, call):
         if call.job is not None and self.node.machine is not None:
             self.node.machine.cancel(call.job, self.platform.day.stops_work)
 
     # The end of a connection.
-    def broken(self, life):
-        if life == self.life:
+    def broken(self, incarnation):
+        if incarnation == self.incarnation:
             self._lost()
 
-    def leave(self, machine):
+    def drop_jobs(self, machine):
         """The connection is gone: the worker drops what waits for it."""
         for call in list(self.out.values()):
             if call.job is not None:
@@ -278,11 +301,11 @@
         if self.dead or self.state.phase is DOWN:
             return
         self.state.on_lost(self.core.now())
-        self.life = -1
+        self.incarnation = -1
         if self in self.node.links:
             self.node.links.remove(self)
             if self.node.machine is not None:
-                self.leave(self.node.machine)
+                self.drop_jobs(self.node.machine)
         for call in list(self.out.values()) + list(self.waiting):
             self._end(call, send_outcome.of_loss(call.stage))
 
@@ -292,22 +315,24 @@
         if self in self.node.links:
             self.node.links.remove(self)
             if self.node.machine is not None:
-                self.leave(self.node.machine)
+                self.drop_jobs(self.node.machine)
 
     def _end(self, call, code, note=0, body=b"", gauge=None):
         if call.stage == send_outcome.SendStage.QUEUED:
             self.waiting.remove(call)
         elif self.out.pop(id(call), None) is None:
             return
-        self._tell(call, code, note, body, gauge)
+        self._report(call, code, note, body, gauge)
 
-    def _tell(self, call, code, note=0, body=b"", gauge=None):
+    def _report(self, call, code, note=0, body=b"", gauge=None):
         call.over, core = True, self.core
         if self.dead:
             return
         if call.kind == "run":
-            self.runs.pop((call.act, call.n), None)
-            core.submit(core.send_ended, call.act, call.n, self.worker, code, note, body, call.at, gauge)
+            self.runs.pop((call.activation_id, call.n), None)
+            core.submit(
+                core.send_ended, call.activation_id, call.n, self.worker, code, note, body, call.at, gauge
+            )
         elif call.kind == "hold":
             if call.stage == send_outcome.SendStage.QUEUED:
                 core.order_not_sent(call.at)
--- a/petrelwood/emulate/machine.py
+++ b/petrelwood/emulate/machine.py
@@ -87,7 +87,7 @@
             / (1 + self.build.thrash * over)
         )
 
-    def _move(self):
+    def _advance(self):
         now = self.clock.now()
         begun = max(self.seen, self.paused_until)
         if now > begun and self.at_work and not self.hung:
@@ -96,40 +96,40 @@
                 job.left -= done
         self.seen = now
 
-    def _next(self):
+    def _schedule_progress(self):
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
         if self.at_work and not self.hung and not self.fallen:
             now = self.clock.now()
             if now < self.paused_until:
-                self.timer = self.clock.at(self.paused_until, self._moved)
+                self.timer = self.clock.at(self.paused_until, self._progress)
                 return
             rate = self._rate() or 1e-9
             left = max(0.0, min(job.left for job in self.at_work.values()))
             wait = int(left / rate) + 1000
             if self.booted and now - self.booted < self.build.cold:
                 wait = min(wait, self.build.cold // 64)  # its pace changes meanwhile
-            self.timer = self.clock.at(now + wait, self._moved)
+            self.timer = self.clock.at(now + wait, self._progress)
 
-    def _moved(self):
+    def _progress(self):
         self.timer = None
-        self._move()
+        self._advance()
         for job in [j for j in self.at_work.values() if j.left <= 1]:
-            self._over(job, "ok")
-        self._next()
+            self._finish(job, "ok")
+        self._schedule_progress()
 
     # Activations.
     def run(self, model, work, due, done):
         """Takes one; the job, by which it can be cancelled, or None where it was turned away at once."""
         now = self.clock.now()
-        self._arrived(work, now)
+        self._check_overload(work, now)
         job = Job(model, work, due, done, now)
         if self.fallen:
             return None  # it answers nothing any more
-        copy = self._free(model)
+        copy = self._free_copy(model)
         if copy is not None:
-            self._begin(job, copy)
+            self._start(job, copy)
             return job
         if self.waiting >= self.build.queue:
             self.counts["refused"] += 1
@@ -139,7 +139,7 @@
         if not stands and not self.build.loads_on_send:
             done("missing", 0)
             return None
-        if not stands or self.build.eager and not self._comes(model):
+        if not stands or self.build.eager and not self._copy_coming(model):
             began = self._load(model)
             if not began and not stands:
                 self.counts["refused"] += 1
@@ -153,11 +153,11 @@
         self.waiting += 1
         return job
 
-    def _comes(self, model):
+    def _copy_coming(self, model):
         coming = self.loading.get(model.name, 0) * model.lanes
         return coming > len(self.queue.get(model.name, ()))
 
-    def _arrived(self, work, now):
+    def _check_overload(self, work, now):
         if not self.booted or not self.build.fall_multiple or now - self.booted >= self.build.cold:
             return
         self.window.append((now, work))
@@ -168,19 +168,19 @@
         if now - self.booted > self.build.fall and asked > self.build.fall_multiple * able * 1.25:
             self.fallen = True
 
-    def _free(self, model):
+    def _free_copy(self, model):
         """A copy with a free lane; the busiest first, so that others may lapse."""
         free = [c for c in self.copies.get(model.name, ()) if c.busy < model.lanes and not c.stale]
         return max(free, key=lambda c: c.busy, default=None)
 
-    def _begin(self, job, copy):
-        self._move()
+    def _start(self, job, copy):
+        self._advance()
         job.copy, copy.busy, job.where, job.begun = copy, copy.busy + 1, "work", self.clock.now()
         self.at_work[id(job)] = job
         self.counts["ran"] += 1
-        self._next()
+        self._schedule_progress()
 
-    def _over(self, job, word):
+    def _finish(self, job, word):
         del self.at_work[id(job)]
         copy, job.where = job.copy, "over"
         copy.busy -= 1
@@ -189,14 +189,14 @@
             if copy.stale:
                 self._unload(copy)
             else:
-                self.clock.at(copy.idle_since + self.build.keep, self._lapse, copy, copy.idle_since)
-        self._serve(job.model)
+                self.clock.at(copy.idle_since + self.build.keep, self._expire, copy, copy.idle_since)
+        self._serve_queue(job.model)
         job.done(word, job.note)
 
-    def _serve(self, model):
+    def _serve_queue(self, model):
         waits = self.queue.get(model.name)
         while waits:
-            copy = self._free(model)
+            copy = self._free_copy(model)
             if copy is None:
                 return
             job = waits.popleft()
@@ -205,7 +205,7 @@
                 job.where = "over"
                 job.done("late", 0)
                 continue
-            self._begin(job, copy)
+            self._start(job, copy)
         if waits is not None and not waits:
             self.queue.pop(model.name, None)
 
@@ -219,9 +219,9 @@
                 job.where = "over"
                 job.done("cancelled", 0)
         elif job.where == "work" and stops_work:
-            self._move()
-            self._over(job, "cancelled")
-            self._next()
+            self._advance()
+            self._finish(job, "cancelled")
+            self._schedule_progress()
 
     # Copies.
     def hold(self, model, count, done):
@@ -231,24 +231,24 @@
         for copy in stand:
             if not copy.busy and count:
                 copy.idle_since = now
-                self.clock.at(now + self.build.keep, self._lapse, copy, now)
+                self.clock.at(now + self.build.keep, self._expire, copy, now)
         missing = count - len(stand) - self.loading.get(model.name, 0)
         if missing <= 0:
             if len(stand) >= count:
                 done("ok", len(stand))
             else:
-                self._tell_later(model, count, done)
+                self._notify_later(model, count, done)
             return
         for _ in range(missing):
             if not self._load(model):
                 done("full", len(stand))
                 return
-        self._tell_later(model, count, done)
+        self._notify_later(model, count, done)
 
-    def _tell_later(self, model, count, done):
+    def _notify_later(self, model, count, done):
         self.holds.append((model.name, count, done))
 
-    def _holds_told(self, model, failed):
+    def _notify_holds(self, model, failed):
         left = []
         for name, count, done in self.holds:
             stand = len([c for c in self.copies.get(name, ()) if not c.stale])
@@ -262,7 +262,7 @@
                 left.append((name, count, done))
         self.holds = left
 
-    def stand(self, models):
+    def preload(self, models):
         """Copies that stand loaded from the beginning, as far as there is room."""
         now = self.clock.now()
         for model in models:
@@ -271,19 +271,19 @@
                 self.copies.setdefault(model.name, []).append(copy)
                 self.used += model.size
                 self.images[model.name] = 0
-                self.clock.at(now + self.build.keep, self._lapse, copy, now)
+                self.clock.at(now + self.build.keep, self._expire, copy, now)
 
     def _load(self, model):
         """Begins or queues a load; whether there was room for it."""
-        if sum(self.loading.values()) >= 3 * self.build.loads or not self._room(model.size):
+        if sum(self.loading.values()) >= 3 * self.build.loads or not self._make_room(model.size):
             return False
         self.used += model.size
         self.loading[model.name] = self.loading.get(model.name, 0) + 1
         self.load_queue.append(model)
-        self._loads()
+        self._start_loads()
         return True
 
-    def _loads(self):
+    def _start_loads(self):
         while self.load_queue and sum(self.loading.values()) - len(self.load_queue) < self.build.loads:
             model = self.load_queue.popleft()
             release = self.releases.get(model.name, 0)
@@ -314,8 +314,8 @@
                 self.used -= model.size
             else:
                 self.copies.setdefault(model.name, []).append(copy)
-                self.clock.at(copy.idle_since + self.build.keep, self._lapse, copy, copy.idle_since)
-                self._serve(model)
+                self.clock.at(copy.idle_since + self.build.keep, self._expire, copy, copy.idle_since)
+                self._serve_queue(model)
         else:
             self.counts["failed_loads"] += 1
             self.used -= model.size
@@ -324,10 +324,10 @@
                 self.waiting -= 1
                 job.where = "over"
                 job.done("missing", 4)
-        self._holds_told(model, not ok)
-        self._loads()
+        self._notify_holds(model, not ok)
+        self._start_loads()
 
-    def _room(self, size):
+    def _make_room(self, size):
         """Unloads idle copies, the one idle longest first, until there is room."""
         if size > self.build.memory:
             return False
@@ -347,7 +347,7 @@
             if not copies:
                 del self.copies[copy.model.name]
 
-    def _lapse(self, copy, since):
+    def _expire(self, copy, since):
         if not copy.busy and copy.idle_since == since:
             self._unload(copy)
 
@@ -364,19 +364,19 @@
 
     # Bad behaviour.
     def slow(self, times):
-        self._move()
+        self._advance()
         self.slowness = times
-        self._next()
+        self._schedule_progress()
 
     def pause(self, length):
-        self._move()
+        self._advance()
         self.paused_until = max(self.paused_until, self.clock.now() + length)
-        self._next()
+        self._schedule_progress()
 
     def hang(self, on):
-        self._move()
+        self._advance()
         self.hung = on
-        self._next()
+        self._schedule_progress()
 
     def gauge(self):
         """The load report: the fields that the module reads."""
--- a/petrelwood/emulate/platform.py
+++ b/petrelwood/emulate/platform.py
@@ -23,24 +23,26 @@
 from petrelwood.settings import gateway as settings
 from petrelwood.store.early_load_log import EarlyLoadEnd, EarlyLoadLog
 
-SECOND, MS = 1_000_000_000, 1_000_000
+SECOND, MILLISECOND = 1_000_000_000, 1_000_000
 KEY = "whsec_" + "A" * 43 + "="
-FRONT_NOTICE = 1_500 * MS  # a front layer goes on sending to a dead dispatcher for that long
+FRONT_DETECTION_DELAY = (
+    1_500 * MILLISECOND
+)  # a front layer goes on sending to a dead dispatcher for that long
 
 
-class Silent:
+class CountingLog:
     """A log that counts."""
 
     def __init__(self):
         self.counts = collections.Counter()
 
-    def _count(self, event, **more):
+    def _count(self, event, **fields):
         self.counts[event] += 1
 
     debug = info = warning = error = _count
 
 
-class LifeClock:
+class IncarnationClock:
     """The clock of one dispatcher's life: what a dead one had asked for does not happen."""
 
     def __init__(self, clock, step=0):
@@ -68,7 +70,13 @@
 
     def __init__(self, day, seed, policy=Scheduler, keep=True, across=600_000, within=200_000, future=None):
         self.day, self.seed, self.clock, self.policy, self.keep = day, seed, VirtualClock(), policy, keep
-        self.records, self.events, self.across, self.within, self.client_way = [], 0, across, within, 400_000
+        self.records, self.events, self.across, self.within, self.client_delay = (
+            [],
+            0,
+            across,
+            within,
+            400_000,
+        )
         self.gateway = settings.read(
             "day",
             script.gateway_text(
@@ -81,28 +89,28 @@
         self.gateway = self.gateway._replace(damps=day.damps and self.gateway.damps)
         self.types, self.timeouts = self.gateway.terms.types, self.gateway.timeouts
         self.repeatable = {n: t.effect == "repeatable" for n, t in self.types.items()}
-        self.colds = 0  # activations that waited for a load
-        self.models, self.cuts, self.log = {}, set(), Silent()
+        self.cold_starts = 0  # activations that waited for a load
+        self.models, self.cuts, self.log = {}, set(), CountingLog()
         self.store = Store(self.clock, **day.store)
-        self.ways, self.loads = self.stream("ways"), self.stream("loads")
-        self.nodes = {name: Node(self, name, hall, cell) for name, hall, cell in day.workers}
-        standing = day.standing(seed)
-        for name, hall, cell in day.workers:
+        self.path_delays, self.loads = self.stream("ways"), self.stream("loads")
+        self.nodes = {name: Node(self, name, zone, cell) for name, zone, cell in day.workers}
+        initial_copies = day.initial_copies(seed)
+        for name, zone, cell in day.workers:
             self.nodes[name].start(0)
-            self.nodes[name].machine.stand(map(self.model, standing[name]))
-            self.saw("worker", who="operator", worker=name, zone=hall, cell=cell)
-        self.roster_late, self.number, self.closed, self.news = day.roster_late, 0, False, []
+            self.nodes[name].machine.preload(map(self.model, initial_copies[name]))
+            self.saw("worker", who="operator", worker=name, zone=zone, cell=cell)
+        self.roster_late, self.number, self.closed, self.held_updates = day.roster_late, 0, False, []
         self.entries = {name: self._entry(name, membership.EndpointState.USABLE) for name in self.nodes}
         self.disks = {}  # what each dispatcher has kept, over its lives
-        self.cores, self.lives, self.halls, self.known = {}, {}, {}, {}
+        self.cores, self.incarnations, self.zones, self.known = {}, {}, {}, {}
         # what each dispatcher's wall clock is stepped by; when the roster was last heard anew
-        self.steps, self.roster_back = dict.fromkeys(day.dispatchers, 0), 0
-        self.open_tries, self.by_hall, self.dead = collections.defaultdict(dict), {}, {}
+        self.clock_steps, self.roster_back = dict.fromkeys(day.dispatchers, 0), 0
+        self.open_tries, self.by_zone, self.killed_at = collections.defaultdict(dict), {}, {}
         for number, name in enumerate(day.dispatchers):
-            self.halls[name] = day.halls[number % len(day.halls)]
-            self.lives[name] = 0
-        for hall in day.halls:
-            self.by_hall[hall] = [n for n in day.dispatchers if self.halls[n] == hall] or list(
+            self.zones[name] = day.zones[number % len(day.zones)]
+            self.incarnations[name] = 0
+        for zone in day.zones:
+            self.by_zone[zone] = [n for n in day.dispatchers if self.zones[n] == zone] or list(
                 day.dispatchers
             )
         self.withdrawn = set()  # dispatchers that the front layer sends nothing
@@ -115,7 +123,7 @@
         self.clients = Clients(self, seed)
         for trouble in day.troubles:
             self.clock.at(trouble.at, self._trouble, trouble)
-        self.clock.at(SECOND, self._look)
+        self.clock.at(SECOND, self._sample)
 
     def stream(self, purpose):
         return Stream(self.seed, purpose)
@@ -129,11 +137,11 @@
         return self.clock.at(self.clock.time + wait, call, *args)
 
     # The network.
-    def way(self, a, b):
-        return int((self.within if a == b else self.across) * (0.9 + 0.2 * self.ways.uniform()))
+    def path_delay(self, a, b):
+        return int((self.within if a == b else self.across) * (0.9 + 0.2 * self.path_delays.uniform()))
 
-    def is_cut(self, dispatcher, hall):
-        return (dispatcher, hall) in self.cuts
+    def is_cut(self, dispatcher, zone):
+        return (dispatcher, zone) in self.cuts
 
     # Workers.
     def make_machine(self, booted):
@@ -156,26 +164,26 @@
 
     def _entry(self, name, state):
         node = self.nodes[name]
-        return membership.Endpoint(name, (name, 1), node.hall, node.cell, node.booted, state)
+        return membership.Endpoint(name, (name, 1), node.zone, node.cell, node.booted, state)
 
-    def _restart(self, name, down):
+    def _restart_worker(self, name, down):
         self.nodes[name].stop()
-        self._news(name, membership.EndpointState.GONE)
-        self.after(down, self._back, name)
+        self._announce(name, membership.EndpointState.GONE)
+        self.after(down, self._worker_restarted, name)
 
-    def _back(self, name):
+    def _worker_restarted(self, name):
         node = self.nodes[name]
         node.start(self.clock.wall())
         self.saw("up", who=name, booted=node.booted)
-        self._news(name, membership.EndpointState.USABLE)
+        self._announce(name, membership.EndpointState.USABLE)
 
     # The roster.
-    def _news(self, name, state):
-        self.after(self.roster_late, self._told, self._entry(name, state))
+    def _announce(self, name, state):
+        self.after(self.roster_late, self._change_roster, self._entry(name, state))
 
-    def _told(self, entry):
+    def _change_roster(self, entry):
         if self.closed:
-            self.news.append(entry)  # told in their order when it is back
+            self.held_updates.append(entry)  # told in their order when it is back
             return
         self.number += 1
         self.entries[entry.worker] = entry
@@ -183,39 +191,49 @@
             del self.entries[entry.worker]
         for name in self.day.dispatchers if not self.day.ask_every else ():
             self.after(
-                int(20 * MS * self.ways.uniform()), self._tell, name, self.lives[name], entry, self.number
+                int(20 * MILLISECOND * self.path_delays.uniform()),
+                self._send_change,
+                name,
+                self.incarnations[name],
+                entry,
+                self.number,
             )
 
-    def _tell(self, name, life, entry, number):
+    def _send_change(self, name, incarnation, entry, number):
         core = self.cores.get(name)
-        if core is None or self.lives[name] != life or name in self.stale:
+        if core is None or self.incarnations[name] != incarnation or name in self.stale:
             return
         follows, now = core.membership.order_of(f"e-{number}"), self.clock.now()
         if follows is membership.EventOrder.OLD:
             return
         # news overtook each other: the whole list is asked for
         if follows is membership.EventOrder.GAP:
-            self._list(name, list(self.entries.values()))
+            self._send_list(name, list(self.entries.values()))
             return
         self.saw(
             "told", who="roster", to=name, kind="change", entries=[(entry.worker, entry.state, entry.booted)]
         )
-        self._comments(core, now)
+        self._apply_comments(core, now)
         listed, leaving = core.membership.apply_change(f"e-{number}", [entry], now, core.clock.wall())
         core.endpoints_changed(listed, leaving, False)
 
-    def _comments(self, core, now):
+    def _apply_comments(self, core, now):
         """The roster's stream carries a comment each second, the last of which came before this."""
         last = now // SECOND * SECOND
-        if last > self.roster_back + 50 * MS:  # what was held back is told first
+        if last > self.roster_back + 50 * MILLISECOND:  # what was held back is told first
             core.membership.on_complete(max(last, core.membership.complete_at or 0))
 
-    def _asks(self, name, life):
+    def _poll_roster(self, name, incarnation):
         """A dispatcher asks for the list. Askings are served one after the other; one that would wait too
         long fails."""
-        if self.lives[name] != life or name not in self.cores:
+        if self.incarnations[name] != incarnation or name not in self.cores:
             return
-        self.after(int(self.day.ask_every * (0.8 + 0.4 * self.ways.uniform())), self._asks, name, life)
+        self.after(
+            int(self.day.ask_every * (0.8 + 0.4 * self.path_delays.uniform())),
+            self._poll_roster,
+            name,
+            incarnation,
+        )
         now, lines = self.clock.now(), 20 + len(self.entries)
         begins = max(now, self.roster_free)
         takes = int(lines / self.day.roster_lines * 1e9) if self.day.roster_lines else 0
@@ -224,24 +242,24 @@
             self.counts["turned away"] += 1
             return
         self.roster_free = begins + takes
-        self.clock.at(begins + takes + self.roster_late, self._refresh, name, life)
+        self.clock.at(begins + takes + self.roster_late, self._refresh, name, incarnation)
 
     def _on_withdrawn(self, t, nodes):
-        names = set(self._drawn(t.what["part"], f"withdrawn {t.at}"))
+        names = set(self._draw_dispatchers(t.what["part"], f"withdrawn {t.at}"))
         self._span(t, lambda: self.withdrawn.update(names), lambda: self.withdrawn.difference_update(names))
 
     def _on_roster_stale(self, t, nodes):
-        names = self._drawn(t.what["part"], f"stale {t.at}")
+        names = self._draw_dispatchers(t.what["part"], f"stale {t.at}")
         self.stale.update(names)
-        self.after(t.span, self._hear_again, names)
+        self.after(t.span, self._resume_roster, names)
 
-    def _hear_again(self, names):
+    def _resume_roster(self, names):
         for name in names:
             self.stale.discard(name)
             if not self.day.ask_every:
-                self._refresh(name, self.lives[name])
+                self._refresh(name, self.incarnations[name])
 
-    def _list(self, name, entries):
+    def _send_list(self, name, entries):
         core = self.cores[name]
         self.saw(
             "told",
@@ -262,25 +280,30 @@
         described = self.gateway._replace(
             name=name,
             seed=self.seed * 1000 + number,
-            terms=self.gateway.terms._replace(zone=self.halls[name]),
+            terms=self.gateway.terms._replace(zone=self.zones[name]),
         )
-        clock = LifeClock(self.clock, self.steps[name])
+        clock = IncarnationClock(self.clock, self.clock_steps[name])
         disk = self._disk(name, clock) if self.day.state else None
         self.cores[name] = self.make_core(described, clock, Random(described.seed), disk)
         if self.ends is not None:
             self._account_of(self.cores[name])
         if self.future is not None:
-            self.future.teach(self.cores[name])
-        truth = getattr(self.cores[name].scheduler, "see", None)
-        if truth is not None:
-            truth(self)
-        self._list(name, entries)
+            self.future.install_in(self.cores[name])
+        show_platform = getattr(self.cores[name].scheduler, "see", None)
+        if show_platform is not None:
+            show_platform(self)
+        self._send_list(name, entries)
         if self.day.ask_every:
-            self.after(int(self.day.ask_every * self.ways.uniform()), self._asks, name, self.lives[name])
+            self.after(
+                int(self.day.ask_every * self.path_delays.uniform()),
+                self._poll_roster,
+                name,
+                self.incarnations[name],
+            )
 
     def _disk(self, name, clock):
         mark = recovery.boot_mark(self.machine_start(name), clock.wall() - clock.now())
-        return Disk(self.disks.setdefault(name, []), clock.wall(), mark, self.lives[name])
+        return Disk(self.disks.setdefault(name, []), clock.wall(), mark, self.incarnations[name])
 
     def machine_start(self, name):
         """What names the start of a dispatcher's machine: it goes on over the dispatcher's lives."""
@@ -296,7 +319,7 @@
 
     def make_link(self, worker, core, terms, chance):
         """The link of one dispatcher to one worker."""
-        return Link(self, self.nodes[worker], core, self.halls[core.name], terms, chance.random)
+        return Link(self, self.nodes[worker], core, self.zones[core.name], terms, chance.random)
 
     def keep_account(self, folder):
         """Writes the ends of all dispatchers' early loads to a folder, as a running dispatcher does."""
@@ -328,28 +351,28 @@
         if core is None:
             return
         core.clock.alive = False
-        self.lives[name] += 1
-        self.dead[name] = self.clock.now()
+        self.incarnations[name] += 1
+        self.killed_at[name] = self.clock.now()
         self.saw("killed", who="operator", name=name)
         for link in core.links.values():
             link.die()
-        for made in list(self.open_tries.pop(name, ())):
-            self.after(self.client_way, self.clients.broken, made)
-        self.after(down, self._again, name)
+        for client_try in list(self.open_tries.pop(name, ())):
+            self.after(self.client_delay, self.clients.broken, client_try)
+        self.after(down, self._restart_dispatcher, name)
 
-    def _again(self, name):
+    def _restart_dispatcher(self, name):
         """It comes back with its last list, and hears the present one a little later."""
-        self.dead.pop(name, None)
+        self.killed_at.pop(name, None)
         self._start(name, self.known[name])
-        self.after(self.roster_late + 20 * MS, self._refresh, name, self.lives[name])
+        self.after(self.roster_late + 20 * MILLISECOND, self._refresh, name, self.incarnations[name])
 
-    def _refresh(self, name, life):
-        if self.lives[name] == life and name in self.cores:
-            self._list(name, list(self.entries.values()))
+    def _refresh(self, name, incarnation):
+        if self.incarnations[name] == incarnation and name in self.cores:
+            self._send_list(name, list(self.entries.values()))
 
-    def dispatcher_for(self, hall, manners):
+    def dispatcher_for(self, zone, manners):
         """A front layer spreads clients over the dispatchers of their hall; it notices a dead one late."""
-        names = self.by_hall[hall]
+        names = self.by_zone[zone]
         if self.withdrawn:  # its hall's first, else any that is announced
             names = [n for n in names if n not in self.withdrawn] or [
                 n for n in self.day.dispatchers if n not in self.withdrawn
@@ -358,40 +381,46 @@
                 return None
         for _ in range(4):
             name = manners.pick(names)
-            if name not in self.dead or self.clock.now() - self.dead[name] < FRONT_NOTICE:
+            if name not in self.killed_at or self.clock.now() - self.killed_at[name] < FRONT_DETECTION_DELAY:
                 return name
         return name
 
-    def ask(self, name, life, made):
+    def ask(self, name, incarnation, client_try):
         """A try arrives at its dispatcher."""
         core = self.cores.get(name)
-        if core is None or self.lives[name] != life:
-            self.clients.broken(made)
+        if core is None or self.incarnations[name] != incarnation:
+            self.clients.broken(client_try)
             return
-        wish = made.wish
-        self.open_tries[name][made] = True
-        core.admit(self.clients.ask_of(made), wish.fn, core.rule(wish.fn), wish.work, made)
+        request = client_try.request
+        self.open_tries[name][client_try] = True
+        core.admit(
+            self.clients.intake_request(client_try),
+            request.fn,
+            core.rule(request.fn),
+            request.work,
+            client_try,
+        )
 
-    def left(self, made):
-        core = self.cores.get(made.to)
-        self.open_tries[made.to].pop(made, None)
+    def client_left(self, client_try):
+        core = self.cores.get(client_try.to)
+        self.open_tries[client_try.to].pop(client_try, None)
         if (
             core is not None
-            and made.activation_id is not None
-            and made.activation_id in core.pending.activations
+            and client_try.activation_id is not None
+            and client_try.activation_id in core.pending.activations
         ):
-            core.detach_client(made.activation_id, made)
+            core.detach_client(client_try.activation_id, client_try)
 
-    def wish_ended(self, wish):
-        second = min(wish.begun // SECOND, len(self.time_course) - 1)
+    def request_ended(self, request):
+        second = min(request.begun // SECOND, len(self.time_course) - 1)
         counts = self.time_course[second]
-        target = self.types[wish.kind.type].target_latency
+        target = self.types[request.kind.type].target_latency
         counts[
             "in time"
-            if wish.ended == "completed" and wish.took <= target
+            if request.ended == "completed" and request.took <= target
             else "late"
-            if wish.ended == "completed"
-            else wish.ended
+            if request.ended == "completed"
+            else request.ended
         ] += 1
 
     # What goes wrong.
@@ -426,24 +455,27 @@
         self._span(t, lambda: setattr(self, "closed", True), self._roster_back)
 
     def _roster_back(self):
-        self.closed, news, self.news = False, self.news, []
+        self.closed, held_updates, self.held_updates = False, self.held_updates, []
         self.roster_back = self.clock.now()
-        for entry in news:
-            self._told(entry)
+        for entry in held_updates:
+            self._change_roster(entry)
 
     def _on_drain(self, t, nodes):
         for node in nodes:
-            self._news(node.name, membership.EndpointState.DRAINING)
-            self.after(t.span, self._news, node.name, membership.EndpointState.USABLE)
+            self._announce(node.name, membership.EndpointState.DRAINING)
+            self.after(t.span, self._announce, node.name, membership.EndpointState.USABLE)
 
-    def _each(self, t, nodes, begin, end):
+    def _at_nodes(self, t, nodes, begin, end):
         """Begins and ends it at each of the nodes, in their present life only."""
         for node in nodes:
             if node.machine is None:
                 continue
             begin(node)
             self.after(
-                t.span, lambda node=node, life=node.life: node.life == life and node.machine and end(node)
+                t.span,
+                lambda node=node, incarnation=node.incarnation: (
+                    node.incarnation == incarnation and node.machine and end(node)
+                ),
             )
 
     def _on_hang(self, t, nodes):
@@ -451,23 +483,29 @@
             node.muted = on
             node.machine.hang(on)
 
-        self._each(t, nodes, lambda n: hang(n, True), lambda n: hang(n, False))
+        self._at_nodes(t, nodes, lambda n: hang(n, True), lambda n: hang(n, False))
 
     def _on_slow(self, t, nodes):
-        self._each(t, nodes, lambda n: n.machine.slow(t.what["times"]), lambda n: n.machine.slow(1.0))
+        self._at_nodes(t, nodes, lambda n: n.machine.slow(t.what["times"]), lambda n: n.machine.slow(1.0))
 
     def _on_pause(self, t, nodes):
-        self._each(t, nodes, lambda n: n.machine.pause(t.span), lambda n: None)
+        self._at_nodes(t, nodes, lambda n: n.machine.pause(t.span), lambda n: None)
 
     def _on_pauses(self, t, nodes):
         for node in nodes:
-            self._paused(node, t, self.clock.now() + t.span)
+            self._pause_step(node, t, self.clock.now() + t.span)
 
-    def _paused(self, node, t, until):
+    def _pause_step(self, node, t, until):
         if self.clock.now() < until:
             if node.machine is not None:
                 node.machine.pause(t.what["length"])
-            self.after(int(t.what["every"] * (0.7 + 0.6 * self.ways.uniform())), self._paused, node, t, until)
+            self.after(
+                int(t.what["every"] * (0.7 + 0.6 * self.path_delays.uniform())),
+                self._pause_step,
+                node,
+                t,
+                until,
+            )
 
     def _on_reset(self, t, nodes):
         for node in nodes:
@@ -475,46 +513,46 @@
 
     def _on_restart(self, t, nodes):
         for node in nodes:
-            self._restart(node.name, t.what["down"])
+            self._restart_worker(node.name, t.what["down"])
 
     def _on_silent_accept(self, t, nodes):
         def begin(node):
             node.silent = True
             node.break_all()
 
-        self._each(t, nodes, begin, lambda n: setattr(n, "silent", False))
+        self._at_nodes(t, nodes, begin, lambda n: setattr(n, "silent", False))
 
     def _on_garbage(self, t, nodes):
         self._on_reset(t, nodes)  # what is no message ends the connection
 
     def _on_lying(self, t, nodes):
-        self._each(t, nodes, lambda n: setattr(n, "lying", True), lambda n: setattr(n, "lying", False))
+        self._at_nodes(t, nodes, lambda n: setattr(n, "lying", True), lambda n: setattr(n, "lying", False))
 
     def _on_wrong_answers(self, t, nodes):
-        self._each(t, nodes, lambda n: setattr(n, "wrong", True), lambda n: setattr(n, "wrong", False))
+        self._at_nodes(t, nodes, lambda n: setattr(n, "wrong", True), lambda n: setattr(n, "wrong", False))
 
     def _on_leak(self, t, nodes):
         for node in nodes:
-            self._leaks(node, node.life, t, self.clock.now() + t.span)
+            self._leak_step(node, node.incarnation, t, self.clock.now() + t.span)
 
-    def _leaks(self, node, life, t, until):
-        if node.life == life and node.machine is not None and self.clock.now() < until:
+    def _leak_step(self, node, incarnation, t, until):
+        if node.incarnation == incarnation and node.machine is not None and self.clock.now() < until:
             node.machine.used = min(node.machine.build.memory, node.machine.used + t.what["size"] // 4)
-            self.after(SECOND // 4, self._leaks, node, life, t, until)
+            self.after(SECOND // 4, self._leak_step, node, incarnation, t, until)
 
     def _on_ageing(self, t, nodes):
         for node in nodes:
-            self._ages(node, node.life, t, self.clock.now())
+            self._age_step(node, node.incarnation, t, self.clock.now())
 
-    def _ages(self, node, life, t, begun):
-        if node.life != life or node.machine is None:
+    def _age_step(self, node, incarnation, t, begun):
+        if node.incarnation != incarnation or node.machine is None:
             return
         age = (self.clock.now() - begun) / t.span
         if age >= 1:
-            self._restart(node.name, t.what["down"])
+            self._restart_worker(node.name, t.what["down"])
         else:
             node.machine.slow(1 + (t.what["times"] - 1) * age)
-            self.after(t.span // 16, self._ages, node, life, t, begun)
+            self.after(t.span // 16, self._age_step, node, incarnation, t, begun)
 
     def _on_store_stop(self, t, nodes):
         self.store.stop(t.span)
@@ -526,9 +564,9 @@
     def _on_clock_step(self, t, nodes):
         """It is the machine's clock: a dispatcher that starts there later has it too."""
         name = t.what["dispatcher"]
-        self.steps[name] += t.what["by"]
+        self.clock_steps[name] += t.what["by"]
         if name in self.cores:
-            self.cores[name].clock.step = self.steps[name]
+            self.cores[name].clock.step = self.clock_steps[name]
 
     def _on_kill(self, t, nodes):
         self._kill(t.what["dispatcher"], t.what["down"])
@@ -539,28 +577,28 @@
         core = self.cores.get(name)
         if core is not None:
             core.intake.closing = True
-            self._stops(name, self.lives[name], t.what["down"])
+            self._kill_once_idle(name, self.incarnations[name], t.what["down"])
 
-    def _stops(self, name, life, down):
+    def _kill_once_idle(self, name, incarnation, down):
         core = self.cores.get(name)
-        if core is None or self.lives[name] != life:
+        if core is None or self.incarnations[name] != incarnation:
             return
         if core.pending.activations:
-            self.after(10 * MS, self._stops, name, life, down)
+            self.after(10 * MILLISECOND, self._kill_once_idle, name, incarnation, down)
         else:
-            self.after(2 * self.client_way, self._kill, name, down)
+            self.after(2 * self.client_delay, self._kill, name, down)
 
-    def _drawn(self, part, purpose):
+    def _draw_dispatchers(self, part, purpose):
         stream = self.stream(purpose)
         names = sorted(self.day.dispatchers, key=lambda n: stream.uniform())
         return names[: max(1, round(part * len(names)))]
 
     def _on_crash(self, t, nodes):
-        for name in self._drawn(t.what["part"], f"crash {t.at}"):
+        for name in self._draw_dispatchers(t.what["part"], f"crash {t.at}"):
             self._kill(name, t.what["down"])
 
     def _on_roll(self, t, nodes):
-        names = self._drawn(t.what["part"], f"roll {t.at}")
+        names = self._draw_dispatchers(t.what["part"], f"roll {t.at}")
         for number, name in enumerate(names):
             self.after(t.span * number // len(names), self._kill, name, t.what["down"])
 
@@ -591,31 +629,31 @@
         )
 
     def _on_shift(self, t, nodes):
-        self.clients.shifted = (t.what["part"], self.day.halls[0])
+        self.clients.shifted = (t.what["part"], self.day.zones[0])
 
     def _on_overuse(self, t, nodes):
         name = t.what["customer"]
         self._span(
             t,
-            lambda: self.clients.more.__setitem__(name, t.what["times"]),
-            lambda: self.clients.more.pop(name, None),
+            lambda: self.clients.rate_factors.__setitem__(name, t.what["times"]),
+            lambda: self.clients.rate_factors.pop(name, None),
         )
 
     def _on_burst(self, t, nodes):
         self._span(
             t,
-            lambda: self.clients.more.__setitem__("", t.what["times"]),
-            lambda: self.clients.more.pop("", None),
+            lambda: self.clients.rate_factors.__setitem__("", t.what["times"]),
+            lambda: self.clients.rate_factors.pop("", None),
         )
 
-    def _nothing(self, t, nodes):
+    def _no_effect(self, t, nodes):
         """What only fronts on sockets can meet."""
 
-    _on_replays = _on_forgeries = _on_slow_senders = _nothing
-    _on_broker_drop = _on_broker_lost = _on_broker_silent = _on_broker_forgets = _nothing
+    _on_replays = _on_forgeries = _on_slow_senders = _no_effect
+    _on_broker_drop = _on_broker_lost = _on_broker_silent = _on_broker_forgets = _no_effect
 
     # The run.
-    def _look(self):
+    def _sample(self):
         second = min(self.clock.now() // SECOND, len(self.time_course) - 1)
         course = self.time_course[second]
         course["loads"] = sum(n.machine.counts["loads"] for n in self.nodes.values() if n.machine)
@@ -624,7 +662,7 @@
             sum(map(len, n.machine.copies.values())) for n in self.nodes.values() if n.machine
         )
         course["at work"] = sum(len(n.machine.at_work) for n in self.nodes.values() if n.machine)
-        self.after(SECOND, self._look)
+        self.after(SECOND, self._sample)
 
     def run(self):
         """Plays the day to its end; itself."""
--- a/petrelwood/emulate/policies.py
+++ b/petrelwood/emulate/policies.py
@@ -10,7 +10,7 @@
 from petrelwood import ports
 
 
-class Plain:
+class Baseline:
     """Sends at once; again elsewhere where that is provably harmless. `pick(act, now, but)` is the policy."""
 
     def __init__(self, now, terms, seed, outlet):
@@ -23,9 +23,9 @@
             self.workers = {}
         for entry in entries:
             self.workers[entry.worker] = entry
-        self.fleet = sorted(w for w, e in self.workers.items() if e.usable and self._warm(e, now))
+        self.fleet = sorted(w for w, e in self.workers.items() if e.usable and self._is_warm(e, now))
 
-    def _warm(self, entry, now):
+    def _is_warm(self, entry, now):
         return not entry.booted or now - entry.booted >= self.terms.guarantees.warm_up_time // 2
 
     def endpoint_list_lost(self, now):
@@ -36,18 +36,18 @@
         self.acts[arrival.activation_id] = [arrival.function, type_, arrival.due, 0, False, None]
         self._send(arrival.activation_id, now, ())
 
-    def _send(self, act_id, now, but):
+    def _send(self, act_id, now, excluded):
         act = self.acts[act_id]
-        names = [w for w in self.fleet if w not in but] or self.fleet
+        names = [w for w in self.fleet if w not in excluded] or self.fleet
         if not names or act[3] >= self.terms.allowed.sends or now >= act[2]:
-            self._ends(act_id)
+            self._refuse(act_id)
             return
         worker = self.pick(act[0], names, now)
         act[3], act[5] = act[3] + 1, worker
         self.load[worker] = self.load.get(worker, 0) + 1
         self.out.send(act_id, worker, 0)
 
-    def _ends(self, act_id):
+    def _refuse(self, act_id):
         act = self.acts.pop(act_id)
         if act[4] and act[1].effect != ports.Effect.REPEATABLE:
             self.out.abort(act_id)
@@ -71,7 +71,7 @@
             return
         act[4] = act[4] or end.reason not in ports.NEVER_RAN
         if act[4] and act[1].effect != ports.Effect.REPEATABLE:
-            self._ends(act_id)
+            self._refuse(act_id)
         else:
             self._send(act_id, now, (worker_id,))
 
@@ -97,7 +97,7 @@
         pass
 
 
-class RandomOfTwo(Plain):
+class RandomOfTwo(Baseline):
     """The one with fewer of ours in hand, of two drawn."""
 
     def pick(self, key, names, now):
@@ -105,19 +105,19 @@
         return a if self.load.get(a, 0) <= self.load.get(b, 0) else b
 
 
-class LeastOutstanding(Plain):
+class LeastOutstanding(Baseline):
     def pick(self, key, names, now):
         least = min(self.load.get(n, 0) for n in names)
         return self.chance.choice([n for n in names if self.load.get(n, 0) == least])
 
 
-class RoundRobin(Plain):
+class RoundRobin(Baseline):
     def pick(self, key, names, now):
         self.turn += 1
         return names[self.turn % len(names)]
 
 
-class BoundedHash(Plain):
+class BoundedHash(Baseline):
     """The first in the function's hash order that holds no more than 1.25 times the mean of ours."""
 
     def pick(self, key, names, now):
@@ -126,7 +126,7 @@
         return next((n for n in ranked if self.load.get(n, 0) + 1 <= max(1.0, bound)), ranked[0])
 
 
-class Oracle(Plain):
+class Oracle(Baseline):
     """Sees the machines: a worker with a free lane of a standing copy, else the one where it would be done
     first."""
 
@@ -151,7 +151,7 @@
 
 def is_baseline(policy):
     """Return whether a policy is one of the baselines, none of which loads a function ahead of its calls."""
-    return isinstance(policy, type) and issubclass(policy, Plain)
+    return isinstance(policy, type) and issubclass(policy, Baseline)
 
 
 def named():
--- a/petrelwood/emulate/result.py
+++ b/petrelwood/emulate/result.py
@@ -10,13 +10,13 @@
 LATE, OVER = 0.3, 0.1  # utility of an answer after its target latency, and of what lies beyond a share
 
 
-def worth(platform, wish):
+def worth(platform, request):
     """(utility got, utility asked for) of one wish."""
-    asked = wish.value * (OVER if wish.over_share else 1.0)
-    if wish.ended != "completed":
+    asked = request.value * (OVER if request.over_share else 1.0)
+    if request.ended != "completed":
         return 0.0, asked
-    target = platform.types[wish.kind.type].target_latency
-    return asked * (1.0 if wish.took <= target else LATE), asked
+    target = platform.types[request.kind.type].target_latency
+    return asked * (1.0 if request.took <= target else LATE), asked
 
 
 def recovery(platform):
@@ -26,10 +26,10 @@
     if not troubles:
         return 0.0
     shares = collections.defaultdict(lambda: [0.0, 0.0])
-    for wish in platform.clients.wishes:
-        mine, asked = worth(platform, wish)
-        shares[wish.begun // SECOND][0] += mine
-        shares[wish.begun // SECOND][1] += asked
+    for request in platform.clients.requests:
+        mine, asked = worth(platform, request)
+        shares[request.begun // SECOND][0] += mine
+        shares[request.begun // SECOND][1] += asked
     first, end = min(t.at for t in troubles) // SECOND, max(t.at + t.span for t in troubles) / SECOND
     last = platform.day.length // SECOND
 
@@ -46,22 +46,22 @@
 
 def row(platform):
     """The figures of a day that has been played."""
-    wishes, ends = platform.clients.wishes, collections.Counter()
+    requests, ends = platform.clients.requests, collections.Counter()
     got = asked = 0.0
     windows, customers, took = (
         collections.defaultdict(lambda: [0.0, 0.0]),
         collections.defaultdict(lambda: [0.0, 0.0]),
         [],
     )
-    for wish in wishes:
-        ends[wish.ended] += 1
-        mine, all_ = worth(platform, wish)
+    for request in requests:
+        ends[request.ended] += 1
+        mine, all_ = worth(platform, request)
         got, asked = got + mine, asked + all_
-        for table, key in ((windows, wish.begun // (5 * SECOND)), (customers, wish.client.name)):
+        for table, key in ((windows, request.begun // (5 * SECOND)), (customers, request.client.name)):
             table[key][0] += mine
             table[key][1] += all_
-        if wish.ended == "completed":
-            took.append(wish.took)
+        if request.ended == "completed":
+            took.append(request.took)
     took.sort()
     cores = list(platform.cores.values())
     counts = collections.Counter()
@@ -73,8 +73,8 @@
         "service": got / asked if asked else 0.0,
         "worst 5 s": min(share, default=0.0),
         "worst customer": min((a / b for a, b in customers.values() if b > 0), default=0.0),
-        "wishes": len(wishes),
-        "tries": sum(w.tries for w in wishes),
+        "wishes": len(requests),
+        "tries": sum(w.tries for w in requests),
         "completed": ends["completed"],
         "rejected": ends["rejected"],
         "aborted": ends["aborted"],
@@ -103,7 +103,7 @@
     figures["fetched in the busiest 5 s"] = max(
         (b - a for a, b in zip([0] * 5 + seen, seen, strict=False)), default=0
     )
-    figures["cold starts"] = platform.colds
+    figures["cold starts"] = platform.cold_starts
     listening = [c for c in platform.day.clients if c.honours >= 0.5]
     got, asked = (sum(customers[c.name][i] for c in listening) for i in (0, 1))
     figures["service of listeners"] = got / asked if asked else figures["service"]
--- a/petrelwood/emulate/script.py
+++ b/petrelwood/emulate/script.py
@@ -213,7 +213,7 @@
     settle: int  # after the last arrival
     rate: float
     dispatchers: tuple  # names
-    halls: tuple
+    zones: tuple
     workers: tuple  # (name, hall, cell)
     build: Build
     store: dict
@@ -262,7 +262,7 @@
         )
         return [n for _, n in mark[: max(1, round(trouble.what["part"] * len(names)))]]
 
-    def standing(self, seed):
+    def initial_copies(self, seed):
         """{worker: [function]}: what stands loaded when the day begins, as if the traffic had gone on for
         long: copies for what each function has at work on average, where it is called at all within a
         keep-alive."""
@@ -374,10 +374,10 @@
     node, fleet, terms = file.child("day"), file.child("fleet"), file.child("terms")
     length, count = node.value("length", decoders.DURATION), node.value("dispatchers", decoders.COUNT)
     dispatchers = tuple(f"d{i + 1}" for i in range(count))
-    halls = node.child("halls")
-    names = tuple(halls.arg(decoders.TEXT, "a hall", at=i) for i in range(len(halls.args)))
+    zones = node.child("halls")
+    names = tuple(zones.arg(decoders.TEXT, "a hall", at=i) for i in range(len(zones.args)))
     if not names:
-        halls.report("'halls' needs a name")
+        zones.report("'halls' needs a name")
         names = ("",)
     many, cell = fleet.value("workers", decoders.COUNT), fleet.value("cell", decoders.COUNT, 4) or 1
     workers = tuple(
@@ -456,7 +456,7 @@
         f'gateway "{name}" {{',
         f'    listen "{listen}"',
         f'    roster "{roster}"',
-        f'    zone "{day.halls[(number - 1) % len(day.halls)]}"',
+        f'    zone "{day.zones[(number - 1) % len(day.zones)]}"',
         f"    seed {seed * 1000 + number}",
         f"    dispatchers {len(day.dispatchers)}",
         "}",
--- a/petrelwood/emulate/traffic.py
+++ b/petrelwood/emulate/traffic.py
@@ -45,20 +45,20 @@
         off = (now / self.kind.season - phase + 0.5) % 1 - 0.5
         return max(0.005, 1 - (off / 0.1) ** 2)
 
-    def turn(self):
+    def rotate(self):
         """A part of the functions changes places with others."""
         for _ in range(int(self.kind.turning * len(self.names) / 2)):
             a, b = self.stream.below(len(self.names)), self.stream.below(len(self.names))
             self.names[a], self.names[b] = self.names[b], self.names[a]
 
 
-class Try:
+class ClientTry:
     """One try of an activation: what the core sees as an exchange."""
 
     __slots__ = (
         "activation_id",
         "clients",
-        "wish",
+        "request",
         "number",
         "to",
         "stamp",
@@ -68,10 +68,10 @@
         "leaves",
     )
 
-    def __init__(self, clients, wish, number, to, stamp, begun):
-        self.clients, self.wish, self.number, self.to, self.stamp, self.begun = (
+    def __init__(self, clients, request, number, to, stamp, begun):
+        self.clients, self.request, self.number, self.to, self.stamp, self.begun = (
             clients,
-            wish,
+            request,
             number,
             to,
             stamp,
@@ -82,11 +82,11 @@
     def answer(self, what, body=b"", retry_after=0, detail="", activation_id=None):
         platform = self.clients.platform
         platform.after(
-            platform.client_way, self.clients.answered, self, FINAL[what], retry_after, activation_id
+            platform.client_delay, self.clients.answered, self, FINAL[what], retry_after, activation_id
         )
 
 
-class Wish:
+class ClientRequest:
     """What a client wants, over all its tries. `value`: its utility, `work` in ns."""
 
     __slots__ = (
@@ -97,7 +97,7 @@
         "work",
         "begun",
         "patience",
-        "hall",
+        "zone",
         "tries",
         "ended",
         "value",
@@ -116,29 +116,36 @@
         self.arrivals, self.picks, self.works = stream("arrivals"), stream("picks"), stream("works")
         self.manners, self.turning = stream("manners"), stream("turning")
         self.popular = {k.prefix: Popularity(k, self.turning) for k in day.kinds}
-        self.wishes, self.last, self.stamps, self.more, self.hot, self.scans = [], 0, {}, {}, [], 0
+        self.requests, self.last, self.share_buckets, self.rate_factors, self.hot, self.scans = (
+            [],
+            0,
+            {},
+            {},
+            [],
+            0,
+        )
         self.scanning, self.heavy, self.hurry, self.shifted = 0.0, (0.0, 1.0), (0.0, 1.0), (0.0, None)
-        self.parts = {}
+        self.kinds_of_client = {}
         for client in day.clients:
             may = [k for k in day.kinds if not k.customers or client.name in k.customers]
             sums, total = [], 0.0
             for kind in may:
                 total += kind.part * (1 - kind.timed)
                 sums.append(total)
-            self.parts[client.name] = (may, sums, total)
+            self.kinds_of_client[client.name] = (may, sums, total)
         for kind in day.kinds:
             if kind.turning and kind.spell:
-                platform.after(kind.spell, self._turn, kind)
+                platform.after(kind.spell, self._rotate, kind)
             if kind.timed:
-                self._timers(kind)
+                self._start_timers(kind)
         for client in day.clients:
-            self._next(client)
+            self._schedule_arrival(client)
 
-    def _turn(self, kind):
-        self.popular[kind.prefix].turn()
-        self.platform.after(kind.spell, self._turn, kind)
+    def _rotate(self, kind):
+        self.popular[kind.prefix].rotate()
+        self.platform.after(kind.spell, self._rotate, kind)
 
-    def _timers(self, kind):
+    def _start_timers(self, kind):
         """Calls at about the keep-alive's pace, each timer for one function by one client."""
         period = self.platform.day.build.keep
         count = max(1, round(self.platform.day.rate * kind.part * kind.timed * period / 1e9))
@@ -146,22 +153,29 @@
             every = int(period * (0.8 + 0.7 * self.arrivals.uniform()))
             client = self.platform.day.clients[number % len(self.platform.day.clients)]
             fn = f"{kind.prefix}{self.arrivals.below(kind.count)}"
-            self.platform.after(int(every * self.arrivals.uniform()), self._timer, client, kind, fn, every)
+            self.platform.after(
+                int(every * self.arrivals.uniform()), self._timer_fired, client, kind, fn, every
+            )
 
-    def _timer(self, client, kind, fn, every):
+    def _timer_fired(self, client, kind, fn, every):
         if self.platform.clock.now() < self.platform.day.length:
-            self._wish(client, kind, fn)
-            self.platform.after(every, self._timer, client, kind, fn, every)
-
-    def _next(self, client):
-        rate = self.platform.day.rate * client.part * self.more.get(client.name, 1.0) * self.more.get("", 1.0)
-        self.platform.after(int(self.arrivals.exponential(1e9 / rate)), self._comes, client)
+            self._make_request(client, kind, fn)
+            self.platform.after(every, self._timer_fired, client, kind, fn, every)
+
+    def _schedule_arrival(self, client):
+        rate = (
+            self.platform.day.rate
+            * client.part
+            * self.rate_factors.get(client.name, 1.0)
+            * self.rate_factors.get("", 1.0)
+        )
+        self.platform.after(int(self.arrivals.exponential(1e9 / rate)), self._arrive, client)
 
-    def _comes(self, client):
+    def _arrive(self, client):
         if self.platform.clock.now() >= self.platform.day.length:
             return
-        self._next(client)
-        may, sums, total = self.parts[client.name]
+        self._schedule_arrival(client)
+        may, sums, total = self.kinds_of_client[client.name]
         kind = may[min(bisect.bisect(sums, self.picks.uniform() * total), len(may) - 1)]
         fn, pick = self.popular[kind.prefix].draw(self.picks, self.platform.clock.now()), self.picks.uniform()
         for part, names in self.hot:
@@ -173,10 +187,10 @@
         if self.scanning and pick < self.scanning:
             self.scans += 1
             fn = f"{kind.prefix}once-{self.scans}"
-        self._wish(client, kind, fn)
+        self._make_request(client, kind, fn)
 
-    def _wish(self, client, kind, fn):
-        platform, wish = self.platform, Wish()
+    def _make_request(self, client, kind, fn):
+        platform, request = self.platform, ClientRequest()
         self.last += 1
         work = self.works.lognormal(kind.work, 0.4)
         if self.heavy[0] and self.works.uniform() < self.heavy[0]:
@@ -185,46 +199,54 @@
         patience = min(client.patience * SECOND, timeout) if client.patience else timeout
         if self.hurry[0] and self.manners.uniform() < self.hurry[0]:
             patience = max(SECOND // 10, int(platform.types[kind.type].target_latency * self.hurry[1]))
-        hall = platform.day.halls[self.picks.below(len(platform.day.halls))]
+        zone = platform.day.zones[self.picks.below(len(platform.day.zones))]
         if self.shifted[0] and self.picks.uniform() < self.shifted[0]:
-            hall = self.shifted[1]
-        wish.id, wish.client, wish.kind, wish.fn, wish.work = f"m{self.last}", client, kind, fn, int(work)
-        wish.begun, wish.patience, wish.hall, wish.tries, wish.ended = (
+            zone = self.shifted[1]
+        request.id, request.client, request.kind, request.fn, request.work = (
+            f"m{self.last}",
+            client,
+            kind,
+            fn,
+            int(work),
+        )
+        request.begun, request.patience, request.zone, request.tries, request.ended = (
             platform.clock.now(),
             patience,
-            hall,
+            zone,
             0,
             None,
         )
-        wish.value, wish.took, wish.sends = wish.work, 0, 0
-        wish.over_share = self._over_share(client)
-        self.wishes.append(wish)
-        self._try(wish, None)
+        request.value, request.took, request.sends = request.work, 0, 0
+        request.over_share = self._over_share(client)
+        self.requests.append(request)
+        self._start_try(request, None)
 
     def _over_share(self, client):
         """Whether it lies beyond its customer's share: a bucket that holds two seconds' worth."""
         if not client.share:
             return False
-        tokens, seen = self.stamps.get(client.name, (2 * client.share, 0))
+        tokens, seen = self.share_buckets.get(client.name, (2 * client.share, 0))
         now = self.platform.clock.now()
         tokens = min(tokens + (now - seen) / 1e9 * client.share, 2 * client.share)
-        self.stamps[client.name] = (tokens - (tokens >= 1), now)
+        self.share_buckets[client.name] = (tokens - (tokens >= 1), now)
         return tokens < 1
 
-    def _try(self, wish, to):
+    def _start_try(self, request, to):
         platform, now = self.platform, self.platform.clock.now()
         to = to if to not in platform.withdrawn else None
-        to = to or platform.dispatcher_for(wish.hall, self.manners)
+        to = to or platform.dispatcher_for(request.zone, self.manners)
         # no route: its connection comes to nothing, and it tries again
         if to is None:
-            wish.tries += 1
-            self._again(wish, None, "broken", 0)
+            request.tries += 1
+            self._retry(request, None, "broken", 0)
             return
-        number, wish.tries = wish.tries, wish.tries + 1
+        number, request.tries = request.tries, request.tries + 1
         stamp = platform.clock.wall() // SECOND + number
-        made = Try(self, wish, number, to, stamp, now)
-        made.leaves = bool(wish.client.impatient) and self.manners.uniform() < wish.client.impatient
-        key = f"{wish.client.name}/{wish.id}"
+        client_try = ClientTry(self, request, number, to, stamp, now)
+        client_try.leaves = (
+            bool(request.client.impatient) and self.manners.uniform() < request.client.impatient
+        )
+        key = f"{request.client.name}/{request.id}"
         platform.saw(
             "ask",
             who="portal",
@@ -232,109 +254,113 @@
             stamp=stamp,
             to=to,
             **{"try": number},
-            type=wish.kind.type,
-            fn=wish.fn,
-            patience=wish.patience,
+            type=request.kind.type,
+            fn=request.fn,
+            patience=request.patience,
             wrong=False,
-            leaves=made.leaves,
+            leaves=client_try.leaves,
         )
         core = platform.cores.get(to)
         if core is None:  # nobody there: not a byte went out
-            platform.after(2 * platform.client_way, self._broken, made, False)
+            platform.after(2 * platform.client_delay, self._broken, client_try, False)
             return
-        platform.after(platform.client_way, platform.ask, to, platform.lives[to], made)
-        patience = int(wish.patience * (0.1 + 0.5 * self.manners.uniform())) if made.leaves else wish.patience
-        made.timer = platform.after(patience, self._gives_up, made)
+        platform.after(platform.client_delay, platform.ask, to, platform.incarnations[to], client_try)
+        patience = (
+            int(request.patience * (0.1 + 0.5 * self.manners.uniform()))
+            if client_try.leaves
+            else request.patience
+        )
+        client_try.timer = platform.after(patience, self._give_up, client_try)
 
-    def ask_of(self, made):
+    def intake_request(self, client_try):
         """The intake's view of a try."""
-        wish = made.wish
+        request = client_try.request
         return intake.ActivationRequest(
-            wish.client.name,
-            wish.id,
-            made.stamp * SECOND,
-            wish.kind.type,
+            request.client.name,
+            request.id,
+            client_try.stamp * SECOND,
+            request.kind.type,
             self.platform.clock.now(),
-            wish.patience,
+            request.patience,
         )
 
-    def answered(self, made, status, retry_after, act):
-        if made.over:
+    def answered(self, client_try, status, retry_after, act):
+        if client_try.over:
             return
-        made.over = True
-        made.timer.cancel()
-        wish = made.wish
+        client_try.over = True
+        client_try.timer.cancel()
+        request = client_try.request
         self.platform.saw(
             "answer",
             who="portal",
-            key=f"{wish.client.name}/{wish.id}",
-            stamp=made.stamp,
-            to=made.to,
-            **{"try": made.number},
+            key=f"{request.client.name}/{request.id}",
+            stamp=client_try.stamp,
+            to=client_try.to,
+            **{"try": client_try.number},
             status=status,
             act=act or "",
-            took=self.platform.clock.now() - made.begun,
+            took=self.platform.clock.now() - client_try.begun,
         )
         if status == 200:
-            self._ends(wish, "completed")
+            self._end(request, "completed")
         elif status == 503:
-            self._again(wish, made.to, "rejected", retry_after)
+            self._retry(request, client_try.to, "rejected", retry_after)
         else:
-            self._ends(wish, "aborted" if status == 504 else "conflict")
+            self._end(request, "aborted" if status == 504 else "conflict")
 
-    def _gives_up(self, made):
-        if made.over:
+    def _give_up(self, client_try):
+        if client_try.over:
             return
-        made.over = True
-        wish = made.wish
+        client_try.over = True
+        request = client_try.request
         self.platform.saw(
             "left",
             who="portal",
-            key=f"{wish.client.name}/{wish.id}",
-            stamp=made.stamp,
-            to=made.to,
-            **{"try": made.number},
-            early=made.leaves,
+            key=f"{request.client.name}/{request.id}",
+            stamp=client_try.stamp,
+            to=client_try.to,
+            **{"try": client_try.number},
+            early=client_try.leaves,
         )
-        self.platform.after(self.platform.client_way, self.platform.left, made)
-        self._ends(wish, "left")
+        self.platform.after(self.platform.client_delay, self.platform.client_left, client_try)
+        self._end(request, "left")
 
-    def broken(self, made):
+    def broken(self, client_try):
         """Its dispatcher was killed."""
-        self._broken(made, True)
+        self._broken(client_try, True)
 
-    def _broken(self, made, sent):
-        if made.over:
+    def _broken(self, client_try, sent):
+        if client_try.over:
             return
-        made.over = True
-        if made.timer is not None:
-            made.timer.cancel()
-        wish = made.wish
+        client_try.over = True
+        if client_try.timer is not None:
+            client_try.timer.cancel()
+        request = client_try.request
         self.platform.saw(
             "broken",
             who="portal",
-            key=f"{wish.client.name}/{wish.id}",
-            stamp=made.stamp,
-            to=made.to,
-            **{"try": made.number},
+            key=f"{request.client.name}/{request.id}",
+            stamp=client_try.stamp,
+            to=client_try.to,
+            **{"try": client_try.number},
             sent=sent,
         )
-        if sent and not self.platform.repeatable[wish.kind.type] and not wish.client.insists:
-            self._ends(wish, "broken")
+        if sent and not self.platform.repeatable[request.kind.type] and not request.client.insists:
+            self._end(request, "broken")
         else:
-            self._again(wish, None, "broken", 0)
+            self._retry(request, None, "broken", 0)
 
-    def _again(self, wish, to, ended, retry_after):
+    def _retry(self, request, to, ended, retry_after):
         now = self.platform.clock.now()
         wait = int((0.02 + 0.2 * self.manners.uniform()) * 1e9)
-        if retry_after and self.manners.uniform() < wish.client.honours:
+        if retry_after and self.manners.uniform() < request.client.honours:
             wait = -(-retry_after // SECOND) * SECOND
         end = self.platform.day.length + self.platform.day.settle
-        if wish.tries > wish.client.retries or now + wait + wish.patience >= end:
-            self._ends(wish, ended)
+        if request.tries > request.client.retries or now + wait + request.patience >= end:
+            self._end(request, ended)
         else:
-            self.platform.after(wait, self._try, wish, to)
+            self.platform.after(wait, self._start_try, request, to)
 
-    def _ends(self, wish, ended):
-        wish.ended, wish.took = ended, self.platform.clock.now() - wish.begun
-        self.platform.wish_ended(wish)
+    def _end(self, request, ended):
+        request.ended, request.took = ended, self.platform.clock.now() - request.begun
+        self.platform.request_ended(request)
--- a/petrelwood/lab/day.py
+++ b/petrelwood/lab/day.py
@@ -83,7 +83,7 @@
         self.records.mkdir(parents=True, exist_ok=True)
         self.log = open(self.records / "operator.jsonl", "ab", buffering=0)
         self.processes, self.workers, self.dispatchers, self.booted = [], {}, {}, {}
-        self.zones = {name: (hall, cell) for name, hall, cell in day.workers}
+        self.zones = {name: (zone, cell) for name, zone, cell in day.workers}
         self.tasks, self.keys, self.roster, self.store, self.broker, self.router = (
             [],
             {},
@@ -127,11 +127,11 @@
 
     def _entry(self, name, state):
         host, port = self.workers[name].address
-        hall, cell = self.zones[name]
+        zone, cell = self.zones[name]
         return {
             "worker": name,
             "address": f"{host}:{port}",
-            "zone": hall,
+            "zone": zone,
             "cell": cell,
             "booted": self.booted[name],
             "state": state,
@@ -202,10 +202,10 @@
                 ],
             )
         await asyncio.gather(*(p.start() for p in self.processes))
-        for number, (name, hall, cell) in enumerate(day.workers, 1):
+        for number, (name, zone, cell) in enumerate(day.workers, 1):
             self.booted[name] = 0
             self.workers[name] = self.process(name, self._worker_args(name, number, 0))
-            self.put("worker", worker=name, zone=hall, cell=cell)
+            self.put("worker", worker=name, zone=zone, cell=cell)
         await asyncio.gather(*(w.start() for w in self.workers.values()))
 
     async def _dispatchers(self):
--- a/petrelwood/lab/experiment.py
+++ b/petrelwood/lab/experiment.py
@@ -162,12 +162,12 @@
                 troubles=tuple(t for t in day.troubles if t.what.get("dispatcher", "d1") in names),
             )
         elif name == "workers":
-            cell = max(1, len(day.workers) // len(day.halls) // 4)
+            cell = max(1, len(day.workers) // len(day.zones) // 4)
             made = tuple(
                 (
                     f"w{i + 1}",
-                    day.halls[i % len(day.halls)],
-                    1 + i % len(day.halls) * 1000 + i // len(day.halls) // cell,
+                    day.zones[i % len(day.zones)],
+                    1 + i % len(day.zones) * 1000 + i // len(day.zones) // cell,
                 )
                 for i in range(level)
             )
@@ -182,7 +182,7 @@
     """The row of one run: its figures, rules broken, what does not add up, its course and its times."""
     from petrelwood.audit import rules
     from petrelwood.emulate import result
-    from petrelwood.emulate.foresight import Foresight
+    from petrelwood.emulate.foresight import PerfectForecast
     from petrelwood.emulate.platform import Platform
     from petrelwood.lab import stages
 
@@ -190,7 +190,7 @@
     begun = time.process_time()
     policy, future = policies.named()[run.policy], None
     if dict(run.levels).get("early") == "oracle":
-        future = Foresight(day, run.seed, policy, Platform)
+        future = PerfectForecast(day, run.seed, policy, Platform)
     platform = Platform(day, run.seed, policy, future=future).run()
     row = result.row(platform)
     row["cpu s"] = time.process_time() - begun
@@ -199,9 +199,9 @@
     row["broken rule"] = "; ".join(f"{f.rule}: {f.broken[0]}" for f in found if f.broken)
     row["does not add up"] = len(result.conserved(platform))
     times = HdrHistogram(1, 3_600_000, 3)
-    for wish in platform.clients.wishes:
-        if wish.ended == "completed":
-            times.record_value(max(1, wish.took // 1_000_000))
+    for request in platform.clients.requests:
+        if request.ended == "completed":
+            times.record_value(max(1, request.took // 1_000_000))
     row["times"] = base64.b64encode(times.encode()).decode()
     row["stages"] = json.dumps(
         {
--- a/petrelwood/lab/search.py
+++ b/petrelwood/lab/search.py
@@ -59,7 +59,7 @@
             elif name == "customer":
                 words.append(f'customer="{chance.choice(day.clients).name}"')
             elif name == "hall":
-                words.append(f'hall="{chance.choice(day.halls)}"')
+                words.append(f'hall="{chance.choice(day.zones)}"')
             else:
                 low, high = RANGES[name]
                 value = chance.uniform(low, high)
--- a/petrelwood/standins/worker.py
+++ b/petrelwood/standins/worker.py
@@ -185,7 +185,7 @@
         host.listen_to_operator(lambda said: host.play(mine, said["start"], worker.troubles()))
     )
     if not booted:
-        worker.machine.stand(day.kind(fn).model(fn) for fn in day.standing(seed)[name])
+        worker.machine.preload(day.kind(fn).model(fn) for fn in day.initial_copies(seed)[name])
     records.put("up", booted=booted, pid=os.getpid())
     host.ready(sockets[0].getsockname()[:2])
     await host.until_told()
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -591,7 +591,7 @@
         """(what breaks a rule, how the requests ended)."""
         day = platform(stepped_day(step, share, moment), 1).run()
         broken = [line for found in rules.judge(day.case()) for line in found.broken]
-        return broken, [wish.ended for wish in day.clients.wishes]
+        return broken, [wish.ended for wish in day.clients.requests]
 
     def without(self, share, moment):
         """How the requests end on the same day without a step; it is played once."""
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -40,7 +40,7 @@
         clock, build = VirtualClock(), BUILD._replace(**more)
         machine = Machine(clock, build, lambda size, done: done(True), random.Random(1).random)
         model = Model("f", lanes, 1000, 0)
-        machine.stand([model])
+        machine.preload([model])
         return clock, machine, model
 
     def test_waits_of_m_m_c(self):
@@ -155,7 +155,7 @@
         self.assertEqual(shown, [0.8, 2.4, 4.0, 4.0])
         again = Machine(clock, build, lambda size, done: done(True), random.Random(1).random, booted=12 * S)
         model = Model("f", 100, 1000, 0)
-        again.stand([model])
+        again.preload([model])
         for i in range(60):
             clock.run(12 * S + i * S // 20)
             again.run(model, S // 5, 10**18, lambda word, note: None)
@@ -168,9 +168,9 @@
         for step in range(1, 31 * 50):
             platform.clock.run(step * S // 50)
             self.assertEqual(result.conserved(platform), [], f"at {step / 50} s")
-        fates = [w.ended for w in platform.clients.wishes]
+        fates = [w.ended for w in platform.clients.requests]
         platform.clock.run(40 * S)
-        self.assertNotIn(None, [w.ended for w in platform.clients.wishes])
+        self.assertNotIn(None, [w.ended for w in platform.clients.requests])
         self.assertGreater(len(fates), 2000)
 
     def test_every_trouble_plays_and_keeps_the_rules(self):
@@ -278,7 +278,7 @@
             platform = Platform(small(), 4, policy).run()
             asked.append(
                 hashlib.sha256(
-                    json.dumps([(w.id, w.fn, w.work, w.begun) for w in platform.clients.wishes]).encode()
+                    json.dumps([(w.id, w.fn, w.work, w.begun) for w in platform.clients.requests]).encode()
                 ).hexdigest()
             )
         self.assertEqual(len(set(asked)), 1)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -318,7 +318,7 @@
             fleet = HollowFleet(SiteSize(4, workers, 30, 40.0, 6, 2), 1)
             fleet.run()
         sent = (flows.CALLS_TO_WORKERS, flows.ORDERS_TO_WORKERS, flows.PROBES)
-        return fleet.traffic.messages(sent) / len(fleet.clients.wishes)
+        return fleet.traffic.messages(sent) / len(fleet.clients.requests)
 
     def check_flat(self, policy):
         few, many = self.messages(24, policy), self.messages(96, policy)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -353,7 +353,7 @@
         platform = Platform(day, seed).run()
         broken = [b for f in rules.judge(platform.case()) for b in f.broken]
         lives = sum(record["t"] == "killed" for record in platform.records)
-        return broken, lives, sum(w.ended == "completed" for w in platform.clients.wishes)
+        return broken, lives, sum(w.ended == "completed" for w in platform.clients.requests)
 
     def test_nothing_runs_twice_over_hundreds_of_kills(self):
         kills, without = 0, 0
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -797,7 +797,7 @@
         with tempfile.TemporaryDirectory() as folder:
             platform = OnFiles(day, seed).run()
             broken = [line for found in rules.judge(platform.case()) for line in found.broken]
-            completed = sum(wish.ended == "completed" for wish in platform.clients.wishes)
+            completed = sum(wish.ended == "completed" for wish in platform.clients.requests)
             recovered = sum(bool(core.durable_state.state_recovery.schedule.recovered_at) for _, core in logs)
             for log, _ in logs:
                 if log.log is not None:
