--- a/benchmarks/scale/events.py
+++ b/benchmarks/scale/events.py
@@ -33,8 +33,8 @@
     begin: object  # call(fleet)
 
 
-def _workers_of(fleet, zone):
-    return [name for name, node in fleet.nodes.items() if node.zone == zone]
+def _workers_of(fleet, wanted):
+    return [name for name, node in fleet.nodes.items() if node.zone == wanted]
 
 
 def _racks(fleet, racks):
--- a/petrelwood/emulate/__init__.py
+++ b/petrelwood/emulate/__init__.py
@@ -1,1 +1,1 @@
-"""Models of the platform, free of sockets: the same pieces run in virtual time and behind the stand-ins."""
+"""Models of the platform without sockets, which run in virtual time and also behind the stand-ins."""
--- a/petrelwood/emulate/broker.py
+++ b/petrelwood/emulate/broker.py
@@ -1,20 +1,21 @@
-"""A model of an MQTT 5 broker, free of sockets: sessions, shared subscriptions, quality of service,
-redelivery.
+"""A model of an MQTT 5 broker without sockets: sessions, shared subscriptions, QoS levels, redelivery.
 
-It keeps to the standard as far as the platform needs it: sessions with expiry, QoS 0, 1 and 2 both ways,
-redelivery with DUP, Receive Maximum, message expiry, shared subscriptions whose QoS 1 messages go to another
-member when one is lost (those of QoS 2 stay with their session), wills, takeover. Retained messages are not
-kept."""
+It implements the part of the standard that the platform needs: sessions with expiry, QoS 0, 1 and 2 in both
+directions, redelivery with DUP, Receive Maximum, message expiry, wills, takeover, and shared subscriptions
+whose QoS 1 messages go to another member when one is lost (those of QoS 2 stay with their session). Retained
+messages are not kept."""
 
 from collections import OrderedDict, deque
 
 from petrelwood.links import packets as mqtt
 
 SECOND = 1_000_000_000
-MAX_QUEUED = 10_000  # messages that wait for one session
+MAX_QUEUED = 10_000  # messages queued for one session
 
 
 class Message:
+    """A message in the broker. `ends`: when it expires, or None."""
+
     __slots__ = ("topic", "payload", "qos", "props", "ends", "number")
 
     def __init__(self, topic, payload, qos, props, ends, number):
@@ -29,7 +30,7 @@
 
 
 class Session:
-    """One client's state. `send(packet)` where it is connected, else None."""
+    """One client's session; `send(packet)` writes to its connection, and is None while it is disconnected."""
 
     def __init__(self, client, user):
         self.client, self.user, self.send, self.expiry, self.ends_at = client, user, None, 0, None
@@ -44,9 +45,11 @@
 
 
 class Broker:
-    """`clock` as in `emulate.clock`; `may(user, topic, publishes)` tells who may use which topic; `saw(what,
-    **facts)`
-    is told what passes."""
+    """The broker.
+
+    `clock`: as `petrelwood.clocks.VirtualClock`; `may(user, topic, publishes)`: whether a user may use a
+    topic; `saw(what, **facts)`: called with each event.
+    """
 
     def __init__(self, clock, may, saw=lambda what, **facts: None, chance=None):
         self.clock, self.may, self.saw, self.sessions, self.next_member, self.number = (
@@ -58,9 +61,9 @@
             0,
         )
 
-    # Connections.
+    # Connections
     def connect(self, packet, send, close):
-        """The session of a client that connects. `close(code)` ends the connection."""
+        """Return the session of a client that connects; `close(code)` ends its connection."""
         session = self.sessions.get(packet.client)
         if session is not None and session.send is not None:
             session.close(mqtt.TAKEN_OVER)
@@ -88,7 +91,7 @@
         session.send = None
 
     def gone(self, session, life, clean):
-        """The connection ended; `clean`: by a DISCONNECT."""
+        """Handle the end of a connection; `clean`: whether the client sent a DISCONNECT."""
         if session.life != life or session.send is None:
             return
         self._disconnect(session)
@@ -108,8 +111,7 @@
             self.end(session)
 
     def end(self, session):
-        """The session is over: what waited for it goes to the others of its groups, but for QoS 2 in
-        flight."""
+        """End a session; its queued messages go to other members of its groups, but not QoS 2 in flight."""
         self.sessions.pop(session.client, None)
         self.saw("ended", client=session.client)
         for message in session.queue:
@@ -117,12 +119,12 @@
         session.queue.clear()
 
     def _reassign_in_flight(self, session):
-        """A member of a group is lost: its QoS 1 messages go to another where there is one."""
+        """Hand the QoS 1 messages in flight of a lost group member to another member, if there is one."""
         for id_, (message, _) in list(session.out.items()):
             if message.qos == 1 and self._route_shared(message, session, dup=True):
                 del session.out[id_]
 
-    # From a client.
+    # From clients
     def subscribe(self, session, packet):
         codes = []
         for name, options in packet.subscriptions:
@@ -145,12 +147,12 @@
             self._route_shared(message, session)
 
     def publish(self, session, packet):
-        """A PUBLISH of a client (or its will). It is acknowledged, and goes to who subscribed."""
+        """Route a client's PUBLISH (or its will) to the subscribers, and acknowledge it."""
         code = mqtt.SUCCESS
         if not self.may(session.user, packet.topic, True):
             code = mqtt.NOT_AUTHORIZED
         elif packet.qos == 2 and packet.id in session.received:
-            code = session.received[packet.id]  # it came again: it was routed once
+            code = session.received[packet.id]  # a redelivery: it has been routed already
         else:
             code = mqtt.SUCCESS if self.route(packet, session) else mqtt.NO_SUBSCRIBERS
         if packet.qos == 2:
@@ -159,7 +161,7 @@
             session.send(mqtt.Packet(mqtt.PUBACK if packet.qos == 1 else mqtt.PUBREC, packet.id, code))
 
     def packet(self, session, packet):
-        """What else a connected client sends."""
+        """Handle any packet of a connected client after its CONNECT."""
         if packet.type == mqtt.PUBLISH:
             self.publish(session, packet)
         elif packet.type == mqtt.SUBSCRIBE:
@@ -192,9 +194,9 @@
         self.saw("acknowledged", client=session.client, message=message.number, code=packet.code)
         self._send_queued(session)
 
-    # To the clients.
+    # To clients
     def route(self, packet, session):
-        """To each plain subscriber, and to one member of each group. Whether anybody takes it."""
+        """Route a message to each plain subscriber and one member of each group; return whether any took it."""
         props = {k: v for k, v in packet.props.items() if k not in ("topic_alias", "message_expiry")}
         expiry = packet.props.get("message_expiry")
         self.number += 1
@@ -237,7 +239,7 @@
         return [s for s in self.sessions.values() if name in s.filters]
 
     def _to_group(self, name, message, excluded, dup=False):
-        """To the member of a group that is connected and has the most room, in turn among equals."""
+        """Route to the connected group member with the shortest queue, round-robin among equals."""
         members = [s for s in self._members(name) if s is not excluded]
         live = [s for s in members if s.send is not None] or members
         if not live:
@@ -260,7 +262,7 @@
         return name is not None and self._to_group(name, message, excluded, dup)
 
     def _wake_group(self, name):
-        """A new member: it takes what waits for members that are away."""
+        """Route the messages queued for disconnected members again, because a member has joined."""
         for other in self._members(name):
             if other.send is None:
                 waiting = [m for m in other.queue if m.props.get("_shared") == name]
@@ -278,7 +280,7 @@
             self._send_queued(session)
 
     def _send_queued(self, session):
-        """Sends what waits, as far as the client's Receive Maximum goes. What has expired is dropped."""
+        """Send queued messages within the client's Receive Maximum; expired ones are dropped."""
         while session.queue and session.send is not None:
             message = session.queue[0]
             if message.ends is not None and self.clock.now() >= message.ends:
@@ -314,7 +316,7 @@
 
 
 def _split_filter(name):
-    """(share name or '', bare filter)"""
+    """Return (share name or '', filter without the share) of a topic filter."""
     if not name.startswith("$share/"):
         return "", name
     group, _, bare = name[7:].partition("/")
--- a/petrelwood/emulate/configuration_servers.py
+++ b/petrelwood/emulate/configuration_servers.py
@@ -1,9 +1,9 @@
 """Configuration servers in virtual time, on a network that loses, duplicates, delays and reorders.
 
-Servers crash, lose their disks, and can't write to them for a while. The replicas, what makes them durable,
-and the proposers are those that serve. One seeded generator draws all faults. What judges is kept apart from
-the replicas: what each one ever held as decided in a slot, what each author was told, and whether what a
-server promised or accepted was on its disk.
+Servers crash, lose their disks, and can't write to them for a while. The replicas, their durability and the
+proposers are the production code. One seeded generator draws all faults. The state for the checks is kept
+apart from the replicas: what each replica ever held as decided in a slot, which slot each author was told, and
+whether what a server promised or accepted was on its disk.
 """
 
 import errno
@@ -32,11 +32,11 @@
 from petrelwood.decide.cluster.replicated_log import Replica, majority
 
 SECOND = 1000 * MS
-CHECK_INTERVAL = 20 * MS  # between two looks at a proposal
-IN_TIME_SHARE = 0.9  # of the messages; the others may come very late
-LATE = 20  # times the usual delay
-MOST_DOWN = 2  # servers that crash at a time
-# What a fault is, by a draw in [0, 1) that lies below these.
+CHECK_INTERVAL = 20 * MS  # between two checks of a proposal
+IN_TIME_SHARE = 0.9  # share of the messages with the usual delay; the others may be delayed LATE_FACTOR times
+LATE_FACTOR = 20  # a late message's delay, as a multiple of the usual one
+MAX_DOWN = 2  # a crash is injected only while fewer servers than this are down
+# The kind of a fault is that of the first of these bounds above a draw from [0, 1); above all: heal partitions.
 RESTART = 0.3
 CRASH = 0.4
 START_ALL = 0.6
@@ -45,7 +45,7 @@
 
 
 class DiskFault(Enum):
-    """How a disk fails that can't be written to."""
+    """How a write to a failing disk ends."""
 
     OLD_VALUE_STANDS = "the write fails"
     NEW_VALUE_STANDS = "the write fails and yet the value is there, as when a folder is not made durable"
@@ -53,15 +53,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Network:
-    """What the network does to messages between two servers."""
+    """The faults of the network between two servers."""
 
-    loss: float = 0.1  # of messages
-    duplicates: float = 0.1  # of messages
+    loss: float = 0.1  # share of messages
+    duplicates: float = 0.1  # share of messages
     most_delay: int = 80 * MS
 
 
 class Server:
-    """One server: what is on its disk, and what only its process knows."""
+    """One server: the state on its disk, and the state in its memory."""
 
     durable: DurableReplica
     proposer: Proposer
@@ -78,31 +78,31 @@
         self.proposal: Proposal | None = None
 
     def save(self, value: list[Any]) -> None:
-        """Writes to the disk; see `DurableReplica`."""
+        """Write to the disk; see `DurableReplica`."""
         if self.disk_fault is not DiskFault.OLD_VALUE_STANDS:
             self.disk = value
         if self.disk_fault is not None:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
     def disk_failed(self, error: OSError, retry_in: int) -> None:
-        """Counts failures; see `DiskObserver`."""
+        """Count a disk failure; see `DiskObserver`."""
         self.disk_failures += 1
 
     def disk_recovered(self, outage: int) -> None:
-        """Counts recoveries; see `DiskObserver`."""
+        """Count a disk recovery; see `DiskObserver`."""
         self.disk_recoveries += 1
 
     @property
     def lacks_vote(self) -> bool:
-        """Whether it has lost its disk and does not vote yet."""
+        """Whether the server has lost its disk and does not vote yet."""
         return self.replica.votes_from is None or self.replica.lacks_slots()
 
 
 class Cluster:
-    """All servers, the network between them, and what judges them.
+    """All servers, the network between them, and the checks.
 
-    `replica_type` and `durable_type`: the classes that are judged; tests hand in broken ones. `disk_faults`:
-    the share of the faults drawn that makes a disk fail or mends it.
+    `replica_type` and `durable_type`: the classes under test; tests pass broken ones. `disk_faults`: the share
+    of the drawn faults that makes a disk fail or repairs it.
     """
 
     def __init__(
@@ -119,10 +119,10 @@
         self.disk_faults = disk_faults
         self.names = [f"c{number}" for number in range(1, servers + 1)]
         self.servers = {name: Server(name) for name in self.names}
-        self.partition: dict[str, int] = {}  # server -> its side; none: all reach each other
+        self.partition: dict[str, int] = {}  # server -> its side; empty: all servers reach each other
         self.now = 0
-        self.decided: dict[int, str] = {}  # slot -> the id of its record, as any replica ever had it
-        self.reported: dict[str, int] = {}  # record id -> the slot that its author was told
+        self.decided: dict[int, str] = {}  # slot -> the record id that any replica held as decided
+        self.reported: dict[str, int] = {}  # record id -> the slot reported to its author
         self.violations: list[str] = []
         self._replica_type = replica_type
         self._durable_type = durable_type
@@ -132,14 +132,14 @@
         for name in self.names:
             self.start(name)
 
-    # Time and the network.
+    # Time and network
     def schedule(self, wait: int, call: Callable[..., object], *args: Any) -> None:
-        """Makes a call once so much time has passed."""
+        """Schedule a call after `wait` ns."""
         self._scheduled += 1
         heapq.heappush(self._events, (self.now + wait, self._scheduled, call, args))
 
     def run(self, span: int) -> None:
-        """Lets so much time pass."""
+        """Run the events of the next `span` ns."""
         until = self.now + span
         while self._events and self._events[0][0] <= until:
             self.now, _, call, args = heapq.heappop(self._events)
@@ -147,7 +147,7 @@
         self.now = until
 
     def _passes(self, one: str, other: str) -> bool:
-        """Whether a message gets from one server to another."""
+        """Draw whether a message from one server reaches another."""
         together = self.partition.get(one) == self.partition.get(other)
         return together and self.random.random() >= self.network.loss
 
@@ -157,12 +157,12 @@
                 self.schedule(0, call, *args)
                 return
             if self._passes(one, other):
-                late = 1 if self.random.random() < IN_TIME_SHARE else LATE
+                late = 1 if self.random.random() < IN_TIME_SHARE else LATE_FACTOR
                 self.schedule(int(self.random.random() * self.network.most_delay * late), call, *args)
 
-    # The life of a server.
+    # Starts and crashes of servers
     def start(self, name: str) -> None:
-        """Starts a server, or starts it again, with what is on its disk."""
+        """Start or restart a server from the state on its disk."""
         server = self.servers[name]
         server.incarnation += 1
         server.up = True
@@ -172,15 +172,15 @@
         server.proposal = None
 
     def crash(self, name: str) -> None:
-        """Ends a server; what its memory held is gone."""
+        """Crash a server, which loses the state in its memory."""
         self.servers[name].up = False
 
     def lose_disk(self, name: str) -> None:
-        """Empties a server's disk."""
+        """Erase a server's disk."""
         self.servers[name].disk = Replica(votes_from=None).durable_state()
 
     def _save(self, server: Server) -> None:
-        """Writes what has changed, and notes what is decided."""
+        """Write the changes to disk, and record the decided slots for the checks."""
         server.durable.save_changes(self.now)
         self._observe(server.replica)
 
@@ -191,7 +191,7 @@
                 self.violations.append(f"slot {slot} is decided as {known} and as {record.id}")
 
     def rejoin(self, name: str) -> None:
-        """What a server without a vote does now and then."""
+        """Let a server that does not vote try to rejoin, as it does periodically."""
         server = self.servers[name]
         if not server.up:
             return
@@ -207,21 +207,21 @@
             self.propose(name, self.new_record(RecordKind.NO_OPERATION))
 
     def catch_up(self, name: str, other: str) -> None:
-        """Anti-entropy: what the one lacks is read from the other."""
+        """Let a server read the decided records that it lacks from another one (anti-entropy)."""
         server = self.servers[name]
         source = self.servers[other]
         if server.up and source.up and self._passes(name, other):
             server.durable.learn(source.replica.extract(server.replica.chosen), self.now)
             self._observe(server.replica)
 
-    # Proposals.
+    # Proposals
     def new_record(self, kind: RecordKind = RecordKind.VERSION) -> Record:
-        """A record that no server has seen yet."""
+        """Return a record that no server has seen yet."""
         self._records += 1
         return Record(f"r{self._records}", kind, 0, self.now, compress_text(f"text {self._records}"))
 
     def propose(self, name: str, record: Record) -> None:
-        """A server proposes a record, unless it is down or another one is on its way there."""
+        """Let a server propose a record, unless it is down or already has an open proposal."""
         server = self.servers[name]
         if not server.up or server.proposal is not None:
             return
@@ -284,9 +284,9 @@
         if proposal.ended and server.proposal is proposal:
             server.proposal = None
 
-    # Judging.
+    # Checks
     def _judge_reply(self, server: Server, message: Message, reply: Reply) -> None:
-        """What leaves is what a restart at this moment would remember."""
+        """Check that a reply promises only what a restart at this moment would still find on disk."""
         if isinstance(message, Learn) or not isinstance(reply, Promise | Accepted):
             return
         disk = Replica.from_durable_state(server.disk)
@@ -299,7 +299,7 @@
             self.violations.append(f"{server.name} replied {reply} and does not have it on its disk")
 
     def judge(self) -> list[str]:
-        """All that is wrong up to now."""
+        """Return all violations so far."""
         slots: dict[str, int] = {}
         for slot, record_id in self.decided.items():
             if record_id in slots:
@@ -311,9 +311,9 @@
                 self.violations.append(f"{record_id} was told slot {slot}, which holds {held}")
         return self.violations
 
-    # Faults.
+    # Faults
     def inject_fault(self, with_disks: bool) -> None:
-        """One thing goes wrong or is mended; never more than a minority of disks is lost at a time."""
+        """Inject or repair one random fault; at most a minority of disks is lost at a time."""
         name = self.random.choice(self.names)
         draw = self.random.random()
         server = self.servers[name]
@@ -331,7 +331,7 @@
         minority = len(self.names) - majority(len(self.names))
         if draw < RESTART:
             self.start(name)
-        elif draw < CRASH and down < MOST_DOWN:
+        elif draw < CRASH and down < MAX_DOWN:
             self.crash(name)
         elif draw < START_ALL:
             self._start_all()
@@ -349,11 +349,11 @@
                 self.start(name)
 
     def _without_vote(self) -> int:
-        """How many servers have lost their disk and do not vote yet."""
+        """Return how many servers have lost their disk and do not vote yet."""
         return sum(server.lacks_vote for server in self.servers.values())
 
     def heal(self, seconds: int = 20) -> None:
-        """Mends all, and gives the servers time to settle."""
+        """Repair all faults, and run the servers until they have settled."""
         self.partition = {}
         self.network = Network(0, self.network.duplicates, self.network.most_delay)
         for server in self.servers.values():
--- a/petrelwood/emulate/disk.py
+++ b/petrelwood/emulate/disk.py
@@ -1,11 +1,10 @@
-"""What a dispatcher of the emulator has recorded: the records of its state log, in memory, over its kills and
-starts."""
+"""The state log of a dispatcher of the emulator: its records in memory, kept across kills and restarts."""
 
 from petrelwood.decide.delivery.state_records import IncarnationStarted
 
 
 class Disk:
-    """One incarnation's view of the records."""
+    """The records as one incarnation of a dispatcher sees them."""
 
     stopped, durability = None, "process"
 
@@ -21,4 +20,4 @@
         return True
 
     def check(self, wall):
-        """Nothing grows over a day that matters."""
+        """Do nothing: the log does not grow large enough within a day to need rewriting."""
--- a/petrelwood/emulate/foresight.py
+++ b/petrelwood/emulate/foresight.py
@@ -1,18 +1,17 @@
-"""The future of a day, for comparison only: early loads that know each call of the next slot, which nobody
-can.
+"""A perfect forecast of a day, for comparison only: early loads that know each call of the next slot.
 
-Arrivals are drawn apart from all answers, so a day played without early loads has the same calls as one with
-them."""
+No real dispatcher can know this. Arrivals are drawn independently of all answers, so a day played without
+early loads has the same calls as one with them."""
 
 import collections
 
 from petrelwood.decide.forecasting.early_loads import ModelEstimate
 
-CERTAIN = 1.0  # the spread of a forecast that can't be wrong beyond chance
+CERTAIN = 1.0  # the spread of a forecast whose only error is chance
 
 
 class PerfectForecast:
-    """What will be called, by function and slot of the wall clock."""
+    """The calls of a day by function and slot of the wall clock, from a first play without early loads."""
 
     def __init__(self, day, seed, policy, make):
         first = make(day._replace(early=False), seed, policy, keep=False).run()
@@ -27,11 +26,11 @@
             self.types[request.fn] = request.kind.type
 
     def forecast_next_slot(self, wall, function):
-        """(mean, spread) of the calls of all dispatchers together in the slot after this one."""
+        """Return (mean, spread) of the calls of all dispatchers together in the next slot."""
         return float(self.calls[function][wall // self.slot + 1]), CERTAIN
 
     def install_in(self, core):
-        """A dispatcher's early loads ask here, and know every function that will be called."""
+        """Make a dispatcher's early loads use this forecast, with a model estimate for every function."""
         if core.forecasts is None:
             return
         early = core.forecasts.early
--- a/petrelwood/emulate/link.py
+++ b/petrelwood/emulate/link.py
@@ -1,19 +1,23 @@
-"""Links and workers of the emulator: the model of a worker at the end of a network with distances and cuts.
+"""Links and workers of the emulator: a worker model behind a network with delays and partitions.
 
-A link keeps to the same rules as the one on sockets: `decide.cluster.link_state` tells when to connect,
-`decide.delivery.send_outcome` what an end proves. A call is handed over once the connection has greeted; it
-arrives one way's time later."""
+A link follows the same rules as the one on sockets: `decide.cluster.link_state` decides when to connect,
+`decide.delivery.send_outcome` what the end of a send proves. A call is written once the connection has
+greeted, and arrives after the one-way network delay."""
 
 from collections import deque
 
 from petrelwood.decide.cluster.link_state import CONNECT, DOWN, REJECT, UP, LinkPhase, LinkState
 from petrelwood.decide.delivery import send_outcome
 
-HANDSHAKE_DELAY = 100_000  # ns that a connection takes beyond the way: the handshakes
+HANDSHAKE_DELAY = 100_000  # ns that the handshakes of a connection take beyond the network delay
 
 
 class Node:
-    """One worker: its machine, which is made anew at each start, and the links that reach it."""
+    """One worker: its machine, which is replaced at each start, and the links connected to it.
+
+    `silent`: it accepts connections and never greets; `muted`: it answers no call; `lying`: its load reports
+    show it idle; `wrong`: it answers the wrong activation.
+    """
 
     def __init__(self, platform, name, zone, cell):
         self.platform, self.name, self.zone, self.cell = platform, name, zone, cell
@@ -32,7 +36,7 @@
         self.incarnation += 1
 
     def stop(self):
-        """Killed outright: whoever is connected sees it one way's time later."""
+        """Kill the worker; connected dispatchers notice after the one-way network delay."""
         self.machine = None
         self.break_all()
 
@@ -49,6 +53,8 @@
 
 
 class Call:
+    """A call to a worker: a run, a load order (`hold`) or a health check (`probe`)."""
+
     __slots__ = ("kind", "activation_id", "n", "fn", "at", "stage", "args", "job", "over")
 
     def __init__(self, kind, activation_id, n, fn, at, args):
@@ -64,7 +70,7 @@
 
 
 class Link:
-    """From one dispatcher to one worker; what `dispatch.core.Core` asks of a link."""
+    """The link of one dispatcher to one worker, with the interface that `dispatch.core.Core` requires."""
 
     __slots__ = (
         "platform",
@@ -101,7 +107,7 @@
     def path_delay(self):
         return self.platform.path_delay(self.zone, self.node.zone)
 
-    # What the core asks.
+    # Interface for the core
     def run(self, act, n, fn, mark, left, lanes, body):
         call = Call("run", act, n, fn, self.core.now(), (mark, self.core.now() + left, body))
         self.runs[act, n] = call
@@ -172,7 +178,7 @@
             self._lost()
             return
         if self.node.silent:
-            return  # accepted, and nothing more: it never greets
+            return  # the connection is accepted, but the worker never greets
         self.state.on_connected()
         self.state.on_greeting(self.core.now(), self.node.name, self.node.booted)
         self.incarnation = self.node.incarnation
@@ -188,14 +194,14 @@
 
     def _write(self, call):
         call.stage = send_outcome.SendStage.WRITTEN
-        if call.kind == "run":  # the time that is left is told as it leaves
+        if call.kind == "run":  # the message states the time left when it is written
             mark, until, body = call.args
             call.args = (mark, until - self.core.now(), body)
         self.out[id(call)] = call
         if not self.platform.is_cut(self.core.name, self.node.zone):
             self.platform.after(self.path_delay(), self._arrive, call, self.incarnation)
 
-    # At the worker.
+    # Worker side
     def _arrive(self, call, incarnation):
         node = self.node
         if (
@@ -253,7 +259,7 @@
     def _answer(self, call, word, note, body):
         if self.node.muted or self.node.machine is None:
             return
-        # it answers another activation: that ends the connection
+        # An answer to another activation ends the connection.
         if self.node.wrong and call.kind == "run":
             self.platform.after(self.path_delay(), self._lost)
             return
@@ -286,13 +292,13 @@
         if call.job is not None and self.node.machine is not None:
             self.node.machine.cancel(call.job, self.platform.day.stops_work)
 
-    # The end of a connection.
+    # End of a connection
     def broken(self, incarnation):
         if incarnation == self.incarnation:
             self._lost()
 
     def drop_jobs(self, machine):
-        """The connection is gone: the worker drops what waits for it."""
+        """Cancel this connection's jobs at the worker, because the connection is gone."""
         for call in list(self.out.values()):
             if call.job is not None:
                 machine.cancel(call.job, self.platform.day.stops_work)
@@ -310,7 +316,7 @@
             self._end(call, send_outcome.of_loss(call.stage))
 
     def die(self):
-        """Its dispatcher was killed."""
+        """Close the link, because its dispatcher was killed."""
         self.dead = True
         if self in self.node.links:
             self.node.links.remove(self)
--- a/petrelwood/emulate/machine.py
+++ b/petrelwood/emulate/machine.py
@@ -1,31 +1,30 @@
-"""A model of a worker: cores, lanes, copies that lapse, memory, loads, a queue, cold starts, and bad
-behaviour.
+"""A model of a worker: cores, lanes, copies that expire, memory, loads, a queue, cold starts, and faults.
 
-Activations at work share the cores; more than the cores bear make it less efficient. A worker that has just
-started does part of its work, rising evenly, and falls over when it is sent too much for too long. Times in
-ns, sizes in bytes, work in ns of one core at speed 1."""
+Running activations share the cores; more activations than cores lower the efficiency. A worker that has just
+started has a reduced capacity, which rises linearly, and it crashes when it is overloaded for too long. Times
+in ns, sizes in bytes, work in ns of one core at speed 1."""
 
 from collections import OrderedDict, deque
 from typing import NamedTuple
 
 
 class Build(NamedTuple):
-    """What a worker is made of."""
+    """The parameters of a worker."""
 
     cores: int
     speed: float
     memory: int
-    loads: int  # at a time; twice as many wait
-    queue: int  # activations that wait for a lane or a load
-    keep: int  # an idle copy lapses after that
-    cold: int
-    cold_from: float
-    fall_multiple: float  # 0: it never falls over
-    fall: int
-    thrash: float  # for each activation at work beyond the cores
-    eager: bool  # starts another copy by itself when all lanes are taken
-    loads_on_send: bool
-    start_share: float  # of a load's time, spent on the start; the rest is the fetch
+    loads: int  # concurrent ones; twice as many wait
+    queue: int  # at most this many activations wait for a lane or a load
+    keep: int  # an idle copy expires after this time
+    cold: int  # how long the capacity rises after a start
+    cold_from: float  # the share of the capacity at the start
+    fall_multiple: float  # overload at which a cold worker crashes, as a multiple of its capacity; 0: never
+    fall: int  # the window over which the overload is measured
+    thrash: float  # loss of efficiency for each running activation beyond the cores
+    eager: bool  # whether it loads another copy by itself when all lanes are busy
+    loads_on_send: bool  # whether an activation of a function without a copy starts a load
+    start_share: float  # the share of a load's time that the start takes; the rest is the fetch
 
 
 class Model(NamedTuple):
@@ -38,6 +37,8 @@
 
 
 class Job:
+    """An activation at the worker. `where`: 'new', 'queue', 'work' or 'over'."""
+
     __slots__ = ("model", "work", "left", "done", "due", "copy", "came", "note", "where", "begun")
 
     def __init__(self, model, work, due, done, came):
@@ -46,6 +47,8 @@
 
 
 class Copy:
+    """A loaded function. `stale`: a later release has replaced it."""
+
     __slots__ = ("model", "busy", "idle_since", "release", "stale")
 
     def __init__(self, model, now, release):
@@ -53,8 +56,11 @@
 
 
 class Machine:
-    """`fetch(size, done)` gets bytes from the store. A job ends by `done(word, note)`, word 'ok', 'full',
-    'missing', 'late' or 'cancelled'; a hold by `done(word, copies)`."""
+    """The worker model.
+
+    `fetch(size, done)` fetches bytes from the store. A job ends with `done(word, note)`, word being 'ok',
+    'full', 'missing', 'late' or 'cancelled'; a hold (load order) with `done(word, copies)`.
+    """
 
     def __init__(self, clock, build, fetch, chance, booted=0):
         self.clock, self.build, self.fetch, self.chance, self.booted = clock, build, fetch, chance, booted
@@ -64,9 +70,9 @@
         self.seen, self.timer, self.window, self.holds = clock.now(), None, deque(), []
         self.counts = {"ran": 0, "loads": 0, "failed_loads": 0, "refused": 0, "evicted": 0}
 
-    # How much it can do.
+    # Capacity
     def capacity(self):
-        """Cores' worth of speed-1 work a second, now."""
+        """Return the current capacity: the number of speed-1 cores that it amounts to."""
         if self.fallen:
             return 0.0
         part = 1.0
@@ -109,7 +115,7 @@
             left = max(0.0, min(job.left for job in self.at_work.values()))
             wait = int(left / rate) + 1000
             if self.booted and now - self.booted < self.build.cold:
-                wait = min(wait, self.build.cold // 64)  # its pace changes meanwhile
+                wait = min(wait, self.build.cold // 64)  # a cold worker's rate changes meanwhile
             self.timer = self.clock.at(now + wait, self._progress)
 
     def _progress(self):
@@ -119,14 +125,14 @@
             self._finish(job, "ok")
         self._schedule_progress()
 
-    # Activations.
+    # Activations
     def run(self, model, work, due, done):
-        """Takes one; the job, by which it can be cancelled, or None where it was turned away at once."""
+        """Accept an activation; return its job, used to cancel it, or None if it was refused at once."""
         now = self.clock.now()
         self._check_overload(work, now)
         job = Job(model, work, due, done, now)
         if self.fallen:
-            return None  # it answers nothing any more
+            return None  # a crashed worker answers nothing
         copy = self._free_copy(model)
         if copy is not None:
             self._start(job, copy)
@@ -169,7 +175,7 @@
             self.fallen = True
 
     def _free_copy(self, model):
-        """A copy with a free lane; the busiest first, so that others may lapse."""
+        """Return the busiest copy that has a free lane, so that others may expire, or None."""
         free = [c for c in self.copies.get(model.name, ()) if c.busy < model.lanes and not c.stale]
         return max(free, key=lambda c: c.busy, default=None)
 
@@ -201,7 +207,7 @@
                 return
             job = waits.popleft()
             self.waiting -= 1
-            if self.clock.now() >= job.due:  # what is out of time is not begun
+            if self.clock.now() >= job.due:  # an activation past its deadline is not started
                 job.where = "over"
                 job.done("late", 0)
                 continue
@@ -210,7 +216,7 @@
             self.queue.pop(model.name, None)
 
     def cancel(self, job, stops_work):
-        """Ends a job where the worker can: what waits is dropped, what runs only where that is its way."""
+        """Cancel a job: a queued one is dropped, a running one is stopped only if `stops_work`."""
         if job.where == "queue":
             waits = self.queue.get(job.model.name)
             if waits and job in waits:
@@ -223,9 +229,9 @@
             self._finish(job, "cancelled")
             self._schedule_progress()
 
-    # Copies.
+    # Copies
     def hold(self, model, count, done):
-        """At least so many copies; those that stand begin their idle time anew."""
+        """Ensure at least `count` copies; the idle time of existing idle copies restarts."""
         now = self.clock.now()
         stand = [c for c in self.copies.get(model.name, ()) if not c.stale]
         for copy in stand:
@@ -263,7 +269,7 @@
         self.holds = left
 
     def preload(self, models):
-        """Copies that stand loaded from the beginning, as far as there is room."""
+        """Add copies that are loaded from the beginning, up to half of the memory."""
         now = self.clock.now()
         for model in models:
             if self.used + model.size <= self.build.memory // 2:
@@ -274,7 +280,7 @@
                 self.clock.at(now + self.build.keep, self._expire, copy, now)
 
     def _load(self, model):
-        """Begins or queues a load; whether there was room for it."""
+        """Start or queue a load; return whether there was room for it."""
         if sum(self.loading.values()) >= 3 * self.build.loads or not self._make_room(model.size):
             return False
         self.used += model.size
@@ -328,7 +334,7 @@
         self._start_loads()
 
     def _make_room(self, size):
-        """Unloads idle copies, the one idle longest first, until there is room."""
+        """Unload idle copies, the longest idle first, until there is room; return whether there is."""
         if size > self.build.memory:
             return False
         while self.used + size > self.build.memory:
@@ -352,8 +358,10 @@
             self._unload(copy)
 
     def release(self, names):
-        """These functions are released anew: their copies and images are void, those at work when they are
-        done."""
+        """Invalidate the copies and images of these functions, because they have a new release.
+
+        Busy copies are unloaded when they become idle.
+        """
         for name in names:
             self.releases[name] = self.releases.get(name, 0) + 1
             self.images.pop(name, None)
@@ -362,7 +370,7 @@
                 if not copy.busy:
                     self._unload(copy)
 
-    # Bad behaviour.
+    # Faults
     def slow(self, times):
         self._advance()
         self.slowness = times
@@ -379,7 +387,7 @@
         self._schedule_progress()
 
     def gauge(self):
-        """The load report: the fields that the module reads."""
+        """Return the load report with the fields that the decision module reads."""
         busy = sum(c.model.size for copies in self.copies.values() for c in copies if c.busy)
         loading = self.used - sum(c.model.size for copies in self.copies.values() for c in copies)
         return {
--- a/petrelwood/emulate/platform.py
+++ b/petrelwood/emulate/platform.py
@@ -1,8 +1,8 @@
-"""The whole platform in virtual time: workers, store, roster, halls, dispatchers, clients, and what goes
-wrong.
+"""The whole platform in virtual time: workers, store, roster, zones, dispatchers, clients and faults.
 
-It drives the code that serves: `dispatch.core.Core` with the module and all of `decide`. Deterministic from a
-seed. What passes is recorded as the stand-ins record it, so that the same audit judges both."""
+It drives the production code: `dispatch.core.Core` with the decision module and all of `decide`. A run is
+deterministic for a given seed. Events are recorded in the format of the stand-ins, so that the same audit
+judges both."""
 
 import collections
 from random import Random
@@ -25,13 +25,11 @@
 
 SECOND, MILLISECOND = 1_000_000_000, 1_000_000
 KEY = "whsec_" + "A" * 43 + "="
-FRONT_DETECTION_DELAY = (
-    1_500 * MILLISECOND
-)  # a front layer goes on sending to a dead dispatcher for that long
+FRONT_DETECTION_DELAY = 1_500 * MILLISECOND  # how long a front layer still sends to a dead dispatcher
 
 
 class CountingLog:
-    """A log that counts."""
+    """A logger that writes nothing and counts its events by text."""
 
     def __init__(self):
         self.counts = collections.Counter()
@@ -43,7 +41,10 @@
 
 
 class IncarnationClock:
-    """The clock of one dispatcher's life: what a dead one had asked for does not happen."""
+    """The clock of one incarnation of a dispatcher: its timers do not fire once the dispatcher was killed.
+
+    `step`: how far its wall clock was stepped, in ns.
+    """
 
     def __init__(self, clock, step=0):
         self.clock, self.alive, self.now, self.step = clock, True, clock.now, step
@@ -65,8 +66,12 @@
 
 
 class Platform:
-    """One day. `policy` makes the module (`Scheduler`, or a baseline of `emulate.policies`); `keep` keeps all
-    records."""
+    """One day in the emulator.
+
+    `policy` makes the decision module (`Scheduler`, or a baseline of `emulate.policies`); `keep`: whether all
+    records are kept. `across` and `within`: mean network delay one way between zones and inside one, in ns.
+    `future`: a `PerfectForecast` in place of the forecasts, or None.
+    """
 
     def __init__(self, day, seed, policy=Scheduler, keep=True, across=600_000, within=200_000, future=None):
         self.day, self.seed, self.clock, self.policy, self.keep = day, seed, VirtualClock(), policy, keep
@@ -84,7 +89,7 @@
             ),
         )
         self.gateway_early, self.future, self.ends = self.gateway.early, future, None
-        if not day.early or policies.is_baseline(policy):  # no baseline loads ahead
+        if not day.early or policies.is_baseline(policy):  # no baseline issues early loads
             self.gateway = self.gateway._replace(early=None)
         self.gateway = self.gateway._replace(damps=day.damps and self.gateway.damps)
         self.types, self.timeouts = self.gateway.terms.types, self.gateway.timeouts
@@ -93,28 +98,28 @@
         self.models, self.cuts, self.log = {}, set(), CountingLog()
         self.store = Store(self.clock, **day.store)
         self.path_delays, self.loads = self.stream("ways"), self.stream("loads")
-        self.nodes = {name: Node(self, name, zone, cell) for name, zone, cell in day.workers}
+        self.nodes = {name: Node(self, name, home_zone, cell) for name, home_zone, cell in day.workers}
         initial_copies = day.initial_copies(seed)
-        for name, zone, cell in day.workers:
+        for name, home_zone, cell in day.workers:
             self.nodes[name].start(0)
             self.nodes[name].machine.preload(map(self.model, initial_copies[name]))
-            self.saw("worker", who="operator", worker=name, zone=zone, cell=cell)
+            self.saw("worker", who="operator", worker=name, zone=home_zone, cell=cell)
         self.roster_late, self.number, self.closed, self.held_updates = day.roster_late, 0, False, []
         self.entries = {name: self._entry(name, membership.EndpointState.USABLE) for name in self.nodes}
-        self.disks = {}  # what each dispatcher has kept, over its lives
+        self.disks = {}  # dispatcher -> its state records, across its incarnations
         self.cores, self.incarnations, self.zones, self.known = {}, {}, {}, {}
-        # what each dispatcher's wall clock is stepped by; when the roster was last heard anew
+        # by how much each dispatcher's wall clock was stepped (ns); when the roster's streams last reopened
         self.clock_steps, self.roster_back = dict.fromkeys(day.dispatchers, 0), 0
         self.open_tries, self.by_zone, self.killed_at = collections.defaultdict(dict), {}, {}
         for number, name in enumerate(day.dispatchers):
             self.zones[name] = day.zones[number % len(day.zones)]
             self.incarnations[name] = 0
-        for zone in day.zones:
-            self.by_zone[zone] = [n for n in day.dispatchers if self.zones[n] == zone] or list(
+        for home_zone in day.zones:
+            self.by_zone[home_zone] = [n for n in day.dispatchers if self.zones[n] == home_zone] or list(
                 day.dispatchers
             )
-        self.withdrawn = set()  # dispatchers that the front layer sends nothing
-        # who hears nothing; when it has served those who asked
+        self.withdrawn = set()  # dispatchers to which the front layer sends nothing
+        # dispatchers cut off from the roster; when a polled roster has served all queued requests
         self.stale, self.roster_free = set(), 0
         self.counts = {"asked": 0, "turned away": 0}
         for name in day.dispatchers:
@@ -136,14 +141,14 @@
     def after(self, wait, call, *args):
         return self.clock.at(self.clock.time + wait, call, *args)
 
-    # The network.
+    # Network
     def path_delay(self, a, b):
         return int((self.within if a == b else self.across) * (0.9 + 0.2 * self.path_delays.uniform()))
 
     def is_cut(self, dispatcher, zone):
         return (dispatcher, zone) in self.cuts
 
-    # Workers.
+    # Workers
     def make_machine(self, booted):
         return Machine(
             self.clock,
@@ -177,13 +182,13 @@
         self.saw("up", who=name, booted=node.booted)
         self._announce(name, membership.EndpointState.USABLE)
 
-    # The roster.
+    # Roster
     def _announce(self, name, state):
         self.after(self.roster_late, self._change_roster, self._entry(name, state))
 
     def _change_roster(self, entry):
         if self.closed:
-            self.held_updates.append(entry)  # told in their order when it is back
+            self.held_updates.append(entry)  # sent in this order once the roster is back
             return
         self.number += 1
         self.entries[entry.worker] = entry
@@ -206,7 +211,7 @@
         follows, now = core.membership.order_of(f"e-{number}"), self.clock.now()
         if follows is membership.EventOrder.OLD:
             return
-        # news overtook each other: the whole list is asked for
+        # A change is missing because changes overtook each other: request the whole list.
         if follows is membership.EventOrder.GAP:
             self._send_list(name, list(self.entries.values()))
             return
@@ -218,14 +223,16 @@
         core.endpoints_changed(listed, leaving, False)
 
     def _apply_comments(self, core, now):
-        """The roster's stream carries a comment each second, the last of which came before this."""
+        """Apply the latest of the comments that the roster's stream carries each second."""
         last = now // SECOND * SECOND
-        if last > self.roster_back + 50 * MILLISECOND:  # what was held back is told first
+        if last > self.roster_back + 50 * MILLISECOND:  # updates that were held back are sent first
             core.membership.on_complete(max(last, core.membership.complete_at or 0))
 
     def _poll_roster(self, name, incarnation):
-        """A dispatcher asks for the list. Askings are served one after the other; one that would wait too
-        long fails."""
+        """Request the list for a dispatcher, where the roster is polled.
+
+        Requests are served one after the other; one that would wait longer than 2 s fails.
+        """
         if self.incarnations[name] != incarnation or name not in self.cores:
             return
         self.after(
@@ -274,7 +281,7 @@
         core.endpoints_changed(listed, leaving, True)
         self.known[name] = entries
 
-    # Dispatchers.
+    # Dispatchers
     def _start(self, name, entries):
         number = self.day.dispatchers.index(name) + 1
         described = self.gateway._replace(
@@ -306,11 +313,11 @@
         return Disk(self.disks.setdefault(name, []), clock.wall(), mark, self.incarnations[name])
 
     def machine_start(self, name):
-        """What names the start of a dispatcher's machine: it goes on over the dispatcher's lives."""
+        """Return the id of a machine's boot, which stays the same when only the dispatcher restarts."""
         return "emulated"
 
     def make_core(self, described, clock, chance, disk):
-        """A dispatcher of the settings `described`, with links to this platform's workers."""
+        """Return a dispatcher with the settings `described`, linked to this platform's workers."""
 
         def link(worker, address, core):
             return self.make_link(worker, core, described.workers, chance)
@@ -318,11 +325,11 @@
         return Core(described, clock, chance, link, self.log, self.policy, disk)
 
     def make_link(self, worker, core, terms, chance):
-        """The link of one dispatcher to one worker."""
+        """Return the link of one dispatcher to one worker."""
         return Link(self, self.nodes[worker], core, self.zones[core.name], terms, chance.random)
 
     def keep_account(self, folder):
-        """Writes the ends of all dispatchers' early loads to a folder, as a running dispatcher does."""
+        """Write how all dispatchers' early loads ended to a folder, as a running dispatcher does."""
         self.ends = EarlyLoadLog(folder)
         for core in self.cores.values():
             self._account_of(core)
@@ -361,7 +368,7 @@
         self.after(down, self._restart_dispatcher, name)
 
     def _restart_dispatcher(self, name):
-        """It comes back with its last list, and hears the present one a little later."""
+        """Start a killed dispatcher with its last list; it receives the current one a little later."""
         self.killed_at.pop(name, None)
         self._start(name, self.known[name])
         self.after(self.roster_late + 20 * MILLISECOND, self._refresh, name, self.incarnations[name])
@@ -371,9 +378,12 @@
             self._send_list(name, list(self.entries.values()))
 
     def dispatcher_for(self, zone, manners):
-        """A front layer spreads clients over the dispatchers of their hall; it notices a dead one late."""
+        """Return the dispatcher that the front layer picks for a client in a zone, or None without a route.
+
+        The front layer spreads clients over the dispatchers of their zone, and detects a dead one late.
+        """
         names = self.by_zone[zone]
-        if self.withdrawn:  # its hall's first, else any that is announced
+        if self.withdrawn:  # the zone's own first, else any that is announced
             names = [n for n in names if n not in self.withdrawn] or [
                 n for n in self.day.dispatchers if n not in self.withdrawn
             ]
@@ -386,7 +396,7 @@
         return name
 
     def ask(self, name, incarnation, client_try):
-        """A try arrives at its dispatcher."""
+        """Hand a client's try to its dispatcher, on arrival."""
         core = self.cores.get(name)
         if core is None or self.incarnations[name] != incarnation:
             self.clients.broken(client_try)
@@ -423,16 +433,16 @@
             else request.ended
         ] += 1
 
-    # What goes wrong.
+    # Faults ("troubles")
     def _trouble(self, trouble):
         begin = getattr(self, "_on_" + trouble.kind.replace("-", "_"))
         begin(trouble, [self.nodes[n] for n in self.day.hit(trouble, self.seed)])
 
     def _on_upgrade(self, t, nodes):
-        """Nothing is lost by one, and it takes no virtual time."""
+        """Do nothing: an upgrade loses nothing and takes no virtual time."""
 
     def _on_router_reset(self, t, nodes):
-        """There is no router here."""
+        """Do nothing: the emulator has no router."""
 
     def _span(self, trouble, begin, end):
         begin()
@@ -466,7 +476,7 @@
             self.after(t.span, self._announce, node.name, membership.EndpointState.USABLE)
 
     def _at_nodes(self, t, nodes, begin, end):
-        """Begins and ends it at each of the nodes, in their present life only."""
+        """Begin a fault at each node and end it after its span, unless the node restarted meanwhile."""
         for node in nodes:
             if node.machine is None:
                 continue
@@ -523,7 +533,7 @@
         self._at_nodes(t, nodes, begin, lambda n: setattr(n, "silent", False))
 
     def _on_garbage(self, t, nodes):
-        self._on_reset(t, nodes)  # what is no message ends the connection
+        self._on_reset(t, nodes)  # an invalid message ends the connection
 
     def _on_lying(self, t, nodes):
         self._at_nodes(t, nodes, lambda n: setattr(n, "lying", True), lambda n: setattr(n, "lying", False))
@@ -562,7 +572,7 @@
         self._span(t, lambda: self.cuts.add(pair), lambda: self.cuts.discard(pair))
 
     def _on_clock_step(self, t, nodes):
-        """It is the machine's clock: a dispatcher that starts there later has it too."""
+        """Step the machine's clock, so that a dispatcher that starts there later has the step too."""
         name = t.what["dispatcher"]
         self.clock_steps[name] += t.what["by"]
         if name in self.cores:
@@ -572,7 +582,7 @@
         self._kill(t.what["dispatcher"], t.what["down"])
 
     def _on_stop(self, t, nodes):
-        """Told to end: it takes nothing new, answers what it owes, and is started again."""
+        """Stop a dispatcher gracefully: it admits nothing, answers what is pending, and is restarted."""
         name = t.what["dispatcher"]
         core = self.cores.get(name)
         if core is not None:
@@ -647,12 +657,12 @@
         )
 
     def _no_effect(self, t, nodes):
-        """What only fronts on sockets can meet."""
+        """Do nothing: only front ends on sockets are affected by such a fault."""
 
     _on_replays = _on_forgeries = _on_slow_senders = _no_effect
     _on_broker_drop = _on_broker_lost = _on_broker_silent = _on_broker_forgets = _no_effect
 
-    # The run.
+    # Run
     def _sample(self):
         second = min(self.clock.now() // SECOND, len(self.time_course) - 1)
         course = self.time_course[second]
@@ -665,7 +675,7 @@
         self.after(SECOND, self._sample)
 
     def run(self):
-        """Plays the day to its end; itself."""
+        """Play the day to its end; return self."""
         end = self.day.length + self.day.settle
         self.events = self.clock.run(end)
         if self.ends is not None:
@@ -676,7 +686,7 @@
         return self
 
     def case(self):
-        """What was seen, arranged for the five rules."""
+        """Return the records as a case for the five rules of the audit."""
         from petrelwood.audit import rules
 
         return rules.Case(
--- a/petrelwood/emulate/policies.py
+++ b/petrelwood/emulate/policies.py
@@ -1,8 +1,8 @@
-"""Baselines in place of the module, for comparison only: none of them is a way that the program decides.
+"""Baseline policies in place of the decision module, for comparison only; production never uses them.
 
-They keep the rules by the same means (no send to whom is leaving, no second send where it may have run) and
-place each activation at once on some worker, which loads what it lacks. `Oracle` sees the true state of all
-workers, which nobody can; it is held to be an upper bound, though greedy."""
+They keep the same rules (no send to a worker that is leaving, no second send of what may have run) and place
+each activation at once on some worker, which loads the function if it lacks it. `Oracle` sees the true state
+of all workers, which no real dispatcher can; it serves as an upper bound, although it is greedy."""
 
 from random import Random
 from zlib import crc32
@@ -11,7 +11,10 @@
 
 
 class Baseline:
-    """Sends at once; again elsewhere where that is provably harmless. `pick(act, now, but)` is the policy."""
+    """Sends at once, and again elsewhere if that is provably harmless; `pick` is the policy.
+
+    `acts`: activation id -> [function, namespace type, deadline, sends so far, whether it may have run, worker].
+    """
 
     def __init__(self, now, terms, seed, outlet):
         self.terms, self.out, self.chance = terms, outlet, Random(seed)
@@ -98,7 +101,7 @@
 
 
 class RandomOfTwo(Baseline):
-    """The one with fewer of ours in hand, of two drawn."""
+    """Picks, of two workers drawn at random, the one with fewer of this dispatcher's sends in flight."""
 
     def pick(self, key, names, now):
         a, b = self.chance.choice(names), self.chance.choice(names)
@@ -106,19 +109,23 @@
 
 
 class LeastOutstanding(Baseline):
+    """Picks the worker with the fewest of this dispatcher's sends in flight, at random among equals."""
+
     def pick(self, key, names, now):
         least = min(self.load.get(n, 0) for n in names)
         return self.chance.choice([n for n in names if self.load.get(n, 0) == least])
 
 
 class RoundRobin(Baseline):
+    """Picks the workers one after the other."""
+
     def pick(self, key, names, now):
         self.turn += 1
         return names[self.turn % len(names)]
 
 
 class BoundedHash(Baseline):
-    """The first in the function's hash order that holds no more than 1.25 times the mean of ours."""
+    """Picks the first worker in the function's hash order within 1.25 times the mean sends in flight."""
 
     def pick(self, key, names, now):
         bound = 1.25 * (sum(self.load.values()) + 1) / len(names)
@@ -127,8 +134,7 @@
 
 
 class Oracle(Baseline):
-    """Sees the machines: a worker with a free lane of a standing copy, else the one where it would be done
-    first."""
+    """Sees the true state of the workers: prefers a free lane of a loaded copy, then the least load."""
 
     def see(self, platform):
         self.platform = platform
@@ -155,7 +161,7 @@
 
 
 def named():
-    """All policies by name, the module first."""
+    """Return all policies by name, the decision module first."""
     from petrelwood.decide.scheduling.scheduler import Scheduler
 
     return {
--- a/petrelwood/emulate/result.py
+++ b/petrelwood/emulate/result.py
@@ -1,5 +1,4 @@
-"""What a day in the emulator comes to, as a flat row of figures and a check that nothing was lost in
-between."""
+"""The results of a day in the emulator: a flat row of figures, and a check that nothing was lost."""
 
 import collections
 from dataclasses import asdict
@@ -7,11 +6,11 @@
 from petrelwood.decide.forecasting.account import LoadEnd
 
 SECOND = 1_000_000_000
-LATE, OVER = 0.3, 0.1  # utility of an answer after its target latency, and of what lies beyond a share
+LATE, OVER = 0.3, 0.1  # share of the utility of a late answer, and of a request beyond its customer's share
 
 
 def worth(platform, request):
-    """(utility got, utility asked for) of one wish."""
+    """Return (utility gained, utility requested) of one request."""
     asked = request.value * (OVER if request.over_share else 1.0)
     if request.ended != "completed":
         return 0.0, asked
@@ -20,8 +19,11 @@
 
 
 def recovery(platform):
-    """Seconds from the end of the last trouble until the service of three seconds in a row is at nine tenths
-    of what it was before the first; as long as the day goes on, where it never is. 0 without troubles."""
+    """Return the seconds from the end of the last fault until the service has recovered.
+
+    It has recovered once its mean over three seconds is 0.9 of the mean before the first fault; if it never
+    does, the rest of the day counts. 0 without faults.
+    """
     troubles = [t for t in platform.day.troubles if t.at >= 3 * SECOND]
     if not troubles:
         return 0.0
@@ -45,7 +47,7 @@
 
 
 def row(platform):
-    """The figures of a day that has been played."""
+    """Return the figures of a day that has been played."""
     requests, ends = platform.clients.requests, collections.Counter()
     got = asked = 0.0
     windows, customers, took = (
@@ -118,7 +120,7 @@
 
 
 def conserved(platform):
-    """What does not add up: an empty list if all does. Called at any time of a day."""
+    """Return the inconsistencies of the platform's counts at any time of a day; empty if they add up."""
     wrong = []
     for node in platform.nodes.values():
         machine = node.machine
--- a/petrelwood/emulate/script.py
+++ b/petrelwood/emulate/script.py
@@ -1,10 +1,10 @@
 """A day as a script in KDL: the platform, its traffic, and what goes wrong when.
 
     day "NAME" { length "26s"; rate 120 ... }      the platform and the traffic
-    terms { ... }                                  what each gateway's file says, word for word
-    trouble "KIND" at="5s" ...                     one trouble each
+    terms { ... }                                  copied verbatim into each gateway's file
+    trouble "KIND" at="5s" ...                     one fault ("trouble") each
 
-`TROUBLES` names every kind, what it takes and what it does."""
+`TROUBLES` and `EMULATED` list every kind of fault with its properties and its effect."""
 
 import hashlib
 import math
@@ -18,7 +18,7 @@
 SECOND = 1_000_000_000
 OWN = pathlib.Path(__file__).parent.parent / "lab" / "days"
 
-# kind -> (properties it takes besides at=, what it does)
+# kind -> (its properties besides at=, its effect)
 TROUBLES = {
     "release": (
         {"part": decoders.FRACTION},
@@ -84,7 +84,7 @@
 }
 
 
-# Those that need the true state of the platform or the clients, so far played in the emulator alone.
+# Faults that only the emulator plays, because they need the true state of the platform or the clients.
 EMULATED = {
     "hot": (
         {"for": decoders.DURATION, "part": decoders.FRACTION, "functions": decoders.COUNT},
@@ -158,15 +158,17 @@
         "that part of the dispatchers is restarted, one after another",
     ),
 }
-# take part= in place of worker=
+# Kinds that accept part= in place of worker=.
 WORKERS = ("drain", "hang", "slow", "pause", "reset", "restart", "silent-accept")
 
 
 class Trouble(NamedTuple):
+    """A fault of a day: `at`: ns from the day's begin."""
+
     kind: str
     at: int
-    span: int  # ns; 0: it has none
-    what: dict  # its other properties
+    span: int  # ns that it lasts; 0: instantaneous
+    what: dict  # its other properties, as in the file
 
 
 class Kind(NamedTuple):
@@ -181,64 +183,68 @@
     lanes: int
     size: int
     load_time: int
-    customers: tuple  # those that call it; all if empty
-    turning: float  # the part of the functions that gives way to others
-    spell: int  # each so long, ns; 0: never
-    timed: float  # the part of the activations that comes from timers
-    season: int  # each function has its time in a season so long, ns; 0: called at any time
+    customers: tuple  # the customers that call it; empty: all
+    turning: float  # the share of the functions whose ranks are swapped with others after each spell
+    spell: int  # ns between swaps of ranks; 0: never
+    timed: float  # the share of the activations that comes from timers
+    season: int  # ns; each function peaks once in each season; 0: no seasons
 
     def model(self, name):
-        """The model of one function: sizes differ, the same for everyone who asks."""
-        turn = 0.5 + int(hashlib.sha256(name.encode()).hexdigest()[:6], 16) / 0xFFFFFF
-        return Model(name, self.lanes, int(self.size * turn), int(self.load_time * turn))
+        """Return the model of one function; its size is derived from its name, between half and 1.5 times."""
+        scale = 0.5 + int(hashlib.sha256(name.encode()).hexdigest()[:6], 16) / 0xFFFFFF
+        return Model(name, self.lanes, int(self.size * scale), int(self.load_time * scale))
 
 
 class Client(NamedTuple):
+    """The clients of one customer."""
+
     name: str
     part: float  # of all activations
-    share: float  # activations a second that it is entitled to; 0: no share is kept
-    patience: int  # s, as Prefer: wait tells it; 0: not told
+    share: float  # activations a second that it is entitled to; 0: no share is enforced
+    patience: int  # s, sent as Prefer: wait; 0: not sent
     retries: int
-    honours: float  # the part of Retry-After hints that it follows
-    impatient: float  # the part that hangs up early
+    honours: float  # the share of Retry-After hints that it follows
+    impatient: float  # the share of its tries that hang up early
     by: str  # "webhook" or "mqtt"
     devices: int  # sessions at the broker
-    insists: bool = False  # it tries again even what may have run, with the same id (emulator)
+    insists: bool = False  # it retries even what may have run, with the same id (emulator only)
 
 
 class Day(NamedTuple):
+    """A day: the platform, its traffic and its faults. Times in ns."""
+
     file: str
     name: str
     length: int
-    settle: int  # after the last arrival
+    settle: int  # how long the day goes on after the last arrival
     rate: float
     dispatchers: tuple  # names
     zones: tuple
-    workers: tuple  # (name, hall, cell)
+    workers: tuple  # (name, zone, cell)
     build: Build
     store: dict
     roster_late: int
-    stops_work: bool  # a cancel stops running work
-    warm: bool  # workers hold what they were asked for lately when the day begins
+    stops_work: bool  # whether a cancel stops running work
+    warm: bool  # whether workers hold copies as after long traffic when the day begins
     kinds: tuple
     clients: tuple
     troubles: tuple
-    terms: object  # the document node whose children go into each gateway's file
-    early: bool = True  # early loads, where the terms have them
-    ask_every: int = 0  # ns between askings of a roster that pushes nothing; 0: it pushes (emulator)
-    roster_lines: float = 0.0  # lines a second that it serves to all who ask; 0: as many as they ask for
+    terms: object  # the document node whose children are copied into each gateway's file
+    early: bool = True  # whether early loads are issued, where the terms have them
+    ask_every: int = 0  # ns between polls of a roster that does not push; 0: it pushes (emulator only)
+    roster_lines: float = 0.0  # lines a second that a polled roster serves in all; 0: unlimited
     damps: bool = True  # whether dispatchers damp storms
     # the address that dispatchers announce to a router, which steers the portal's traffic; "": there is none
     service: str = ""
-    state: bool = True  # whether what they keep survives a kill
+    state: bool = True  # whether the dispatchers' state survives a kill
 
     @property
     def upgrades(self):
-        """Whether dispatchers keep state and can be followed: where the script has an upgrade."""
+        """Whether the script has an upgrade, so that dispatchers must keep state and allow a successor."""
         return any(t.kind == "upgrade" for t in self.troubles)
 
     def works(self):
-        """{namespace type: mean work of its first kind of function}, by which cold budgets are judged."""
+        """Return {namespace type: mean work of its first kind of function}, used to judge cold budgets."""
         found = {}
         for kind in self.kinds:
             found.setdefault(kind.type, kind.work)
@@ -251,7 +257,7 @@
         return None
 
     def hit(self, trouble, seed):
-        """The workers that a trouble meets: the one it names, the part it draws, or all."""
+        """Return the workers that a fault affects: the named one, a drawn share, or all."""
         names = [w[0] for w in self.workers]
         if "worker" in trouble.what:
             return [trouble.what["worker"]]
@@ -263,9 +269,10 @@
         return [n for _, n in mark[: max(1, round(trouble.what["part"] * len(names)))]]
 
     def initial_copies(self, seed):
-        """{worker: [function]}: what stands loaded when the day begins, as if the traffic had gone on for
-        long: copies for what each function has at work on average, where it is called at all within a
-        keep-alive."""
+        """Return {worker: [function]}: the copies loaded when the day begins, as after long traffic.
+
+        A function has copies for 1.5 times its mean concurrency, if it is called at least once per keep-alive.
+        """
         names, found = [w[0] for w in self.workers], {w[0]: [] for w in self.workers}
         for kind in self.kinds if self.warm else ():
             weights = [(i + 1) ** -kind.zipf for i in range(kind.count)]
@@ -281,14 +288,14 @@
         return found
 
     def released(self, part, seed):
-        """The functions that a release of that part renews: the same everywhere."""
+        """Return the functions that a release of this share replaces; the same on all workers."""
         names = [f"{k.prefix}{i}" for k in self.kinds for i in range(k.count)]
         mark = [(hashlib.sha256(f"{seed}/{n}".encode()).hexdigest(), n) for n in names]
         return [n for _, n in sorted(mark)[: round(part * len(names))]]
 
 
 def find(name):
-    """The file of a day: a path, or the name of one that the project brings."""
+    """Return the path of a day: the path given, or the one of a day of that name in `lab/days`."""
     path = pathlib.Path(name)
     if path.suffix == ".kdl" or path.exists():
         return path
@@ -363,14 +370,18 @@
 
 
 def read(path, text=None, problems=None):
-    """The day that a file, or a text in its place, describes. Raises `SettingsError`, or collects what is
-    wrong in `problems`."""
+    """Return the day that a file, or a text in its place, describes.
+
+    Raises `SettingsError`, or collects the errors in `problems`.
+    """
     return described(document.File(path, text, problems))
 
 
 def described(file):
-    """The day that a `document.File` describes; what is wrong is raised or collected as the file was opened
-    to do."""
+    """Return the day that a `document.File` describes.
+
+    Errors are raised or collected, depending on how the file was opened.
+    """
     node, fleet, terms = file.child("day"), file.child("fleet"), file.child("terms")
     length, count = node.value("length", decoders.DURATION), node.value("dispatchers", decoders.COUNT)
     dispatchers = tuple(f"d{i + 1}" for i in range(count))
@@ -417,7 +428,7 @@
     if not (kinds and clients or file.partial):
         file.report("a day needs 'functions' and a 'client'")
     customers = {c.name for c in clients}
-    # what follows from another problem is not told
+    # Names of workers are not checked where the fleet has errors, which would cause further ones.
     known = set() if fleet.has_errors else {w[0] for w in workers}
     troubles = [
         one for n in file.every("trouble") for one in _trouble(n, length, known, set(dispatchers), customers)
@@ -451,7 +462,7 @@
 
 
 def gateway_text(day, name, number, listen, roster, keys, seed, broker=""):
-    """The file of one dispatcher of a day. `keys`: customer -> keys as the file has them."""
+    """Return the text of a dispatcher's settings file. `keys`: customer -> keys as written in the file."""
     rows = [
         f'gateway "{name}" {{',
         f'    listen "{listen}"',
--- a/petrelwood/emulate/store.py
+++ b/petrelwood/emulate/store.py
@@ -1,10 +1,13 @@
-"""A model of the shared store of models: paces, crowding, refusals, stopping."""
+"""A model of the shared store of models: throughput, overload, refused fetches, outages."""
 
 
 class Store:
-    """Fetches share its pace; beyond `takes` in hand each further one makes it less efficient by `thrash`,
-    beyond twice that it turns fetches away. Pushed to `fall` times its pace for `fall_for`, it stops for
-    `down`. Sizes in bytes, pace in bytes a second, times in ns."""
+    """The store; concurrent fetches share its throughput, `pace`.
+
+    Each fetch in flight beyond `takes` lowers the efficiency by `thrash`; beyond twice `takes` it refuses
+    fetches. At a demand of `fall` times its pace over `fall_for` it stops for `down`. Sizes in bytes, pace in
+    bytes a second, times in ns.
+    """
 
     def __init__(self, clock, pace, takes=8, thrash=0.05, fall=0.0, fall_for=0, down=0):
         self.clock, self.pace, self.takes, self.thrash = clock, pace, takes, thrash
@@ -14,15 +17,17 @@
         self.counts = {"fetched": 0, "refused": 0, "stops": 0, "bytes": 0}
 
     def stop(self, length):
-        """Stops for a while: fetches in hand stay, none moves on; new ones are turned away."""
+        """Stop for a while: fetches in flight make no progress, and new ones are refused."""
         self._move()
         self.stopped_until = max(self.stopped_until, self.clock.now() + length)
         self.counts["stops"] += 1
         self._next()
 
     def fetch(self, size, done):
-        """`done(True)` once the bytes are there, `done(False)` at once if turned away. The handle of a
-        fetch."""
+        """Start a fetch and return its handle, or None if it is refused.
+
+        Calls `done(True)` once the bytes have arrived, `done(False)` at once if the fetch is refused.
+        """
         self._move()
         self._pushed(size)
         if self.clock.now() < self.stopped_until or len(self.fetches) >= 2 * self.takes:
--- a/petrelwood/emulate/streams.py
+++ b/petrelwood/emulate/streams.py
@@ -1,7 +1,7 @@
-"""Random streams of the emulator: one for each purpose, so that a change of policy does not change the
-traffic.
+"""Random streams of the emulator: one per purpose, so that a change of policy does not change the traffic.
 
-numpy's PCG64, seeded by the day's seed and the purpose; draws come from blocks, which are cheap one by one.
+Each is numpy's PCG64, seeded by the day's seed and the purpose. Values are drawn in blocks, which is faster
+than one by one.
 """
 
 import zlib
@@ -12,6 +12,8 @@
 
 
 class Stream:
+    """The random stream of one purpose."""
+
     def __init__(self, seed, purpose):
         sequence = numpy.random.SeedSequence([seed & 0xFFFFFFFF, zlib.crc32(purpose.encode())])
         self.random_state = numpy.random.Generator(numpy.random.PCG64(sequence))
@@ -22,7 +24,7 @@
             self.uniforms = self.random_state.random(BLOCK).tolist()
         return self.uniforms.pop()
 
-    random = uniform  # as `random.Random` has it
+    random = uniform  # the name that `random.Random` has for it
 
     def exponential(self, mean):
         if not self.exponentials:
@@ -30,7 +32,7 @@
         return mean * self.exponentials.pop()
 
     def lognormal(self, mean, sigma):
-        """With that mean, whatever the sigma."""
+        """Draw from the log-normal distribution of this mean; `sigma` does not change the mean."""
         if not self.normals:
             self.normals = self.random_state.standard_normal(BLOCK).tolist()
         return mean * 2.718281828459045 ** (sigma * self.normals.pop() - sigma * sigma / 2)
--- a/petrelwood/emulate/traffic.py
+++ b/petrelwood/emulate/traffic.py
@@ -1,5 +1,6 @@
-"""The clients of the emulator: arrivals drawn ahead of all answers, patience, retries, hints that some
-follow."""
+"""The clients of the emulator: arrivals, patience, retries, and Retry-After hints that some clients follow.
+
+Arrivals are drawn independently of all answers."""
 
 import bisect
 import zlib
@@ -20,8 +21,7 @@
 
 
 class Popularity:
-    """Which function of a kind is called: a Zipf law over ranks, whose functions give way to others now and
-    then."""
+    """Draws which function of a kind is called: a Zipf law over ranks that swap at times."""
 
     def __init__(self, kind, stream):
         self.kind, self.stream, total, self.cuts = kind, stream, 0.0, []
@@ -40,20 +40,20 @@
         return name
 
     def _active(self, name, now):
-        """How much a function is called at this time of the season: one hump, a fifth of it wide."""
+        """Return how much a function is called at this time: one peak, a fifth of the season wide."""
         phase = zlib.crc32(name.encode()) / 2**32
         off = (now / self.kind.season - phase + 0.5) % 1 - 0.5
         return max(0.005, 1 - (off / 0.1) ** 2)
 
     def rotate(self):
-        """A part of the functions changes places with others."""
+        """Swap the ranks of the kind's share (`turning`) of its functions with others."""
         for _ in range(int(self.kind.turning * len(self.names) / 2)):
             a, b = self.stream.below(len(self.names)), self.stream.below(len(self.names))
             self.names[a], self.names[b] = self.names[b], self.names[a]
 
 
 class ClientTry:
-    """One try of an activation: what the core sees as an exchange."""
+    """One try of a client's request; the core sees it as an exchange."""
 
     __slots__ = (
         "activation_id",
@@ -87,7 +87,7 @@
 
 
 class ClientRequest:
-    """What a client wants, over all its tries. `value`: its utility, `work` in ns."""
+    """What a client requests, over all its tries. `value`: its utility; `work`: ns of one core."""
 
     __slots__ = (
         "id",
@@ -108,7 +108,7 @@
 
 
 class Clients:
-    """All customers' clients. What they ask and get is recorded as the stand-in portal does."""
+    """All customers' clients. Requests and answers are recorded as the stand-in portal does."""
 
     def __init__(self, platform, seed):
         self.platform, day = platform, platform.day
@@ -146,7 +146,7 @@
         self.platform.after(kind.spell, self._rotate, kind)
 
     def _start_timers(self, kind):
-        """Calls at about the keep-alive's pace, each timer for one function by one client."""
+        """Start the timers of a kind: each calls one function for one client, about once per keep-alive."""
         period = self.platform.day.build.keep
         count = max(1, round(self.platform.day.rate * kind.part * kind.timed * period / 1e9))
         for number in range(count):
@@ -181,7 +181,7 @@
         for part, names in self.hot:
             if pick < part:
                 fn = names[int(pick / part * len(names)) % len(names)]
-                kind = self.platform.kind(fn)  # a hot function has a type of its own
+                kind = self.platform.kind(fn)  # a hot function has its own namespace type
                 break
             pick = (pick - part) / (1 - part)
         if self.scanning and pick < self.scanning:
@@ -222,7 +222,7 @@
         self._start_try(request, None)
 
     def _over_share(self, client):
-        """Whether it lies beyond its customer's share: a bucket that holds two seconds' worth."""
+        """Whether a request exceeds its customer's share, by a token bucket that holds two seconds' worth."""
         if not client.share:
             return False
         tokens, seen = self.share_buckets.get(client.name, (2 * client.share, 0))
@@ -235,7 +235,7 @@
         platform, now = self.platform, self.platform.clock.now()
         to = to if to not in platform.withdrawn else None
         to = to or platform.dispatcher_for(request.zone, self.manners)
-        # no route: its connection comes to nothing, and it tries again
+        # There is no route: the connection fails, and the client tries again.
         if to is None:
             request.tries += 1
             self._retry(request, None, "broken", 0)
@@ -261,7 +261,7 @@
             leaves=client_try.leaves,
         )
         core = platform.cores.get(to)
-        if core is None:  # nobody there: not a byte went out
+        if core is None:  # the connection is refused: not a byte was sent
             platform.after(2 * platform.client_delay, self._broken, client_try, False)
             return
         platform.after(platform.client_delay, platform.ask, to, platform.incarnations[to], client_try)
@@ -273,7 +273,7 @@
         client_try.timer = platform.after(patience, self._give_up, client_try)
 
     def intake_request(self, client_try):
-        """The intake's view of a try."""
+        """Return a try as the intake sees it."""
         request = client_try.request
         return intake.ActivationRequest(
             request.client.name,
@@ -326,7 +326,7 @@
         self._end(request, "left")
 
     def broken(self, client_try):
-        """Its dispatcher was killed."""
+        """Handle the loss of a try's connection because its dispatcher was killed."""
         self._broken(client_try, True)
 
     def _broken(self, client_try, sent):
--- a/petrelwood/lab/day.py
+++ b/petrelwood/lab/day.py
@@ -202,10 +202,10 @@
                 ],
             )
         await asyncio.gather(*(p.start() for p in self.processes))
-        for number, (name, zone, cell) in enumerate(day.workers, 1):
+        for number, (name, home_zone, cell) in enumerate(day.workers, 1):
             self.booted[name] = 0
             self.workers[name] = self.process(name, self._worker_args(name, number, 0))
-            self.put("worker", worker=name, zone=zone, cell=cell)
+            self.put("worker", worker=name, zone=home_zone, cell=cell)
         await asyncio.gather(*(w.start() for w in self.workers.values()))
 
     async def _dispatchers(self):
--- a/petrelwood/lab/difference.py
+++ b/petrelwood/lab/difference.py
@@ -1,5 +1,4 @@
-"""How far the emulator is from the sockets: the same script, seed and figures, from the same kind of
-records."""
+"""Compares the emulator with a play over sockets: same script and seed, figures from the same records."""
 
 from petrelwood.audit import rules
 from petrelwood.emulate.platform import Platform
@@ -7,7 +6,7 @@
 
 
 def figures(case):
-    """Shares and times of a played day that mean the same wherever it was played."""
+    """Return the shares and times of a played day that are comparable between emulator and sockets."""
     ends, found = rules.outcomes(case), {}
     total = {
         name: sum(counts.get(name, 0) for counts in ends.values())
@@ -34,6 +33,6 @@
 
 
 def between(day, seed, case):
-    """{figure: (over sockets, emulated)}"""
+    """Return {figure: (over sockets, emulated)}."""
     real, emulated = figures(case), figures(Platform(day, seed).run().case())
     return {name: (real[name], emulated[name]) for name in real if name in emulated}
--- a/petrelwood/lab/estimate.py
+++ b/petrelwood/lab/estimate.py
@@ -1,7 +1,7 @@
-"""What a change of settings would make of a day: both versions played in the emulator, paired by seed.
+"""Estimates the effect of a change of settings: a day played under both versions, paired by seed.
 
-A version's terms take the place of the day's where they mean something there; what the day is (traffic,
-workers as they really are, troubles) stays. Simulated servers."""
+A version's terms replace the day's where they apply to it; the day itself (traffic, the real workers, faults)
+stays. All servers are simulated."""
 
 import concurrent.futures
 import multiprocessing
@@ -18,16 +18,20 @@
 
 
 class Row(NamedTuple):
+    """One figure under both versions."""
+
     figure: str
     old: float  # means over the seeds
     new: float
-    low: float  # the difference's 95% interval; one point where the seeds are too few or agree
+    low: float  # the difference's 95% interval; a single point if there are too few seeds or they agree
     high: float
 
 
 def under(day, path):
-    """(the day under a version's terms, what was carried over). Raises `SettingsError` where nothing of it
-    means anything there."""
+    """Return (the day under a version's terms, what was carried over).
+
+    Raises `SettingsError` if nothing of the version applies to the day.
+    """
     file = document.File(path)
     named = {(n.name, str(n.args[0])): n for n in file.children if n.args}
     alone = {n.name: n for n in file.children if n.name in CARRIED}
@@ -70,8 +74,10 @@
 
 
 def estimate(old, new, name, seeds, jobs=0):
-    """([Row], what each version broke, what was carried over) of two versions' files on a day, paired by
-    seed."""
+    """Compare two versions' files on a day, paired by seed.
+
+    Returns ([Row], the rules that each version broke, what was carried over).
+    """
     path = str(script.find(name))
     day = script.read(path)
     carried = {"old": under(day, old)[1], "new": under(day, new)[1]}
@@ -79,10 +85,14 @@
     context = multiprocessing.get_context("spawn")
     with concurrent.futures.ProcessPoolExecutor(jobs or None, mp_context=context) as pool:
         found = list(pool.map(_play, work))
-    olds, news = found[0::2], found[1::2]
+    old_results, new_results = found[0::2], found[1::2]
     rows = []
     for figure in FIGURES:
-        a, b = ([f[figure] for f, _ in side] for side in (olds, news))
+        a, b = ([f[figure] for f, _ in side] for side in (old_results, new_results))
         _, low, high = interval([y - x for x, y in zip(a, b, strict=True)])
         rows.append(Row(figure, sum(a) / len(a), sum(b) / len(b), low, high))
-    return rows, {"old": [w for _, b in olds for w in b], "new": [w for _, b in news for w in b]}, carried
+    return (
+        rows,
+        {"old": [w for _, b in old_results for w in b], "new": [w for _, b in new_results for w in b]},
+        carried,
+    )
--- a/petrelwood/lab/experiment.py
+++ b/petrelwood/lab/experiment.py
@@ -1,5 +1,4 @@
-"""Experiments on the emulator: factors x levels x seeds, paired by seed, over all cores, resumed after a
-kill.
+"""Experiments on the emulator: factors x levels x seeds, paired by seed, run in parallel and resumable.
 
     experiment "NAME" {
         day "bad"; day "quiet.kdl"          // scripts
@@ -12,8 +11,9 @@
         within "120s"                       // a run that takes longer is ended and kept as such
     }
 
-Each run is a process of its own and leaves one file, written beside and then renamed: what stands is whole,
-and a second start does only what is missing. `results.parquet` holds all rows with what made them."""
+Each run is a separate process and leaves one file, which is written under another name and then renamed: a
+file that exists is complete, and a second start executes only the missing runs. `results.parquet` holds all
+rows, with the experiment, the commit and the libraries as metadata."""
 
 import base64
 import collections
@@ -50,20 +50,24 @@
     "early": decoders.one_of("none", "forecast", "oracle"),
     "trouble": decoders.one_of("none", "all", *script.TROUBLES, *script.EMULATED),
 }
-HEAT = 60  # seconds of the map of workers
+HEAT = 60  # seconds of the day that the heat map of workers covers
 
 
 class Experiment(NamedTuple):
+    """An experiment as its file describes it."""
+
     name: str
-    text: str  # the file, as it was
-    days: tuple  # scripts' paths
-    policies: tuple  # the first one is what the others are compared with
+    text: str  # the text of the file
+    days: tuple  # paths of the scripts
+    policies: tuple  # the others are compared with the first one
     seeds: tuple
     factors: tuple  # (name, levels)
-    within: float  # seconds
+    within: float  # seconds after which a run is killed
 
 
 class Run(NamedTuple):
+    """One run: a day under one policy, seed and combination of levels."""
+
     day: str
     policy: str
     seed: int
@@ -76,14 +80,16 @@
 
 
 def read(path, text=None, problems=None):
-    """The experiment that a file, or a text in its place, describes. Raises `SettingsError`, or collects
-    what is wrong."""
+    """Return the experiment that a file, or a text in its place, describes.
+
+    Raises `SettingsError`, or collects the errors in `problems`.
+    """
     file = document.File(path, text, problems)
     return described(file, pathlib.Path(path))
 
 
 def described(file, path):
-    """The experiment that a `document.File` describes; `path`: where its days are looked for from."""
+    """Return the experiment that a `document.File` describes; days are searched relative to `path`."""
     node = file.child("experiment")
     name, days, seen, factors = node.arg(decoders.TEXT, "a name"), [], [], []
     for one in node.every("day"):
@@ -126,6 +132,7 @@
 
 
 def runs(experiment):
+    """Return all runs of an experiment."""
     combos = list(
         itertools.product(*([(name, level) for level in levels] for name, levels in experiment.factors))
     )
@@ -139,7 +146,7 @@
 
 
 def with_levels(day, levels):
-    """The day with its factors set."""
+    """Return the day with these levels of its factors."""
     for name, level in levels:
         if name == "rate":
             day = day._replace(rate=level)
@@ -179,7 +186,7 @@
 
 
 def play(run):
-    """The row of one run: its figures, rules broken, what does not add up, its course and its times."""
+    """Play a run; return its row: figures, broken rules, inconsistencies, time course and response times."""
     from petrelwood.audit import rules
     from petrelwood.emulate import result
     from petrelwood.emulate.foresight import PerfectForecast
@@ -219,7 +226,7 @@
 
 
 def _child(run, path):
-    # the process ends with its run; collecting crowds the caches that the others share
+    # No garbage collection: the process ends with its run, and collecting evicts caches that others share.
     gc.disable()
     try:
         row, status = play(run), "ended"
@@ -241,10 +248,10 @@
 
 
 def run(experiment, out, jobs, tell):
-    """Does what is missing; (runs that stand, those of them that failed or never ended)."""
+    """Execute the missing runs; return (all runs, those that failed or never ended)."""
     folder = out / "runs"
     folder.mkdir(parents=True, exist_ok=True)
-    for part in folder.glob("*.part*"):  # of a start that was killed
+    for part in folder.glob("*.part*"):  # left by a start that was killed
         part.unlink()
     kept = out / "experiment.kdl"
     if kept.exists() and kept.read_text() != experiment.text:
@@ -287,6 +294,7 @@
 
 
 def write_parquet(experiment, rows, path):
+    """Write the rows of an experiment to a parquet file."""
     names = sorted({name for row in rows for name in row})
     commit = subprocess.run(["git", "rev-parse", "HEAD"], capture_output=True, text=True).stdout.strip()
     made = {
@@ -304,7 +312,7 @@
 
 
 def rows_of(out):
-    """(rows that ended, what made them)"""
+    """Return (rows of the runs that ended, the metadata of the results)."""
     if not (out / "results.parquet").exists():
         raise SettingsError(
             out, 0, "its runs have not all ended; start `experiment run` again, it does what is missing"
@@ -317,7 +325,7 @@
 
 
 def setting(row, but=None):
-    """The day and the levels of a row: what is paired. `but`: a factor that is compared, not paired."""
+    """Return a row's day and levels, by which rows are paired; `but`: a factor that is compared instead."""
     levels = " ".join(
         f"{k[7:]}={v if isinstance(v, str) else f'{v:g}'}"
         for k, v in sorted(row.items())
@@ -327,13 +335,16 @@
 
 
 def first_policy(made):
+    """Return the policy with which the others are compared."""
     file = document.File("experiment.kdl", made["experiment"])
     return file.child("experiment").every("policy")[0].args[0]
 
 
 def interval(values, seed=1):
-    """(mean, lower, upper) of a mean, by bootstrap, 95%; the mean alone three times where there are too
-    few."""
+    """Return (mean, lower, upper): a mean and its 95% bootstrap interval.
+
+    With fewer than three values, or equal ones, all three are the mean.
+    """
     import numpy
     from scipy import stats
 
@@ -347,7 +358,7 @@
 
 
 def first_level(made, factor):
-    """The level of a factor with which the others are compared, as rows have it. Raises `KeyError`."""
+    """Return the level of a factor with which the others are compared. Raises `KeyError`."""
     for node in document.File("experiment.kdl", made["experiment"]).child("experiment").every("factor"):
         if node.args[0] == factor:
             return node.args[1] if isinstance(node.args[1], str) else float(node.args[1])
@@ -355,9 +366,11 @@
 
 
 def differences(out, figure, factor=None):
-    """[(setting, policy or level, pairs, mean of the first, mean difference, lower, upper, corrected p)]:
-    policies, or the levels of a factor under the first policy, against the first of them; paired by seed,
-    with the sign-flip test and Holm's correction over the whole table."""
+    """Compare policies, or a factor's levels under the first policy, with the first of them.
+
+    Returns [(setting, policy or level, pairs, mean of the first, mean difference, lower, upper, corrected p)],
+    paired by seed, with the sign-flip test and Holm's correction over the whole table.
+    """
     import numpy
     from scipy import stats
 
@@ -398,7 +411,7 @@
 
 
 def merged_times(rows):
-    """One histogram of the times of all these rows."""
+    """Return one histogram of the response times of all these rows."""
     whole = HdrHistogram(1, 3_600_000, 3)
     for row in rows:
         whole.add(HdrHistogram.decode(base64.b64decode(row["times"])))
@@ -406,7 +419,7 @@
 
 
 def merged_stages(rows):
-    """{stage: histogram in ms} of all these rows together."""
+    """Return {stage: histogram in ms} of all these rows together."""
     whole = {}
     for row in rows:
         for stage, text in json.loads(row["stages"]).items():
@@ -417,6 +430,7 @@
 
 
 def table_lines(out, figure, factor=None):
+    """Yield the lines of the table of differences."""
     rows, made = rows_of(out)
     first = first_policy(made)
     against = f"{factor}={first_level(made, factor)}" if factor else first
--- a/petrelwood/lab/soak.py
+++ b/petrelwood/lab/soak.py
@@ -1,8 +1,8 @@
-"""Memory and descriptors of a long day's processes, looked at again and again, and whether they grow.
+"""Samples memory and descriptors of a long day's processes, and judges whether they grow.
 
-A process's figures are judged over its life without the first part, in which caches and rings fill: the slope
-between any two looks, its median (Theil and Sen), over the whole watched time, against the median figure.
-Figures come from /proc of this day's own children."""
+A process is judged over its lifetime without the first part, in which caches and rings fill: the median slope
+between any two samples (Theil-Sen), over the whole sampled time, relative to the median value. Samples come
+from /proc of this day's own child processes."""
 
 import asyncio
 import csv
@@ -13,25 +13,27 @@
 import numpy
 from scipy import stats
 
-WARM = 0.25  # of a process's watched life that is not judged
-# growth over the watched time, against the median, that is more than noise
+WARM_UP_SHARE = 0.25  # share of a process's sampled lifetime that is not judged
+# figure -> growth over the sampled time, relative to the median, above which it is more than noise
 GROWS = {"memory": 0.1, "descriptors": 0.25}
-LEAST = 20  # looks that say something
+MIN_SAMPLES = 20  # fewer are not judged
 
 
 class Growth(NamedTuple):
+    """The growth of one figure of one process."""
+
     name: str
     figure: str
     looks: int
     middle: float  # bytes, or descriptors
     most: float
-    growth: float  # over the judged time, as a part of the median
+    growth: float  # over the judged time, relative to the median
     band: tuple  # its 95% interval
     grows: bool
 
 
 def look(pid):
-    """(resident bytes, open descriptors) of a process, or None where it is gone."""
+    """Return (resident bytes, open descriptors) of a process, or None if it has ended."""
     proc = pathlib.Path("/proc") / str(pid)
     try:
         pages = int((proc / "statm").read_text().split()[1])
@@ -41,7 +43,7 @@
 
 
 async def watch(run, path, every=5.0):
-    """Writes what the processes of a `lab.day.Run` hold to a CSV file, until it is cancelled."""
+    """Write samples of the processes of a `lab.day.Run` to a CSV file until cancelled."""
     with open(path, "w", newline="", buffering=1) as file:
         rows = csv.writer(file)
         rows.writerow(("at", "name", "pid", "memory", "descriptors"))
@@ -55,25 +57,27 @@
 
 
 def judge(path, names=None):
-    """[Growth] of each process life that was looked at often enough; only those whose names begin with
-    `names`, where given."""
-    lives = {}
+    """Return [Growth] of each process incarnation with enough samples.
+
+    If `names` is given, only of processes whose names begin with one of them.
+    """
+    incarnations = {}
     with open(path, newline="") as file:
         for row in csv.DictReader(file):
             if not names or row["name"].startswith(tuple(names)):
-                lives.setdefault((row["name"], row["pid"]), []).append(row)
+                incarnations.setdefault((row["name"], row["pid"]), []).append(row)
     found = []
-    for (name, _), rows in sorted(lives.items()):
-        if len(rows) < LEAST:
+    for (name, _), rows in sorted(incarnations.items()):
+        if len(rows) < MIN_SAMPLES:
             continue
         at = numpy.array([float(r["at"]) for r in rows])
-        judged = at >= at[0] + WARM * (at[-1] - at[0])
+        judged = at >= at[0] + WARM_UP_SHARE * (at[-1] - at[0])
         for figure, bound in GROWS.items():
             values = numpy.array([float(r[figure]) for r in rows])[judged]
             slope, _, low, high = stats.theilslopes(values, at[judged])
             middle = float(numpy.median(values))
             span = float(at[judged][-1] - at[judged][0]) / max(1.0, middle)
-            # It grows where even the low end of the interval says so.
+            # It grows if even the low end of the interval is above 0.
             found.append(
                 Growth(
                     name,
--- a/petrelwood/lab/stages.py
+++ b/petrelwood/lab/stages.py
@@ -1,20 +1,22 @@
 """Where the time of a completed activation went, from records that emulator and stand-ins both make.
 
-    earlier tries -> to the worker (ways, held by the module) -> waited there (queue, load) -> at work ->
+    earlier tries -> to the worker (network, held by the module) -> waited there (queue, load) -> at work ->
     answer's way
 
-Only answers whose send can be told by its mark count; the parts of one add up to what its client saw.
+Only answers whose send is identified by its mark count; the stages of one add up to the time its client saw.
 """
 
 from hdrh.histogram import HdrHistogram
 
 STAGES = ("earlier tries", "to the worker", "waited there", "at work", "answer's way")
-MS = 1_000_000
+MILLISECOND = 1_000_000
 
 
 def parts(records):
-    """(stage times in ns, in the order of `STAGES`) of each completed answer, records in the order in which
-    they were made."""
+    """Yield the stage times in ns, in the order of `STAGES`, of each completed answer.
+
+    `records`: in the order in which they were made.
+    """
     first, arrived, done = {}, {}, {}
     for record in records:
         what = record["t"]
@@ -37,9 +39,9 @@
 
 
 def histograms(records):
-    """{stage: HdrHistogram in ms} of a day."""
+    """Return {stage: HdrHistogram in ms} of a day."""
     found = {stage: HdrHistogram(1, 3_600_000, 3) for stage in STAGES}
     for times in parts(records):
         for stage, time in zip(STAGES, times, strict=True):
-            found[stage].record_value(max(1, time // MS))
+            found[stage].record_value(max(1, time // MILLISECOND))
     return found
