--- a/petrelwood/emulate/configuration_servers.py
+++ b/petrelwood/emulate/configuration_servers.py
@@ -2,7 +2,7 @@
 
 Servers crash, lose their disks, and can't write to them for a while. The replicas, their durability and the
 proposers are the production code. One seeded generator draws all faults. The state for the checks is kept
-apart from the replicas: what each replica ever held as decided in a slot, which slot each author was told,
+apart from the replicas: what each replica ever held as decided in a slot, which slot was reported to each author,
 and whether what a server promised or accepted was on its disk.
 """
 
@@ -280,7 +280,7 @@
     def _note_end(self, server: Server, proposal: Proposal) -> None:
         record_id, slot = proposal.record.id, proposal.decided_slot
         if slot is not None and self.reported.setdefault(record_id, slot) != slot:
-            self.violations.append(f"{record_id} was told {self.reported[record_id]} and {slot}")
+            self.violations.append(f"{record_id} was reported in slots {self.reported[record_id]} and {slot}")
         if proposal.ended and server.proposal is proposal:
             server.proposal = None
 
@@ -308,7 +308,7 @@
         for record_id, slot in self.reported.items():
             if self.decided.get(slot) != record_id:
                 held = self.decided.get(slot)
-                self.violations.append(f"{record_id} was told slot {slot}, which holds {held}")
+                self.violations.append(f"{record_id} was reported in slot {slot}, which holds {held}")
         return self.violations
 
     # Faults
--- a/petrelwood/lab/day.py
+++ b/petrelwood/lab/day.py
@@ -21,7 +21,7 @@
 from petrelwood.settings import gateway as settings
 
 START_WITHIN = 60  # seconds for a process to be ready, on a busy machine
-LEAD = 1_500_000_000  # ns between the last process's readiness and the day's first second
+LEAD = 1_500_000_000  # ns between the readiness of the last process and the start of the day
 
 
 class DayFailed(Exception):
