--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -261,7 +261,7 @@
         """Workers are killed and come back cold after `down` seconds."""
         for name in names:
             if self.nodes[name].machine is not None:
-                self._restart(name, round(down * SECOND))
+                self._restart_worker(name, round(down * SECOND))
 
     def lose_dispatchers(self, names, down):
         """Dispatchers are killed and started again after `down` seconds; they know nothing then."""
--- a/petrelwood/emulate/configuration_servers.py
+++ b/petrelwood/emulate/configuration_servers.py
@@ -2,8 +2,8 @@
 
 Servers crash, lose their disks, and can't write to them for a while. The replicas, their durability and the
 proposers are the production code. One seeded generator draws all faults. The state for the checks is kept
-apart from the replicas: what each replica ever held as decided in a slot, which slot was reported to each author,
-and whether what a server promised or accepted was on its disk.
+apart from the replicas: what each replica ever held as decided in a slot, which slot was reported to each
+author, and whether what a server promised or accepted was on its disk.
 """
 
 import errno
