--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -1,9 +1,9 @@
-"""Idle clients that fill the descriptors of a dispatcher while discovery is down, on real sockets.
+"""Idle clients that use up the descriptors of a dispatcher while service discovery is down, on real sockets.
 
-The dispatcher is a process of its own under a limit of descriptors (RLIMIT_NOFILE) that several hundred idle
-connections exceed, or that is lowered to what it already holds. It counts the turns of its loop, its looks,
-its calls of `accept` and the answers of the roster that it could use, and tells them at SIGUSR1: that nothing
-spins is judged by these counts and not by a clock."""
+The dispatcher is a separate process with a descriptor limit (RLIMIT_NOFILE) that several hundred idle
+connections exceed, or that is lowered to the number it already has open. It counts the iterations of its
+event loop, its checks, its calls of `accept` and the usable answers of the roster, and prints the counts at
+SIGUSR1. The test uses these counts instead of a clock to see that nothing spins."""
 
 import asyncio
 import contextlib
@@ -21,21 +21,24 @@
 
 from petrelwood.decide.overload.resource_limits import ResourceLimits
 
-SLOW = 30  # s that anything may take on a busy machine before it is called lost
+SLOW = 30  # seconds that anything may take on a busy machine before the test fails
 DESCRIPTORS = 96  # RLIMIT_NOFILE of the dispatcher
-CLIENTS = 8  # real ones, one after another
-IDLE = 300  # idle connections that are kept up against it
-LOOKS = 40  # looks of the dispatcher (two seconds) over which its turns are counted
-# A turn for the look itself, one for a timer of the module, up to four after a look that came late, on a busy
-# machine, and as many again. A loop that spins has hundreds.
-TURNS_A_LOOK = 12
-TURNS_AN_EVENT = 8  # a connection that comes, is read, answered and ended; an activation; a question
-TRIED = 80  # looks after which a reading of the configuration had once been given up (three seconds)
+CLIENTS = 8  # the number of active clients, one after another
+IDLE = 300  # the number of idle connections that are kept open
+COUNTED_CHECKS = 40  # checks of the dispatcher (two seconds) over which the loop iterations are counted
+# The maximum number of loop iterations per check: one for the check itself, one for a timer of the module, up
+# to four after a late check on a busy machine, and as many again. A spinning loop has hundreds.
+MAX_ITERATIONS_PER_CHECK = 12
+# The maximum number of loop iterations per event: a connection that is accepted, read, answered and closed,
+# an activation, or a query.
+MAX_ITERATIONS_PER_EVENT = 8
+# Checks while the configuration can't be read (four seconds): a faulty version gave up after three seconds.
+RELOAD_CHECKS = 80
 COUNTED = """
 import asyncio, json, os, resource, runpy, signal, sys
 limit = int(sys.argv[1])
 resource.setrlimit(resource.RLIMIT_NOFILE, (limit, resource.getrlimit(resource.RLIMIT_NOFILE)[1]))
-counts = {"turns": 0, "looks": 0, "accepts": 0, "answers": 0}
+counts = {"iterations": 0, "checks": 0, "accepts": 0, "answers": 0}
 
 def counted(owner, name, what):
     inner = getattr(owner, name)
@@ -44,9 +47,9 @@
         return inner(*args)
     setattr(owner, name, outer)
 
-counted(asyncio.base_events.BaseEventLoop, "_run_once", "turns")
+counted(asyncio.base_events.BaseEventLoop, "_run_once", "iterations")
 from petrelwood.node import client_listener, roster, service
-counted(service.Node, "_check", "looks")
+counted(service.Node, "_check", "checks")
 counted(client_listener.ClientListener, "_accept", "accepts")
 counted(roster.DnsRoster, "_usable_answer_received", "answers")
 signal.signal(signal.SIGUSR1, lambda *_: os.write(2, json.dumps({"counts": counts}).encode() + b"\\n"))
@@ -56,18 +59,18 @@
 
 
 class Counts(NamedTuple):
-    """Since the start of the process; `answers`: those of the roster that were good."""
+    """Counts since the start of the process; `iterations`: of the event loop, `answers`: usable ones."""
 
-    turns: int
-    looks: int
+    iterations: int
+    checks: int
     accepts: int
     answers: int
 
 
 class Limited(Site):
-    """A dispatcher that may hold `DESCRIPTORS` descriptors and is told that it may hold `sockets`.
+    """A dispatcher with a limit of `DESCRIPTORS` descriptors and a configured limit of `sockets`.
 
-    `lost` counts the clients of `served` whose connection ended with no answer."""
+    `lost` counts the clients of `served` whose connection ended without an answer."""
 
     lost = 0
 
@@ -75,32 +78,33 @@
         await super().start((sys.executable, "-c", COUNTED, str(DESCRIPTORS)))
 
     async def counts(self):
-        """What the process tells of its turns now."""
+        """Return the current counts of the process."""
         before = sum('"counts"' in line for line in self.log)
         self.process.send_signal(signal.SIGUSR1)
         await self.until(lambda: sum('"counts"' in line for line in self.log) > before, SLOW)
         newest = next(line for line in reversed(self.log) if '"counts"' in line)
         return Counts(**json.loads(newest)["counts"])
 
-    async def looks(self, count):
-        """Waits until the dispatcher has looked so many times more; its counts before and after."""
+    async def wait_for_checks(self, count):
+        """Wait for `count` more checks of the dispatcher; return its counts before and after them."""
         before = now = await self.counts()
-        while now.looks - before.looks < count:
+        while now.checks - before.checks < count:
             await asyncio.sleep(0.1)
             now = await self.counts()
         return before, now
 
-    def leaves_none(self):
-        """From now on it gets no descriptor beyond those that it holds."""
+    def exhaust_descriptors(self):
+        """Lower the limit so that the dispatcher can't open another descriptor."""
         _, hard = resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE)
         resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (3, hard))
 
-    def leaves_some(self):
+    def restore_descriptors(self):
         _, hard = resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE)
         resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (DESCRIPTORS, hard))
 
     async def served(self, fn=1):
-        """A client asks until it is served, each time on a new connection and without waiting on it first."""
+        """Send requests until one completes, each on a new connection and without waiting for its
+        acceptance."""
         body = os.urandom(8)
         async with asyncio.timeout(SLOW):
             while await self._answer(fn, body) != [1, 1, None, [body, {}]]:
@@ -120,11 +124,11 @@
         return None
 
 
-class Crowd:
-    """`IDLE` connections to the dispatcher that rest; each is opened again half a second after it was closed.
+class IdleClients:
+    """`IDLE` idle connections to the dispatcher, each of which is reopened half a second after it was closed.
 
-    Each third of them says nothing, asks for health, or asks for one activation, and then keeps its
-    connection. `opened` counts all connections."""
+    A third of them send nothing, a third request health, and a third request one activation; then they stay
+    open. `opened` counts all connections."""
 
     def __init__(self, site):
         self.site, self.opened = site, 0
@@ -150,11 +154,11 @@
                         pass
                 finally:
                     writer.close()
-            if first == self._activation:  # once: it is no crowd of activations
+            if first == self._activation:  # each requests only one activation
                 first = self._health
             await asyncio.sleep(0.5)
 
-    async def leave(self):
+    async def stop(self):
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -162,7 +166,7 @@
 
 class WhileDiscoveryIsDown(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        asyncio.get_running_loop().set_debug(False)  # the crowd is in this loop
+        asyncio.get_running_loop().set_debug(False)  # the idle clients run in this loop
         self.old, self.new, self.second = Worker("s-1"), Worker("s-2"), Roster()
         await self.new.open()
         await self.second.open()
@@ -170,39 +174,41 @@
         self.addAsyncCleanup(self.new.close)
 
     def site(self, sockets=256):
-        """Whose roster is silent; with more descriptors told than there are, or with the true number."""
+        """Return a site whose roster is silent, with `sockets` as the configured limit of descriptors."""
         site = Limited([self.old], sockets=sockets)
         site.roster.rewrite = lambda wire: None
         return site
 
     async def crowd(self, site):
-        """Its crowd, which has filled all that clients may hold and is kept up until the test ends."""
-        crowd = Crowd(site)
-        self.addAsyncCleanup(crowd.leave)
+        """Open idle connections until they use the whole capacity for clients; keep them open until the test
+        ends."""
+        crowd = IdleClients(site)
+        self.addAsyncCleanup(crowd.stop)
         room = ResourceLimits(DESCRIPTORS, 64)
         await site.until(lambda: crowd.opened >= IDLE and site.figures()[1] >= room.clients, SLOW)
         return crowd
 
     async def check_that_it_serves(self, site, roster, crowd):
-        """The roster is asked, workers are reached, clients are served, and nothing spins."""
+        """Check that the roster is queried, workers are reached, clients are served, and nothing spins."""
         asked, opened = roster.asked, crowd.opened
         before = await site.counts()
         for n in range(CLIENTS):
             await site.served(fn=n)
-            await asyncio.sleep(0.3)  # some of the crowd are closed for their silence, others come meanwhile
-        self.assertLessEqual(site.lost, CLIENTS // 2)  # each has its room as it comes, whoever holds the rest
-        _, now = await site.looks(LOOKS)
-        looks, turns = now.looks - before.looks, now.turns - before.turns
+            await asyncio.sleep(0.3)  # silent connections are closed and others opened meanwhile
+        self.assertLessEqual(site.lost, CLIENTS // 2)  # a new client is served despite the idle ones
+        _, now = await site.wait_for_checks(COUNTED_CHECKS)
+        checks, iterations = now.checks - before.checks, now.iterations - before.iterations
         events = crowd.opened - opened + roster.asked - asked + CLIENTS + site.lost
-        self.assertLess(turns, TURNS_A_LOOK * looks + TURNS_AN_EVENT * events)
-        self.assertLess(now.accepts - before.accepts, looks + events + IDLE)
-        # a look that finds a question without an answer 80 ms old puts the next one
-        self.assertGreater(roster.asked - asked, looks // 4)
+        self.assertLess(iterations, MAX_ITERATIONS_PER_CHECK * checks + MAX_ITERATIONS_PER_EVENT * events)
+        self.assertLess(now.accepts - before.accepts, checks + events + IDLE)
+        # a check sends the next query if the last one is 80 ms old and unanswered
+        self.assertGreater(roster.asked - asked, checks // 4)
         clients = site.figures()[1] - len(self.old.streams)
         self.assertLessEqual(clients, DESCRIPTORS - ResourceLimits(DESCRIPTORS, 64).workers)
 
-    async def check_that_it_hears(self, site, roster):
-        """Discovery comes back, and tells of another worker in the place of the one that is known."""
+    async def check_new_list_is_used(self, site, roster):
+        """Check that the dispatcher uses a new worker, which replaces the known one, once discovery is
+        back."""
         self.assertFalse(self.new.probes or self.new.orders or self.new.runs)
         roster.serial, roster.entries = site.roster.serial + 1, {}
         roster.tell(self.new)
@@ -215,7 +221,7 @@
     async def test_silent_from_before_the_start(self):
         async with self.site() as site:
             await self.check_that_it_serves(site, site.roster, await self.crowd(site))
-            await self.check_that_it_hears(site, site.roster)
+            await self.check_new_list_is_used(site, site.roster)
 
     async def test_silent_later(self):
         site = self.site()
@@ -225,10 +231,10 @@
             await site.until(lambda: site.roster.asked > asked + 2, SLOW)
             site.roster.rewrite = silent
             await self.check_that_it_serves(site, site.roster, await self.crowd(site))
-            await self.check_that_it_hears(site, site.roster)
+            await self.check_new_list_is_used(site, site.roster)
 
     async def test_moved_under_a_crowd(self):
-        """SIGHUP; the roster at its new address is silent as well at first."""
+        """The roster is moved by SIGHUP; at its new address it is silent at first too."""
         self.second.rewrite = lambda wire: None
         async with self.site() as site:
             crowd = await self.crowd(site)
@@ -236,26 +242,26 @@
             site.process.send_signal(signal.SIGHUP)
             await site.until(lambda: self.second.asked, SLOW)
             await self.check_that_it_serves(site, self.second, crowd)
-            await self.check_that_it_hears(site, self.second)
+            await self.check_new_list_is_used(site, self.second)
 
     async def test_told_of_the_true_limit(self):
         async with self.site(DESCRIPTORS) as site:
             await self.check_that_it_serves(site, site.roster, await self.crowd(site))
-            await self.check_that_it_hears(site, site.roster)
+            await self.check_new_list_is_used(site, site.roster)
 
     async def test_the_first_answer_comes_with_no_descriptor_left(self):
-        """Nothing has to be opened to read it, a module of a library neither."""
+        """Reading the answer must open nothing, not even the file of a library module."""
         async with self.site() as site:
-            site.leaves_none()
+            site.exhaust_descriptors()
             site.roster.rewrite = None
             async with asyncio.timeout(SLOW):
                 while not (await site.counts()).answers:
                     await asyncio.sleep(0.1)
-            site.leaves_some()
-            await self.check_that_it_hears(site, site.roster)
+            site.restore_descriptors()
+            await self.check_new_list_is_used(site, site.roster)
 
     async def test_the_first_client_comes_with_one_descriptor_left(self):
-        """That of its connection: nothing else has to be opened to serve it."""
+        """The connection needs the last descriptor; serving it must open nothing else."""
         async with self.site() as site:
             held = site.figures()[1]
             _, hard = resource.prlimit(site.process.pid, resource.RLIMIT_NOFILE)
@@ -263,39 +269,41 @@
             client = await site.client()
             self.assertTrue(await client.health())
             client.close()
-            site.leaves_some()
+            site.restore_descriptors()
             await site.served()
 
     async def test_moved_with_no_descriptor_left(self):
-        """SIGHUP while the configuration can't be opened, for longer than a spoilt one is read again."""
+        """SIGHUP while the configuration can't be opened, for longer than a malformed file is retried."""
         async with self.site() as site:
-            site.leaves_none()
+            site.exhaust_descriptors()
             site.write(names=f"127.0.0.1:{self.second.port}")
             site.process.send_signal(signal.SIGHUP)
-            with socket.create_connection(site.address):  # nobody can take it: the listener stays readable
-                before, now = await site.looks(TRIED)
-            self.assertLess(now.turns - before.turns, TURNS_A_LOOK * (now.looks - before.looks))
-            self.assertLess(now.accepts - before.accepts, 2 * (now.looks - before.looks))
+            with socket.create_connection(site.address):  # not accepted: the listener stays readable
+                before, now = await site.wait_for_checks(RELOAD_CHECKS)
+            self.assertLess(
+                now.iterations - before.iterations, MAX_ITERATIONS_PER_CHECK * (now.checks - before.checks)
+            )
+            self.assertLess(now.accepts - before.accepts, 2 * (now.checks - before.checks))
             self.assertLess(sum("configuration" in line for line in site.log), 3)
             self.assertEqual(self.second.asked, 0)
-            site.leaves_some()
+            site.restore_descriptors()
             await site.until(lambda: self.second.asked, SLOW)
-            await self.check_that_it_hears(site, self.second)
+            await self.check_new_list_is_used(site, self.second)
 
     async def test_a_roster_that_cannot_be_reached_from_the_start(self):
-        """No way leads there when it starts: it serves by what it knows, and asks once SIGHUP tells a better
-        one."""
+        """The address of the roster is unreachable at the start: the dispatcher serves with the configured
+        list, and queries the roster once SIGHUP gives another address."""
         site = self.site()
         write = site.write
         site.write = lambda **changes: write(**{"names": "255.255.255.255:53", **changes})
         async with site:
             await site.served()
-            _, now = await site.looks(LOOKS)
-            self.assertLess(sum("can't be asked" in line for line in site.log), 3)
+            _, now = await site.wait_for_checks(COUNTED_CHECKS)
+            self.assertLess(sum("can't query the roster" in line for line in site.log), 3)
             site.write(names=f"127.0.0.1:{self.second.port}")
             site.process.send_signal(signal.SIGHUP)
             await site.until(lambda: self.second.asked, SLOW)
-            await self.check_that_it_hears(site, self.second)
+            await self.check_new_list_is_used(site, self.second)
 
 
 if __name__ == "__main__":
--- a/tests/test_restart_readiness.py
+++ b/tests/test_restart_readiness.py
@@ -1,11 +1,10 @@
-"""Restarted dispatchers are ready within ten seconds: nine in ten of them, whatever discovery does.
+"""Nine in ten restarted dispatchers are ready within ten seconds, whatever service discovery does.
 
-Ready is who answers `health` with true. A machine that others keep busy adds the time that a process stands
-in line for a core; the kernel counts it (/proc/PID/schedstat), and it is taken off. What is left is the
-processor time that the start needs and all that it waits for otherwise, on any machine: so little that a
-quarter of a core is enough for the ten seconds. Besides, each dispatcher tells how often its loop has waited
-before it was ready (never: what it needs is in its configuration), and what a longer list costs is counted in
-calls of functions."""
+A dispatcher is ready when it answers `health` with true. On a busy machine a process also waits for a core;
+the kernel counts that time (/proc/PID/schedstat), and the test subtracts it. The rest is processor time and
+other waits of the start, and must be so short on any machine that a quarter of a core suffices for the ten
+seconds. Each dispatcher also reports how often its event loop waited before it was ready (never, because its
+configuration has all it needs). The cost of a longer list is counted in function calls."""
 
 import asyncio
 import contextlib
@@ -26,22 +25,22 @@
 from petrelwood.node import configuration
 from petrelwood.node.service import Node
 
-SLOW = 120  # s until a dispatcher that is not ready is called lost
-WITHIN = 10  # s until a restarted dispatcher has to be ready
-SHARE = 0.9  # of those that are restarted
-CORE = 0.25  # of a core, which a dispatcher has at least while it starts
-TOGETHER = 5  # dispatchers that are restarted at a time
-ENDS = (signal.SIGKILL, signal.SIGTERM)  # how each ends, and is started again after the first
-LIST = 1024  # workers that a long list holds
-BUSY, BUSY_FOR = 6, 25  # loops that keep the machine busy, and s after which each ends by itself
-CALLS_A_WORKER = 20  # calls of functions at a start for each worker in the list
+SLOW = 120  # seconds until a dispatcher that is not ready, or has not ended, fails the test
+MAX_START_TIME = 10  # seconds in which a restarted dispatcher must be ready
+MIN_READY_SHARE = 0.9  # the minimum share of dispatchers that are ready in time
+MIN_CORE_SHARE = 0.25  # the minimum share of a core that a dispatcher has while it starts
+PARALLEL_STARTS = 5  # the number of dispatchers that are restarted at a time
+END_SIGNALS = (signal.SIGKILL, signal.SIGTERM)  # the signal that ends each start, in order
+LONG_LIST = 1024  # the number of workers in a long list
+BUSY, BUSY_FOR = 6, 25  # the number of loops that keep the machine busy, and the seconds until each ends
+MAX_CALLS_PER_WORKER = 20  # the maximum number of function calls at a start per worker in the list
 LOOP = "import sys, time\nend = time.monotonic() + float(sys.argv[1])\nwhile time.monotonic() < end: pass"
 COUNTED = """
 import json, os, runpy, selectors, sys
 nodes, waits, inner = [], [], selectors.EpollSelector.select
 
 def select(self, timeout=None):
-    ready = nodes and nodes[0].serves()
+    ready = nodes and nodes[0].is_ready()
     if ready and nodes[1:] == []:
         nodes.append("told")
         os.write(2, json.dumps({"waits": len(waits)}).encode() + b"\\n")
@@ -63,8 +62,8 @@
 """
 
 
-class Unchanged(Roster):
-    """Says, however long the list is, that nothing has happened since; or nothing."""
+class UnchangedRoster(Roster):
+    """A roster that reports no change whatever the length of the list, or is silent."""
 
     silent = False
 
@@ -75,38 +74,38 @@
 
 
 class Start:
-    """One start of a dispatcher, on an address of its own."""
+    """One start of a dispatcher on its own address."""
 
     def __init__(self, process, address, began):
         self.process, self.address, self.began = process, address, began
-        self.took, self.own, self.waits = math.inf, math.inf, None
+        self.took, self.own_time, self.waits = math.inf, math.inf, None
 
     async def ready(self):
-        """Asks for health until it is answered with true; notes what it took."""
+        """Poll `health` until the answer is true, and record the time that the start took."""
         while True:
             with contextlib.suppress(OSError, TimeoutError):
                 reader, writer = await asyncio.open_connection(*self.address)
                 try:
                     writer.write(msgpack.packb([0, 1, "health", [{}]]))
-                    said = await asyncio.wait_for(reader.read(64), WITHIN)
+                    said = await asyncio.wait_for(reader.read(64), MAX_START_TIME)
                 finally:
                     writer.close()
                 if said == msgpack.packb([1, 1, None, [True, {}]]):
                     self.took = time.monotonic() - self.began
-                    self.own = self.took - self._in_line()
+                    self.own_time = self.took - self._run_queue_wait()
                     return
             if self.process.returncode is not None:
                 return
             await asyncio.sleep(0.05)
 
-    def _in_line(self):
-        """Seconds that it was ready to run and had no core."""
-        with contextlib.suppress(OSError):  # a kernel that does not count it
+    def _run_queue_wait(self):
+        """Return the seconds for which the process was runnable without a core."""
+        with contextlib.suppress(OSError):  # the kernel does not count it
             return int(pathlib.Path(f"/proc/{self.process.pid}/schedstat").read_text().split()[1]) / 1e9
         return 0
 
     async def log(self):
-        """Reads it to the end of the process."""
+        """Read the log until the process ends."""
         async for line in self.process.stderr:
             if b'"waits"' in line:
                 self.waits = json.loads(line)["waits"]
@@ -117,9 +116,9 @@
         asyncio.get_running_loop().set_debug(False)
 
     async def site(self, workers, silent):
-        """A configuration with so many workers, of which one is there."""
+        """Return a site with `workers` configured workers, one of which exists."""
         site = Site([Worker("s-1")])
-        site.roster = Unchanged()
+        site.roster = UnchangedRoster()
         site.roster.silent = silent
         await site.roster.open()
         await site.workers[0].open()
@@ -133,8 +132,8 @@
 
     @staticmethod
     def addresses():
-        """Free ones."""
-        return [("127.0.0.1", free_port()) for _ in range(TOGETHER)]
+        """Return `PARALLEL_STARTS` free addresses."""
+        return [("127.0.0.1", free_port()) for _ in range(PARALLEL_STARTS)]
 
     async def start(self, site, address):
         began = time.monotonic()
@@ -157,11 +156,11 @@
             process.kill()
 
     async def restarts(self, workers, silent):
-        """`TOGETHER` dispatchers, each started, killed and started again; their clients stay connected."""
+        """Start the dispatchers, end them, and start them again while their clients stay connected."""
         site, addresses, starts = await self.site(workers, silent), self.addresses(), []
         site.address = addresses[0]
         self.path = site.write()
-        for number in ENDS:
+        for number in END_SIGNALS:
             batch = [await self.start(site, address) for address in addresses]
             clients = await asyncio.wait_for(self.all_ready(batch), SLOW)
             for start in batch:
@@ -169,22 +168,22 @@
             for start in batch:
                 await asyncio.wait_for(start.process.wait(), SLOW)
                 await start.reading
-            for client in clients:  # they outlive their dispatcher
+            for client in clients:  # they stay open until after their dispatcher has ended
                 client.close()
             starts += batch
         return site, starts
 
     @staticmethod
     async def all_ready(batch):
-        """Waits until they are; connections to them that stay open."""
+        """Wait until all dispatchers are ready; return open connections to them."""
         await asyncio.gather(*(start.ready() for start in batch))
         return [socket.create_connection(s.address) for s in batch if s.process.returncode is None]
 
     async def check(self, workers, silent):
         site, starts = await self.restarts(workers, silent)
-        told = [(round(s.took, 2), round(s.own, 2)) for s in starts]
-        in_time = sum(start.own <= CORE * WITHIN for start in starts)
-        self.assertGreaterEqual(in_time, SHARE * len(starts), told)
+        told = [(round(s.took, 2), round(s.own_time, 2)) for s in starts]
+        in_time = sum(start.own_time <= MIN_CORE_SHARE * MAX_START_TIME for start in starts)
+        self.assertGreaterEqual(in_time, MIN_READY_SHARE * len(starts), told)
         self.assertEqual([start.waits for start in starts], [0] * len(starts))
         self.assertTrue(site.roster.asked)
 
@@ -192,7 +191,7 @@
         await self.check(4, silent=False)
 
     async def test_with_a_long_list_and_discovery_silent(self):
-        await self.check(LIST, silent=True)
+        await self.check(LONG_LIST, silent=True)
 
     async def test_on_a_loaded_machine_with_a_long_list_and_discovery_silent(self):
         loops = [
@@ -200,7 +199,7 @@
             for _ in range(BUSY)
         ]
         try:
-            await self.check(LIST, silent=True)
+            await self.check(LONG_LIST, silent=True)
         finally:
             for loop in loops:
                 self.end(loop)
@@ -209,7 +208,7 @@
 
 class LongLists(unittest.IsolatedAsyncioTestCase):
     async def calls(self, workers):
-        """Calls of functions from the reading of the configuration until it is ready."""
+        """Return the number of function calls from reading the configuration until it is ready."""
         site, count = Site([]), 0
         site.roster.port = 9
         site.address = ("127.0.0.1", 0)
@@ -234,10 +233,11 @@
         return count
 
     async def test_each_worker_in_the_list_costs_the_same(self):
-        """A start of twice as many workers costs twice as much at most, which holds on any machine."""
-        few, some, many = [await self.calls(n) for n in (LIST // 4, LIST // 2, LIST)]
+        """Twice the workers cost at most twice as much, in function calls, so that it holds on any
+        machine."""
+        few, some, many = [await self.calls(n) for n in (LONG_LIST // 4, LONG_LIST // 2, LONG_LIST)]
         self.assertLessEqual(many - some, 2.2 * (some - few))
-        self.assertLessEqual((many - few) / (LIST - LIST // 4), CALLS_A_WORKER)
+        self.assertLessEqual((many - few) / (LONG_LIST - LONG_LIST // 4), MAX_CALLS_PER_WORKER)
 
 
 if __name__ == "__main__":
