--- a/petrelwood/emulate/broker.py
+++ b/petrelwood/emulate/broker.py
@@ -1,20 +1,21 @@
-"""A model of an MQTT 5 broker, free of sockets: sessions, shared subscriptions, quality of service,
-redelivery.
+"""A model of an MQTT 5 broker without sockets: sessions, shared subscriptions, QoS levels, redelivery.
 
-It keeps to the standard as far as the platform needs it: sessions with expiry, QoS 0, 1 and 2 both ways,
-redelivery with DUP, Receive Maximum, message expiry, shared subscriptions whose QoS 1 messages go to another
-member when one is lost (those of QoS 2 stay with their session), wills, takeover. Retained messages are not
-kept."""
+It implements the part of the standard that the platform needs: sessions with expiry, QoS 0, 1 and 2 in both
+directions, redelivery with DUP, Receive Maximum, message expiry, wills, takeover, and shared subscriptions
+whose QoS 1 messages go to another member when one is lost (those of QoS 2 stay with their session). Retained
+messages are not kept."""
 
 from collections import OrderedDict, deque
 
 from petrelwood.links import packets as mqtt
 
 SECOND = 1_000_000_000
-QUEUED = 10_000  # messages that wait for one session
+MAX_QUEUED = 10_000  # messages queued for one session
 
 
 class Message:
+    """A message in the broker. `ends`: when it expires, or None."""
+
     __slots__ = ("topic", "payload", "qos", "props", "ends", "number")
 
     def __init__(self, topic, payload, qos, props, ends, number):
@@ -29,7 +30,7 @@
 
 
 class Session:
-    """One client's state. `send(packet)` where it is connected, else None."""
+    """One client's session; `send(packet)` writes to its connection, and is None while it is disconnected."""
 
     def __init__(self, client, user):
         self.client, self.user, self.send, self.expiry, self.ends_at = client, user, None, 0, None
@@ -44,20 +45,29 @@
 
 
 class Broker:
-    """`clock` as in `emulate.clock`; `may(user, topic, publishes)` tells who may use which topic; `saw(what,
-    **facts)`
-    is told what passes."""
+    """The broker.
+
+    `clock`: as `petrelwood.clocks.VirtualClock`; `may(user, topic, publishes)`: whether a user may use a
+    topic; `saw(what, **facts)`: called with each event.
+    """
 
     def __init__(self, clock, may, saw=lambda what, **facts: None, chance=None):
-        self.clock, self.may, self.saw, self.sessions, self.turns, self.number = clock, may, saw, {}, {}, 0
+        self.clock, self.may, self.saw, self.sessions, self.next_member, self.number = (
+            clock,
+            may,
+            saw,
+            {},
+            {},
+            0,
+        )
 
-    # Connections.
+    # Connections
     def connect(self, packet, send, close):
-        """The session of a client that connects. `close(code)` ends the connection."""
+        """Return the session of a client that connects; `close(code)` ends its connection."""
         session = self.sessions.get(packet.client)
         if session is not None and session.send is not None:
             session.close(mqtt.TAKEN_OVER)
-            self._off(session)
+            self._disconnect(session)
         present = session is not None and not packet.clean
         if session is not None and packet.clean:
             self.end(session)
@@ -74,22 +84,22 @@
                 send(mqtt.Packet(mqtt.PUBREL, id_))
             else:
                 self._deliver(session, id_, message, 1)
-        self._flow(session)
+        self._send_queued(session)
         return session
 
-    def _off(self, session):
+    def _disconnect(self, session):
         session.send = None
 
     def gone(self, session, life, clean):
-        """The connection ended; `clean`: by a DISCONNECT."""
+        """Handle the end of a connection; `clean`: whether the client sent a DISCONNECT."""
         if session.life != life or session.send is None:
             return
-        self._off(session)
+        self._disconnect(session)
         self.saw("disconnected", client=session.client, clean=clean)
         if session.will is not None and not clean:
             self.publish(session, session.will)
         session.will = None
-        self._share_out(session)
+        self._reassign_in_flight(session)
         if not session.expiry:
             self.end(session)
         else:
@@ -101,32 +111,31 @@
             self.end(session)
 
     def end(self, session):
-        """The session is over: what waited for it goes to the others of its groups, but for QoS 2 in
-        flight."""
+        """End a session; its queued messages go to other members of its groups, but not QoS 2 in flight."""
         self.sessions.pop(session.client, None)
         self.saw("ended", client=session.client)
         for message in session.queue:
             self._route_shared(message, session)
         session.queue.clear()
 
-    def _share_out(self, session):
-        """A member of a group is lost: its QoS 1 messages go to another where there is one."""
+    def _reassign_in_flight(self, session):
+        """Hand the QoS 1 messages in flight of a lost group member to another member, if there is one."""
         for id_, (message, _) in list(session.out.items()):
             if message.qos == 1 and self._route_shared(message, session, dup=True):
                 del session.out[id_]
 
-    # From a client.
+    # From clients
     def subscribe(self, session, packet):
         codes = []
         for name, options in packet.subscriptions:
-            share, bare = _split(name)
+            share, bare = _split_filter(name)
             if not self.may(session.user, bare, False):
                 codes.append(mqtt.NOT_AUTHORIZED)
                 continue
             session.filters[name] = options & 3
             codes.append(options & 3)
         session.send(mqtt.Packet(mqtt.SUBACK, packet.id, props={}, codes=codes))
-        for name in [n for n in session.filters if _split(n)[0]]:
+        for name in [n for n in session.filters if _split_filter(n)[0]]:
             self._wake_group(name)
 
     def unsubscribe(self, session, packet):
@@ -138,12 +147,12 @@
             self._route_shared(message, session)
 
     def publish(self, session, packet):
-        """A PUBLISH of a client (or its will). It is acknowledged, and goes to who subscribed."""
+        """Route a client's PUBLISH (or its will) to the subscribers, and acknowledge it."""
         code = mqtt.SUCCESS
         if not self.may(session.user, packet.topic, True):
             code = mqtt.NOT_AUTHORIZED
         elif packet.qos == 2 and packet.id in session.received:
-            code = session.received[packet.id]  # it came again: it was routed once
+            code = session.received[packet.id]  # a redelivery: it has been routed already
         else:
             code = mqtt.SUCCESS if self.route(packet, session) else mqtt.NO_SUBSCRIBERS
         if packet.qos == 2:
@@ -152,7 +161,7 @@
             session.send(mqtt.Packet(mqtt.PUBACK if packet.qos == 1 else mqtt.PUBREC, packet.id, code))
 
     def packet(self, session, packet):
-        """What else a connected client sends."""
+        """Handle any packet of a connected client after its CONNECT."""
         if packet.type == mqtt.PUBLISH:
             self.publish(session, packet)
         elif packet.type == mqtt.SUBSCRIBE:
@@ -183,11 +192,11 @@
             return
         del session.out[packet.id]
         self.saw("acknowledged", client=session.client, message=message.number, code=packet.code)
-        self._flow(session)
+        self._send_queued(session)
 
-    # To the clients.
+    # To clients
     def route(self, packet, session):
-        """To each plain subscriber, and to one member of each group. Whether anybody takes it."""
+        """Route a message to subscribers and one member of each group; return whether any took it."""
         props = {k: v for k, v in packet.props.items() if k not in ("topic_alias", "message_expiry")}
         expiry = packet.props.get("message_expiry")
         self.number += 1
@@ -214,7 +223,7 @@
         taken, groups = False, set()
         for other in list(self.sessions.values()):
             for name, qos in other.filters.items():
-                share, bare = _split(name)
+                share, bare = _split_filter(name)
                 if not mqtt.matches(bare, packet.topic):
                     continue
                 if share:
@@ -229,14 +238,14 @@
     def _members(self, name):
         return [s for s in self.sessions.values() if name in s.filters]
 
-    def _to_group(self, name, message, but, dup=False):
-        """To the member of a group that is connected and has the most room, in turn among equals."""
-        members = [s for s in self._members(name) if s is not but]
+    def _to_group(self, name, message, excluded, dup=False):
+        """Route to the connected group member with the shortest queue, round-robin among equals."""
+        members = [s for s in self._members(name) if s is not excluded]
         live = [s for s in members if s.send is not None] or members
         if not live:
             return False
-        turn = self.turns[name] = self.turns.get(name, 0) + 1
-        best = min(range(len(live)), key=lambda i: (len(live[i].queue), (i - turn) % len(live)))
+        start = self.next_member[name] = self.next_member.get(name, 0) + 1
+        best = min(range(len(live)), key=lambda i: (len(live[i].queue), (i - start) % len(live)))
         made = Message(
             message.topic,
             message.payload,
@@ -248,12 +257,12 @@
         self._queue(live[best], made, made.qos)
         return True
 
-    def _route_shared(self, message, but, dup=False):
+    def _route_shared(self, message, excluded, dup=False):
         name = message.props.get("_shared")
-        return name is not None and self._to_group(name, message, but, dup)
+        return name is not None and self._to_group(name, message, excluded, dup)
 
     def _wake_group(self, name):
-        """A new member: it takes what waits for members that are away."""
+        """Route the messages queued for disconnected members again, because a member has joined."""
         for other in self._members(name):
             if other.send is None:
                 waiting = [m for m in other.queue if m.props.get("_shared") == name]
@@ -266,12 +275,12 @@
             message = Message(
                 message.topic, message.payload, qos, message.props, message.ends, message.number
             )
-        if len(session.queue) < QUEUED and (qos or session.send is not None):
+        if len(session.queue) < MAX_QUEUED and (qos or session.send is not None):
             session.queue.append(message)
-            self._flow(session)
+            self._send_queued(session)
 
-    def _flow(self, session):
-        """Sends what waits, as far as the client's Receive Maximum goes. What has expired is dropped."""
+    def _send_queued(self, session):
+        """Send queued messages within the client's Receive Maximum; expired ones are dropped."""
         while session.queue and session.send is not None:
             message = session.queue[0]
             if message.ends is not None and self.clock.now() >= message.ends:
@@ -306,8 +315,8 @@
         )
 
 
-def _split(name):
-    """(share name or '', bare filter)"""
+def _split_filter(name):
+    """Return (share name or '', filter without the share) of a topic filter."""
     if not name.startswith("$share/"):
         return "", name
     group, _, bare = name[7:].partition("/")
--- a/petrelwood/emulate/machine.py
+++ b/petrelwood/emulate/machine.py
@@ -1,31 +1,30 @@
-"""A model of a worker: cores, lanes, copies that lapse, memory, loads, a queue, cold starts, and bad
-behaviour.
+"""A model of a worker: cores, lanes, copies that expire, memory, loads, a queue, cold starts, and faults.
 
-Activations at work share the cores; more than the cores bear make it less efficient. A worker that has just
-started does part of its work, rising evenly, and falls over when it is sent too much for too long. Times in
-ns, sizes in bytes, work in ns of one core at speed 1."""
+Running activations share the cores; more activations than cores lower the efficiency. A worker that has just
+started has a reduced capacity, which rises linearly, and it crashes when it is overloaded for too long. Times
+in ns, sizes in bytes, work in ns of one core at speed 1."""
 
 from collections import OrderedDict, deque
 from typing import NamedTuple
 
 
 class Build(NamedTuple):
-    """What a worker is made of."""
+    """The parameters of a worker."""
 
     cores: int
     speed: float
     memory: int
-    loads: int  # at a time; twice as many wait
-    queue: int  # activations that wait for a lane or a load
-    keep: int  # an idle copy lapses after that
-    cold: int
-    cold_from: float
-    fall_multiple: float  # 0: it never falls over
-    fall: int
-    thrash: float  # for each activation at work beyond the cores
-    eager: bool  # starts another copy by itself when all lanes are taken
-    loads_on_send: bool
-    start_share: float  # of a load's time, spent on the start; the rest is the fetch
+    loads: int  # concurrent ones; twice as many wait
+    queue: int  # at most this many activations wait for a lane or a load
+    keep: int  # an idle copy expires after this time
+    cold: int  # how long the capacity rises after a start
+    cold_from: float  # the share of the capacity at the start
+    fall_multiple: float  # overload at which a cold worker crashes, as a multiple of its capacity; 0: never
+    fall: int  # the window over which the overload is measured
+    thrash: float  # loss of efficiency for each running activation beyond the cores
+    eager: bool  # whether it loads another copy by itself when all lanes are busy
+    loads_on_send: bool  # whether an activation of a function without a copy starts a load
+    start_share: float  # the share of a load's time that the start takes; the rest is the fetch
 
 
 class Model(NamedTuple):
@@ -38,6 +37,8 @@
 
 
 class Job:
+    """An activation at the worker. `where`: 'new', 'queue', 'work' or 'over'."""
+
     __slots__ = ("model", "work", "left", "done", "due", "copy", "came", "note", "where", "begun")
 
     def __init__(self, model, work, due, done, came):
@@ -46,6 +47,8 @@
 
 
 class Copy:
+    """A loaded function. `stale`: a later release has replaced it."""
+
     __slots__ = ("model", "busy", "idle_since", "release", "stale")
 
     def __init__(self, model, now, release):
@@ -53,8 +56,11 @@
 
 
 class Machine:
-    """`fetch(size, done)` gets bytes from the store. A job ends by `done(word, note)`, word 'ok', 'full',
-    'missing', 'late' or 'cancelled'; a hold by `done(word, copies)`."""
+    """The worker model.
+
+    `fetch(size, done)` fetches bytes from the store. A job ends with `done(word, note)`, word being 'ok',
+    'full', 'missing', 'late' or 'cancelled'; a hold (load order) with `done(word, copies)`.
+    """
 
     def __init__(self, clock, build, fetch, chance, booted=0):
         self.clock, self.build, self.fetch, self.chance, self.booted = clock, build, fetch, chance, booted
@@ -64,9 +70,9 @@
         self.seen, self.timer, self.window, self.holds = clock.now(), None, deque(), []
         self.counts = {"ran": 0, "loads": 0, "failed_loads": 0, "refused": 0, "evicted": 0}
 
-    # How much it can do.
+    # Capacity
     def capacity(self):
-        """Cores' worth of speed-1 work a second, now."""
+        """Return the current capacity: the number of speed-1 cores that it amounts to."""
         if self.fallen:
             return 0.0
         part = 1.0
@@ -87,7 +93,7 @@
             / (1 + self.build.thrash * over)
         )
 
-    def _move(self):
+    def _advance(self):
         now = self.clock.now()
         begun = max(self.seen, self.paused_until)
         if now > begun and self.at_work and not self.hung:
@@ -96,52 +102,52 @@
                 job.left -= done
         self.seen = now
 
-    def _next(self):
+    def _schedule_progress(self):
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
         if self.at_work and not self.hung and not self.fallen:
             now = self.clock.now()
             if now < self.paused_until:
-                self.timer = self.clock.at(self.paused_until, self._moved)
+                self.timer = self.clock.at(self.paused_until, self._progress)
                 return
             rate = self._rate() or 1e-9
             left = max(0.0, min(job.left for job in self.at_work.values()))
             wait = int(left / rate) + 1000
             if self.booted and now - self.booted < self.build.cold:
-                wait = min(wait, self.build.cold // 64)  # its pace changes meanwhile
-            self.timer = self.clock.at(now + wait, self._moved)
+                wait = min(wait, self.build.cold // 64)  # a cold worker's rate changes meanwhile
+            self.timer = self.clock.at(now + wait, self._progress)
 
-    def _moved(self):
+    def _progress(self):
         self.timer = None
-        self._move()
+        self._advance()
         for job in [j for j in self.at_work.values() if j.left <= 1]:
-            self._over(job, "ok")
-        self._next()
+            self._finish(job, "ok")
+        self._schedule_progress()
 
-    # Activations.
+    # Activations
     def run(self, model, work, due, done):
-        """Takes one; the job, by which it can be cancelled, or None where it was turned away at once."""
+        """Accept an activation; return its job, used to cancel it, or None if it was refused at once."""
         now = self.clock.now()
-        self._arrived(work, now)
+        self._check_overload(work, now)
         job = Job(model, work, due, done, now)
         if self.fallen:
-            return None  # it answers nothing any more
-        copy = self._free(model)
+            return None  # a crashed worker answers nothing
+        copy = self._free_copy(model)
         if copy is not None:
-            self._begin(job, copy)
+            self._start(job, copy)
             return job
         if self.waiting >= self.build.queue:
             self.counts["refused"] += 1
             done("full", 0)
             return None
-        stands = self.copies.get(model.name) or model.name in self.loading
-        if not stands and not self.build.loads_on_send:
+        present = self.copies.get(model.name) or model.name in self.loading
+        if not present and not self.build.loads_on_send:
             done("missing", 0)
             return None
-        if not stands or self.build.eager and not self._comes(model):
+        if not present or self.build.eager and not self._copy_coming(model):
             began = self._load(model)
-            if not began and not stands:
+            if not began and not present:
                 self.counts["refused"] += 1
                 done("full", 0)
                 return None
@@ -153,11 +159,11 @@
         self.waiting += 1
         return job
 
-    def _comes(self, model):
+    def _copy_coming(self, model):
         coming = self.loading.get(model.name, 0) * model.lanes
         return coming > len(self.queue.get(model.name, ()))
 
-    def _arrived(self, work, now):
+    def _check_overload(self, work, now):
         if not self.booted or not self.build.fall_multiple or now - self.booted >= self.build.cold:
             return
         self.window.append((now, work))
@@ -168,19 +174,19 @@
         if now - self.booted > self.build.fall and asked > self.build.fall_multiple * able * 1.25:
             self.fallen = True
 
-    def _free(self, model):
-        """A copy with a free lane; the busiest first, so that others may lapse."""
+    def _free_copy(self, model):
+        """Return the busiest copy that has a free lane, so that others may expire, or None."""
         free = [c for c in self.copies.get(model.name, ()) if c.busy < model.lanes and not c.stale]
         return max(free, key=lambda c: c.busy, default=None)
 
-    def _begin(self, job, copy):
-        self._move()
+    def _start(self, job, copy):
+        self._advance()
         job.copy, copy.busy, job.where, job.begun = copy, copy.busy + 1, "work", self.clock.now()
         self.at_work[id(job)] = job
         self.counts["ran"] += 1
-        self._next()
+        self._schedule_progress()
 
-    def _over(self, job, word):
+    def _finish(self, job, word):
         del self.at_work[id(job)]
         copy, job.where = job.copy, "over"
         copy.busy -= 1
@@ -189,81 +195,81 @@
             if copy.stale:
                 self._unload(copy)
             else:
-                self.clock.at(copy.idle_since + self.build.keep, self._lapse, copy, copy.idle_since)
-        self._serve(job.model)
+                self.clock.at(copy.idle_since + self.build.keep, self._expire, copy, copy.idle_since)
+        self._serve_queue(job.model)
         job.done(word, job.note)
 
-    def _serve(self, model):
-        waits = self.queue.get(model.name)
-        while waits:
-            copy = self._free(model)
+    def _serve_queue(self, model):
+        waiting_jobs = self.queue.get(model.name)
+        while waiting_jobs:
+            copy = self._free_copy(model)
             if copy is None:
                 return
-            job = waits.popleft()
+            job = waiting_jobs.popleft()
             self.waiting -= 1
-            if self.clock.now() >= job.due:  # what is out of time is not begun
+            if self.clock.now() >= job.due:  # an activation past its deadline is not started
                 job.where = "over"
                 job.done("late", 0)
                 continue
-            self._begin(job, copy)
-        if waits is not None and not waits:
+            self._start(job, copy)
+        if waiting_jobs is not None and not waiting_jobs:
             self.queue.pop(model.name, None)
 
     def cancel(self, job, stops_work):
-        """Ends a job where the worker can: what waits is dropped, what runs only where that is its way."""
+        """Cancel a job: a queued one is dropped, a running one is stopped only if `stops_work`."""
         if job.where == "queue":
-            waits = self.queue.get(job.model.name)
-            if waits and job in waits:
-                waits.remove(job)
+            waiting_jobs = self.queue.get(job.model.name)
+            if waiting_jobs and job in waiting_jobs:
+                waiting_jobs.remove(job)
                 self.waiting -= 1
                 job.where = "over"
                 job.done("cancelled", 0)
         elif job.where == "work" and stops_work:
-            self._move()
-            self._over(job, "cancelled")
-            self._next()
+            self._advance()
+            self._finish(job, "cancelled")
+            self._schedule_progress()
 
-    # Copies.
+    # Copies
     def hold(self, model, count, done):
-        """At least so many copies; those that stand begin their idle time anew."""
+        """Ensure at least `count` copies; the idle time of existing idle copies restarts."""
         now = self.clock.now()
-        stand = [c for c in self.copies.get(model.name, ()) if not c.stale]
-        for copy in stand:
+        loaded = [c for c in self.copies.get(model.name, ()) if not c.stale]
+        for copy in loaded:
             if not copy.busy and count:
                 copy.idle_since = now
-                self.clock.at(now + self.build.keep, self._lapse, copy, now)
-        missing = count - len(stand) - self.loading.get(model.name, 0)
+                self.clock.at(now + self.build.keep, self._expire, copy, now)
+        missing = count - len(loaded) - self.loading.get(model.name, 0)
         if missing <= 0:
-            if len(stand) >= count:
-                done("ok", len(stand))
+            if len(loaded) >= count:
+                done("ok", len(loaded))
             else:
-                self._tell_later(model, count, done)
+                self._notify_later(model, count, done)
             return
         for _ in range(missing):
             if not self._load(model):
-                done("full", len(stand))
+                done("full", len(loaded))
                 return
-        self._tell_later(model, count, done)
+        self._notify_later(model, count, done)
 
-    def _tell_later(self, model, count, done):
+    def _notify_later(self, model, count, done):
         self.holds.append((model.name, count, done))
 
-    def _holds_told(self, model, failed):
+    def _notify_holds(self, model, failed):
         left = []
         for name, count, done in self.holds:
-            stand = len([c for c in self.copies.get(name, ()) if not c.stale])
+            loaded = len([c for c in self.copies.get(name, ()) if not c.stale])
             if name != model.name:
                 left.append((name, count, done))
-            elif stand >= count:
-                done("ok", stand)
+            elif loaded >= count:
+                done("ok", loaded)
             elif failed or not self.loading.get(name):
-                done("error", stand)
+                done("error", loaded)
             else:
                 left.append((name, count, done))
         self.holds = left
 
-    def stand(self, models):
-        """Copies that stand loaded from the beginning, as far as there is room."""
+    def preload(self, models):
+        """Add copies that are loaded from the beginning, up to half of the memory."""
         now = self.clock.now()
         for model in models:
             if self.used + model.size <= self.build.memory // 2:
@@ -271,19 +277,19 @@
                 self.copies.setdefault(model.name, []).append(copy)
                 self.used += model.size
                 self.images[model.name] = 0
-                self.clock.at(now + self.build.keep, self._lapse, copy, now)
+                self.clock.at(now + self.build.keep, self._expire, copy, now)
 
     def _load(self, model):
-        """Begins or queues a load; whether there was room for it."""
-        if sum(self.loading.values()) >= 3 * self.build.loads or not self._room(model.size):
+        """Start or queue a load; return whether there was room for it."""
+        if sum(self.loading.values()) >= 3 * self.build.loads or not self._make_room(model.size):
             return False
         self.used += model.size
         self.loading[model.name] = self.loading.get(model.name, 0) + 1
         self.load_queue.append(model)
-        self._loads()
+        self._start_loads()
         return True
 
-    def _loads(self):
+    def _start_loads(self):
         while self.load_queue and sum(self.loading.values()) - len(self.load_queue) < self.build.loads:
             model = self.load_queue.popleft()
             release = self.releases.get(model.name, 0)
@@ -314,8 +320,8 @@
                 self.used -= model.size
             else:
                 self.copies.setdefault(model.name, []).append(copy)
-                self.clock.at(copy.idle_since + self.build.keep, self._lapse, copy, copy.idle_since)
-                self._serve(model)
+                self.clock.at(copy.idle_since + self.build.keep, self._expire, copy, copy.idle_since)
+                self._serve_queue(model)
         else:
             self.counts["failed_loads"] += 1
             self.used -= model.size
@@ -324,11 +330,11 @@
                 self.waiting -= 1
                 job.where = "over"
                 job.done("missing", 4)
-        self._holds_told(model, not ok)
-        self._loads()
+        self._notify_holds(model, not ok)
+        self._start_loads()
 
-    def _room(self, size):
-        """Unloads idle copies, the one idle longest first, until there is room."""
+    def _make_room(self, size):
+        """Unload idle copies, the longest idle first, until there is room; return whether there is."""
         if size > self.build.memory:
             return False
         while self.used + size > self.build.memory:
@@ -347,13 +353,15 @@
             if not copies:
                 del self.copies[copy.model.name]
 
-    def _lapse(self, copy, since):
+    def _expire(self, copy, since):
         if not copy.busy and copy.idle_since == since:
             self._unload(copy)
 
     def release(self, names):
-        """These functions are released anew: their copies and images are void, those at work when they are
-        done."""
+        """Invalidate the copies and images of these functions, because they have a new release.
+
+        Busy copies are unloaded when they become idle.
+        """
         for name in names:
             self.releases[name] = self.releases.get(name, 0) + 1
             self.images.pop(name, None)
@@ -362,24 +370,24 @@
                 if not copy.busy:
                     self._unload(copy)
 
-    # Bad behaviour.
+    # Faults
     def slow(self, times):
-        self._move()
+        self._advance()
         self.slowness = times
-        self._next()
+        self._schedule_progress()
 
     def pause(self, length):
-        self._move()
+        self._advance()
         self.paused_until = max(self.paused_until, self.clock.now() + length)
-        self._next()
+        self._schedule_progress()
 
     def hang(self, on):
-        self._move()
+        self._advance()
         self.hung = on
-        self._next()
+        self._schedule_progress()
 
     def gauge(self):
-        """The load report: the fields that the module reads."""
+        """Return the load report with the fields that the decision module reads."""
         busy = sum(c.model.size for copies in self.copies.values() for c in copies if c.busy)
         loading = self.used - sum(c.model.size for copies in self.copies.values() for c in copies)
         return {
--- a/petrelwood/emulate/policies.py
+++ b/petrelwood/emulate/policies.py
@@ -1,8 +1,8 @@
-"""Baselines in place of the module, for comparison only: none of them is a way that the program decides.
+"""Baseline policies in place of the decision module, for comparison only; production never uses them.
 
-They keep the rules by the same means (no send to whom is leaving, no second send where it may have run) and
-place each activation at once on some worker, which loads what it lacks. `Oracle` sees the true state of all
-workers, which nobody can; it is held to be an upper bound, though greedy."""
+They keep the same rules (no send to a worker that is leaving, no second send of what may have run) and place
+each activation at once on some worker, which loads the function if it lacks it. `Oracle` sees the true state
+of all workers, which no real dispatcher can; it serves as an upper bound, although it is greedy."""
 
 from random import Random
 from zlib import crc32
@@ -10,8 +10,11 @@
 from petrelwood import ports
 
 
-class Plain:
-    """Sends at once; again elsewhere where that is provably harmless. `pick(act, now, but)` is the policy."""
+class Baseline:
+    """Sends at once, and again elsewhere if that is provably harmless; `pick` is the policy.
+
+    `acts`: activation id -> [function, namespace type, deadline, sends, whether it may have run, worker].
+    """
 
     def __init__(self, now, terms, seed, outlet):
         self.terms, self.out, self.chance = terms, outlet, Random(seed)
@@ -23,9 +26,9 @@
             self.workers = {}
         for entry in entries:
             self.workers[entry.worker] = entry
-        self.fleet = sorted(w for w, e in self.workers.items() if e.usable and self._warm(e, now))
+        self.fleet = sorted(w for w, e in self.workers.items() if e.usable and self._is_warm(e, now))
 
-    def _warm(self, entry, now):
+    def _is_warm(self, entry, now):
         return not entry.booted or now - entry.booted >= self.terms.guarantees.warm_up_time // 2
 
     def endpoint_list_lost(self, now):
@@ -36,18 +39,18 @@
         self.acts[arrival.activation_id] = [arrival.function, type_, arrival.due, 0, False, None]
         self._send(arrival.activation_id, now, ())
 
-    def _send(self, act_id, now, but):
+    def _send(self, act_id, now, excluded):
         act = self.acts[act_id]
-        names = [w for w in self.fleet if w not in but] or self.fleet
+        names = [w for w in self.fleet if w not in excluded] or self.fleet
         if not names or act[3] >= self.terms.allowed.sends or now >= act[2]:
-            self._ends(act_id)
+            self._refuse(act_id)
             return
         worker = self.pick(act[0], names, now)
         act[3], act[5] = act[3] + 1, worker
         self.load[worker] = self.load.get(worker, 0) + 1
         self.out.send(act_id, worker, 0)
 
-    def _ends(self, act_id):
+    def _refuse(self, act_id):
         act = self.acts.pop(act_id)
         if act[4] and act[1].effect != ports.Effect.REPEATABLE:
             self.out.abort(act_id)
@@ -71,7 +74,7 @@
             return
         act[4] = act[4] or end.reason not in ports.NEVER_RAN
         if act[4] and act[1].effect != ports.Effect.REPEATABLE:
-            self._ends(act_id)
+            self._refuse(act_id)
         else:
             self._send(act_id, now, (worker_id,))
 
@@ -97,28 +100,32 @@
         pass
 
 
-class RandomOfTwo(Plain):
-    """The one with fewer of ours in hand, of two drawn."""
+class RandomOfTwo(Baseline):
+    """Picks, of two workers drawn at random, the one with fewer of this dispatcher's sends in flight."""
 
     def pick(self, key, names, now):
         a, b = self.chance.choice(names), self.chance.choice(names)
         return a if self.load.get(a, 0) <= self.load.get(b, 0) else b
 
 
-class LeastOutstanding(Plain):
+class LeastOutstanding(Baseline):
+    """Picks the worker with the fewest of this dispatcher's sends in flight, at random among equals."""
+
     def pick(self, key, names, now):
         least = min(self.load.get(n, 0) for n in names)
         return self.chance.choice([n for n in names if self.load.get(n, 0) == least])
 
 
-class RoundRobin(Plain):
+class RoundRobin(Baseline):
+    """Picks the workers one after the other."""
+
     def pick(self, key, names, now):
         self.turn += 1
         return names[self.turn % len(names)]
 
 
-class BoundedHash(Plain):
-    """The first in the function's hash order that holds no more than 1.25 times the mean of ours."""
+class BoundedHash(Baseline):
+    """Picks the first worker in the function's hash order within 1.25 times the mean sends in flight."""
 
     def pick(self, key, names, now):
         bound = 1.25 * (sum(self.load.values()) + 1) / len(names)
@@ -126,9 +133,8 @@
         return next((n for n in ranked if self.load.get(n, 0) + 1 <= max(1.0, bound)), ranked[0])
 
 
-class Oracle(Plain):
-    """Sees the machines: a worker with a free lane of a standing copy, else the one where it would be done
-    first."""
+class Oracle(Baseline):
+    """Sees the true state of the workers: prefers a free lane of a loaded copy, then the least load."""
 
     def see(self, platform):
         self.platform = platform
@@ -151,11 +157,11 @@
 
 def is_baseline(policy):
     """Return whether a policy is one of the baselines, none of which loads a function ahead of its calls."""
-    return isinstance(policy, type) and issubclass(policy, Plain)
+    return isinstance(policy, type) and issubclass(policy, Baseline)
 
 
 def named():
-    """All policies by name, the module first."""
+    """Return all policies by name, the decision module first."""
     from petrelwood.decide.scheduling.scheduler import Scheduler
 
     return {
--- a/petrelwood/emulate/result.py
+++ b/petrelwood/emulate/result.py
@@ -1,5 +1,4 @@
-"""What a day in the emulator comes to, as a flat row of figures and a check that nothing was lost in
-between."""
+"""The results of a day in the emulator: a flat row of figures, and a check that nothing was lost."""
 
 import collections
 from dataclasses import asdict
@@ -7,29 +6,32 @@
 from petrelwood.decide.forecasting.account import LoadEnd
 
 SECOND = 1_000_000_000
-LATE, OVER = 0.3, 0.1  # utility of an answer after its target latency, and of what lies beyond a share
+LATE, OVER = 0.3, 0.1  # share of the utility of a late answer, and of a request beyond its customer's share
 
 
-def worth(platform, wish):
-    """(utility got, utility asked for) of one wish."""
-    asked = wish.value * (OVER if wish.over_share else 1.0)
-    if wish.ended != "completed":
+def utility(platform, request):
+    """Return (utility gained, utility requested) of one request."""
+    asked = request.value * (OVER if request.over_share else 1.0)
+    if request.ended != "completed":
         return 0.0, asked
-    target = platform.types[wish.kind.type].target_latency
-    return asked * (1.0 if wish.took <= target else LATE), asked
+    target = platform.types[request.kind.type].target_latency
+    return asked * (1.0 if request.took <= target else LATE), asked
 
 
 def recovery(platform):
-    """Seconds from the end of the last trouble until the service of three seconds in a row is at nine tenths
-    of what it was before the first; as long as the day goes on, where it never is. 0 without troubles."""
+    """Return the seconds from the end of the last fault until the service has recovered.
+
+    It has recovered once its mean over three seconds is 0.9 of the mean before the first fault; if it never
+    does, the rest of the day counts. 0 without faults.
+    """
     troubles = [t for t in platform.day.troubles if t.at >= 3 * SECOND]
     if not troubles:
         return 0.0
     shares = collections.defaultdict(lambda: [0.0, 0.0])
-    for wish in platform.clients.wishes:
-        mine, asked = worth(platform, wish)
-        shares[wish.begun // SECOND][0] += mine
-        shares[wish.begun // SECOND][1] += asked
+    for request in platform.clients.requests:
+        gained, asked = utility(platform, request)
+        shares[request.begun // SECOND][0] += gained
+        shares[request.begun // SECOND][1] += asked
     first, end = min(t.at for t in troubles) // SECOND, max(t.at + t.span for t in troubles) / SECOND
     last = platform.day.length // SECOND
 
@@ -45,23 +47,23 @@
 
 
 def row(platform):
-    """The figures of a day that has been played."""
-    wishes, ends = platform.clients.wishes, collections.Counter()
+    """Return the figures of a day that has been played."""
+    requests, ends = platform.clients.requests, collections.Counter()
     got = asked = 0.0
     windows, customers, took = (
         collections.defaultdict(lambda: [0.0, 0.0]),
         collections.defaultdict(lambda: [0.0, 0.0]),
         [],
     )
-    for wish in wishes:
-        ends[wish.ended] += 1
-        mine, all_ = worth(platform, wish)
-        got, asked = got + mine, asked + all_
-        for table, key in ((windows, wish.begun // (5 * SECOND)), (customers, wish.client.name)):
-            table[key][0] += mine
+    for request in requests:
+        ends[request.ended] += 1
+        gained, all_ = utility(platform, request)
+        got, asked = got + gained, asked + all_
+        for table, key in ((windows, request.begun // (5 * SECOND)), (customers, request.client.name)):
+            table[key][0] += gained
             table[key][1] += all_
-        if wish.ended == "completed":
-            took.append(wish.took)
+        if request.ended == "completed":
+            took.append(request.took)
     took.sort()
     cores = list(platform.cores.values())
     counts = collections.Counter()
@@ -73,8 +75,8 @@
         "service": got / asked if asked else 0.0,
         "worst 5 s": min(share, default=0.0),
         "worst customer": min((a / b for a, b in customers.values() if b > 0), default=0.0),
-        "wishes": len(wishes),
-        "tries": sum(w.tries for w in wishes),
+        "wishes": len(requests),
+        "tries": sum(w.tries for w in requests),
         "completed": ends["completed"],
         "rejected": ends["rejected"],
         "aborted": ends["aborted"],
@@ -103,7 +105,7 @@
     figures["fetched in the busiest 5 s"] = max(
         (b - a for a, b in zip([0] * 5 + seen, seen, strict=False)), default=0
     )
-    figures["cold starts"] = platform.colds
+    figures["cold starts"] = platform.cold_starts
     listening = [c for c in platform.day.clients if c.honours >= 0.5]
     got, asked = (sum(customers[c.name][i] for c in listening) for i in (0, 1))
     figures["service of listeners"] = got / asked if asked else figures["service"]
@@ -118,7 +120,7 @@
 
 
 def conserved(platform):
-    """What does not add up: an empty list if all does. Called at any time of a day."""
+    """Return the inconsistencies of the platform's counts at any time of a day; empty if they add up."""
     wrong = []
     for node in platform.nodes.values():
         machine = node.machine
--- a/petrelwood/standins/worker.py
+++ b/petrelwood/standins/worker.py
@@ -203,7 +203,7 @@
         )
     )
     if not booted:
-        worker.machine.stand(day.kind(fn).model(fn) for fn in day.standing(seed)[name])
+        worker.machine.preload(day.kind(fn).model(fn) for fn in day.initial_copies(seed)[name])
     records.put("up", booted=booted, pid=os.getpid())
     host.announce_ready(sockets[0].getsockname()[:2])
     await host.wait_for_signal()
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -599,7 +599,7 @@
         """Play a day and return the violations of rules and the outcomes of the requests."""
         day = platform(stepped_day(step, share, moment), 1).run()
         broken = [line for found in rules.judge(day.case()) for line in found.broken]
-        return broken, [wish.ended for wish in day.clients.wishes]
+        return broken, [wish.ended for wish in day.clients.requests]
 
     def unstepped_outcomes(self, share, moment):
         """Return the outcomes of the requests on the same day without a step, which is played once."""
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,5 +1,4 @@
-"""The emulator: what adds up, what has a closed form, what is the same twice, and that it is the serving
-code."""
+"""The emulator: consistency of its counts, agreement with closed forms, determinism, production code."""
 
 import hashlib
 import heapq
@@ -40,13 +39,15 @@
         clock, build = VirtualClock(), BUILD._replace(**more)
         machine = Machine(clock, build, lambda size, done: done(True), random.Random(1).random)
         model = Model("f", lanes, 1000, 0)
-        machine.stand([model])
+        machine.preload([model])
         return clock, machine, model
 
     def test_waits_of_m_m_c(self):
-        """Four lanes on four cores, exponential work. On the same draws the mean wait is that of Kiefer and
-        Wolfowitz's recursion within 0.1%; the recursion itself, over two million draws, is Erlang's C within
-        3%."""
+        """Four lanes on four cores with exponential work, compared in two steps.
+
+        On the same draws the mean wait equals that of Kiefer and Wolfowitz's recursion within 0.1%; the
+        recursion itself, over two million draws, equals Erlang's C within 3%.
+        """
         rate, mean = 30.0, 0.1
 
         def recursion(seed, count):
@@ -83,8 +84,7 @@
         self.assertLess(abs(recursion(1, 2_000_000) / wait - 1), 0.03)
 
     def test_littles_law_while_cores_are_shared(self):
-        """Sixteen lanes on four cores: the mean in hand is the arrival rate times the mean stay, within
-        1%."""
+        """Sixteen lanes on four cores: the mean number in the system is rate times mean stay, within 1%."""
         clock, machine, model = self.machine(16, thrash=0.0)
         chance, now, stays, area = random.Random(3), 0.0, [], [0.0]
         for _ in range(20_000):
@@ -120,7 +120,7 @@
         )
         clock.run(10 * S)
         self.assertEqual(ends[0][:2], ("ok", 1))
-        self.assertLess(abs(ends[0][2] - S), S // 1000)  # half a second each
+        self.assertLess(abs(ends[0][2] - S), S // 1000)  # half a second each for the fetch and the start
 
     def test_the_store_shares_its_pace_and_turns_away(self):
         clock = VirtualClock()
@@ -155,7 +155,7 @@
         self.assertEqual(shown, [0.8, 2.4, 4.0, 4.0])
         again = Machine(clock, build, lambda size, done: done(True), random.Random(1).random, booted=12 * S)
         model = Model("f", 100, 1000, 0)
-        again.stand([model])
+        again.preload([model])
         for i in range(60):
             clock.run(12 * S + i * S // 20)
             again.run(model, S // 5, 10**18, lambda word, note: None)
@@ -168,9 +168,9 @@
         for step in range(1, 31 * 50):
             platform.clock.run(step * S // 50)
             self.assertEqual(result.conserved(platform), [], f"at {step / 50} s")
-        fates = [w.ended for w in platform.clients.wishes]
+        fates = [w.ended for w in platform.clients.requests]
         platform.clock.run(40 * S)
-        self.assertNotIn(None, [w.ended for w in platform.clients.wishes])
+        self.assertNotIn(None, [w.ended for w in platform.clients.requests])
         self.assertGreater(len(fates), 2000)
 
     def test_every_trouble_plays_and_keeps_the_rules(self):
@@ -278,7 +278,7 @@
             platform = Platform(small(), 4, policy).run()
             asked.append(
                 hashlib.sha256(
-                    json.dumps([(w.id, w.fn, w.work, w.begun) for w in platform.clients.wishes]).encode()
+                    json.dumps([(w.id, w.fn, w.work, w.begun) for w in platform.clients.requests]).encode()
                 ).hexdigest()
             )
         self.assertEqual(len(set(asked)), 1)
@@ -336,7 +336,7 @@
         self.assertEqual(sum("round-robin" in line for line in lines), 2)
 
     def test_its_report_and_charts_are_written(self):
-        """Guards against a report that ends with a traceback."""
+        """Guards against a traceback while a report or a chart is written."""
         described, out = experiment.read(self.path / "e.kdl"), self.path / "out"
         self.assertEqual(experiment.run(described, out, 4, lambda text: None), (12, 0))
         report.write(out, self.path / "report.html", ["service"], "rate")
