--- a/tests/broken.py
+++ b/tests/broken.py
@@ -1,5 +1,5 @@
-"""`python broken.py RULE FILE`: serves a gateway that breaks one rule on purpose, so that the audit can be
-proved."""
+"""`python broken.py RULE FILE`: serves a gateway that breaks one rule on purpose, to test that the audit
+detects it."""
 
 import sys
 
@@ -18,7 +18,7 @@
 
 
 class Drops(Scheduler):
-    """Rule 1: every tenth activation is forgotten."""
+    """Breaks rule 1: drops every tenth activation."""
 
     seen = 0
 
@@ -29,7 +29,7 @@
 
 
 class Chases(Scheduler):
-    """Rule 1: sends again after the final answer."""
+    """Breaks rule 1: sends an activation again after its final answer."""
 
     def attempt_ended(self, now, end):
         super().attempt_ended(now, end)
@@ -48,7 +48,7 @@
 
 
 class Floods(Queueing):
-    """Rule 4: gives a worker that has just started all it can."""
+    """Breaks rule 4: sends every activation to a worker that has just started."""
 
     def enqueue(self, act, now, is_retry=False):
         cold = next((w for w in self.placement.order.fleet.usable if w.booted), None)
@@ -58,7 +58,7 @@
 
 
 class Orders(Scheduler):
-    """Rule 5: orders a load for every other activation."""
+    """Breaks rule 5: orders a load for every second activation."""
 
     seen = 0
 
@@ -72,25 +72,27 @@
 
 
 def break_rule(name):
-    """The module to run, after the program has been spoilt."""
+    """Patch the program so that it breaks a rule; return the scheduler to run."""
     if name == "forgets":
         Activations._abort_overdue = lambda self, act_id: None
         return Drops
     if name == "chases":
-        # a link asks once more before a send leaves, and holds back what is over
+        # a link checks this again before each send, and would drop activations that have ended
         Dispatcher.still_wanted = lambda self, activation_id: True
         return Chases
     if name == "repeats":
-        # claims of all that was lost that it never ran
+        # reports every lost send as one that never ran
         send_outcome.of_loss = lambda stage: ports.EndReason.NO_CONNECTION
     elif name == "ignores drains":
         Membership.is_usable = lambda self, worker: True
-        take = Membership._apply
+        original_apply = Membership._apply
 
-        def usable(self, entries, now, wall):
-            return ListChange([e._replace(usable=True) for e in take(self, entries, now, wall).listed], [])
+        def apply_as_usable(self, entries, now, wall):
+            return ListChange(
+                [e._replace(usable=True) for e in original_apply(self, entries, now, wall).listed], []
+            )
 
-        Membership._apply = usable
+        Membership._apply = apply_as_usable
     elif name == "floods":
         scheduler_module.Queueing = Floods
     elif name == "orders":
--- a/tests/finished.py
+++ b/tests/finished.py
@@ -1,7 +1,7 @@
 """Checks of the finished packages, which `finished` under [tool.petrelwood] in pyproject.toml lists.
 
 `python tests/finished.py` runs `mypy --strict` and ruff with the rules of ruff-finished.toml over them.
-`count` counts what makes code hard to read; tests/test_finished.py holds that nothing of it is left there.
+`count` finds code that is hard to read; tests/test_finished.py asserts that these packages have none.
 """
 
 import ast
@@ -14,17 +14,17 @@
 ROOT = Path(__file__).resolve().parents[1]
 LONGEST_FUNCTION = 40  # lines
 LONGEST_FILE = 400  # lines
-PACKED_NAMES = 3  # names that one statement sets from a tuple
+PACKED_NAMES = 3  # names that one statement may not assign from a tuple
 Function = ast.FunctionDef | ast.AsyncFunctionDef
 
 
 def finished(root: Path = ROOT) -> list[str]:
-    """The finished packages and modules, as paths from the root."""
+    """Return the finished packages and modules as paths relative to the root."""
     return tomllib.loads((root / "pyproject.toml").read_text())["tool"]["petrelwood"]["finished"]
 
 
 def files(paths: list[str], root: Path = ROOT) -> list[Path]:
-    """The Python files of packages and modules."""
+    """Return the Python files of packages and modules."""
     found = set()
     for path in paths:
         place = root / path
@@ -33,13 +33,16 @@
 
 
 def module_name(file: Path, root: Path = ROOT) -> str:
-    """The dotted name of a module."""
+    """Return the dotted name of a module."""
     parts = file.relative_to(root).with_suffix("").parts
     return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
 
 
 def mypy_command(paths: list[str], root: Path = ROOT) -> list[str]:
-    """Strict checks of the paths alone; what is not finished may be called though it has no types yet."""
+    """Return the command for strict checks of these paths only.
+
+    They may call modules that are not finished and have no annotations yet.
+    """
     inside = set(files(paths, root))
     modules = [file for file in files(["petrelwood"], root) if file.name != "__init__.py"]
     outside = [file for file in modules if file not in inside]
@@ -49,7 +52,7 @@
 
 
 def ruff_command(paths: list[str]) -> list[str]:
-    """The rules of finished packages; a line can't excuse itself there."""
+    """Return the command for the rules of finished packages; `noqa` comments have no effect there."""
     return [sys.executable, "-m", "ruff", "check", "--config", "ruff-finished.toml", "--ignore-noqa", *paths]
 
 
@@ -66,7 +69,7 @@
 
 
 def _undocumented(tree: ast.Module) -> Iterator[ast.AST]:
-    """The module and each public class, method and function in it that has no docstring."""
+    """Yield the module and each public class, method and function in it that has no docstring."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Module):
             public = True
@@ -85,7 +88,7 @@
 
 
 def count(text: str) -> dict[str, list[int]]:
-    """The lines of one file's findings, by kind; without any, all lists are empty."""
+    """Return the line numbers of one file's findings by kind; each list is empty if there are none."""
     tree, lines = ast.parse(text), len(text.splitlines())
     functions = list(_functions(tree))
     return {
@@ -100,7 +103,7 @@
 
 
 def main() -> int:
-    """Runs mypy and ruff over the finished packages; 0 if both are content."""
+    """Run mypy and ruff on the finished packages; return the exit code, 0 if neither has findings."""
     paths = finished()
     if not paths:
         return 0
--- a/tests/free_ports.py
+++ b/tests/free_ports.py
@@ -1,23 +1,24 @@
-"""Ports for servers that a test starts as processes, so that it must know the port before the server listens.
+"""Ports for servers that a test starts as processes and whose port it must know before the server listens.
 
-A port that is bound and closed again, for the server to take, may be given away by the kernel meanwhile, to
-another test that runs beside. These lie below the ports that the kernel gives away. Each process takes them
-from blocks of its own, which it holds by a lock until it ends.
+If a test bound a free port and closed it for the server to use, the kernel could assign the port to a test
+that runs at the same time. These ports are below the kernel's ephemeral range. Each process takes them from
+blocks of its own, which it locks until it ends.
 """
 
 import socket
 from collections.abc import Iterator
 
-FIRST = 20_000
-BLOCK = 64  # ports
-BLOCKS = 190  # FIRST + BLOCK * BLOCKS stays under 32,768, where Linux begins to give ports away
+FIRST = 20_000  # the lowest port
+BLOCK = 64  # ports of a block
+BLOCKS = 190  # FIRST + BLOCK * BLOCKS stays below 32,768, the start of the ephemeral range of Linux
 _locks: list[socket.socket] = []
 
 
 def _is_locked(block: int) -> bool:
-    """Lock a block for this process; return whether another process has it.
+    """Lock a block for this process; return whether another process holds it.
 
-    The lock is an abstract Unix socket: one process at a time has its name, and it ends with the process.
+    The lock is an abstract Unix socket: only one process at a time can bind its name, and the kernel releases
+    it when the process ends.
     """
     lock = socket.socket(socket.AF_UNIX)
     try:
@@ -40,12 +41,12 @@
 
 
 def free_port() -> int:
-    """Return a port on loopback that nothing listens on, and that this process has not had before."""
+    """Return a loopback port on which no server listens and which this process has not returned before."""
     for port in _ports:
         with socket.socket() as attempt:
             try:
                 attempt.bind(("127.0.0.1", port))
-            except OSError:  # a server of another run
+            except OSError:  # in use by a server of another run
                 continue
             return port
     raise OSError("no port is free")
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""Reads KNOWN-RED.txt, the short list of tests that may fail for a known fault until it is mended.
+"""Reads KNOWN-RED.txt, the short list of tests that may fail because of a known fault until it is fixed.
 
-One line each, of four parts: `test id | command and seed | what was seen | issue N`. The file is there only
-while such a test is.
+Each line has four parts: `test id | command and seed | what was seen | issue N`. The file exists only while
+there is such a test.
 """
 
 import re
@@ -20,9 +20,9 @@
 class KnownRed:
     """A test that may fail."""
 
-    test: str  # the id that unittest gives, as test_node.Case.test_this
-    command: str  # what makes it fail, with the seed if there is one
-    seen: str
+    test: str  # the unittest id, such as test_node.Case.test_this
+    command: str  # the command that makes it fail, with the seed if there is one
+    seen: str  # how it failed
     issue: str  # issue N
 
     def __str__(self) -> str:
@@ -32,14 +32,14 @@
 
 @dataclass(slots=True)
 class Listed:
-    """What the file lists, and what is wrong with it."""
+    """The entries of the file, and its format errors."""
 
     tests: list[KnownRed] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)
 
 
 def read(path: Path, tests: Collection[str]) -> Listed:
-    """Return what the file lists, nothing if there is none; `tests` are the ids of all tests there are."""
+    """Return the entries of the file, none if it does not exist; `tests` are the ids of all tests."""
     listed = Listed()
     if not path.exists():
         return listed
@@ -59,7 +59,7 @@
 
 
 def _entry(line: str) -> KnownRed | None:
-    """Return what one line lists, or None if a part is missing or there is one too many."""
+    """Return the entry of one line, or None if it does not have exactly four parts or names no issue."""
     parts = [part.strip() for part in line.split("|")]
     if len(parts) != PARTS or not all(parts):
         return None
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""A dispatcher on real sockets in this process, with a roster and workers that do just what a test says."""
+"""Runs a dispatcher on real sockets in the test process, with a scripted roster and scripted workers."""
 
 import asyncio
 import base64
@@ -37,25 +37,26 @@
 """
 
 
-class Quiet:
-    """A log that keeps what it is told."""
+class RecordingLog:
+    """A log that records each event with its fields and prints nothing."""
 
     def __init__(self):
         self.lines = []
 
-    def _keep(self, event, **more):
-        self.lines.append((event, more))
+    def _record(self, event, **fields):
+        self.lines.append((event, fields))
 
-    debug = info = warning = error = _keep
+    debug = info = warning = error = _record
 
     def said(self, event):
-        return [more for e, more in self.lines if e == event]
+        """Return the fields of each recorded line with this event."""
+        return [fields for e, fields in self.lines if e == event]
 
 
 class LoopLag:
-    """The longest time, in s, by which the running loop woke a task too late, while this is entered."""
+    """Context manager that measures the longest delay (s) with which the running event loop woke a task."""
 
-    INTERVAL = 0.005  # s
+    INTERVAL = 0.005  # s between two measurements
 
     def __init__(self):
         self.longest = 0.0
@@ -75,6 +76,8 @@
 
 
 class Roster(TCPServer):
+    """A roster of server-sent events: sends `entries` as the list, and changes by `tell`."""
+
     def __init__(self):
         super().__init__()
         self.entries, self.number, self.streams, self.asked = [], 0, set(), []
@@ -88,16 +91,18 @@
             self.push(stream, "list", self.entries)
 
     def push(self, stream, kind, entries):
+        """Send one event to one client."""
         stream.write(sse.event(kind, orjson.dumps(entries).decode(), f"e-{self.number}"))
 
     def tell(self, *entries, skip=0):
+        """Send a change to all clients; `skip` leaves a gap in the event numbers."""
         self.number += 1 + skip
         for stream in [s for s in self.streams if not s.closed()]:
             self.push(stream, "change", list(entries))
 
 
 class Worker(TCPServer):
-    """Answers by `on_run(worker, stream, msgid, params)`; records each call that arrived."""
+    """A worker that records incoming calls and answers them by `on_run(worker, stream, msgid, params)`."""
 
     def __init__(self, name, on_run=None, greet=True, reads=True, booted=0):
         super().__init__()
@@ -113,6 +118,7 @@
         self.add_sockets([sock])
 
     def entry(self, state="usable", zone="n"):
+        """Return the worker's roster entry."""
         return {
             "worker": self.name,
             "address": f"127.0.0.1:{self.port}",
@@ -143,33 +149,37 @@
             pass
 
     def acts(self):
+        """Return the activation id and attempt number of each run request."""
         return [(p[0], p[1]) for p in self.runs]
 
 
 def answer(worker, stream, msgid, params, body=b'{"ok":1}'):
+    """Answer a run request successfully at once, unless its connection is closed."""
     if not stream.closed():
         stream.write(rpc.response(msgid, None, [params[0], params[1], 1, body, {"running": 1}]))
 
 
 def later(seconds, body=b'{"ok":1}'):
+    """Return an `on_run` that answers successfully after a delay."""
     return lambda w, s, m, p: asyncio.get_running_loop().call_later(seconds, answer, w, s, m, p, body)
 
 
 def never(worker, stream, msgid, params):
-    pass
+    """Leave the run request unanswered."""
 
 
 def says(word):
+    """Return an `on_run` that answers with this error."""
     return lambda w, s, m, p: s.write(rpc.response(m, [word, p[0], p[1], 0, None], None))
 
 
 class Case(unittest.IsolatedAsyncioTestCase):
-    """`await self.begin(workers...)`, then `self.post(...)`."""
+    """A test with its own dispatcher: call `await self.begin(workers...)`, then `self.post(...)`."""
 
     async def begin(
         self, *workers, limits='body "20KB"', terms="", scheduler=None, tolerance=None, slowly="300ms"
     ):
-        self.roster, self.log, self.workers = Roster(), Quiet(), workers
+        self.roster, self.log, self.workers = Roster(), RecordingLog(), workers
         sock, port = bind_unused_port()
         self.roster.add_sockets([sock])
         self.roster.entries = [w.entry(zone=getattr(w, "zone", "n")) for w in workers]
@@ -182,7 +192,8 @@
             )
             self.gateway = gateway.read(path)
         self.core = Dispatcher(self.gateway, self.log, **({"scheduler": scheduler} if scheduler else {}))
-        # What was signed before this life began is refused; a test begins inside a second.
+        # The dispatcher refuses messages signed before it started, and signature timestamps are whole
+        # seconds: move the limit back so that messages of the second in which the test starts are accepted.
         self.core.ledger.complete_since -= 10_000_000_000
         self.core.open()
         await asyncio.wait_for(self.core.endpoints_known.wait(), 30)
@@ -212,29 +223,34 @@
             await asyncio.sleep(0)
 
     def message(self, function="again-1", id_=None, stamp=None, body=b"{}", path=None, **headers):
+        """Return the bytes of a signed webhook; `headers` replace headers, and None removes one."""
         self.number += 1
         id_, stamp = id_ or f"m{self.number}", stamp or self.stamp
-        made = {
+        fields = {
             "Content-Type": "application/json",
             "webhook-id": id_,
             "webhook-timestamp": stamp,
             "webhook-signature": sign("v1", SECRET, id_, stamp, body),
         }
-        made.update({k.replace("_", "-"): v for k, v in headers.items()})
-        return request(path or f"/hooks/x/{function}", {k: v for k, v in made.items() if v is not None}, body)
+        fields.update({k.replace("_", "-"): v for k, v in headers.items()})
+        return request(
+            path or f"/hooks/x/{function}", {k: v for k, v in fields.items() if v is not None}, body
+        )
 
-    async def post(self, *args, within=30, **more):
-        reply = await self.caller.call(self.message(*args, **more), within)
+    async def post(self, *args, within=30, **headers):
+        """Send a webhook made by `message`; return the status and the whole reply."""
+        reply = await self.caller.call(self.message(*args, **headers), within)
         return reply.status, reply
 
-    async def until(self, what, within=30):
-        """Waits for a condition, as long as a busy machine may take."""
-        ends = time.monotonic() + within
-        while not what():
-            self.assertLess(time.monotonic(), ends, "it did not come to pass")
+    async def until(self, condition, within=30):
+        """Wait until the condition holds; the default timeout (s) allows for a busy machine."""
+        deadline = time.monotonic() + within
+        while not condition():
+            self.assertLess(time.monotonic(), deadline, "the condition did not hold in time")
             await asyncio.sleep(0.005)
 
     def runs(self):
+        """Return the number of run requests that reached all workers."""
         return sum(len(w.runs) for w in self.workers)
 
 
--- a/tests/run_test_file.py
+++ b/tests/run_test_file.py
@@ -1,8 +1,8 @@
-"""Runs one test file, as `unittest discover -s tests` would, and records each test as it ends.
+"""Runs one test file as `unittest discover -s tests` does, and records each test when it ends.
 
 `run_test_file.py TESTS test_x.py RECORDS` runs the tests of one file in the folder TESTS, and appends a
-line of JSON for each that ended to the file RECORDS, so that what ran before a crash is known.
-`run_test_file.py TESTS --collect RECORDS` runs none: it writes the id of each test there is, one a line.
+line of JSON to the file RECORDS for each test that ended, so that the results survive a crash.
+`run_test_file.py TESTS --collect RECORDS` runs no test: it writes the id of each test, one per line.
 tests/run_tests.py starts both.
 """
 
@@ -20,25 +20,25 @@
 
 
 class RecordingResult(unittest.TextTestResult):
-    """The result that unittest prints, with a record of each test that ended."""
+    """Unittest's printed result that also writes a record for each test that ended."""
 
     def __init__(self, records: TextIO, stream: Any, descriptions: bool, verbosity: int) -> None:
         super().__init__(stream, descriptions, verbosity)
         self._records = records
 
     def startTest(self, test: unittest.TestCase) -> None:
-        """Begin a test: it passed unless something else is added."""
+        """Begin a test; its outcome is "passed" unless another one is added."""
         super().startTest(test)
         self._started = time.monotonic()
         self._outcome = "passed"
 
     def stopTest(self, test: unittest.TestCase) -> None:
-        """Record how the test ended and its seconds."""
+        """Record the test's outcome and duration."""
         super().stopTest(test)
         self._record(test.id(), self._outcome, time.monotonic() - self._started)
 
     def addSkip(self, test: unittest.TestCase, reason: str) -> None:
-        """Note that the test, or one of its subtests, was skipped."""
+        """Note that the test or one of its subtests was skipped."""
         super().addSkip(test, reason)
         if self._outcome == "passed":
             self._outcome = "skipped"
@@ -49,7 +49,7 @@
         self._outcome = "failed"
 
     def addError(self, test: unittest.TestCase, err: Raised) -> None:
-        """Note an exception; one in the set-up of a class or module is no test's and is recorded at once."""
+        """Note an exception; record it at once if it belongs to no test (set-up of a class or module)."""
         super().addError(test, err)
         if isinstance(test, unittest.TestCase):
             self._outcome = "failed"
@@ -57,13 +57,13 @@
             self._record(test.id(), "failed", 0.0)
 
     def addSubTest(self, test: unittest.TestCase, subtest: unittest.TestCase, err: Raised | None) -> None:
-        """Note a failed subtest: the test that it is part of failed."""
+        """Note a failed subtest, which makes its test fail."""
         super().addSubTest(test, subtest, err)
         if err is not None:
             self._outcome = "failed"
 
     def addUnexpectedSuccess(self, test: unittest.TestCase) -> None:
-        """Note that a test which is expected to fail passed: this is a failure."""
+        """Note that a test passed that was expected to fail, which is a failure."""
         super().addUnexpectedSuccess(test)
         self._outcome = "failed"
 
@@ -74,7 +74,7 @@
 
 
 class RecordingRunner(unittest.TextTestRunner):
-    """The runner of `python -m unittest`, with records."""
+    """The runner of `python -m unittest` with a `RecordingResult`."""
 
     def __init__(self, records: TextIO) -> None:
         warnings = None if sys.warnoptions else "default"  # as unittest.main does
@@ -86,13 +86,13 @@
 
 
 def load(tests: Path, pattern: str) -> unittest.TestSuite:
-    """Return the tests of the files that match, with the paths that `unittest discover -s tests` sets."""
-    sys.path[0] = str(tests.parent)  # in place of this script's folder
-    return unittest.TestLoader().discover(str(tests), pattern=pattern)  # this puts `tests` before it
+    """Return the tests of the matching files; set `sys.path` as `unittest discover -s tests` does."""
+    sys.path[0] = str(tests.parent)  # replaces this script's folder
+    return unittest.TestLoader().discover(str(tests), pattern=pattern)  # this inserts `tests` before it
 
 
 def tests_of(suite: unittest.TestSuite) -> Iterator[unittest.TestCase]:
-    """Yield each test of a suite, also of suites inside it."""
+    """Yield each test of a suite and of its nested suites."""
     for each in suite:
         if isinstance(each, unittest.TestSuite):
             yield from tests_of(each)
@@ -101,7 +101,7 @@
 
 
 def collect(tests: Path, records: Path) -> None:
-    """Write the ids of all tests there are."""
+    """Write the ids of all tests."""
     records.write_text("".join(f"{test.id()}\n" for test in tests_of(load(tests, "test*.py"))))
 
 
@@ -112,8 +112,8 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Collect or run, as the arguments say; 0 if no test failed."""
-    faulthandler.enable()  # a process that hangs is ended by SIGABRT: it prints where each thread was
+    """Collect or run the tests, according to the arguments; return the exit code, 0 if no test failed."""
+    faulthandler.enable()  # prints the stack of each thread when a stalled process is ended by SIGABRT
     tests, what, records = Path(arguments[0]), arguments[1], Path(arguments[2])
     if what == "--collect":
         collect(tests, records)
--- a/tests/run_tests.py
+++ b/tests/run_tests.py
@@ -1,10 +1,10 @@
-"""Runs all tests, each file in a process of its own and several side by side, and gives one verdict.
+"""Runs all tests, each file in a process of its own and several in parallel, and gives one verdict.
 
-`python tests/run_tests.py [--processes N] [FILE ...]` collects the id of every test first, runs the files
-(all, or those that are named, as `test_node.py`), and fails unless exactly the collected tests ran and
-passed. A file that finishes no test for STALLED_AFTER seconds is ended, and fails. The failures that
-KNOWN-RED.txt names are passed over and printed (tests/known_red.py); they count as failed in the last line,
-which is `N passed, N failed`, with `, N skipped` if any were.
+`python tests/run_tests.py [--processes N] [FILE ...]` first collects the id of every test, then runs the
+files (all, or those that are named, such as `test_node.py`), and fails unless exactly the collected tests ran
+and passed. A file in which no test ends for STALLED_AFTER seconds is terminated and fails. Failures that
+KNOWN-RED.txt lists (tests/known_red.py) are printed and do not fail the run; they count as failed in the last
+line, which is `N passed, N failed`, followed by `, N skipped` if any were skipped.
 """
 
 import argparse
@@ -29,15 +29,15 @@
 
 TESTS = Path(__file__).resolve().parent
 ROOT = TESTS.parent
-PROCESSES = 5  # side by side, on ten cores: many tests start several processes of their own
-STALLED_AFTER = 300.0  # seconds without a test that ended; the longest took 56 s beside a load of 20
+PROCESSES = 5  # in parallel, for ten cores: many tests start several processes of their own
+STALLED_AFTER = 300.0  # seconds in which no test ends; the longest test took 56 s at a load average of 20
 POLL_SECONDS = 0.1
-SLOWEST_SHOWN = 10
+SLOWEST_SHOWN = 10  # tests
 
 
 @dataclass(frozen=True, slots=True)
 class TestRecord:
-    """How one test ended."""
+    """The outcome of one test."""
 
     __test__ = False
 
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class FileRun:
-    """What the process of one test file did."""
+    """The result of the process that ran one test file."""
 
     file: str
     records: list[TestRecord] = field(default_factory=list)
@@ -58,7 +58,7 @@
     output: str = ""
 
     def fault(self) -> str | None:
-        """Return what is wrong with the process apart from its tests, or None."""
+        """Return why the process itself failed, apart from its tests, or None."""
         if self.stalled:
             return f"ended after {STALLED_AFTER:.0f} s without a test that finished"
         failed = any(record.outcome == "failed" for record in self.records)
@@ -71,35 +71,35 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """The sum of all files."""
+    """The combined result of all files."""
 
     passed: int
     failed: list[str]  # test ids
     skipped: int
-    missing: list[str]  # collected, and not run
-    unexpected: list[str]  # run, and not collected, or run twice
-    faults: list[str]  # of processes and of KNOWN-RED.txt, each a line to print
-    known: list[known_red.KnownRed]  # failures that are passed over
-    mended: list[known_red.KnownRed]  # listed as red, and passed
+    missing: list[str]  # test ids: collected but not run
+    unexpected: list[str]  # test ids: run but not collected, or run twice
+    faults: list[str]  # of processes and of KNOWN-RED.txt, one line each
+    known: list[known_red.KnownRed]  # failures that KNOWN-RED.txt lists
+    mended: list[known_red.KnownRed]  # listed in KNOWN-RED.txt, but passed
 
     def red(self) -> bool:
-        """Return whether anything failed that KNOWN-RED.txt does not name."""
-        passed_over = {each.test for each in self.known}
-        unlisted = [test for test in self.failed if test not in passed_over]
+        """Return whether anything failed that KNOWN-RED.txt does not list."""
+        listed = {each.test for each in self.known}
+        unlisted = [test for test in self.failed if test not in listed]
         return bool(unlisted or self.missing or self.unexpected or self.faults)
 
     def last_line(self) -> str:
-        """Return the counts; a test that did not run, and a process that died, count as failed."""
+        """Return the counts; tests that did not run and processes that died count as failed."""
         failed = len(self.failed) + len(self.missing) + len(self.unexpected) + len(self.faults)
         skipped = f", {self.skipped} skipped" if self.skipped else ""
         return f"{self.passed} passed, {failed} failed{skipped}"
 
 
 class Runner:
-    """Runs test files in processes that it starts, each with a session and a temporary folder of its own."""
+    """Runs test files in child processes, each with its own session and temporary folder."""
 
     def __init__(self, tests: Path, folder: Path, stalled_after: float = STALLED_AFTER) -> None:
-        """Run files of the folder `tests`; keep records, output and temporary files in `folder`."""
+        """Run files of the folder `tests`; put records, output and temporary files into `folder`."""
         self.tests = tests
         self.folder = folder
         self.stalled_after = stalled_after
@@ -107,14 +107,14 @@
         self._interrupted = threading.Event()
 
     def collect(self) -> list[str]:
-        """Return the ids of all tests, as `unittest discover` finds them; none if it dies."""
+        """Return the ids of all tests that `unittest discover` finds; none if the process dies."""
         ids = self.folder / "ids"
         ids.touch()
         subprocess.run(self._command("--collect", ids), cwd=self.tests.parent, check=False)
         return ids.read_text().splitlines()
 
     def run_side_by_side(self, files: Sequence[str], processes: int) -> list[FileRun]:
-        """Run the files in the order given, `processes` at a time; if interrupted, end those that run."""
+        """Run the files in the given order, `processes` at a time; if interrupted, end the running ones."""
         pool = ThreadPoolExecutor(processes)
         try:
             return list(pool.map(self.run, files))
@@ -125,7 +125,7 @@
             pool.shutdown(cancel_futures=True)
 
     def run(self, file: str) -> FileRun:
-        """Run one file, print its result, and all its output if it failed."""
+        """Run one file; print its result, and its whole output if it failed."""
         own = self.folder / Path(file).stem
         temporary = own / "t"
         temporary.mkdir(parents=True)
@@ -155,7 +155,7 @@
         return [sys.executable, str(TESTS / "run_test_file.py"), str(self.tests), what, str(records)]
 
     def _wait(self, process: subprocess.Popen[bytes], records: Path) -> bool:
-        """Wait for the process and end what it left behind; return whether it stalled."""
+        """Wait for the process and kill the processes it left behind; return whether it stalled."""
         size = 0
         last_change = time.monotonic()
         stalled = False
@@ -188,7 +188,7 @@
 
 
 def judge(collected: Sequence[str], runs: Sequence[FileRun], listed: known_red.Listed) -> Verdict:
-    """Return the verdict on what ran, by what was collected and what is known to fail."""
+    """Compare the test results with the collected tests and KNOWN-RED.txt, and return the verdict."""
     records = [record for run in runs for record in run.records]
     ran = Counter(record.test for record in records)
     wanted = Counter(collected)
@@ -211,7 +211,7 @@
 
 
 def report(verdict: Verdict, runs: Sequence[FileRun]) -> Iterator[str]:
-    """Yield the lines of the report but the counts."""
+    """Yield the lines of the report, except the counts."""
     yield "Seconds of each file:"
     for run in sorted(runs, key=lambda run: -run.seconds):
         yield f"  {run.seconds:6.1f}  {run.file}"
@@ -231,7 +231,10 @@
 def run_all(
     tests: Path, processes: int, only: Sequence[str] = (), stalled_after: float = STALLED_AFTER
 ) -> int:
-    """Run the tests of a folder, those of the files in `only` if any, and print the report; 0 if not red."""
+    """Run the tests of a folder, or only those of the files in `only`, and print the report.
+
+    Return the exit code, 0 if no unlisted test failed.
+    """
     began = time.monotonic()
     with tempfile.TemporaryDirectory(prefix="pw-") as name:
         runner = Runner(tests, Path(name), stalled_after)
@@ -239,10 +242,10 @@
         listed = known_red.read(tests.parent / known_red.FILE, collected)
         files = sorted(file.name for file in tests.glob("test*.py"))
         if only:
-            files = list(only)  # one that is not there fails, as a file without tests
+            files = list(only)  # a file that does not exist fails like one without tests
             collected = [test for test in collected if f"{schedule.module_of(test)}.py" in only]
-        beside, alone = schedule.split(files)
-        runs = runner.run_side_by_side(beside, processes)
+        parallel, alone = schedule.split(files)
+        runs = runner.run_side_by_side(parallel, processes)
         runs += runner.run_side_by_side(alone, 1)
     verdict = judge(collected, runs, listed)
     print("\n".join([*report(verdict, runs), *cost(began), verdict.last_line()]), flush=True)
@@ -250,7 +253,7 @@
 
 
 def cost(began: float) -> Iterator[str]:
-    """Yield what the run took since the time `began`, and how busy the machine was meanwhile."""
+    """Yield the elapsed time since `began`, the CPU time of the tests and the machine's load average."""
     used = resource.getrusage(resource.RUSAGE_CHILDREN)
     load = ", ".join(f"{each:.1f}" for each in os.getloadavg())
     cpu = used.ru_utime + used.ru_stime
@@ -258,12 +261,12 @@
 
 
 def end_when_terminated() -> None:
-    """Let SIGTERM end the run as ctrl-C does: the processes of the tests end with it."""
+    """Make SIGTERM end the run as Ctrl-C does, so that the test processes end with it."""
     signal.signal(signal.SIGTERM, signal.default_int_handler)
 
 
 def main() -> int:
-    """Run the tests that the arguments name; 0 if none is red."""
+    """Run the tests named by the arguments; return the exit code, 0 if no unlisted test failed."""
     arguments = argparse.ArgumentParser(description="Run the tests, several files side by side.")
     arguments.add_argument("--processes", type=int, default=PROCESSES, help=f"at a time ({PROCESSES})")
     arguments.add_argument("files", nargs="*", help="names of files in tests/ (all)")
--- a/tests/schedule.py
+++ b/tests/schedule.py
@@ -1,16 +1,16 @@
-"""Says in which order the test files run, and which of them run alone."""
+"""Defines the order in which the test files run, and which of them run alone."""
 
 from collections.abc import Sequence
 
-# Files that nothing may run beside, each with the reason.
+# Files that must not run at the same time as others, each with the reason.
 ALONE = {
-    "test_deploy.py": "holds that nothing in petrelwood/ is written; a process beside it may write byte code",
-    "test_shutdown.py": "kills a process by real time, 0.7 s after its longest timeout, held up or not",
+    "test_deploy.py": "asserts that nothing in petrelwood/ is written; another process may write byte code",
+    "test_shutdown.py": "kills a process 0.7 s of real time after its longest timeout, even if delayed",
     "test_soak.py": "kills processes by real time, as test_shutdown.py does",
-    "test_larger_fleet.py": "thousands of connections; judges the share served by real time on all cores",
+    "test_larger_fleet.py": "opens thousands of connections; asserts the share served in real time",
 }
-# Seconds of the longest files, measured with five side by side on ten busy cores. They begin first, so that
-# no long one is left over when the others are done; a file that is not named takes less than each of these.
+# Seconds that the longest files take, with five files at a time on ten busy cores. The longest start first,
+# so that no long file is left when the others have ended. Files not listed take less time than each of these.
 SECONDS = {
     "test_handover.py": 75,
     "test_cold_budget.py": 53,
@@ -45,13 +45,13 @@
 
 
 def split(files: Sequence[str]) -> tuple[list[str], list[str]]:
-    """Return the files that run side by side, the longest first, and those that run alone after them."""
-    beside = [file for file in files if file not in ALONE]
-    beside.sort(key=lambda file: -SECONDS.get(file, 0))
-    return beside, [file for file in files if file in ALONE]
+    """Return the files that run in parallel, the longest first, and those that run alone after them."""
+    parallel = [file for file in files if file not in ALONE]
+    parallel.sort(key=lambda file: -SECONDS.get(file, 0))
+    return parallel, [file for file in files if file in ALONE]
 
 
 def module_of(test: str) -> str:
-    """Return the module of a test id, which is `unittest.loader._FailedTest.test_x` if its import fails."""
+    """Return the module of a test id; the id is `unittest.loader._FailedTest.test_x` if its import failed."""
     parts = test.split(".")
     return parts[-1] if parts[0] == "unittest" else parts[0]
--- a/tests/syscall_faults.py
+++ b/tests/syscall_faults.py
@@ -1,9 +1,9 @@
-"""System calls that fail as Linux documents: the n-th call of a kind on chosen sockets, once, for a while or
-always.
+"""Injects the system call errors that Linux documents: from the n-th call of a kind on selected sockets,
+once, several times or permanently.
 
-A fault is put in place of the method of `socket.socket` that makes the call, below everything that the
-dispatcher and its libraries do with the error. `EINTR` of calls that wait is made by real signals instead
-(`interrupted`): Python itself repeats those calls."""
+A fault replaces the method of `socket.socket` that makes the call, so that the dispatcher and its libraries
+handle the error as usual. `EINTR` of blocking calls is caused by real signals instead (`interrupted`),
+because Python itself retries those calls."""
 
 import asyncio
 import contextlib
@@ -16,9 +16,9 @@
 from typing import Any
 from unittest import mock
 
-# accept(2): of the call itself, while the connection stays where it is
+# accept(2): errors of the call itself; the connection remains in the listen queue
 ACCEPT_FAILS = (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPERM)
-# accept(2): errors that were pending on the new connection, which is gone with them
+# accept(2): pending errors of the new connection, which is lost
 ACCEPT_LOSES = (
     errno.ECONNABORTED,
     errno.ENETDOWN,
@@ -42,7 +42,7 @@
     errno.EINTR,
 )
 CONNECT_ENDS = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNREFUSED, errno.ECONNRESET)
-# how a connection shows itself as broken, to who reads and to who writes
+# errors by which a read reports a broken connection
 READ_BREAKS = (
     errno.ECONNRESET,
     errno.ETIMEDOUT,
@@ -52,6 +52,7 @@
     errno.ENOMEM,
     errno.ENOTCONN,
 )
+# errors by which a write reports a broken connection
 WRITE_BREAKS = (
     errno.EPIPE,
     errno.ECONNRESET,
@@ -62,7 +63,7 @@
     errno.ENOMEM,
     errno.EPERM,
 )
-# of a datagram that could not be sent, or that came back
+# errors of a datagram that could not be sent, or that an ICMP error reported as undelivered
 DATAGRAM_FAILS = (
     errno.ECONNREFUSED,
     errno.EMSGSIZE,
@@ -75,7 +76,7 @@
     errno.EAGAIN,
     errno.EINTR,
 )
-# of a socket that is as good as before
+# errors after which the socket remains usable
 MOMENTARY = (errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM, errno.ECONNREFUSED)
 
 Chosen = Callable[[socket.socket, tuple[Any, ...]], bool]
@@ -83,9 +84,9 @@
 
 
 class Fault:
-    """What one injected fault has seen: `calls` on the chosen sockets, and those that `failed`.
+    """An injected fault that counts the `calls` on the selected sockets, and those that `failed`.
 
-    It fails from the `nth` call on, `times` in all; None: until `over` is called."""
+    Calls fail from the `nth` on, `times` of them in all; with None, until `over` is called."""
 
     def __init__(self, error: int, chosen: Chosen, nth: int, times: int | None) -> None:
         self.error = error
@@ -96,11 +97,11 @@
         self.failed = 0
 
     def over(self) -> None:
-        """No further call fails."""
+        """Stop the fault: no further call fails."""
         self.times = self.failed
 
     def due(self) -> bool:
-        """Counts one call on a chosen socket; whether it fails."""
+        """Count one call on a selected socket; return whether it fails."""
         self.calls += 1
         if self.calls < self.nth or self.times is not None and self.failed >= self.times:
             return False
@@ -112,17 +113,17 @@
 
 
 def any_socket(_sock: socket.socket, _args: tuple[Any, ...]) -> bool:
-    """Chooses every call."""
+    """Select every call."""
     return True
 
 
 def local(port: int) -> Chosen:
-    """Chooses sockets that have this local port: a listener, and the connections that it accepted."""
+    """Select sockets with this local port: a listener and the connections that it accepted."""
     return lambda sock, _args: _port(socket.socket.getsockname, sock) == port
 
 
 def peer(*ports: int) -> Chosen:
-    """Chooses sockets that are connected, or are just being connected, to one of these ports."""
+    """Select sockets that are connected, or are being connected, to one of these ports."""
 
     def chosen(sock: socket.socket, args: tuple[Any, ...]) -> bool:
         if args and isinstance(args[0], tuple) and args[0][1:2]:
@@ -141,9 +142,9 @@
 
 
 def by_dispatcher(_sock: socket.socket, _args: tuple[Any, ...]) -> bool:
-    """Chooses calls that the dispatcher's own text makes, and not those of its peers in the same process."""
+    """Select calls made by the dispatcher's own code, not those of its peers in the same process."""
     frame = sys._getframe(1)
-    while frame.f_globals["__name__"] == __name__:  # this, and replacements of the method
+    while frame.f_globals["__name__"] == __name__:  # skip this module's frames (the replaced methods)
         frame = frame.f_back
     caller = frame.f_globals["__name__"]
     while frame is not None:
@@ -154,9 +155,9 @@
 
 
 @contextlib.contextmanager
-def replaced(call: str, made: Callable[[Replacement], Replacement]) -> Iterator[None]:
-    """Puts `made(the method until now)` in place of a method of all sockets."""
-    with mock.patch.object(socket.socket, call, made(getattr(socket.socket, call))):
+def replaced(call: str, wrap: Callable[[Replacement], Replacement]) -> Iterator[None]:
+    """Replace a method of all sockets by `wrap(original method)`."""
+    with mock.patch.object(socket.socket, call, wrap(getattr(socket.socket, call))):
         yield
 
 
@@ -169,10 +170,10 @@
     times: int | None = 1,
     unless: Callable[[tuple[Any, ...]], bool] = lambda _args: False,
 ) -> Iterator[Fault]:
-    """Lets calls fail before they do anything. `unless(arguments)`: calls that are left alone."""
+    """Make calls fail before they have any effect, except those for which `unless(arguments)` is true."""
     fault = Fault(error, chosen, nth, times)
 
-    def made(inner: Replacement) -> Replacement:
+    def wrap(inner: Replacement) -> Replacement:
         def outer(sock: socket.socket, *args: Any, **more: Any) -> Any:
             if not unless(args) and chosen(sock, args) and fault.due():
                 fault.fail()
@@ -180,16 +181,16 @@
 
         return outer
 
-    with replaced(call, made):
+    with replaced(call, wrap):
         yield fault
 
 
 @contextlib.contextmanager
 def losing_accepts(error: int, chosen: Chosen, nth: int = 1, times: int | None = 1) -> Iterator[Fault]:
-    """Lets `accept` take a connection and then report that connection's own error: it is gone."""
+    """Make `accept` take a connection, close it and report the error that was pending on it."""
     fault = Fault(error, chosen, nth, times)
 
-    def made(inner: Replacement) -> Replacement:
+    def wrap(inner: Replacement) -> Replacement:
         def outer(sock: socket.socket) -> Any:
             if not chosen(sock, ()):
                 return inner(sock)
@@ -201,16 +202,16 @@
 
         return outer
 
-    with replaced("accept", made):
+    with replaced("accept", wrap):
         yield fault
 
 
 @contextlib.contextmanager
 def no_sockets(error: int, nth: int = 1, times: int | None = 1) -> Iterator[Fault]:
-    """Lets the dispatcher's own making of new sockets of the internet's families fail."""
+    """Make the dispatcher's creation of IPv4 and IPv6 sockets fail."""
     fault = Fault(error, by_dispatcher, nth, times)
 
-    def made(inner: Replacement) -> Replacement:
+    def wrap(inner: Replacement) -> Replacement:
         def outer(sock: socket.socket, *args: Any, **more: Any) -> None:
             internet = args[:1] in ((socket.AF_INET,), (socket.AF_INET6,)) and more.get("fileno") is None
             if internet and by_dispatcher(sock, args) and fault.due():
@@ -219,16 +220,16 @@
 
         return outer
 
-    with replaced("__init__", made):
+    with replaced("__init__", wrap):
         yield fault
 
 
 @contextlib.contextmanager
 def failed_connections(error: int, ports: tuple[int, ...], times: int | None = 1) -> Iterator[Fault]:
-    """Lets connections to these ports turn out to have failed once they are asked for their outcome."""
+    """Make connection attempts to these ports report the error as their outcome (SO_ERROR)."""
     fault = Fault(error, peer(*ports), 1, times)
 
-    def made(inner: Replacement) -> Replacement:
+    def wrap(inner: Replacement) -> Replacement:
         def outer(sock: socket.socket, *args: Any) -> Any:
             if args == (socket.SOL_SOCKET, socket.SO_ERROR) and fault.chosen(sock, ()) and fault.due():
                 return error
@@ -236,16 +237,16 @@
 
         return outer
 
-    with replaced("getsockopt", made):
+    with replaced("getsockopt", wrap):
         yield fault
 
 
 @contextlib.contextmanager
 def short(chosen: Chosen, least: int = 1) -> Iterator[Fault]:
-    """Lets each read and write on the chosen sockets move at most `least` bytes; counts the calls."""
+    """Limit each read and write on the selected sockets to `least` bytes, and count the calls."""
     fault = Fault(0, chosen, 1, 0)
 
-    def sends(inner: Replacement) -> Replacement:
+    def wrap_send(inner: Replacement) -> Replacement:
         def outer(sock: socket.socket, data: Any, *args: Any) -> int:
             if not chosen(sock, ()):
                 return inner(sock, data, *args)
@@ -254,7 +255,7 @@
 
         return outer
 
-    def reads(inner: Replacement) -> Replacement:
+    def wrap_recv(inner: Replacement) -> Replacement:
         def outer(sock: socket.socket, buffer: Any, size: int = 0, *args: Any) -> int:
             if not chosen(sock, ()):
                 return inner(sock, buffer, size, *args)
@@ -263,7 +264,7 @@
 
         return outer
 
-    with replaced("send", sends), replaced("recv_into", reads):
+    with replaced("send", wrap_send), replaced("recv_into", wrap_recv):
         yield fault
 
 
@@ -271,12 +272,12 @@
 def broken_write(
     error: int, chosen: Chosen, taken: int = 0, begins: bytes = b"", times: int | None = 1
 ) -> Iterator[Fault]:
-    """Lets a write of data that contains `begins` fail for good after the kernel has taken so many bytes of
-    it: as where the connection broke unseen. The peer reads the bytes that were taken."""
+    """Make a write of data that contains `begins` fail permanently after the kernel has taken `taken` bytes
+    of it, as when a connection breaks unnoticed. The peer reads the bytes that were taken."""
     fault = Fault(error, chosen, 1, times)
     broken: list[socket.socket] = []
 
-    def made(inner: Replacement) -> Replacement:
+    def wrap(inner: Replacement) -> Replacement:
         def outer(sock: socket.socket, data: Any, *args: Any) -> int:
             if sock in broken:
                 fault.fail()
@@ -289,31 +290,31 @@
 
         return outer
 
-    with replaced("send", made):
+    with replaced("send", wrap):
         yield fault
 
 
 @contextlib.contextmanager
 def interrupted(every: float = 0.001) -> Iterator[list[int]]:
-    """Signals come so often (seconds) that calls which wait are interrupted; the list holds each one."""
-    came: list[int] = []
-    before = signal.signal(signal.SIGALRM, lambda number, _frame: came.append(number))
+    """Interrupt blocking calls by a signal at this interval (seconds); the list records each signal."""
+    received: list[int] = []
+    previous_handler = signal.signal(signal.SIGALRM, lambda number, _frame: received.append(number))
     signal.setitimer(signal.ITIMER_REAL, every, every)
     try:
-        yield came
+        yield received
     finally:
         signal.setitimer(signal.ITIMER_REAL, 0)
-        signal.signal(signal.SIGALRM, before)
+        signal.signal(signal.SIGALRM, previous_handler)
 
 
-class Turns:
-    """Counts the turns of the running loop."""
+class LoopIterations:
+    """Context manager that counts the iterations of the running event loop."""
 
     def __init__(self) -> None:
         self.count = 0
         self.loop = asyncio.get_running_loop()
 
-    def __enter__(self) -> "Turns":
+    def __enter__(self) -> "LoopIterations":
         inner = self.loop._run_once
 
         def outer() -> None:
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,5 @@
-"""docs/architecture.md: what it names exists, and imports follow its diagram, without a circle of modules."""
+"""Checks that the names in docs/architecture.md exist, that imports follow its diagram, and that no modules
+import each other in a cycle."""
 
 import ast
 import re
@@ -9,25 +10,25 @@
 ROOT = Path(__file__).resolve().parents[1]
 PACKAGE = ROOT / "petrelwood"
 PAGE = ROOT / "docs" / "architecture.md"
-LINES = 180  # of the page at most
+LINES = 180  # at most, of the page
 CODE = re.compile(r"`([^`\n]+)`")
 REFERENCE = re.compile(r"^(?P<path>[\w./]+?(?:\.py|\.md|/))(?::(?P<name>[\w.]+))?$")
 
 
 def references(text):
-    """Each (path, name or None) in backticks."""
+    """Return each reference in backticks as (path, name or None)."""
     found = [REFERENCE.match(each) for each in CODE.findall(text)]
     return [(match["path"], match["name"]) for match in found if match]
 
 
 def place(path):
-    """Where a path of the page is, or None."""
+    """Return the file or folder that a path on the page refers to, or None if it does not exist."""
     base = ROOT if path.startswith(("docs/", "tests/", "benchmarks/")) else PACKAGE
     return base / path if (base / path).exists() else None
 
 
 def names(file):
-    """The functions and classes of a file, methods as `Class.method`."""
+    """Return the functions and classes of a file, and the methods as `Class.method`."""
     found = set()
     for node in ast.parse(file.read_text()).body:
         if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef | ast.ClassDef):
@@ -39,7 +40,7 @@
 
 
 def missing(text):
-    """Each reference of a text to what does not exist."""
+    """Return the references of a text whose path or name does not exist."""
     found = []
     for path, name in references(text):
         file = place(path)
@@ -49,19 +50,19 @@
 
 
 def rows(text):
-    """The rows of the diagram, each the names of its packages."""
+    """Return the rows of the diagram, each as the names of its packages."""
     block = text.partition("```\n")[2].partition("```")[0]
     return [re.split(r" {3,}", line)[0].split() for line in block.splitlines()]
 
 
 def package_of(module):
-    """The package of the first level that a dotted name is in, or None."""
+    """Return the top-level package that a dotted name belongs to, or None."""
     parts = module.split(".")
     return parts[1] if parts[0] == "petrelwood" and len(parts) > 1 else None
 
 
 def imports(file):
-    """The packages that a file imports from."""
+    """Return the top-level packages that a file imports from."""
     found = set()
     for node in ast.walk(ast.parse(file.read_text())):
         modules = []
@@ -75,8 +76,8 @@
     return found - {None}
 
 
-def against(diagram):
-    """Each import that does not go down in the diagram."""
+def upward_imports(diagram):
+    """Return each import that does not go down in the diagram."""
     height = {name: -number for number, row in enumerate(diagram) for name in row}
     found = []
     for file in sorted(PACKAGE.rglob("*.py")):
@@ -91,20 +92,20 @@
 
 
 def module_name(file, package):
-    """The dotted name of a file in a package."""
+    """Return the dotted name of a file in a package."""
     parts = file.relative_to(package.parent).with_suffix("").parts
     return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
 
 
 def imported_modules(file, package, modules):
-    """The modules of a package that a file imports, be it in a function or under TYPE_CHECKING."""
+    """Return the modules of a package that a file imports, also in functions and under TYPE_CHECKING."""
     found = set()
     for node in ast.walk(ast.parse(file.read_text())):
         if isinstance(node, ast.Import):
             found.update(alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom):
             base = node.module
-            if node.level:  # a dot is the file's own package, each further one the package around it
+            if node.level:  # one dot is the file's own package, each further dot the enclosing package
                 around = file.parents[node.level - 1].relative_to(package.parent).parts
                 base = ".".join((*around, base) if base else around)
             for alias in node.names:
@@ -114,13 +115,13 @@
 
 
 def import_graph(package):
-    """The modules that each module of a package imports."""
+    """Return the modules that each module of a package imports."""
     files = {module_name(file, package): file for file in package.rglob("*.py")}
     return {name: imported_modules(file, package, set(files)) for name, file in files.items()}
 
 
 def reachable(graph, module):
-    """The modules that one imports, and those that these import, and so on."""
+    """Return the modules that a module imports directly or indirectly."""
     found, following = set(), [module]
     while following:
         for other in graph[following.pop()] - found:
@@ -129,8 +130,8 @@
     return found
 
 
-def circles(package):
-    """The groups of modules in which each imports each other, directly or by way of others."""
+def import_cycles(package):
+    """Return the groups of modules that import each other directly or indirectly."""
     graph = import_graph(package)
     behind = {module: reachable(graph, module) for module in graph}
     groups = {
@@ -159,15 +160,15 @@
         self.assertEqual(sorted(drawn), sorted(packages | modules))
 
     def test_imports_go_down_in_the_diagram(self):
-        self.assertEqual(against(rows(self.text)), [])
+        self.assertEqual(upward_imports(rows(self.text)), [])
 
     def test_no_module_imports_itself_by_way_of_others(self):
         self.assertGreater(len(import_graph(PACKAGE)), 200)
-        self.assertEqual(circles(PACKAGE), [])
+        self.assertEqual(import_cycles(PACKAGE), [])
 
 
 class Checks(unittest.TestCase):
-    """The checks find what they are for."""
+    """Tests that the checks detect the violations they are meant for."""
 
     def test_a_path_or_name_that_does_not_exist_is_found(self):
         file = "decide/scheduling/scheduler.py"
@@ -181,16 +182,16 @@
 
     def test_an_import_that_goes_up_is_found(self):
         upside_down = rows(PAGE.read_text())[::-1]
-        self.assertIn("decide/scheduling/scheduler.py imports ports", against(upside_down))
+        self.assertIn("decide/scheduling/scheduler.py imports ports", upward_imports(upside_down))
 
-    def circles_of(self, **modules):
-        """The circles of a package with modules of these texts."""
+    def cycles_of(self, **modules):
+        """Return the import cycles of a package with modules of these texts."""
         with tempfile.TemporaryDirectory() as folder:
             package = Path(folder) / "birds"
             package.mkdir()
             for name, text in {"__init__": "", **modules}.items():
                 (package / f"{name}.py").write_text(text)
-            return circles(package)
+            return import_cycles(package)
 
     def test_a_circle_is_found_whatever_way_it_is_imported(self):
         for to_petrel in (
@@ -203,7 +204,7 @@
             "def late():\n    from birds import petrel",
         ):
             with self.subTest(to_petrel):
-                found = self.circles_of(
+                found = self.cycles_of(
                     petrel="from birds.tern import Tern",
                     tern="from birds.auk import Auk",
                     auk=to_petrel,
@@ -212,7 +213,7 @@
                 self.assertEqual(found, [("birds.auk", "birds.petrel", "birds.tern")])
 
     def test_each_circle_is_found_once_and_what_is_none_is_not(self):
-        found = self.circles_of(
+        found = self.cycles_of(
             petrel="from birds import tern",
             tern="from birds import petrel",
             auk="from birds import gull",
@@ -220,7 +221,7 @@
             skua="import birds.petrel, birds.auk",
         )
         self.assertEqual(found, [("birds.auk", "birds.gull"), ("birds.petrel", "birds.tern")])
-        self.assertEqual(self.circles_of(petrel="from birds import tern", tern="import ast"), [])
+        self.assertEqual(self.cycles_of(petrel="from birds import tern", tern="import ast"), [])
 
 
 if __name__ == "__main__":
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -1,4 +1,4 @@
-"""`docs/CAPACITY.md` keeps its shape: every role, every event, a verdict in each row of the first table."""
+"""Checks that `docs/CAPACITY.md` has every role and event, and a verdict in each row of its first table."""
 
 import pathlib
 import re
@@ -10,14 +10,14 @@
 
 
 def section(text, title):
-    """What stands under a heading, up to the next one of its level or above."""
+    """Return the text under a heading, up to the next heading of the same or a higher level."""
     level = title.split(" ")[0]
     after = text.split(f"\n{title}", 1)[1]
     return re.split(rf"\n#{{2,{len(level)}}} ", after, maxsplit=1)[0]
 
 
 def rows(text):
-    """The cells of each row of the tables in a text, without heads and rules."""
+    """Return the cells of each table row in a text, without header rows and separators."""
     found, head = [], True
     for line in text.splitlines():
         if not line.startswith("|"):
--- a/tests/test_finished.py
+++ b/tests/test_finished.py
@@ -1,4 +1,4 @@
-"""Finished packages stay finished: their list only grows, and nothing hard to read is left in them."""
+"""Checks that the list of finished packages only grows, and that these packages have no findings."""
 
 import contextlib
 import re
@@ -10,8 +10,8 @@
 
 import finished
 
-# The list of finished packages as it stood at the last landing or push; add to it with each one that is
-# finished, take nothing away.
+# The list of finished packages at the last landing or push. Add each package that is finished; never remove
+# one.
 FINISHED_BEFORE = {
     "petrelwood/clocks.py",
     "petrelwood/control",
@@ -42,7 +42,7 @@
 
 @contextlib.contextmanager
 def scratch(**modules: str):
-    """A folder with the project's settings and a package `petrelwood` of these modules."""
+    """Yield a temporary folder with the project's settings and a package `petrelwood` of these modules."""
     with tempfile.TemporaryDirectory() as folder:
         root = Path(folder)
         for name in ("pyproject.toml", "ruff-finished.toml"):
@@ -56,7 +56,7 @@
 
 class FinishedList(unittest.TestCase):
     def test_it_only_grows(self):
-        """Each entry is still there, or lies in a package that is finished as a whole."""
+        """Each entry is still listed, or is inside a package that is listed as a whole."""
         now = set(finished.finished())
         lost = [
             path for path in sorted(FINISHED_BEFORE) if now.isdisjoint({path, *map(str, Path(path).parents)})
@@ -75,7 +75,7 @@
         self.assertRegex(recipe, r"(?m)^\t\$\(PY\) tests/finished\.py$")
 
     def test_the_checks_are_not_eased(self):
-        """Rules that are left out have been agreed upon; each more would be a check less."""
+        """Guards against settings that weaken the checks: only these rules are excluded, as agreed."""
         rules = tomllib.loads((finished.ROOT / "ruff-finished.toml").read_text())
         self.assertEqual(set(rules), {"extend", "lint"})
         self.assertEqual(
@@ -107,7 +107,7 @@
 
 
 class Checks(unittest.TestCase):
-    """The checks find what they are for."""
+    """Tests that the checks detect the violations they are meant for."""
 
     def _mypy(self, root: Path, *paths: str) -> subprocess.CompletedProcess:
         command = finished.mypy_command(list(paths), root)
--- a/tests/test_lint_remainder.py
+++ b/tests/test_lint_remainder.py
@@ -1,4 +1,4 @@
-"""The list of lint findings that are not mended yet (pyproject.toml) only shrinks."""
+"""Checks that the list of lint findings that are still excused (pyproject.toml) only shrinks."""
 
 import json
 import re
@@ -12,25 +12,25 @@
 FOLDERS = ("petrelwood", "tests", "benchmarks")
 RUFF = Path(sys.executable).parent / "ruff"
 
-# Pairs of a file and a rule that pyproject.toml excuses, and lines that excuse themselves. Lower these
-# with each one that is mended; they are never raised. Every file is formatted.
+# The maximum number of (file, rule) pairs that pyproject.toml excuses, and of lines with an excuse comment.
+# Lower them with each finding that is fixed; never raise them. No file is exempt from formatting.
 MOST_EXCUSED, MOST_LINES = 8, 1
 OWN_EXCUSE = re.compile(r"#\s*(noqa|fmt:\s*(off|skip)|ruff:)")
 
 
 def ruff_settings() -> dict:
-    """The table [tool.ruff] of pyproject.toml."""
+    """Return the table [tool.ruff] of pyproject.toml."""
     return tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]["ruff"]
 
 
 def excused(settings: dict) -> set[tuple[str, str]]:
-    """Each file and rule under `per-file-ignores`."""
+    """Return each (file, rule) pair under `per-file-ignores`."""
     ignores = settings["lint"]["per-file-ignores"]
     return {(file, rule) for file, rules in ignores.items() for rule in rules}
 
 
 def found(settings: dict) -> set[tuple[str, str]]:
-    """Each file and rule that ruff finds where nothing is excused."""
+    """Return each (file, rule) pair that ruff finds when nothing is excused."""
     options = [
         f"--select={','.join(settings['lint']['select'])}",
         f"--line-length={settings['line-length']}",
@@ -49,7 +49,7 @@
         self.assertNotIn("format", settings, "no file is left out of the formatting")
 
     def test_whole_files_and_rules_are_not_excused(self):
-        """What would get round the list: patterns, families of rules, rules or files left out altogether."""
+        """Guards against bypassing the list by patterns, rule families, or excluded rules or files."""
         settings = ruff_settings()
         self.assertGreaterEqual(set(settings["lint"]["select"]), {"E", "F", "W", "I", "UP", "B"})
         self.assertEqual(set(settings), {"line-length", "lint"})
--- a/tests/test_run_tests.py
+++ b/tests/test_run_tests.py
@@ -1,4 +1,4 @@
-"""The runner of the suite gives a red verdict whenever it should, and runs exactly the tests there are."""
+"""Tests that the suite runner fails if a test or process fails, and runs exactly the existing tests."""
 
 import contextlib
 import io
@@ -31,7 +31,7 @@
 
 
 class Case(unittest.TestCase):
-    """A repository with test files of its own, which the runner runs."""
+    """Creates a temporary repository whose test files the runner runs."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -48,7 +48,7 @@
         (self.root / known_red.FILE).write_text("".join(f"{line}\n" for line in lines))
 
     def run_all(self, only=(), stalled_after=60.0):
-        """The exit code, the last line and all that was printed."""
+        """Run the suite; return the exit code, the last line and the whole output."""
         with contextlib.redirect_stdout(io.StringIO()) as out:
             code = run_tests.run_all(self.tests, 2, only, stalled_after)
         return code, out.getvalue().splitlines()[-1], out.getvalue()
@@ -167,7 +167,7 @@
 
     @staticmethod
     def alive(process):
-        """Whether a process runs; what was killed may take a moment until it has gone."""
+        """Return whether a process still runs; zombies and dead processes do not count."""
         try:
             return Path(f"/proc/{process}/stat").read_text().split()[2] not in "ZX"
         except (FileNotFoundError, ProcessLookupError):
@@ -244,7 +244,7 @@
                     pathlib.Path(tempfile.mkdtemp())
         """
         self.write(test_a=text, test_b=text, test_c=text)
-        self.write(beside="import pathlib\nHERE = pathlib.Path(__file__).parent\n")
+        self.write(parallel="import pathlib\nHERE = pathlib.Path(__file__).parent\n")
         self.assertEqual(self.run_all()[:2], (0, "3 passed, 0 failed"))
 
     def test_files_named_run_alone_and_a_name_that_is_no_file_fails(self):
@@ -305,7 +305,7 @@
         self.assertIn("KNOWN RED, and passed: test_a.Good.test_one | alone | was slow | issue 41", printed)
 
     def test_a_test_that_is_listed_twice_fails_the_run(self):
-        """Guards against an entry that hides in a second one for the same test."""
+        """Guards against an entry that hides another entry for the same test."""
         self.known(self.LINE, self.OTHER, self.LINE.replace("seed 3", "seed 4"))
         code, last, printed = self.run_all()
         self.assertEqual((code, last), (1, "3 passed, 3 failed"))
@@ -356,11 +356,11 @@
 class Order(unittest.TestCase):
     def test_the_longest_begin_first_and_those_alone_come_last(self):
         files = [file.name for file in run_tests.TESTS.glob("test*.py")]
-        beside, alone = schedule.split(files)
-        self.assertEqual(sorted(beside + alone), sorted(files))
+        parallel, alone = schedule.split(files)
+        self.assertEqual(sorted(parallel + alone), sorted(files))
         self.assertEqual(set(alone), set(schedule.ALONE))
-        self.assertLessEqual(set(schedule.SECONDS), set(beside))
-        seconds = [schedule.SECONDS.get(file, 0) for file in beside]
+        self.assertLessEqual(set(schedule.SECONDS), set(parallel))
+        seconds = [schedule.SECONDS.get(file, 0) for file in parallel]
         self.assertEqual(seconds, sorted(seconds, reverse=True))
 
     def test_make_test_runs_the_runner(self):
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak of shutdowns: its judge finds dispatchers broken on purpose, and some seeds are played."""
+"""Tests of the shutdown soak: the judge detects broken dispatchers, and some seeds keep all rules."""
 
 import asyncio
 import dataclasses
@@ -10,9 +10,10 @@
 from benchmarks.soak.plan import Front, PlannedSignal, WorkerTrouble, draw
 from benchmarks.soak.play import play
 
-# Workers that close or hang, crowds, drains, SIGTERM before it is ready; of serve, upgrades.
+# Seeds whose plans include workers that close connections or hang, crowds of connections, drains, and SIGTERM
+# before readiness; those of `petrelwood serve` include upgrades.
 SEEDS = {Front.NODE: (1, 2, 5, 7, 19), Front.SERVE: (11, 31, 48)}
-SIDE_BY_SIDE = 4  # broken dispatchers
+CONCURRENT_PLAYS = 4  # of broken dispatchers
 PRELUDE = """
 import runpy, sys
 sys.path.insert(0, "")
@@ -20,7 +21,7 @@
 sys.argv = ["petrelwood.node"]
 runpy.run_module("petrelwood.node", run_name="__main__", alter_sys=True)
 """
-# Each breaks one rule; the words are in what the judge finds.
+# Name of the defect -> (patch that breaks one rule, words that must be in a finding of the judge).
 BROKEN = {
     "ends as soon as it is told to": (
         """
@@ -130,7 +131,7 @@
 
 
 def small_plan():
-    """A plan of three seconds in which each rule is tested."""
+    """Return a plan of three seconds in which each rule is tested."""
     signals = (
         PlannedSignal(-0.05, signal.SIGHUP),
         PlannedSignal(0.0, signal.SIGTERM),
@@ -161,16 +162,16 @@
         return words, found
 
     async def test_each_broken_dispatcher_is_found(self):
-        """Guards against a judge that passes a dispatcher which breaks a rule."""
+        """Guards against a judge that accepts a dispatcher which breaks a rule."""
         names = list(BROKEN)
-        for group in (names[n : n + SIDE_BY_SIDE] for n in range(0, len(names), SIDE_BY_SIDE)):
+        for group in (names[n : n + CONCURRENT_PLAYS] for n in range(0, len(names), CONCURRENT_PLAYS)):
             results = await asyncio.gather(*map(self._find, group))
             for name, (words, found) in zip(group, results, strict=True):
                 with self.subTest(name):
                     self.assertTrue([line for line in found if words in line], found[:5])
 
     async def test_the_dispatcher_as_it_is_keeps_the_rules(self):
-        """Guards against a judge that finds fault with what is allowed."""
+        """Guards against a judge that reports allowed behaviour."""
         plan = small_plan()
         seen = await play(plan)
         self.assertEqual(judge(plan, seen), [])
@@ -180,11 +181,11 @@
 
 class Plans(unittest.TestCase):
     def test_a_seed_has_one_plan(self):
-        """Guards against a failing seed that can't be played again."""
+        """Guards against a failing seed that can't be reproduced."""
         self.assertEqual([draw(seed) for seed in range(200)], [draw(seed) for seed in range(200)])
 
     def test_the_plans_have_all_that_is_to_be_played(self):
-        """Guards against a draw that leaves out a kind of shutdown."""
+        """Guards against a draw that never yields some kind of shutdown."""
         plans = [draw(seed) for seed in range(1, 201)]
         self.assertTrue(35 <= sum(plan.crowd > 0 for plan in plans) <= 65)
         self.assertTrue(35 <= sum(plan.trouble is not WorkerTrouble.NONE for plan in plans) <= 65)
@@ -197,7 +198,7 @@
 
 class Seeds(unittest.TestCase):
     def test_some_seeds_keep_all_rules(self):
-        """Guards against a shutdown that loses, repeats or delays what was taken."""
+        """Guards against a shutdown that loses, repeats or delays accepted requests."""
         for front, seeds in SEEDS.items():
             for seed in seeds:
                 plan = draw(seed, front)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -11,7 +11,7 @@
 import time
 
 import orjson
-from rig import FILE, KEY, Case, IOStream, LoopLag, Quiet, Worker, answer, later, never, says
+from rig import FILE, KEY, Case, IOStream, LoopLag, RecordingLog, Worker, answer, later, never, says
 
 from petrelwood import ports
 from petrelwood.decide.scheduling.scheduler import Scheduler
@@ -411,7 +411,7 @@
     async def test_a_loop_that_stands_still_is_seen_and_its_place_is_logged(self):
         from petrelwood.dispatch.stall import StallDetector
 
-        log = Quiet()
+        log = RecordingLog()
         watch = StallDetector(asyncio.get_running_loop(), 20_000_000, log)
         watch.open()
         await asyncio.sleep(0.1)
--- a/tests/test_speaker.py
+++ b/tests/test_speaker.py
@@ -11,7 +11,7 @@
 
 import rig
 from kept import compare
-from rig import KEY, Quiet
+from rig import KEY, RecordingLog
 
 from petrelwood.bgp.heartbeats import HeartbeatSender
 from petrelwood.bgp.speaker import Speaker
@@ -60,7 +60,7 @@
         )
         path = self.folder / f"{number}.kdl"
         path.write_text(FILE.format(number=number, hold=hold, peers=peers, more=more))
-        made = Speaker(speaker.read(path), Quiet())
+        made = Speaker(speaker.read(path), RecordingLog())
         made.open()
         made.path = str(self.folder / f"{number}.sock")
         self.speakers.append(made)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -21,7 +21,7 @@
     READ_BREAKS,
     SOCKET_FAILS,
     WRITE_BREAKS,
-    Turns,
+    LoopIterations,
     broken_write,
     failed_connections,
     failing,
@@ -418,7 +418,7 @@
                     first = site.node.roster.sock
                     with (
                         failing("recv", error, same(first), times=None) as fault,
-                        Turns() as turns,
+                        LoopIterations() as turns,
                     ):
                         await self.failed(site, fault)
                         looks, before = site.node.check_count, turns.count
--- a/tests/test_system_calls_of_serve.py
+++ b/tests/test_system_calls_of_serve.py
@@ -21,7 +21,7 @@
     READ_BREAKS,
     SOCKET_FAILS,
     WRITE_BREAKS,
-    Turns,
+    LoopIterations,
     broken_write,
     failed_connections,
     failing,
@@ -253,7 +253,7 @@
                 await self.begin(rig.Worker("w1"))
                 at = peer(self.core.roster.address[1])
                 inject = no_sockets(error, times=None) if call == "socket" else None
-                with Turns() as turns, inject or failing(call, error, at, times=None) as fault:
+                with LoopIterations() as turns, inject or failing(call, error, at, times=None) as fault:
                     self.core.roster.drop()
                     await self.failed(fault)
                     before, now = turns.count, time.monotonic()
@@ -364,9 +364,9 @@
         with tempfile.TemporaryDirectory() as folder:
             path = f"{folder}/control"
             calls = {name: mock.Mock() for name in ("on_handover", "on_resume", "on_finished")}
-            process = PredecessorProcess(path, core, mock.Mock(), rig.Quiet(), **calls)
+            process = PredecessorProcess(path, core, mock.Mock(), rig.RecordingLog(), **calls)
             for error in (*ACCEPT_FAILS, *ACCEPT_LOSES):
-                with self.subTest(errno.errorcode[error]), Turns() as turns:
+                with self.subTest(errno.errorcode[error]), LoopIterations() as turns:
                     process.open()
                     with failing("accept", error, same(process.server.sock), times=3) as fault:
                         _, writer = await asyncio.open_unix_connection(path)
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -12,7 +12,7 @@
 
 import trustme
 from cryptography import x509
-from rig import Case, Quiet, Worker, later
+from rig import Case, RecordingLog, Worker, later
 from test_mqtt import MqttCase
 from test_settings import GOOD
 from tornado.iostream import SSLIOStream
@@ -74,7 +74,7 @@
             Identity(place.file("good.pem"), place.file("good.key"), mutual=True)
 
     def test_a_renewed_file_is_loaded_and_a_broken_one_is_not(self):
-        place, log = Place(self), Quiet()
+        place, log = Place(self), RecordingLog()
         identity = place.identity("good")
         identity.server()
         self.assertFalse(identity.renew(log))
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,5 +1,5 @@
-"""Asyncio on a clock that jumps, and connections to scripted workers that live on it: the dispatcher's own
-link and core run unchanged."""
+"""An event loop on virtual time and simulated connections to scripted workers; the dispatcher's own link and
+core run on them unchanged."""
 
 import asyncio
 import json
@@ -10,8 +10,8 @@
 MS = 1_000_000
 
 
-class _Jump(selectors.SelectSelector):
-    """Waits for nobody: where there is nothing to do until a timer, the clock is there."""
+class _VirtualTimeSelector(selectors.SelectSelector):
+    """A selector that never blocks: it advances the virtual clock by the timeout instead."""
 
     def __init__(self):
         super().__init__()
@@ -19,22 +19,25 @@
 
     def select(self, timeout=None):
         if timeout is None:
-            raise AssertionError("nothing will ever happen")
+            raise AssertionError("deadlock: the event loop waits without a timer")
         self.time += max(0.0, timeout)
         return super().select(0)
 
 
 class Loop(asyncio.SelectorEventLoop):
+    """An event loop on virtual time, from 0 s."""
+
     def __init__(self):
-        self.jump = _Jump()
-        super().__init__(self.jump)
+        self.selector = _VirtualTimeSelector()
+        super().__init__(self.selector)
 
     def time(self):
-        return self.jump.time
+        """Return the virtual time in seconds."""
+        return self.selector.time
 
 
 class Clock:
-    """As `clocks.LoopClock`, on a `Loop`."""
+    """A substitute for `clocks.LoopClock` on a `Loop`."""
 
     def __init__(self):
         self.loop = asyncio.get_running_loop()
@@ -45,25 +48,27 @@
     wall = steady_wall = now
 
     def at(self, when, call, *args):
-        # never early, however the float is rounded
+        # 2 ns later, so that rounding to a float never makes the timer fire early
         return self.loop.call_at((when + 2) / 1e9, call, *args)
 
 
 def run(main):
-    """The result of a coroutine that runs on a clock of its own, from 0 s."""
+    """Run a coroutine on a virtual clock of its own that starts at 0 s; return its result."""
     with asyncio.Runner(loop_factory=Loop) as runner:
         return runner.run(main)
 
 
 class Stream:
-    """What the link uses of `node.stream.Stream`. `net(address)` gives the host there: `joins(stream)`
-    (seconds until the connection is up, None for never, or an OSError), `transit()` (seconds) and
-    `line(stream, said)`."""
+    """The part of `node.stream.Stream` that the link uses, on a simulated network.
+
+    `net(address)` returns the host at an address, or None if there is none. A host has `joins(stream)` (the
+    seconds until the connection is established, None for never, or an OSError), `transit()` (the network
+    delay in seconds) and `line(stream, message)`, which receives each line that the link sent."""
 
     def __init__(self, net):
         self.net, self.host, self.up, self.ended, self.rest = net, None, False, False, b""
         self.loop, self.coming, self.wait, self.last = asyncio.get_running_loop(), [], None, 0.0
-        # as `sockets.bytes_written` and `bytes_taken` read them; all that is written is taken at once
+        # read by `sockets.bytes_written` and `bytes_taken`; the simulated kernel takes all data at once
         self._total_write_index = self._total_write_done_index = 0
 
     async def connect(self, address):
@@ -100,7 +105,7 @@
         self._total_write_index = self._total_write_done_index = self._total_write_index + len(data)
         self._later(self._arrives, data)
 
-    def _later(self, call, *args):  # in order, both ways
+    def _later(self, call, *args):  # keeps the order of all lines, in both directions
         at = max(self.last, self.loop.time() + self.host.transit())
         self.last = at
         self.loop.call_at(at, call, *args)
@@ -111,7 +116,7 @@
             self.host.line(self, json.loads(line))
 
     def says(self, answer):
-        """The worker's line, on its way."""
+        """Send a line from the worker to the link."""
         if self.ended:
             return
         self._later(self._hears, json.dumps(answer).encode() + b"\n")
