--- a/benchmarks/bgp.py
+++ b/benchmarks/bgp.py
@@ -1,14 +1,14 @@
-"""How fast a service address is taken back, as a router sees it.
+"""Measures how fast a service address is withdrawn, as a router sees it.
 
-    .venv/bin/python benchmarks/bgp.py drain [--runs 200] [--busy N]     from the beat that says 'I drain' to
-    the withdrawal
+    .venv/bin/python benchmarks/bgp.py drain [--runs 200] [--busy N]     from the heartbeat that says that
+    the dispatcher drains
     .venv/bin/python benchmarks/bgp.py process [--runs 20] [--busy N]    from SIGTERM, and from SIGSTOP, of a
     dispatcher process
     .venv/bin/python benchmarks/bgp.py hang [--runs 5]                   from SIGSTOP of the speaker itself,
     by hold time
 
-`--busy`: so many processes that do nothing but count, beside it. The speaker is a process of its own; the
-router is a stand-in in this one."""
+`--busy`: the number of busy-looping processes that run at the same time. The speaker is a process of its own;
+the router is a stand-in in this one."""
 
 import argparse
 import asyncio
@@ -30,7 +30,7 @@
 from petrelwood.wire import bgp
 
 PREFIX = bgp.prefix("192.0.2.1/32")
-FINE = HealthReport(False, 0, 9, 100, 0, 0, True)
+HEALTHY = HealthReport(False, 0, 9, 100, 0, 0, True)
 CLI = [sys.executable, "-m", "petrelwood.cli"]
 GATEWAY = """gateway "d" {{ listen "127.0.0.1:0"; roster "127.0.0.1:{port}"; seed 1 }}
 customer "x" {{ key "{key}" }}
@@ -41,13 +41,14 @@
 """
 
 
-def count():
+def busy_loop():
+    """Use one core until terminated."""
     while True:
         pass
 
 
 class Roster(TCPServer):
-    """One worker that is never called."""
+    """A roster with one worker that is never called."""
 
     async def handle_stream(self, stream, address):
         await stream.read_until(b"\r\n\r\n")
@@ -63,7 +64,8 @@
             await asyncio.sleep(0.5)
 
 
-def told(name, times):
+def print_times(name, times):
+    """Print median, p99 and maximum in ms of times in s."""
     times = sorted(t * 1000 for t in times)
     print(
         f"{name}: {len(times)} runs, median {statistics.median(times):.1f} ms, "
@@ -73,6 +75,8 @@
 
 
 class Setup:
+    """A router stand-in and a speaker process with settings in `folder`."""
+
     def __init__(self, folder, hold, silent="150ms"):
         self.folder, self.hold, self.silent = pathlib.Path(folder), hold, silent
 
@@ -94,15 +98,16 @@
         )
         await self.speaker.stdout.readline()
 
-    def there(self):
+    def has_route(self):
+        """Return whether the router has a route to the service address."""
         return bool(self.router.table.best(PREFIX))
 
-    async def seen(self, there, within=30):
-        """When the router's table came to be so, as it noted it."""
-        ends = time.monotonic() + within
-        while self.there() != there:
-            if time.monotonic() > ends:
-                raise SystemExit("it did not come to pass")
+    async def route_changed_at(self, present, within=30):
+        """Wait until the route is present or absent; return the recorded time of that change."""
+        deadline = time.monotonic() + within
+        while self.has_route() != present:
+            if time.monotonic() > deadline:
+                raise SystemExit("the router's table did not change in time")
             await asyncio.sleep(0.001)
         return next(at for at, what, _, _ in reversed(self.router.events) if what == "best") / 1e9
 
@@ -115,10 +120,11 @@
 
 
 async def drain(args, folder):
+    """Measure from the heartbeat of a draining dispatcher to the withdrawal."""
     setup, sender, facts = (
         Setup(folder, 9, "2s"),
         HeartbeatSender(str(pathlib.Path(folder) / "beats")),
-        [FINE],
+        [HEALTHY],
     )
     await setup.open()
 
@@ -129,19 +135,20 @@
 
     task, times = asyncio.ensure_future(beat()), []
     for _ in range(args.runs):
-        facts[0] = FINE
-        await setup.seen(True)
+        facts[0] = HEALTHY
+        await setup.route_changed_at(True)
         await asyncio.sleep(0.06)
         begun = time.monotonic()
-        facts[0] = FINE._replace(closing=True)
+        facts[0] = HEALTHY._replace(closing=True)
         sender.send(facts[0])
-        times.append(await setup.seen(False) - begun)
+        times.append(await setup.route_changed_at(False) - begun)
     task.cancel()
-    told("from the word that it drains to the router's table", times)
+    print_times("from the word that it drains to the router's table", times)
     await setup.close()
 
 
 async def process(args, folder):
+    """Measure from SIGTERM and SIGSTOP of a dispatcher to the withdrawal."""
     setup, roster = Setup(folder, 9), Roster()
     await setup.open()
     roster.listen(0, "127.0.0.1")
@@ -154,37 +161,38 @@
         child = await asyncio.create_subprocess_exec(
             *CLI, "serve", str(path), stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.DEVNULL
         )
-        await setup.seen(True)
+        await setup.route_changed_at(True)
         await asyncio.sleep(0.1)
         begun = time.monotonic()
         child.send_signal(how)
-        times[how].append(await setup.seen(False) - begun)
+        times[how].append(await setup.route_changed_at(False) - begun)
         if how == signal.SIGSTOP:
             child.kill()
         await child.wait()
-    told("from SIGTERM of a dispatcher", times[signal.SIGTERM])
-    told("from SIGSTOP of a dispatcher, silent 150 ms", times[signal.SIGSTOP])
+    print_times("from SIGTERM of a dispatcher", times[signal.SIGTERM])
+    print_times("from SIGSTOP of a dispatcher, silent 150 ms", times[signal.SIGSTOP])
     await setup.close()
     roster.stop()
 
 
 async def hang(args, folder):
+    """Measure from SIGSTOP of the speaker to the end of the route, by hold time."""
     for hold in (3, 9):
         times = []
         for number in range(args.runs):
-            where = pathlib.Path(folder) / f"{hold}-{number}"
-            where.mkdir()
-            setup, sender = Setup(where, hold), HeartbeatSender(str(where / "beats"))
+            run_folder = pathlib.Path(folder) / f"{hold}-{number}"
+            run_folder.mkdir()
+            setup, sender = Setup(run_folder, hold), HeartbeatSender(str(run_folder / "beats"))
             await setup.open()
-            ends = time.monotonic() + 30
-            while not setup.there() and time.monotonic() < ends:
-                sender.send(FINE)
+            deadline = time.monotonic() + 30
+            while not setup.has_route() and time.monotonic() < deadline:
+                sender.send(HEALTHY)
                 await asyncio.sleep(0.05)
             begun = time.monotonic()
             os.kill(setup.speaker.pid, signal.SIGSTOP)
-            times.append(await setup.seen(False) - begun)
+            times.append(await setup.route_changed_at(False) - begun)
             await setup.close()
-        told(f"from SIGSTOP of the speaker, hold time {hold} s", times)
+        print_times(f"from SIGSTOP of the speaker, hold time {hold} s", times)
 
 
 def main():
@@ -194,7 +202,7 @@
     parser.add_argument("--busy", type=int, default=0)
     args = parser.parse_args()
     args.runs = args.runs or {"drain": 200, "process": 20, "hang": 5}[args.what]
-    others = [multiprocessing.Process(target=count, daemon=True) for _ in range(args.busy)]
+    others = [multiprocessing.Process(target=busy_loop, daemon=True) for _ in range(args.busy)]
     for other in others:
         other.start()
     print(f"{args.what}, {args.busy} busy processes beside it on {os.cpu_count()} cores")
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,12 +1,12 @@
-"""What control costs a dispatcher, as slope x size + constant: the figures of `docs/CAPACITY.md`.
+"""Measures what control costs a dispatcher, as slope x size + constant: the figures of `docs/CAPACITY.md`.
 
     .venv/bin/python -m benchmarks.capacity [ROW ...] [--runs 3]
 
-Without a row all are measured, one after the other, and printed as rows of a Markdown table. Costs are
-processor time, so that they hold on a busy machine; bytes are counted. Each figure is fitted over its sizes
-once a run (least squares with relative weights); slope and constant are medians over the runs, and the spread
-is the largest less the smallest slope as a part of the median. Rows that play processes or days print lines
-of their own."""
+Without a ROW, all are measured one after the other and printed as rows of a Markdown table. Costs are
+processor time, so that they are valid on a busy machine; bytes are counted. Each figure is fitted over its
+sizes once per run (least squares with relative weights). Slope and constant are medians over the runs; the
+spread is the difference of the largest and smallest slope, relative to the median. Rows that run processes or
+play days print lines of their own."""
 
 import argparse
 import asyncio
@@ -60,32 +60,34 @@
 
 TESTS = pathlib.Path(__file__).parents[1] / "tests"
 SECOND = 1_000_000_000
-WALL = 1_764_547_200 * SECOND  # any wall-clock time
+WALL = 1_764_547_200 * SECOND  # an arbitrary wall-clock time
 CONFIGURATION_WITHIN = int(CONFIGURATION_IN_FORCE_WITHIN * SECOND)
-LEAST = 0.03  # seconds of processor time over which one point is taken at least
+LEAST = 0.03  # minimum seconds of processor time over which one value is measured
 LINKS = (100, 200, 400, 800)  # open links to workers
-IDLE_LOOKS = 100  # 20 a second, as a dispatcher looks
-CALL_RATES = tuple(part * CALLS_A_SECOND_A_DISPATCHER for part in (0, 0.5, 1, 2, 4))  # a second
-CALL_SECONDS = 5.0  # of each
-PERIOD = 60 * SECOND  # after which a membership that is silent counts as lost; no row comes to it
+IDLE_LOOKS = 100  # checks of idle links, 20 per second as in a dispatcher
+CALL_RATES = tuple(part * CALLS_A_SECOND_A_DISPATCHER for part in (0, 0.5, 1, 2, 4))  # calls per second
+CALL_SECONDS = 5.0  # seconds for which each rate is measured
+PERIOD = 60 * SECOND  # ns of silence after which the list counts as lost; longer than any row takes
 
 
 class Figure(NamedTuple):
-    """One measured quantity. `points`: for each run a list of (size, value)."""
+    """One measured quantity. `points`: a list of (size, value) for each run."""
 
     name: str
-    size: str  # what the size counts
+    size: str  # the kind of items that the size counts
     unit: str
     points: list
 
 
 class Fit(NamedTuple):
+    """The line slope x size + constant."""
+
     slope: float
     constant: float
 
 
 def fitted(points):
-    """Least squares of slope x size + constant, each point weighted by its own value's inverse square."""
+    """Return the least-squares fit, with each point weighted by the inverse square of its value."""
     weights = [1 / max(abs(value), 1e-12) ** 2 for _, value in points]
     total = sum(weights)
     mean_size = sum(w * size for w, (size, _) in zip(weights, points, strict=True)) / total
@@ -97,7 +99,7 @@
 
 
 def cost(call, *arguments):
-    """Seconds of processor time of one `call(*arguments)`: the mean over as many as take `LEAST`."""
+    """Return the mean processor time (s) of `call(*arguments)`, repeated for at least `LEAST` seconds."""
     count, spent = 0, 0.0
     while spent < LEAST:
         begun = time.process_time()
@@ -107,9 +109,9 @@
     return spent / count
 
 
-# The list of workers by DNS (`run`).
+# The list of workers by DNS (`run`)
 def dns_answer(workers):
-    """An answer of the directory in the form of its protocol, with names compressed."""
+    """Return a DNS answer in the format of the roster protocol, with compressed names."""
     query = dns.message.make_query(roster_protocol.SERVICE_NAME, "SRV")
     reply = dns.message.make_response(query)
     reply.flags |= dns.flags.AA
@@ -128,7 +130,7 @@
 
 
 def most_by_dns():
-    """The largest list of which an answer fits a datagram."""
+    """Return the largest number of workers whose answer fits a datagram."""
     fits, too_many = 1, 2_000
     while too_many - fits > 1:
         tried = (fits + too_many) // 2
@@ -142,12 +144,12 @@
 
 
 def unchanged(answer, before):
-    """As `DnsRoster.take` compares an answer with the one before."""
+    """Compare an answer with the previous one as `DnsRoster.take` does."""
     return answer[2:] == before[2:]
 
 
 def dns_list(runs):
-    """Bytes and processor time of one whole list, read anew, by workers."""
+    """Measure bytes and processor time of reading one whole list, by number of workers."""
     sizes = (50, 100, 200, 400)
     answers = {size: dns_answer(size) for size in sizes}
     size_points = [(size, len(answers[size])) for size in sizes]
@@ -170,8 +172,9 @@
     ]
 
 
-# The list of workers by server-sent events (`serve`).
+# The list of workers by server-sent events (`serve`)
 def roster_entry(number, booted=0):
+    """Return an entry of the roster's JSON."""
     return {
         "worker": f"w-{number:08x}",
         "address": f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:5050",
@@ -183,7 +186,7 @@
 
 
 class Listener:
-    """Stands in for the core: hears of lists and does nothing with them."""
+    """A stand-in for the core that only counts the entries of lists."""
 
     def __init__(self):
         self.heard, self.clock = 0, self
@@ -199,6 +202,7 @@
 
 
 def roster_link():
+    """Return a roster link with an empty membership that is not connected."""
     known = membership.Membership(PERIOD, SECOND, random.Random(1).random)
     link = RosterLink(("127.0.0.1", 1), known, SECOND, Listener(), None)
     link.events = sse.EventReader()
@@ -206,23 +210,23 @@
 
 
 def fed(link, data):
-    """Hands bytes on as the socket does, a read at a time."""
+    """Pass bytes to a link in chunks of the size of a socket read."""
     for start in range(0, len(data), READ_SIZE):
         link.on_body(data[start : start + READ_SIZE])
 
 
 def feed_anew(data):
-    """A whole list, on a connection of its own."""
+    """Read a whole list on a new link."""
     fed(roster_link(), data)
 
 
 def feed_next(link, changes):
-    """One change more."""
+    """Read the next change on an existing link."""
     fed(link, next(changes))
 
 
 def read_at_all(size):
-    """Whether a link takes a whole list of so many workers, and what that costs."""
+    """Return the size of a whole list of workers, and the processor time to read it or why it was refused."""
     data = sse.event("list", orjson.dumps([roster_entry(n) for n in range(size)]).decode(), "e-0")
     begun = time.process_time()
     try:
@@ -233,7 +237,7 @@
 
 
 def sse_list(runs):
-    """A whole list, and one change told to dispatchers that hold a list of that size."""
+    """Measure reading a whole list, and reading one change with a list of that size."""
     sizes = (100, 400, 1_000, 4_000, 10_000, 40_000)
     lists = {
         size: sse.event("list", orjson.dumps([roster_entry(n) for n in range(size)]).decode(), "e-0")
@@ -249,8 +253,8 @@
             points.append((size, 1e3 * cost(feed_anew, lists[size])))
             link = roster_link()
             fed(link, lists[size])
-            said = iter(change[1:])
-            changes.append((size, 1e3 * cost(feed_next, link, said)))
+            next_changes = iter(change[1:])
+            changes.append((size, 1e3 * cost(feed_next, link, next_changes)))
         whole.append(points)
         parts.append(changes)
     verdicts = "; ".join(f"{size:,}: {read_at_all(size)}" for size in (70_000, 94_000))
@@ -265,8 +269,9 @@
     ]
 
 
-# Versions of the configuration: the folder that each dispatcher reads once a second.
+# Versions of the configuration: the folder that each dispatcher reads once a second
 def version_folder(runs):
+    """Measure one check of the folder of versions."""
     sizes = (10, 100, 740)
     points = []
     for _ in range(runs):
@@ -282,14 +287,14 @@
 
 
 class Day(NamedTuple):
-    """What became of one day's versions."""
+    """The rollout of one day's versions."""
 
-    reached_all: int
-    longest: float  # seconds for which some dispatcher ran another version than the newest, at one stretch
+    reached_all: int  # versions that all dispatchers ran at the same time
+    longest: float  # the longest period (s) in which some dispatcher did not run the newest version
 
 
 def rolled_day(begins, dispatchers, dwell):
-    """Plays versions that begin at `begins` (s) over dispatchers that look at each moment a stage turns."""
+    """Play rollouts that begin at `begins` (s), with dispatchers that decide whenever a stage begins."""
     nodes = [Rollout(f"d{n}", 0, dwell=dwell) for n in range(dispatchers)]
     looks = sorted(
         {begun + stage * dwell // SECOND + 0.5 for begun in begins for stage in range(len(STAGES))}
@@ -311,11 +316,12 @@
 
 
 def poisson_day(chance, changes, seconds=86_400):
+    """Return the sorted times of changes that are distributed uniformly over a day."""
     return sorted(chance.random() * seconds for _ in range(changes))
 
 
 def burst_day(chance, changes, each=20, within=600, seconds=86_400):
-    """Groups of `each` changes within ten minutes, as at a release."""
+    """Return the sorted times of changes in groups of `each` within `within` seconds, as at a release."""
     begins = []
     for _ in range(changes // each):
         start = chance.random() * (seconds - within)
@@ -324,7 +330,7 @@
 
 
 def rollouts(runs):
-    """Parts of a day's versions that reached all dispatchers, by the stages; 30 s apart, and shorter."""
+    """Count the versions of a day that reached all dispatchers, with stages 30 s apart and shorter ones."""
     lines = []
     for within, dwell in (("", DWELL), (", within 13 s", dwell_for(CONFIGURATION_WITHIN))):
         for name, make in (("Poisson", poisson_day), ("bursts of 20 in ten minutes", burst_day)):
@@ -341,9 +347,9 @@
     return lines
 
 
-# Settings: read anew at SIGHUP and for each version.
+# Settings: read at SIGHUP and for each version
 def gateway_text(functions):
-    """A gateway's file that names each function, as 13,000 functions of many owners are told."""
+    """Return a gateway's file that names each function individually, for functions of many owners."""
     rules = "\n".join(
         f'function "owner-{n % 97}-{n:05d}" type="call" lanes=4 load-time="{100 + n % 400}ms"'
         for n in range(functions)
@@ -358,12 +364,12 @@
 
 
 def look_up(gateway, names):
-    """The rules of functions, each looked up for the first time."""
+    """Look up the rules of functions, each for the first time."""
     return [gateway.rule(name) for name in names]
 
 
 def reload(runs):
-    """What one new version costs by the functions that it names, and what follows in the calls after it."""
+    """Measure the cost of a new version by the functions that it names, and of the first lookups after it."""
     sizes = (500, 2_000, 6_500, 13_000)
     texts = {size: gateway_text(size) for size in sizes}
     read, compared, looked_up = [], [], []
@@ -388,9 +394,9 @@
     ]
 
 
-# What it says of itself to the speaker beside it, twenty times a second.
+# Heartbeats to the speaker on the same machine, twenty times a second
 class Counted:
-    """Stands in for the core, as `dispatch.health.HeartbeatReporter` asks of it."""
+    """A stand-in for the core with the interface that `dispatch.health.HeartbeatReporter` needs."""
 
     def __init__(self, workers):
         self.membership = membership.Membership(PERIOD, SECOND, random.Random(1).random)
@@ -405,26 +411,28 @@
 
 
 class Intake(NamedTuple):
+    """A stand-in for the core's intake."""
+
     closing: bool
 
 
 def health(runs):
-    """Facts for the speaker, and their bytes."""
+    """Measure making the heartbeat for the speaker, and its bytes."""
     sizes = (100, 1_000, 4_000, 20_000)
     points = []
     for _ in range(runs):
         made = {size: HeartbeatReporter("/nowhere", Counted(size)) for size in sizes}
         points.append([(size, 1e3 * cost(made[size].report)) for size in sizes])
-    said = len(msgpack.packb([1, *made[4_000].report()]))
+    length = len(msgpack.packb([1, *made[4_000].report()]))
     return [
-        f"| Health: bytes of one message to the speaker beside it, 1 / {EVERY:g} a second | {said} bytes |",
+        f"| Health: bytes of one message to the speaker beside it, 1 / {EVERY:g} a second | {length} bytes |",
         Figure("Health: the facts of one message", "workers", "ms", points),
     ]
 
 
-# State that survives a restart.
+# Durable state
 def state_log(runs):
-    """Bytes and processor time of the two records of a call."""
+    """Measure bytes and processor time of the two records of a call."""
     sizes = (1_000, 4_000, 16_000)
     written, spent = [], []
     for _ in range(runs):
@@ -450,9 +458,9 @@
     ]
 
 
-# Connections to workers.
+# Connections to workers
 def greeting_worker(pipe):
-    """A process that accepts links, greets as worker `w0`, and says how many bytes it has been sent."""
+    """Accept links in this process, greet as worker `w0`; on request send the counts of links and bytes."""
     accepted, received = [], [0]
 
     class Greeter(Plain):
@@ -479,13 +487,13 @@
 
 
 def resident():
-    """Bytes of this process that are in memory."""
+    """Return the resident set size of this process in bytes."""
     with open("/proc/self/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * resource.getpagesize()
 
 
 class LinkCore:
-    """Stands in for the core, as a link asks of it."""
+    """A stand-in for the core with the interface that a link needs."""
 
     name, reconnects = "d", None
 
@@ -500,7 +508,7 @@
 
 
 async def connect_links(port, count):
-    """Links that are up and carry nothing."""
+    """Open idle links; return a core and the links."""
     core, terms = LinkCore(), settings.read("g.kdl", gateway_text(1)).workers
     links = [
         WorkerLink("w0", ("127.0.0.1", port), terms, random.Random(1).random, core, None)
@@ -515,7 +523,9 @@
 
 
 def link_memory(pipe):
-    """A process that opens more and more links to one worker, and says how much memory each size takes."""
+    """Open more and more links to one worker in this process.
+
+    Send the memory at each number of links, the bytes sent while idle, and the processor time of checks."""
 
     async def grow():
         here, there = multiprocessing.Pipe()
@@ -545,11 +555,11 @@
 
 
 def links(runs):
-    """Memory of open links to workers; what they send while they carry nothing."""
+    """Measure the memory of open links to workers, and the bytes they send while idle."""
     points, lines = [], []
     for _ in range(runs):
         here, there = multiprocessing.Pipe()
-        # a fork would share the pages of what was measured before
+        # spawn, because a forked process would share memory pages of earlier measurements
         fresh = multiprocessing.get_context("spawn")
         child = fresh.Process(target=link_memory, args=(there,))
         child.start()
@@ -565,9 +575,9 @@
     return [text, Figure("Links: memory of the process", "open links", "KB", points)]
 
 
-# A dispatcher process (`serve`) with simulated servers on loopback.
+# A dispatcher process (`serve`) with stand-in servers on loopback
 def data_path(runs):
-    """Share of a core by calls a second; the constant is what it costs idle, with so many workers."""
+    """Measure the share of a core by calls per second; the constant is the idle cost with these workers."""
     found = []
     for workers in (100, 500):
         points = []
@@ -588,7 +598,7 @@
 
 
 def idle(runs):
-    """A dispatcher process that is asked nothing, by the workers on its list."""
+    """Measure an idle dispatcher process by the number of workers on its list."""
     sizes, shares, memory = (100, 1_000, 4_000), [], []
     for _ in range(runs):
         rows = [], []
@@ -608,10 +618,11 @@
     ]
 
 
-# A dispatcher process on the platform (`run`), with a roster by DNS.
+# A dispatcher process on the platform (`run`) with a roster by DNS
 class DnsServer(asyncio.DatagramProtocol):
-    """A roster that tells one list of so many workers, whatever happens; counts the bytes of its answers. It
-    has what `tests/node_site.py` asks of a roster."""
+    """A roster that always answers with the same list of workers, and counts the bytes of its answers.
+
+    It has the interface that `tests/node_site.py` needs."""
 
     def __init__(self, workers):
         self.wire, self.told, self.serial, self.port, self.transport = dns_answer(workers), 0, 1, None, None
@@ -628,15 +639,15 @@
 
 
 class Asked(NamedTuple):
-    """What a dispatcher process on the platform costs, asked nothing by clients."""
+    """The cost of a dispatcher process on the platform without clients."""
 
-    share: float  # of a core, percent
-    bytes: float  # of lists, a second
+    share: float  # percent of a core
+    bytes: float  # bytes of lists per second
     memory: float  # MB
 
 
 async def platform_idle(workers):
-    """One dispatcher process with a roster of so many workers."""
+    """Measure one idle dispatcher process with a roster of this number of workers."""
     sys.path.insert(0, str(TESTS))
     import node_site
 
@@ -653,7 +664,7 @@
 
 
 def platform(runs):
-    """Processor time, memory and bytes of lists of a dispatcher process (`run`) that is asked nothing."""
+    """Measure processor time, memory and bytes of lists of an idle dispatcher process (`run`)."""
     sizes, seen = (50, 100, 200, 400), []
     for _ in range(runs):
         seen.append([(size, asyncio.run(platform_idle(size))) for size in sizes])
@@ -669,12 +680,14 @@
 
 
 class Started(NamedTuple):
+    """The cost of a dispatcher process until it is ready."""
+
     seconds: float  # processor time until it is ready
     memory: int  # bytes
 
 
 def started(functions, roster):
-    """A dispatcher process that has just become ready."""
+    """Start a dispatcher process; return its cost when it becomes ready."""
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "g.kdl"
         path.write_text(
@@ -694,7 +707,7 @@
 
 
 def start(runs):
-    """What a start, so also each upgrade, costs by the functions that its settings name."""
+    """Measure the cost of a start, and so of each upgrade, by the functions that the settings name."""
     here, there = multiprocessing.Pipe()
     servers = multiprocessing.Process(target=backend, args=(there, 100, 0.0), daemon=True)
     servers.start()
@@ -730,7 +743,7 @@
 
 
 def line(figure):
-    """One row of the table."""
+    """Return one row of the table."""
     fits = [fitted(points) for points in figure.points]
     slopes = [fit.slope for fit in fits]
     slope, constant = statistics.median(slopes), statistics.median(fit.constant for fit in fits)
--- a/benchmarks/dispatcher.py
+++ b/benchmarks/dispatcher.py
@@ -1,14 +1,14 @@
-"""What the dispatcher adds to a call, and what it bears: against the same stand-in worker called directly.
+"""Measures the latency that the dispatcher adds to a call, its throughput, and its memory and CPU costs.
 
     .venv/bin/python benchmarks/dispatcher.py latency|throughput|held|fleet [--runs 3] [--seconds 5]
 
-latency     added p50 and p99 at half load: the worker's own time is taken off, pair by pair in one run
-throughput  activations a second of one dispatcher process, as many callers as it takes, and CPU by stage
+latency     added p50 and p99 at half load, after subtracting that of direct calls to a worker in the same run
+throughput  activations per second of one saturated dispatcher process, and CPU time per activation
 held        memory of one dispatcher process with 10,000 activations held
-fleet       CPU an activation at 10, 100 and 500 workers
+fleet       CPU time per activation at 10, 100 and 500 workers
 
-All servers are stand-ins on loopback. Workers answer after a fixed time without any model, so that the
-dispatcher is what is measured. Medians over the runs."""
+All servers are stand-ins on loopback. Workers answer after a fixed time, so that only the dispatcher is
+measured. Results are medians over the runs."""
 
 import argparse
 import asyncio
@@ -40,7 +40,7 @@
 
 
 class Plain(TCPServer):
-    """Workers in one process, one port each; every call is answered after `took` seconds."""
+    """A stand-in worker that answers every call after `took` seconds."""
 
     def __init__(self, name, took):
         super().__init__()
@@ -73,11 +73,14 @@
 
     @staticmethod
     def write(stream, reply):
+        """Write a reply unless the connection is closed."""
         if not stream.closed():
             stream.write(reply)
 
 
 class Roster(TCPServer):
+    """A roster that sends one list and then only heartbeats."""
+
     entries = []
 
     async def handle_stream(self, stream, address):
@@ -92,7 +95,7 @@
 
 
 def backend(pipe, workers, took):
-    """A process with all workers and the roster."""
+    """Run all workers and the roster in this process; send the roster's port and a worker's address."""
 
     async def serve():
         entries = []
@@ -118,9 +121,9 @@
 
 
 class Setup:
-    """A dispatcher process in front of plain workers."""
+    """A dispatcher process with stand-in workers."""
 
-    customer, prefix = "x", "f"  # whose calls `message` makes, and how its functions' names begin
+    customer, prefix = "x", "f"  # of messages: the customer, and the beginning of functions' names
 
     def __init__(self, workers, took, lanes=64, timeout="10s", functions=200, profile=None):
         here, there = multiprocessing.Pipe()
@@ -142,20 +145,21 @@
         self._serve(path, profile)
 
     def _serve(self, path, profile=None):
-        """Starts the dispatcher of a gateway's file and waits until it takes calls."""
+        """Start the dispatcher with a gateway's file and wait until it is ready."""
         command = [sys.executable, "-m", "petrelwood.cli", "serve", str(path), "--level", "warning"]
         if profile:
             command = [sys.executable, "-m", "cProfile", "-o", profile, *command[1:]]
         self.child = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL)
         host, _, port = json.loads(self.child.stdout.readline())["ready"].rpartition(":")
         self.address, self.number = (host, int(port)), 0
-        self.stamp = int(time.time()) + 2  # none of it is signed before the dispatcher began
+        self.stamp = int(time.time()) + 2  # the dispatcher refuses messages signed before it started
 
     def call_id(self):
-        """An id that no other process of callers uses."""
+        """Return an id that no other process of callers uses."""
         return f"m{os.getpid()}-{self.number}"
 
     def message(self, function=None):
+        """Return the bytes of a signed webhook."""
         self.number += 1
         id_, body = self.call_id(), b'{"a":1}'
         function = function or f"{self.prefix}{self.number % self.functions}"
@@ -171,15 +175,18 @@
         )
 
     def cpu(self):
+        """Return the CPU time of the dispatcher in seconds."""
         with open(f"/proc/{self.child.pid}/stat", encoding="ascii") as file:
             parts = file.read().rsplit(")", 1)[1].split()
         return (int(parts[11]) + int(parts[12])) / os.sysconf("SC_CLK_TCK")
 
     def memory(self):
+        """Return the resident set size of the dispatcher in bytes."""
         with open(f"/proc/{self.child.pid}/statm", encoding="ascii") as file:
             return int(file.read().split()[1]) * resource.getpagesize()
 
     def close(self):
+        """End the dispatcher and the stand-ins."""
         self.child.terminate()
         self.child.wait()
         self.backend.terminate()
@@ -187,7 +194,7 @@
 
 
 async def direct(address, number):
-    """Round trips of a plain call to the worker itself, seconds."""
+    """Call the worker directly; return the round-trip times in seconds."""
     stream = IOStream(socket.socket())
     await stream.connect(address)
     stream.set_nodelay(True)
@@ -204,7 +211,7 @@
 
 
 async def open_load(setup, rate, seconds, callers=64):
-    """Calls at a fixed pace, whatever the answers do; latencies from when each was due."""
+    """Make calls at a fixed rate (open loop); return latencies from when each was due, and status counts."""
     caller, took, statuses, tasks = Caller(setup.address, 4096), [], {}, set()
 
     async def one(due):
@@ -227,7 +234,8 @@
 
 
 async def closed_load(setup, callers, seconds):
-    """As much as so many callers can ask, each one call at a time."""
+    """Make calls by `callers` callers, each with one call at a time (closed loop); return the counts of
+    completed and of other calls."""
     ends, done, bad = time.perf_counter() + seconds, [0], [0]
 
     async def one():
@@ -243,13 +251,14 @@
 
 
 def loader(address, stamp, functions, callers, seconds, pipe):
-    """A process of callers; several of them so that the callers are not what is measured."""
+    """Run callers in this process; several processes ensure that the callers are not the bottleneck."""
     setup = Setup.__new__(Setup)
     setup.address, setup.stamp, setup.functions, setup.number = address, stamp, functions, 0
     pipe.send(asyncio.run(closed_load(setup, callers, seconds)))
 
 
 def full_load(setup, seconds, processes=4, callers=24):
+    """Saturate the dispatcher from several processes; return the counts of completed and of other calls."""
     pipes = []
     for _ in range(processes):
         here, there = multiprocessing.Pipe()
@@ -262,15 +271,17 @@
 
 
 def quantile(values, part):
+    """Return the quantile of values at a fraction `part`."""
     values = sorted(values)
     return values[min(len(values) - 1, int(part * len(values)))]
 
 
 def throughput(o):
+    """Measure activations per second and CPU time per activation; return the median rate."""
     rates, cpus = [], []
     for _ in range(o.runs):
         setup = Setup(20, 0.02)
-        full_load(setup, 1.5)  # copies are placed
+        full_load(setup, 1.5)  # warm-up: copies are placed
         cpu = setup.cpu()
         done, bad = full_load(setup, o.seconds)
         cpus.append((setup.cpu() - cpu) / max(1, done + bad) * 1e6)
@@ -285,11 +296,12 @@
 
 
 def latency(o):
+    """Measure the latency that the dispatcher adds."""
     rate = o.rate or throughput(o) / 2
     added = {0.5: [], 0.99: []}
     for _ in range(o.runs):
         setup = Setup(20, 0.02)
-        asyncio.run(open_load(setup, rate, 2))  # copies are placed
+        asyncio.run(open_load(setup, rate, 2))  # warm-up: copies are placed
         plain = asyncio.run(direct(setup.worker, 200))
         took, statuses = asyncio.run(open_load(setup, rate, o.seconds))
         for part in added:
@@ -308,6 +320,7 @@
 
 
 def held(o):
+    """Measure the memory of held activations."""
     grown = []
     for _ in range(o.runs):
         setup = Setup(20, 60.0, lanes=1, timeout="60s", functions=50)
@@ -343,6 +356,7 @@
 
 
 def fleet(o):
+    """Measure CPU time per activation by number of workers."""
     for workers in (10, 100, 500):
         cpus = []
         for _ in range(o.runs):
@@ -363,7 +377,7 @@
 
 
 def stages(o):
-    """CPU by package, by a profile: shares, since profiling itself costs."""
+    """Print the CPU shares of packages from a profile; only shares, because profiling itself costs CPU."""
     import pstats
 
     with tempfile.TemporaryDirectory() as folder:
--- a/benchmarks/frozen_days.py
+++ b/benchmarks/frozen_days.py
@@ -1,8 +1,8 @@
-"""Whether the program still does the same: digests of days in the emulator, which repeat on the same text.
+"""Checks that behaviour is unchanged, by digests of emulated days: the same code gives the same digests.
 
 `python -m benchmarks.frozen_days` plays days of `petrelwood/lab/days` with two seeds each and compares the
-digests of their records with frozen_days.json; exit 1 if one differs. A change that is to leave behaviour as
-it is must leave these as they are; `--write` freezes them anew after a change that is meant.
+digests of their records with frozen_days.json; the exit code is 1 if one differs. A change that must not
+affect behaviour must not change the digests; `--write` stores new ones after an intended change of behaviour.
 """
 
 import hashlib
@@ -32,14 +32,14 @@
 
 
 def digest(day_and_seed: tuple[str, int]) -> str:
-    """The SHA-256 of the records of one day, played in virtual time."""
+    """Return the SHA-256 of the records of one day, played in virtual time."""
     name, seed = day_and_seed
     platform = Platform(script.read(script.find(name)), seed).run()
     return hashlib.sha256(json.dumps(platform.records).encode()).hexdigest()
 
 
 def play() -> dict[str, str]:
-    """The digest of each day and seed."""
+    """Play all days; return the digest of each day and seed."""
     days = [(name, seed) for name in DAYS for seed in SEEDS]
     with ProcessPoolExecutor(PROCESSES) as pool:
         digests = list(pool.map(digest, days))
@@ -49,7 +49,7 @@
 @click.command()
 @click.option("--write", is_flag=True, help="freezes the digests of this text")
 def main(write: bool) -> None:
-    """Plays the days and compares their digests with the frozen ones."""
+    """Play the days and compare their digests with the frozen ones."""
     played = play()
     if write:
         FROZEN.write_text(json.dumps(played, indent=1) + "\n")
--- a/benchmarks/handover.py
+++ b/benchmarks/handover.py
@@ -1,11 +1,10 @@
-"""What upgrades and kills of a played day cost: latency while they go on, the longest gap of accepting, their
-number.
+"""Measures upgrades and kills in a played day: their number, latency around them and gaps in accepting calls.
 
     .venv/bin/petrelwood day upgrades --folder runs/upgrades .venv/bin/python benchmarks/handover.py
     runs/upgrades
 
-All from the stand-ins' records: `ask` and `answer` of the portal, the operator's `upgraded`, `old ended` and
-`killed`."""
+Reads the stand-ins' records: `ask` and `answer` of the portal, and `upgraded`, `old ended` and `killed` of
+the operator."""
 
 import itertools
 import pathlib
@@ -15,12 +14,13 @@
 from petrelwood.audit import rules
 
 SECOND = 1_000_000_000
-NEAR = SECOND  # of an upgrade's moment
+NEAR = SECOND  # ns; calls at most this long before or after an upgrade count as near it
 
 
-def percentile(values, part):
+def percentile(values, fraction):
+    """Return a quantile in ms of values in ns."""
     values = sorted(values)
-    return values[min(len(values) - 1, int(len(values) * part))] / 1e6 if values else float("nan")
+    return values[min(len(values) - 1, int(len(values) * fraction))] / 1e6 if values else float("nan")
 
 
 def main():
@@ -64,17 +64,17 @@
         )
     for name, times in answered.items():
         times.sort()
-        moments = [r["at"] for r in begun if r["name"] == name]
+        upgrade_times = [r["at"] for r in begun if r["name"] == name]
         gaps = [
             max((b - a for a, b in itertools.pairwise(times) if a < m + NEAR and b > m - NEAR), default=0)
             / 1e6
-            for m in moments
+            for m in upgrade_times
         ]
-        usual = sorted(b - a for a, b in itertools.pairwise(times))
+        all_gaps = sorted(b - a for a, b in itertools.pairwise(times))
         print(
             f"{name}: longest time between two asks that were completed, around an upgrade: "
             f"median {statistics.median(gaps):.0f} ms, most {max(gaps):.0f} ms; "
-            f"anywhere p99 {percentile(usual, 0.99):.0f} ms"
+            f"anywhere p99 {percentile(all_gaps, 0.99):.0f} ms"
         )
 
 
--- a/benchmarks/module_pace.py
+++ b/benchmarks/module_pace.py
@@ -1,10 +1,11 @@
-"""What the module alone costs at a dispatcher's pace, and what it rejects there.
+"""Measures the CPU cost of the scheduling module alone at a dispatcher's call rate, and its rejections.
 
     .venv/bin/python benchmarks/module_pace.py [--workers 100] [--rate 900] [--seconds 50] [--seed 1]
 
-One instance; simulated answers of 20 ms + an exponential 200 ms, workers without limit, a load of 300 ms,
-functions with Pareto popularity of shape 1.1, one lane a copy. Prints CPU an activation and how activations
-ended; with `--top` also the rejections of the hottest function, whose copies the design limits."""
+One instance with simulated workers: each call takes 20 ms plus an exponential time of mean 200 ms, workers
+run any number of calls at once, loading a function takes 300 ms, function popularity is Pareto of shape 1.1,
+and a copy has one lane. Prints the CPU time per activation and how activations ended; with `--top` also the
+rejections of the hottest functions, whose number of copies the design limits."""
 
 import argparse
 import collections
@@ -19,7 +20,7 @@
 
 
 class Fleet:
-    """Answers what the module sends, in virtual time."""
+    """The scheduling module's outlet: simulates workers in virtual time."""
 
     def __init__(self, workers, functions, rate, seed, dispatchers=1, load_ms=300):
         self.now, self.heap, self.n, self.load = 0, [], 0, load_ms * MS
@@ -30,7 +31,7 @@
             total += weight
             sums.append(total)
         self.sums, self.rate = sums, rate
-        self.stands, self.sends, self.fns, self.ends, self.of = (
+        self.ready_at, self.sends, self.functions_by_id, self.ends, self.rejections = (
             {},
             {},
             {},
@@ -58,16 +59,17 @@
         )
 
     def at(self, when, *what):
+        """Schedule an event."""
         self.n += 1
         heapq.heappush(self.heap, (when, self.n, what))
 
     def send(self, act, worker, limit):
         n = self.sends[act] = self.sends.get(act, -1) + 1
         took = 20 * MS + int(self.times.expovariate(1 / (200 * MS)))
-        stood = self.stands.get((worker, self.fns[act]), self.now + self.load)
-        cold = (worker, self.fns[act]) not in self.stands
-        self.stands[worker, self.fns[act]] = stood
-        took += max(0, stood - self.now)
+        ready = self.ready_at.get((worker, self.functions_by_id[act]), self.now + self.load)
+        cold = (worker, self.functions_by_id[act]) not in self.ready_at
+        self.ready_at[worker, self.functions_by_id[act]] = ready
+        took += max(0, ready - self.now)
         self.at(
             self.now + took,
             "answer",
@@ -79,31 +81,33 @@
         )
 
     def order_load(self, worker, fn, copies):
-        self.stands.setdefault((worker, fn), self.now + self.load)
-        self.at(max(self.now + MS, self.stands[worker, fn]), "stands", worker, fn)
+        self.ready_at.setdefault((worker, fn), self.now + self.load)
+        self.at(max(self.now + MS, self.ready_at[worker, fn]), "load ended", worker, fn)
 
     def reject(self, act, retry_after):
         self.ends["rejected"] += 1
-        self.of[self.fns.pop(act)] += 1
+        self.rejections[self.functions_by_id.pop(act)] += 1
 
     def abort(self, act):
         self.ends["aborted"] += 1
-        self.fns.pop(act)
+        self.functions_by_id.pop(act)
 
     def cancel(self, act, n):
         pass
 
     def set_timer(self, mark, wait):
-        self.at(self.now + wait, "ring", mark)
+        self.at(self.now + wait, "timer", mark)
 
-    def tell(self, call, *args):
+    def timed_call(self, call, *args):
+        """Call the module and add the CPU time it took."""
         begun = time.process_time_ns()
         call(self.now, *args)
         self.cpu += time.process_time_ns() - begun
 
     def run(self, seconds):
+        """Play arrivals for so many seconds of virtual time; return the number of activations."""
         due, number, scheduler, late = 0, 0, self.scheduler, 0
-        while due < seconds * 1000 * MS or self.fns:
+        while due < seconds * 1000 * MS or self.functions_by_id:
             if due < seconds * 1000 * MS and (not self.heap or due <= self.heap[0][0]):
                 self.now, number = due, number + 1
                 fn, pick = 0, self.arrivals.random() * self.sums[-1]
@@ -111,23 +115,23 @@
                 while low < high:
                     fn = (low + high) // 2
                     low, high = (fn + 1, high) if self.sums[fn] < pick else (low, fn)
-                self.fns[f"a{number}"] = low
+                self.functions_by_id[f"a{number}"] = low
                 arrival = ports.Arrival(f"a{number}", low, "plain", "", due + 2500 * MS, 1, 0, 0)
-                self.tell(scheduler.activation_arrived, arrival)
+                self.timed_call(scheduler.activation_arrived, arrival)
                 due += int(self.arrivals.expovariate(self.rate) * 1e9)
                 continue
             self.now, _, (what, *args) = heapq.heappop(self.heap)
-            if what == "ring":
-                self.tell(scheduler.timer_fired, *args)
-            elif what == "stands":
-                self.tell(scheduler.load_order_ended, *args, ports.EndReason.COMPLETED, 1)
+            if what == "timer":
+                self.timed_call(scheduler.timer_fired, *args)
+            elif what == "load ended":
+                self.timed_call(scheduler.load_order_ended, *args, ports.EndReason.COMPLETED, 1)
             else:
                 act, n, worker, took, note = args
-                if self.fns.pop(act, None) is not None:
+                if self.functions_by_id.pop(act, None) is not None:
                     self.ends["completed"] += 1
                     late += took > 1000 * MS
                 end = ports.AttemptEnd(act, n, worker, ports.EndReason.COMPLETED, note, True, took, None)
-                self.tell(scheduler.attempt_ended, end)
+                self.timed_call(scheduler.attempt_ended, end)
         return number
 
 
@@ -153,7 +157,10 @@
     )
     if o.top:
         print(
-            "rejections of the hottest functions:", fleet.of.most_common(5), "of all", sum(fleet.of.values())
+            "rejections of the hottest functions:",
+            fleet.rejections.most_common(5),
+            "of all",
+            sum(fleet.rejections.values()),
         )
 
 
--- a/benchmarks/mqtt.py
+++ b/benchmarks/mqtt.py
@@ -1,14 +1,13 @@
-"""The MQTT front against the webhook front, on the same dispatcher and workers.
+"""Compares the MQTT front with the webhook front on the same dispatcher and workers.
 
     .venv/bin/python benchmarks/mqtt.py pace|sessions|killed [--runs 3] [--seconds 4] [--rate 300]
 
-pace      at one pace: p50 and p99 by webhook and by QoS 0, 1, 2, and the dispatcher's CPU an activation; then
-how many
-          a second each bears when asked as fast as the answers come
+pace      at a fixed rate: p50 and p99 by webhook and by QoS 0, 1, 2, and the dispatcher's CPU time per
+          activation; then the throughput of each in a closed loop (a new request for each answer)
 sessions  memory of a dispatcher process for each customer's session, at 100, 1,000 and 5,000
 killed    how long until the messages of a killed dispatcher are answered by another
 
-All servers are stand-ins on loopback; the stand-in broker is a Python process and bears its part of each
+All servers are stand-ins on loopback; the stand-in broker is a Python process whose cost is part of each
 figure."""
 
 import argparse
@@ -28,6 +27,7 @@
 
 
 def broker(pipe):
+    """Run a stand-in broker; send its port through the pipe."""
     from tornado.netutil import bind_sockets
 
     async def serve():
@@ -41,7 +41,7 @@
 
 
 class Setup(base.Setup):
-    """A dispatcher with both fronts; `more` starts further dispatchers on the same broker."""
+    """A dispatcher with both fronts; `start` starts further dispatchers on the same broker."""
 
     def __init__(self, workers=20, took=0.02, customers=1):
         here, there = multiprocessing.Pipe()
@@ -64,6 +64,7 @@
         self.stamp = int(time.time()) + 2
 
     def start(self, name):
+        """Start a dispatcher; return its process and address."""
         path = pathlib.Path(self.folder.name) / f"{name}.kdl"
         path.write_text(self.text.replace('gateway "bench"', f'gateway "{name}"'))
         child = subprocess.Popen(
@@ -83,18 +84,20 @@
 
 
 class Load:
-    """Devices that ask and note when each answer came."""
+    """Devices that send requests and record how long each answer took."""
 
     def __init__(self, setup, devices=8):
         self.took, self.asked, self.number, self.waits = [], {}, 0, None
         self.devices = [Device(setup.broker, f"dev{i}", "x", b"", self.hear) for i in range(devices)]
 
     async def open(self):
-        self.keeping = [asyncio.ensure_future(d.keep()) for d in self.devices]
+        """Connect all devices."""
+        self.device_tasks = [asyncio.ensure_future(d.keep()) for d in self.devices]
         await asyncio.gather(*(d.ready.wait() for d in self.devices))
         await asyncio.sleep(0.5)
 
     def hear(self, packet):
+        """Record an answer."""
         begun = self.asked.pop(packet.props["correlation_data"], None)
         if begun is not None:
             self.took.append(time.perf_counter() - begun)
@@ -102,6 +105,7 @@
             self.waits.release()
 
     def ask(self, qos, due=None):
+        """Send one request; its latency counts from `due`, or from now."""
         self.number += 1
         correlation = f"{qos}-{self.number}".encode()
         self.asked[correlation] = due or time.perf_counter()
@@ -110,6 +114,7 @@
         )
 
     async def paced(self, qos, rate, seconds):
+        """Send requests at a fixed rate; return the latencies."""
         self.took, begun = [], time.perf_counter()
         for i in range(int(rate * seconds)):
             due = begun + i / rate
@@ -118,9 +123,10 @@
         await asyncio.sleep(0.5)
         return self.took
 
-    async def as_fast(self, qos, seconds, in_hand=192):
-        self.took, self.waits, ends = [], asyncio.Semaphore(in_hand), time.perf_counter() + seconds
-        while time.perf_counter() < ends:
+    async def closed_loop(self, qos, seconds, in_flight=192):
+        """Keep `in_flight` requests open; return the answers per second."""
+        self.took, self.waits, deadline = [], asyncio.Semaphore(in_flight), time.perf_counter() + seconds
+        while time.perf_counter() < deadline:
             await self.waits.acquire()
             self.ask(qos)
         done, self.waits = len(self.took), None
@@ -128,11 +134,12 @@
         return done / seconds
 
     def close(self):
-        for task in self.keeping:
+        for task in self.device_tasks:
             task.cancel()
 
 
 def pace(o):
+    """Compare latency, CPU time and throughput of webhooks and of each QoS."""
     rows = {}
 
     async def run(setup):
@@ -150,7 +157,7 @@
             most = (
                 (await base.closed_load(setup, 192, o.seconds))[0] / o.seconds
                 if name == "webhook"
-                else await load.as_fast(int(name[-1]), o.seconds)
+                else await load.closed_loop(int(name[-1]), o.seconds)
             )
             if not took:
                 raise SystemExit(f"{name}: no answer came")
@@ -173,6 +180,7 @@
 
 
 def sessions(o):
+    """Measure the memory of a dispatcher by number of customer sessions."""
     sizes = {}
     for customers in (1, 100, 1000, 5000):
         setup = Setup(customers=customers)
@@ -190,6 +198,8 @@
 
 
 def killed(o):
+    """Measure how long until another dispatcher has answered the messages of a killed one."""
+
     async def run(setup):
         child, _ = setup.start("second")
         setup.others.append(child)
--- a/benchmarks/parallel.py
+++ b/benchmarks/parallel.py
@@ -1,10 +1,10 @@
-"""How much eight runs at once bring over one, beside a loop that needs no memory: what this machine can give
-at all.
+"""Measures the speedup of eight concurrent emulator runs over one, and that of a loop with little memory.
 
     python benchmarks/parallel.py [--runs 8] [--rounds 3]
 
-Each round measures one alone and all at once, first of a plain loop, then of a day in the emulator, so that
-both meet the same machine. Prints the ratio of each round and the medians."""
+The loop shows the speedup that this machine allows. Each round measures one run alone and all runs at once,
+first of the loop, then of a day in the emulator, so that both see the same machine load. Prints the speedup
+of each round and the medians."""
 
 import argparse
 import multiprocessing
@@ -18,23 +18,26 @@
 
 
 def loop(_):
+    """Run a plain loop on a table that fits the caches."""
     table = {}
     for number in range(15_000_000):
         table[number & 4095] = number
 
 
 def emulated(seed):
+    """Run one day in the emulator."""
     with tempfile.TemporaryDirectory() as folder:
         run = experiment.Run(str(script.find("catalogue")), "petrelwood", seed, (("rate", 240.0),))
         experiment._child(run, pathlib.Path(folder) / "run.json")
 
 
-def took(work, seeds):
+def elapsed(work, seeds):
+    """Return the seconds that `work` takes with one process for each seed."""
     begun = time.monotonic()
-    made = [multiprocessing.Process(target=work, args=(seed,)) for seed in seeds]
-    for process in made:
+    processes = [multiprocessing.Process(target=work, args=(seed,)) for seed in seeds]
+    for process in processes:
         process.start()
-    for process in made:
+    for process in processes:
         process.join()
     return time.monotonic() - begun
 
@@ -47,8 +50,8 @@
     ratios = {loop: [], emulated: []}
     for number in range(asked.rounds):
         for work, seen in ratios.items():
-            alone = took(work, [1])  # the same seed as each of those together
-            together = took(work, [1] * asked.runs)
+            alone = elapsed(work, [1])  # the same seed as in each of the concurrent runs
+            together = elapsed(work, [1] * asked.runs)
             seen.append(asked.runs * alone / together)
             print(
                 f"round {number + 1} {work.__name__:9s} one {alone:6.2f} s, {asked.runs} at once "
--- a/benchmarks/rare_calls.py
+++ b/benchmarks/rare_calls.py
@@ -1,9 +1,10 @@
-"""What part of the calls of rarely called functions meets a copy, with many dispatchers that know nothing of
-each other; and the sends, load orders and probes of a call. Rows of `benchmarks/capacity.py`.
+"""Measures the share of calls of rarely called functions that reach a warm copy, with many dispatchers that
+don't know of each other, and the sends, load orders and probes per call. Rows of `benchmarks/capacity.py`.
 
-The real module, one instance for each dispatcher, in virtual time. Workers are simulated: without limit,
-loading by themselves what they lack. Some functions are called often by all dispatchers, the others once in
-the time that an idle copy stays, so that a dispatcher itself never knows where a copy of one stands.
+Runs the real scheduling module in virtual time, one instance for each dispatcher. Workers are simulated: they
+have no capacity limit and load missing functions by themselves. Some functions are called often by all
+dispatchers, the others about once in the time that an idle copy is kept, so that a dispatcher by itself never
+knows which worker has a copy of them.
 """
 
 import collections
@@ -20,13 +21,14 @@
 
 SECOND = 1_000_000_000
 CALLS = size.CALLS_A_SECOND_A_DISPATCHER
-# calls of rare functions among them, if all functions were called as often as rare ones may be
+# Calls of rare functions per second and dispatcher, if all functions were called as often as rare ones may.
 RARE_RATE = round(size.FUNCTIONS / size.RARE_CALL_EVERY / size.DISPATCHERS, 2)
 HOT = 200  # functions that all dispatchers call often
-KEEP = 10 * SECOND  # an idle copy stays so long; only its ratio to the time between calls counts
-LOAD, SERVICE = SECOND // 4, SECOND // 33  # of a copy; of a call, the mean of an exponential
-WARM_UP, PLAYED = 10 * SECOND, 12 * SECOND  # of virtual time; played longer where dispatchers are few
-RARE_EVERY = (KEEP,)  # between two calls of a rare function, all dispatchers together
+KEEP = 10 * SECOND  # ns for which an idle copy is kept; only its ratio to the time between calls matters
+# ns: load time of a copy; mean duration of a call, which is exponential
+LOAD, SERVICE = SECOND // 4, SECOND // 33
+WARM_UP, PLAYED = 10 * SECOND, 12 * SECOND  # ns of virtual time; few dispatchers are played for longer
+RARE_EVERY = (KEEP,)  # ns between two calls of a rare function over all dispatchers
 COLD_SIZES = (
     (10, 25),
     (10, 100),
@@ -40,7 +42,7 @@
 
 
 class Outlet:
-    """One dispatcher's module and what it does, carried out by a `Fleet`."""
+    """The outlet of one dispatcher's scheduling module, which passes its actions to a `Fleet`."""
 
     def __init__(self, fleet, number):
         self.fleet, self.sends = fleet, {}
@@ -49,17 +51,17 @@
     def send(self, act, worker, limit):
         n = self.sends[act] = self.sends.get(act, -1) + 1
         self.fleet.counts["sends"] += 1
-        self.fleet.runs(self, act, n, worker)
+        self.fleet.run_send(self, act, n, worker)
 
     def order_load(self, worker, fn, copies):
         self.fleet.counts["orders"] += 1
-        ready = self.fleet.loaded(worker, fn)
+        ready = self.fleet.load(worker, fn)
         self.fleet.at(ready, self.scheduler.load_order_ended, worker, fn, ports.EndReason.COMPLETED, 1)
 
     def set_timer(self, mark, wait):
-        self.fleet.at(self.fleet.now + wait, self._ring, mark)
+        self.fleet.at(self.fleet.now + wait, self._timer_fired, mark)
 
-    def _ring(self, now, mark):
+    def _timer_fired(self, now, mark):
         self.scheduler.timer_fired(now, mark)
 
     def reject(self, act, retry_after):
@@ -86,15 +88,19 @@
 
 
 class RareCall(NamedTuple):
-    stood: bool  # a copy stood on some worker when it came
-    found: bool  # and it was sent there
+    """The outcome of one call of a rarely called function."""
+
+    stood: bool  # a warm copy existed on some worker when the call arrived
+    found: bool  # and the call was sent to one
     completed: bool
-    beyond: float  # s that it took beyond its load and its service; 0 where it was not completed
+    beyond: float  # s that it took in addition to load and service time; 0 if it was not completed
 
 
 class Fleet:
-    """Workers without limit that load what they lack, in front of which `dispatchers` modules decide. A copy
-    that nobody calls is unloaded after `KEEP`, as early as the terms allow."""
+    """Simulated workers without capacity limit, and the scheduling modules of `dispatchers` dispatchers.
+
+    Workers load missing functions by themselves and unload an idle copy after `KEEP`, the earliest time that
+    the terms allow."""
 
     def __init__(self, dispatchers, workers, rare_every, seed, probes=False):
         self.now, self.heap, self.count, self.probes = 0, [], 0, probes
@@ -109,6 +115,7 @@
             outlet.scheduler.endpoints_changed(0, names, True)
 
     def terms(self, zone):
+        """Return the terms of a dispatcher in a zone."""
         return ports.Terms(
             zone,
             self.dispatchers,
@@ -123,25 +130,27 @@
         )
 
     def at(self, when, call, *args):
+        """Schedule a call at a virtual time in ns."""
         self.count += 1
         heapq.heappush(self.heap, (when, self.count, call, args))
 
-    def stands(self, worker, fn):
-        """When its copy stands or will; None where it has none."""
+    def copy_ready_at(self, worker, fn):
+        """Return when a worker's copy of a function is or will be loaded, None if it has none."""
         ready, used = self.copies.get(fn, {}).get(worker, (0, -1))
         return ready if used >= 0 and self.now - used <= KEEP else None
 
-    def loaded(self, worker, fn):
-        """Begins a load unless a copy stands or comes; when it stands."""
-        ready = self.stands(worker, fn)
+    def load(self, worker, fn):
+        """Begin to load a function unless it is loaded or being loaded; return when its copy is ready."""
+        ready = self.copy_ready_at(worker, fn)
         ready = self.now + LOAD if ready is None else ready
         self.copies.setdefault(fn, {})[worker] = (ready, max(ready, self.now))
         return max(ready, self.now)
 
-    def runs(self, outlet, act, n, worker):
+    def run_send(self, outlet, act, n, worker):
+        """Simulate a send to a worker."""
         call = self.calls[outlet, act]
-        warm = (stood := self.stands(worker, call.fn)) is not None and stood <= self.now
-        ready, service = self.loaded(worker, call.fn), int(self.chance.expovariate(1 / SERVICE))
+        warm = (ready_at := self.copy_ready_at(worker, call.fn)) is not None and ready_at <= self.now
+        ready, service = self.load(worker, call.fn), int(self.chance.expovariate(1 / SERVICE))
         call.found = warm if call.found is None else call.found
         call.least = ready - self.now + service
         end = ready + service
@@ -150,11 +159,13 @@
         self.at(end, self.answered, outlet, act, n, worker, note, ready + service - self.now)
 
     def answered(self, now, outlet, act, n, worker, note, took):
+        """Report a worker's answer to its dispatcher's module."""
         over = self.ended(outlet, act, True)
         end = ports.AttemptEnd(act, n, worker, ports.EndReason.COMPLETED, note, over, took, None)
         outlet.scheduler.attempt_ended(now, end)
 
     def ended(self, outlet, act, completed):
+        """Record the end of a call; return whether it was still open."""
         call = self.calls.pop((outlet, act), None)
         outlet.sends.pop(act, None)
         if call is not None and call.stood is not None:
@@ -163,6 +174,7 @@
         return call is not None
 
     def call(self, fn, rare):
+        """Let a call arrive at a random dispatcher."""
         self.counts["calls"] += 1
         outlet = self.outlets[int(self.chance.random() * self.dispatchers)]
         act = f"a{self.counts['calls']}"
@@ -177,6 +189,7 @@
         outlet.scheduler.activation_arrived(self.now, arrival)
 
     def play(self):
+        """Run the simulation; return the `RareCall`s after the warm-up."""
         rares = [f"r{n}" for n in range(int(RARE_RATE * self.dispatchers * self.rare_every / SECOND))]
         weights = [self.chance.paretovariate(1.1) for _ in range(HOT)]
         rates = (CALLS - RARE_RATE) * self.dispatchers, RARE_RATE * self.dispatchers
@@ -203,14 +216,14 @@
 
 
 class Called:
-    """A call on its way. `stood`: whether a copy stood when it came; None for one that is not counted."""
+    """An open call. `stood`: whether a warm copy existed when it arrived; None if the call is not counted."""
 
     def __init__(self, fn, born, stood):
         self.fn, self.born, self.stood, self.found, self.least = fn, born, stood, None, 0
 
 
 def cold_starts(runs):
-    """What part of rare calls meets a copy, and what the path takes beyond load and service."""
+    """Measure the share of rare calls that reach a warm copy, and the time beyond load and service."""
     lines = [
         "| dispatchers | workers | rare function called every | calls | a copy stands | found, of those "
         "| meet one | beyond load and service, p50 / p99 | not completed |",
@@ -224,7 +237,7 @@
 
 
 def orders(runs):
-    """Sends, load orders and probes for each call; bytes of each message."""
+    """Measure sends, load orders and probes per call, and the bytes of each message."""
     frames = {
         "sends": rpc.request(1, "run", ["a" * 24, 0, "owner-12-01234", "c/m", 1, 4, b"x" * 256]),
         "orders": rpc.request(1, "hold", ["owner-12-01234", 4, 1]),
@@ -240,13 +253,13 @@
         fleets = [Fleet(dispatchers, workers, KEEP, seed, probes) for seed in range(runs)]
         for fleet in fleets:
             fleet.play()
-        told = "; ".join(
+        ratios = "; ".join(
             f"{name} " + " / ".join(f"{fleet.counts[name] / fleet.counts['calls']:.3f}" for fleet in fleets)
             for name in frames
         )
         lines.append(
             f"| {dispatchers} dispatchers, {workers} workers, reports by "
-            f"{'probe' if probes else 'answers'}: a call | {told} |"
+            f"{'probe' if probes else 'answers'}: a call | {ratios} |"
         )
     lines.append(
         "| Bytes of a message without TCP's | " + "; ".join(f"{n} {len(f)}" for n, f in frames.items()) + " |"
@@ -255,18 +268,19 @@
 
 
 def part(calls, name, of=None):
-    """The part of calls that have `name`, of those that have `of`."""
+    """Return the share of calls whose attribute `name` is true, of those whose attribute `of` is true."""
     counted = [call for call in calls if of is None or getattr(call, of)]
     return sum(getattr(call, name) for call in counted) / max(1, len(counted))
 
 
 def over_runs(plays, name, of=None):
-    """Median and range over the runs."""
+    """Return the median and range of `part` over the runs as text."""
     seen = [part(calls, name, of) for calls in plays]
     return f"{statistics.median(seen):.2f} ({min(seen):.2f} to {max(seen):.2f})"
 
 
 def cold_line(dispatchers, workers, every, plays):
+    """Return the table row of one size."""
     all_calls = [call for calls in plays for call in calls]
     beyond = sorted(call.beyond for call in all_calls if call.completed)
     p50, p99 = (1e3 * beyond[min(len(beyond) - 1, int(len(beyond) * q))] for q in (0.5, 0.99))
--- a/benchmarks/refusal.py
+++ b/benchmarks/refusal.py
@@ -1,10 +1,9 @@
-"""What a refusal costs against a full answer, by where it is made: processor time of the dispatcher for each
-request.
+"""Compares the CPU time of a refused request, by the stage that refuses it, with that of a completed one.
 
     python benchmarks/refusal.py [--count 2000]
 
-Everything runs in one process, so the caller's own cost is in all of them alike; a request that is answered
-404 at the path is the floor that the others are seen over."""
+Everything runs in one process, so each figure includes the caller's own cost; a request that is answered 404
+because of its path is the lower bound to compare the others with."""
 
 import argparse
 import asyncio
@@ -22,16 +21,17 @@
         """Never run as a test."""
 
     async def costs(self, count):
+        """Return the CPU time (us) of a request and the statuses seen, for each kind of answer."""
         await self.begin(rig.Worker("w1"), limits='body "20KB"')
-        found = {}
+        costs_by_answer = {}
 
-        async def timed(word, made, prepare=lambda: None):
+        async def timed(word, make_message, prepare=lambda: None):
             prepare()
-            messages = [made() for _ in range(count)]
+            messages = [make_message() for _ in range(count)]
             begun, statuses = time.process_time(), set()
             for message in messages:
                 statuses.add((await self.caller.call(message, 10)).status)
-            found[word] = ((time.process_time() - begun) / count * 1e6, statuses)
+            costs_by_answer[word] = ((time.process_time() - begun) / count * 1e6, statuses)
 
         await timed("404 at the path", lambda: self.message(path="/nowhere"))
         await timed("completed", self.message)
@@ -47,15 +47,15 @@
             lambda: setattr(self.front.admission, "may_check_signature", lambda *a: False),
         )
         await self.asyncTearDown()
-        return found
+        return costs_by_answer
 
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--count", type=int, default=2000)
-    found = asyncio.run(Run().costs(parser.parse_args().count))
-    full = found["completed"][0]
-    for word, (cost, statuses) in found.items():
+    costs_by_answer = asyncio.run(Run().costs(parser.parse_args().count))
+    full = costs_by_answer["completed"][0]
+    for word, (cost, statuses) in costs_by_answer.items():
         print(f"{word:24s} {cost:7.0f} us, {cost / full:.2f} of a completed one; answered {sorted(statuses)}")
 
 
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m benchmarks.scale`: all scale tests, as JSON, a table and a chart."""
+"""`python -m benchmarks.scale`: runs the scale tests and writes the results as JSON, a table and a chart."""
 
 import importlib
 import pathlib
@@ -12,7 +12,7 @@
 from benchmarks.scale.plan import Plan
 from benchmarks.scale.runner import MOST_SECONDS, Runner, TooLarge, check_fits
 
-# Modules, each with `jobs(plan)`.
+# Modules of this package, each with a function `jobs(plan)`.
 SCENARIOS = ("parts", "rows", "events", "real", "configuration", "larger_fleet")
 OUT = pathlib.Path(__file__).parent / "results"
 STATUS_TOO_LARGE, STATUS_PARTIAL, STATUS_FAILED = 2, 3, 1
--- a/benchmarks/scale/budget.py
+++ b/benchmarks/scale/budget.py
@@ -1,4 +1,4 @@
-"""The fitted lines against the budgets of the size, for each reading of how many workers there are."""
+"""Compares the fitted lines with the budgets of the design size, for each assumed number of workers."""
 
 from statistics import median
 from typing import NamedTuple
@@ -8,10 +8,10 @@
 from petrelwood.decide.cluster import polling
 
 CARRIED, UP_TO, MISSING = "carried", "carried up to {most:,} workers", "missing"
-OVER = "over in that second: {seconds:.0f} s of the budget"  # what is no steady cost
+OVER = "over in that second: {seconds:.0f} s of the budget"  # for the cost of one event, which is not steady
 EVENTS_A_SECOND = size.MEMBER_CHANGES_A_DAY * size.ASSUMED_EVENTS_A_RESTART / size.SECONDS_A_DAY
 SWITCH = size.ASSUMED_WORKERS_A_RACK * size.ASSUMED_RACKS_A_SWITCH
-KNOWN_FUNCTIONS = 500  # that the line of changes against workers was measured with
+KNOWN_FUNCTIONS = 500  # number of functions with which changes by workers are measured
 IDLE = "an idle second"
 SECOND = 1_000_000_000
 COLUMNS = (
@@ -35,12 +35,12 @@
     budget: float
     unit: str
     verdict: str
-    extrapolation: float  # of the workers beyond what was measured
+    extrapolation: float  # ratio of the workers to the largest measured number
     worked_out: str
 
     @property
     def ratio(self):
-        """Need to budget."""
+        """Ratio of the need to the budget."""
         return self.value / self.budget
 
 
@@ -52,12 +52,12 @@
     budget: float
     fixed: float
     each: float
-    high: float  # the most workers that were measured
-    worked_out: str
-    peak: bool = False  # whether it is what one event costs in its busiest second
+    high: float  # the largest measured number of workers
+    worked_out: str  # how the value is calculated
+    peak: bool = False  # whether it is the cost of one event in its busiest second
 
     def row(self, reading):
-        """What it comes to with the workers of a reading."""
+        """Return the quantity for the number of workers of a reading."""
         value = self.fixed + self.each * reading.workers
         beyond = max(1.0, reading.workers / self.high)
         verdict = self._verdict(value)
@@ -73,7 +73,7 @@
 
 
 def rows(figures, comparisons):
-    """All rows that the figures of a run allow; none where one of them was not measured."""
+    """Return all rows, or none if one of the figures they need was not measured."""
     lines = {one.name: one.line() for one in figures}
     idle = [one.real for one in comparisons if one.name == IDLE]
     try:
@@ -84,8 +84,8 @@
 
 
 def _control(lines, idle, measured):
-    """Processor time, memory and bytes that a dispatcher spends on control. `idle`: ms a second of a real
-    one."""
+    """Yield processor time, memory and bytes of a dispatcher for control. `idle`: the processor time (ms a
+    second) of an idle real dispatcher."""
     timers = lines["a module's timers while nothing happens, a second"]
     change = lines[f"one worker restarted, told as a change, {KNOWN_FUNCTIONS} functions, processor time"]
     functions = lines["one worker restarted, told as a change, 1,000 workers, processor time"]
@@ -186,7 +186,7 @@
 
 
 def _calls(lines):
-    """What grows with the fleet in the data path."""
+    """Yield the quantities of the data path that grow with the fleet."""
     place = lines["a function's first placement, processor time"]
     yield Quantity(
         "first placement of a function",
@@ -221,7 +221,7 @@
 
 
 def markdown(found):
-    """The table."""
+    """Return the table as lines of Markdown."""
     lines = [
         "## Against the budgets, worked out from the lines",
         "",
--- a/benchmarks/scale/configuration.py
+++ b/benchmarks/scale/configuration.py
@@ -1,4 +1,4 @@
-"""What becomes of a version of the settings at a whole fleet, event by event; see `configuration_fleet`."""
+"""Scenarios of how a version of the settings comes into force at a whole fleet; see `configuration_fleet`."""
 
 import math
 import time
@@ -18,13 +18,13 @@
 
 
 class Result(NamedTuple):
-    """What one scenario gave; seconds, messages and bytes a second for one dispatcher."""
+    """The result of one scenario. Times are in seconds; messages and bytes are per second and dispatcher."""
 
     name: str
     dispatchers: int
-    in_force: float  # from publishing to the last dispatcher; inf: not within the scenario
-    decided: float  # until it was decided
-    reached: float  # the largest part of dispatchers that ran it at a time
+    in_force: float  # from publishing until the last dispatcher runs it; inf if not within the scenario
+    decided: float  # from publishing until the version is decided
+    reached: float  # the largest share of dispatchers that ran it at the same time
     messages: float
     bytes: float
     peak_server_bytes: float  # of one server, in its busiest second
@@ -32,7 +32,7 @@
 
 
 def measured(name, fleet, number, seconds, since, reached=0.0):
-    """A `Result` of what a fleet has just played."""
+    """Return the `Result` of the scenario that a fleet has just played."""
     count = len(fleet.dispatchers)
     return Result(
         name,
@@ -48,14 +48,14 @@
 
 
 def idle(dispatchers=DISPATCHERS, seed=1):
-    """Nothing changes."""
+    """Play a minute without changes."""
     since, fleet = time.process_time(), Fleet(dispatchers, seed)
     fleet.run(60)
     return measured("nothing changes", fleet, None, 60, since)
 
 
 def one_version(dispatchers=DISPATCHERS, seed=1, staged=True, functions=ALL_FUNCTIONS):
-    """An ordinary change."""
+    """Publish an ordinary version."""
     since, fleet = time.process_time(), Fleet(dispatchers, seed, staged, functions)
     fleet.run(5)
     number = fleet.publish()
@@ -65,7 +65,7 @@
 
 
 def bad_version(dispatchers=DISPATCHERS, seed=1, staged=True):
-    """A version under which half of the answers are completed."""
+    """Publish a version under which only half of the answers are completed."""
     since, fleet, most = time.process_time(), Fleet(dispatchers, seed, staged), 0.0
     fleet.run(5)
     number = fleet.publish(bad=True)
@@ -76,7 +76,7 @@
 
 
 def servers_lost(dispatchers=DISPATCHERS, seed=1):
-    """The servers go one by one, then come back: a version after each loss, and what stays in force."""
+    """Crash the servers one by one, publish a version after each crash, then start all servers again."""
     since, fleet, rows = time.process_time(), Fleet(dispatchers, seed), []
     fleet.run(5)
     last = None
@@ -92,7 +92,7 @@
         rows.append(measured(f"{lost} servers lost", fleet, number, seconds, since, fleet.running(last)))
     for name in fleet.cluster.names:
         fleet.cluster.start(name)
-    fleet.run(40)  # servers that had failed are asked again after 30 s at the latest
+    fleet.run(40)  # failed servers are polled again after 30 s at the latest
     number = fleet.publish()
     fleet.forget_counts()
     fleet.run(25)
@@ -101,7 +101,7 @@
 
 
 def all_started(dispatchers=DISPATCHERS, seed=1):
-    """All dispatchers begin at once with empty folders, after a version of full size was published."""
+    """Restart all dispatchers at once with empty folders, after a version of full size was published."""
     since, fleet = time.process_time(), Fleet(dispatchers, seed, functions=ALL_FUNCTIONS)
     number = fleet.publish()
     fleet.run(25)
@@ -116,7 +116,7 @@
 
 
 def region_lost(dispatchers=40, seed=1, seconds=3600):
-    """The regions lose each other; a version is published on the side of three servers, one on the other."""
+    """Partition the regions and publish a version on each side, one with three servers and one with two."""
     since, fleet = time.process_time(), Fleet(dispatchers, seed)
     fleet.run(5)
     fleet.set_split(True)
@@ -134,8 +134,10 @@
 
 
 def hour_of_changes(dispatchers=100, seed=1, staged=True, gap=size.CONFIGURATION_CHANGE_EVERY, seconds=3600):
-    """Changes at random times; the part that was in force everywhere within the time, or was superseded
-    before its time was up, and of all the part that ever was in force everywhere."""
+    """Publish changes at random times.
+
+    Return the number of published versions, of those that were in force everywhere in time or superseded
+    before their time limit, and of those that were ever in force everywhere."""
     fleet, draws = Fleet(dispatchers, seed, staged, calls=1), Random(seed)
     at = 0.0
     while (at := at + draws.expovariate(1 / gap)) < seconds:
@@ -151,9 +153,9 @@
     return len(numbers), within, ever
 
 
-# What `python -m benchmarks.scale` plays of it.
+# Jobs of `python -m benchmarks.scale`
 def jobs(plan):
-    """One job for each size and event and run."""
+    """Return one job for each size, event and run."""
     sizes = (10, 20, 40) if plan.small else (50, 100, 200, 400)
     events = () if plan.small else tuple(EVENTS)
     made = [
@@ -177,7 +179,7 @@
 
 
 def play(count, run):
-    """A version with all functions at so many dispatchers, as figures against their number."""
+    """Publish a version with all functions to `count` dispatchers; return figures by their number."""
     found, quiet = one_version(count, run + 1), idle(count, run + 1)
     values = {
         "configuration: a version in force everywhere": ("s", found.in_force),
@@ -211,7 +213,7 @@
 
 
 def _region(result):
-    """What `region_lost` gave: its `decided` is how long after the hour all was as before."""
+    """Return the values of `region_lost`, whose `decided` is the recovery time after the partition."""
     return {**_named(result), "decided, s": 0.0, "as before after it, s": result.decided}
 
 
@@ -240,7 +242,7 @@
 
 
 def play_event(name, run):
-    """One event, as rows of the second table."""
+    """Play one event; return it as rows of the second table."""
     if name == "servers lost one by one":
         rows = servers_lost(seed=run + 1)
         return Outcome(events=tuple(Event(f"configuration: {r.name}", run, _named(r), HOLLOW) for r in rows))
--- a/benchmarks/scale/configuration_fleet.py
+++ b/benchmarks/scale/configuration_fleet.py
@@ -1,10 +1,11 @@
-"""How a version of the settings comes into force at a whole fleet: five servers and hundreds of dispatchers
-in virtual time.
-
-Real here: the replicas and proposers (`decide.cluster.replicated_log`), each dispatcher's `VersionWatch` and
-`Rollout`, and the encoding of what they send, whose bytes are counted. Hollow: sockets (a message takes up to
-80 ms and none is lost unless a side of a split asks the other), disks, reading and applying the settings (an
-allowance, `APPLY`), answers of activations (drawn), and a look at the folder of versions each second.
+"""Simulates how a version of the settings comes into force at a whole fleet: five servers and hundreds of
+dispatchers in virtual time.
+
+Real parts: the replicas and proposers (`decide.cluster.replicated_log`), each dispatcher's `VersionWatch` and
+`Rollout`, and the encoding of their messages, whose bytes are counted. Simulated (hollow) parts: sockets (a
+message takes up to 80 ms, and only messages across a partition are lost), disks, reading and applying the
+settings (a fixed time, `APPLY`), answers of activations (random), and the check of the folder of versions
+each second.
 """
 
 import math
@@ -21,15 +22,15 @@
 WITHIN = int(size.CONFIGURATION_IN_FORCE_WITHIN * SECOND)
 DISPATCHERS = size.DISPATCHERS
 CALLS_A_DISPATCHER = int(size.CALLS_A_SECOND_A_DISPATCHER)
-FIRST_REGION = ("c1", "c2", "c3")  # of the two regions, the one with three of the five servers
-FEW_FUNCTIONS, ALL_FUNCTIONS = 300, size.FUNCTIONS  # that a version names one by one
+FIRST_REGION = ("c1", "c2", "c3")  # the servers of the region that has three of the five
+FEW_FUNCTIONS, ALL_FUNCTIONS = 300, size.FUNCTIONS  # number of functions that a version names individually
 DELAY = 80_000_000  # ns that a message takes at most
-APPLY = 1_700_000_000  # ns of reading and taking a version with 13,000 functions (docs/CAPACITY.md)
-USUAL, BAD = 0.97, 0.5  # of answers completed; of those under a bad version
+APPLY = 1_700_000_000  # ns to read and apply a version with 13,000 functions (docs/CAPACITY.md)
+USUAL, BAD = 0.97, 0.5  # share of answers that are completed, normally and under a bad version
 
 
 def settings_text(functions):
-    """Lines as a version has them: names that do not repeat, and figures that do."""
+    """Return the text of a version, with unique names and repeating values, as real versions have."""
     draws = Random(functions)
     lines = []
     for n in range(functions):
@@ -39,7 +40,7 @@
 
 
 class Dispatcher:
-    """One hollow dispatcher: what it asks, what it knows, which version it runs."""
+    """One hollow dispatcher: its polling of the servers, its known versions and the version that it runs."""
 
     def __init__(self, fleet, number):
         self.fleet, self.name, self.region = fleet, f"d{number}", number % 2
@@ -48,14 +49,16 @@
         self.restart(0)
 
     def restart(self, known):
-        """The process begins; `known`: the position in its folder, 0 for an empty one."""
+        """Start a new process; `known` is the position in its folder, 0 if that is empty."""
         dwell = self.fleet.dwell
         self.watch = VersionWatch(self.name, self.fleet.cluster.names, known, 3 * dwell, self.fleet.chance)
         self.rollout = Rollout(self.name, 0, dwell=dwell)
 
 
 class Fleet:
-    """`staged`: False for the former way, a folder that all read at once and stages 30 s apart."""
+    """The servers and dispatchers of a simulation.
+
+    With `staged` False it simulates the former way: a shared folder, and stages 30 s apart."""
 
     def __init__(
         self,
@@ -68,9 +71,9 @@
         self.cluster = Cluster(seed, servers=size.CONTROL_MACHINES, network=Network(0, 0, DELAY))
         self.chance, self.drawn = Random(seed + 1).random, Random(seed + 2)
         self.dwell = dwell_for(WITHIN) if staged else DWELL
-        self.shared = None if staged else {}  # number -> Announcement, of the folder that all read
+        self.shared = None if staged else {}  # the shared folder: number -> Announcement
         self.body = compress_text(settings_text(functions))
-        self.calls = calls  # answers a second of each dispatcher
+        self.calls = calls  # answers per second of each dispatcher
         self.split, self.bad, self.sizes, self.by_server = False, set(), {}, {}
         self.published, self.decided = {}, {}  # record id -> when; version -> when
         self.dispatchers = [Dispatcher(self, number) for number in range(dispatchers)]
@@ -80,7 +83,7 @@
         for name in self.cluster.names:
             self.cluster.schedule(int(self.chance() * SECOND), self._catch_up, name)
 
-    # What happens by itself.
+    # Periodic events
     def _reaches(self, one, server):
         return self.cluster.servers[server].up and (
             not self.split or (one.region == 0) == (server in FIRST_REGION)
@@ -122,7 +125,7 @@
                 one.announced[news.number] = Announcement(news.number, news.rollout_start, False)
 
     def _look(self, one):
-        """Each second, as `dispatch.serve` does: answers counted, then what is announced."""
+        """Count answers, then decide on the announced versions, each second as `dispatch.serve` does."""
         share = BAD if one.rollout.version in self.bad else USUAL
         good = sum(self.drawn.random() < share for _ in range(self.calls))
         for completed in (True,) * good + (False,) * (self.calls - good):
@@ -153,9 +156,9 @@
         self.cluster.catch_up(name, self.cluster.random.choice(self.cluster.names))
         self.cluster.schedule(SECOND, self._catch_up, name)
 
-    # What a scenario does.
+    # Actions of a scenario
     def publish(self, server="c1", bad=False):
-        """A version on its way; its number once it is decided, None where there is no quorum."""
+        """Publish a version; return its number once it is decided, None if there is no quorum."""
         now = self.cluster.now
         if self.shared is not None:
             number = len(self.shared) + 1
@@ -173,24 +176,25 @@
         return number
 
     def run(self, seconds):
+        """Advance virtual time."""
         self.cluster.run(int(seconds * SECOND))
 
     def in_force(self, number, among=None):
-        """Seconds from publishing until the last dispatcher had it."""
+        """Return the seconds from publishing until the last dispatcher has applied the version."""
         times = [one.force.get(number, math.inf) for one in among or self.dispatchers]
         return (max(times) - self.published[number]) / SECOND
 
     def running(self, number):
-        """The part of dispatchers that run a version now."""
+        """Return the share of dispatchers that run a version now."""
         return sum(one.rollout.version == number for one in self.dispatchers) / len(self.dispatchers)
 
     def forget_counts(self):
-        """Messages and bytes are counted from here on."""
+        """Reset the counters of messages and bytes."""
         self.by_server.clear()
         for one in self.dispatchers:
             one.messages = one.bytes = 0
 
     def set_split(self, split):
-        """The regions lose each other, or find each other again."""
+        """Partition the regions, or end the partition."""
         self.split = split
         self.cluster.partition = dict.fromkeys(FIRST_REGION, 1) if split else {}
--- a/benchmarks/scale/configuration_real.py
+++ b/benchmarks/scale/configuration_real.py
@@ -1,10 +1,9 @@
-"""Real configuration servers as processes and real followers on loopback, beside the hollow ones of
-`configuration_fleet`: messages and bytes of both, and the processor time that only the real ones have.
+"""Compares real configuration servers and followers on loopback with hollow ones (`configuration_fleet`).
 
     python -m benchmarks.scale.configuration_real [--followers 20] [--seconds 30]
 
-A few processes and connections on loopback, ended by itself; half of the time is before a version with 13,000
-functions is published, half after it."""
+Measures messages and bytes of both, and the processor time of the real ones. It starts a few processes and
+connections on loopback and ends them. A version with 13,000 functions is published after half of the time."""
 
 import asyncio
 import json
@@ -29,7 +28,7 @@
 from petrelwood.settings.storage import ConfigurationTerms
 
 TICKS = os.sysconf("SC_CLK_TCK")
-TOLERANCE = 0.1  # between what a real follower and a hollow one send and receive
+TOLERANCE = 0.1  # largest relative difference between the traffic of a real and of a hollow follower
 
 
 async def _start(name, addresses, folder):
@@ -44,7 +43,7 @@
 
 
 def _processor_time(process):
-    """Seconds of a process so far."""
+    """Return the processor time of a process in seconds."""
     fields = pathlib.Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS
 
@@ -63,7 +62,7 @@
 
 
 async def measure(count, seconds):
-    """(one row a side) of messages and bytes a second and a follower, and processor time."""
+    """Return the real messages, bytes and processor time per second and follower, and times in seconds."""
     addresses = {}
     for n in range(1, size.CONTROL_MACHINES + 1):
         sock, port = bind_unused_port()
@@ -112,7 +111,7 @@
 
 
 def hollow_figures(count, seconds):
-    """The same by hollow dispatchers."""
+    """Return messages and bytes per second and hollow dispatcher."""
     fleet = hollow.Fleet(count, functions=hollow.ALL_FUNCTIONS)
     fleet.run(seconds / 2)
     fleet.publish()
@@ -127,19 +126,19 @@
 @click.option("--followers", type=click.IntRange(1, 50), default=20, show_default=True)
 @click.option("--seconds", type=click.IntRange(10, 120), default=30, show_default=True)
 def main(followers, seconds):
-    """Prints real and hollow figures side by side; status 1 where they differ by more than a tenth."""
-    real, other = asyncio.run(measure(followers, seconds)), hollow_figures(followers, seconds)
-    apart = 0.0
-    for name in other:
-        difference = abs(real[name] - other[name]) / other[name]
-        apart = max(apart, difference)
-        click.echo(f"{name} a second and a follower: real {real[name]:.1f}, hollow {other[name]:.1f}")
+    """Print real and hollow figures; exit with status 1 if they differ by more than a tenth."""
+    real, simulated = asyncio.run(measure(followers, seconds)), hollow_figures(followers, seconds)
+    largest_difference = 0.0
+    for name in simulated:
+        difference = abs(real[name] - simulated[name]) / simulated[name]
+        largest_difference = max(largest_difference, difference)
+        click.echo(f"{name} a second and a follower: real {real[name]:.1f}, hollow {simulated[name]:.1f}")
     click.echo(
         f"processor time of a follower: {real['follower']:.4%} of a core; idle {real['idle follower']:.4%}"
     )
     click.echo(f"processor time of the busiest server: {real['server'] / followers:.5%} of a core a follower")
     click.echo(f"decided in {real['decided']:.2f} s, heard of by all in {real['heard']:.2f} s")
-    sys.exit(apart > TOLERANCE)
+    sys.exit(largest_difference > TOLERANCE)
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/counting.py
+++ b/benchmarks/scale/counting.py
@@ -1,4 +1,4 @@
-"""What a piece of work costs, counted in ways that a busy machine does not change, beside processor time."""
+"""Measures the cost of work: counts that don't depend on the machine's load, processor time and memory."""
 
 import gc
 import sys
@@ -9,10 +9,10 @@
 
 
 class OperationCounter:
-    """Counts the byte-code instructions that Python executes while it is on, in all frames below the caller.
+    """Counts the byte-code instructions that Python executes while active, in all frames below the caller.
 
     Loops inside C functions (`heapify`, `sorted`) count as one call. The count is the same on every run of
-    the same work. Source: `sys.settrace` with `f_trace_opcodes`."""
+    the same work. It uses `sys.settrace` with `f_trace_opcodes`."""
 
     def __init__(self):
         self.operations = 0
@@ -29,7 +29,7 @@
 
     @contextmanager
     def on(self):
-        """Counts what is called inside the block."""
+        """Count instructions of calls inside the block."""
         before = sys.gettrace()
         sys.settrace(self._on_call)
         try:
@@ -39,7 +39,7 @@
 
 
 def operations(call, *arguments):
-    """How many byte-code instructions `call(*arguments)` executes."""
+    """Return the number of byte-code instructions that `call(*arguments)` executes."""
     counter = OperationCounter()
     with counter.on():
         call(*arguments)
@@ -47,7 +47,7 @@
 
 
 def processor_seconds(call, *arguments):
-    """The processor time that `call(*arguments)` takes, in seconds, without the cyclic collector."""
+    """Return the processor time (s) of `call(*arguments)`, without the cyclic garbage collector."""
     gc.collect()
     gc.disable()
     try:
@@ -59,7 +59,7 @@
 
 
 def bytes_kept(make):
-    """(what `make()` gives, the bytes that it has added to the heap and that are still held)."""
+    """Return the result of `make()` and the bytes that it allocated and that are still in use."""
     gc.collect()
     tracemalloc.start()
     try:
@@ -72,13 +72,13 @@
 
 
 def resident_bytes():
-    """Bytes of this process that are in memory."""
+    """Return the resident set size of this process in bytes."""
     with open("/proc/self/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * 4096
 
 
 def call_after(seconds, call):
-    """A timer thread that ends with the process; for bounds on whole runs, never for measurements."""
+    """Start a daemon timer thread; it is for limits on whole runs, never for measurements."""
     timer = threading.Timer(seconds, call)
     timer.daemon = True
     timer.start()
--- a/benchmarks/scale/events.py
+++ b/benchmarks/scale/events.py
@@ -1,5 +1,4 @@
-"""What each event of the page's second table does to a hollow fleet: what is served, who says how much, how
-long."""
+"""Plays each event of the page's second table on a hollow fleet: measures service, traffic and recovery."""
 
 import gc
 from typing import NamedTuple
@@ -13,12 +12,12 @@
 
 SITE = SiteSize(48, 96, 300, 120.0, 44)
 SMALL_SITE = SiteSize(12, 24, 40, 24.0, 44)
-BEGINS, ENDS = 12, 24  # seconds of virtual time; an event that lasts does so between them
-CALM = range(5, BEGINS)  # the seconds that tell what is usual
-DOWN = 5.0  # seconds that a lost process is away
-LOOK_EVERY = 0.25
-AS_BEFORE = 0.01  # calls in time, as a part of all: so near to the usual is as before
-WINDOW = 3  # seconds that service is looked at over
+BEGINS, ENDS = 12, 24  # seconds of virtual time at which an event begins, and ends if it lasts
+CALM = range(5, BEGINS)  # the seconds before the event that give the usual values
+DOWN = 5.0  # seconds for which a lost process is down
+LOOK_EVERY = 0.25  # seconds between two observations
+AS_BEFORE = 0.01  # service has recovered if the share of calls in time is at most this below the usual one
+WINDOW = 3  # seconds over which the share of calls in time is measured
 
 HOLLOW_EVENT = (
     HOLLOW + "; times are virtual; an event that lasts longer in service (an hour) is played for 12 s; "
@@ -27,7 +26,7 @@
 
 
 class Scripted(NamedTuple):
-    """An event: what is done to the fleet."""
+    """An event and the function that schedules it on a fleet."""
 
     name: str
     begin: object  # call(fleet)
@@ -38,7 +37,7 @@
 
 
 def _racks(fleet, racks):
-    """Names of the workers of so many racks, which stand side by side in one zone."""
+    """Return the names of the workers of this number of racks in one zone."""
     part = racks * size.ASSUMED_WORKERS_A_RACK / size.LARGE_WORKERS.workers
     return _workers_of(fleet, fleet.day.halls[1])[: max(1, round(part * len(fleet.nodes)))]
 
@@ -109,7 +108,7 @@
 
 
 def jobs(plan):
-    """One job for each event and run."""
+    """Return one job for each event and run."""
     site = SMALL_SITE if plan.small else SITE
     chosen = SCRIPTED[:1] if plan.small else SCRIPTED
     return [
@@ -126,14 +125,14 @@
 
 
 def play(number, site, run):
-    """Plays one event."""
+    """Play one event."""
     event = SCRIPTED[number]
     name = f"{event.name} ({site.dispatchers} dispatchers, {site.workers} workers)"
     return Outcome(events=(Event(name, run, observe(event, site, run)[1], HOLLOW_EVENT),))
 
 
 def observe(event, site, run):
-    """(the fleet, {quantity: value}) of an event that was played."""
+    """Play an event; return the fleet and {quantity: value}."""
     gc.disable()
     fleet = HollowFleet(site, run + 1)
     watch = Watch(fleet)
@@ -143,7 +142,7 @@
 
 
 class Watch:
-    """Looks at a fleet while an event is played."""
+    """Observes a fleet while an event is played."""
 
     def __init__(self, fleet):
         self.fleet, self.ignorant_until, self.news_before = fleet, BEGINS, 0
@@ -154,7 +153,7 @@
         self.news_before = self.fleet.processor.spent[flows.NEWS]
 
     def _look(self):
-        """Until when somebody has an old list, or is cut off from the roster."""
+        """Record the time while a dispatcher has an old list or no connection to the roster."""
         fleet = self.fleet
         streams = [stream for stream in fleet.streams.values() if stream.alive()]
         everyone = len(streams) == len(fleet.day.dispatchers)
@@ -177,7 +176,7 @@
         return 0
 
     def values(self):
-        """{quantity: value} once the day is over."""
+        """Return {quantity: value} after the end of the day."""
         fleet, traffic = self.fleet, self.fleet.traffic
         last = fleet.described.seconds
         usual, seconds = self._share(CALM), range(BEGINS, last)
--- a/benchmarks/scale/figures.py
+++ b/benchmarks/scale/figures.py
@@ -1,11 +1,11 @@
-"""Figures of a scale run: samples against a size, the line fitted through them, and rows of events."""
+"""Figures of a scale run: samples by size, the line fitted through them, and results of events."""
 
 from statistics import median
 from typing import NamedTuple
 
 import numpy
 
-SAME = 1e-9  # values that differ by this part of them are one
+SAME = 1e-9  # relative difference up to which two values are equal
 
 
 class Sample(NamedTuple):
@@ -21,41 +21,41 @@
 
     slope: float
     constant: float
-    spread: float  # of the slope over the runs: (largest - least) / median
-    low: float  # the least and largest x that were measured
-    high: float
-    error: float  # the largest distance of a median sample from the line, as a part of the largest sample
-    agreed: bool  # whether the slopes of all runs have one sign; else there is none to speak of
+    spread: float  # of the slope over the runs: (largest - smallest) / median
+    low: float  # the smallest measured x
+    high: float  # the largest measured x
+    error: float  # the largest distance of a median sample from the line, relative to the largest sample
+    agreed: bool  # whether the slopes of all runs have the same sign; otherwise the slope has no meaning
 
     def at(self, x):
-        """What the line says at `x`."""
+        """Return the value of the line at `x`."""
         return self.slope * x + self.constant
 
     def extrapolation(self, x):
-        """How many times beyond the largest measured size `x` lies; 1 within the range."""
+        """Return the ratio of `x` to the largest measured size, and 1 within the measured range."""
         return max(1.0, x / self.high) if self.high else 1.0
 
 
 class Target(NamedTuple):
-    """A size that a figure is worked out for."""
+    """A size for which a figure is extrapolated."""
 
     name: str
     x: float
 
 
 class Figure(NamedTuple):
-    """One quantity against one size."""
+    """One quantity measured at several values of one size."""
 
     name: str
     unit: str
     against: str  # what x counts
     samples: tuple  # of Sample
-    hollow: str  # what in it is not the real thing, in words
+    hollow: str  # description of the parts that are simulated
     targets: tuple = ()  # of Target
     command: str = "python -m benchmarks.scale"
 
     def line(self):
-        """The fitted `Line`; the slope and constant are medians over the runs."""
+        """Return the fitted `Line`; the slope and constant are medians over the runs."""
         runs = sorted({s.run for s in self.samples})
         fits = [_fit([s for s in self.samples if s.run == run]) for run in runs]
         slopes = [slope for slope, _ in fits]
@@ -69,7 +69,7 @@
 
 
 class Event(NamedTuple):
-    """What one event did to a hollow fleet, in one run."""
+    """The effects of one event on a hollow fleet in one run."""
 
     name: str
     run: int
@@ -78,7 +78,7 @@
 
 
 def _fit(samples):
-    """(slope, constant) of one run's samples; what is the same at all sizes has no slope."""
+    """Return (slope, constant) of one run's samples; the slope is 0 if all values are the same."""
     x = numpy.array([s.x for s in samples], float)
     y = numpy.array([s.y for s in samples], float)
     if numpy.ptp(x) == 0 or numpy.ptp(y) <= SAME * numpy.abs(y).max():
@@ -88,7 +88,7 @@
 
 
 def number(value):
-    """A figure with three digits that count."""
+    """Return a number as text with three significant digits."""
     if value == 0:
         return "0"
     if abs(value) >= 1000:
@@ -97,28 +97,28 @@
 
 
 class Comparison(NamedTuple):
-    """A figure of a hollow dispatcher beside a real one's, in one run."""
+    """A figure of a hollow dispatcher and the same figure of a real one, in one run."""
 
     name: str
     unit: str
     hollow: float
     real: float
-    tolerance: float | None  # the part of the real figure by which they may differ; None: no claim
+    tolerance: float | None  # largest allowed difference relative to the real figure; None if not required
     run: int
 
     @property
     def difference(self):
-        """How far the hollow figure is from the real one, as a part of that."""
+        """Difference of the hollow figure from the real one, relative to the real one."""
         return self.hollow / self.real - 1 if self.real else 0.0
 
     @property
     def within(self):
-        """Whether it lies within the tolerance, where there is one."""
+        """Whether the difference is within the tolerance, or there is none."""
         return self.tolerance is None or abs(self.difference) <= self.tolerance
 
 
 def merged(parts):
-    """Figures of several runs as one each, by name."""
+    """Merge the figures of several runs by name."""
     found = {}
     for part in parts:
         known = found.get(part.name)
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -1,11 +1,11 @@
 """A hollow fleet: the emulator's platform with dispatchers whose messages, bytes and processor time are
 counted.
 
-Real in it: `dispatch.core.Core` with the module, membership and settings; the roster's reader
-(`links.roster.RosterLink`), fed with the roster's own bytes; the stand-in roster's change log; when links
-connect and what an end proves. Hollow: sockets, TLS, HTTP, the loop; a worker computes nothing and a load
-moves no bytes (the emulator's model of both); a message between a dispatcher and a worker is written in the
-real format to be counted and handed over as an object."""
+Real parts: `dispatch.core.Core` with the scheduling module, membership and settings; the roster's reader
+(`links.roster.RosterLink`), which reads the roster's own bytes; the stand-in roster's change log; the rules
+of when links connect and what the end of a connection proves. Simulated (hollow) parts: sockets, TLS, HTTP
+and the event loop; workers compute nothing and loads transfer no bytes (the emulator models both). A message
+between a dispatcher and a worker is encoded in the real format to be counted, and passed as an object."""
 
 from benchmarks.scale import site, size
 from benchmarks.scale import traffic as flows
@@ -20,11 +20,11 @@
 from petrelwood.standins.roster import BEAT, ChangeLog
 
 SECOND = 1_000_000_000
-CHECK_EVERY = SECOND // 4  # between looks at links that owe something and at the roster's silence
-BODY, ANSWER = b'{"a":1}', b'{"ok":1}'  # of a call and its answer: what stands for them on the wire
+CHECK_EVERY = SECOND // 4  # ns between two checks of links with open calls and of the roster's silence
+BODY, ANSWER = b'{"a":1}', b'{"ok":1}'  # bodies of a call and of its answer, as counted on the wire
 LANES = 4
-REQUEST_HEAD = 140  # bytes of a request for the list, about
-RESPONSE_HEAD = 85  # bytes before its first event
+REQUEST_HEAD = 140  # approximate bytes of a request for the list
+RESPONSE_HEAD = 85  # bytes of the response before its first event
 HEARTBEAT = len(b": alive\n\n")
 HOLLOW = (
     "sockets, TLS, HTTP and the loop are hollow; workers compute nothing; everything else is the real code"
@@ -32,7 +32,7 @@
 
 
 class HollowLink(Link):
-    """The emulator's link; what passes is counted as the bytes of the real format."""
+    """The emulator's link that also counts the bytes of each message in the real format."""
 
     __slots__ = ("number",)
 
@@ -69,9 +69,9 @@
         super()._answered(call, word, note, body, gauge, life)
 
     def _connected(self, attempt):
-        waits = self.state.phase
+        phase_before = self.state.phase
         super()._connected(attempt)
-        if waits != self.state.phase and self.life == self.node.life:
+        if phase_before != self.state.phase and self.life == self.node.life:
             self._count(flows.GREETINGS, rpc.notification("hello", [self.core.name]))
             self._count(flows.GREETINGS, rpc.notification("hello", [self.worker, self.node.booted]))
 
@@ -84,7 +84,7 @@
         self.platform.traffic.count(flow, self.core.name, len(data))
 
     def check(self, now):
-        """As `links.worker.WorkerLink.check` does for what is silent; whether it still has to be asked."""
+        """Check for silence as `links.worker.WorkerLink.check` does; return whether calls are still open."""
         verdict = self.state.check(now, bool(self.out))
         if verdict == LinkCheck.GIVE_UP:
             self.give_up("nothing was heard in time")
@@ -94,7 +94,7 @@
 
 
 class HollowDispatcher(Core):
-    """The real core; the processor time of what it is told is counted."""
+    """The real core, with the processor time of its events counted."""
 
     def __init__(self, fleet, *arguments):
         self.processor = fleet.processor
@@ -109,19 +109,18 @@
 
 
 class RosterStream:
-    """One dispatcher's stream from the roster, over one life of the dispatcher."""
+    """The roster's event stream to one dispatcher, for one process lifetime of the dispatcher."""
 
     def __init__(self, fleet, core):
         self.fleet, self.core, self.open, self.last_arrival = fleet, core, False, 0
         self.reader = RosterLink(("roster", 0), core.membership, SECOND, core, fleet.log)
 
     def alive(self):
-        """Whether its dispatcher still is the one that runs under its name."""
+        """Return whether the dispatcher is still running (and was not replaced by a later process)."""
         return self.fleet.cores.get(self.core.name) is self.core
 
     def connect(self):
-        """Asks for the list, or for what has been missed; tries again later where the roster can't be
-        reached."""
+        """Request the list or the missed changes; try again later if the roster can't be reached."""
         if not self.alive():
             return
         fleet, name = self.fleet, self.core.name
@@ -141,14 +140,16 @@
         self.core.clock.at(until, self.connect)
 
     def hear(self, data):
-        """Bytes of the stream have arrived."""
+        """Process incoming bytes of the stream."""
         try:
             self.fleet.processor.measure(flows.NEWS, self.reader.on_body, data)
-        except EndpointListError:  # a gap: the whole list is asked for, as the real reader does
+        except (
+            EndpointListError
+        ):  # changes are missing: reconnect for the whole list, as the real reader does
             self.lose()
 
     def push(self, data):
-        """The roster tells something new, one way's time from here and never before what it told earlier."""
+        """Send bytes from the roster, to arrive after the network delay and in the order they were sent."""
         self.fleet.traffic.count(flows.LIST_TO_DISPATCHERS, self.core.name, len(data))
         arrival = self.core.now() + self.fleet.delay_to_roster(self.core.name)
         self.last_arrival = max(self.last_arrival, arrival)
@@ -160,13 +161,13 @@
             self.hear(data)
 
     def lose(self):
-        """The stream has ended; it is opened again after a pause."""
+        """Close the stream; it reconnects after a backoff."""
         if self.open:
             self.open = False
             self._again()
 
     def look(self, now):
-        """What a running dispatcher looks at now and then."""
+        """Check whether the list is lost, as a running dispatcher does regularly."""
         if self.open:
             self.core.membership.on_contact(now)
         if self.core.membership.is_newly_lost(now):
@@ -174,9 +175,9 @@
 
 
 class HollowFleet(Platform):
-    """The platform of a `site.SiteSize`, counted; events are scheduled with `at` before it is run."""
+    """The platform of a `site.SiteSize` with counters; schedule events with `at` before `run`."""
 
-    module = Scheduler  # what decides at each dispatcher
+    module = Scheduler  # the scheduling module of each dispatcher
 
     def __init__(self, described, seed):
         self.described, self.busy_links, self.streams = described, {}, {}
@@ -189,9 +190,9 @@
     def _virtual_now(self):
         return self.clock.time
 
-    # What is counted.
+    # Counted dispatchers and links
     def make_core(self, described, clock, chance, disk):
-        """A hollow dispatcher in the place of the emulator's."""
+        """Return a hollow dispatcher instead of the emulator's."""
 
         def link(worker, address, core):
             return self.make_link(worker, core, described.workers, chance)
@@ -199,18 +200,18 @@
         return HollowDispatcher(self, described, clock, chance, link, self.log, self.policy, disk)
 
     def make_link(self, worker, core, terms, chance):
-        """A counted link."""
+        """Return a counted link."""
         return HollowLink(self, self.nodes[worker], core, self.halls[core.name], terms, chance.random)
 
     def way(self, a, b):
-        """Delay between two zones, ns: longer from region to region."""
+        """Return the delay between two zones in ns, which is longer between regions."""
         if region(a) == region(b):
             return super().way(a, b)
         return int(size.ASSUMED_REGION_DELAY * 1e9 * (0.9 + 0.2 * self.ways.uniform()))
 
-    # The roster.
+    # The roster
     def _list(self, name, entries):
-        """A dispatcher starts: it knows nothing and asks."""
+        """Connect a starting dispatcher, which has no list, to the roster."""
         if not self.list_log.entries:
             for entry in entries:
                 self.list_log.take(_raw(entry))
@@ -219,7 +220,7 @@
         stream.connect()
 
     def _refresh(self, name, life):
-        """A stream that is open hears everything; one that is not comes by itself."""
+        """Do nothing: an open stream gets all changes, and a closed one reconnects by itself."""
 
     def _told(self, entry):
         number = self.list_log.take(_raw(entry))
@@ -231,7 +232,7 @@
                 stream.push(data)
 
     def delay_to_roster(self, name):
-        """The roster stands in the first region."""
+        """Return the delay to the roster, which is in the first region."""
         return self.way(self.halls[name], self.day.halls[0])
 
     def _heartbeat(self):
@@ -250,24 +251,24 @@
                 del self.busy_links[link]
         self.after(CHECK_EVERY, self._check_all)
 
-    # Events.
+    # Events
     def at(self, seconds, call, *arguments):
-        """Schedules `call` at so many seconds of virtual time."""
+        """Schedule `call` at a virtual time in seconds."""
         self.clock.at(round(seconds * SECOND), call, *arguments)
 
     def lose_workers(self, names, down):
-        """Workers are killed and come back cold after `down` seconds."""
+        """Kill workers, which restart without copies after `down` seconds."""
         for name in names:
             if self.nodes[name].machine is not None:
                 self._restart(name, round(down * SECOND))
 
     def lose_dispatchers(self, names, down):
-        """Dispatchers are killed and started again after `down` seconds; they know nothing then."""
+        """Kill dispatchers, which restart without any state after `down` seconds."""
         for name in names:
             self._kill(name, round(down * SECOND))
 
     def close_roster(self, names=None):
-        """Those dispatchers, or all, lose the roster and can't reach it."""
+        """Disconnect these dispatchers, or all, from the roster and make it unreachable for them."""
         if names is None:
             self.closed = True
         else:
@@ -276,12 +277,12 @@
             self.streams[name].lose()
 
     def open_roster(self):
-        """The roster is there again; dispatchers come back when their pauses end."""
+        """Make the roster reachable again; dispatchers reconnect when their backoff ends."""
         self.closed = False
         self.stale.clear()
 
     def part_regions(self):
-        """Nothing passes between the regions; the roster is in the first one."""
+        """Cut all traffic between the regions; the roster is in the first one."""
         for name, zone in self.halls.items():
             for other in self.day.halls:
                 if region(zone) != region(other):
@@ -289,27 +290,27 @@
         self.close_roster([name for name, zone in self.halls.items() if region(zone)])
 
     def join_regions(self):
-        """They reach each other again."""
+        """Restore traffic between the regions."""
         self.cuts.clear()
         self.open_roster()
 
-    # What is asked of it.
+    # Queries
     def all_know(self):
-        """Whether each dispatcher that runs has the roster's present list."""
+        """Return whether each running dispatcher has the roster's current list."""
         return all(core.membership.number == self.list_log.number for core in self.cores.values())
 
     def dispatcher_seconds(self):
-        """Seconds of all dispatchers' lives, as if none were killed."""
+        """Return the total running time of all dispatchers in seconds, as if none were killed."""
         return len(self.day.dispatchers) * (self.day.length + self.day.settle) / SECOND
 
 
 def region(zone):
-    """0 or 1: the region of a zone."""
+    """Return the region of a zone: False (0) for the first, True (1) for the second."""
     return int(zone.rpartition("-")[2]) > size.ZONES_A_REGION
 
 
 def _raw(entry):
-    """An entry as the roster writes it, at an address of a usual length."""
+    """Return an entry in the form of the roster's JSON, with an address of typical length."""
     return {
         "worker": entry.worker,
         "address": f"10.0.{len(entry.worker)}.{entry.worker[1:]}:7000",
--- a/benchmarks/scale/larger_fleet.py
+++ b/benchmarks/scale/larger_fleet.py
@@ -1,17 +1,17 @@
-"""One real dispatcher with the same traffic in fleets of 36, 576 and 3,200 workers, against the operators'
-limits on how far its needs may grow.
+"""Runs one real dispatcher with the same traffic in fleets of 36, 576 and 3,200 workers, and compares it with
+the operators' limits on the growth of its needs.
 
 The dispatcher is a process, `python -m petrelwood.node`; clients, workers and the discovery by DNS are
 stand-ins on loopback (`tests/node_site.py`). Every worker has a listening socket of its own and answers after
-`SERVICE`. The traffic, the limits of the dispatcher and the functions are the same in each fleet, and the
-settings name as many more dispatchers as there are more workers, so that each has the same part of the
-fleet's capacity. The other dispatchers are not played: this one finds no copies that others have made.
+`SERVICE`. The traffic, the limits of the dispatcher and the functions are the same in each fleet. The number
+of dispatchers in the settings grows in proportion to the workers, so that each has the same share of the
+fleet's capacity. The other dispatchers are not simulated: this one finds no copies that others have made.
 
-How the list of workers arrives: whole in the configuration (`known`), and after that by DNS, asked for all
-the time, where an answer of 8,000 bytes holds the whole list. That is some 70 workers. Beyond it the
-discovery here answers with the truncation flag, the serial and no record, so that a larger fleet does not
-hear of changes: what the operators' discovery does then is a question in docs/node.md. `bytes of lists` are
-the answers' bytes."""
+The list of workers arrives complete in the configuration (`known`), and after that by continuous DNS queries,
+if the whole list fits an answer of 8,000 bytes, which holds about 70 workers. For more workers, this
+discovery answers with the truncation flag, the serial and no record, so that a larger fleet gets no changes;
+what the operators' discovery does then is a question in docs/node.md. `bytes of lists` are the bytes of the
+answers."""
 
 import asyncio
 import itertools
@@ -33,19 +33,19 @@
 sys.path.insert(0, str(pathlib.Path(__file__).parents[2] / "tests"))
 import node_site
 
-FLEETS = (36, 576, 3_200)  # the usual size first
+FLEETS = (36, 576, 3_200)  # workers of each fleet, the usual one first
 WORKERS_A_DISPATCHER = 36 / 200
 SERVICE = 0.02  # seconds that a worker takes for a call
-CHANGE_EVERY = 1.0  # seconds between two changes of the list: one worker is replaced
-ENDED = 0.1  # seconds in which the stand-ins see that their connections are closed
-CONNECTIONS = 8  # of clients
-TTL = 2_000  # ms that a client waits
-UNANSWERED = 6  # seconds after which a call is given up by the judge
+CHANGE_EVERY = 1.0  # seconds between two changes of the list, each of which replaces one worker
+ENDED = 0.1  # seconds within which the stand-ins notice that their connections are closed
+CONNECTIONS = 8  # client connections
+TTL = 2_000  # ms that a client waits for an answer
+UNANSWERED = 6  # seconds after which a call counts as unanswered
 SOCKETS, MEMORY_MB = 512, 96  # the dispatcher's limits
 HOLLOW = "clients, workers and discovery are stand-ins on loopback; the other dispatchers are not played"
 COMMAND = (sys.executable, "-m", "petrelwood.node")
-MOST_WRITTEN = 100  # entries of the list that are written into an answer: more than fit its 8,000 bytes
-WORKER_MEMORY = 40_000  # bytes that a stand-in worker takes
+MOST_WRITTEN = 100  # entries of the list that are encoded for an answer: more than fit its 8,000 bytes
+WORKER_MEMORY = 40_000  # bytes of a stand-in worker
 
 CPU, MEMORY, DESCRIPTORS = "CPU seconds", "peak memory", "descriptors"
 MADE, LISTS, SERVED = "connections made to workers", "bytes of lists", "share served"
@@ -53,8 +53,8 @@
 
 
 class Limit(NamedTuple):
-    """How far a figure may grow over the usual fleet's: `times` it, plus `plus`, plus `each_thousand` for
-    each thousand workers. `least`: it may not fall under that instead."""
+    """The limit of a figure, relative to the usual fleet: `times` its value, plus `plus`, plus
+    `each_thousand` for each thousand workers. With `least` it is a lower limit instead of an upper one."""
 
     times: float
     plus: float = 0.0
@@ -62,16 +62,16 @@
     least: bool = False
 
     def at(self, usual, workers):
-        """The limit in a fleet of so many workers."""
+        """Return the limit in a fleet of `workers` workers."""
         return self.times * usual + self.plus + self.each_thousand * workers / 1_000
 
     def keeps(self, usual, found, workers):
-        """Whether a figure lies within it."""
+        """Return whether a figure is within the limit."""
         limit = self.at(usual, workers)
         return found >= limit if self.least else found <= limit
 
 
-LIMITS = {  # the operators' table
+LIMITS = {  # from the operators' table
     CPU: Limit(1.4, 0.02, 0.12),
     MEMORY: Limit(1.5, 8.0, 4.0),
     DESCRIPTORS: Limit(2.0, 40),
@@ -91,16 +91,16 @@
 
 
 class Played(NamedTuple):
-    """What came of a day."""
+    """The result of a day."""
 
     figures: dict  # figure -> value
-    listed: int  # workers that the dispatcher knew at its start
-    truncated: bool  # whether the last answers of the discovery had no room for the list
-    unanswered: int  # calls that had no answer within `UNANSWERED`; none of them counts as served
+    listed: int  # number of workers that the dispatcher knew at its start
+    truncated: bool  # whether the list did not fit the last answers of the discovery
+    unanswered: int  # calls without an answer within `UNANSWERED`; none of them counts as served
 
 
 class Verdict(NamedTuple):
-    """One figure of a larger fleet beside its limit."""
+    """One figure of a larger fleet compared with its limit."""
 
     what: str
     workers: int
@@ -110,7 +110,7 @@
 
 
 def verdicts(usual, found, workers):
-    """A `Verdict` for each line of the table. `usual`, `found`: {figure: value}."""
+    """Return a `Verdict` for each row of the table. `usual`, `found`: {figure: value}."""
     return [
         Verdict(
             what,
@@ -124,7 +124,7 @@
 
 
 class CountedWorker(node_site.Worker):
-    """A stand-in worker; counts the connections that are made to it."""
+    """A stand-in worker that counts the connections made to it."""
 
     made = 0
 
@@ -141,18 +141,18 @@
 
 
 class CountedRoster(node_site.Roster):
-    """The discovery; counts the bytes of its answers. What is too long for one has the truncation flag."""
+    """The discovery; counts the bytes of its answers, and truncates the answer if the list does not fit."""
 
     def __init__(self):
         super().__init__()
         self.told, self.written, self.wire, self.truncated = 0, -1, b"", False
 
     def datagram_received(self, data, sender):
-        """A question: its answer, written anew only when the list has changed."""
+        """Answer a query; encode the answer only when the list has changed."""
         if self.written != self.serial:
             self.written = self.serial
-            # a part that does not fit is enough to know: writing 3,200 entries took 0.9 s, at each change of
-            # the list, in which the same loop's workers and clients stood still
+            # Encode only some entries, which is enough to see that the list does not fit: encoding 3,200
+            # entries blocked the event loop, with its workers and clients, for 0.9 s at each change.
             part = dict(itertools.islice(self.entries.items(), MOST_WRITTEN))
             try:
                 self.wire, self.truncated = node_site.answer(data, self.serial, part), False
@@ -174,12 +174,12 @@
 
 
 def settings(workers):
-    """What of the dispatcher's settings depends on the fleet."""
+    """Return the dispatcher's settings that depend on the fleet's size."""
     return {"balancers": round(workers / WORKERS_A_DISPATCHER)}
 
 
 async def played(workers, day, command=COMMAND):
-    """One dispatcher's day, from its start on: a `Played`."""
+    """Play one dispatcher's day from its start; return a `Played`."""
     fleet = [CountedWorker(f"s-{number:08x}") for number in range(workers)]
     site = node_site.Site(fleet, SOCKETS, MEMORY_MB, **settings(workers))
     site.roster, site.start = CountedRoster(), _Start(site.start, command)
@@ -204,13 +204,13 @@
 
 
 def _listed(log):
-    """The number of workers in the dispatcher's first line."""
+    """Return the number of workers in the dispatcher's "listening" log line."""
     lines = (json.loads(line) for line in log if '"listening"' in line)
     return next(lines)["workers"]
 
 
 class _Start:
-    """The site's start with another command."""
+    """Calls the site's `start` with another command."""
 
     def __init__(self, start, command):
         self.start, self.command = start, command
@@ -220,7 +220,7 @@
 
 
 async def _calls(clients, day):
-    """The part of the calls that was completed in its time, and how many had no answer at all."""
+    """Make the calls; return the share that was completed in time, and the number without an answer."""
     chance, calls, due = random.Random(day.seed), [], time.monotonic()
     until = due + day.seconds
     while (due := due + chance.expovariate(day.calls_a_second)) < until:
@@ -238,7 +238,7 @@
 
 
 async def _watch(site):
-    """The most descriptors that the dispatcher holds, until it is cancelled."""
+    """Watch the dispatcher until cancelled; return its largest number of descriptors."""
     most = 0
     try:
         while True:
@@ -254,7 +254,7 @@
 
 
 async def _replace(roster, fleet):
-    """The list changes: one worker after the other is gone, and comes back as another."""
+    """Change the list: remove one worker after the other, and add it again under a new name."""
     for number, worker in enumerate(fleet):
         await asyncio.sleep(CHANGE_EVERY)
         roster.tell(worker, "Gone")
@@ -264,7 +264,7 @@
 
 
 def processor_seconds(pid):
-    """Processor time of a process so far, finer than a clock tick."""
+    """Return the processor time of a process in seconds, more precise than clock ticks."""
     spent = 0
     for thread in pathlib.Path(f"/proc/{pid}/task").iterdir():
         spent += int((thread / "schedstat").read_text().split()[0])
@@ -272,13 +272,13 @@
 
 
 def peak_memory(pid):
-    """The most bytes of a process that were in memory."""
+    """Return the peak resident set size of a process in bytes."""
     lines = pathlib.Path(f"/proc/{pid}/status").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith("VmHWM:")) * 1024
 
 
 def jobs(plan):
-    """One job for each fleet and run."""
+    """Return one job for each fleet and run."""
     fleets = FLEETS[:2] if plan.small else FLEETS
     day = Day(seconds=3.0) if plan.small else Day()
     return [
@@ -296,7 +296,7 @@
 
 
 def play(workers, day, run):
-    """One fleet's day as samples."""
+    """Play one fleet's day; return its figures as samples."""
     day_played = asyncio.run(played(workers, day))
     if day_played.unanswered:
         raise TimeoutError(f"{day_played.unanswered} calls had no answer")
--- a/benchmarks/scale/parts.py
+++ b/benchmarks/scale/parts.py
@@ -1,6 +1,7 @@
-"""Slopes of single parts: placement, news of workers, memory and the list on the wire, each alone.
+"""Measures single parts by fleet size: placement, changes of workers, memory and the list on the wire.
 
-The real module, core and membership; nothing is sent anywhere, and there is no traffic but what is measured.
+Uses the real scheduling module, core and membership. Nothing is sent, and there is no traffic apart from the
+measured work.
 """
 
 from random import Random
@@ -29,9 +30,9 @@
 from petrelwood.node import roster, roster_protocol
 
 SECOND = 1_000_000_000
-REPEATS = 5  # of one measurement within a run; its median counts
-NEW_FUNCTIONS = 15  # first placements that one measurement takes the median of
-IDLE_SECONDS = 4  # of virtual time that timers are measured over
+REPEATS = 5  # repetitions of one measurement within a run, of which the median is used
+NEW_FUNCTIONS = 15  # first placements in one measurement, of which the median is used
+IDLE_SECONDS = 4  # virtual time over which timers are measured
 PARTS_MEMORY = BASE_MEMORY + 150_000_000  # bytes
 ALONE = "one module alone, no links and no traffic"
 WORKER_TARGETS = tuple(Target(reading.name, reading.workers) for reading in size.FLEET_READINGS)
@@ -47,7 +48,7 @@
 
 
 class SilentLink:
-    """A link that answers nothing; as `dispatch.core.Core` asks of one."""
+    """A link with the interface that `dispatch.core.Core` needs; it answers nothing."""
 
     def __init__(self, worker, address, core):
         self.worker, self.address = worker, address
@@ -58,19 +59,19 @@
     run = order_load = check_health = cancel = late = withdraw = recall = give_up = _nothing
 
     def has_open_calls(self):
-        """Nothing is ever out."""
+        """Return False: no call is ever open."""
         return False
 
 
 class AnsweringLink(SilentLink):
-    """A link whose worker has answered before the call returns."""
+    """A link whose worker answers before the call returns."""
 
     def __init__(self, worker, address, core):
         super().__init__(worker, address, core)
         self.core = core
 
     def run(self, act, n, fn, mark, left, lanes, body):
-        """Answers at once, as a worker with a warm copy does."""
+        """Answer at once, as a worker with a warm copy does."""
         core = self.core
         core.submit(
             core.send_ended,
@@ -86,21 +87,21 @@
 
 
 class IgnoringExchange:
-    """A client that hears its answer and forgets it."""
+    """A client exchange that ignores its answer."""
 
     act = None
 
     def answer(self, *arguments, **more):
-        """The final answer."""
+        """Ignore the final answer."""
 
 
 def worker_name(number):
-    """The name of a hollow worker."""
+    """Return the name of a hollow worker."""
     return f"w-{number:06d}"
 
 
 def listed(count, booted=0, restarted=frozenset()):
-    """A whole list for the module; those in `restarted` started at `booted`."""
+    """Return a whole list for the module; the workers in `restarted` were started at `booted`."""
     names = zones()
     return [
         ports.EndpointEntry(worker_name(n), names[n % len(names)], 0, booted if n in restarted else 0, True)
@@ -109,7 +110,7 @@
 
 
 def scheduler(workers, functions=0, outlet=None):
-    """A module with a list of workers and functions that it knows, without copies."""
+    """Return a module that knows a list of workers and functions, without copies."""
     made = Scheduler(0, gateway().terms, 1, outlet or SilentOutlet())
     made.endpoints_changed(0, listed(workers), True)
     for number in range(functions):
@@ -119,7 +120,7 @@
 
 
 def entries(count):
-    """A whole list as the roster tells it."""
+    """Return a whole list as the roster sends it."""
     names = zones()
     return [
         membership.Endpoint(
@@ -135,32 +136,32 @@
 
 
 def raw(entry):
-    """An entry as it stands in the roster's JSON."""
+    """Return an entry in the form of the roster's JSON."""
     return entry._replace(address=f"{entry.address[0]}:{entry.address[1]}")._asdict()
 
 
 def core(link=SilentLink, **limits):
-    """A dispatcher without links to anywhere, on a virtual clock."""
+    """Return a dispatcher without real links, on a virtual clock."""
     described = gateway()
     described = described._replace(limits=described.limits._replace(**limits), early=None)
     return Core(described, VirtualClock(), Random(1), link, Silent())
 
 
 def hear_list(dispatcher, told):
-    """Tells a core a whole list."""
+    """Apply a whole list to a core."""
     now, wall = dispatcher.now(), dispatcher.clock.wall()
     dispatcher.endpoints_changed(*dispatcher.membership.apply_list("e-1", told, now, wall), True)
 
 
-# Placement.
+# Placement
 def place(module, key):
-    """A first call of a function."""
+    """Let a call of a function arrive."""
     arrival = ports.Arrival(f"act-{key}", key, "call", "caller", 5 * SECOND, 4, 0, 0)
     module.activation_arrived(SECOND, arrival)
 
 
 def placement_seconds(workers):
-    """Processor time of a function's first placement, the median of several."""
+    """Return the processor time of a function's first placement, the median of several."""
     module = scheduler(workers)
     return median(
         counting.processor_seconds(place, module, f"new-{number}") for number in range(NEW_FUNCTIONS)
@@ -168,74 +169,74 @@
 
 
 def placement_operations(workers):
-    """Counted operations of a function's first placement."""
+    """Return the operations of a function's first placement."""
     return counting.operations(place, scheduler(workers), "new")
 
 
-# News of workers.
+# Changes of workers
 def hear_change(module, number, booted):
-    """One worker has restarted, told as a change."""
+    """Return a call that reports the restart of one worker as a change."""
     one = listed(number + 1)[number]._replace(booted=booted)
     return lambda: module.endpoints_changed(SECOND, [one], False)
 
 
 def hear_whole(module, workers, restarted, booted):
-    """So many workers have restarted, told by the whole list."""
+    """Return a call that reports the restart of some workers by the whole list."""
     told = listed(workers, booted, frozenset(range(restarted)))
     return lambda: module.endpoints_changed(SECOND, told, True)
 
 
 def news_seconds(make_call):
-    """Processor time of news of workers; `make_call(n)` gives the nth call, with other starts in it."""
+    """Return the processor time of a report; `make_call(n)` returns the nth call, with new start times."""
     return median(counting.processor_seconds(make_call(1 + n)) for n in range(REPEATS))
 
 
 def change_seconds(workers, functions):
-    """One worker restarted, told as a change."""
+    """Return the processor time of one worker's restart, reported as a change."""
     module = scheduler(workers, functions)
     return news_seconds(lambda n: hear_change(module, 0, n))
 
 
 def whole_seconds(workers, functions):
-    """One worker restarted, the whole list told."""
+    """Return the processor time of one worker's restart, reported by the whole list."""
     module = scheduler(workers, functions)
     return news_seconds(lambda n: hear_whole(module, workers, 1, n))
 
 
 def twentieth_seconds(workers, functions):
-    """A twentieth of the workers restarted, the whole list told."""
+    """Return the processor time of the restart of a twentieth of the workers, reported by the whole list."""
     module = scheduler(workers, functions)
     return news_seconds(lambda n: hear_whole(module, workers, workers // 20, n))
 
 
 def change_operations(workers, functions):
-    """Counted operations of one worker's restart, told as a change."""
+    """Return the operations of one worker's restart, reported as a change."""
     return counting.operations(hear_change(scheduler(workers, functions), 0, 1))
 
 
 def whole_operations(workers, functions):
-    """Counted operations of one worker's restart, told by the whole list."""
+    """Return the operations of one worker's restart, reported by the whole list."""
     return counting.operations(hear_whole(scheduler(workers, functions), workers, 1, 1))
 
 
-# Timers.
+# Timers
 class NotingOutlet(SilentOutlet):
-    """Notes when the module wants to be woken and whom it probes."""
+    """Records the timers that the module sets and the workers that it probes."""
 
     def __init__(self):
         self.wakes, self.probes = [], []
 
     def check_health(self, worker):
-        """The module wants a load report."""
+        """Record a probe of a worker."""
         self.probes.append(worker)
 
     def set_timer(self, mark, wait):
-        """The module wants a ring after `wait` ns."""
+        """Record a timer that fires after `wait` ns."""
         self.wakes.append(wait)
 
 
 def ring_for(module, outlet, start, seconds):
-    """Lets so many seconds of virtual time pass in which nothing happens but the module's own timers."""
+    """Advance virtual time by so many seconds in which only the module's own timers fire."""
     now = start
     while now < start + seconds * SECOND:
         now += outlet.wakes.pop()
@@ -243,7 +244,7 @@
 
 
 def idle_module(workers):
-    """A module with a list of workers, just started, and its outlet."""
+    """Return a module that has just started with a list of workers, and its outlet."""
     outlet = NotingOutlet()
     made = Scheduler(0, gateway().terms, 1, outlet)
     made.endpoints_changed(0, listed(workers), True)
@@ -252,20 +253,20 @@
 
 
 def idle_seconds(workers):
-    """Processor time of a module's timers in a second in which nothing happens."""
+    """Return the processor time of a module's timers in a second without events."""
     made, outlet = idle_module(workers)
     return counting.processor_seconds(ring_for, made, outlet, 2 * SECOND, IDLE_SECONDS) / IDLE_SECONDS
 
 
 def idle_operations(workers):
-    """Counted operations of a module's timers in a second in which nothing happens."""
+    """Return the operations of a module's timers in a second without events."""
     made, outlet = idle_module(workers)
     return counting.operations(ring_for, made, outlet, 2 * SECOND, IDLE_SECONDS) / IDLE_SECONDS
 
 
-# A call of a function whose copy is known.
+# Calls of a function with a known copy
 def warm_call(workers, functions):
-    """A module that knows a copy of a function, and what a further call of it and its answer make it do."""
+    """Prepare a module that knows a copy of a function; return a call that plays one more call and answer."""
     outlet = NotingOutlet()
     module = scheduler(workers, functions, outlet)
     place(module, "known")
@@ -278,13 +279,13 @@
 
 
 def place_answer(module, act_id, worker, now):
-    """A worker's answer to a first send."""
+    """Report a worker's answer to the first send of an activation."""
     reason, note = ports.EndReason.COMPLETED, ports.CopyNote.FOUND_WARM
     module.attempt_ended(now, ports.AttemptEnd(act_id, 0, worker, reason, note, True, SECOND // 20, None))
 
 
 def call_again(module, now):
-    """A call of the known function, and its answer."""
+    """Play a call of the known function, and its answer."""
     arrival = ports.Arrival("act-again", "known", "call", "caller", now + 4 * SECOND, 4, 0, 0)
     module.activation_arrived(now, arrival)
     (send,) = module.activations["act-again"].attempts
@@ -292,32 +293,32 @@
 
 
 def warm_call_operations(workers, functions):
-    """Counted operations of a call of a function whose copy is known, and of its answer."""
+    """Return the operations of a call of a function with a known copy, including its answer."""
     return counting.operations(warm_call(workers, functions))
 
 
-# Memory.
+# Memory
 def idle_link(worker, address, core):
-    """The link of a running dispatcher, never connected."""
+    """Return a real link that is never connected."""
     return WorkerLink(worker, address, core.gateway.workers, core.chance.random, core, core.log)
 
 
 def memory_with_workers(workers):
-    """Bytes that a core holds with a list of so many workers: membership, module, links without
+    """Return the bytes of a core with a list of workers: membership, module, and links without
     connections."""
     dispatcher, data = core(idle_link), event_list(entries(workers))
     return counting.bytes_kept(lambda: hear_list(dispatcher, read_event_list(data)))[1]
 
 
 def ask(dispatcher, number, function):
-    """A call that is answered at once."""
+    """Admit a call, which is answered at once."""
     now = dispatcher.now()
     asked = ActivationRequest("caller", f"id-{number}", dispatcher.clock.wall() + SECOND, "call", now, 0)
     dispatcher.admit(asked, function, dispatcher.rule(function), 0, IgnoringExchange())
 
 
 def memory_with_calls(count, functions):
-    """Bytes that a core holds after so many calls of so many functions, each with an id of its own."""
+    """Return the bytes that `count` calls of so many functions add to a core, each with its own id."""
     dispatcher = core(AnsweringLink, ledger=max(1000, 2 * count))
     hear_list(dispatcher, entries(6))
     ask(dispatcher, -1, "f-warm-up")
@@ -328,41 +329,42 @@
 
     kept = counting.bytes_kept(call_all)[1]
     if len(dispatcher.ledger.entries) != count + 1:
-        raise RuntimeError(f"{len(dispatcher.ledger.entries)} ids are known of {count + 1}")
+        raise RuntimeError(f"the ledger has {len(dispatcher.ledger.entries)} ids instead of {count + 1}")
     return kept
 
 
 def memory_with_ids(count):
-    """As many ids of one function."""
+    """Return the bytes that this number of remembered ids adds, all of one function."""
     return memory_with_calls(count, 1)
 
 
 def remembered_ids():
-    """How many ids one dispatcher remembers at the size, by the settings."""
+    """Return the number of ids that one dispatcher remembers at the design size with these settings."""
     longest = max(gateway().remember.values()) / SECOND
     return size.CALLS_A_SECOND_A_DISPATCHER * longest
 
 
 def memory_with_functions(count):
-    """As many functions called once, less what their ids take."""
+    """Return the bytes that this number of functions, each called once, adds without the calls' ids."""
     return memory_with_calls(count, count) - memory_with_ids(count)
 
 
-# The list on the wire.
+# The list on the wire
 def event_list(told):
-    """The whole list as a server-sent event."""
+    """Return the whole list as a server-sent event."""
     return sse.event("list", orjson.dumps([raw(entry) for entry in told]).decode(), "e-1")
 
 
 def read_event_list(data):
-    """The membership's entries of its bytes, as a dispatcher reads them."""
+    """Decode the bytes of a list event as a dispatcher does; return the membership's entries."""
     ((_, text, _),) = sse.EventReader().feed(data)
     return [membership.decode_endpoint(one) for one in orjson.loads(text)]
 
 
 def dns_list(told):
-    """The whole list as a DNS answer: an SRV, an A and a TXT record for each worker; 64 KB are a datagram's
-    most."""
+    """Return the whole list as a DNS answer: an SRV, an A and a TXT record for each worker.
+
+    The largest possible datagram is 64 KB."""
     name = roster_protocol.SERVICE_NAME
     message = dns.message.make_response(dns.message.make_query(name, dns.rdatatype.SRV))
     targets = [f"{entry.worker}.{entry.zone}.{name}" for entry in told]
@@ -382,17 +384,17 @@
 
 
 def list_seconds(read, data):
-    """Processor time of reading a list."""
+    """Return the processor time of reading a list."""
     return median(counting.processor_seconds(read, data) for _ in range(REPEATS))
 
 
 def samples(measure, sizes, run, scale=1.0):
-    """The `Sample`s of `measure(size)` over sizes."""
+    """Return the `Sample`s of `measure(size)` for several sizes."""
     return tuple(Sample(x, measure(x) * scale, run) for x in sizes)
 
 
 def jobs(plan):
-    """One job a run."""
+    """Return one job for each run."""
     return [
         Job(f"parts, run {run + 1}", __name__, "play", {"run": run, "small": plan.small}, PARTS_MEMORY)
         for run in range(plan.runs)
@@ -400,12 +402,12 @@
 
 
 def play(run, small):
-    """All parts once."""
+    """Measure all parts once."""
     return Outcome(tuple(figures(run, small)))
 
 
 def figures(run=0, small=False):
-    """All figures of single parts, with the samples of one run."""
+    """Yield all figures of single parts, with the samples of one run."""
     fleet = (100, 400) if small else (100, 1_000, 4_000, 10_000)
     counted = (50, 100, 200) if small else (100, 1_000, 4_000)
     known = (100, 500) if small else (500, 3_000, 13_000)
--- a/benchmarks/scale/real.py
+++ b/benchmarks/scale/real.py
@@ -1,8 +1,8 @@
-"""A real dispatcher process on loopback beside a hollow one: what each costs and sends for the same work.
+"""Compares a real dispatcher process on loopback with a hollow one: cost and traffic for the same work.
 
-The real one is `petrelwood serve` with the settings of a hollow site, in front of stand-in workers and a
-stand-in roster that count what passes. Sockets, HTTP and the loop are what the hollow one lacks: processor
-time of calls and of an idle second is shown beside the real one's without a claim that they agree."""
+The real one is `petrelwood serve` with the settings of a hollow site, with stand-in workers and a stand-in
+roster that count messages. The hollow one lacks sockets, HTTP and the event loop, so processor time of calls
+and of an idle second is shown for both, but they need not agree."""
 
 import asyncio
 import multiprocessing
@@ -32,37 +32,37 @@
 
 
 class Amount(NamedTuple):
-    """How much is measured."""
+    """The amount of work that is measured."""
 
     site: site.SiteSize
-    listed: int  # workers on the list that are never called, for what a list costs
+    listed: int  # workers on the list that are never called, to measure the cost of a list
     changes: int
     lists: int
 
 
 FULL = Amount(site.SiteSize(1, 12, 20, 40.0, 8), 1_000, 200, 20)
 SMALL = Amount(site.SiteSize(1, 12, 10, 20.0, 3), 100, 20, 5)
-EPOCH = f"{1_700_000_000 * 10**9:x}"  # as long as the stand-in roster's
+EPOCH = f"{1_700_000_000 * 10**9:x}"  # has the same length as the stand-in roster's
 BOOTED = 1_700_000_000 * 10**9  # wall clock, ns
 TOOK = 0.02  # seconds that a stand-in worker takes for a call
 SETTLE = 1.0  # seconds of quiet before a measurement
-REAL_PROCESSES = 4  # the job itself, the stand-ins, the dispatcher, and one that Python starts beside
+REAL_PROCESSES = 4  # the job itself, the stand-ins, the dispatcher, and a helper process of multiprocessing
 
-# By how much a hollow figure may differ from the real one, as a part of it. Messages and bytes are made by
-# the same code and differ by the length of names; processor time for the list lacks the socket, the HTTP
-# chunks and the loop's turn; memory lacks the allocator's rounding.
+# Largest difference of a hollow figure from the real one, relative to the real one. Messages and bytes are
+# produced by the same code and differ by the length of names; the hollow processor time for the list lacks
+# sockets, HTTP chunks and iterations of the event loop; hollow memory lacks the allocator's rounding.
 MESSAGES_TOLERANCE, BYTES_TOLERANCE, TIME_TOLERANCE, MEMORY_TOLERANCE = 0.05, 0.10, 0.50, 0.30
 IDLE = ("an idle second", "ms of processor time, not claimed to agree")
 
 
 class CountedStream:
-    """A worker's end of a connection; counts what the dispatcher sends."""
+    """A worker's side of a connection that counts the dispatcher's messages and bytes."""
 
     def __init__(self, stream, counts):
         self.stream, self.counts, self.reader = stream, counts, rpc.Reader(1 << 24)
 
     async def read_bytes(self, most, partial):
-        """Bytes of the dispatcher, counted by method."""
+        """Read bytes from the dispatcher, and count messages by method."""
         data = await self.stream.read_bytes(most, partial=partial)
         for message in self.reader.feed(data):
             method = message[2] if message[0] == rpc.REQUEST else message[1]
@@ -78,7 +78,7 @@
 
 
 class CountedWorker(bench.Plain):
-    """The bench's plain worker, counted."""
+    """The stand-in worker of `benchmarks.dispatcher` with counters."""
 
     counts = Counter()
 
@@ -87,7 +87,7 @@
 
 
 class CountedRoster(Roster):
-    """The stand-in roster, counted."""
+    """The stand-in roster with counters."""
 
     def __init__(self):
         super().__init__(SimpleNamespace(roster_late=0), SimpleNamespace(put=lambda *facts, **more: None))
@@ -99,13 +99,13 @@
         return super().push(stream, to, kind, entries, number)
 
     def tell_whole(self):
-        """The whole list once more, to all."""
+        """Send the whole list to all streams again."""
         for stream, to in list(self.streams.items()):
             self.push(stream, to, "list", list(self.log.entries.values()), self.log.number)
 
 
 def stand_ins(pipe, workers):
-    """The process of all stand-ins; it does what the pipe says until that closes."""
+    """Run the process of all stand-ins, which follows commands from the pipe until that closes."""
     asyncio.run(_stand_ins(pipe, workers))
 
 
@@ -142,7 +142,7 @@
 
 
 def entry(worker, address, zone, booted):
-    """An entry of the roster's JSON."""
+    """Return an entry of the roster's JSON."""
     return {
         "worker": worker,
         "address": address,
@@ -154,19 +154,19 @@
 
 
 def more_entries(count):
-    """Entries that are listed and never called."""
+    """Return entries of workers that are listed but never called."""
     names = site.zones()
     return [entry(f"idle-{n:05d}", f"127.0.0.1:{1 + n}", names[n % len(names)], 0) for n in range(count)]
 
 
 def called_entries(count):
-    """Entries of the workers that are called, at ports of the usual length."""
+    """Return entries of the workers that are called, with port numbers of typical length."""
     names = site.zones()
     return [entry(f"w{n + 1}", f"127.0.0.1:{40_000 + n}", names[n % len(names)], 0) for n in range(count)]
 
 
 class RealSite(bench.Setup):
-    """A real dispatcher with the settings of a hollow site's."""
+    """A real dispatcher with the settings of a hollow site."""
 
     customer, prefix = "caller", "f-"
 
@@ -186,30 +186,30 @@
         self._serve(path)
 
     def call_id(self):
-        """As the hollow site's clients name theirs."""
+        """Return an id in the form that the hollow site's clients use."""
         return f"m{self.number}"
 
     def close(self):
-        """Ends the dispatcher and the stand-ins."""
+        """End the dispatcher and the stand-ins."""
         super().close()
         self.child.stdout.close()
         self.pipe.close()
         self.backend.join()
 
     def tell(self, *what):
-        """Has the stand-ins do something; what they have counted so far: (of workers, of the roster)."""
+        """Send a command to the stand-ins; return the counters of the workers and of the roster."""
         self.pipe.send(what)
         workers, roster = self.pipe.recv()
         return Counter(workers), Counter(roster)
 
     def processor_seconds(self):
-        """Processor time of the dispatcher so far, in seconds, finer than the clock tick of
+        """Return the processor time of the dispatcher in seconds, more precise than the ticks of
         /proc/PID/stat."""
         with open(f"/proc/{self.child.pid}/schedstat", encoding="ascii") as file:
             return int(file.read().split()[0]) / 1e9
 
     def settled(self):
-        """Processor time once the dispatcher has done what it was told: it grows no faster than when idle."""
+        """Wait until the dispatcher uses hardly any processor time; return its processor time until then."""
         before = self.processor_seconds()
         while True:
             time.sleep(SETTLE / 4)
@@ -220,7 +220,7 @@
 
 
 def jobs(plan):
-    """One job a run."""
+    """Return one job for each run."""
     memory = 2 * BASE_MEMORY + 300_000_000
     return [
         Job(
@@ -236,14 +236,14 @@
 
 
 def play(run, small):
-    """Both, side by side."""
+    """Measure a hollow and a real dispatcher."""
     amount = SMALL if small else FULL
     return Outcome(comparisons=compared(measure_hollow(amount, run), measure_real(amount), run))
 
 
 def compared(hollow, real, run):
-    """The `Comparison`s of what was measured of both."""
-    tolerances = {  # by unit; what has another unit is shown and not claimed to agree
+    """Return the `Comparison`s of the measurements of both."""
+    tolerances = {  # by unit; figures with other units are shown but need not agree
         "messages": MESSAGES_TOLERANCE,
         "bytes": BYTES_TOLERANCE,
         "ms": TIME_TOLERANCE,
@@ -260,8 +260,9 @@
 
 
 def measure_real(amount, tries=5):
-    """{(quantity, unit): value} of a real dispatcher that has served all calls. Raises `Disturbed` where none
-    of so many tries could."""
+    """Return {(quantity, unit): value} of a real dispatcher that has served all calls.
+
+    Raise `Disturbed` if it did not serve all calls in any of the tries."""
     for _ in range(tries - 1):
         try:
             return _measure_once(amount)
@@ -294,7 +295,7 @@
 
 
 def _real_idle(setup):
-    """Processor seconds of the dispatcher in a second without calls or news."""
+    """Return the processor seconds of the dispatcher in a second without calls or changes."""
     setup.settled()
     cpu, begun = setup.processor_seconds(), time.monotonic()
     time.sleep(3 * SETTLE)
@@ -302,8 +303,8 @@
 
 
 def _real_work(setup, idle, work):
-    """(processor seconds beyond the idle ones that `work()` makes the dispatcher spend, what the roster
-    told)."""
+    """Return the processor seconds (above idle) that `work()` causes in the dispatcher, and the roster's
+    counters for it."""
     before, cpu, begun = setup.tell("counts")[1], setup.settled(), time.monotonic()
     work()
     spent = setup.settled() - cpu - idle * (time.monotonic() - begun)
@@ -338,12 +339,12 @@
 
 
 def restarted(one, number):
-    """An entry with another start."""
+    """Return an entry with a new start time."""
     return {**one, "booted": BOOTED + number}
 
 
 def measure_hollow(amount, run):
-    """The same of a hollow dispatcher."""
+    """Return {(quantity, unit): value} of a hollow dispatcher."""
     return {**_hollow_calls(amount.site, run), **_hollow_lists(amount)}
 
 
--- a/benchmarks/scale/report.py
+++ b/benchmarks/scale/report.py
@@ -1,4 +1,4 @@
-"""Writes what a scale run has found: `scale.json`, `scale.md` and `scale.png`."""
+"""Writes the results of a scale run: `scale.json`, `scale.md` and `scale.png`."""
 
 import datetime
 import pathlib
@@ -22,12 +22,12 @@
     "beyond the range",
     "hollow",
 )
-DRAWN_FROM = 1.2  # the largest value over the least one: what grows less is not drawn
+DRAWN_FROM = 1.2  # smallest ratio of the largest to the smallest value of a figure that is drawn
 ROOT = pathlib.Path(__file__).parents[2]
 
 
 def write(out, plan, finished, took):
-    """Writes all three files to the folder `out`. `took`: seconds of the run."""
+    """Write all three files to the folder `out`. `took`: duration of the run in seconds."""
     out.mkdir(parents=True, exist_ok=True)
     found = figures.merged(f for outcome in finished.outcomes.values() for f in outcome.figures)
     found.sort(key=lambda figure: figure.name)
@@ -51,7 +51,7 @@
 
 
 def heading(plan, finished, took):
-    """What was run and how it ended."""
+    """Return a description of the run and how it ended."""
     return {
         "complete": not (finished.stopped or finished.failed or finished.not_run),
         "stopped": finished.stopped,
@@ -92,7 +92,7 @@
 
 
 def markdown(head, found, events, comparisons, budgets):
-    """The tables."""
+    """Return the report with all tables as Markdown."""
     lines = ["# Scale run", ""]
     if head["complete"]:
         lines += [f"Complete: commit {head['commit']}, {head['date']}, {head['seconds']:.0f} s."]
@@ -141,7 +141,7 @@
 
 
 def _note(one, notes):
-    """The number of the note that says what is hollow in it."""
+    """Return the reference to the note that describes the simulated parts of a figure or event."""
     return f"({notes.index(one.hollow) + 1})"
 
 
@@ -211,7 +211,7 @@
 
 
 def chart(path, found, partial):
-    """One small plot for each figure that grows with the fleet."""
+    """Draw a small plot for each figure that grows with the fleet."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/benchmarks/scale/rows.py
+++ b/benchmarks/scale/rows.py
@@ -1,5 +1,4 @@
-"""Rows of hollow sites: one size grows, the others stay, and what each dispatcher and call costs is
-fitted."""
+"""Rows of hollow sites: varies one size, keeps the others, and fits the cost per dispatcher and per call."""
 
 import gc
 
@@ -11,7 +10,7 @@
 from benchmarks.scale.site import SiteSize
 
 USUAL = SiteSize(50, 100, 500, 200.0, 8)
-RESTART_AT, RESTART_DOWN = 3.0, 2.0  # seconds of virtual time: one worker is lost and comes back
+RESTART_AT, RESTART_DOWN = 3.0, 2.0  # seconds of virtual time: when one worker is lost, and for how long
 RESTARTED = "w3"
 
 DISPATCHERS, WORKERS, FUNCTIONS, CALLS = "dispatchers", "workers", "functions", "calls a second"
@@ -45,8 +44,8 @@
     "calls completed in time": "part",
     "memory of a dispatcher with all it reaches": "KB",
 }
-# Quantities that are no line of what grows (shares, and what goes with them, bend): not worked out beyond.
-BENT = {
+# Quantities that don't grow linearly (ratios and those that depend on them), so they are not extrapolated.
+NONLINEAR = {
     "messages of a call",
     "bytes of a call",
     "load orders of a call",
@@ -57,7 +56,7 @@
 
 
 def sites(plan):
-    """{what grows: [SiteSize]}, and the largest site under None."""
+    """Return {varied size: [SiteSize]}, with the largest site under None."""
     if plan.small:
         return {DISPATCHERS: [SiteSize(d, 20, 50, 2.0 * d, 5) for d in (5, 10, 20)]}
     usual = USUAL._replace(seconds=plan.seconds)
@@ -72,7 +71,7 @@
 
 
 def jobs(plan):
-    """One job for each site and run; the largest first."""
+    """Return one job for each site and run, the largest first."""
     made = []
     for growing, row in sites(plan).items():
         for site in row:
@@ -84,7 +83,7 @@
 
 
 def describe(site):
-    """A site in words."""
+    """Return a description of a site."""
     return (
         f"{site.dispatchers} dispatchers, {site.workers} workers, {site.functions:,} functions, "
         f"{site.calls_a_second:g} calls/s"
@@ -92,7 +91,7 @@
 
 
 def play(growing, site, run):
-    """Plays one site; its quantities as samples."""
+    """Play one site; return its quantities as samples."""
     values = measure(site, run)
     if growing is None:
         name = f"largest: {describe(site)}"
@@ -113,7 +112,7 @@
                 growing,
                 (Sample(x, y, run),),
                 HOLLOW,
-                () if what in BENT else TARGETS[growing],
+                () if what in NONLINEAR else TARGETS[growing],
             )
             for what, y in values.items()
         )
@@ -121,7 +120,7 @@
 
 
 def measure(site, run):
-    """{quantity: value} of a site with one worker that is lost and comes back."""
+    """Return {quantity: value} of a site in which one worker is lost and returns."""
     gc.disable()
     before = counting.resident_bytes()
     fleet = HollowFleet(site, run + 1)
@@ -131,13 +130,13 @@
     fleet.at(RESTART_AT, fleet.lose_workers, [RESTARTED], RESTART_DOWN)
     fleet.run()
     if not fleet.all_know():
-        raise RuntimeError("a dispatcher does not have the present list at the end")
+        raise RuntimeError("a dispatcher does not have the current list of workers at the end of the run")
     return quantities(fleet, site, built - before, first_news[0])
 
 
 def quantities(fleet, site, memory, first_news):
-    """What a played fleet comes to. `memory`: bytes of it before a call; `first_news`: ns that the first
-    lists took."""
+    """Return the quantities of a played fleet. `memory`: its bytes before any call; `first_news`: the ns of
+    processor time for the first lists."""
     traffic, processor = fleet.traffic, fleet.processor
     wishes = len(fleet.clients.wishes) or 1
     in_time = sum(second["in time"] for second in fleet.time_course)
--- a/benchmarks/scale/runner.py
+++ b/benchmarks/scale/runner.py
@@ -1,7 +1,7 @@
-"""Plays the jobs of a scale run, each in a process of its own, within bounds on memory, processes and time.
+"""Runs the jobs of a scale run, each in a process of its own, within limits on memory, processes and time.
 
-What does not fit the machine is refused before anything starts. A run that is interrupted or out of time ends
-its jobs and keeps what is done."""
+A run that does not fit the machine is refused before it starts. A run that is interrupted or out of time ends
+its jobs and keeps the finished results."""
 
 import importlib
 import multiprocessing
@@ -13,32 +13,32 @@
 from typing import NamedTuple
 
 MOST_PROCESSES = 100
-MEMORY_SHARE = 0.5  # of the machine's
+MEMORY_SHARE = 0.5  # share of the machine's memory
 MOST_SECONDS = 600
-END_WITHIN = 3.0  # seconds that a job's processes have to end after they were told to
-LOOK_EVERY = 0.5
+END_WITHIN = 3.0  # seconds that a job's processes have to end after a signal
+LOOK_EVERY = 0.5  # seconds between two checks of the deadline
 
 
 class TooLarge(Exception):
-    """What is asked for does not fit the machine."""
+    """The requested run does not fit the machine."""
 
 
 class Finished(NamedTuple):
-    """What came of all jobs."""
+    """The results of all jobs."""
 
     outcomes: dict  # job name -> plan.Outcome
-    failed: dict  # job name -> why
-    not_run: tuple  # names
-    stopped: str  # why it stopped early; "": it did not
+    failed: dict  # job name -> reason
+    not_run: tuple  # job names
+    stopped: str  # why the run stopped early, "" if it did not
 
 
 def machine_memory():
-    """Bytes of memory that the machine has."""
+    """Return the bytes of memory that the machine has."""
     return os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
 
 
 def check_fits(jobs, at_once, memory=None):
-    """Raises `TooLarge` where jobs played `at_once` would need too much."""
+    """Raise `TooLarge` if jobs would need too much when `at_once` of them run at a time."""
     memory = memory or machine_memory()
     allowed = round(MEMORY_SHARE * memory)
     for what, needs, most, unit, scale in (
@@ -57,11 +57,11 @@
 
 
 def _play(job, pipe):
-    """In the job's own process and process group."""
+    """Run a job in its own process and process group; send the result through the pipe."""
     os.setsid()
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, signal.SIG_DFL)
-    signal.alarm(MOST_SECONDS)  # it ends by itself, whatever becomes of the process that started it
+    signal.alarm(MOST_SECONDS)  # ends the job even if the process that started it is gone
     try:
         pipe.send((True, getattr(importlib.import_module(job.module), job.function)(**job.arguments)))
     except BaseException as fault:
@@ -69,7 +69,7 @@
 
 
 class Runner:
-    """Plays jobs, `at_once` at a time. `stop(why)` may be called from a signal handler."""
+    """Runs jobs, `at_once` at a time. `stop(why)` may be called from a signal handler."""
 
     def __init__(self, jobs, at_once, seconds, progress):
         self.waiting, self.at_once, self.progress = list(jobs), at_once, progress
@@ -78,11 +78,11 @@
         self.context = multiprocessing.get_context("spawn")
 
     def stop(self, why):
-        """No more jobs begin, and those that run are ended."""
+        """Start no more jobs, and end the running ones."""
         self.stopped = self.stopped or why
 
     def run(self):
-        """Plays all; what came of them."""
+        """Run all jobs; return their results."""
         try:
             while (self.waiting or self.running) and not self.stopped:
                 if time.monotonic() > self.deadline:
@@ -121,13 +121,13 @@
             self.progress(f"[{done}/{self.total}] {job.name}" + ("" if good else f" FAILED: {result}"))
 
     def _end(self, pipe):
-        """Ends a job's process and all that it has started."""
+        """End a job's process and the processes that it started."""
         _, process = self.running.pop(pipe)
         pipe.close()
         for number in (signal.SIGTERM, signal.SIGKILL):
             try:
                 os.killpg(process.pid, number)
-            except ProcessLookupError:  # not yet a group of its own, or gone
+            except ProcessLookupError:  # the process has no group of its own yet, or has ended
                 process.terminate()
             process.join(END_WITHIN)
             if process.exitcode is not None:
--- a/benchmarks/scale/site.py
+++ b/benchmarks/scale/site.py
@@ -1,4 +1,4 @@
-"""The site that a scale run plays: the emulator's script and the settings, made from a handful of sizes."""
+"""Makes the emulator's script and the settings of the site of a scale run from a few sizes."""
 
 from typing import NamedTuple
 
@@ -43,7 +43,7 @@
 
 
 class SiteSize(NamedTuple):
-    """How much of everything a hollow site has."""
+    """The sizes of a hollow site."""
 
     dispatchers: int
     workers: int
@@ -54,12 +54,12 @@
 
 
 def zones():
-    """The names of the zones; the first half of them is the first region."""
+    """Return the names of the zones; the first half of them forms the first region."""
     return tuple(f"zone-{number + 1}" for number in range(size.ZONES))
 
 
 def day(site, troubles=(), name="scale"):
-    """The emulator's day of a `SiteSize`. `troubles` are lines of its script."""
+    """Return the emulator's day for a `SiteSize`; `troubles` are additional lines of its script."""
     text = SCRIPT.format(
         name=name,
         zones=" ".join(f'"{zone}"' for zone in zones()),
@@ -71,7 +71,7 @@
 
 
 def gateway(dispatchers=size.DISPATCHERS):
-    """The settings of one dispatcher of a site with so many."""
+    """Return the settings of one dispatcher of a site with this number of dispatchers."""
     described = day(SiteSize(dispatchers, 1, 1, 1.0, 1))
     text = script.gateway_text(described, "d1", 1, "127.0.0.1:1", "127.0.0.1:1", {"caller": [KEY]}, 1)
     return settings.read("scale", text)
--- a/benchmarks/soak/__init__.py
+++ b/benchmarks/soak/__init__.py
@@ -1,5 +1,6 @@
-"""A soak of restarts: whole dispatchers are ended under load over many seeds, and judged by what others saw.
+"""A soak test of restarts: ends whole dispatchers under load over many seeds and checks what their peers saw.
 
-`plan` draws what a seed plays, `peers` are the workers and the roster, `clients` the callers, `play` runs one
-seed, `records` is what all of them saw, and `judge` holds that against the rules of the platform's protocol.
+`plan` draws the scenario of a seed, `peers` has the workers and the roster, `clients` the callers, `play`
+runs one seed, `records` holds what all of them observed, and `judge` checks that against the rules of the
+platform's protocol.
 """
--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -1,4 +1,7 @@
-"""`python -m benchmarks.soak`: shutdowns over many seeds, a line each; exit code 1 if one breaks a rule."""
+"""`python -m benchmarks.soak`: runs shutdowns over many seeds and prints a line for each.
+
+The exit code is 1 if a seed breaks a rule.
+"""
 
 import asyncio
 import itertools
@@ -14,13 +17,13 @@
 from benchmarks.soak.plan import Front, draw
 from benchmarks.soak.play import play
 
-FINDINGS_SHOWN = 5  # of a seed; the rest is in its log
+FINDINGS_SHOWN = 5  # per seed; the rest is in its log
 LOGS = pathlib.Path("soak-logs")
 
 
 @dataclass(frozen=True, slots=True)
 class SeedResult:
-    """What one seed showed."""
+    """The result of one seed."""
 
     seed: int
     plan: str
@@ -35,8 +38,8 @@
     plan = draw(seed, front)
     seen = asyncio.run(play(plan))
     words = Counter(word for request in seen.requests for _, word in request.answers)
-    told = ", ".join(f"{word} {count}" for word, count in sorted(words.items()))
-    return SeedResult(seed, plan.describe(), judge(plan, seen), len(seen.requests), told, seen.log)
+    summary = ", ".join(f"{word} {count}" for word, count in sorted(words.items()))
+    return SeedResult(seed, plan.describe(), judge(plan, seen), len(seen.requests), summary, seen.log)
 
 
 @click.command()
--- a/benchmarks/soak/clients.py
+++ b/benchmarks/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a soak: they go on using their open connections until the kill."""
+"""Clients of a soak test, which keep using their open connections until the kill."""
 
 import asyncio
 import contextlib
@@ -15,22 +15,22 @@
 from benchmarks.soak.records import ConnectionEnd, Play, Request
 
 COMPLETED = "completed"
-TYPES = ("plain", "marked", "single")  # of the stand-in's settings, in the order of EFFECTS
+TYPES = ("plain", "marked", "single")  # namespace types of the stand-in's settings, in the order of EFFECTS
 FUNCTIONS = 6
-LEAVING_SHARE = 0.1  # of the requests, whose client does not wait for the answer
-RESET_WAIT = 0.1  # s in which a reset follows the end of a connection whose last bytes were not read
-RETRY_INTERVAL = 0.02  # s until a connection that was refused is tried again
+LEAVING_SHARE = 0.1  # share of requests whose client does not wait for the answer
+RESET_WAIT = 0.1  # s after the end of a connection within which a reset follows if its last bytes were unread
+RETRY_INTERVAL = 0.02  # s from a refused connection to the next attempt
 _numbers = itertools.count(1)
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection, and the requests on it that have no answer yet."""
+    """One connection and the requests on it that have no answer yet."""
 
     def __init__(self, play: Play) -> None:
         self.play = play
         self.number = next(_numbers)
         self.open: dict[int, Request] = {}
-        self.requests: dict[int, Request] = {}  # all that were sent on it
+        self.requests: dict[int, Request] = {}  # all requests that were sent on it
         self.unpacker = msgpack.Unpacker(raw=False)
         self.ended = asyncio.get_running_loop().create_future()
         self.transport: asyncio.Transport | None = None
@@ -46,7 +46,7 @@
             self.answered(message_id, COMPLETED if error is None else error[0])
 
     def answered(self, message_id: int, word: str) -> None:
-        """Note an answer."""
+        """Record an answer."""
         self.open.pop(message_id, None)
         request = self.requests.get(message_id)
         if request is not None:
@@ -57,7 +57,7 @@
     def eof_received(self):
         self.end_seen_at = time.monotonic()
         asyncio.get_running_loop().call_later(RESET_WAIT, self._end_after_close)
-        return True  # kept open: a reset that follows tells that something was not read
+        return True  # keep the connection open: a reset that follows shows that data was not read
 
     def _end_after_close(self):
         sock = self.transport.get_extra_info("socket")
@@ -80,7 +80,7 @@
         self.open.clear()
 
     def is_usable(self) -> bool:
-        """Return whether neither side has ended it."""
+        """Return whether neither side has ended the connection."""
         return not self.ended.done() and not self.is_own_end and self.end_seen_at is None
 
     def send(self, message_id: int, request: Request, function: int) -> None:
@@ -98,14 +98,14 @@
         return msgpack.packb([0, message_id, type_name, [fields, b"x"]])
 
     def cancel(self, message_id: int) -> None:
-        """Take one request back, if it has no answer yet."""
+        """Cancel one request if it has no answer yet."""
         request = self.open.pop(message_id, None)
         if request is not None:
             request.left_at = time.monotonic()
             self.transport.write(msgpack.packb([2, "cancel", [message_id]]))
 
     def leave(self, reset: bool) -> None:
-        """End the connection; nobody waits any more for what is open on it."""
+        """End the connection and stop waiting for the requests that are open on it."""
         self.is_own_end = True
         if reset:
             sock = self.transport.get_extra_info("socket")
@@ -119,7 +119,7 @@
 
 
 class Client:
-    """Asks again and again on an open connection, and on a new one where that was closed."""
+    """Sends requests on one connection, and on a new one when that has been closed."""
 
     connection_class = ClientConnection
     ways_to_leave = ("cancel", "cancel", "close", "reset")
@@ -141,13 +141,13 @@
             _, self.connection = await loop.create_connection(
                 lambda: self.connection_class(self.play), *self.address
             )
-        except OSError:  # nobody listens: what is not taken is not lost
+        except OSError:  # nobody listens: a request that was not accepted is not lost
             self.connection = None
             return False
         return True
 
     async def run(self, until: float) -> None:
-        """Ask until that moment."""
+        """Send requests until a time of the monotonic clock."""
         while time.monotonic() < until:
             if await self.connect():
                 self.ask()
@@ -156,7 +156,7 @@
                 await asyncio.sleep(RETRY_INTERVAL)
 
     def ask(self) -> None:
-        """Write one request, whose client may leave before it is answered."""
+        """Send one request, which the client may abandon before it is answered."""
         connection = self.connection
         number = self.chance.randrange(len(EFFECTS))
         message_id = next(self.message_ids)
--- a/benchmarks/soak/judge.py
+++ b/benchmarks/soak/judge.py
@@ -1,28 +1,31 @@
-"""Holds what one play showed against the rules of the platform's protocol.
+"""Checks the records of one play against the rules of the platform's protocol.
 
-A client's or a worker's moment is taken by a loop that may itself stand still on a busy machine. Bounds that
-follow from the order of events need no clock; the others are widened by what the loop was late meanwhile.
+Clients and workers take their timestamps in an event loop that may itself be delayed on a busy machine. Rules
+about the order of events need no clock; the time limits of the others are extended by the loop's longest
+delay in that period.
 """
 
 import signal
 from collections import Counter, defaultdict
 from collections.abc import Iterator
 
-from benchmarks.soak.peers import levels
+from benchmarks.soak.peers import error_lines
 from benchmarks.soak.plan import DRAIN_GRACE, Front, Plan, WorkerTrouble
 from benchmarks.soak.records import Arrival, ConnectionEnd, Play, Request
 
-ANSWER_SLACK = 0.5  # s after its time in which an answer only earns nothing
-CROSSING = 0.05  # s in which a request may cross the end of its connection
-LEAVING_SLACK = 0.1  # s after its client's end in which an attempt may still begin
-PROTOCOL_SLACK = 0.05  # s by which each limit is longer on sockets
-DEDUPLICATION_WINDOW = 4.0  # s, of the settings
-UPGRADE_FAILED = 1  # the exit code of a process that has given back
-SPARE_DESCRIPTORS = 1  # a roster's socket may be replaced at the moment of the look
+ANSWER_SLACK = 0.5  # s after the allowed time within which a late answer has no utility but breaks no rule
+CROSSING = 0.05  # s before the end of a connection within which a request may cross the close
+LEAVING_SLACK = (
+    0.1  # s after the request's end (answer, or the client has left) in which an attempt may begin
+)
+PROTOCOL_SLACK = 0.05  # s added to the protocol's time limits for transfer over sockets
+DEDUPLICATION_WINDOW = 4.0  # s, as in the settings
+UPGRADE_FAILED = 1  # exit code of a process that has handed back to its predecessor
+SPARE_DESCRIPTORS = 1  # a roster's socket may be being replaced when descriptors are counted
 
 
 def judge(plan: Plan, play: Play) -> list[str]:
-    """Return what is wrong, a line each."""
+    """Return the broken rules, one line for each finding."""
     arrivals: dict[str, list[Arrival]] = defaultdict(list)
     for arrival in play.arrivals:
         arrivals[arrival.id].append(arrival)
@@ -40,15 +43,15 @@
 
 
 def _process(plan: Plan, play: Play) -> Iterator[str]:
-    errors = levels(play.log)
+    errors = error_lines(play.log)
     allowed_codes = {0}
     if not play.catches_sigterm:
         allowed_codes.add(-signal.SIGTERM)
     if plan.upgrades and plan.trouble is not WorkerTrouble.NONE:
-        # a process that serves worse than the one before gives back, and workers in trouble make it so
-        given_back = [line for line in errors if "upgrade failed" in line]
-        errors = [line for line in errors if line not in given_back]
-        allowed_codes.update({UPGRADE_FAILED} if given_back else ())
+        # a successor that serves worse than its predecessor hands back, which failing workers can cause
+        handed_back = [line for line in errors if "upgrade failed" in line]
+        errors = [line for line in errors if line not in handed_back]
+        allowed_codes.update({UPGRADE_FAILED} if handed_back else ())
     if play.ended_at is None:
         yield f"it had not ended {plan.kill_after:.2f} s after SIGTERM, and was killed"
     elif play.exit_code not in allowed_codes:
@@ -57,29 +60,32 @@
 
 
 def _final_answer(play: Play, request: Request) -> Iterator[str]:
-    """One final answer, in time; none is owed to who has left, or whose request crossed a close unread."""
-    told = f"{request.effect} {request.id}"
+    """Check that a request has one final answer in time.
+
+    No answer is required if the client has left, or if the connection closed before the request was read.
+    """
+    label = f"{request.effect} {request.id}"
     after = f"sent {request.sent_at - play.terminated_at:+.3f} s after SIGTERM"
     if len(request.answers) > 1:
-        yield f"{told}: {len(request.answers)} answers"
+        yield f"{label}: {len(request.answers)} answers"
     elif request.answers:
         at, word = request.answers[0]
         took = at - request.sent_at
         if took > request.time_allowed + ANSWER_SLACK + play.lag(request.sent_at, at):
-            yield f"{told}: {word} after {took:.3f} s, allowed {request.time_allowed:.3f} s, {after}"
+            yield f"{label}: {word} after {took:.3f} s, allowed {request.time_allowed:.3f} s, {after}"
     elif request.left_at is None and request.end is not ConnectionEnd.REFUSED:
         if request.ended_at is None:
-            yield f"{told}: no answer, its connection is open, {after}"
+            yield f"{label}: no answer, its connection is open, {after}"
             return
         open_for = request.ended_at - request.sent_at
         was_unread = request.end is ConnectionEnd.RESET
         if was_unread and open_for <= CROSSING + play.lag(request.sent_at, request.ended_at):
             return
-        yield f"{told}: no answer, connection {request.end.name.lower()} {open_for:.3f} s later, {after}"
+        yield f"{label}: no answer, connection {request.end.name.lower()} {open_for:.3f} s later, {after}"
 
 
 def _effects(request: Request, arrivals: list[Arrival]) -> Iterator[str]:
-    """No effect twice: once-only runs once; deduplicated is sent again only in its window."""
+    """Check that a once-only request ran once, and a deduplicated one was repeated only within its window."""
     executed = [arrival for arrival in arrivals if arrival.executed]
     if request.effect == "once" and len(executed) > 1:
         yield f"once {request.id}: ran {len(executed)} times"
@@ -87,15 +93,15 @@
         between = executed[-1].at - executed[0].at
         if between > DEDUPLICATION_WINDOW + PROTOCOL_SLACK:
             yield f"by_key {request.id}: sent again {between:.3f} s later"
-    is_twice = Counter((arrival.worker, arrival.at) for arrival in arrivals).most_common(1)
-    if is_twice and is_twice[0][1] > 1:
+    most_frequent = Counter((arrival.worker, arrival.at) for arrival in arrivals).most_common(1)
+    if most_frequent and most_frequent[0][1] > 1:
         yield f"{request.effect} {request.id}: arrived twice at once"
 
 
 def _sends_after_the_end(plan: Plan, play: Play, request: Request, arrivals: list[Arrival]) -> Iterator[str]:
-    """No attempt begins after the final answer, or after the client has left.
+    """Check that no attempt begins after the final answer or after the client has left.
 
-    `petrelwood serve` goes on with what may not run twice: a client that comes again finds the result.
+    `petrelwood serve` continues requests that may not run twice, so that a returning client gets the result.
     """
     outlives_client = plan.front is Front.SERVE and request.effect != "repeatable"
     ends = [at for at, _ in request.answers]
--- a/benchmarks/soak/peers.py
+++ b/benchmarks/soak/peers.py
@@ -1,4 +1,4 @@
-"""The workers and rosters of a soak, on the stand-ins of the tests."""
+"""The workers and rosters of a soak test, based on the stand-ins of the tests."""
 
 import asyncio
 import json
@@ -15,12 +15,12 @@
 import rig
 from free_ports import free_port
 
-__all__ = ["CLOSE_INTERVAL", "SoakRoster", "SoakWorker", "free_port", "levels", "node_site", "rig"]
-CLOSE_INTERVAL = 0.1  # s between two moments at which a worker closes its connections
+__all__ = ["CLOSE_INTERVAL", "SoakRoster", "SoakWorker", "free_port", "error_lines", "node_site", "rig"]
+CLOSE_INTERVAL = 0.1  # s between two times at which a worker closes its connections
 
 
 class SoakWorker(node_site.Worker):
-    """A worker that records what arrives, and makes the trouble that it is told to."""
+    """A worker that records incoming requests and can be made to misbehave."""
 
     def __init__(self, name: str, seed: int, service_time: float, arrivals: list[Arrival]) -> None:
         super().__init__(name, self._answer)
@@ -44,7 +44,7 @@
         return b"" if self.trouble is WorkerTrouble.HANG else None
 
     async def make_trouble(self, trouble: WorkerTrouble) -> None:
-        """Make trouble until cancelled."""
+        """Misbehave until cancelled."""
         self.trouble = trouble
         while trouble is WorkerTrouble.CLOSE:
             for stream in list(self.streams):
@@ -52,13 +52,13 @@
             await asyncio.sleep(CLOSE_INTERVAL)
 
     async def close(self) -> None:
-        """Stop listening, and end what is open."""
+        """Stop listening, and close the open connections."""
         self.trouble = WorkerTrouble.HANG
         await super().close()
 
 
 class SoakRoster(node_site.Roster):
-    """A roster that notes when it first told that a worker is draining."""
+    """A roster that records when it first sent that a worker is draining."""
 
     def __init__(self, drains: dict[str, float]) -> None:
         super().__init__()
@@ -71,8 +71,8 @@
                 self.drains.setdefault(worker, time.monotonic())
 
 
-def levels(log: list[str]) -> list[str]:
-    """Return the lines of a log that tell of an error, or that are not of its form."""
+def error_lines(log: list[str]) -> list[str]:
+    """Return the lines of a log that have the level "error" or are not valid log lines."""
     found = []
     for line in log:
         try:
--- a/benchmarks/soak/plan.py
+++ b/benchmarks/soak/plan.py
@@ -1,17 +1,17 @@
-"""What one seed plays: settings, load, and the signals of a shutdown. The same seed gives the same plan."""
+"""The scenario of one seed: settings, load and signals of a shutdown. A seed always gives the same plan."""
 
 import random
 import signal
 from dataclasses import dataclass
 from enum import StrEnum
 
-STILL_ARRIVING = 0.7  # s after SIGTERM in which requests still come, as the protocol says
-LONGEST_COUNTED_DEADLINE = 3.0  # s; a longer deadline does not put off the kill
-FIRST_HANGUP = 1.0  # s after the start before which the platform sends no SIGHUP
+STILL_ARRIVING = 0.7  # s after SIGTERM during which requests still arrive, according to the protocol
+LONGEST_COUNTED_DEADLINE = 3.0  # s; a longer deadline does not postpone the kill
+FIRST_HANGUP = 1.0  # s after the start during which the platform sends no SIGHUP
 DEADLINES = (0.3, 0.5, 1.0, 2.0, 3.0, 4.0)  # s
 EFFECTS = ("repeatable", "by_key", "once")
-DRAIN_GRACE = 2.0  # s, of the settings
-DRAIN_AFTER = 0.3  # s after the readiness at which a worker is told to be draining
+DRAIN_GRACE = 2.0  # s, as in the settings
+DRAIN_AFTER = 0.3  # s from readiness until the roster sends that a worker is draining
 CONNECT_TIMEOUTS = (0.1, 0.25, 0.5)  # s
 DESCRIPTOR_LIMITS = (96, 128, 256)
 CROWDED_DESCRIPTOR_LIMIT = 64
@@ -26,10 +26,10 @@
 
 
 class Front(StrEnum):
-    """How the dispatcher is met."""
+    """The protocol by which clients reach the dispatcher."""
 
-    NODE = "node"  # as on the platform of its operators
-    SERVE = "serve"  # `petrelwood serve`, by webhooks
+    NODE = "node"  # the protocol of the operators' platform
+    SERVE = "serve"  # webhooks to `petrelwood serve`
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,24 +46,24 @@
 
     seed: int
     front: Front
-    deadlines: tuple[float, ...]  # of the types with the effects of EFFECTS
+    deadlines: tuple[float, ...]  # one for each effect of EFFECTS
     connect_timeout: float
     descriptors: int
     workers: int
     clients: int
     request_interval: float  # of each client
-    service_time: float  # of a worker, the median
-    serving: float  # from the readiness to SIGTERM; with `early`, from the start
-    early: bool  # SIGTERM comes before the dispatcher is ready
+    service_time: float  # of a worker, the mean of an exponential distribution
+    serving: float  # from readiness to SIGTERM; with `early`, from the start of the process
+    early: bool  # SIGTERM is sent before the dispatcher is ready
     signals: tuple[PlannedSignal, ...]
     trouble: WorkerTrouble
-    drains: bool  # one worker is told to be draining before SIGTERM
+    drains: bool  # the roster sends that one worker is draining before SIGTERM
     crowd: int  # connections beyond the limits, each with a request
-    upgrades: bool  # another process takes over before SIGTERM, which goes to both
+    upgrades: bool  # a successor process takes over before SIGTERM, which is sent to both processes
 
     @property
     def kill_after(self) -> float:
-        """The earliest moment of SIGKILL, in s after SIGTERM."""
+        """The earliest time of SIGKILL, in s after SIGTERM."""
         return min(max(self.deadlines), LONGEST_COUNTED_DEADLINE) + STILL_ARRIVING
 
     def describe(self) -> str:
@@ -109,15 +109,15 @@
 def _serving_range(early: bool, drains: bool) -> tuple[float, float]:
     if early:
         return 0.0, 0.6
-    if drains:  # it goes on after the grace of the worker that drains
+    if drains:  # the dispatcher serves beyond the drain grace of the worker
         return DRAIN_AFTER + DRAIN_GRACE, DRAIN_AFTER + DRAIN_GRACE + 1.0
     return FIRST_HANGUP + 0.2, 2.5
 
 
 def _signals(chance: random.Random, early: bool) -> tuple[PlannedSignal, ...]:
-    """Return SIGTERM and what comes around it, in the order of their moments."""
+    """Return SIGTERM and the signals around it, in the order of their times."""
     signals = [PlannedSignal(0.0, signal.SIGTERM)]
-    if not early:  # none before the dispatcher is ready
+    if not early:  # no SIGHUP is sent before the dispatcher is ready
         if chance.random() < 1 / 2:  # in quick succession
             first = chance.uniform(-0.2, -0.05)
             signals += [PlannedSignal(first + n * 0.004, signal.SIGHUP) for n in range(chance.randint(2, 5))]
--- a/benchmarks/soak/platform_site.py
+++ b/benchmarks/soak/platform_site.py
@@ -1,4 +1,4 @@
-"""A dispatcher as its platform starts it, between workers in JSON lines and rosters by DNS."""
+"""A dispatcher started by the platform's command, with workers by JSON lines and rosters by DNS."""
 
 import asyncio
 import copy
@@ -42,7 +42,7 @@
         self.log = self.play.log
 
     async def start(self) -> None:
-        """Start the process; wait for its readiness unless it is ended before that."""
+        """Start the process; wait until it is ready, unless the plan ends it earlier."""
         path = self.write()
         self.process = await asyncio.create_subprocess_exec(
             *self.command,
@@ -61,11 +61,11 @@
             roster.transport.close()
 
     def processes(self) -> list[asyncio.subprocess.Process]:
-        """Return the processes that a signal goes to."""
+        """Return the processes that signals are sent to."""
         return [self.process]
 
     async def prepare_hangup(self) -> None:
-        """Replace the configuration before a SIGHUP: it names another roster, and the old one is silent."""
+        """Before a SIGHUP, replace the configuration by one with a new roster, and close the old roster."""
         old = self.roster
         self.roster = SoakRoster(self.play.drains)
         self.rosters.append(self.roster)
@@ -76,11 +76,11 @@
         old.transport.close()
 
     async def drain_one(self) -> None:
-        """Tell that a worker is draining."""
+        """Send that the first worker is draining."""
         self.roster.tell(self.workers[0], "Terminating")
 
     async def upgrade(self) -> None:
-        """Do nothing: on the platform another process takes over by another way."""
+        """Do nothing: on the platform, upgrades work in another way."""
 
 
 def _settings(plan: Plan) -> dict[str, object]:
--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -1,4 +1,4 @@
-"""Plays one seed: a dispatcher between scripted peers and clients, ended by signals while it is used."""
+"""Plays one seed: runs a dispatcher with scripted peers and clients, and ends it by signals under load."""
 
 import asyncio
 import contextlib
@@ -14,11 +14,11 @@
 from benchmarks.soak.records import Descriptors, Play
 from benchmarks.soak.serve_site import ServeSite
 
-LAG_INTERVAL = 0.005  # s between two looks of the lag's watch
-TROUBLE_LEAD = 0.2  # s before SIGTERM at which the workers' trouble begins
-CROWD_STAY = 0.1  # s for which the first crowd stays, and before SIGTERM at which the second one comes
+LAG_INTERVAL = 0.005  # s between two measurements of the event loop's lag
+TROUBLE_LEAD = 0.2  # s before SIGTERM at which workers begin to misbehave
+CROWD_STAY = 0.1  # s for which the first crowd stays; the second one connects this long before SIGTERM
 POLL_INTERVAL = 0.02  # s
-CLOSING_WAIT = 0.3  # s in which clients see how their connections ended
+CLOSING_WAIT = 0.3  # s after the end within which clients see how their connections ended
 LISTENING = "0A"  # the state of a listener in /proc/net/tcp
 
 Site = PlatformSite | ServeSite
@@ -26,7 +26,7 @@
 
 
 async def play(plan: Plan, command: Sequence[str] | None = None) -> Play:
-    """Play one plan, with the dispatcher that `command` starts, or the usual one."""
+    """Play one plan with the dispatcher that `command` starts, or with the default one."""
     site = SITES[plan.front](plan, command)
     watch = asyncio.ensure_future(_watch_lag(site.play))
     try:
@@ -84,7 +84,7 @@
 
 
 async def _signal(site: Site) -> None:
-    """Send the planned signals at their moments; the settings are replaced before each SIGHUP."""
+    """Send the planned signals at their times; replace the settings before each SIGHUP."""
     for each in site.plan.signals:
         await _sleep_until(site.play.terminated_at + each.at)
         if each.number is signal.SIGHUP:
@@ -98,14 +98,14 @@
 
 
 def _catches_sigterm(pid: int) -> bool:
-    """Return whether a process has a handler for SIGTERM: an interpreter that starts has none yet."""
+    """Return whether a process has a handler for SIGTERM; a starting interpreter has none yet."""
     status = pathlib.Path(f"/proc/{pid}/status").read_text()
     caught = next(line for line in status.splitlines() if line.startswith("SigCgt:"))
     return bool(int(caught.split()[1], 16) >> (signal.SIGTERM - 1) & 1)
 
 
 async def _end_or_kill(site: Site) -> None:
-    """Wait for the end of all processes; kill what is left at the earliest moment that is allowed."""
+    """Wait for the end of all processes; kill those left at the earliest time the protocol allows."""
     processes = site.processes()
     left = site.play.terminated_at + site.plan.kill_after - time.monotonic()
     try:
@@ -134,27 +134,27 @@
 
 
 async def _crowd(site: Site, terminated_at: float) -> None:
-    """A crowd that leaves again, after which all descriptors are back; and one that stays to the end."""
+    """Open and close a crowd of connections and count descriptors, then open one that stays to the end."""
     plan = site.plan
     guests = [site.client_class(site.play, plan, site.address, f"guest {n}") for n in range(plan.crowd)]
-    await _come(guests)
+    await _connect_and_ask(guests)
     await asyncio.sleep(CROWD_STAY)
     for guest in guests:
         guest.close()
     site.play.last_descriptors = await _settled_descriptors(site, terminated_at - TROUBLE_LEAD)
     await _sleep_until(terminated_at - CROWD_STAY)
     staying = [site.client_class(site.play, plan, site.address, f"staying {n}") for n in range(plan.crowd)]
-    await _come(staying)
+    await _connect_and_ask(staying)
 
 
-async def _come(guests: Sequence[Client]) -> None:
+async def _connect_and_ask(guests: Sequence[Client]) -> None:
     for guest in guests:
         if await guest.connect():
             guest.ask()
 
 
 async def _settled_descriptors(site: Site, until: float) -> Descriptors:
-    """Return what it holds once that is no more than at the start, or at that moment."""
+    """Return the dispatcher's descriptors once they are no more than at the start, or at the time `until`."""
     while True:
         held = _descriptors(site)
         if held.own <= site.play.first_descriptors.own or time.monotonic() > until:
@@ -163,7 +163,7 @@
 
 
 def _descriptors(site: Site) -> Descriptors:
-    """Return what the dispatcher holds now."""
+    """Return the descriptors that the dispatcher has open now."""
     pid = site.process.pid
     links = [os.readlink(each) for each in pathlib.Path(f"/proc/{pid}/fd").iterdir()]
     held = {link.partition("[")[2].rstrip("]") for link in links if link.startswith("socket:")}
@@ -171,6 +171,6 @@
 
 
 def _connection_inodes(pid: int) -> set[str]:
-    """Return the inodes of TCP sockets that are no listeners, as the process sees them."""
+    """Return the inodes of the TCP sockets in a process's network namespace that are not listening."""
     rows = pathlib.Path(f"/proc/{pid}/net/tcp").read_text().splitlines()[1:]
     return {fields[9] for fields in map(str.split, rows) if fields[3] != LISTENING}
--- a/benchmarks/soak/records.py
+++ b/benchmarks/soak/records.py
@@ -1,4 +1,4 @@
-"""What clients, workers and the runner saw in one play. Times by the monotonic clock, in s."""
+"""Records of what clients, workers and the runner observed in one play. Times are monotonic, in s."""
 
 from dataclasses import dataclass, field
 from enum import Enum, auto
@@ -7,9 +7,9 @@
 class ConnectionEnd(Enum):
     """How a client's connection ended."""
 
-    CLOSED = auto()  # by the dispatcher, which had read all that was sent
-    RESET = auto()  # by the dispatcher or its machine: something was not read
-    REFUSED = auto()  # it was never made
+    CLOSED = auto()  # by the dispatcher, after it had read all data
+    RESET = auto()  # by the dispatcher or its kernel, with unread data
+    REFUSED = auto()  # it was never established
     OWN = auto()  # by the client
 
 
@@ -19,55 +19,57 @@
 
     id: str
     effect: str
-    time_allowed: float  # s, until which an answer is of use
+    time_allowed: float  # s after which an answer has no utility
     sent_at: float
     connection: int
-    left_at: float | None = None  # when its client no longer waited
-    answers: list[tuple[float, str]] = field(default_factory=list)  # when, and the word
+    left_at: float | None = None  # when its client stopped waiting
+    answers: list[tuple[float, str]] = field(default_factory=list)  # (time, outcome)
     ended_at: float | None = None  # when its connection ended without an answer
     end: ConnectionEnd | None = None
 
 
 @dataclass(slots=True)
 class Arrival:
-    """A request that reached a worker whole."""
+    """A request that a worker received completely."""
 
     id: str
     worker: str
     at: float
-    executed: bool  # the worker began it, rather than answer that it will not
+    executed: bool  # whether the worker began it instead of declining it
 
 
 @dataclass(slots=True)
 class Descriptors:
-    """What the dispatcher held, and how much of it were connections that its peers still had."""
+    """Number of the dispatcher's open descriptors, and how many of them were open connections to peers."""
 
     open: int
     connections: int
 
     @property
     def own(self) -> int:
-        """Descriptors that are no connection of a peer."""
+        """Number of descriptors that are not connections to peers."""
         return self.open - self.connections
 
 
 @dataclass(slots=True)
 class Play:
-    """All that was seen."""
+    """All records of one play."""
 
     requests: list[Request] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
-    drains: dict[str, float] = field(default_factory=dict)  # when a worker was told to be draining
+    drains: dict[str, float] = field(default_factory=dict)  # worker -> when the roster sent that it drains
     log: list[str] = field(default_factory=list)
     terminated_at: float = 0.0
-    catches_sigterm: bool = True  # had it a handler for the first one, or does it end by the default action
-    ended_at: float | None = None  # None: it had to be killed
+    catches_sigterm: bool = (
+        True  # whether it had a handler at the first SIGTERM (else the default action ends it)
+    )
+    ended_at: float | None = None  # None if it had to be killed
     exit_code: int | None = None
     first_descriptors: Descriptors | None = None
     last_descriptors: Descriptors | None = None
     unexpected_answers: list[str] = field(default_factory=list)
-    lags: list[tuple[float, float]] = field(default_factory=list)  # of this process's loop: when, and s
+    lags: list[tuple[float, float]] = field(default_factory=list)  # (time, delay in s) of this process's loop
 
     def lag(self, begin: float, end: float) -> float:
-        """Return for how long this process's loop stood still at most between two moments, in s."""
+        """Return the longest delay (s) of this process's event loop between two times."""
         return max((late for at, late in self.lags if at >= begin and at - late <= end), default=0.0)
