--- a/benchmarks/soak/serve_site.py
+++ b/benchmarks/soak/serve_site.py
@@ -1,4 +1,4 @@
-"""`petrelwood serve` between workers of MessagePack-RPC, a roster of server-sent events and webhooks."""
+"""A `petrelwood serve` process with MessagePack-RPC workers, a server-sent events roster, and webhooks."""
 
 import asyncio
 import os
@@ -16,11 +16,11 @@
 ROOT = pathlib.Path(__file__).parents[2]
 START_TIMEOUT = 60  # s
 COMMAND = (sys.executable, "-m", "petrelwood.cli")
-USUAL_TIMES = 'target-latency "500ms"; action-timeout "2s"'  # of each type in the stand-in's file
+USUAL_TIMES = 'target-latency "500ms"; action-timeout "2s"'  # of each namespace type in the stand-in's file
 
 
 class ServeWorker(rig.Worker):
-    """A worker that records what arrives, and makes the trouble that it is told to."""
+    """A worker that records incoming requests and can be made to misbehave."""
 
     def __init__(self, name: str, plan: Plan, arrivals: list[Arrival]) -> None:
         super().__init__(name, self._run)
@@ -30,8 +30,8 @@
         self.trouble = WorkerTrouble.NONE
 
     def _run(self, worker, stream, message_id, params):
-        _, customer_mark = params[3].split("/", 1)
-        self.arrivals.append(Arrival(customer_mark, self.name, time.monotonic(), True))
+        _, request_id = params[3].split("/", 1)
+        self.arrivals.append(Arrival(request_id, self.name, time.monotonic(), True))
         delay = self.chance.expovariate(1 / self.service_time)
         asyncio.get_running_loop().call_later(delay, self._answer, stream, message_id, params)
 
@@ -40,7 +40,7 @@
             rig.answer(self, stream, message_id, params)
 
     async def make_trouble(self, trouble: WorkerTrouble) -> None:
-        """Make trouble until cancelled."""
+        """Misbehave until cancelled."""
         self.trouble = trouble
         while trouble is WorkerTrouble.CLOSE:
             for stream in self.streams:
@@ -115,10 +115,10 @@
         line = await asyncio.wait_for(process.stdout.readline(), START_TIMEOUT)
         if b"ready" not in line:
             await process.wait()
-            raise AssertionError(f"it did not start: {self.log[-5:]}")
+            raise AssertionError(f"the dispatcher did not become ready; end of its log: {self.log[-5:]}")
 
     def write(self) -> None:
-        """Write the settings, whole at any moment."""
+        """Write the settings file atomically."""
         plan = self.plan
         text = rig.FILE.format(
             roster=self.roster_port,
@@ -137,7 +137,7 @@
         part.replace(self.folder / "g.kdl")
 
     def processes(self) -> list[asyncio.subprocess.Process]:
-        """Return the processes that a signal goes to."""
+        """Return the processes that signals are sent to."""
         return [each for each in (self.process, self.successor) if each is not None]
 
     async def prepare_hangup(self) -> None:
@@ -145,13 +145,13 @@
         self.write()
 
     async def drain_one(self) -> None:
-        """Tell that a worker is draining."""
+        """Send that the first worker is draining."""
         entry = self.workers[0].entry("draining")
         self.roster.entries[0] = entry
         self.roster.tell(entry)
         self.play.drains.setdefault(self.workers[0].name, time.monotonic())
 
     async def upgrade(self) -> None:
-        """Start the process that takes over, and wait for its readiness."""
+        """Start the successor process and wait until it is ready."""
         self.successor = await self._start("upgrade")
         await self._ready(self.successor)
--- a/benchmarks/soak/webhook_clients.py
+++ b/benchmarks/soak/webhook_clients.py
@@ -1,4 +1,4 @@
-"""Clients of a soak that send signed webhooks."""
+"""Clients of a soak test that send signed webhooks."""
 
 import time
 from collections import deque
@@ -12,12 +12,12 @@
 from petrelwood.fronts.signing import sign
 from petrelwood.standins.caller import request as encode_request
 
-TYPES = ("again", "hall", "once")  # of the stand-in's settings, in the order of EFFECTS
-WORDS = {200: COMPLETED, 503: "rejected", 504: "aborted"}
+TYPES = ("again", "hall", "once")  # namespace types of the stand-in's settings, in the order of EFFECTS
+OUTCOMES = {200: COMPLETED, 503: "rejected", 504: "aborted"}
 
 
 class WebhookConnection(ClientConnection):
-    """One connection of HTTP/1.1; answers come in the order of the requests."""
+    """One HTTP/1.1 connection; responses arrive in the order of the requests."""
 
     def __init__(self, play) -> None:
         super().__init__(play)
@@ -28,10 +28,10 @@
         self.parser.feed_data(data)
 
     def on_message_complete(self) -> None:
-        """Note an answer, as httptools has read one."""
+        """Record an answer (called by httptools)."""
         status = self.parser.get_status_code()
         message_id = self.unanswered.popleft() if self.unanswered else 0
-        self.answered(message_id, WORDS.get(status, f"status {status}"))
+        self.answered(message_id, OUTCOMES.get(status, f"status {status}"))
         self.parser = httptools.HttpResponseParser(self)
 
     def encode(self, message_id: int, request: Request, function: int) -> bytes:
@@ -49,13 +49,13 @@
 
 
 class WebhookClient(Client):
-    """Asks by webhooks, one at a time: an answer may not come before that of the request ahead of it."""
+    """Sends webhooks one at a time, because HTTP/1.1 delays a response until the previous one was sent."""
 
     connection_class = WebhookConnection
     ways_to_leave = ("close", "reset")
 
     def ask(self) -> None:
-        """Write one request, unless one is open."""
+        """Send one request, unless another one has no answer yet."""
         if not self.connection.unanswered:
             super().ask()
 
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -1,5 +1,7 @@
-"""What keeping state costs: the log's pace, a start by size of log, the recovery of a log that failed, and
-the whole dispatcher with it and without.
+"""Measures the cost of durable state: log throughput, start time, recovery of a failed log, and throughput.
+
+`pace` measures the log's throughput, `start` the time to start by size of the log, `recovery` the recovery of
+a log whose write failed, and `whole` the throughput of a dispatcher with durable state and without.
 
     python benchmarks/state.py pace|start|recovery|whole"""
 
@@ -29,7 +31,7 @@
 
 
 def pace():
-    """Records a second: one write each, eight to a write, one fsync each."""
+    """Measure records per second, with one or eight records per write, and with an fsync per 1 or 32."""
     for word, group, sync, count in (
         ("a write each", 1, False, 50_000),
         ("a write for eight", 8, False, 50_000),
@@ -50,7 +52,7 @@
 
 
 def start():
-    """Seconds from files to a filled ledger."""
+    """Measure the seconds from reading the files to a filled ledger."""
     for count in (1_000, 10_000, 100_000, 400_000):
         with tempfile.TemporaryDirectory() as folder:
             log = StateLog(folder, WALL, "b", 600 * S)
@@ -74,7 +76,7 @@
 
 
 class _FullOnce(Files):
-    """A disk whose next write fails, once."""
+    """A disk whose next write fails once `full` is set; later writes succeed."""
 
     full = False
 
@@ -86,8 +88,9 @@
 
 
 async def _recovery(count, durability):
-    """(seconds from a failed write until the log counts again, the longest that the loop was blocked in it)
-    with `count` ids remembered, half of them with a short answer."""
+    """Return the seconds from a failed write until the log is valid again, the longest time (s) for which the
+    rewrite blocked the event loop, and the size of the log (bytes), with `count` remembered ids, half of them
+    with a short answer."""
     sys.path.insert(0, str(pathlib.Path(__file__).parents[1] / "tests"))
     from test_store_faults import GATEWAY, Log, Recorded
 
@@ -133,7 +136,7 @@
 
 
 def recovered():
-    """How long until a log that failed counts again, its disk being well at once."""
+    """Measure how long it takes until a failed log is valid again when the disk recovers at once."""
     for durability in ("process", "machine"):
         for count in (0, 10_000, 300_000):
             for _ in range(3):
@@ -145,7 +148,7 @@
 
 
 async def _whole(more, count, out):
-    """Once-only webhooks through a whole dispatcher on loopback, 32 at a time; seconds for `count`."""
+    """Send once-only webhooks through a dispatcher on loopback, 32 at a time; append the rate per second."""
     sys.path.insert(0, str(pathlib.Path(__file__).parents[1] / "tests"))
     import rig
 
@@ -173,7 +176,7 @@
 
 
 def whole():
-    """Activations a second, as a ratio to no state, in rounds one after the other."""
+    """Measure activations per second by durability, and the ratio to a dispatcher without state."""
     rates = {}
     for _ in range(5):
         for word in ("none", "process", "machine"):
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -166,6 +166,7 @@
 
 def never(worker, stream, msgid, params):
     """Leave the run request unanswered."""
+    pass
 
 
 def says(word):
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -122,11 +122,11 @@
 
 def reachable(graph, module):
     """Return the modules that a module imports directly or indirectly."""
-    found, following = set(), [module]
-    while following:
-        for other in graph[following.pop()] - found:
+    found, pending = set(), [module]
+    while pending:
+        for other in graph[pending.pop()] - found:
             found.add(other)
-            following.append(other)
+            pending.append(other)
     return found
 
 
