--- a/benchmarks/scale/parts.py
+++ b/benchmarks/scale/parts.py
@@ -329,7 +329,7 @@
 
     kept = counting.bytes_kept(call_all)[1]
     if len(dispatcher.ledger.entries) != count + 1:
-        raise RuntimeError(f"the ledger has {len(dispatcher.ledger.entries)} ids instead of {count + 1}")
+        raise RuntimeError(f"{len(dispatcher.ledger.entries)} ids are in the ledger instead of {count + 1}")
     return kept
 
 
