--- a/tests/test_run_tests.py
+++ b/tests/test_run_tests.py
@@ -167,7 +167,7 @@
 
     @staticmethod
     def alive(process):
-        """Return whether a process still runs; zombies and dead processes do not count."""
+        """Return whether a process still runs; a killed process may take a moment to disappear."""
         try:
             return Path(f"/proc/{process}/stat").read_text().split()[2] not in "ZX"
         except (FileNotFoundError, ProcessLookupError):
@@ -244,7 +244,7 @@
                     pathlib.Path(tempfile.mkdtemp())
         """
         self.write(test_a=text, test_b=text, test_c=text)
-        self.write(parallel="import pathlib\nHERE = pathlib.Path(__file__).parent\n")
+        self.write(beside="import pathlib\nHERE = pathlib.Path(__file__).parent\n")
         self.assertEqual(self.run_all()[:2], (0, "3 passed, 0 failed"))
 
     def test_files_named_run_alone_and_a_name_that_is_no_file_fails(self):
