--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -143,9 +143,7 @@
         """Process incoming bytes of the stream."""
         try:
             self.fleet.processor.measure(flows.NEWS, self.reader.on_body, data)
-        except (
-            EndpointListError
-        ):  # changes are missing: reconnect for the whole list, as the real reader does
+        except EndpointListError:  # changes are missing: request the whole list, as the real reader does
             self.lose()
 
     def push(self, data):
--- a/benchmarks/soak/judge.py
+++ b/benchmarks/soak/judge.py
@@ -15,9 +15,7 @@
 
 ANSWER_SLACK = 0.5  # s after the allowed time within which a late answer has no utility but breaks no rule
 CROSSING = 0.05  # s before the end of a connection within which a request may cross the close
-LEAVING_SLACK = (
-    0.1  # s after the request's end (answer, or the client has left) in which an attempt may begin
-)
+LEAVING_SLACK = 0.1  # s after the answer, or after the client has left, in which an attempt may still begin
 PROTOCOL_SLACK = 0.05  # s added to the protocol's time limits for transfer over sockets
 DEDUPLICATION_WINDOW = 4.0  # s, as in the settings
 UPGRADE_FAILED = 1  # exit code of a process that has handed back to its predecessor
--- a/benchmarks/soak/records.py
+++ b/benchmarks/soak/records.py
@@ -60,9 +60,7 @@
     drains: dict[str, float] = field(default_factory=dict)  # worker -> when the roster sent that it drains
     log: list[str] = field(default_factory=list)
     terminated_at: float = 0.0
-    catches_sigterm: bool = (
-        True  # whether it had a handler at the first SIGTERM (else the default action ends it)
-    )
+    catches_sigterm: bool = True  # whether it had a handler at the first SIGTERM; if not, SIGTERM kills it
     ended_at: float | None = None  # None if it had to be killed
     exit_code: int | None = None
     first_descriptors: Descriptors | None = None
