--- a/tests/test_ration.py
+++ b/tests/test_ration.py
@@ -249,10 +249,12 @@
     def test_the_emulators_link(self):
         core, after = self.Core(lambda at: at > 0), []
         platform = types.SimpleNamespace(
-            after=lambda wait, call, *args: after.append(call), is_cut=lambda *_: False, way=lambda *_: 1
+            after=lambda wait, call, *args: after.append(call),
+            is_cut=lambda *_: False,
+            path_delay=lambda *_: 1,
         )
         node = types.SimpleNamespace(
-            name="w", hall="a", machine=object(), silent=False, booted=1, life=1, links=[]
+            name="w", zone="a", machine=object(), silent=False, booted=1, incarnation=1, links=[]
         )
         link = emulate_link.Link(platform, node, core, "a", self.TERMS, lambda: 0.5)
         self.order_before_connected(link, core)
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -339,10 +339,10 @@
         platform = types.SimpleNamespace(
             after=lambda wait, call, *args: after.append((call, args)),
             is_cut=lambda *_: False,
-            way=lambda *_: 1,
+            path_delay=lambda *_: 1,
         )
         node = types.SimpleNamespace(
-            name="w", hall="a", machine=object(), silent=False, booted=1, life=1, links=[]
+            name="w", zone="a", machine=object(), silent=False, booted=1, incarnation=1, links=[]
         )
         link = emulate_link.Link(platform, node, core, "a", self.TERMS, lambda: 0.5)
         link.run("long", 0, "f", "m", 90, 1, b"x")
