--- a/petrelwood/control/messages.py
+++ b/petrelwood/control/messages.py
@@ -33,9 +33,8 @@
 )
 from petrelwood.decide.cluster.replicated_log import RETAINED_TEXTS
 
-MAX_MESSAGE_SIZE = MAX_TEXT_SIZE * (
-    RETAINED_TEXTS + 1
-)  # bytes: the texts that a replica retains, and one more for the other fields
+# Bytes: the texts that a replica retains, and one more for the other fields.
+MAX_MESSAGE_SIZE = MAX_TEXT_SIZE * (RETAINED_TEXTS + 1)
 MAX_ID_SIZE = 64  # bytes
 MAX_KIND_SIZE = 16  # bytes
 LARGEST_NUMBER = 1 << 62
--- a/petrelwood/control/server.py
+++ b/petrelwood/control/server.py
@@ -84,9 +84,8 @@
 
     def disk_recovered(self, outage: int) -> None:
         """Log that a write succeeded again; see `DiskObserver`."""
-        votes_from = (
-            self.replica.votes_from
-        )  # None: the disk was also lost, and the server has not rejoined yet
+        # None: the disk was also lost, and the server has not rejoined yet
+        votes_from = self.replica.votes_from
         self._log.info("log written again", outage_ms=outage // MS, votes_from=votes_from)
 
     async def _watch_disk(self) -> None:
--- a/petrelwood/decide/scheduling/placement.py
+++ b/petrelwood/decide/scheduling/placement.py
@@ -232,10 +232,8 @@
         elif copy and copy.loading_since:
             del function.copies[worker.id]
             copy.loading_since = 0
-            if reason in (
-                EndReason.FULL,
-                EndReason.NOT_SENT,
-            ):  # too many loads on the worker, or the order was never sent
+            # Too many loads on the worker, or the order was never sent.
+            if reason in (EndReason.FULL, EndReason.NOT_SENT):
                 worker.loads_refused_until = now + self.target_latency // REFUSED_LOADS_DIVISOR
                 function.placement_paused_until = now + self.placement_pause
             else:
--- a/petrelwood/dispatch/event_queue.py
+++ b/petrelwood/dispatch/event_queue.py
@@ -9,9 +9,8 @@
 
 from petrelwood.dispatch.interfaces import Clock
 
-MAX_CALLS_PER_RUN = (
-    10_000  # further calls run in the next iteration of the event loop, so timers are not starved
-)
+# Further calls run in the next iteration of the event loop, so that timers are not starved.
+MAX_CALLS_PER_RUN = 10_000
 
 Call = Callable[..., object]
 Arguments = tuple[object, ...]
--- a/petrelwood/dispatch/handover/hooks.py
+++ b/petrelwood/dispatch/handover/hooks.py
@@ -14,8 +14,7 @@
     """Set by the predecessor's and the successor's side, and read by the core."""
 
     retired: bool = False  # another process owns new activations
-    may_be_superseded: Callable[[int], bool] | None = (
-        None  # whether another process may own them at a time (ns)
-    )
+    # whether another process may own new activations at a time (ns)
+    may_be_superseded: Callable[[int], bool] | None = None
     on_activation_end: ActivationEndHandler | None = None
     on_answer: Callable[[bool], object] | None = None  # called with whether the activation completed
--- a/petrelwood/dispatch/state_recovery.py
+++ b/petrelwood/dispatch/state_recovery.py
@@ -85,9 +85,8 @@
         self.state = state
         self.schedule = RecoverySchedule(core.chance.random)
         self.recent_orders = RecentOrders(core.terms.orders.period)
-        self.unwritten: Iterator[tuple[str, str]] | None = (
-            None  # keys that no slice has written yet; None: no rewrite
-        )
+        # keys that no slice has written yet; None: no rewrite
+        self.unwritten: Iterator[tuple[str, str]] | None = None
         self.progressed_at = 0  # ns; when the current attempt began or last wrote a slice
         self.rejected = 0  # activations rejected in the current outage
 
--- a/petrelwood/settings/limits.py
+++ b/petrelwood/settings/limits.py
@@ -12,9 +12,8 @@
     connections: int = 2000
     header: int = 16_000  # bytes of the head of a request
     body: int = 1_000_000  # bytes of the body of a request
-    head_within: int = (
-        5 * SECOND
-    )  # ns, from the connection's start or the request's first byte to the end of the head
+    # ns, from the connection's start or the request's first byte to the end of the head
+    head_within: int = 5 * SECOND
     body_within: int = 10 * SECOND  # ns, from the end of the head to the end of the body
     idle: int = 75 * SECOND  # ns, the maximum time between two requests
     pipeline: int = 16  # maximum number of requests read ahead on a connection
--- a/petrelwood/wire/bgp.py
+++ b/petrelwood/wire/bgp.py
@@ -275,9 +275,8 @@
             raise BgpError(UPDATE_ERROR, 10, f"{what}: a prefix that can't be")
         raw = bytearray(data[at : at + octets])
         if length % 8:
-            raw[-1] &= (
-                0xFF << 8 - length % 8 & 0xFF
-            )  # clears the bits beyond the length, which have no meaning
+            # Clears the bits beyond the length, which have no meaning.
+            raw[-1] &= 0xFF << 8 - length % 8 & 0xFF
         found.append((afi, bytes(raw) + bytes(BITS[afi] // 8 - octets), length))
         at += octets
     return tuple(found)
